--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -86,7 +86,7 @@
             long pid = Long.parseLong(said.readLine().substring("started ".length()));
             ProcessHandle proxy = ProcessHandle.of(pid).orElseThrow();
             try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", port))) {
-                client.write(Setup.get());
+                client.write(Setup.getRequest());
                 CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> read(client));
                 CompletableFuture.anyOf(answer, proxy.onExit()).get(20, TimeUnit.SECONDS);
                 assertTrue(proxy.isAlive(), () -> "it ended: " + said());
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -45,7 +45,7 @@
         setup = new Setup()
                 .start(Config.parse(
                         Setup.json(discovery.hostPort(), "127.0.0.1:" + backend.getLocalPort(), 1024, 5000), Map.of()));
-        server = setup.backend();
+        server = setup.listedServer();
     }
 
     @AfterEach
@@ -81,7 +81,7 @@
     }
 
     private static String order(String framing) {
-        return Setup.get("Request-Timeout: 1.2\r\nIdempotency-Key: k\r\n" + framing)
+        return Setup.getRequest("Request-Timeout: 1.2\r\nIdempotency-Key: k\r\n" + framing)
                 .replace("GET /look", "POST /order");
     }
 
@@ -160,8 +160,8 @@
                     client.getOutputStream().write(body, LARGE / 2, LARGE - LARGE / 2);
                 }
             });
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 String head = head(b.getInputStream());
                 assertTrue(head.contains("Request-Timeout: 1.19"), head);
@@ -182,7 +182,7 @@
                 sent.get(20, TimeUnit.SECONDS);
                 write(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 200"));
-                assertEquals(Status.OK, setup.outcome().status());
+                assertEquals(Status.OK, setup.nextOutcome().status());
             }
         }
     }
@@ -194,18 +194,18 @@
             write(client, order("Content-Length: " + LARGE + "\r\n"));
             // The rest is held back: else the system's buffers may take it all before the backend has gone.
             client.getOutputStream().write(body, 0, LARGE / 2);
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), 12345, 0)); // none is known by that number
-            assertEquals(Status.MOOT, setup.outcome().status());
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), 12345, 0)); // none is known by that number
+            assertEquals(Status.MOOT, setup.nextOutcome().status());
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 head(b.getInputStream());
                 b.getInputStream().readNBytes(LARGE / 4);
             }
-            assertEquals(Status.CONNECT_FAILED, setup.outcome().status(), "its last byte was never written");
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
-            assertEquals(Status.MOOT, setup.outcome().status(), "a part of it is gone");
-            setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+            assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status(), "its last byte was never written");
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
+            assertEquals(Status.MOOT, setup.nextOutcome().status(), "a part of it is gone");
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
             assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 503"));
         }
     }
@@ -215,15 +215,15 @@
         try (Socket client = client()) {
             write(client, order("Content-Length: " + LARGE + "\r\n"));
             CompletableFuture<Void> sent = beside(() -> client.getOutputStream().write(bytes(LARGE)));
-            Request r = setup.request();
-            setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
             String refusal = head(client.getInputStream());
             assertTrue(refusal.startsWith("HTTP/1.1 503"), refusal);
             client.getInputStream().readNBytes("refused, try again\n".length());
             sent.get(20, TimeUnit.SECONDS);
-            write(client, Setup.get());
-            Request next = setup.request();
-            setup.act(() -> setup.actions.fail(next.ticket()));
+            write(client, Setup.getRequest());
+            Request next = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.fail(next.ticket()));
             assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 502"));
         }
     }
@@ -233,11 +233,11 @@
         try (Socket client = client()) {
             write(client, order("Content-Length: " + LARGE + "\r\n"));
             CompletableFuture<Void> sent = beside(() -> client.getOutputStream().write(bytes(LARGE)));
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Socket silent = accept();
-            assertEquals(Status.CONNECT_FAILED, setup.outcome().status());
-            setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+            assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status());
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
             assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 503"));
             sent.get(20, TimeUnit.SECONDS);
             silent.close();
@@ -249,12 +249,12 @@
         try (Socket client = client()) {
             write(client, order("Content-Length: " + LARGE + "\r\n"));
             client.getOutputStream().write(bytes(LARGE / 2));
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 head(b.getInputStream());
                 assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 408"));
-                setup.next("withdrawn", Integer.class);
+                setup.nextEvent("withdrawn", Integer.class);
                 b.getInputStream().readAllBytes();
             }
         }
@@ -265,9 +265,9 @@
     void aLargeAnswerIsPassedOnAsFastAsItsClientTakesIt(boolean chunked) throws Exception {
         byte[] body = bytes(LARGE);
         try (Socket client = client()) {
-            write(client, Setup.get());
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            write(client, Setup.getRequest());
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 head(b.getInputStream());
                 CompletableFuture<Void> given = beside(() -> {
@@ -282,7 +282,7 @@
                         b.getOutputStream().write(body);
                     }
                 });
-                assertEquals(Status.OK, setup.outcome().status(), "served with its first bytes");
+                assertEquals(Status.OK, setup.nextOutcome().status(), "served with its first bytes");
                 assertEquals(
                         1,
                         setup.loop
@@ -299,10 +299,10 @@
                 assertArrayEquals(body, got);
                 given.get(20, TimeUnit.SECONDS);
                 // Both connections are of use again.
-                setup.passes(20);
-                write(client, Setup.get());
-                Request next = setup.request();
-                setup.act(() -> setup.actions.send(next.ticket(), server, 0));
+                setup.advanceClock(20);
+                write(client, Setup.getRequest());
+                Request next = setup.nextRequest();
+                setup.runOnLoop(() -> setup.actions.send(next.ticket(), server, 0));
                 head(b.getInputStream());
                 write(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 200"));
@@ -317,9 +317,9 @@
     @Test
     void anAnswerThatBreaksOffEndsItsClientsConnection() throws Exception {
         try (Socket client = client()) {
-            write(client, Setup.get());
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            write(client, Setup.getRequest());
+            Request r = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 head(b.getInputStream());
                 write(b, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
@@ -343,9 +343,9 @@
     @Test
     void aClientThatLeavesInTheMiddleOfAnAnswerEndsIt() throws Exception {
         Socket client = client();
-        write(client, Setup.get());
-        Request r = setup.request();
-        setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+        write(client, Setup.getRequest());
+        Request r = setup.nextRequest();
+        setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         try (Socket b = accept()) {
             head(b.getInputStream());
             write(b, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
@@ -367,17 +367,17 @@
     @Test
     void aBodyMayBeAskedForBehindAnAnswerThatIsStillDue() throws Exception {
         try (Socket client = client()) {
-            write(client, Setup.get());
-            Request r = setup.request();
+            write(client, Setup.getRequest());
+            Request r = setup.nextRequest();
             write(client, order("Content-Length: 4\r\nExpect: 100-continue\r\n"));
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             String first = head(client.getInputStream());
             assertTrue(first.startsWith("HTTP/1.1 502"), first);
             client.getInputStream().readNBytes("failed\n".length());
             assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 100"));
-            assertFalse(setup.told.stream().anyMatch(t -> t.what().equals("request")));
+            assertFalse(setup.moduleEvents.stream().anyMatch(t -> t.type().equals("request")));
             write(client, "body");
-            Request second = setup.request();
+            Request second = setup.nextRequest();
             assertEquals(1, second.profile());
         }
     }
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -19,15 +19,15 @@
 class LongListTest {
     private static final int SERVERS = 1100;
     /** As long as an id may be told from a line of discovery that is cut off: nobody names a limit. */
-    private static final String LONG = "i".repeat(1500);
+    private static final String LONG_ID_SUFFIX = "i".repeat(1500);
 
-    private static final List<String> SMALLEST = List.of(
+    private static final List<String> SMALLEST_HEAP = List.of(
             "-Xms16m", "-Xmx16m", "-Xmn6m", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:MaxDirectMemorySize=16m");
 
     @TempDir
     Path folder;
 
-    private static void answer(Peer backend) {
+    private static void startAnswering(Peer backend) {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
@@ -59,9 +59,9 @@
         }
     }
 
-    private static void served(ProxyProcess process) throws IOException {
+    private static void assertServed(ProxyProcess process) throws IOException {
         try (Peer.Wire client = Peer.Wire.to(process.door)) {
-            assertTrue(client.write(Setup.get()).read().startsWith("HTTP/1.1 200"));
+            assertTrue(client.write(Setup.getRequest()).read().startsWith("HTTP/1.1 200"));
         }
     }
 
@@ -72,19 +72,19 @@
     }
 
     @Test
-    void allServersOfALongListAreKnownAndTheProxyServes() throws Exception {
+    void longListIsAppliedInSmallestHeapAndProxyServes() throws Exception {
         try (Peer backend = new Peer();
-                ProxyProcess process = new ProxyProcess(folder, backend.hostPort(), SMALLEST)) {
-            answer(backend);
+                ProxyProcess process = new ProxyProcess(folder, backend.hostPort(), SMALLEST_HEAP)) {
+            startAnswering(backend);
             process.list(42, servers(SERVERS, "", backend.hostPort()));
             process.awaitReady();
             awaitMembers(process, SERVERS);
-            served(process);
+            assertServed(process);
             process.list(43, servers(SERVERS - 1, "", backend.hostPort()));
             awaitMembers(process, SERVERS - 1);
-            process.list(44, servers(SERVERS + 1, LONG, backend.hostPort()));
+            process.list(44, servers(SERVERS + 1, LONG_ID_SUFFIX, backend.hostPort()));
             awaitMembers(process, SERVERS + 1);
-            served(process);
+            assertServed(process);
             assertEquals(0, figures(process).path("failed").path("look").asInt());
             assertTrue(process.alive());
         }
--- a/src/test/java/gullspar/proxy/LoopbackTest.java
+++ b/src/test/java/gullspar/proxy/LoopbackTest.java
@@ -17,11 +17,11 @@
         discovery = new Peer();
         backend = new Peer();
         setup = new Setup().start(Setup.config(discovery, backend));
-        server = setup.backend();
+        server = setup.listedServer();
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void close() throws Exception {
         setup.close();
         discovery.close();
         backend.close();
--- a/src/test/java/gullspar/proxy/OperatorTest.java
+++ b/src/test/java/gullspar/proxy/OperatorTest.java
@@ -46,7 +46,7 @@
         backend = new Peer();
         setup = new Setup().start(Setup.config(discovery, backend));
         setup.loop
-                .submit(() -> setup.proxy.news(new gullspar.proxy.discovery.ListUpdate(
+                .submit(() -> setup.proxy.onUpdate(new gullspar.proxy.discovery.ListUpdate(
                         gullspar.decide.Balancer.ListKind.DELTA, 42, List.of())))
                 .get(20, TimeUnit.SECONDS);
         port = new OperatorPort(Platform.of(setup.loop));
@@ -78,7 +78,7 @@
     }
 
     private void about() throws Exception {
-        setup.act(() -> port.about(setup.proxy));
+        setup.runOnLoop(() -> port.about(setup.proxy));
     }
 
     private JsonNode json() {
@@ -122,23 +122,23 @@
     @Test
     void countsWhatBecameOfRequestsByTheirClass() throws Exception {
         about();
-        int server = setup.backend();
+        int server = setup.listedServer();
         try (Peer.Wire client = setup.client()) {
-            client.write(Setup.get());
-            Request r = setup.request();
+            client.write(Setup.getRequest());
+            Request r = setup.nextRequest();
             assertEquals(1, figures().path("pending").asInt());
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             client.read();
-            client.write(Setup.get());
-            Request refused = setup.request();
-            setup.act(() -> setup.actions.refuse(refused.ticket(), 0));
+            client.write(Setup.getRequest());
+            Request refused = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.refuse(refused.ticket(), 0));
             client.read();
-            client.write(Setup.get());
-            Request failed = setup.request();
-            setup.act(() -> setup.actions.fail(failed.ticket()));
+            client.write(Setup.getRequest());
+            Request failed = setup.nextRequest();
+            setup.runOnLoop(() -> setup.actions.fail(failed.ticket()));
             client.read();
         }
         JsonNode f = figures();
@@ -154,7 +154,7 @@
     @Test
     void classesAppearVanishAndKeepTheirNumbersAndAttemptsBecomeFewer() throws Exception {
         about();
-        int server = setup.backend();
+        int server = setup.listedServer();
         ObjectNode next = (ObjectNode) json();
         ArrayNode profiles = (ArrayNode) next.at("/settings/profiles");
         profiles.remove(0);
@@ -165,43 +165,43 @@
         Config config = Config.parse(next, Map.of());
         try (Peer.Wire client = setup.client();
                 Peer.Wire other = setup.client()) {
-            client.write(Setup.get());
-            Request under = setup.request();
-            setup.act(() -> setup.proxy.reload(config));
+            client.write(Setup.getRequest());
+            Request under = setup.nextRequest();
+            setup.runOnLoop(() -> setup.proxy.reload(config));
             // What is under way keeps its class and its attempts.
-            setup.act(() -> setup.actions.send(under.ticket(), server, 0));
+            setup.runOnLoop(() -> setup.actions.send(under.ticket(), server, 0));
             Peer.Wire broken = backend.accept();
             broken.read();
             broken.reset();
-            assertEquals(Status.RESET, setup.outcome().status());
-            setup.act(() -> setup.actions.send(under.ticket(), server, 0));
+            assertEquals(Status.RESET, setup.nextOutcome().status());
+            setup.runOnLoop(() -> setup.actions.send(under.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
-            other.write(Setup.get());
+            other.write(Setup.getRequest());
             assertTrue(other.read().startsWith("HTTP/1.1 404"), "the class is gone");
-            other.write(Setup.get()
+            other.write(Setup.getRequest()
                     .replace("GET /look", "POST /gift")
                     .replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"));
-            setup.outcome();
-            Request r = setup.request();
+            setup.nextOutcome();
+            Request r = setup.nextRequest();
             assertEquals(3, r.profile(), "behind the three that there were");
-            setup.passes(20); // the connection is used again
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            setup.advanceClock(20); // the connection is used again
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             b.read();
             b.reset();
-            assertEquals(Status.RESET, setup.outcome().status());
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
-            assertEquals(Status.MOOT, setup.outcome().status(), "one attempt is all there is");
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            assertEquals(Status.RESET, setup.nextOutcome().status());
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
+            assertEquals(Status.MOOT, setup.nextOutcome().status(), "one attempt is all there is");
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             other.read();
         }
         assertEquals(
                 "{\"look\":1,\"order\":0,\"pay\":0,\"gift\":0}",
                 figures().path("completed").toString());
         assertEquals(1, figures().path("config_reloads").asInt());
-        setup.act(() -> setup.proxy.turnedDown("it is empty"));
+        setup.runOnLoop(() -> setup.proxy.onConfigurationRejected("it is empty"));
         assertEquals(1, figures().path("config_reload_errors").asInt());
     }
 
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -42,12 +42,12 @@
 
     private RatioBenchmark() {}
 
-    private interface Text {
+    private interface RequestText {
         String next();
     }
 
     public static void main(String[] args) throws Exception {
-        InetSocketAddress server = server();
+        InetSocketAddress server = startServer();
         String at = "127.0.0.1:" + server.getPort();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Proxy platform = Proxy.start(
@@ -56,28 +56,28 @@
                 Policy::new);
         Served one = new Served(site(at, 1));
         Served many = new Served(site(at, 1000));
-        Text look = () -> "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet()
+        RequestText look = () -> "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet()
                 + "\r\nRequest-Timeout: 30\r\n\r\n";
-        Text plain = () -> "GET /r500/1?x=2 HTTP/1.1\r\nHost: api\r\n\r\n";
+        RequestText plain = () -> "GET /r500/1?x=2 HTTP/1.1\r\nHost: api\r\n\r\n";
         String[] names = {"platform", "1 route", "1000 routes"};
-        InetSocketAddress[] where = {platform.address(), one.address(), many.address()};
-        Text[] texts = {look, plain, plain};
+        InetSocketAddress[] addresses = {platform.address(), one.address(), many.address()};
+        RequestText[] texts = {look, plain, plain};
         double[][] rates = new double[3][ROUNDS];
-        double[][] middles = new double[3][ROUNDS];
+        double[][] medians = new double[3][ROUNDS];
         for (int i = -1; i < ROUNDS; i++) {
             for (int w = 0; w < 3; w++) {
                 int k = (w + Math.max(0, i)) % 3; // each comes first, second and last
-                long[] crowd = ask(where[k], CLIENTS, texts[k]);
-                long[] alone = ask(where[k], 1, texts[k]);
+                long[] concurrent = measure(addresses[k], CLIENTS, texts[k]);
+                long[] single = measure(addresses[k], 1, texts[k]);
                 if (i >= 0) {
-                    rates[k][i] = crowd.length * 1e9 / ROUND_NS;
-                    middles[k][i] = alone[alone.length / 2] / 1e3;
+                    rates[k][i] = concurrent.length * 1e9 / ROUND_NS;
+                    medians[k][i] = single[single.length / 2] / 1e3;
                 }
             }
         }
         for (int k = 0; k < 3; k++) {
             Arrays.sort(rates[k]);
-            Arrays.sort(middles[k]);
+            Arrays.sort(medians[k]);
             System.out.printf(
                     "%-12s %8.0f requests/s with %d clients (%.0f to %.0f, ratio %.2f), "
                             + "median latency with one %.0f us (ratio %.2f)%n",
@@ -87,8 +87,8 @@
                     rates[k][0],
                     rates[k][ROUNDS - 1],
                     rates[k][ROUNDS / 2] / rates[0][ROUNDS / 2],
-                    middles[k][ROUNDS / 2],
-                    middles[k][ROUNDS / 2] / middles[0][ROUNDS / 2]);
+                    medians[k][ROUNDS / 2],
+                    medians[k][ROUNDS / 2] / medians[0][ROUNDS / 2]);
         }
         System.exit(0);
     }
@@ -105,7 +105,7 @@
     }
 
     /** Asks for a round; the time of each answer in ns, the shortest first. */
-    private static long[] ask(InetSocketAddress at, int clients, Text text) throws InterruptedException {
+    private static long[] measure(InetSocketAddress at, int clients, RequestText text) throws InterruptedException {
         ConcurrentLinkedQueue<long[]> all = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         long end = System.nanoTime() + ROUND_NS;
@@ -136,7 +136,7 @@
     }
 
     /** A server that answers with ready-made bytes. */
-    private static InetSocketAddress server() {
+    private static InetSocketAddress startServer() {
         ByteBuf answer = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
                 "HTTP/1.1 200 OK\r\nContent-Type: " + "text/plain\r\nContent-Length: 64\r\n\r\n" + "x".repeat(64),
                 StandardCharsets.US_ASCII));
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -61,7 +61,7 @@
     }
 
     /** Reads the log until a line holds the text. */
-    private static void said(BufferedReader log, String text) throws Exception {
+    private static void awaitLogLine(BufferedReader log, String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whereDescriptor0IsNoListenerTheStartSaysSo() throws Exception {
+    void inheritedDescriptorThatIsNoListenerIsReported() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
@@ -84,14 +84,14 @@
                     .putAll(Map.of("NODE_CONFIG", folder.resolve("config.json").toString(), "NODE_SOCKET_FD", "0"));
             Process p = java.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "gullspar: descriptor 0 is no listening socket");
+                awaitLogLine(log, "gullspar: descriptor 0 is no listening socket");
             }
             assertEquals(1, p.waitFor());
         }
     }
 
     @Test
-    void newConfigurationsMoveTheWatchABadOneChangesNothingAndSigtermStillEndsWell() throws Exception {
+    void sighupMovesWatchBadConfigurationIsIgnoredAndSigtermExitsZero() throws Exception {
         try (Peer first = new Peer();
                 Peer second = new Peer();
                 Peer third = new Peer();
@@ -100,20 +100,20 @@
             Process p = serve(first, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
                 assertTrue(first.accept().read().contains("index=41 "));
-                said(log, "ready"); // during the warm-up signals count too, but another end is a good one
+                awaitLogLine(log, "ready"); // during the warm-up signals count too, but another end is a good one
                 write(second, backend);
                 signal(p, "HUP");
                 Peer.Wire watch = second.accept(); // the file wins over the environment of the start
                 assertTrue(watch.read().contains("index=41 "));
                 write("{\"listen\":");
                 signal(p, "HUP");
-                said(log, "is not used");
+                awaitLogLine(log, "is not used");
                 write(third, backend);
                 signal(p, "HUP");
                 assertTrue(third.accept().read().contains("index=41 "));
                 assertTrue(watch.ended());
                 signal(p, "TERM");
-                said(log, "drained");
+                awaitLogLine(log, "drained");
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
             } finally {
@@ -127,7 +127,7 @@
      * signal too a new configuration counts: a proxy that went by the old place would hold its list for good.
      */
     @Test
-    void whereSighupIsIgnoredTheStartSaysSoAndTheFileIsLookedAt() throws Exception {
+    void ignoredSighupIsReportedAndFileIsPolled() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer()) {
@@ -144,12 +144,12 @@
             nohup.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process p = nohup.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "SIGHUP is not heard");
-                said(log, "to warm up");
+                awaitLogLine(log, "SIGHUP is not heard");
+                awaitLogLine(log, "to warm up");
                 write("{\"listen\":");
-                said(log, "is not used");
+                awaitLogLine(log, "is not used");
                 write(elsewhere, backend);
-                said(log, "a new configuration");
+                awaitLogLine(log, "a new configuration");
                 assertTrue(elsewhere.accept().read().contains("index=41 "));
             } finally {
                 p.destroyForcibly().waitFor();
@@ -159,15 +159,15 @@
 
     /** Where many start at once discovery answers one after the other: its answer is not waited for twice. */
     @Test
-    void theListIsAskedForBeforeTheWarmUp() throws Exception {
+    void listIsRequestedBeforeWarmup() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
-                said(log, "to warm up");
-                said(log, "ready");
+                awaitLogLine(log, "asks discovery");
+                awaitLogLine(log, "to warm up");
+                awaitLogLine(log, "ready");
             } finally {
                 p.destroyForcibly().waitFor();
             }
@@ -176,13 +176,13 @@
 
     /** Before it takes clients a proxy holds nothing: told to end it ends at once, and well. */
     @Test
-    void aSignalToEndDuringTheWarmUpEndsWell() throws Exception {
+    void sigtermDuringWarmupExitsZero() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
+                awaitLogLine(log, "asks discovery");
                 signal(p, "TERM");
                 assertTrue(p.waitFor(60, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
@@ -195,14 +195,14 @@
 
     /** Lists of the new place count some seconds after the signal, and a start may take as long. */
     @Test
-    void aNewConfigurationDuringTheWarmUpCountsAtOnce() throws Exception {
+    void configurationReloadedDuringWarmupAppliesAtOnce() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
+                awaitLogLine(log, "asks discovery");
                 write(elsewhere, backend);
                 signal(p, "HUP");
                 String line = log.readLine();
@@ -219,14 +219,14 @@
 
     /** On half a core each of these costs a start a tenth of a second or more, and none is of use there. */
     @Test
-    void aStartLoadsNothingOfWhatItHasNoUseFor() throws Exception {
+    void startupLoadsNoUnneededClasses() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:class+load:file=" + loaded);
             try (BufferedReader log = p.errorReader()) {
-                said(log, "to warm up");
+                awaitLogLine(log, "to warm up");
                 discovery.accept();
             } finally {
                 p.destroyForcibly().waitFor();
@@ -253,14 +253,14 @@
 
     /** Time zones come from a file, and a proxy may have no descriptor left when a library has to warn. */
     @Test
-    void whatALibraryLogsNeedsNoTimeZones() throws Exception {
+    void libraryLogNeedsNoTimeZones() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
         Process p = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load:file=" + loaded,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Warning.class.getName())
+                        WarningProgram.class.getName())
                 .start();
         try (BufferedReader log = p.errorReader()) {
             assertTrue(log.readLine().contains(" WARNING odd: java.lang.IllegalStateException: why at "));
@@ -272,8 +272,8 @@
     }
 
     /** A program that logs a warning as a library does. */
-    static final class Warning {
-        private Warning() {}
+    static final class WarningProgram {
+        private WarningProgram() {}
 
         public static void main(String[] args) {
             LibraryLog.install();
@@ -282,18 +282,18 @@
     }
 
     @Test
-    void theModuleKeepsItsListAndNothingIsToldTwiceWhenTheAddressIsTheSame() throws Exception {
+    void reloadKeepsListAndMovesWatchOnlyWhenAddressChanges() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer();
                 Setup setup = new Setup().start(Setup.config(discovery, backend))) {
-            setup.backend();
+            setup.listedServer();
             discovery.accept().read();
-            setup.act(() -> reload(setup, discovery, backend));
-            setup.act(() -> reload(setup, elsewhere, backend));
+            setup.runOnLoop(() -> reload(setup, discovery, backend));
+            setup.runOnLoop(() -> reload(setup, elsewhere, backend));
             assertTrue(elsewhere.accept().read().contains("index=41 "));
             assertTrue(discovery.quiet());
-            assertTrue(setup.told.stream().noneMatch(t -> t.what().equals("members")));
+            assertTrue(setup.moduleEvents.stream().noneMatch(t -> t.type().equals("members")));
         }
     }
 
--- a/src/test/java/gullspar/proxy/Setup.java
+++ b/src/test/java/gullspar/proxy/Setup.java
@@ -37,7 +37,7 @@
 
 /** A configuration, and a proxy whose module is the test: it sees each event and takes actions by hand. */
 final class Setup implements AutoCloseable {
-    private static final String CONFIG =
+    private static final String CONFIG_TEMPLATE =
             """
         {"listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
          "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -60,11 +60,11 @@
     private static final AtomicInteger IDS = new AtomicInteger();
 
     /** What the module was told. */
-    record Told(String what, Object event) {}
+    record ModuleEvent(String type, Object event) {}
 
     final ServingLoop serving = ServingLoop.start();
     final EventLoop loop = serving.loop();
-    final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    final BlockingQueue<ModuleEvent> moduleEvents = new LinkedBlockingQueue<>();
     Proxy proxy;
     Balancer.Actions actions;
     /** What the module does when it is told of a request, before the test hears of it. */
@@ -74,15 +74,15 @@
     /** Hears each line of the proxy's log, in the moment in which it is written. */
     volatile Consumer<String> onLog = line -> {};
     /** Bodies are left unread for as long as a test may take, unless it is about that. */
-    long unreadNs = TimeUnit.SECONDS.toNanos(60);
+    long unreadTimeoutNs = TimeUnit.SECONDS.toNanos(60);
 
-    private final AtomicLong ahead = new AtomicLong();
-    private boolean nested;
+    private final AtomicLong clockOffsetNs = new AtomicLong();
+    private boolean inAction;
 
     static JsonNode json(String discovery, String backend, int sockets, long connectTimeoutMs) {
         try {
             return new ObjectMapper()
-                    .readTree(CONFIG.formatted(discovery, sockets, backend, connectTimeoutMs * 1_000_000));
+                    .readTree(CONFIG_TEMPLATE.formatted(discovery, sockets, backend, connectTimeoutMs * 1_000_000));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -93,11 +93,11 @@
     }
 
     /** Discovery is given as long as a test may take: what is done when it is not heard has own tests. */
-    static final Discovery.Patience PATIENCE = new Discovery.Patience(60_000, 60_000, 60_000);
+    static final Discovery.Timeouts TIMEOUTS = new Discovery.Timeouts(60_000, 60_000, 60_000);
 
     /** One that serves with the list of the start, as it would once discovery had kept it waiting. */
     Setup start(Config config) throws IOException {
-        unheard(config, PATIENCE);
+        startWithoutList(config, TIMEOUTS);
         if (!config.inherited()) {
             loop.submit(proxy::useKnownList).syncUninterruptibly();
         }
@@ -105,36 +105,36 @@
     }
 
     /** One that discovery has told nothing yet. */
-    Setup unheard(Config config, Discovery.Patience patience) throws IOException {
+    Setup startWithoutList(Config config, Discovery.Timeouts timeouts) throws IOException {
         Clock system = Clock.system();
         Platform platform = new Platform(
                 loop,
-                () -> system.now() + ahead.get(),
-                new Observed(),
+                () -> system.now() + clockOffsetNs.get(),
+                new ObservedTransport(),
                 line -> {
                     onLog.accept(line);
                     Log.standardError().say(line);
                 },
                 serving.unread(),
                 serving.figures());
-        proxy = Proxy.on(
+        proxy = Proxy.callOnLoop(
                         platform,
-                        () -> Proxy.begun(new Proxy(
+                        () -> Proxy.connectAndOpen(new Proxy(
                                 config,
                                 platform,
                                 (settings, seed, now, out) -> {
                                     actions = out;
-                                    return new Module();
+                                    return new RecordingModule();
                                 },
-                                patience,
-                                unreadNs)))
-                .bound();
+                                timeouts,
+                                unreadTimeoutNs)))
+                .awaitListening();
         return this;
     }
 
     /** So much time passes at once for whatever reads the clock; timers take no notice. */
-    void passes(long ms) {
-        ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
+    void advanceClock(long ms) {
+        clockOffsetNs.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
     Peer.Wire client() throws IOException {
@@ -142,41 +142,43 @@
     }
 
     /** Runs an action of the module, as it would from an event. */
-    void act(Runnable action) throws Exception {
+    void runOnLoop(Runnable action) throws Exception {
         loop.submit(action).get(20, TimeUnit.SECONDS);
     }
 
     /** Waits for the next event of a kind; others are passed over. */
-    <T> T next(String what, Class<T> type) throws InterruptedException {
-        for (Told t = told.poll(20, TimeUnit.SECONDS); t != null; t = told.poll(20, TimeUnit.SECONDS)) {
-            if (t.what().equals(what)) {
-                return type.cast(t.event());
+    <T> T nextEvent(String eventType, Class<T> type) throws InterruptedException {
+        for (ModuleEvent event = moduleEvents.poll(20, TimeUnit.SECONDS);
+                event != null;
+                event = moduleEvents.poll(20, TimeUnit.SECONDS)) {
+            if (event.type().equals(eventType)) {
+                return type.cast(event.event());
             }
         }
-        throw new AssertionError("the module was not told: " + what);
+        throw new AssertionError("the module was not told: " + eventType);
     }
 
-    Request request() throws InterruptedException {
-        return next("request", Request.class);
+    Request nextRequest() throws InterruptedException {
+        return nextEvent("request", Request.class);
     }
 
-    Outcome outcome() throws InterruptedException {
-        return next("outcome", Outcome.class);
+    Outcome nextOutcome() throws InterruptedException {
+        return nextEvent("outcome", Outcome.class);
     }
 
     /** The one backend of the known list. */
-    int backend() throws InterruptedException {
-        return ((Member) next("members", List.class).get(0)).id();
+    int listedServer() throws InterruptedException {
+        return ((Member) nextEvent("members", List.class).get(0)).id();
     }
 
     /** A request with an id of its own. */
-    static String get(String headers) {
+    static String getRequest(String headers) {
         return "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet() + "\r\n" + headers
                 + "\r\n";
     }
 
-    static String get() {
-        return get("Request-Timeout: 30\r\n");
+    static String getRequest() {
+        return getRequest("Request-Timeout: 30\r\n");
     }
 
     @Override
@@ -184,7 +186,7 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private final class Observed implements Transport {
+    private final class ObservedTransport implements Transport {
         private final Transport tcp = Transport.tcp(loop);
 
         @Override
@@ -224,31 +226,31 @@
         }
     }
 
-    private final class Module implements Balancer {
-        private void note(String what, Object event) {
-            if (nested) {
+    private final class RecordingModule implements Balancer {
+        private void record(String type, Object event) {
+            if (inAction) {
                 throw new AssertionError("the module was called from inside its own action");
             }
-            told.add(new Told(what, event));
+            moduleEvents.add(new ModuleEvent(type, event));
         }
 
         @Override
         public void onMembers(long now, ListKind kind, long version, List<Member> members) {
-            note("members", members);
-            note("kind", kind);
+            record("members", members);
+            record("kind", kind);
         }
 
         @Override
         public void onProfiles(List<Profile> profiles) {
-            note("profiles", profiles);
+            record("profiles", profiles);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            nested = true;
+            inAction = true;
             onRequest.accept(request);
-            nested = false;
-            note("request", request);
+            inAction = false;
+            record("request", request);
         }
 
         @Override
@@ -256,17 +258,17 @@
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
-            note("outcome", outcome);
+            record("outcome", outcome);
         }
 
         @Override
         public void onWithdrawn(long now, int ticket) {
-            note("withdrawn", ticket);
+            record("withdrawn", ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            note("timer", token);
+            record("timer", token);
         }
     }
 }
--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -34,18 +34,18 @@
     @TempDir
     Path folder;
 
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final List<Throwable> wrong = new ArrayList<>();
+    private final AtomicInteger requests = new AtomicInteger();
+    private final AtomicInteger responses = new AtomicInteger();
+    private final AtomicBoolean stopped = new AtomicBoolean();
+    private final List<Throwable> errors = new ArrayList<>();
 
     /** A backend, or discovery: each connection is served by a thread of its own. */
     private static ServerSocket serve(String answer) throws IOException {
         ServerSocket s = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        thread(() -> {
+        startThread(() -> {
             while (true) {
                 Peer.Wire w = new Peer.Wire(s.accept());
-                thread(() -> {
+                startThread(() -> {
                     while (!w.read().isEmpty()) {
                         w.write(answer);
                     }
@@ -55,11 +55,11 @@
         return s;
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private static Thread thread(Work work) {
+    private static Thread startThread(Task work) {
         Thread t = new Thread(() -> {
             try {
                 work.run();
@@ -75,20 +75,20 @@
     /** Asks again and again, on one connection for as long as that stays open. */
     private void client(InetSocketAddress proxy) {
         try {
-            while (!over.get()) {
+            while (!stopped.get()) {
                 try (Peer.Wire w = Peer.Wire.to(proxy)) {
-                    for (boolean open = true; open && !over.get(); ) {
-                        asked.incrementAndGet();
-                        String answer = w.write(Setup.get()).read();
+                    for (boolean open = true; open && !stopped.get(); ) {
+                        requests.incrementAndGet();
+                        String answer = w.write(Setup.getRequest()).read();
                         assertTrue(answer.startsWith("HTTP/1.1 200"), "'" + answer + "'");
-                        answered.incrementAndGet();
+                        responses.incrementAndGet();
                         open = !answer.contains("connection: close");
                     }
                 }
             }
         } catch (Throwable t) {
-            synchronized (wrong) {
-                wrong.add(t);
+            synchronized (errors) {
+                errors.add(t);
             }
         }
     }
@@ -127,20 +127,20 @@
                         "serve")
                 .redirectError(folder.resolve("log").toFile())
                 .start();
-        try (BufferedReader said =
+        try (BufferedReader holderOutput =
                         new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
-                Writer to = holder.outputWriter()) {
-            int port = Integer.parseInt(said.readLine().substring("port ".length()));
+                Writer holderInput = holder.outputWriter()) {
+            int port = Integer.parseInt(holderOutput.readLine().substring("port ".length()));
             InetSocketAddress proxy = new InetSocketAddress("127.0.0.1", port);
             List<Thread> clients = new ArrayList<>();
             ProcessHandle old = null;
             for (int i = 0; i <= UPGRADES; i++) {
                 InetSocketAddress operator = new InetSocketAddress("127.0.0.1", freePort());
-                to.write("NODE_SOCKET_FD=0 NODE_OPERATOR=127.0.0.1:" + operator.getPort() + " NODE_CONFIG="
+                holderInput.write("NODE_SOCKET_FD=0 NODE_OPERATOR=127.0.0.1:" + operator.getPort() + " NODE_CONFIG="
                         + folder.resolve("config.json") + "\n");
-                to.flush();
+                holderInput.flush();
                 ProcessHandle next = ProcessHandle.of(
-                                Long.parseLong(said.readLine().substring("started ".length())))
+                                Long.parseLong(holderOutput.readLine().substring("started ".length())))
                         .orElseThrow();
                 while (!ready(operator)) {
                     assertTrue(next.isAlive(), () -> "ended: " + log());
@@ -148,20 +148,20 @@
                 }
                 if (old == null) {
                     for (int c = 0; c < CLIENTS; c++) {
-                        clients.add(thread(() -> client(proxy)));
+                        clients.add(startThread(() -> client(proxy)));
                     }
                 } else {
                     old.destroy();
                     old.onExit().get();
                     assertTrue(call(operator, "/_vars").contains("\"completed\":{\"look\":"));
                 }
-                int before = answered.get();
-                while (answered.get() < before + 200 && wrong.isEmpty()) {
+                int before = responses.get();
+                while (responses.get() < before + 200 && errors.isEmpty()) {
                     Thread.onSpinWait();
                 }
                 old = next;
             }
-            over.set(true);
+            stopped.set(true);
             for (Thread t : clients) {
                 t.join();
             }
@@ -172,8 +172,8 @@
             backend.close();
             discovery.close();
         }
-        assertEquals(List.of(), wrong, this::log);
-        assertEquals(asked.get(), answered.get());
+        assertEquals(List.of(), errors, this::log);
+        assertEquals(requests.get(), responses.get());
         assertEquals(UPGRADES + 1, log().split("drained", -1).length - 1, this::log);
     }
 
--- a/src/test/java/gullspar/proxy/WarmupTest.java
+++ b/src/test/java/gullspar/proxy/WarmupTest.java
@@ -13,7 +13,7 @@
 @Timeout(60)
 class WarmupTest {
     @Test
-    void requestsAreServedAndNobodyOutsideIsInvolved() throws Exception {
+    void servesRequestsWithoutOutsideConnections() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer();
                 Peer listen = new Peer()) {
--- a/src/test/java/gullspar/proxy/discovery/StartTimesTest.java
+++ b/src/test/java/gullspar/proxy/discovery/StartTimesTest.java
@@ -15,44 +15,44 @@
 
     private final StartTimes starts = new StartTimes();
 
-    private long of(String id, long startedAtMs, boolean watched, long now) {
-        starts.listed(startedAtMs);
-        return starts.of(id, startedAtMs, watched, now);
+    private long startTimeOf(String id, long startedAtMs, boolean watched, long now) {
+        starts.recordNewestStart(startedAtMs);
+        return starts.startTimeNs(id, startedAtMs, watched, now);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -1000, 0, 1000, 3_600_000})
-    void aStartSeenWhileWatchingIsNewWhateverTheClocksSay(long aheadMs) {
-        assertEquals(NOW, of("s", NOW_MS + aheadMs, true, NOW));
+    void startSeenWhileWatchingIsNewWhateverTheClocksSay(long aheadMs) {
+        assertEquals(NOW, startTimeOf("s", NOW_MS + aheadMs, true, NOW));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -1000, 0, 1000, 3_600_000})
-    void ofStartsFromBeforeTheLeastAgeCounts(long aheadMs) {
-        starts.listed(NOW_MS + aheadMs - 500);
-        starts.listed(NOW_MS + aheadMs - 4000);
-        assertEquals(NOW, starts.of("newest", NOW_MS + aheadMs - 500, false, NOW));
-        assertEquals(NOW - 3500 * MS, starts.of("older", NOW_MS + aheadMs - 4000, false, NOW));
+    void startBeforeFirstListUsesMinimumAge(long aheadMs) {
+        starts.recordNewestStart(NOW_MS + aheadMs - 500);
+        starts.recordNewestStart(NOW_MS + aheadMs - 4000);
+        assertEquals(NOW, starts.startTimeNs("newest", NOW_MS + aheadMs - 500, false, NOW));
+        assertEquals(NOW - 3500 * MS, starts.startTimeNs("older", NOW_MS + aheadMs - 4000, false, NOW));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -1000, 1000, 3_600_000})
-    void theSameStartKeepsItsTimeAndAnotherIsNewThoughItsClockStepped(long stepMs) {
-        of("s", NOW_MS, true, NOW);
-        assertEquals(NOW, of("s", NOW_MS, true, NOW + 7000 * MS));
-        assertEquals(NOW + 9000 * MS, of("s", NOW_MS + 9000 + stepMs, true, NOW + 9000 * MS));
+    void sameStartKeepsItsTimeAndNewStartIsNewDespiteClockStep(long stepMs) {
+        startTimeOf("s", NOW_MS, true, NOW);
+        assertEquals(NOW, startTimeOf("s", NOW_MS, true, NOW + 7000 * MS));
+        assertEquals(NOW + 9000 * MS, startTimeOf("s", NOW_MS + 9000 + stepMs, true, NOW + 9000 * MS));
     }
 
     @Test
-    void longAgoStaysLongAgo() {
-        assertEquals(StartTimes.LONG_AGO_NS, of("s", 0, true, NOW));
-        assertEquals(StartTimes.LONG_AGO_NS, of("s", -1, false, NOW));
+    void missingStartTimeMeansLongAgo() {
+        assertEquals(StartTimes.LONG_AGO_NS, startTimeOf("s", 0, true, NOW));
+        assertEquals(StartTimes.LONG_AGO_NS, startTimeOf("s", -1, false, NOW));
     }
 
     @Test
-    void aBackendThatIsListedNoMoreIsForgotten() {
-        of("s", NOW_MS, true, NOW);
+    void unlistedBackendIsForgotten() {
+        startTimeOf("s", NOW_MS, true, NOW);
         starts.retain(Set.of());
-        assertEquals(NOW + MS, of("s", NOW_MS, true, NOW + MS));
+        assertEquals(NOW + MS, startTimeOf("s", NOW_MS, true, NOW + MS));
     }
 }
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameInstantTest.java
@@ -81,7 +81,7 @@
             JsonNode known = Json.read(list(1, "in_service").getBytes(StandardCharsets.US_ASCII));
             Config config =
                     Config.parse(ProxySettings.of(Days.small(1, ""), 0, "p1", PROXY, DISCOVERY, 1, known), Map.of());
-            loop.execute(() -> Proxy.begin(
+            loop.execute(() -> Proxy.startOnLoop(
                     config,
                     new Platform(loop, agenda::now, network.transport(proxy), line -> {}),
                     (settings, s, now, out) -> {
