--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -44,7 +44,7 @@
     /** By number; null where none went out. */
     private final List<Attempt> attempts = new ArrayList<>(2);
 
-    private ScheduledFuture<?> backstop;
+    private ScheduledFuture<?> backstopTimer;
     private int openAttempts;
     private boolean finished;
 
@@ -81,7 +81,7 @@
 
     /** Its last byte has come. */
     void onRequestComplete(long completedAtNs) {
-        if (finished || backstop != null) {
+        if (finished || backstopTimer != null) {
             return;
         }
         deadlineNs = exchanges.capDeadline(completedAtNs + timeoutNs) - marginNs;
@@ -91,16 +91,16 @@
     private void startBackstop() {
         long fireAtNs = deadlineNs + marginNs - Math.min(BACKSTOP_MARGIN_NS, marginNs / 2);
         long delayNs = Math.max(0, fireAtNs - exchanges.platform.clock().now());
-        backstop = exchanges.platform.loop().schedule(this::onBackstop, delayNs, TimeUnit.NANOSECONDS);
+        backstopTimer = exchanges.platform.loop().schedule(this::onBackstop, delayNs, TimeUnit.NANOSECONDS);
     }
 
     /** It is answered by that time, though its client would wait for longer. */
     void capDeadline(long limitNs) {
-        if (finished || backstop == null || deadlineNs + marginNs <= limitNs) {
+        if (finished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
             return;
         }
         deadlineNs = limitNs - marginNs;
-        backstop.cancel(false);
+        backstopTimer.cancel(false);
         startBackstop();
     }
 
@@ -194,8 +194,8 @@
 
     private void finish() {
         finished = true;
-        if (backstop != null) {
-            backstop.cancel(false);
+        if (backstopTimer != null) {
+            backstopTimer.cancel(false);
         }
         message.release();
         exchanges.onFinished(this);
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -66,7 +66,7 @@
     private final CompletableFuture<Void> drainCompleted = new CompletableFuture<>();
     private final Classes classes;
     private final Figures figures = new Figures();
-    private boolean listed;
+    private boolean listReceived;
     /** The list that it was started with, null if there is none; does the module know of it? */
     private ListUpdate knownList;
 
@@ -101,8 +101,8 @@
         this.backends = new Backends(platform, sockets.backends, config);
         this.classes = new Classes(config);
         this.exchanges = new Exchanges(platform, events, backends, figures);
-        this.frontend =
-                new Frontend(platform, config, classes, sockets.clients, exchanges, () -> listed, unreadTimeoutNs);
+        this.frontend = new Frontend(
+                platform, config, classes, sockets.clients, exchanges, () -> listReceived, unreadTimeoutNs);
         this.discovery = new Discovery(platform, Discovery.source(config), this, timeouts);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
@@ -207,10 +207,10 @@
 
     /** Discovery says nothing: the known list has to do, if there is one. */
     void useKnownList() {
-        if (!listed && knownList != null && !knownList.list().isEmpty()) {
+        if (!listReceived && knownList != null && !knownList.list().isEmpty()) {
             platform.log().say("discovery says nothing: the list of the start has to do");
             applyKnownList();
-            listed();
+            listReceived();
         }
     }
 
@@ -259,7 +259,7 @@
 
     @Override
     public boolean ready() {
-        return listed && !draining && listenFuture != null && listenFuture.isSuccess();
+        return listReceived && !draining && listenFuture != null && listenFuture.isSuccess();
     }
 
     @Override
@@ -364,22 +364,22 @@
     // ---- what discovery says ----
 
     @Override
-    public void onUpdate(ListUpdate news) {
+    public void onUpdate(ListUpdate update) {
         applyKnownList(); // changes count from there
-        apply(news);
-        listed();
+        apply(update);
+        listReceived();
     }
 
     /** What backends there are is known well enough to serve. */
-    private void listed() {
-        if (!listed) {
-            listed = true;
+    private void listReceived() {
+        if (!listReceived) {
+            listReceived = true;
             listenIfReady();
         }
     }
 
     private void listenIfReady() {
-        if (listed && open) {
+        if (listReceived && open) {
             if (listenFuture == null) {
                 listen(); // until there was a list the process before this one served
             }
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -307,7 +307,7 @@
         }
 
         /** A message has ended, with these bytes. */
-        abstract void onMessage(ChannelHandlerContext ctx, ByteBuf last);
+        abstract void onMessage(ChannelHandlerContext ctx, ByteBuf lastBytes);
 
         /** The proxy closes connections as it does to any peer. */
         @Override
@@ -324,8 +324,8 @@
         }
 
         @Override
-        void onMessage(ChannelHandlerContext ctx, ByteBuf last) {
-            successes += last.getByte(last.writerIndex() - 2) == '.' ? 1 : 0;
+        void onMessage(ChannelHandlerContext ctx, ByteBuf lastBytes) {
+            successes += lastBytes.getByte(lastBytes.writerIndex() - 2) == '.' ? 1 : 0;
             if (++responses >= maxRequests) {
                 done.complete(successes);
             } else {
@@ -339,7 +339,7 @@
         private final String body = body(RESPONSE_BYTES);
 
         @Override
-        void onMessage(ChannelHandlerContext ctx, ByteBuf last) {
+        void onMessage(ChannelHandlerContext ctx, ByteBuf lastBytes) {
             backendRequests++;
             boolean isError = backendRequests % ERROR_INTERVAL == 0;
             StringBuilder response = new StringBuilder(RESPONSE_BYTES + 200)
--- a/src/main/java/gullspar/proxy/discovery/StartTimes.java
+++ b/src/main/java/gullspar/proxy/discovery/StartTimes.java
@@ -20,8 +20,8 @@
     private long newestStartMs;
 
     /** A list is about to be read in which that is the latest start, Unix time in ms. */
-    void recordNewestStart(long latestMs) {
-        newestStartMs = Math.max(newestStartMs, latestMs);
+    void recordNewestStart(long startMs) {
+        newestStartMs = Math.max(newestStartMs, startMs);
     }
 
     /**
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -190,10 +190,10 @@
         beats.join();
     }
 
-    private Discovery startWatch(Discovery.Timeouts patience) throws Exception {
+    private Discovery startWatch(Discovery.Timeouts timeouts) throws Exception {
         discovery.accept(); // that of the proxy
         Discovery d = new Discovery(
-                Platform.of(setup.loop), Discovery.source(Setup.config(discovery, backend)), setup.proxy, patience);
+                Platform.of(setup.loop), Discovery.source(Setup.config(discovery, backend)), setup.proxy, timeouts);
         setup.runOnLoop(() -> d.watch(true));
         return d;
     }
@@ -485,14 +485,14 @@
         }
     }
 
-    private Discovery startOnRequest(Discovery.Timeouts patience) throws Exception {
+    private Discovery startOnRequest(Discovery.Timeouts timeouts) throws Exception {
         discovery.accept(); // that of the proxy
         Discovery d = new Discovery(
                 Platform.of(setup.loop),
                 new Discovery.Source(
                         discovery.address(), true, MissingNode.getInstance(), List.of("m1", "m2"), List.of("a", "b")),
                 setup.proxy,
-                patience);
+                timeouts);
         setup.runOnLoop(() -> d.watch(true));
         return d;
     }
@@ -578,12 +578,12 @@
     void silentWatchIsClosedAndReopened() throws Exception {
         Config config = Setup.config(discovery, backend);
         discovery.accept().read(); // that of the proxy
-        Discovery quick = new Discovery(
+        Discovery client = new Discovery(
                 Platform.of(setup.loop),
                 Discovery.source(config),
                 setup.proxy,
                 new Discovery.Timeouts(60_000, 60_000, 200));
-        setup.loop.submit(() -> quick.watch(true)).get(20, TimeUnit.SECONDS);
+        setup.loop.submit(() -> client.watch(true)).get(20, TimeUnit.SECONDS);
         Peer.Wire watch = discovery.accept();
         watch.read();
         watch.write(HEAD);
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -65,9 +65,9 @@
         }
     }
 
-    private static List<String> servers(int count, String idEnd, String address) {
+    private static List<String> servers(int count, String idSuffix, String address) {
         return IntStream.range(0, count)
-                .mapToObj(i -> ProxyProcess.instance("s-" + i + idEnd, address))
+                .mapToObj(i -> ProxyProcess.instance("s-" + i + idSuffix, address))
                 .toList();
     }
 
