--- a/src/main/java/gullspar/Main.java
+++ b/src/main/java/gullspar/Main.java
@@ -4,8 +4,8 @@
 import gullspar.cli.Tool;
 
 /**
- * The program. What a platform starts is started as it stands; whatever else the command line holds is for
- * the tool, whose library a start in service must not pay for.
+ * Entry point. The commands that a platform runs are dispatched directly; all others go to the command line
+ * tool, whose parser library would slow down startup in service.
  */
 public final class Main {
     private Main() {}
--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -23,16 +23,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The life of the process that runs one proxy: warming up, serving, signals, the end. */
+/** Life cycle of the process that runs one proxy: warm-up, serving, signals, shutdown. */
 public final class Daemon {
-    /** Requests that are played before the proxy serves, so that its code is compiled. */
+    /** Requests served before the proxy accepts clients, so that its code is compiled. */
     private static final int WARMUP_REQUESTS = 300;
-    /** The longest that the warm-up may take, while other proxies carry the load. */
+    /** Time limit of the warm-up, during which other proxies carry the load. */
     private static final long WARMUP_LIMIT_MS = 2000;
-    /** The same where classes are loaded one by one, which takes longer. */
+    /** The same without a class archive, where classes take longer to load. */
     private static final long WARMUP_WITHOUT_ARCHIVE_LIMIT_MS = 3500;
 
-    /** A new configuration counts 4 s after its signal: within half of that it is read again. */
+    /** A new configuration has to apply within 4 s of its signal; retries take at most half of that. */
     private static final int MAX_REREADS = 10;
 
     private static final long REREAD_INTERVAL_MS = 200;
@@ -42,9 +42,9 @@
     private Daemon() {}
 
     /**
-     * Serves until the process is told to end. At each SIGHUP the configuration is read anew; one that cannot
-     * be read changes nothing. companions: makes what runs beside the proxy, where the configuration names an
-     * operators' file; it may make nothing, null. last: done before the process ends at a signal.
+     * Serves until the process receives a termination signal. Each SIGHUP reloads the configuration; one that
+     * cannot be read changes nothing. auxiliaryFactory creates the service that runs beside the proxy where the
+     * configuration names an operators' file, and may return null. afterDrain runs before a signal ends the process.
      */
     public static void run(
             Map<String, String> environment,
@@ -52,7 +52,7 @@
             Balancer.Factory factory,
             Companion.Factory auxiliaryFactory)
             throws ConfigException, IOException {
-        // The default would end the process, so this comes first: an early signal waits for the proxy.
+        // Installed first, since SIGHUP ends the process by default; an early signal waits for the proxy.
         CompletableFuture<Proxy> started = new CompletableFuture<>();
         ServingLoop servingLoop = ServingLoop.start();
         EventLoop loop = servingLoop.loop();
@@ -66,7 +66,7 @@
         try {
             serve(environment, factory, auxiliaryFactory, servingLoop, reloader, started, shutdown);
         } finally {
-            shutdown.disable(); // what has failed must not seem to have ended well
+            shutdown.disable(); // after a failure the exit code must not be 0
         }
     }
 
@@ -84,8 +84,8 @@
         LOG.say("starting, pid " + ProcessHandle.current().pid() + ", user " + System.getProperty("user.name"));
         ClassArchive archive = ClassArchive.ofThisProcess();
         if (archive == ClassArchive.UNUSED) {
-            LOG.say("the class archive is not used, it was made for another build or runtime: build again; "
-                    + "until then starts take longer");
+            LOG.say("class archive not used, it was made for another build or runtime: rebuild it; "
+                    + "startup takes longer until then");
         }
         Config config = reloader.readInitial();
         LOG.say("configured: listens on " + (config.inherited() ? "descriptor 0" : config.listen()) + ", discovery "
@@ -95,7 +95,7 @@
                 : Platform.of(servingLoop);
         OperatorPort operatorEndpoint = listenForOperators(config, platform);
         Proxy proxy = Proxy.callOnLoop(platform, () -> Proxy.startUnopened(config, platform, factory));
-        started.complete(proxy); // what a new configuration changes counts during the warm-up too
+        started.complete(proxy); // configuration reloads apply during the warm-up too
         Companion auxiliary = config.operatorsFile() == null
                 ? null
                 : auxiliaryFactory.start(config.operatorsFile(), config.name(), platform, proxy::load);
@@ -105,10 +105,10 @@
                 loop.execute(() -> operatorEndpoint.with(auxiliary));
             }
         }
-        warm(config, factory, archive); // meanwhile discovery may answer
+        warm(config, factory, archive); // discovery can answer in the meantime
         if (!shutdown.setDrain(
                 auxiliary == null ? () -> proxy.drain().join() : drainWithAuxiliary(proxy, auxiliary, loop))) {
-            loop.terminationFuture().awaitUninterruptibly(); // told to end: it does not open
+            loop.terminationFuture().awaitUninterruptibly(); // shutting down: do not open the listener
         }
         Proxy.callOnLoop(platform, () -> {
                     proxy.open();
@@ -122,12 +122,12 @@
             loop.execute(() -> operatorEndpoint.about(proxy));
         }
         loop.terminationFuture().awaitUninterruptibly();
-        throw new IOException("the event loop has ended"); // better gone than deaf
+        throw new IOException("event loop terminated"); // exit rather than run without serving
     }
 
     /**
-     * What a signal to end does, at whatever moment it comes. Until the proxy opens it holds nothing, and the
-     * process just ends; from then on all is answered first. One that is told to end does not open any more.
+     * Shutdown hook for a termination signal at any time. Before the proxy opens it has no clients, and the
+     * process exits at once; afterwards it drains first. After the signal the proxy no longer opens.
      */
     private static final class Shutdown implements Runnable {
         private final Runnable afterDrain;
@@ -148,7 +148,7 @@
             return isDisabled;
         }
 
-        /** That comes first from now on; false if the end has begun. */
+        /** Sets what runs first on shutdown; returns false if the shutdown has started. */
         synchronized boolean setDrain(Runnable task) {
             drain = task;
             return !started;
@@ -166,12 +166,12 @@
             }
             start().run();
             afterDrain.run();
-            // A process that a signal ends reports the signal; this one has ended well.
+            // Otherwise the exit status would report the signal, although the shutdown was orderly.
             Runtime.getRuntime().halt(0);
         }
     }
 
-    /** The end of a proxy with a companion; apart, so that without one its class is not needed. */
+    /** Drains a proxy with an auxiliary service; a method of its own, so that without one its class is not loaded. */
     private static Runnable drainWithAuxiliary(Proxy proxy, Companion auxiliary, EventLoop loop) {
         return () -> {
             loop.execute(() -> auxiliary.at(Companion.Stage.DRAINING));
@@ -180,12 +180,12 @@
         };
     }
 
-    /** Warms up, starts a proxy, and ends it. */
+    /** Warms up, starts a proxy and drains it, so that the classes used are recorded for the class archive. */
     public static void warm(Map<String, String> environment, Balancer.Factory factory)
             throws ConfigException, IOException {
         Config config = Config.read(environment);
         warm(config, factory, ClassArchive.NONE);
-        // The classes of both ways are recorded: which one the platform leaves is not known here.
+        // Records the classes of both transports: which one the platform allows is not known here.
         Warmup.runInProcess(config, factory, WARMUP_REQUESTS, WARMUP_LIMIT_MS);
         Proxy.start(config, Platform.of(ServingLoop.start()), factory).drain().join();
     }
@@ -209,7 +209,7 @@
         LOG.say("served " + Warmup.run(config, factory, WARMUP_REQUESTS, limitMs) + " requests to warm up");
     }
 
-    /** Listens for operators, where the platform says so; null where it does not. */
+    /** Opens the operators' port if the configuration has one; otherwise returns null. */
     private static OperatorPort listenForOperators(Config config, Platform platform) throws IOException {
         if (config.operator() == null) {
             return null;
@@ -223,7 +223,7 @@
         return operatorEndpoint;
     }
 
-    /** The configuration, read at the start and again at each SIGHUP, off the loop. */
+    /** Reads the configuration at startup and again on each SIGHUP, off the event loop. */
     private static final class ConfigReloader {
         private final Map<String, String> environment;
         private final EventLoop loop;
@@ -244,11 +244,12 @@
             return current;
         }
 
-        /** A file that is being written is whole a moment later: what cannot be read is read again. */
+        /** Retries a configuration that cannot be read, since the file may still be being written. */
         void reload(Proxy proxy) {
             ConfigException problem = tryReload(proxy);
             for (int i = 0; i < MAX_REREADS && problem != null; i++) {
-                LOG.say("the new configuration cannot be read yet: " + problem.getMessage());
+                LOG.say("the new configuration cannot be read yet, retrying in " + REREAD_INTERVAL_MS + " ms: "
+                        + problem.getMessage());
                 sleep(REREAD_INTERVAL_MS);
                 problem = tryReload(proxy);
             }
@@ -259,7 +260,7 @@
             reloadAuxiliary();
         }
 
-        /** What is wrong with it, null if it is taken. */
+        /** Returns why the configuration was rejected, or null if it was applied. */
         private synchronized ConfigException tryReload(Proxy proxy) {
             try {
                 current = Config.reread(environment, current);
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -21,14 +21,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The life of one request that was taken: the module hears of it, its attempts go out and end, it gets its
- * one final answer, and it is kept until the last attempt has ended as well. Once it is over nothing goes out
- * for it, whatever the module does.
+ * One accepted request: it is passed to the module, its attempts are sent and end, it gets exactly one final
+ * response, and it is kept until its last attempt has ended. After the final response no attempt is sent,
+ * whatever the module requests.
  */
 final class Exchange {
     /**
-     * A timeout counts from the client's send and is kept when the answer has reached it. The module is told
-     * of so much less, and if it has not ended the request by the second margin, the backstop does.
+     * The client's timeout runs from when it sends the request until the response reaches it. The module gets
+     * the timeout less the first margin; if it has not ended the request by the second, the backstop does.
      */
     private static final long RESPONSE_MARGIN_NS = 10_000_000L, BACKSTOP_MARGIN_NS = 5_000_000L;
 
@@ -39,9 +39,9 @@
     private final Known requestClass;
     private final long marginNs;
     private final long timeoutNs;
-    /** While its request is still coming the end of all time: its client's time runs from the last byte. */
+    /** MAX_VALUE while the request is being received: the client's timeout runs from the last byte. */
     private long deadlineNs = Long.MAX_VALUE;
-    /** By number; null where none went out. */
+    /** By attempt number; null for attempts that were not sent. */
     private final List<Attempt> attempts = new ArrayList<>(2);
 
     private ScheduledFuture<?> backstopTimer;
@@ -79,7 +79,7 @@
                         isComplete ? Math.max(0, now - receivedAtNs) : 0)));
     }
 
-    /** Its last byte has come. */
+    /** The last byte of the request was received. */
     void onRequestComplete(long completedAtNs) {
         if (finished || backstopTimer != null) {
             return;
@@ -94,7 +94,7 @@
         backstopTimer = exchanges.platform.loop().schedule(this::onBackstop, delayNs, TimeUnit.NANOSECONDS);
     }
 
-    /** It is answered by that time, though its client would wait for longer. */
+    /** Limits the deadline, even if the client would wait longer. */
     void capDeadline(long limitNs) {
         if (finished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
             return;
@@ -104,7 +104,7 @@
         startBackstop();
     }
 
-    /** How long an attempt may take, from now or, while the request is still coming, from its last byte. */
+    /** Time left for an attempt, from now or, while the request is being received, from its last byte. */
     private long timeLeftNs(long nowNs) {
         return deadlineNs == Long.MAX_VALUE ? timeoutNs - marginNs : deadlineNs - nowNs;
     }
@@ -113,23 +113,23 @@
         exchanges.events.tell(event, this::fail);
     }
 
-    /** Over, and nothing of it is out. */
+    /** The request has finished and has no open attempt. */
     boolean canForget() {
         return finished && openAttempts == 0;
     }
 
-    // ---- what happens to it ----
+    // ---- events of the request ----
 
-    /** The module has not ended it in time: that must not leave the client with no answer. */
+    /** Responds to the client if the module has not ended the request in time. */
     private void onBackstop() {
         if (!finished) {
-            exchanges.platform.log().say("no answer in time, ticket " + ticket);
+            exchanges.platform.log().say("module did not end the request in time, responding 504: ticket " + ticket);
             respond(504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
             withdraw();
         }
     }
 
-    /** Its client has gone away. */
+    /** The client has disconnected. */
     void onClientDisconnected() {
         finish();
         withdraw();
@@ -173,11 +173,11 @@
         client.answer(status, headers, body);
     }
 
-    /** The answer is the client's from its first bytes on; it is counted when it has ended. */
+    /** Streams the response to the client as it is received; it is counted once it has ended. */
     private void streamResponse(Answer response) {
         finish();
         exchanges.streaming(true);
-        // One that never ends is no answer: by the end of its client's time it has failed.
+        // A response that has not ended by the client's timeout has failed.
         ScheduledFuture<?> timeout = exchanges
                 .platform
                 .loop()
@@ -201,7 +201,7 @@
         exchanges.onFinished(this);
     }
 
-    // ---- what the module does with it ----
+    // ---- actions of the module ----
 
     void send(int server, long timeoutNs, long withinNs) {
         long nowNs = exchanges.platform.clock().now();
@@ -232,7 +232,7 @@
                 }));
     }
 
-    /** Is its client still there? One that is found to have gone is not waited for to be heard of. */
+    /** Checks the connection, so that a client that has just disconnected is noticed before an attempt is sent. */
     private boolean isWanted() {
         if (!finished && !client.present() && !finished) {
             onClientDisconnected();
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -14,19 +14,19 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 
-/** The requests that a proxy has taken and not yet done with, by the module's ticket and by client. */
+/** The open requests of a proxy, by the module's ticket and by client. */
 final class Exchanges implements Frontend.Taker {
     final Platform platform;
     final Events events;
     final Backends backends;
     final Figures figures;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
-    /** Those that still want their answer; only looked up, never walked. */
+    /** Requests without a final response; never iterated over. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
 
     private int lastTicket;
     private int streaming;
-    /** No request is answered later, whatever its client allows. */
+    /** Time by which all requests are answered, whatever timeout their clients gave. */
     private long latestResponseNs = Long.MAX_VALUE;
 
     Exchanges(Platform platform, Events events, Backends backends, Figures figures) {
@@ -62,28 +62,28 @@
         }
     }
 
-    /** All requests are answered by then, those taken before and those that still come. */
+    /** Limits the deadline of all open and future requests. */
     void capDeadlines(long limitNs) {
         latestResponseNs = limitNs;
         byTicket.values().forEach(x -> x.capDeadline(limitNs));
     }
 
-    /** When a request that would be answered by that time must be. */
+    /** Returns the deadline, or the common limit if that is earlier. */
     long capDeadline(long deadlineNs) {
         return Math.min(deadlineNs, latestResponseNs);
     }
 
-    /** Requests that still want their answer, or the rest of it. */
+    /** Number of requests whose response has not been sent, or not completely. */
     int openRequests() {
         return byClient.size() + streaming;
     }
 
-    /** An answer has begun to be passed on, or has ended. */
+    /** Counts a streamed response that starts or ends. */
     void streaming(boolean isStart) {
         streaming += isStart ? 1 : -1;
     }
 
-    /** It has its final answer, or nobody to give it to. */
+    /** The request has its final response, or its client has disconnected. */
     void onFinished(Exchange exchange) {
         byClient.remove(exchange.client);
     }
@@ -94,16 +94,16 @@
         }
     }
 
-    // ---- the module's actions, by ticket ----
+    // ---- actions of the module, by ticket ----
 
-    /** withinNs: it goes out within so long or not at all. */
+    /** withinNs: time within which the attempt has to be sent, or is dropped. */
     void send(int ticket, int server, long timeoutNs, long withinNs) {
         Exchange exchange = byTicket.get(ticket);
         if (exchange != null) {
             exchange.send(server, timeoutNs, withinNs);
             return;
         }
-        platform.log().say("an attempt for ticket " + ticket + ", which is over");
+        platform.log().say("attempt dropped: ticket " + ticket + " is unknown or finished");
         events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -30,21 +30,21 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One proxy: the decision module, the requests that it has taken and the sockets round it, all on one event
- * loop. Events become calls of the module, its actions become I/O; where, whether and when are its decisions.
+ * One proxy: the decision module, the open requests and the sockets, all on one event loop. Events become calls
+ * of the module, and its actions become I/O; the module decides where, whether and when requests are sent.
  */
 public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorPort.Subject {
-    /** With the list that it was started with a proxy serves if discovery says nothing for so long. */
+    /** Time without a list from discovery after which the proxy serves with the known list. */
     private static final long DISCOVERY_WAIT_MS = 3000;
     /**
-     * After SIGTERM clients go on coming for 0.4 s at the most (the protocol); then the listener closes, but
-     * for so much longer not while somebody still comes.
+     * After SIGTERM clients connect for at most 0.4 s more (the protocol). Then the listener closes, unless
+     * connections are still being accepted, which delays it by at most the second value.
      */
     private static final long DRAIN_ACCEPT_MS = 550, MAX_EXTRA_ACCEPT_MS = 200;
     /**
-     * SIGKILL follows SIGTERM after the longest deadline, of which so much counts, and the slack (the
-     * protocol). By so much before that no request is taken any more, all have their answers, and the process
-     * ends though a client does not read its own.
+     * SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_MS, plus the slack (the
+     * protocol). The other three are times before it: requests are no longer read, all have been answered, and
+     * the process exits even if a client does not read its response.
      */
     private static final long MAX_DEADLINE_MS = 3000,
             KILL_SLACK_MS = 700,
@@ -67,17 +67,17 @@
     private final Classes classes;
     private final Figures figures = new Figures();
     private boolean listReceived;
-    /** The list that it was started with, null if there is none; does the module know of it? */
+    /** The list from the configuration, null if there is none, and whether the module has received it. */
     private ListUpdate knownList;
 
     private boolean knownListApplied;
-    /** It may take clients; until then it only learns what backends there are. */
+    /** Whether clients may be accepted; before that only the backend list is received. */
     private boolean open;
 
     private boolean draining;
     private ChannelFuture listenFuture;
 
-    /** To be called on the loop. */
+    /** Call on the event loop. */
     Proxy(Config config, Platform platform, Balancer.Factory factory) {
         this(
                 config,
@@ -87,7 +87,7 @@
                 Frontend.UNREAD_NS);
     }
 
-    /** One that waits for discovery with that patience, and leaves bodies unread for so long. */
+    /** Creates a proxy with these discovery timeouts and this limit on how long bodies stay unread. */
     Proxy(
             Config config,
             Platform platform,
@@ -109,13 +109,13 @@
         events.to(module);
     }
 
-    /** Starts one and waits until it listens; an IOException if it cannot. */
+    /** Starts a proxy and waits until it listens; throws an IOException if it cannot. */
     public static Proxy start(Config config, Platform platform, Balancer.Factory factory) throws IOException {
         return callOnLoop(platform, () -> startOnLoop(config, platform, factory))
                 .awaitListening();
     }
 
-    /** Starts one that may not listen yet. To be called on the loop. */
+    /** Starts a proxy without waiting until it listens. Call on the event loop. */
     public static Proxy startOnLoop(Config config, Platform platform, Balancer.Factory factory) {
         return connectAndOpen(new Proxy(config, platform, factory));
     }
@@ -127,9 +127,9 @@
     }
 
     /**
-     * Starts one that asks what backends there are and takes no clients until {@link #open}. Where many
-     * proxies start together, discovery answers them one after the other: what a proxy does before it opens
-     * passes in the time that it waits for that answer. To be called on the loop.
+     * Starts a proxy that requests the backend list and accepts no clients until {@link #open}. Where many
+     * proxies start together, discovery answers them one after the other; the caller's work before opening
+     * overlaps with that wait. Call on the event loop.
      */
     public static Proxy startUnopened(Config config, Platform platform, Balancer.Factory factory) {
         Proxy proxy = new Proxy(config, platform, factory);
@@ -137,7 +137,7 @@
         return proxy;
     }
 
-    /** Takes clients from now on, or, with an inherited listener, once there is a list. On the loop. */
+    /** Accepts clients from now on or, with an inherited listener, once there is a list. Call on the event loop. */
     public void open() {
         if (draining) {
             return;
@@ -149,22 +149,22 @@
         listenIfReady();
     }
 
-    /** Does on the loop what makes a proxy; an IOException if it cannot. */
+    /** Runs a task on the event loop and waits for its proxy; throws an IOException if it fails. */
     static Proxy callOnLoop(Platform platform, Callable<Proxy> task) throws IOException {
         try {
             return platform.loop().submit(task).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while waiting for the event loop");
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         }
     }
 
-    /** Waits until it listens, if it may already. */
+    /** Waits until the proxy listens, if it has started to. */
     Proxy awaitListening() throws IOException {
         if (listenFuture == null) {
-            return this; // once there is a list: until then the process before this one serves
+            return this; // listens once there is a list; until then the previous process serves
         }
         AtomicReference<ChannelFuture> nextAttempt = new AtomicReference<>(listenFuture);
         ChannelFuture bindFuture = ListenRetry.listen(() -> {
@@ -190,7 +190,7 @@
     }
 
     private void startDiscovery() {
-        platform.log().say("asks discovery for the backends");
+        platform.log().say("requesting the backend list from discovery");
         knownList = discovery.knownList();
         if (knownList != null) {
             discovery.setVersion(knownList.version());
@@ -198,17 +198,19 @@
         if (config.settings().askForList()) {
             applyKnownList();
         } else {
-            // What the agent has counts as told from the first moment: until it has spoken the known list may
-            // name backends that have left, and nobody is sent to by it.
+            // What the agent has counts as known from the start, and the known list may name backends that
+            // have left since: no request is sent by it before the agent has answered.
             discovery.watch(true);
         }
         platform.loop().schedule(this::useKnownList, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Discovery says nothing: the known list has to do, if there is one. */
+    /** Falls back to the known list, if there is one, when discovery has sent none. */
     void useKnownList() {
         if (!listReceived && knownList != null && !knownList.list().isEmpty()) {
-            platform.log().say("discovery says nothing: the list of the start has to do");
+            platform.log()
+                    .say("no list from discovery within " + DISCOVERY_WAIT_MS
+                            + " ms: serving with the known list of the configuration");
             applyKnownList();
             listReceived();
         }
@@ -225,7 +227,7 @@
         listenFuture = frontend.listen();
     }
 
-    /** A connection of a client that another listener has accepted. */
+    /** Takes over a client connection that another listener has accepted. */
     void accept(Channel connection) {
         frontend.accept(connection);
     }
@@ -235,13 +237,13 @@
     }
 
     /**
-     * Takes over what may change while it serves: where discovery is, the classes and how many attempts they
-     * allow. What the proxy knows and holds lives on, and what is under way keeps its class. To be called on
-     * the loop.
+     * Applies the settings that may change while serving: the address of discovery, the classes and their
+     * maximum number of attempts. State and connections are kept, and open requests keep their class. Call on
+     * the event loop.
      */
     public void reload(Config config) {
         platform.log()
-                .say("a new configuration: discovery is at " + config.discovery() + ", classes " + config.classes()
+                .say("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
         List<Profile> profiles = classes.take(config);
         events.news((now, m) -> m.onProfiles(profiles));
@@ -249,13 +251,13 @@
         figures.reloaded(true);
     }
 
-    /** A configuration was turned down. To be called on the loop. */
+    /** Records that a configuration was rejected. Call on the event loop. */
     public void onConfigurationRejected(String reason) {
         platform.log().say("the new configuration is not used: " + reason);
         figures.reloaded(false);
     }
 
-    // ---- what operators ask ----
+    // ---- operators' requests ----
 
     @Override
     public boolean ready() {
@@ -276,7 +278,7 @@
                 .json();
     }
 
-    /** What it has done so far, for whoever runs beside it. On the loop. */
+    /** Request counts so far, for the auxiliary service. Call on the event loop. */
     public Companion.Load load() {
         long refused = figures.sum(Figures::rejected);
         return new Companion.Load(
@@ -285,7 +287,7 @@
                 exchanges.openRequests());
     }
 
-    /** Answers what has been taken and what still comes; the future is done once all is answered. */
+    /** Answers all open requests and those still received; the future completes once all are answered. */
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
             platform.log().say("draining");
@@ -312,14 +314,14 @@
 
     private void completeDrain() {
         if (!drainCompleted.isDone()) {
-            platform.log().say("drained"); // the process may end the moment that the future is done
+            platform.log().say("drained"); // logged first: the process may exit as soon as the future completes
             drainCompleted.complete(null);
         }
     }
 
     /**
-     * Closes the listener, once nobody comes any more: whoever waits in the system's queue when it closes
-     * has asked for nothing and is not heard.
+     * Closes the listener once no more connections are accepted: those still in the system's accept queue when
+     * it closes are dropped without a response.
      */
     private void closeListener(long previouslyAccepted, long waitedMs) {
         long accepted = frontend.accepted();
@@ -333,9 +335,9 @@
     }
 
     /**
-     * Another process accepts from the same queue. The connections that this one holds are served until
-     * shortly before the end, each answer the last one of its connection: to close one that its client is
-     * about to use would cost that request.
+     * Another process accepts from the same queue. Open connections are served until shortly before the
+     * process is killed, with each response the last one of its connection: closing one that its client is about
+     * to use would lose that request.
      */
     private void handOver(long timeToKillMs) {
         frontend.refuseNew();
@@ -351,7 +353,7 @@
         }
     }
 
-    /** Ends once nobody is owed an answer, none is on its way to its client and none may yet be asked for. */
+    /** Completes the drain once no response is pending or being sent and no further request can be received. */
     private void completeWhenAnswered() {
         frontend.close();
         if (exchanges.openRequests() == 0 && !frontend.owes()) {
@@ -361,16 +363,16 @@
         }
     }
 
-    // ---- what discovery says ----
+    // ---- updates from discovery ----
 
     @Override
     public void onUpdate(ListUpdate update) {
-        applyKnownList(); // changes count from there
+        applyKnownList(); // deltas are relative to it
         apply(update);
         listReceived();
     }
 
-    /** What backends there are is known well enough to serve. */
+    /** A list was received that the proxy can serve with. */
     private void listReceived() {
         if (!listReceived) {
             listReceived = true;
@@ -381,7 +383,7 @@
     private void listenIfReady() {
         if (listReceived && open) {
             if (listenFuture == null) {
-                listen(); // until there was a list the process before this one served
+                listen(); // inherited listener: the previous process served until there was a list
             }
             listenFuture.addListener(bound -> {
                 if (bound.isSuccess()) {
@@ -391,7 +393,7 @@
         }
     }
 
-    /** Takes in what is known of the backends. */
+    /** Applies a list update to the connections and the module. */
     void apply(ListUpdate update) {
         backends.learn(update);
         events.news((now, module) -> module.onMembers(
@@ -406,7 +408,7 @@
         events.news((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
-    // ---- the module's actions ----
+    // ---- actions of the module ----
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
@@ -464,11 +466,11 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("this proxy talks to no peers");
+        throw new UnsupportedOperationException("this proxy sends no messages to peers");
     }
 
     @Override
     public void reload() {
-        throw new UnsupportedOperationException("this proxy watches, it does not ask once");
+        throw new UnsupportedOperationException("this proxy watches discovery; single list requests are not supported");
     }
 }
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -49,22 +49,21 @@
 import java.util.function.Consumer;
 
 /**
- * Before a proxy says that it is ready, a throwaway one serves some requests that it makes up itself. Guards
- * against the first clients paying for loading and compiling: on half a core that took seconds, in which
- * most of their requests were late. It all goes over sockets in the file system, so that what reads and
- * writes real ones is warm as well; where they cannot be had or lead nowhere, over channels within this
- * process. No address is listened on before the proxy serves, and nobody from outside can come upon answers
- * that are made up.
+ * Serves synthetic requests with a temporary proxy before the real one is ready. Otherwise the first clients
+ * would wait for class loading and compilation: on half a core that took seconds, in which most of their
+ * requests were late. Uses Unix domain sockets, so that the code that reads and writes real sockets is warm as
+ * well; where these cannot be created or do not connect, in-process channels. No network address is listened on
+ * before the proxy serves, so no outside client can receive a synthetic response.
  */
 final class Warmup {
     private static final int CLIENTS = 6, BACKENDS = 4;
     private static final int REQUEST_BYTES = 200, RESPONSE_BYTES = 1000;
-    /** One answer in so many is an error, a refusal of the backend, or an end of the connection. */
+    /** One response in this many is an error or a refusal by the backend. */
     private static final int ERROR_INTERVAL = 25;
 
     /**
-     * A platform may let a process have a socket in the file system and lead nobody there: so long it is
-     * waited for somebody to come, and for the first answer, which on a small share of a core takes its time.
+     * On some platforms a domain socket can be created but connections to it never arrive. These limit the wait
+     * for the first connection and for the first response, which takes longer on a small share of a core.
      */
     private static final long ACCEPT_TIMEOUT_MS = 250, FIRST_RESPONSE_TIMEOUT_MS = 1000;
 
@@ -82,7 +81,7 @@
     private int successes;
     private int backendRequests;
 
-    /** What it goes over: door is where clients find the proxy, behind where it finds its backends. */
+    /** Channel types, and the addresses of the proxy and of its backends. */
     private record Endpoints(
             IoHandlerFactory io,
             Class<? extends Channel> clientChannel,
@@ -108,7 +107,7 @@
         }
     }
 
-    /** To be called on the loop. */
+    /** Call on the event loop. */
     private Warmup(Config config, EventLoop loop, Balancer.Factory factory, int maxRequests, Endpoints endpoints) {
         this.config = config;
         this.loop = loop;
@@ -117,7 +116,7 @@
         this.maxRequests = maxRequests;
     }
 
-    /** Plays so many requests, or as many as the time allows; returns how many were served. */
+    /** Sends this many requests, or as many as the time allows; returns how many were served. */
     static int run(Config config, Balancer.Factory factory, int requests, long limitMs) {
         Path folder = null;
         try {
@@ -130,17 +129,17 @@
         }
     }
 
-    /** The same without sockets. */
+    /** The same with in-process channels. */
     static int runInProcess(Config config, Balancer.Factory factory, int requests, long limitMs) {
         try {
             return play(config, factory, requests, limitMs, Endpoints.inProcess());
         } catch (IOException e) {
-            LOG.say("not warmed up: " + e);
+            LOG.say("warm-up failed, serving without it: " + e);
             return 0;
         }
     }
 
-    /** An IOException if these means lead nowhere. */
+    /** Throws an IOException if these endpoints cannot be used. */
     private static int play(Config config, Balancer.Factory factory, int requests, long limitMs, Endpoints endpoints)
             throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, endpoints.io);
@@ -171,11 +170,11 @@
                 Files.deleteIfExists(folder);
             }
         } catch (IOException e) {
-            LOG.say("left behind by the warm-up: " + folder);
+            LOG.say("cannot delete the temporary directory of the warm-up: " + folder);
         }
     }
 
-    /** Every address is that of the made-up backends. */
+    /** Connects every address to the synthetic backends. */
     private final class WarmupTransport implements Transport {
         @Override
         public Bootstrap to(InetSocketAddress address) {
@@ -184,7 +183,7 @@
 
         @Override
         public ServerBootstrap at(InetSocketAddress address) {
-            throw new UnsupportedOperationException("a throwaway proxy does not listen");
+            throw new UnsupportedOperationException("the warm-up proxy does not listen");
         }
     }
 
@@ -210,11 +209,12 @@
 
     private void failIfUnreachable(boolean isUnreachable) {
         if (isUnreachable) {
-            done.completeExceptionally(new ConnectException("nobody is met at " + endpoints.proxyAddress));
+            done.completeExceptionally(
+                    new ConnectException("no connection or response over " + endpoints.proxyAddress));
         }
     }
 
-    /** Somebody is there at an address from then on. */
+    /** Listens at an address, then runs the action. */
     private void listen(SocketAddress address, Consumer<Channel> accept, Runnable onListening) {
         new ServerBootstrap()
                 .group(loop)
@@ -278,7 +278,7 @@
         write(ctx, request.append("\r\n\r\n").append(isIdempotent ? "" : body(REQUEST_BYTES)));
     }
 
-    /** All bodies here end with a line, which tells their end from that of a head. */
+    /** Bodies end with a single newline, which distinguishes their end from that of a head. */
     private static String body(int bytes) {
         return ".".repeat(bytes - 1) + "\n";
     }
@@ -288,8 +288,8 @@
     }
 
     /**
-     * A peer of the proxy. It writes what is ready-made and looks at the ends of what it reads: a codec in
-     * each would cost as much to run, and to compile, as the proxy that is to be warmed.
+     * A client or backend of the proxy. It writes preformatted messages and only checks the ends of what it
+     * reads: a codec in each would cost as much to run, and to compile, as the proxy being warmed up.
      */
     private abstract static class RawPeer extends SimpleChannelInboundHandler<ByteBuf> {
         private int firstByte = -1;
@@ -306,17 +306,17 @@
             }
         }
 
-        /** A message has ended, with these bytes. */
+        /** A message is complete; these are its last bytes. */
         abstract void onMessage(ChannelHandlerContext ctx, ByteBuf lastBytes);
 
-        /** The proxy closes connections as it does to any peer. */
+        /** The proxy may close the connection at any time. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
 
-    /** A client: asks, waits for the answer, asks again. */
+    /** Sends a request, waits for the response, and repeats. */
     private final class WarmupClient extends RawPeer {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -334,7 +334,7 @@
         }
     }
 
-    /** A backend: answers at once, now and then with an error. */
+    /** Responds at once, with an error for one request in ERROR_INTERVAL. */
     private final class WarmupBackend extends RawPeer {
         private final String body = body(RESPONSE_BYTES);
 
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads lists in discovery's form and keeps the number by which the module knows each instance. */
+/** Parses lists of discovery and assigns the number by which the module identifies each instance. */
 final class Catalog {
     private final List<String> kinds;
     private final List<String> zones;
-    /** The number of each listed backend and whose it is: no two share one. */
+    /** The unique number of each listed backend, and the reverse. */
     private final Map<String, Integer> numbersById = new HashMap<>();
 
     private final Map<Integer, String> idsByNumber = new HashMap<>();
@@ -34,16 +34,16 @@
     }
 
     /**
-     * Reads one list; throws IllegalArgumentException if it is not one, and then nothing has changed.
+     * Parses one list; throws IllegalArgumentException, without any change of state, if it is invalid.
      *
-     * @param watched whether lists of discovery were heard before this one
-     * @param now ns of this process's clock
+     * @param hadList whether a list of discovery was received before this one
+     * @param nowNs time of this process's clock
      */
     ListUpdate read(JsonNode root, boolean hadList, long nowNs) {
         long generation = generation(root);
         JsonNode instances = root.path("instances");
         if (!instances.isArray()) {
-            throw new IllegalArgumentException("no instances");
+            throw new IllegalArgumentException("'instances' is missing or not an array");
         }
         boolean isFull = isFull(root);
         List<JsonNode> entries = new ArrayList<>();
@@ -52,14 +52,14 @@
             boolean isGone = state(entry) == State.GONE;
             InetSocketAddress address = Config.address(entry.path("hostPort").asText());
             if (entry.path("instanceId").asText().isEmpty() || address == null && !isGone) {
-                throw new IllegalArgumentException("an instance with no id or address");
+                throw new IllegalArgumentException("instance without an id or a valid address");
             }
             entries.add(entry);
             addresses.add(address);
         }
         List<ListedBackend> list = new ArrayList<>();
         if (isFull) {
-            Set<String> ids = new HashSet<>(); // in a list each number kept would be looked for among all
+            Set<String> ids = new HashSet<>(); // a set, since each known id is looked up in it
             entries.forEach(entry -> ids.add(entry.path("instanceId").asText()));
             numbersById.keySet().retainAll(ids);
             idsByNumber.values().retainAll(ids);
@@ -86,7 +86,7 @@
                             entry.path("weight").asDouble(1)),
                     addresses.get(i)));
         }
-        // Whoever is gone needs no number: where ids are ever new, those kept would grow without end.
+        // Terminated instances release their number; otherwise the maps would grow forever with new ids.
         for (ListedBackend backend : list) {
             if (backend.member().state() == State.GONE) {
                 String id = idsByNumber.remove(backend.member().id());
@@ -97,16 +97,16 @@
         return new ListUpdate(isFull ? ListKind.FULL : ListKind.DELTA, generation, list);
     }
 
-    /** The version of a list; throws IllegalArgumentException if it has none. */
+    /** Returns the version of a list; throws IllegalArgumentException if it has none. */
     static long generation(JsonNode root) {
         JsonNode generation = root.path("generation");
         if (!generation.canConvertToLong() || !generation.isNumber()) {
-            throw new IllegalArgumentException("no generation");
+            throw new IllegalArgumentException("'generation' is missing or not an integer");
         }
         return generation.asLong();
     }
 
-    /** Does a list name all that there is? */
+    /** Whether a list names all instances, rather than changes. */
     static boolean isFull(JsonNode root) {
         return root.path("reset").asBoolean(false);
     }
@@ -116,19 +116,19 @@
             case "in_service" -> State.READY;
             case "terminating" -> State.DRAINING;
             case "terminated" -> State.GONE;
-            default -> throw new IllegalArgumentException("lifecycle " + entry.path("lifecycle"));
+            default -> throw new IllegalArgumentException("unknown lifecycle: " + entry.path("lifecycle"));
         };
     }
 
-    /** A name that the settings do not list stands apart from all that they do. */
+    /** Index of a name; names that the settings do not list share one index after all others. */
     private static int indexOf(List<String> names, JsonNode name) {
         int i = names.indexOf(name.asText());
         return i < 0 ? names.size() : i;
     }
 
     /**
-     * The number of an instance. The module orders backends by it to spread the proxies' subsets, so it comes
-     * from the id alone, the same at every proxy; two ids of one hash must not become one backend.
+     * Returns the number of an instance. The module orders backends by it to spread the proxies' subsets, so it
+     * is derived from the id alone and equal at every proxy; ids with the same hash get different numbers.
      */
     private int numberOf(String id) {
         return numbersById.computeIfAbsent(id, i -> {
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -35,13 +35,13 @@
 import java.util.function.Predicate;
 
 /**
- * Keeps a watch on discovery and turns what it says into list events. A watch that ends, falls silent or says
- * what cannot be read is opened again from the last version; the old list stands meanwhile. Only a list that
- * has come whole shows that a watch works: until then it has a deadline, and where lists are pushed another
- * is opened beside it.
+ * Watches discovery and turns its messages into list events. A watch that ends, falls silent or sends invalid
+ * data is reopened from the last version; the previous list stays in use meanwhile. Only a complete list shows
+ * that a watch works: until one is received the watch has a deadline, and where lists are pushed another watch
+ * is opened in parallel.
  */
 public final class Discovery {
-    /** Who hears of it: news, or that the watch failed. */
+    /** Receives list updates, and failures of the watch. */
     public interface Listener {
         void onUpdate(ListUpdate update);
 
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Where discovery is, whether each call is asked for by the module, the list known beforehand, and the
-     * names whose places are the numbers that the module knows.
+     * The address of discovery, whether the module requests each call, the list known at startup, and the names
+     * whose indexes the module uses.
      */
     public record Source(
             InetSocketAddress address,
@@ -58,28 +58,28 @@
             JsonNode knownList,
             List<String> kinds,
             List<String> zones) {
-        /** A source that pushes its list to whoever watches, with nothing known beforehand. */
+        /** A source that pushes its list to all watchers, with no list known at startup. */
         public static Source pushed(InetSocketAddress address) {
             return new Source(address, false, MissingNode.getInstance(), List.of(), List.of());
         }
     }
 
     /**
-     * How long is waited, in ms: for a connection; for a watch's first list, from opening it; from one word
-     * of it to the next. The protocol's beats come every 2 s. What a watch misses counts as told 6 s after it
-     * fell silent, and any change 6 s after discovery had it and could be reached: a silence, or a call that
-     * is never answered, a pause of the module's and a call that waits in turn have to fit in there.
+     * Time limits in ms: for connecting; for a watch's first list, from opening it; and for silence between two
+     * messages. The protocol sends a heartbeat every 2 s. The proxy has to apply what a watch misses within 6 s of
+     * it falling silent, and any change within 6 s of discovery having it and being reachable: a silence, or an
+     * unanswered call, a pause of the module and a queued call have to fit into that time.
      */
     public record Timeouts(long connectMs, long firstListMs, long silenceMs) {
         private static final long SILENCE_MS = 3000;
-        /** An agent on this machine answers at once, and what it has counts from when it could have. */
+        /** For an agent on this machine, which answers at once; changes count from when it could have them. */
         public static final Timeouts AGENT = new Timeouts(200, 250, SILENCE_MS);
-        /** A service that all proxies call may let a call wait in turn, 2 s at most. */
+        /** For a service that all proxies call, which may queue a call for up to 2 s. */
         public static final Timeouts SERVICE = new Timeouts(1000, 2500, SILENCE_MS);
 
         /**
-         * A place that answers with versions lower than one heard before may lag behind or may have begun to
-         * count anew. So long it may catch up; then its lists hold, since nothing else will ever come.
+         * An address that sends versions lower than one received before may lag behind or may have restarted its
+         * versions. After this time its lists are accepted, since nothing else would ever be received.
          */
         long catchUpMs() {
             return silenceMs / 2;
@@ -87,11 +87,11 @@
     }
 
     /**
-     * An agent costs nothing and has news from the first moment that it is there again, which bind after the
-     * settings' grace: pauses, connecting and waiting for its answer together stay well under any such.
+     * A call to an agent costs little, and changes that it has once it is reachable again must be followed
+     * after the settings' grace: backoff, connecting and waiting for its answer together stay well below any grace.
      */
     private static final long INITIAL_BACKOFF_MS = 10, MAX_BACKOFF_MS = 80;
-    /** An agent that says nothing has fewer open before the first is given up: a bound on descriptors. */
+    /** Limits the descriptors used; a silent agent has fewer watches open before the first one times out. */
     private static final int MAX_WATCHES = 16;
 
     private static final int MAX_LIST_BYTES = 4 << 20;
@@ -107,29 +107,29 @@
     private long version = -1;
     private long backoffMs = INITIAL_BACKOFF_MS;
     private boolean isWatching;
-    /** A list has come from discovery: what starts later is seen to start. */
+    /** A list was received from discovery, so backends that are new in later ones have just started. */
     private boolean hadList;
-    /** Those that are open, the oldest first. All are heard, until one tells a list at the right place. */
+    /** Open watches, the oldest first. All are read until one at the current address sends a list. */
     private final Set<Watch> watches = new LinkedHashSet<>();
-    /** The one that has told a list where discovery is now; null while none has. */
+    /** The watch at the current address that has sent a list; null if there is none. */
     private Watch current;
-    /** When another is opened; null while the current one works, and where calls are asked for. */
+    /** Scheduled opening of another watch; null while the current one works and where the module requests calls. */
     private ScheduledFuture<?> scheduledOpen;
-    /** When a list came first that is older than the last version; 0 if the last one that came is not. */
+    /** Time of the first list older than the last version; 0 if the most recent list was not older. */
     private long behindSinceNs;
-    /** What was wrong last, until something was understood: told once, however often it comes. */
+    /** Last warning logged, cleared by a valid list; the same warning is not logged twice in a row. */
     private String lastWarning;
 
     public Discovery(Platform platform, Config config, Listener listener) {
         this(platform, source(config), listener);
     }
 
-    /** One that watches a source that no configuration of the platform names. */
+    /** Watches a source that is not from the platform's configuration. */
     public Discovery(Platform platform, Source source, Listener listener) {
         this(platform, source, listener, source.listOnRequest() ? Timeouts.SERVICE : Timeouts.AGENT);
     }
 
-    /** One of another patience. */
+    /** The same with other timeouts. */
     public Discovery(Platform platform, Source source, Listener listener, Timeouts timeouts) {
         this.platform = platform;
         this.loop = platform.loop();
@@ -141,13 +141,13 @@
         this.timeouts = timeouts;
     }
 
-    /** What a configuration of the platform says of it. */
+    /** The source that the platform's configuration names. */
     public static Source source(Config config) {
         return new Source(
                 config.discovery(), config.settings().askForList(), config.known(), config.kinds(), config.zones());
     }
 
-    /** The list that the proxy was started with; null if there is none that can be read. */
+    /** Returns the list known at startup; null if there is none or it is invalid. */
     public ListUpdate knownList() {
         if (!knownList.isObject()) {
             return null;
@@ -156,12 +156,12 @@
             ListUpdate update = catalog.read(knownList, false, platform.clock().now());
             return new ListUpdate(ListKind.CACHED, update.version(), update.list());
         } catch (IllegalArgumentException e) {
-            platform.log().say("the known list is not used: " + e.getMessage());
+            platform.log().say("invalid known list in the configuration, not used: " + e.getMessage());
             return null;
         }
     }
 
-    /** Opens the watch or closes it. Pushed lists are watched for good; one that is asked for is one call. */
+    /** Opens or closes the watch. Pushed lists are watched permanently; a requested list is a single call. */
     public void watch(boolean on) {
         isWatching = on;
         close(w -> !on || w.watchedAddress.equals(address));
@@ -174,8 +174,8 @@
     }
 
     /**
-     * Discovery is elsewhere now: the watch goes on there at once, from the last version that was heard. What
-     * the former place still says is taken until the new one has told a list: it may take a while to come up.
+     * Moves the watch to a new address at once, from the last version received. Lists from the former address
+     * are accepted until the new one, which may still be starting up, has sent a list.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Another watch is opened in so long at the latest. */
+    /** Schedules the opening of another watch, unless one is due earlier. */
     private void openWithin(long ms) {
         if (scheduledOpen != null && scheduledOpen.getDelay(TimeUnit.MILLISECONDS) < ms) {
             return;
@@ -218,8 +218,8 @@
     private void open() {
         cancelScheduledOpen();
         if (!listOnRequest) {
-            // Whatever becomes of this one: a connection that never comes up, an answer that never begins or
-            // stops half way.
+            // Covers all failures of this watch: a connection that hangs, an answer that never starts or stops
+            // half way.
             openWithin(timeouts.firstListMs());
         }
         if (watches.stream().filter(w -> w.watchedAddress.equals(address)).count() < MAX_WATCHES) {
@@ -230,10 +230,10 @@
     private void onWatchEnded(Watch watch) {
         watch.deadline.cancel(false);
         if (!watches.remove(watch) || !watch.watchedAddress.equals(address)) {
-            return; // closed on purpose, or at a place that discovery has left
+            return; // closed on purpose, or at a former address
         }
         if (listOnRequest) {
-            // Here calls cost, and the module says when to ask again.
+            // Calls are expensive here, so the module decides when to retry.
             isWatching = false;
             listener.onWatchFailed();
         } else if (current == null || current == watch) {
@@ -255,12 +255,12 @@
                 && platform.clock().now() - behindSinceNs >= TimeUnit.MILLISECONDS.toNanos(timeouts.catchUpMs());
     }
 
-    /** One watch: objects in a chunked answer, with blank lines between them while nothing changes. */
+    /** One watch: a chunked response of JSON objects, with blank lines as heartbeats while nothing changes. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final Json parser = new Json();
         private final InetSocketAddress watchedAddress = address;
         private Dial connectOperation;
-        /** It has told a list: from then on blank lines are words too. */
+        /** The watch has sent a list; from then on heartbeats extend its deadline. */
         private boolean hasList;
 
         private ScheduledFuture<?> deadline;
@@ -294,14 +294,14 @@
             connectOperation.close();
         }
 
-        /** Within so long it has to say something, or is given up: cut off, it would stay open and silent. */
+        /** Restarts the deadline after which a silent watch is closed: after a network failure it would stay open. */
         private void deadline(long ms) {
             if (deadline != null) {
                 deadline.cancel(false);
             }
             deadline = loop.schedule(
                     () -> {
-                        warnOnce("discovery is silent: the watch is opened again");
+                        warnOnce("no data from discovery within the time limit: closing the watch");
                         close();
                     },
                     ms,
@@ -310,7 +310,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            // A place that has begun to count anew knows nothing of the last version.
+            // An address that has restarted its versions does not know the last version.
             String indexParameter = version < 0 || isCatchUpOver() ? "" : "&index=" + version;
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?stream=1" + indexParameter);
@@ -351,19 +351,19 @@
                     applyList(list);
                 }
                 if (parser.pending() > MAX_LIST_BYTES) {
-                    throw new IOException("it is longer than " + MAX_LIST_BYTES + " bytes");
+                    throw new IOException("list exceeds " + MAX_LIST_BYTES + " bytes");
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // It may have been news: only a new watch from the last version is sure to bring it. A
-                // parser's message runs over several lines; the first says what is wrong.
+                // The data may have held a change, which only a new watch from the last version is sure to
+                // deliver. Parser messages have several lines; the first states the error.
                 backoffMs = MAX_BACKOFF_MS;
-                warnOnce("what discovery says is not understood: "
+                warnOnce("unusable data from discovery, closing the watch: "
                         + e.getMessage().lines().findFirst().orElse(""));
                 close();
             }
         }
 
-        /** Blanks between values; a line's end among them is a word. */
+        /** Skips whitespace between values; a newline in it is a heartbeat. */
         private void readHeartbeats(ByteBuf bytes) throws IOException {
             boolean isHeartbeat = false;
             while (bytes.isReadable() && bytes.getByte(bytes.readerIndex()) <= ' ') {
@@ -373,11 +373,11 @@
                 onActivity();
             }
             if (bytes.isReadable() && bytes.getByte(bytes.readerIndex()) != '{') {
-                throw new IOException("no object");
+                throw new IOException("expected a JSON object");
             }
         }
 
-        /** A word has come of one that works: where discovery is now, no other is needed. */
+        /** Data was received on a working watch; at the current address this makes all others obsolete. */
         private void onActivity() {
             deadline(timeouts.silenceMs());
             if (current != this && watchedAddress.equals(address)) {
@@ -392,13 +392,14 @@
             long generation = Catalog.generation(list);
             if (generation < version) {
                 if (!watchedAddress.equals(address)) {
-                    return; // where discovery is now more is known
+                    return; // the current address has newer lists
                 }
                 if (!isCatchUpOver() || !Catalog.isFull(list)) {
                     behindSinceNs = behindSinceNs == 0 ? platform.clock().now() : behindSinceNs;
-                    throw new IllegalArgumentException("generation " + generation + " comes after " + version);
+                    throw new IllegalArgumentException(
+                            "generation " + generation + " is lower than the last one, " + version);
                 }
-                platform.log().say("discovery counts anew: " + generation + " after " + version);
+                platform.log().say("discovery has restarted its generations: " + generation + " after " + version);
             }
             ListUpdate update = catalog.read(list, hadList, platform.clock().now());
             hadList = true;
@@ -418,12 +419,12 @@
         }
     }
 
-    /** How many backends have a number. */
+    /** Number of backends with an assigned number. */
     public int backendCount() {
         return catalog.backendCount();
     }
 
-    /** The version that a watch starts after, once the known list has been taken. */
+    /** Sets the version from which watches resume, that of the known list. */
     public void setVersion(long knownVersion) {
         version = knownVersion;
     }
--- a/src/main/java/gullspar/proxy/discovery/ListUpdate.java
+++ b/src/main/java/gullspar/proxy/discovery/ListUpdate.java
@@ -3,5 +3,5 @@
 import gullspar.decide.Balancer.ListKind;
 import java.util.List;
 
-/** One piece of news of the list, in order. */
+/** A snapshot or a delta of the backend list; delivered in order. */
 public record ListUpdate(ListKind kind, long version, List<ListedBackend> list) {}
--- a/src/main/java/gullspar/proxy/discovery/StartTimes.java
+++ b/src/main/java/gullspar/proxy/discovery/StartTimes.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When listed backends started, by this process's own monotonic clock. Lists give wall clock times of other
- * machines; only their differences and the moment in which they are first seen are relied upon, so a clock that
- * is wrong or steps makes no cold backend look warm.
+ * Start times of listed backends on this process's monotonic clock. Lists hold wall-clock times of other
+ * machines; only their differences and the time at which they are first seen are used, so a clock that is wrong
+ * or steps does not make a cold backend look warm.
  */
 final class StartTimes {
-    /** For a backend that started long ago. */
+    /** Start time of a backend that is not cold. */
     static final long LONG_AGO_NS = 0;
 
     private record Start(long startedAtMs, long startTimeNs) {}
@@ -19,17 +19,17 @@
     private final Map<String, Start> starts = new HashMap<>();
     private long newestStartMs;
 
-    /** A list is about to be read in which that is the latest start, Unix time in ms. */
+    /** Records the most recent start, Unix time in ms, of a list about to be read. */
     void recordNewestStart(long startMs) {
         newestStartMs = Math.max(newestStartMs, startMs);
     }
 
     /**
-     * When a backend started, in ns of the clock that now comes from.
+     * Returns when a backend started, in ns of the clock of nowNs.
      *
-     * @param startedAtMs what the list says, Unix time in ms; 0 or less for long ago
-     * @param watched whether lists were heard before this one, so that a start not seen before is new; of others
-     *     only the least age is known, by the latest start of all
+     * @param startedAtMs start in the list, Unix time in ms; 0 or less for long ago
+     * @param hadList whether a list was received before this one, so that a new start has just happened;
+     *     otherwise only the minimum age is known, relative to the most recent start of all
      */
     long startTimeNs(String id, long startedAtMs, boolean hadList, long nowNs) {
         if (startedAtMs <= 0) {
@@ -45,12 +45,12 @@
         return known.startTimeNs;
     }
 
-    /** Only these are listed any more. */
+    /** Removes all backends but these, which are still listed. */
     void retain(Set<String> ids) {
         starts.keySet().retainAll(ids);
     }
 
-    /** It is listed no more. */
+    /** Removes a backend that is no longer listed. */
     void remove(String id) {
         starts.remove(id);
     }
--- a/src/test/java/gullspar/ArchitectureTest.java
+++ b/src/test/java/gullspar/ArchitectureTest.java
@@ -17,13 +17,13 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** The borders between the packages. */
+/** Dependency rules between packages. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("gullspar");
 
-    /** Decisions are played in the simulator, in rehearsals and in service: they know none of these. */
+    /** The decision module runs in the simulator, in rehearsals and in service, and depends on none of them. */
     @Test
     void decisionModuleDependsOnNothingElse() {
         classes()
@@ -35,7 +35,7 @@
                 .check(ALL);
     }
 
-    /** The same events must bring the same decisions, whenever and wherever they are played. */
+    /** The same events must produce the same decisions, whenever and wherever they are replayed. */
     @Test
     void decisionModuleDoesNoIoAndReadsNoClock() {
         noClasses()
@@ -63,7 +63,7 @@
                 .check(ALL);
     }
 
-    /** Who is listed and which route is taken: decisions too, beside the module. */
+    /** Lists and routes are decisions as well, outside the decision module. */
     @Test
     void routingDoesNoIoAndReadsNoClock() {
         classes()
@@ -93,7 +93,7 @@
     }
 
     /**
-     * What a journal says must not hang on where and when it is read; its bytes come through an interface.
+     * The content of a journal must not depend on where and when it is read; its bytes come through an interface.
      */
     @Test
     void journalFormatDoesNoFileIoAndReadsNoClock() {
@@ -114,8 +114,7 @@
                 .check(ALL);
     }
 
-    /** Who is there is decided alike in service and in rehearsals; the same inputs bring the same outputs. */
-    /** So a clock that is set an hour on or back changes the stamps of a log, and nothing else. */
+    /** A step of the wall clock, such as by an hour, may change only the timestamps of the log. */
     @Test
     void onlyProxyIoReadsWallClock() {
         noClasses()
@@ -128,6 +127,7 @@
                 .check(ALL);
     }
 
+    /** The view has to be the same in service and in rehearsals: the same inputs produce the same outputs. */
     @Test
     void fleetViewDoesNoIoAndReadsNoClock() {
         classes()
@@ -170,7 +170,7 @@
                 .check(ALL);
     }
 
-    /** Which version holds is decided alike whenever and wherever it is played. */
+    /** The version in force must not depend on when and where it is decided. */
     @Test
     void versionsDoNoIoAndReadNoClock() {
         classes()
@@ -218,7 +218,7 @@
                 .check(ALL);
     }
 
-    /** A proxy that follows nobody loads nothing of it. */
+    /** A proxy that follows no control process must not load these classes. */
     @Test
     void onlyCommandLineDependsOnVersions() {
         noClasses()
@@ -229,7 +229,7 @@
                 .check(ALL);
     }
 
-    /** The daemon is shipped and started without the kit, the simulator's wire and the command line. */
+    /** The daemon runs without the rehearsal kit, the simulator's protocol and the command line. */
     @Test
     void daemonDependsOnNothingAboveIt() {
         classes()
@@ -242,7 +242,7 @@
                 .check(ALL);
     }
 
-    /** Plain HTTP stands on the platform's proxy, never the other way: that loads nothing of it. */
+    /** Plain HTTP builds on the platform's proxy, which must not load any of its classes. */
     @Test
     void plainHttpDependsOnlyOnLowerLayers() {
         classes()
@@ -291,7 +291,7 @@
         slices().assignedFrom(new PackageSlices()).should().beFreeOfCycles().check(ALL);
     }
 
-    /** A slice for each package, those below it not included. */
+    /** One slice per package, without its subpackages. */
     private static final class PackageSlices implements SliceAssignment {
         @Override
         public SliceIdentifier getIdentifierOf(JavaClass c) {
--- a/src/test/java/gullspar/KnownRedTest.java
+++ b/src/test/java/gullspar/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What CI may pass over: just the tests that KNOWN-RED.txt names, each of them there and still red. */
+/** CI may exclude only the tests that KNOWN-RED.txt names, each of which has to exist and still fail. */
 class KnownRedTest {
     private static final String VALID_ENTRY =
             "gullspar.SomeTest#fails | mvn test -Dtest=SomeTest, seed 7 | it waits, for ever | 40\n";
--- a/src/test/java/gullspar/MainTest.java
+++ b/src/test/java/gullspar/MainTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.parallel.Isolated;
 
 /** Exit codes of the command line. */
-@Isolated("what others print would come in between")
+@Isolated("output of other tests would be captured")
 class MainTest {
     private static int drill(byte... input) {
         InputStream in = System.in;
@@ -53,7 +53,7 @@
         assertTrue(printed(0, "completion").contains("complete -F"));
     }
 
-    /** The library would cost every start in service. */
+    /** Loading the command line library would slow down every startup in service. */
     @Test
     void platformCommandsDoNotLoadCommandLineLibrary() throws Exception {
         for (String command : new String[] {"serve", "drill", "warm"}) {
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What discovery says, and what the proxy makes of it. */
+/** The discovery client: lists, watches, their timeouts and restarts. */
 class DiscoveryTest extends LoopbackTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -79,10 +79,10 @@
         watch.write(HEAD + chunk("\n" + line.substring(0, 30)) + chunk(line.substring(30)));
         Member m = nextMember();
         assertEquals(new Member(knownServer, 1, State.DRAINING, m.bootNs(), 3, 1, 0.5), m);
-        assertTrue(m.bootNs() > 1_700_000_000_000_000_000L, "its least age is none: the latest start of all");
+        assertTrue(m.bootNs() > 1_700_000_000_000_000_000L, "the most recent start in a list has a minimum age of 0");
         assertEquals(ListKind.DELTA, setup.nextEvent("kind", ListKind.class));
         String cut = list(43, false, "s-1", "in_service").trim();
-        watch.write(chunk(cut.substring(0, cut.length() - 1))).close(); // no end: no news
+        watch.write(chunk(cut.substring(0, cut.length() - 1))).close(); // incomplete, so it must not apply
         Peer.Wire second = discovery.accept();
         assertTrue(second.read().startsWith("GET /catalog/members?stream=1&index=42 "));
         second.write(HEAD + chunk(list(44, true, "s-2", "in_service")));
@@ -109,7 +109,7 @@
         assertTrue(setup.moduleEvents.stream().noneMatch(t -> t.type().equals("members")));
     }
 
-    /** Lists may come indented, cut anywhere: neither lines nor chunks mean anything. */
+    /** Lists may be indented and split anywhere: line and chunk boundaries have no meaning. */
     @Test
     void indentedListIsParsedWhereverItIsSplit() throws Exception {
         Peer.Wire watch = discovery.accept();
@@ -123,7 +123,7 @@
             assertEquals(
                     cut % 2 == 0 ? State.DRAINING : State.READY, nextMember().state());
         }
-        // Two in one read, with nothing between them.
+        // Two lists in one read, without a separator.
         watch.write(chunk(prettyList(mapper, 900, "terminating") + prettyList(mapper, 901, "in_service")));
         assertEquals(State.DRAINING, nextMember().state());
         assertEquals(State.READY, nextMember().state());
@@ -148,7 +148,7 @@
         assertTrue(setup.moduleEvents.stream().noneMatch(t -> t.type().equals("members")));
     }
 
-    /** What never ends is not gathered for ever. */
+    /** Guards against buffering an endless list without limit. */
     @Test
     void oversizedListClosesWatch() throws Exception {
         Peer.Wire watch = discovery.accept();
@@ -160,13 +160,13 @@
                 watch.write(chunk(much));
             }
         } catch (IOException e) {
-            // the other side has closed: what is wanted
+            // expected: the client has closed the watch
         }
         assertTrue(watch.ended());
         assertTrue(discovery.accept().read().contains("index=41 "));
     }
 
-    /** Blank lines inside a list that was cut off are no beats. */
+    /** Blank lines inside an incomplete list must not count as heartbeats. */
     @Test
     void truncatedListTimesOutDespiteHeartbeats() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 60_000, 200));
@@ -181,7 +181,7 @@
                     Thread.onSpinWait();
                 }
             } catch (IOException e) {
-                // given up: what is wanted
+                // expected: the client has closed the watch
             }
         });
         beats.start();
@@ -191,14 +191,14 @@
     }
 
     private Discovery startWatch(Discovery.Timeouts timeouts) throws Exception {
-        discovery.accept(); // that of the proxy
+        discovery.accept(); // the proxy's own watch
         Discovery d = new Discovery(
                 Platform.of(setup.loop), Discovery.source(Setup.config(discovery, backend)), setup.proxy, timeouts);
         setup.runOnLoop(() -> d.watch(true));
         return d;
     }
 
-    /** The agent is silent while discovery is down, and answers whom it likes when it is back. */
+    /** The agent is silent while discovery is down, and may answer any of the open watches once it is back. */
     @Test
     void silentWatchIsReplacedButStillRead() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
@@ -220,7 +220,7 @@
         Peer.Wire second = discovery.accept();
         second.write(HEAD + chunk(list(42, false, "s-1", "terminating")));
         while (!second.read().startsWith("GET ")) {
-            second = discovery.accept(); // overtaken once more before it was heard
+            second = discovery.accept(); // replaced once more before its list was read
             second.write(HEAD + chunk(list(42, false, "s-1", "terminating")));
         }
         assertEquals(State.DRAINING, nextMember().state());
@@ -228,7 +228,7 @@
         assertTrue(silent.ended());
     }
 
-    /** A new place may take its time to come up, and what is told meanwhile counts. */
+    /** A new address may take time to start up; lists from the former one apply until then. */
     @Test
     void formerAddressIsReadUntilNewOneSendsAList() throws Exception {
         Discovery d = startWatch(Setup.TIMEOUTS);
@@ -247,7 +247,7 @@
         }
     }
 
-    /** Only a whole list shows that a watch works: not its head, half of a list, or a blank line. */
+    /** Only a complete list shows that a watch works, not a response head, half a list or a blank line. */
     @Test
     void watchWithoutCompleteListIsReplaced() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
@@ -267,7 +267,7 @@
         assertEquals(State.DRAINING, nextMember().state());
     }
 
-    /** As many watches as a silent agent leaves open at most: no descriptors without end. */
+    /** Guards against a silent agent using up descriptors: the number of open watches is limited. */
     @Test
     void silentAgentHoldsBoundedNumberOfWatches() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 1, 60_000));
@@ -275,22 +275,22 @@
         for (int i = 0; i < 16; i++) {
             silent.add(discovery.accept());
         }
-        setup.loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync(); // many times over its patience
-        assertTrue(discovery.quiet(), "more are open than any use");
+        setup.loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync(); // many times the first list's timeout
+        assertTrue(discovery.quiet(), "more watches were opened than the limit");
         silent.get(0).write(HEAD + chunk(list(42, false, "s-1", "terminating")));
         assertEquals(State.DRAINING, nextMember().state());
         setup.runOnLoop(() -> d.watch(false));
     }
 
-    /** A connection may never come up: the system goes on trying, and another is made meanwhile. */
+    /** A connect can hang while the system retries it; further connections are opened meanwhile. */
     @Test
     void hangingConnectIsReplaced() throws Exception {
-        discovery.accept(); // that of the proxy
+        discovery.accept(); // the proxy's own watch
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<SocketChannel> queued = new ArrayList<>();
             CountDownLatch more = new CountDownLatch(3);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-            for (int i = 0; i < 8; i++) { // more than its queue takes
+            for (int i = 0; i < 8; i++) { // more than the accept queue holds
                 SocketChannel c = SocketChannel.open();
                 c.configureBlocking(false);
                 c.connect(address);
@@ -306,7 +306,7 @@
                     setup.proxy,
                     new Discovery.Timeouts(60_000, 20, 60_000));
             setup.runOnLoop(() -> d.watch(true));
-            assertTrue(more.await(20, TimeUnit.SECONDS), "the first was waited for");
+            assertTrue(more.await(20, TimeUnit.SECONDS), "no further connection was opened while the first one hung");
             setup.runOnLoop(() -> d.watch(false));
             for (SocketChannel c : queued) {
                 c.close();
@@ -314,10 +314,10 @@
         }
     }
 
-    /** Idle clients may have taken every descriptor: the system gives none for a watch, and later does. */
+    /** Idle clients may use up all descriptors, so that a watch cannot be opened until some are free again. */
     @Test
     void watchIsRetriedAfterDescriptorExhaustion() throws Exception {
-        discovery.accept(); // that of the proxy
+        discovery.accept(); // the proxy's own watch
         Transport tcp = Transport.tcp(setup.loop);
         AtomicInteger without = new AtomicInteger(3);
         Discovery d = new Discovery(
@@ -347,13 +347,13 @@
 
                     @Override
                     public ServerBootstrap at(InetSocketAddress address) {
-                        throw new AssertionError("discovery listens nowhere");
+                        throw new AssertionError("the discovery client must not listen");
                     }
                 },
                 Log.standardError());
     }
 
-    /** A place that answers with lower versions has begun to count anew, if it goes on so. */
+    /** An address that keeps sending lower versions has restarted its versions. */
     @Test
     void restartedGenerationsAreAcceptedEventually() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 60_000, 400));
@@ -366,7 +366,7 @@
         assertEquals(ListKind.FULL, setup.nextEvent("kind", ListKind.class));
     }
 
-    /** Changes after a version that it never had say nothing: it is asked for the whole list. */
+    /** Deltas to a version that the server never had are meaningless, so the full list is requested. */
     @Test
     void fullListIsRequestedAfterGenerationsRestart() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 60_000, 400));
@@ -389,7 +389,7 @@
         assertEquals(ListKind.FULL, setup.nextEvent("kind", ListKind.class));
     }
 
-    /** At a new place too; a list of the former place counts as long as the new one is behind. */
+    /** The same at a new address; lists of the former one apply as long as the new one is behind. */
     @Test
     void restartedGenerationsAtNewAddressAreAcceptedEventually() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 60_000, 2000));
@@ -409,7 +409,7 @@
         }
     }
 
-    /** Answers each watch that is opened there with that, until it is taken. */
+    /** Answers each watch opened at this peer with the list, until it is applied. */
     private void answerUntilApplied(Peer place, String list) throws Exception {
         AtomicBoolean taken = new AtomicBoolean();
         Thread answers = new Thread(() -> {
@@ -419,7 +419,7 @@
                     w.read();
                     w.write(HEAD + chunk(list));
                 } catch (IOException | InterruptedException | AssertionError e) {
-                    // that watch has been closed, or none comes any more
+                    // the watch was closed, or no more are opened
                 }
             }
         });
@@ -432,7 +432,7 @@
         }
     }
 
-    /** The former place's words are none of the new one's, and whichever watch speaks there counts. */
+    /** Heartbeats of the former address say nothing about the new one; any watch there may deliver the list. */
     @Test
     void silentNewAddressIsRetriedWhileFormerOneSendsHeartbeats() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
@@ -455,7 +455,7 @@
         }
     }
 
-    /** Two new configurations before either place speaks, the second of them down for a while. */
+    /** Two reloads before either new address sends a list, with the second one down for a while. */
     @Test
     void allAddressesAreReadUntilTheLastOneSendsAList() throws Exception {
         Discovery d = startWatch(Setup.TIMEOUTS);
@@ -486,7 +486,7 @@
     }
 
     private Discovery startOnRequest(Discovery.Timeouts timeouts) throws Exception {
-        discovery.accept(); // that of the proxy
+        discovery.accept(); // the proxy's own watch
         Discovery d = new Discovery(
                 Platform.of(setup.loop),
                 new Discovery.Source(
@@ -504,7 +504,7 @@
         }
     }
 
-    /** The module says when a call is made again, so it has to hear of each that fails, however it does. */
+    /** The module schedules the next call, so every kind of failure has to be reported to it. */
     @Test
     void callWithoutCompleteListFails() throws Exception {
         Discovery d = startOnRequest(new Discovery.Timeouts(60_000, 50, 60_000));
@@ -520,14 +520,14 @@
             call.write(begun);
             awaitWatchFailed();
             assertTrue(call.ended());
-            assertTrue(discovery.quiet(), "it was made again unasked");
+            assertTrue(discovery.quiet(), "the call was repeated without a request of the module");
             setup.runOnLoop(() -> d.watch(true));
         }
         discovery.accept().write(HEAD + chunk(list));
         assertEquals(State.DRAINING, nextMember().state());
     }
 
-    /** Calls at a new place fail in turn, and the former one still tells. */
+    /** Calls at a new address fail while the former one still sends lists. */
     @Test
     void formerAddressIsReadWhileCallsAtNewOneFail() throws Exception {
         Discovery d = startOnRequest(Setup.TIMEOUTS);
@@ -551,8 +551,8 @@
     }
 
     /**
-     * What the agent has counts as told from the first moment of a process, so nobody is sent to by the list
-     * of the start until it has spoken. Changes then count from that list.
+     * What the agent has counts as known from the start of a process, so no request is sent by the known list
+     * before the agent has answered. Deltas are then relative to the known list.
      */
     @Test
     void knownListIsNotUsedBeforeDiscoveryAnswers() throws Exception {
@@ -577,7 +577,7 @@
     @Test
     void silentWatchIsClosedAndReopened() throws Exception {
         Config config = Setup.config(discovery, backend);
-        discovery.accept().read(); // that of the proxy
+        discovery.accept().read(); // the proxy's own watch
         Discovery client = new Discovery(
                 Platform.of(setup.loop),
                 Discovery.source(config),
@@ -591,14 +591,14 @@
         discovery.accept().read();
     }
 
-    /** Requests that came first must not go to a backend whose drain was told while the proxy stood still. */
+    /** Requests received first must not go to a backend whose drain was announced during a standstill. */
     @Test
     void listIsDeliveredBeforeRequestsAfterStandstill() throws Exception {
         Peer.Wire watch = discovery.accept();
         watch.read();
         try (Peer.Wire client = setup.client()) {
             client.write("GET /_health HTTP/1.1\r\n\r\n");
-            client.read(); // the connection is taken
+            client.read(); // the connection is accepted
             CountDownLatch release = new CountDownLatch(1);
             CountDownLatch stopped = new CountDownLatch(1);
             setup.loop.execute(() -> {
@@ -608,12 +608,12 @@
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
             client.write(Setup.getRequest());
             watch.write(HEAD + chunk(list(42, false, "s-1", "terminating")));
-            // Both lie in the proxy's buffers once they are written, loopback keeps nothing back.
+            // Over loopback both are in the proxy's receive buffers once they are written.
             release.countDown();
             List<String> eventTypes = new ArrayList<>();
             while (!eventTypes.contains("request") || !eventTypes.contains("members")) {
                 Setup.ModuleEvent t = setup.moduleEvents.poll(20, TimeUnit.SECONDS);
-                assertNotNull(t, "heard only " + eventTypes);
+                assertNotNull(t, "received only " + eventTypes);
                 eventTypes.add(t.type());
             }
             assertTrue(eventTypes.indexOf("members") < eventTypes.indexOf("request"), eventTypes.toString());
@@ -665,7 +665,7 @@
         Config config = Setup.config(discovery, backend);
         Discovery d = new Discovery(Platform.of(setup.loop), Discovery.source(config), setup.proxy, Setup.TIMEOUTS);
         setup.runOnLoop(() -> d.watch(true));
-        discovery.accept(); // that of the proxy
+        discovery.accept(); // the proxy's own watch
         Peer.Wire watch = discovery.accept();
         watch.read();
         watch.write(HEAD);
@@ -685,7 +685,7 @@
     void drainAppliesToAnAttemptThatIsStillConnecting() throws Exception {
         setup.close();
         JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
-        ((ObjectNode) root.at("/settings/rules")).put("drain_grace_ns", 1); // over before any connect
+        ((ObjectNode) root.at("/settings/rules")).put("drain_grace_ns", 1); // ends before any connection is established
         setup = new Setup().start(Config.parse(root, Map.of()));
         Member drains = new Member(setup.listedServer(), 0, State.DRAINING, 0, 3, 0, 1);
         try (Peer.Wire client = setup.client()) {
--- a/src/test/java/gullspar/proxy/DrainTest.java
+++ b/src/test/java/gullspar/proxy/DrainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A proxy that is told to end, up to the moment in which its process does. */
+/** Drain of a proxy until its process may exit. */
 @Timeout(60)
 class DrainTest {
     private Peer discovery;
@@ -40,7 +40,7 @@
             client.write(Setup.getRequest("Request-Timeout: 30\r\n"));
             int ticket = setup.nextRequest().ticket();
             setup.runOnLoop(() -> setup.actions.send(ticket, server, 0));
-            backend.accept().read(); // and never answers
+            backend.accept().read(); // no response is sent
             CompletableFuture<String> figuresAtDrain = new CompletableFuture<>();
             setup.onLog = line -> {
                 if (line.equals("drained")) {
@@ -51,7 +51,9 @@
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 504"), "'" + answer + "'");
             String figures = figuresAtDrain.get(20, TimeUnit.SECONDS);
-            assertTrue(figures.contains("\"pending\":0,"), () -> "the process might have ended before: " + figures);
+            assertTrue(
+                    figures.contains("\"pending\":0,"),
+                    () -> "a request was pending when the process could exit: " + figures);
         }
     }
 }
--- a/src/test/java/gullspar/proxy/HandOverTest.java
+++ b/src/test/java/gullspar/proxy/HandOverTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One process takes over from another where the platform holds the listener. */
+/** Hands over from one process to the next where the platform holds the listener. */
 @Timeout(60)
 class HandOverTest {
     private Peer discovery;
@@ -52,7 +52,7 @@
     @Test
     void listensOnlyOnceItHasAList() throws Exception {
         assertFalse(setup.loop.submit(setup.proxy::ready).get(20, TimeUnit.SECONDS));
-        assertThrows(NullPointerException.class, () -> setup.proxy.address(), "it listens nowhere yet");
+        assertThrows(NullPointerException.class, () -> setup.proxy.address(), "it must not listen without a list");
         sendListUpdate();
         assertTrue(setup.loop.submit(setup.proxy::ready).get(20, TimeUnit.SECONDS));
     }
@@ -75,7 +75,7 @@
             Request late = setup.nextRequest();
             assertTrue(
                     late.leftNs() < TimeUnit.MILLISECONDS.toNanos(1900),
-                    "answered before the process is killed: " + late.leftNs());
+                    "must be answered before the process is killed, time left in ns: " + late.leftNs());
             setup.runOnLoop(() -> setup.actions.send(late.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
@@ -83,19 +83,19 @@
             String answer = kept.read();
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("connection: close"), answer);
             assertTrue(kept.ended());
-            assertFalse(ended.isDone(), "a request is open");
+            assertFalse(ended.isDone(), "the drain completed while a request was open");
             setup.runOnLoop(() -> setup.actions.refuse(open.ticket(), 0));
             assertTrue(busy.read().startsWith("HTTP/1.1 503"));
             ended.get(20, TimeUnit.SECONDS);
         }
     }
 
-    /** The system closes a listener as the loop next looks at its sockets, not in the turn that says so. */
+    /** The listener is closed when the event loop next polls its sockets, so refusal may take a moment. */
     private static void awaitConnectionRefused(java.net.InetSocketAddress address) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         boolean refused = false;
         while (!refused) {
-            assertTrue(System.nanoTime() < end, "it still listens");
+            assertTrue(System.nanoTime() < end, "the listener was still open after 20 s");
             try {
                 Peer.Wire.to(address).close();
             } catch (java.io.IOException e) {
@@ -113,7 +113,7 @@
             long startedAtNs = System.nanoTime();
             setup.proxy.drain().get(20, TimeUnit.SECONDS);
             assertTrue(idle.ended());
-            // 1.2 s is the longest deadline of the configuration; 0.7 s more until the process is killed
+            // the longest deadline in the configuration is 1.2 s, and the process is killed 0.7 s after it
             assertTrue(System.nanoTime() - startedAtNs >= TimeUnit.MILLISECONDS.toNanos(1200));
         }
     }
@@ -129,7 +129,9 @@
             }
         };
         setup.runOnLoop(() -> ended.set(setup.proxy.drain()));
-        assertFalse(endedBeforeLine.get(20, TimeUnit.SECONDS), "the line may be lost with the process");
+        assertFalse(
+                endedBeforeLine.get(20, TimeUnit.SECONDS),
+                "the drain completed first: the process may exit before the line is written");
         ended.get().get(20, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A list of more servers than 1,024, in the heap that deploy/serve.sh gives the smallest proxy. */
+/** A list of more than 1,024 servers in the heap that deploy/serve.sh gives the smallest proxy. */
 @Timeout(120)
 @SuppressWarnings("try")
 class LongListTest {
     private static final int SERVERS = 1100;
-    /** As long as an id may be told from a line of discovery that is cut off: nobody names a limit. */
+    /** Long id: the protocol gives no limit on the length of ids, and a long one must not look like a cut-off line. */
     private static final String LONG_ID_SUFFIX = "i".repeat(1500);
 
     private static final List<String> SMALLEST_HEAP = List.of(
@@ -37,7 +37,7 @@
                     wire.close();
                 }
             } catch (IOException | InterruptedException | AssertionError e) {
-                // the test is over
+                // the test has ended
             }
         });
         thread.setDaemon(true);
@@ -55,7 +55,7 @@
 
     private static void awaitMembers(ProxyProcess process, int count) throws Exception {
         while (figures(process).path("members").asInt() != count) {
-            Thread.sleep(10); // asked again until the list is taken in; the test's time-out ends it
+            Thread.sleep(10); // polls until the list is applied, or the test times out
         }
     }
 
--- a/src/test/java/gullspar/proxy/LoopbackTest.java
+++ b/src/test/java/gullspar/proxy/LoopbackTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A proxy between a scripted discovery and a scripted backend, which its known list names. */
+/** Base of tests with a proxy between a scripted discovery and a scripted backend named by the known list. */
 @Timeout(60)
 abstract class LoopbackTest {
     Peer discovery;
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -32,8 +32,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Requests a second and latency of plain HTTP by routes against the platform's way, in one run, on one
- * machine, with the same server behind both. Run by bench/site/ratio.sh.
+ * Compares requests per second and latency of plain HTTP routing with the platform's protocol, in one run on one
+ * machine with the same backend server. Run by bench/site/ratio.sh.
  */
 public final class RatioBenchmark {
     private static final int ROUNDS = 7, CLIENTS = 16;
@@ -66,7 +66,7 @@
         double[][] medians = new double[3][ROUNDS];
         for (int i = -1; i < ROUNDS; i++) {
             for (int w = 0; w < 3; w++) {
-                int k = (w + Math.max(0, i)) % 3; // each comes first, second and last
+                int k = (w + Math.max(0, i)) % 3; // rotates the order of the variants
                 long[] concurrent = measure(addresses[k], CLIENTS, texts[k]);
                 long[] single = measure(addresses[k], 1, texts[k]);
                 if (i >= 0) {
@@ -104,7 +104,7 @@
         return s.toString();
     }
 
-    /** Asks for a round; the time of each answer in ns, the shortest first. */
+    /** Sends requests for one round; returns the response times in ns in ascending order. */
     private static long[] measure(InetSocketAddress at, int clients, RequestText text) throws InterruptedException {
         ConcurrentLinkedQueue<long[]> all = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
@@ -117,7 +117,7 @@
                     while (System.nanoTime() < end && n < times.length) {
                         long from = System.nanoTime();
                         w.write(text.next());
-                        if (w.read().startsWith("HTTP/1.1 200")) { // else refused, while all is cold
+                        if (w.read().startsWith("HTTP/1.1 200")) { // others are refused during cold start
                             times[n++] = System.nanoTime() - from;
                         }
                     }
@@ -135,7 +135,7 @@
         return all.stream().flatMapToLong(Arrays::stream).sorted().toArray();
     }
 
-    /** A server that answers with ready-made bytes. */
+    /** Starts a server that responds with fixed bytes. */
     private static InetSocketAddress startServer() {
         ByteBuf answer = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
                 "HTTP/1.1 200 OK\r\nContent-Type: " + "text/plain\r\nContent-Length: 64\r\n\r\n" + "x".repeat(64),
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process, with the signals that it gets in service. */
+/** Runs the program as a process and sends it the signals of service. */
 @Timeout(120)
 class ServeTest {
     @TempDir
@@ -34,7 +34,6 @@
         write(Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000).toString());
     }
 
-    /** Starts the program. */
     private Process serve(Peer discovery, String option) throws Exception {
         ProcessBuilder java = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -60,13 +59,13 @@
                         .waitFor());
     }
 
-    /** Reads the log until a line holds the text. */
+    /** Reads the log until a line contains the text. */
     private static void awaitLogLine(BufferedReader log, String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "the process ended without saying: " + text);
+        assertTrue(line != null, "the process ended without logging: " + text);
     }
 
     @Test
@@ -100,10 +99,10 @@
             Process p = serve(first, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
                 assertTrue(first.accept().read().contains("index=41 "));
-                awaitLogLine(log, "ready"); // during the warm-up signals count too, but another end is a good one
+                awaitLogLine(log, "ready"); // a shutdown during the warm-up takes another path
                 write(second, backend);
                 signal(p, "HUP");
-                Peer.Wire watch = second.accept(); // the file wins over the environment of the start
+                Peer.Wire watch = second.accept(); // the file takes precedence over the environment at startup
                 assertTrue(watch.read().contains("index=41 "));
                 write("{\"listen\":");
                 signal(p, "HUP");
@@ -123,8 +122,8 @@
     }
 
     /**
-     * The runtime leaves a signal alone that was ignored when it started, and says nothing of it. Without the
-     * signal too a new configuration counts: a proxy that went by the old place would hold its list for good.
+     * The JVM silently installs no handler for a signal that was ignored when it started. New configurations
+     * have to apply all the same: a proxy that keeps the former address would keep its list forever.
      */
     @Test
     void ignoredSighupIsReportedAndFileIsPolled() throws Exception {
@@ -157,7 +156,7 @@
         }
     }
 
-    /** Where many start at once discovery answers one after the other: its answer is not waited for twice. */
+    /** Where many proxies start at once discovery answers them in turn, so that wait overlaps with the warm-up. */
     @Test
     void listIsRequestedBeforeWarmup() throws Exception {
         try (Peer discovery = new Peer();
@@ -165,7 +164,7 @@
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                awaitLogLine(log, "asks discovery");
+                awaitLogLine(log, "requesting the backend list from discovery");
                 awaitLogLine(log, "to warm up");
                 awaitLogLine(log, "ready");
             } finally {
@@ -174,7 +173,7 @@
         }
     }
 
-    /** Before it takes clients a proxy holds nothing: told to end it ends at once, and well. */
+    /** Before it accepts clients a proxy has nothing to drain: it exits at once with status 0. */
     @Test
     void sigtermDuringWarmupExitsZero() throws Exception {
         try (Peer discovery = new Peer();
@@ -182,18 +181,18 @@
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                awaitLogLine(log, "asks discovery");
+                awaitLogLine(log, "requesting the backend list from discovery");
                 signal(p, "TERM");
                 assertTrue(p.waitFor(60, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
-                assertTrue(log.lines().noneMatch(l -> l.endsWith("ready")), "it opened all the same");
+                assertTrue(log.lines().noneMatch(l -> l.endsWith("ready")), "it opened after the signal");
             } finally {
                 p.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** Lists of the new place count some seconds after the signal, and a start may take as long. */
+    /** Lists of the new address must apply a few seconds after the signal, and a startup can take that long. */
     @Test
     void configurationReloadedDuringWarmupAppliesAtOnce() throws Exception {
         try (Peer discovery = new Peer();
@@ -202,12 +201,12 @@
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                awaitLogLine(log, "asks discovery");
+                awaitLogLine(log, "requesting the backend list from discovery");
                 write(elsewhere, backend);
                 signal(p, "HUP");
                 String line = log.readLine();
                 while (!line.contains("a new configuration")) {
-                    assertFalse(line.contains("to warm up"), "it waited for the warm-up");
+                    assertFalse(line.contains("to warm up"), "the reload waited for the warm-up");
                     line = log.readLine();
                 }
                 assertTrue(elsewhere.accept().read().contains("index=41 "));
@@ -217,7 +216,7 @@
         }
     }
 
-    /** On half a core each of these costs a start a tenth of a second or more, and none is of use there. */
+    /** On half a core each of these unused classes adds 0.1 s or more to a startup. */
     @Test
     void startupLoadsNoUnneededClasses() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
@@ -232,7 +231,7 @@
                 p.destroyForcibly().waitFor();
             }
             String classes = Files.readString(loaded);
-            assertTrue(classes.contains(" gullspar.proxy.Warmup "), "it was not warmed up");
+            assertTrue(classes.contains(" gullspar.proxy.Warmup "), "no warm-up was run");
             for (String name : List.of(
                     ".AllocateChunkEvent ",
                     ".HttpServerCodec ",
@@ -251,7 +250,7 @@
         }
     }
 
-    /** Time zones come from a file, and a proxy may have no descriptor left when a library has to warn. */
+    /** Time zones are read from a file, and a proxy may have no descriptor left when a library logs a warning. */
     @Test
     void libraryLogNeedsNoTimeZones() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
@@ -271,7 +270,7 @@
         assertFalse(Files.readString(loaded).contains("java.time.zone.TzdbZoneRulesProvider "));
     }
 
-    /** A program that logs a warning as a library does. */
+    /** Logs a warning through java.util.logging, as a library does. */
     static final class WarningProgram {
         private WarningProgram() {}
 
--- a/src/test/java/gullspar/proxy/Setup.java
+++ b/src/test/java/gullspar/proxy/Setup.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** A configuration, and a proxy whose module is the test: it sees each event and takes actions by hand. */
+/** A configuration, and a proxy whose module records each event and lets the test trigger actions. */
 final class Setup implements AutoCloseable {
     private static final String CONFIG_TEMPLATE =
             """
@@ -59,7 +59,7 @@
 
     private static final AtomicInteger IDS = new AtomicInteger();
 
-    /** What the module was told. */
+    /** An event that the module received. */
     record ModuleEvent(String type, Object event) {}
 
     final ServingLoop serving = ServingLoop.start();
@@ -67,13 +67,13 @@
     final BlockingQueue<ModuleEvent> moduleEvents = new LinkedBlockingQueue<>();
     Proxy proxy;
     Balancer.Actions actions;
-    /** What the module does when it is told of a request, before the test hears of it. */
+    /** The module's reaction to a request, before the event is recorded. */
     volatile Consumer<Request> onRequest = r -> {};
-    /** What happens in the moment in which a connection has come up, ahead of all that follows from it. */
+    /** Runs as soon as an outgoing connection is established, before any other handler. */
     volatile Runnable onConnected = () -> {};
-    /** Hears each line of the proxy's log, in the moment in which it is written. */
+    /** Receives each line of the proxy's log just before it is written. */
     volatile Consumer<String> onLog = line -> {};
-    /** Bodies are left unread for as long as a test may take, unless it is about that. */
+    /** Longer than any test by default, for tests that are not about unread bodies. */
     long unreadTimeoutNs = TimeUnit.SECONDS.toNanos(60);
 
     private final AtomicLong clockOffsetNs = new AtomicLong();
@@ -92,10 +92,10 @@
         return Config.parse(json(discovery.hostPort(), backend.hostPort(), 1024, 5000), Map.of());
     }
 
-    /** Discovery is given as long as a test may take: what is done when it is not heard has own tests. */
+    /** Longer than any test; the timeouts of discovery have tests of their own. */
     static final Discovery.Timeouts TIMEOUTS = new Discovery.Timeouts(60_000, 60_000, 60_000);
 
-    /** One that serves with the list of the start, as it would once discovery had kept it waiting. */
+    /** Starts a proxy that serves with the known list, as after a time-out of discovery. */
     Setup start(Config config) throws IOException {
         startWithoutList(config, TIMEOUTS);
         if (!config.inherited()) {
@@ -104,7 +104,7 @@
         return this;
     }
 
-    /** One that discovery has told nothing yet. */
+    /** Starts a proxy that has not received a list from discovery. */
     Setup startWithoutList(Config config, Discovery.Timeouts timeouts) throws IOException {
         Clock system = Clock.system();
         Platform platform = new Platform(
@@ -132,7 +132,7 @@
         return this;
     }
 
-    /** So much time passes at once for whatever reads the clock; timers take no notice. */
+    /** Advances the clock; timers are not affected. */
     void advanceClock(long ms) {
         clockOffsetNs.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
     }
@@ -141,12 +141,12 @@
         return Peer.Wire.to(proxy.address());
     }
 
-    /** Runs an action of the module, as it would from an event. */
+    /** Runs an action of the module on the event loop and waits for it. */
     void runOnLoop(Runnable action) throws Exception {
         loop.submit(action).get(20, TimeUnit.SECONDS);
     }
 
-    /** Waits for the next event of a kind; others are passed over. */
+    /** Waits for the next event of a type and skips others. */
     <T> T nextEvent(String eventType, Class<T> type) throws InterruptedException {
         for (ModuleEvent event = moduleEvents.poll(20, TimeUnit.SECONDS);
                 event != null;
@@ -155,7 +155,7 @@
                 return type.cast(event.event());
             }
         }
-        throw new AssertionError("the module was not told: " + eventType);
+        throw new AssertionError("the module did not receive the event within 20 s: " + eventType);
     }
 
     Request nextRequest() throws InterruptedException {
@@ -166,12 +166,12 @@
         return nextEvent("outcome", Outcome.class);
     }
 
-    /** The one backend of the known list. */
+    /** Id of the only backend of the next list that the module receives. */
     int listedServer() throws InterruptedException {
         return ((Member) nextEvent("members", List.class).get(0)).id();
     }
 
-    /** A request with an id of its own. */
+    /** A GET request with a unique id. */
     static String getRequest(String headers) {
         return "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet() + "\r\n" + headers
                 + "\r\n";
--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** One process after another serves a listener that outlives them all, under load. */
+/** Several processes in succession serve the same inherited listener under load. */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class UpgradeTest {
@@ -39,7 +39,7 @@
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Throwable> errors = new ArrayList<>();
 
-    /** A backend, or discovery: each connection is served by a thread of its own. */
+    /** Serves as backend or discovery, with a thread per connection. */
     private static ServerSocket serve(String answer) throws IOException {
         ServerSocket s = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         startThread(() -> {
@@ -64,7 +64,7 @@
             try {
                 work.run();
             } catch (Exception e) {
-                // the other side has closed
+                // the peer has closed the connection
             }
         });
         t.setDaemon(true);
@@ -72,7 +72,7 @@
         return t;
     }
 
-    /** Asks again and again, on one connection for as long as that stays open. */
+    /** Sends requests in a loop, reusing each connection while it stays open. */
     private void client(InetSocketAddress proxy) {
         try {
             while (!stopped.get()) {
@@ -109,7 +109,7 @@
     void upgradesUnderLoadLoseNoRequest() throws Exception {
         Assumptions.assumeTrue(
                 new File("/usr/bin/perl").canExecute() && new File("/proc/self/fd").exists(),
-                "the holder of the listener is a script for perl, on Linux");
+                "needs Linux and perl, which runs the script that holds the listener");
         ServerSocket backend = serve("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         String list = "{\"generation\":42,\"reset\":false,\"instances\":[]}\n";
         ServerSocket discovery = serve("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -143,7 +143,7 @@
                                 Long.parseLong(holderOutput.readLine().substring("started ".length())))
                         .orElseThrow();
                 while (!ready(operator)) {
-                    assertTrue(next.isAlive(), () -> "ended: " + log());
+                    assertTrue(next.isAlive(), () -> "process ended before it was ready: " + log());
                     Thread.onSpinWait();
                 }
                 if (old == null) {
--- a/src/test/java/gullspar/proxy/discovery/StartTimesTest.java
+++ b/src/test/java/gullspar/proxy/discovery/StartTimesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts of backends as lists tell them, whose wall clock may be ahead of or behind this machine's. */
+/** Start times from lists, whose wall clock may be ahead of or behind this machine's. */
 class StartTimesTest {
     private static final long MS = 1_000_000L;
     private static final long NOW_MS = 1_800_000_000_000L;
