--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -14,20 +14,20 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 
-/** The requests that a proxy has taken and not yet done with, by the module's ticket and by client. */
+/** The open requests of a proxy, by the module's ticket and by client. */
 final class Exchanges implements Frontend.Taker {
     final Platform platform;
     final Events events;
     final Backends backends;
     final Figures figures;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
-    /** Those that still want their answer; only looked up, never walked. */
+    /** Requests without a final response; never iterated over. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
 
-    private int tickets;
-    private int passing;
-    /** No request is answered later, whatever its client allows. */
-    private long lastAnswer = Long.MAX_VALUE;
+    private int lastTicket;
+    private int streaming;
+    /** Time by which all requests are answered, whatever timeout their clients gave. */
+    private long latestResponseNs = Long.MAX_VALUE;
 
     Exchanges(Platform platform, Events events, Backends backends, Figures figures) {
         this.platform = platform;
@@ -37,94 +37,94 @@
     }
 
     @Override
-    public void onRequest(Client client, Message message, RequestParameters asked, long at) {
+    public void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs) {
         do {
-            tickets++;
-        } while (tickets == 0 || byTicket.containsKey(tickets));
-        Exchange x = new Exchange(this, tickets, client, message, asked, at);
-        byTicket.put(x.ticket, x);
-        byClient.put(client, x);
+            lastTicket++;
+        } while (lastTicket == 0 || byTicket.containsKey(lastTicket));
+        Exchange exchange = new Exchange(this, lastTicket, client, message, parameters, receivedAtNs);
+        byTicket.put(exchange.ticket, exchange);
+        byClient.put(client, exchange);
     }
 
     @Override
-    public void onRequestComplete(Client client, long at) {
-        Exchange x = byClient.get(client);
-        if (x != null) {
-            x.requestComplete(at);
+    public void onRequestComplete(Client client, long completedAtNs) {
+        Exchange exchange = byClient.get(client);
+        if (exchange != null) {
+            exchange.onRequestComplete(completedAtNs);
         }
     }
 
     @Override
     public void onClientLeft(Client client) {
-        Exchange x = byClient.get(client);
-        if (x != null) {
-            x.abandoned();
+        Exchange exchange = byClient.get(client);
+        if (exchange != null) {
+            exchange.onClientDisconnected();
         }
     }
 
-    /** All requests are answered by then, those taken before and those that still come. */
-    void endBy(long time) {
-        lastAnswer = time;
-        byTicket.values().forEach(x -> x.endBy(time));
+    /** Limits the deadline of all open and future requests. */
+    void capDeadlines(long limitNs) {
+        latestResponseNs = limitNs;
+        byTicket.values().forEach(x -> x.capDeadline(limitNs));
     }
 
-    /** When a request that would be answered by that time must be. */
-    long byThen(long deadline) {
-        return Math.min(deadline, lastAnswer);
+    /** Returns the deadline, or the common limit if that is earlier. */
+    long capDeadline(long deadlineNs) {
+        return Math.min(deadlineNs, latestResponseNs);
     }
 
-    /** Requests that still want their answer, or the rest of it. */
-    int open() {
-        return byClient.size() + passing;
+    /** Number of requests whose response has not been sent, or not completely. */
+    int openRequests() {
+        return byClient.size() + streaming;
     }
 
-    /** An answer has begun to be passed on, or has ended. */
-    void passing(boolean begins) {
-        passing += begins ? 1 : -1;
+    /** Counts a streamed response that starts or ends. */
+    void streaming(boolean isStart) {
+        streaming += isStart ? 1 : -1;
     }
 
-    /** It has its final answer, or nobody to give it to. */
-    void finished(Exchange x) {
-        byClient.remove(x.client);
+    /** The request has its final response, or its client has disconnected. */
+    void onFinished(Exchange exchange) {
+        byClient.remove(exchange.client);
     }
 
-    void forget(Exchange x) {
-        if (x.done()) {
-            byTicket.remove(x.ticket);
+    void forgetIfComplete(Exchange exchange) {
+        if (exchange.canForget()) {
+            byTicket.remove(exchange.ticket);
         }
     }
 
-    // ---- the module's actions, by ticket ----
+    // ---- actions of the module, by ticket ----
 
-    /** withinNs: it goes out within so long or not at all. */
+    /** withinNs: time within which the attempt has to be sent, or is dropped. */
     void send(int ticket, int server, long timeoutNs, long withinNs) {
-        Exchange x = byTicket.get(ticket);
-        if (x != null) {
-            x.send(server, timeoutNs, withinNs);
+        Exchange exchange = byTicket.get(ticket);
+        if (exchange != null) {
+            exchange.send(server, timeoutNs, withinNs);
             return;
         }
-        platform.log().say("an attempt for ticket " + ticket + ", which is over");
+        platform.log().say("attempt dropped: ticket " + ticket + " is unknown or finished");
         events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
     void refuse(int ticket, long retryInNs) {
-        Exchange x = byTicket.get(ticket);
-        if (x != null) {
-            x.refuse(retryInNs);
+        Exchange exchange = byTicket.get(ticket);
+        if (exchange != null) {
+            exchange.refuse(retryInNs);
         }
     }
 
     void fail(int ticket) {
-        Exchange x = byTicket.get(ticket);
-        if (x != null) {
-            x.fail();
+        Exchange exchange = byTicket.get(ticket);
+        if (exchange != null) {
+            exchange.fail();
         }
     }
 
     void cancel(int ticket, int attempt) {
-        Exchange x = byTicket.get(ticket);
-        if (x != null) {
-            x.cancel(attempt);
+        Exchange exchange = byTicket.get(ticket);
+        if (exchange != null) {
+            exchange.cancel(attempt);
         }
     }
 }
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -30,29 +30,29 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One proxy: the decision module, the requests that it has taken and the sockets round it, all on one event
- * loop. Events become calls of the module, its actions become I/O; where, whether and when are its decisions.
+ * One proxy: the decision module, the open requests and the sockets, all on one event loop. Events become calls
+ * of the module, and its actions become I/O; the module decides where, whether and when requests are sent.
  */
 public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorPort.Subject {
-    /** With the list that it was started with a proxy serves if discovery says nothing for so long. */
-    private static final long LIST_WAIT_MS = 3000;
+    /** Time without a list from discovery after which the proxy serves with the known list. */
+    private static final long DISCOVERY_WAIT_MS = 3000;
     /**
-     * After SIGTERM clients go on coming for 0.4 s at the most (the protocol); then the listener closes, but
-     * for so much longer not while somebody still comes.
+     * After SIGTERM clients connect for at most 0.4 s more (the protocol). Then the listener closes, unless
+     * connections are still being accepted, which delays it by at most the second value.
      */
-    private static final long ACCEPT_MS = 550, STILL_COMES_MS = 200;
+    private static final long DRAIN_ACCEPT_MS = 550, MAX_EXTRA_ACCEPT_MS = 200;
     /**
-     * SIGKILL follows SIGTERM after the longest deadline, of which so much counts, and the slack (the
-     * protocol). By so much before that no request is taken any more, all have their answers, and the process
-     * ends though a client does not read its own.
+     * SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_MS, plus the slack (the
+     * protocol). The other three are times before it: requests are no longer read, all have been answered, and
+     * the process exits even if a client does not read its response.
      */
-    private static final long LONGEST_KEPT_MS = 3000,
+    private static final long MAX_DEADLINE_MS = 3000,
             KILL_SLACK_MS = 700,
-            CLOSE_MS = 500,
-            ANSWER_MS = 150,
-            LEAVE_MS = 80;
+            STOP_READING_BEFORE_KILL_MS = 500,
+            RESPOND_BEFORE_KILL_MS = 150,
+            EXIT_BEFORE_KILL_MS = 80;
 
-    private static final long LOOK_MS = 10;
+    private static final long DRAIN_POLL_MS = 10;
 
     private final Platform platform;
     private final Config config;
@@ -63,32 +63,37 @@
     private final Exchanges exchanges;
     private final Discovery discovery;
     private final Balancer module;
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final CompletableFuture<Void> drainCompleted = new CompletableFuture<>();
     private final Classes classes;
     private final Figures figures = new Figures();
-    private boolean listed;
-    /** The list that it was started with, null if there is none; does the module know of it? */
-    private ListUpdate known;
+    private boolean listReceived;
+    /** The list from the configuration, null if there is none, and whether the module has received it. */
+    private ListUpdate knownList;
 
-    private boolean knownApplied;
-    /** It may take clients; until then it only learns what backends there are. */
+    private boolean knownListApplied;
+    /** Whether clients may be accepted; before that only the backend list is received. */
     private boolean open;
 
     private boolean draining;
-    private ChannelFuture listening;
+    private ChannelFuture listenFuture;
 
-    /** To be called on the loop. */
+    /** Call on the event loop. */
     Proxy(Config config, Platform platform, Balancer.Factory factory) {
         this(
                 config,
                 platform,
                 factory,
-                config.settings().askForList() ? Discovery.Patience.SERVICE : Discovery.Patience.AGENT,
+                config.settings().askForList() ? Discovery.Timeouts.SERVICE : Discovery.Timeouts.AGENT,
                 Frontend.UNREAD_NS);
     }
 
-    /** One that waits for discovery with that patience, and leaves bodies unread for so long. */
-    Proxy(Config config, Platform platform, Balancer.Factory factory, Discovery.Patience patience, long unreadNs) {
+    /** Creates a proxy with these discovery timeouts and this limit on how long bodies stay unread. */
+    Proxy(
+            Config config,
+            Platform platform,
+            Balancer.Factory factory,
+            Discovery.Timeouts timeouts,
+            long unreadTimeoutNs) {
         this.config = config;
         this.platform = platform;
         this.sockets = new Sockets(config.sockets());
@@ -96,41 +101,43 @@
         this.backends = new Backends(platform, sockets.backends, config);
         this.classes = new Classes(config);
         this.exchanges = new Exchanges(platform, events, backends, figures);
-        this.frontend = new Frontend(platform, config, classes, sockets.clients, exchanges, () -> listed, unreadNs);
-        this.discovery = new Discovery(platform, Discovery.source(config), this, patience);
+        this.frontend = new Frontend(
+                platform, config, classes, sockets.clients, exchanges, () -> listReceived, unreadTimeoutNs);
+        this.discovery = new Discovery(platform, Discovery.source(config), this, timeouts);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
         events.to(module);
     }
 
-    /** Starts one and waits until it listens; an IOException if it cannot. */
+    /** Starts a proxy and waits until it listens; throws an IOException if it cannot. */
     public static Proxy start(Config config, Platform platform, Balancer.Factory factory) throws IOException {
-        return on(platform, () -> begin(config, platform, factory)).bound();
+        return callOnLoop(platform, () -> startOnLoop(config, platform, factory))
+                .awaitListening();
     }
 
-    /** Starts one that may not listen yet. To be called on the loop. */
-    public static Proxy begin(Config config, Platform platform, Balancer.Factory factory) {
-        return begun(new Proxy(config, platform, factory));
+    /** Starts a proxy without waiting until it listens. Call on the event loop. */
+    public static Proxy startOnLoop(Config config, Platform platform, Balancer.Factory factory) {
+        return connectAndOpen(new Proxy(config, platform, factory));
     }
 
-    static Proxy begun(Proxy p) {
-        p.ask();
-        p.open();
-        return p;
+    static Proxy connectAndOpen(Proxy proxy) {
+        proxy.startDiscovery();
+        proxy.open();
+        return proxy;
     }
 
     /**
-     * Starts one that asks what backends there are and takes no clients until {@link #open}. Where many
-     * proxies start together, discovery answers them one after the other: what a proxy does before it opens
-     * passes in the time that it waits for that answer. To be called on the loop.
+     * Starts a proxy that requests the backend list and accepts no clients until {@link #open}. Where many
+     * proxies start together, discovery answers them one after the other; the caller's work before opening
+     * overlaps with that wait. Call on the event loop.
      */
-    public static Proxy asking(Config config, Platform platform, Balancer.Factory factory) {
-        Proxy p = new Proxy(config, platform, factory);
-        p.ask();
-        return p;
+    public static Proxy startUnopened(Config config, Platform platform, Balancer.Factory factory) {
+        Proxy proxy = new Proxy(config, platform, factory);
+        proxy.startDiscovery();
+        return proxy;
     }
 
-    /** Takes clients from now on, or, with an inherited listener, once there is a list. On the loop. */
+    /** Accepts clients from now on or, with an inherited listener, once there is a list. Call on the event loop. */
     public void open() {
         if (draining) {
             return;
@@ -139,120 +146,122 @@
         if (!config.inherited()) {
             listen();
         }
-        whenReady();
+        listenIfReady();
     }
 
-    /** Does on the loop what makes a proxy; an IOException if it cannot. */
-    static Proxy on(Platform platform, Callable<Proxy> work) throws IOException {
+    /** Runs a task on the event loop and waits for its proxy; throws an IOException if it fails. */
+    static Proxy callOnLoop(Platform platform, Callable<Proxy> task) throws IOException {
         try {
-            return platform.loop().submit(work).get();
+            return platform.loop().submit(task).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while waiting for the event loop");
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         }
     }
 
-    /** Waits until it listens, if it may already. */
-    Proxy bound() throws IOException {
-        if (listening == null) {
-            return this; // once there is a list: until then the process before this one serves
+    /** Waits until the proxy listens, if it has started to. */
+    Proxy awaitListening() throws IOException {
+        if (listenFuture == null) {
+            return this; // listens once there is a list; until then the previous process serves
         }
-        AtomicReference<ChannelFuture> next = new AtomicReference<>(listening);
-        ChannelFuture bound = ListenRetry.listen(() -> {
-            ChannelFuture first = next.getAndSet(null);
-            return first != null
-                    ? first
+        AtomicReference<ChannelFuture> nextAttempt = new AtomicReference<>(listenFuture);
+        ChannelFuture bindFuture = ListenRetry.listen(() -> {
+            ChannelFuture initial = nextAttempt.getAndSet(null);
+            return initial != null
+                    ? initial
                     : platform.loop()
-                            .submit(this::listenAgain)
+                            .submit(this::retryListen)
                             .syncUninterruptibly()
                             .getNow();
         });
-        if (!bound.isSuccess()) {
-            throw new IOException(
-                    "cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
+        if (!bindFuture.isSuccess()) {
+            throw new IOException("cannot listen on " + config.listen() + ": "
+                    + bindFuture.cause().getMessage());
         }
         return this;
     }
 
-    private ChannelFuture listenAgain() {
+    private ChannelFuture retryListen() {
         listen();
-        whenReady();
-        return listening;
+        listenIfReady();
+        return listenFuture;
     }
 
-    private void ask() {
-        platform.log().say("asks discovery for the backends");
-        known = discovery.known();
-        if (known != null) {
-            discovery.startFrom(known.version());
+    private void startDiscovery() {
+        platform.log().say("requesting the backend list from discovery");
+        knownList = discovery.knownList();
+        if (knownList != null) {
+            discovery.setVersion(knownList.version());
         }
         if (config.settings().askForList()) {
-            applyKnown();
+            applyKnownList();
         } else {
-            // What the agent has counts as told from the first moment: until it has spoken the known list may
-            // name backends that have left, and nobody is sent to by it.
+            // What the agent has counts as known from the start, and the known list may name backends that
+            // have left since: no request is sent by it before the agent has answered.
             discovery.watch(true);
         }
-        platform.loop().schedule(this::useKnownList, LIST_WAIT_MS, TimeUnit.MILLISECONDS);
+        platform.loop().schedule(this::useKnownList, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Discovery says nothing: the known list has to do, if there is one. */
+    /** Falls back to the known list, if there is one, when discovery has sent none. */
     void useKnownList() {
-        if (!listed && known != null && !known.list().isEmpty()) {
-            platform.log().say("discovery says nothing: the list of the start has to do");
-            applyKnown();
-            listed();
+        if (!listReceived && knownList != null && !knownList.list().isEmpty()) {
+            platform.log()
+                    .say("no list from discovery within " + DISCOVERY_WAIT_MS
+                            + " ms: serving with the known list of the configuration");
+            applyKnownList();
+            listReceived();
         }
     }
 
-    private void applyKnown() {
-        if (known != null && !knownApplied) {
-            knownApplied = true;
-            apply(known);
+    private void applyKnownList() {
+        if (knownList != null && !knownListApplied) {
+            knownListApplied = true;
+            apply(knownList);
         }
     }
 
     private void listen() {
-        listening = frontend.listen();
+        listenFuture = frontend.listen();
     }
 
-    /** A connection of a client that another listener has accepted. */
-    void accept(Channel c) {
-        frontend.accept(c);
+    /** Takes over a client connection that another listener has accepted. */
+    void accept(Channel connection) {
+        frontend.accept(connection);
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.channel().localAddress();
+        return (InetSocketAddress) listenFuture.channel().localAddress();
     }
 
     /**
-     * Takes over what may change while it serves: where discovery is, the classes and how many attempts they
-     * allow. What the proxy knows and holds lives on, and what is under way keeps its class. To be called on
-     * the loop.
+     * Applies the settings that may change while serving: the address of discovery, the classes and their
+     * maximum number of attempts. State and connections are kept, and open requests keep their class. Call on
+     * the event loop.
      */
     public void reload(Config config) {
         platform.log()
-                .say("a new configuration: discovery is at " + config.discovery() + ", classes " + config.classes()
+                .say("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
-        List<Profile> all = classes.take(config);
-        events.news((now, m) -> m.onProfiles(all));
-        discovery.move(config.discovery());
+        List<Profile> profiles = classes.take(config);
+        events.news((now, m) -> m.onProfiles(profiles));
+        discovery.changeAddress(config.discovery());
         figures.reloaded(true);
     }
 
-    /** A configuration was turned down. To be called on the loop. */
-    public void turnedDown(String why) {
-        platform.log().say("the new configuration is not used: " + why);
+    /** Records that a configuration was rejected. Call on the event loop. */
+    public void onConfigurationRejected(String reason) {
+        platform.log().say("the new configuration is not used: " + reason);
         figures.reloaded(false);
     }
 
-    // ---- what operators ask ----
+    // ---- operators' requests ----
 
     @Override
     public boolean ready() {
-        return listed && !draining && listening != null && listening.isSuccess();
+        return listReceived && !draining && listenFuture != null && listenFuture.isSuccess();
     }
 
     @Override
@@ -261,7 +270,7 @@
                         classes.names(),
                         figures,
                         backends.written(),
-                        exchanges.open(),
+                        exchanges.openRequests(),
                         backends.listed(),
                         module.avoided(),
                         platform.figures(),
@@ -269,111 +278,114 @@
                 .json();
     }
 
-    /** What it has done so far, for whoever runs beside it. On the loop. */
+    /** Request counts so far, for the auxiliary service. Call on the event loop. */
     public Companion.Load load() {
         long refused = figures.sum(Figures::rejected);
         return new Companion.Load(
-                refused + figures.sum(Figures::completed) + figures.sum(Figures::failed), refused, exchanges.open());
+                refused + figures.sum(Figures::completed) + figures.sum(Figures::failed),
+                refused,
+                exchanges.openRequests());
     }
 
-    /** Answers what has been taken and what still comes; the future is done once all is answered. */
+    /** Answers all open requests and those still received; the future completes once all are answered. */
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
             platform.log().say("draining");
             draining = true;
             frontend.drain();
-            long lastMs = Math.min(LONGEST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
+            long timeToKillMs = Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
                     + KILL_SLACK_MS;
-            exchanges.endBy(platform.clock().now() + TimeUnit.MILLISECONDS.toNanos(lastMs - ANSWER_MS));
+            exchanges.capDeadlines(
+                    platform.clock().now() + TimeUnit.MILLISECONDS.toNanos(timeToKillMs - RESPOND_BEFORE_KILL_MS));
             if (config.inherited()) {
-                handOver(lastMs);
+                handOver(timeToKillMs);
                 return;
             }
-            after(ACCEPT_MS, () -> shut(-1, 0));
-            after(lastMs - CLOSE_MS, frontend::turnAway);
-            after(lastMs - LEAVE_MS, this::drained);
+            schedule(DRAIN_ACCEPT_MS, () -> closeListener(-1, 0));
+            schedule(timeToKillMs - STOP_READING_BEFORE_KILL_MS, frontend::turnAway);
+            schedule(timeToKillMs - EXIT_BEFORE_KILL_MS, this::completeDrain);
         });
-        return ended;
+        return drainCompleted;
     }
 
-    private void after(long ms, Runnable what) {
-        platform.loop().schedule(what, ms, TimeUnit.MILLISECONDS);
+    private void schedule(long delayMs, Runnable task) {
+        platform.loop().schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void drained() {
-        if (!ended.isDone()) {
-            platform.log().say("drained"); // the process may end the moment that the future is done
-            ended.complete(null);
+    private void completeDrain() {
+        if (!drainCompleted.isDone()) {
+            platform.log().say("drained"); // logged first: the process may exit as soon as the future completes
+            drainCompleted.complete(null);
         }
     }
 
     /**
-     * Closes the listener, once nobody comes any more: whoever waits in the system's queue when it closes
-     * has asked for nothing and is not heard.
+     * Closes the listener once no more connections are accepted: those still in the system's accept queue when
+     * it closes are dropped without a response.
      */
-    private void shut(long accepted, long waitedMs) {
-        long now = frontend.accepted();
-        boolean stillComes = now != accepted || frontend.acceptsAgainSoon();
-        if (stillComes && waitedMs < STILL_COMES_MS) {
-            after(LOOK_MS, () -> shut(now, waitedMs + LOOK_MS));
+    private void closeListener(long previouslyAccepted, long waitedMs) {
+        long accepted = frontend.accepted();
+        boolean isStillAccepting = accepted != previouslyAccepted || frontend.acceptsAgainSoon();
+        if (isStillAccepting && waitedMs < MAX_EXTRA_ACCEPT_MS) {
+            schedule(DRAIN_POLL_MS, () -> closeListener(accepted, waitedMs + DRAIN_POLL_MS));
         } else {
             frontend.refuseNew();
-            whenEmpty();
+            completeWhenAnswered();
         }
     }
 
     /**
-     * Another process accepts from the same queue. The connections that this one holds are served until
-     * shortly before the end, each answer the last one of its connection: to close one that its client is
-     * about to use would cost that request.
+     * Another process accepts from the same queue. Open connections are served until shortly before the
+     * process is killed, with each response the last one of its connection: closing one that its client is about
+     * to use would lose that request.
      */
-    private void handOver(long lastMs) {
+    private void handOver(long timeToKillMs) {
         frontend.refuseNew();
-        after(lastMs - CLOSE_MS, frontend::close);
-        whenLeft();
+        schedule(timeToKillMs - STOP_READING_BEFORE_KILL_MS, frontend::close);
+        completeWhenDisconnected();
     }
 
-    private void whenLeft() {
-        if (frontend.open() == 0 && exchanges.open() == 0) {
-            drained();
+    private void completeWhenDisconnected() {
+        if (frontend.open() == 0 && exchanges.openRequests() == 0) {
+            completeDrain();
         } else {
-            after(LOOK_MS, this::whenLeft);
+            schedule(DRAIN_POLL_MS, this::completeWhenDisconnected);
         }
     }
 
-    /** Ends once nobody is owed an answer, none is on its way to its client and none may yet be asked for. */
-    private void whenEmpty() {
+    /** Completes the drain once no response is pending or being sent and no further request can be received. */
+    private void completeWhenAnswered() {
         frontend.close();
-        if (exchanges.open() == 0 && !frontend.owes()) {
-            drained();
+        if (exchanges.openRequests() == 0 && !frontend.owes()) {
+            completeDrain();
         } else {
-            after(LOOK_MS, this::whenEmpty);
+            schedule(DRAIN_POLL_MS, this::completeWhenAnswered);
         }
     }
 
-    // ---- what discovery says ----
+    // ---- updates from discovery ----
 
     @Override
-    public void news(ListUpdate news) {
-        applyKnown(); // changes count from there
-        apply(news);
-        listed();
+    public void onUpdate(ListUpdate update) {
+        applyKnownList(); // deltas are relative to it
+        apply(update);
+        listReceived();
     }
 
-    /** What backends there are is known well enough to serve. */
-    private void listed() {
-        if (!listed) {
-            listed = true;
-            whenReady();
+    /** A list was received that the proxy can serve with. */
+    private void listReceived() {
+        if (!listReceived) {
+            listReceived = true;
+            listenIfReady();
         }
     }
 
-    private void whenReady() {
-        if (listed && open) {
-            if (listening == null) {
-                listen(); // until there was a list the process before this one served
+    private void listenIfReady() {
+        if (listReceived && open) {
+            if (listenFuture == null) {
+                listen(); // inherited listener: the previous process served until there was a list
             }
-            listening.addListener(bound -> {
+            listenFuture.addListener(bound -> {
                 if (bound.isSuccess()) {
                     platform.log().say("ready");
                 }
@@ -381,22 +393,22 @@
         }
     }
 
-    /** Takes in what is known of the backends. */
-    void apply(ListUpdate news) {
-        backends.learn(news);
+    /** Applies a list update to the connections and the module. */
+    void apply(ListUpdate update) {
+        backends.learn(update);
         events.news((now, module) -> module.onMembers(
                 now,
-                news.kind(),
-                news.version(),
-                news.list().stream().map(ListedBackend::member).toList()));
+                update.kind(),
+                update.version(),
+                update.list().stream().map(ListedBackend::member).toList()));
     }
 
     @Override
-    public void failed() {
+    public void onWatchFailed() {
         events.news((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
-    // ---- the module's actions ----
+    // ---- actions of the module ----
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
@@ -454,11 +466,11 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("this proxy talks to no peers");
+        throw new UnsupportedOperationException("this proxy sends no messages to peers");
     }
 
     @Override
     public void reload() {
-        throw new UnsupportedOperationException("this proxy watches, it does not ask once");
+        throw new UnsupportedOperationException("this proxy watches discovery; single list requests are not supported");
     }
 }
--- a/src/test/java/gullspar/ArchitectureTest.java
+++ b/src/test/java/gullspar/ArchitectureTest.java
@@ -17,15 +17,15 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** The borders between the packages. */
+/** Dependency rules between packages. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("gullspar");
 
-    /** Decisions are played in the simulator, in rehearsals and in service: they know none of these. */
+    /** The decision module runs in the simulator, in rehearsals and in service, and depends on none of them. */
     @Test
-    void decisionsKnowNothingOfTheRest() {
+    void decisionModuleDependsOnNothingElse() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.decide..")
@@ -35,9 +35,9 @@
                 .check(ALL);
     }
 
-    /** The same events must bring the same decisions, whenever and wherever they are played. */
+    /** The same events must produce the same decisions, whenever and wherever they are replayed. */
     @Test
-    void decisionsDoNoInputOrOutputAndReadNoClock() {
+    void decisionModuleDoesNoIoAndReadsNoClock() {
         noClasses()
                 .that()
                 .resideInAPackage("gullspar.decide..")
@@ -63,9 +63,9 @@
                 .check(ALL);
     }
 
-    /** Who is listed and which route is taken: decisions too, beside the module. */
+    /** Lists and routes are decisions as well, outside the decision module. */
     @Test
-    void routingDecidesWithoutInputOutputOrClock() {
+    void routingDoesNoIoAndReadsNoClock() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.route..")
@@ -93,10 +93,10 @@
     }
 
     /**
-     * What a journal says must not hang on where and when it is read; its bytes come through an interface.
+     * The content of a journal must not depend on where and when it is read; its bytes come through an interface.
      */
     @Test
-    void theJournalsFormatKnowsNoFilesAndNoClock() {
+    void journalFormatDoesNoFileIoAndReadsNoClock() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.journal")
@@ -114,10 +114,9 @@
                 .check(ALL);
     }
 
-    /** Who is there is decided alike in service and in rehearsals; the same inputs bring the same outputs. */
-    /** So a clock that is set an hour on or back changes the stamps of a log, and nothing else. */
+    /** A step of the wall clock, such as by an hour, may change only the timestamps of the log. */
     @Test
-    void onlyTheClocksOriginAndTheLogReadTheTimeOfDay() {
+    void onlyProxyIoReadsWallClock() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("gullspar.proxy.io")
@@ -128,8 +127,9 @@
                 .check(ALL);
     }
 
+    /** The view has to be the same in service and in rehearsals: the same inputs produce the same outputs. */
     @Test
-    void theViewOfTheFleetIsDecidedWithoutInputOutputOrClock() {
+    void fleetViewDoesNoIoAndReadsNoClock() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.peers")
@@ -170,9 +170,9 @@
                 .check(ALL);
     }
 
-    /** Which version holds is decided alike whenever and wherever it is played. */
+    /** The version in force must not depend on when and where it is decided. */
     @Test
-    void versionsAreDecidedWithoutInputOutputOrClock() {
+    void versionsDoNoIoAndReadNoClock() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.versions")
@@ -218,9 +218,9 @@
                 .check(ALL);
     }
 
-    /** A proxy that follows nobody loads nothing of it. */
+    /** A proxy that follows no control process must not load these classes. */
     @Test
-    void onlyTheCommandLineKnowsOfVersions() {
+    void onlyCommandLineDependsOnVersions() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("gullspar.versions..", "gullspar.cli..")
@@ -229,9 +229,9 @@
                 .check(ALL);
     }
 
-    /** The daemon is shipped and started without the kit, the simulator's wire and the command line. */
+    /** The daemon runs without the rehearsal kit, the simulator's protocol and the command line. */
     @Test
-    void theDaemonDependsOnNothingAboveIt() {
+    void daemonDependsOnNothingAboveIt() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.proxy..")
@@ -242,9 +242,9 @@
                 .check(ALL);
     }
 
-    /** Plain HTTP stands on the platform's proxy, never the other way: that loads nothing of it. */
+    /** Plain HTTP builds on the platform's proxy, which must not load any of its classes. */
     @Test
-    void plainHttpDependsOnNothingAboveIt() {
+    void plainHttpDependsOnlyOnLowerLayers() {
         classes()
                 .that()
                 .resideInAPackage("gullspar.site..")
@@ -267,7 +267,7 @@
     }
 
     @Test
-    void nothingBelowTheProxyCallsUpIntoIt() {
+    void proxySubpackagesDoNotDependOnProxy() {
         noClasses()
                 .that()
                 .resideInAPackage("gullspar.proxy.(*)..")
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void onlyTheCommandLineKnowsItsLibrary() {
+    void onlyCommandLineDependsOnPicocli() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("gullspar.cli..")
@@ -287,12 +287,12 @@
     }
 
     @Test
-    void noPackagesDependOnEachOtherInACircle() {
-        slices().assignedFrom(new EachPackage()).should().beFreeOfCycles().check(ALL);
+    void packagesAreFreeOfCycles() {
+        slices().assignedFrom(new PackageSlices()).should().beFreeOfCycles().check(ALL);
     }
 
-    /** A slice for each package, those below it not included. */
-    private static final class EachPackage implements SliceAssignment {
+    /** One slice per package, without its subpackages. */
+    private static final class PackageSlices implements SliceAssignment {
         @Override
         public SliceIdentifier getIdentifierOf(JavaClass c) {
             return c.getPackageName().startsWith("gullspar")
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A list of more servers than 1,024, in the heap that deploy/serve.sh gives the smallest proxy. */
+/** A list of more than 1,024 servers in the heap that deploy/serve.sh gives the smallest proxy. */
 @Timeout(120)
 @SuppressWarnings("try")
 class LongListTest {
     private static final int SERVERS = 1100;
-    /** As long as an id may be told from a line of discovery that is cut off: nobody names a limit. */
-    private static final String LONG = "i".repeat(1500);
+    /** Long id: the protocol gives no limit on the length of ids, and a long one must not look like a cut-off line. */
+    private static final String LONG_ID_SUFFIX = "i".repeat(1500);
 
-    private static final List<String> SMALLEST = List.of(
+    private static final List<String> SMALLEST_HEAP = List.of(
             "-Xms16m", "-Xmx16m", "-Xmn6m", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:MaxDirectMemorySize=16m");
 
     @TempDir
     Path folder;
 
-    private static void answer(Peer backend) {
+    private static void startAnswering(Peer backend) {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
@@ -37,7 +37,7 @@
                     wire.close();
                 }
             } catch (IOException | InterruptedException | AssertionError e) {
-                // the test is over
+                // the test has ended
             }
         });
         thread.setDaemon(true);
@@ -55,36 +55,36 @@
 
     private static void awaitMembers(ProxyProcess process, int count) throws Exception {
         while (figures(process).path("members").asInt() != count) {
-            Thread.sleep(10); // asked again until the list is taken in; the test's time-out ends it
+            Thread.sleep(10); // polls until the list is applied, or the test times out
         }
     }
 
-    private static void served(ProxyProcess process) throws IOException {
+    private static void assertServed(ProxyProcess process) throws IOException {
         try (Peer.Wire client = Peer.Wire.to(process.door)) {
-            assertTrue(client.write(Setup.get()).read().startsWith("HTTP/1.1 200"));
+            assertTrue(client.write(Setup.getRequest()).read().startsWith("HTTP/1.1 200"));
         }
     }
 
-    private static List<String> servers(int count, String idEnd, String address) {
+    private static List<String> servers(int count, String idSuffix, String address) {
         return IntStream.range(0, count)
-                .mapToObj(i -> ProxyProcess.instance("s-" + i + idEnd, address))
+                .mapToObj(i -> ProxyProcess.instance("s-" + i + idSuffix, address))
                 .toList();
     }
 
     @Test
-    void allServersOfALongListAreKnownAndTheProxyServes() throws Exception {
+    void longListIsAppliedInSmallestHeapAndProxyServes() throws Exception {
         try (Peer backend = new Peer();
-                ProxyProcess process = new ProxyProcess(folder, backend.hostPort(), SMALLEST)) {
-            answer(backend);
+                ProxyProcess process = new ProxyProcess(folder, backend.hostPort(), SMALLEST_HEAP)) {
+            startAnswering(backend);
             process.list(42, servers(SERVERS, "", backend.hostPort()));
             process.awaitReady();
             awaitMembers(process, SERVERS);
-            served(process);
+            assertServed(process);
             process.list(43, servers(SERVERS - 1, "", backend.hostPort()));
             awaitMembers(process, SERVERS - 1);
-            process.list(44, servers(SERVERS + 1, LONG, backend.hostPort()));
+            process.list(44, servers(SERVERS + 1, LONG_ID_SUFFIX, backend.hostPort()));
             awaitMembers(process, SERVERS + 1);
-            served(process);
+            assertServed(process);
             assertEquals(0, figures(process).path("failed").path("look").asInt());
             assertTrue(process.alive());
         }
--- a/src/test/java/gullspar/proxy/LoopbackTest.java
+++ b/src/test/java/gullspar/proxy/LoopbackTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A proxy between a scripted discovery and a scripted backend, which its known list names. */
+/** Base of tests with a proxy between a scripted discovery and a scripted backend named by the known list. */
 @Timeout(60)
 abstract class LoopbackTest {
     Peer discovery;
@@ -17,11 +17,11 @@
         discovery = new Peer();
         backend = new Peer();
         setup = new Setup().start(Setup.config(discovery, backend));
-        server = setup.backend();
+        server = setup.listedServer();
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void close() throws Exception {
         setup.close();
         discovery.close();
         backend.close();
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process, with the signals that it gets in service. */
+/** Runs the program as a process and sends it the signals of service. */
 @Timeout(120)
 class ServeTest {
     @TempDir
@@ -34,7 +34,6 @@
         write(Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000).toString());
     }
 
-    /** Starts the program. */
     private Process serve(Peer discovery, String option) throws Exception {
         ProcessBuilder java = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -60,17 +59,17 @@
                         .waitFor());
     }
 
-    /** Reads the log until a line holds the text. */
-    private static void said(BufferedReader log, String text) throws Exception {
+    /** Reads the log until a line contains the text. */
+    private static void awaitLogLine(BufferedReader log, String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "the process ended without saying: " + text);
+        assertTrue(line != null, "the process ended without logging: " + text);
     }
 
     @Test
-    void whereDescriptor0IsNoListenerTheStartSaysSo() throws Exception {
+    void inheritedDescriptorThatIsNoListenerIsReported() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
@@ -84,14 +83,14 @@
                     .putAll(Map.of("NODE_CONFIG", folder.resolve("config.json").toString(), "NODE_SOCKET_FD", "0"));
             Process p = java.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "gullspar: descriptor 0 is no listening socket");
+                awaitLogLine(log, "gullspar: descriptor 0 is no listening socket");
             }
             assertEquals(1, p.waitFor());
         }
     }
 
     @Test
-    void newConfigurationsMoveTheWatchABadOneChangesNothingAndSigtermStillEndsWell() throws Exception {
+    void sighupMovesWatchBadConfigurationIsIgnoredAndSigtermExitsZero() throws Exception {
         try (Peer first = new Peer();
                 Peer second = new Peer();
                 Peer third = new Peer();
@@ -100,20 +99,20 @@
             Process p = serve(first, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
                 assertTrue(first.accept().read().contains("index=41 "));
-                said(log, "ready"); // during the warm-up signals count too, but another end is a good one
+                awaitLogLine(log, "ready"); // a shutdown during the warm-up takes another path
                 write(second, backend);
                 signal(p, "HUP");
-                Peer.Wire watch = second.accept(); // the file wins over the environment of the start
+                Peer.Wire watch = second.accept(); // the file takes precedence over the environment at startup
                 assertTrue(watch.read().contains("index=41 "));
                 write("{\"listen\":");
                 signal(p, "HUP");
-                said(log, "is not used");
+                awaitLogLine(log, "is not used");
                 write(third, backend);
                 signal(p, "HUP");
                 assertTrue(third.accept().read().contains("index=41 "));
                 assertTrue(watch.ended());
                 signal(p, "TERM");
-                said(log, "drained");
+                awaitLogLine(log, "drained");
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
             } finally {
@@ -123,11 +122,11 @@
     }
 
     /**
-     * The runtime leaves a signal alone that was ignored when it started, and says nothing of it. Without the
-     * signal too a new configuration counts: a proxy that went by the old place would hold its list for good.
+     * The JVM silently installs no handler for a signal that was ignored when it started. New configurations
+     * have to apply all the same: a proxy that keeps the former address would keep its list forever.
      */
     @Test
-    void whereSighupIsIgnoredTheStartSaysSoAndTheFileIsLookedAt() throws Exception {
+    void ignoredSighupIsReportedAndFileIsPolled() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer()) {
@@ -144,12 +143,12 @@
             nohup.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process p = nohup.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "SIGHUP is not heard");
-                said(log, "to warm up");
+                awaitLogLine(log, "SIGHUP is not heard");
+                awaitLogLine(log, "to warm up");
                 write("{\"listen\":");
-                said(log, "is not used");
+                awaitLogLine(log, "is not used");
                 write(elsewhere, backend);
-                said(log, "a new configuration");
+                awaitLogLine(log, "a new configuration");
                 assertTrue(elsewhere.accept().read().contains("index=41 "));
             } finally {
                 p.destroyForcibly().waitFor();
@@ -157,57 +156,57 @@
         }
     }
 
-    /** Where many start at once discovery answers one after the other: its answer is not waited for twice. */
+    /** Where many proxies start at once discovery answers them in turn, so that wait overlaps with the warm-up. */
     @Test
-    void theListIsAskedForBeforeTheWarmUp() throws Exception {
+    void listIsRequestedBeforeWarmup() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
-                said(log, "to warm up");
-                said(log, "ready");
+                awaitLogLine(log, "requesting the backend list from discovery");
+                awaitLogLine(log, "to warm up");
+                awaitLogLine(log, "ready");
             } finally {
                 p.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** Before it takes clients a proxy holds nothing: told to end it ends at once, and well. */
+    /** Before it accepts clients a proxy has nothing to drain: it exits at once with status 0. */
     @Test
-    void aSignalToEndDuringTheWarmUpEndsWell() throws Exception {
+    void sigtermDuringWarmupExitsZero() throws Exception {
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
+                awaitLogLine(log, "requesting the backend list from discovery");
                 signal(p, "TERM");
                 assertTrue(p.waitFor(60, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
-                assertTrue(log.lines().noneMatch(l -> l.endsWith("ready")), "it opened all the same");
+                assertTrue(log.lines().noneMatch(l -> l.endsWith("ready")), "it opened after the signal");
             } finally {
                 p.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** Lists of the new place count some seconds after the signal, and a start may take as long. */
+    /** Lists of the new address must apply a few seconds after the signal, and a startup can take that long. */
     @Test
-    void aNewConfigurationDuringTheWarmUpCountsAtOnce() throws Exception {
+    void configurationReloadedDuringWarmupAppliesAtOnce() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:disable");
             try (BufferedReader log = p.errorReader()) {
-                said(log, "asks discovery");
+                awaitLogLine(log, "requesting the backend list from discovery");
                 write(elsewhere, backend);
                 signal(p, "HUP");
                 String line = log.readLine();
                 while (!line.contains("a new configuration")) {
-                    assertFalse(line.contains("to warm up"), "it waited for the warm-up");
+                    assertFalse(line.contains("to warm up"), "the reload waited for the warm-up");
                     line = log.readLine();
                 }
                 assertTrue(elsewhere.accept().read().contains("index=41 "));
@@ -217,22 +216,22 @@
         }
     }
 
-    /** On half a core each of these costs a start a tenth of a second or more, and none is of use there. */
+    /** On half a core each of these unused classes adds 0.1 s or more to a startup. */
     @Test
-    void aStartLoadsNothingOfWhatItHasNoUseFor() throws Exception {
+    void startupLoadsNoUnneededClasses() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
             write(discovery, backend);
             Process p = serve(discovery, "-Xlog:class+load:file=" + loaded);
             try (BufferedReader log = p.errorReader()) {
-                said(log, "to warm up");
+                awaitLogLine(log, "to warm up");
                 discovery.accept();
             } finally {
                 p.destroyForcibly().waitFor();
             }
             String classes = Files.readString(loaded);
-            assertTrue(classes.contains(" gullspar.proxy.Warmup "), "it was not warmed up");
+            assertTrue(classes.contains(" gullspar.proxy.Warmup "), "no warm-up was run");
             for (String name : List.of(
                     ".AllocateChunkEvent ",
                     ".HttpServerCodec ",
@@ -251,16 +250,16 @@
         }
     }
 
-    /** Time zones come from a file, and a proxy may have no descriptor left when a library has to warn. */
+    /** Time zones are read from a file, and a proxy may have no descriptor left when a library logs a warning. */
     @Test
-    void whatALibraryLogsNeedsNoTimeZones() throws Exception {
+    void libraryLogNeedsNoTimeZones() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
         Process p = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load:file=" + loaded,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Warning.class.getName())
+                        WarningProgram.class.getName())
                 .start();
         try (BufferedReader log = p.errorReader()) {
             assertTrue(log.readLine().contains(" WARNING odd: java.lang.IllegalStateException: why at "));
@@ -271,9 +270,9 @@
         assertFalse(Files.readString(loaded).contains("java.time.zone.TzdbZoneRulesProvider "));
     }
 
-    /** A program that logs a warning as a library does. */
-    static final class Warning {
-        private Warning() {}
+    /** Logs a warning through java.util.logging, as a library does. */
+    static final class WarningProgram {
+        private WarningProgram() {}
 
         public static void main(String[] args) {
             LibraryLog.install();
@@ -282,18 +281,18 @@
     }
 
     @Test
-    void theModuleKeepsItsListAndNothingIsToldTwiceWhenTheAddressIsTheSame() throws Exception {
+    void reloadKeepsListAndMovesWatchOnlyWhenAddressChanges() throws Exception {
         try (Peer discovery = new Peer();
                 Peer elsewhere = new Peer();
                 Peer backend = new Peer();
                 Setup setup = new Setup().start(Setup.config(discovery, backend))) {
-            setup.backend();
+            setup.listedServer();
             discovery.accept().read();
-            setup.act(() -> reload(setup, discovery, backend));
-            setup.act(() -> reload(setup, elsewhere, backend));
+            setup.runOnLoop(() -> reload(setup, discovery, backend));
+            setup.runOnLoop(() -> reload(setup, elsewhere, backend));
             assertTrue(elsewhere.accept().read().contains("index=41 "));
             assertTrue(discovery.quiet());
-            assertTrue(setup.told.stream().noneMatch(t -> t.what().equals("members")));
+            assertTrue(setup.moduleEvents.stream().noneMatch(t -> t.type().equals("members")));
         }
     }
 
--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** One process after another serves a listener that outlives them all, under load. */
+/** Several processes in succession serve the same inherited listener under load. */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class UpgradeTest {
@@ -34,18 +34,18 @@
     @TempDir
     Path folder;
 
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final List<Throwable> wrong = new ArrayList<>();
+    private final AtomicInteger requests = new AtomicInteger();
+    private final AtomicInteger responses = new AtomicInteger();
+    private final AtomicBoolean stopped = new AtomicBoolean();
+    private final List<Throwable> errors = new ArrayList<>();
 
-    /** A backend, or discovery: each connection is served by a thread of its own. */
+    /** Serves as backend or discovery, with a thread per connection. */
     private static ServerSocket serve(String answer) throws IOException {
         ServerSocket s = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        thread(() -> {
+        startThread(() -> {
             while (true) {
                 Peer.Wire w = new Peer.Wire(s.accept());
-                thread(() -> {
+                startThread(() -> {
                     while (!w.read().isEmpty()) {
                         w.write(answer);
                     }
@@ -55,16 +55,16 @@
         return s;
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private static Thread thread(Work work) {
+    private static Thread startThread(Task work) {
         Thread t = new Thread(() -> {
             try {
                 work.run();
             } catch (Exception e) {
-                // the other side has closed
+                // the peer has closed the connection
             }
         });
         t.setDaemon(true);
@@ -72,23 +72,23 @@
         return t;
     }
 
-    /** Asks again and again, on one connection for as long as that stays open. */
+    /** Sends requests in a loop, reusing each connection while it stays open. */
     private void client(InetSocketAddress proxy) {
         try {
-            while (!over.get()) {
+            while (!stopped.get()) {
                 try (Peer.Wire w = Peer.Wire.to(proxy)) {
-                    for (boolean open = true; open && !over.get(); ) {
-                        asked.incrementAndGet();
-                        String answer = w.write(Setup.get()).read();
+                    for (boolean open = true; open && !stopped.get(); ) {
+                        requests.incrementAndGet();
+                        String answer = w.write(Setup.getRequest()).read();
                         assertTrue(answer.startsWith("HTTP/1.1 200"), "'" + answer + "'");
-                        answered.incrementAndGet();
+                        responses.incrementAndGet();
                         open = !answer.contains("connection: close");
                     }
                 }
             }
         } catch (Throwable t) {
-            synchronized (wrong) {
-                wrong.add(t);
+            synchronized (errors) {
+                errors.add(t);
             }
         }
     }
@@ -109,7 +109,7 @@
     void upgradesUnderLoadLoseNoRequest() throws Exception {
         Assumptions.assumeTrue(
                 new File("/usr/bin/perl").canExecute() && new File("/proc/self/fd").exists(),
-                "the holder of the listener is a script for perl, on Linux");
+                "needs Linux and perl, which runs the script that holds the listener");
         ServerSocket backend = serve("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         String list = "{\"generation\":42,\"reset\":false,\"instances\":[]}\n";
         ServerSocket discovery = serve("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -127,41 +127,41 @@
                         "serve")
                 .redirectError(folder.resolve("log").toFile())
                 .start();
-        try (BufferedReader said =
+        try (BufferedReader holderOutput =
                         new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
-                Writer to = holder.outputWriter()) {
-            int port = Integer.parseInt(said.readLine().substring("port ".length()));
+                Writer holderInput = holder.outputWriter()) {
+            int port = Integer.parseInt(holderOutput.readLine().substring("port ".length()));
             InetSocketAddress proxy = new InetSocketAddress("127.0.0.1", port);
             List<Thread> clients = new ArrayList<>();
             ProcessHandle old = null;
             for (int i = 0; i <= UPGRADES; i++) {
                 InetSocketAddress operator = new InetSocketAddress("127.0.0.1", freePort());
-                to.write("NODE_SOCKET_FD=0 NODE_OPERATOR=127.0.0.1:" + operator.getPort() + " NODE_CONFIG="
+                holderInput.write("NODE_SOCKET_FD=0 NODE_OPERATOR=127.0.0.1:" + operator.getPort() + " NODE_CONFIG="
                         + folder.resolve("config.json") + "\n");
-                to.flush();
+                holderInput.flush();
                 ProcessHandle next = ProcessHandle.of(
-                                Long.parseLong(said.readLine().substring("started ".length())))
+                                Long.parseLong(holderOutput.readLine().substring("started ".length())))
                         .orElseThrow();
                 while (!ready(operator)) {
-                    assertTrue(next.isAlive(), () -> "ended: " + log());
+                    assertTrue(next.isAlive(), () -> "process ended before it was ready: " + log());
                     Thread.onSpinWait();
                 }
                 if (old == null) {
                     for (int c = 0; c < CLIENTS; c++) {
-                        clients.add(thread(() -> client(proxy)));
+                        clients.add(startThread(() -> client(proxy)));
                     }
                 } else {
                     old.destroy();
                     old.onExit().get();
                     assertTrue(call(operator, "/_vars").contains("\"completed\":{\"look\":"));
                 }
-                int before = answered.get();
-                while (answered.get() < before + 200 && wrong.isEmpty()) {
+                int before = responses.get();
+                while (responses.get() < before + 200 && errors.isEmpty()) {
                     Thread.onSpinWait();
                 }
                 old = next;
             }
-            over.set(true);
+            stopped.set(true);
             for (Thread t : clients) {
                 t.join();
             }
@@ -172,8 +172,8 @@
             backend.close();
             discovery.close();
         }
-        assertEquals(List.of(), wrong, this::log);
-        assertEquals(asked.get(), answered.get());
+        assertEquals(List.of(), errors, this::log);
+        assertEquals(requests.get(), responses.get());
         assertEquals(UPGRADES + 1, log().split("drained", -1).length - 1, this::log);
     }
 
