--- a/src/main/java/gullspar/cli/Direct.java
+++ b/src/main/java/gullspar/cli/Direct.java
@@ -75,7 +75,7 @@
 
     private static int daemon(Work work) {
         quicker();
-        NonBlockingStream log = Log.neverBlocking();
+        NonBlockingStream log = Log.makeStandardErrorNonBlocking();
         try {
             work.run(log);
             return 0;
--- a/src/main/java/gullspar/peers/net/Carrier.java
+++ b/src/main/java/gullspar/peers/net/Carrier.java
@@ -69,7 +69,7 @@
     /** Binds a socket there; {@link #begin} is to follow once that is done. */
     public ChannelFuture bind(InetSocketAddress address) {
         ChannelFuture bound = platform.transport()
-                .datagrams(address)
+                .datagramBootstrap(address)
                 // One byte more than may come, so that what is too long is seen to be.
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Message.MOST_BYTES + 1))
                 .handler(new Incoming())
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -121,7 +121,8 @@
             if (f.isSuccess()) {
                 m.begin(fleet.name(), life, settings);
             } else {
-                platform.log().say("fleet: cannot hear the others: " + f.cause().getMessage());
+                platform.log()
+                        .write("fleet: cannot hear the others: " + f.cause().getMessage());
             }
         });
         return m;
@@ -176,7 +177,7 @@
                 new SplittableRandom(life));
         lastAt = platform.clock().now();
         platform.log()
-                .say("fleet: " + name + ", life " + HexFormat.of().toHexDigits(life) + ", at "
+                .write("fleet: " + name + ", life " + HexFormat.of().toHexDigits(life) + ", at "
                         + NetUtil.toSocketAddressString(at) + ", "
                         + fleet.seeds().size() + " seeds");
         platform.loop()
@@ -227,7 +228,7 @@
                     case STOOD_STILL -> "stood still for " + c.why();
                     default -> "settled";
                 };
-        platform.log().say("fleet: " + what + String.format(Locale.ROOT, " (%d present)", c.present()));
+        platform.log().write("fleet: " + what + String.format(Locale.ROOT, " (%d present)", c.present()));
     }
 
     // ---- the companion ----
@@ -250,7 +251,7 @@
         try {
             Fleet now = fleet(file, reader);
             if (now == null || !now.bind().equals(fleet.bind()) || now.intervalNs() != fleet.intervalNs()) {
-                platform.log().say("fleet: only keys and seeds are read again; the rest wants a restart");
+                platform.log().write("fleet: only keys and seeds are read again; the rest wants a restart");
             }
             Envelope keys = envelope(now == null ? fleet : now);
             String digest = digest(file);
@@ -261,7 +262,7 @@
                 tell();
             });
         } catch (IOException e) {
-            e.getMessage().lines().forEach(line -> platform.log().say("fleet: nothing is read again: " + line));
+            e.getMessage().lines().forEach(line -> platform.log().write("fleet: nothing is read again: " + line));
         }
     }
 
--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -4,9 +4,9 @@
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.ConfigException;
 import gullspar.proxy.io.ClassArchive;
-import gullspar.proxy.io.FileChanges;
-import gullspar.proxy.io.Inherited;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.FileWatcher;
+import gullspar.proxy.io.InheritedTransport;
+import gullspar.proxy.io.LibraryLogHandler;
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Log;
 import gullspar.proxy.io.Platform;
@@ -55,9 +55,9 @@
         EventLoop loop = serving.loop();
         Reloads reloads = new Reloads(environment, loop);
         Runnable reload = () -> started.thenAccept(reloads::read);
-        if (!Signals.on("HUP", reload)) {
-            LOG.say(Signals.NO_HUP);
-            Config.file(environment).ifPresent(file -> FileChanges.on(file, reload));
+        if (!Signals.register("HUP", reload)) {
+            LOG.write(Signals.HUP_UNAVAILABLE);
+            Config.file(environment).ifPresent(file -> FileWatcher.watch(file, reload));
         }
         Ending ending = new Ending(last);
         try {
@@ -77,18 +77,18 @@
             Ending ending)
             throws ConfigException, IOException {
         EventLoop loop = serving.loop();
-        LibraryLog.install();
-        LOG.say("starting, pid " + ProcessHandle.current().pid() + ", user " + System.getProperty("user.name"));
+        LibraryLogHandler.install();
+        LOG.write("starting, pid " + ProcessHandle.current().pid() + ", user " + System.getProperty("user.name"));
         ClassArchive archive = ClassArchive.ofThisProcess();
         if (archive == ClassArchive.UNUSED) {
-            LOG.say("the class archive is not used, it was made for another build or runtime: build again; "
+            LOG.write("the class archive is not used, it was made for another build or runtime: build again; "
                     + "until then starts take longer");
         }
         Config config = reloads.first();
-        LOG.say("configured: listens on " + (config.inherited() ? "descriptor 0" : config.listen()) + ", discovery "
+        LOG.write("configured: listens on " + (config.inherited() ? "descriptor 0" : config.listen()) + ", discovery "
                 + config.discovery() + ", descriptors " + config.sockets());
         Platform platform =
-                config.inherited() ? Platform.of(serving, Inherited.transport(loop), LOG) : Platform.of(serving);
+                config.inherited() ? Platform.of(serving, InheritedTransport.create(loop), LOG) : Platform.of(serving);
         OperatorPort port = operatorPort(config, platform);
         Proxy proxy = Proxy.on(platform, () -> Proxy.asking(config, platform, factory));
         started.complete(proxy); // what a new configuration changes counts during the warm-up too
@@ -201,7 +201,7 @@
             });
         }
         long limitMs = archive == ClassArchive.UNUSED ? WARM_UNARCHIVED_MS : WARM_MS;
-        LOG.say("served " + Warmup.run(config, factory, WARM_REQUESTS, limitMs) + " requests to warm up");
+        LOG.write("served " + Warmup.run(config, factory, WARM_REQUESTS, limitMs) + " requests to warm up");
     }
 
     /** Listens for operators, where the platform says so; null where it does not. */
@@ -243,7 +243,7 @@
         void read(Proxy proxy) {
             ConfigException problem = readOnce(proxy);
             for (int i = 0; i < REREADS && problem != null; i++) {
-                LOG.say("the new configuration cannot be read yet: " + problem.getMessage());
+                LOG.write("the new configuration cannot be read yet: " + problem.getMessage());
                 pause(REREAD_PAUSE_MS);
                 problem = readOnce(proxy);
             }
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -5,8 +5,8 @@
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.Status;
-import gullspar.proxy.backend.Answer;
 import gullspar.proxy.backend.Attempt;
+import gullspar.proxy.backend.BackendResponse;
 import gullspar.proxy.client.Client;
 import gullspar.proxy.client.RequestParameters;
 import gullspar.proxy.config.Classes.Known;
@@ -117,7 +117,7 @@
     /** The module has not ended it in time: that must not leave the client with no answer. */
     private void overdue() {
         if (!over) {
-            owner.platform.log().say("no answer in time, ticket " + ticket);
+            owner.platform.log().write("no answer in time, ticket " + ticket);
             answer(504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
             withdraw();
         }
@@ -139,7 +139,7 @@
         });
     }
 
-    private void ended(int number, int server, long startedAt, Status status, Report report, Answer answer) {
+    private void ended(int number, int server, long startedAt, Status status, Report report, BackendResponse answer) {
         if (status == Status.OK && over && answer.rest() != null) {
             answer.rest().drop();
         } else if (status == Status.OK && !over && answer.rest() != null) {
@@ -167,7 +167,7 @@
     }
 
     /** The answer is the client's from its first bytes on; it is counted when it has ended. */
-    private void passOn(Answer answer) {
+    private void passOn(BackendResponse answer) {
         finish();
         owner.passing(true);
         // One that never ends is no answer: by the end of its client's time it has failed.
@@ -211,12 +211,12 @@
                 of.profile().effect() == Effect.IDEMPOTENT,
                 new Attempt.Listener() {
                     @Override
-                    public void ended(Attempt a, Status status, Report report, Answer answer) {
-                        Exchange.this.ended(number, server, a.began(), status, report, answer);
+                    public void onEnd(Attempt a, Status status, Report report, BackendResponse answer) {
+                        Exchange.this.ended(number, server, a.startedAtNs(), status, report, answer);
                     }
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isNeeded() {
                         return Exchange.this.wanted();
                     }
                 }));
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -103,7 +103,7 @@
             x.send(server, timeoutNs, withinNs);
             return;
         }
-        platform.log().say("an attempt for ticket " + ticket + ", which is over");
+        platform.log().write("an attempt for ticket " + ticket + ", which is over");
         events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -11,9 +11,9 @@
 import gullspar.proxy.discovery.ListUpdate;
 import gullspar.proxy.discovery.ListedBackend;
 import gullspar.proxy.events.Events;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.proxy.operator.Companion;
 import gullspar.proxy.operator.Figures;
 import gullspar.proxy.operator.OperatorPort;
@@ -56,7 +56,7 @@
 
     private final Platform platform;
     private final Config config;
-    private final Sockets sockets;
+    private final DescriptorLimits sockets;
     private final Events events;
     private final Frontend frontend;
     private final Backends backends;
@@ -91,7 +91,7 @@
     Proxy(Config config, Platform platform, Balancer.Factory factory, Discovery.Patience patience, long unreadNs) {
         this.config = config;
         this.platform = platform;
-        this.sockets = new Sockets(config.sockets());
+        this.sockets = new DescriptorLimits(config.sockets());
         this.events = new Events(platform);
         this.backends = new Backends(platform, sockets.backends, config);
         this.classes = new Classes(config);
@@ -183,7 +183,7 @@
     }
 
     private void ask() {
-        platform.log().say("asks discovery for the backends");
+        platform.log().write("asks discovery for the backends");
         known = discovery.known();
         if (known != null) {
             discovery.startFrom(known.version());
@@ -201,7 +201,7 @@
     /** Discovery says nothing: the known list has to do, if there is one. */
     void useKnownList() {
         if (!listed && known != null && !known.list().isEmpty()) {
-            platform.log().say("discovery says nothing: the list of the start has to do");
+            platform.log().write("discovery says nothing: the list of the start has to do");
             applyKnown();
             listed();
         }
@@ -234,7 +234,7 @@
      */
     public void reload(Config config) {
         platform.log()
-                .say("a new configuration: discovery is at " + config.discovery() + ", classes " + config.classes()
+                .write("a new configuration: discovery is at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
         List<Profile> all = classes.take(config);
         events.news((now, m) -> m.onProfiles(all));
@@ -244,7 +244,7 @@
 
     /** A configuration was turned down. To be called on the loop. */
     public void turnedDown(String why) {
-        platform.log().say("the new configuration is not used: " + why);
+        platform.log().write("the new configuration is not used: " + why);
         figures.reloaded(false);
     }
 
@@ -260,12 +260,12 @@
         return new Report(
                         classes.names(),
                         figures,
-                        backends.written(),
+                        backends.writtenCount(),
                         exchanges.open(),
-                        backends.listed(),
+                        backends.listedCount(),
                         module.avoided(),
-                        platform.figures(),
-                        new Report.Descriptors(sockets.clients.open(), sockets.backends.open()))
+                        platform.statistics(),
+                        new Report.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
                 .json();
     }
 
@@ -279,7 +279,7 @@
     /** Answers what has been taken and what still comes; the future is done once all is answered. */
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
-            platform.log().say("draining");
+            platform.log().write("draining");
             draining = true;
             frontend.drain();
             long lastMs = Math.min(LONGEST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
@@ -302,7 +302,7 @@
 
     private void drained() {
         if (!ended.isDone()) {
-            platform.log().say("drained"); // the process may end the moment that the future is done
+            platform.log().write("drained"); // the process may end the moment that the future is done
             ended.complete(null);
         }
     }
@@ -375,7 +375,7 @@
             }
             listening.addListener(bound -> {
                 if (bound.isSuccess()) {
-                    platform.log().say("ready");
+                    platform.log().write("ready");
                 }
             });
         }
@@ -383,7 +383,7 @@
 
     /** Takes in what is known of the backends. */
     void apply(ListUpdate news) {
-        backends.learn(news);
+        backends.update(news);
         events.news((now, module) -> module.onMembers(
                 now,
                 news.kind(),
@@ -434,12 +434,12 @@
 
     @Override
     public void closeIdle(int server) {
-        backends.closeIdle(server);
+        backends.closeIdleConnections(server);
     }
 
     @Override
     public void log(String line) {
-        platform.log().say(line);
+        platform.log().write(line);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -91,7 +91,7 @@
             SocketAddress behind) {
         static Means files(Path folder) {
             return new Means(
-                    ServingLoop.handlers(),
+                    ServingLoop.handlerFactory(),
                     NioDomainSocketChannel.class,
                     NioServerDomainSocketChannel.class,
                     UnixDomainSocketAddress.of(folder.resolve("door")),
@@ -135,7 +135,7 @@
         try {
             return play(config, factory, requests, mostMs, Means.within());
         } catch (IOException e) {
-            LOG.say("not warmed up: " + e);
+            LOG.write("not warmed up: " + e);
             return 0;
         }
     }
@@ -171,19 +171,19 @@
                 Files.deleteIfExists(folder);
             }
         } catch (IOException e) {
-            LOG.say("left behind by the warm-up: " + folder);
+            LOG.write("left behind by the warm-up: " + folder);
         }
     }
 
     /** Every address is that of the made-up backends. */
     private final class Within implements Transport {
         @Override
-        public Bootstrap to(InetSocketAddress address) {
+        public Bootstrap clientBootstrap(InetSocketAddress address) {
             return towards(means.behind);
         }
 
         @Override
-        public ServerBootstrap at(InetSocketAddress address) {
+        public ServerBootstrap serverBootstrap(InetSocketAddress address) {
             throw new UnsupportedOperationException("a throwaway proxy does not listen");
         }
     }
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -22,19 +22,19 @@
      * backend cannot use the request.
      */
     public interface Listener {
-        void ended(Attempt attempt, Status status, Report report, Answer answer);
+        void onEnd(Attempt attempt, Status status, Report report, BackendResponse answer);
 
         /** Does anybody still wait for it, by all that is known at this moment? Asked before it begins. */
-        boolean wanted();
+        boolean isNeeded();
     }
 
     private final Backend backend;
     private final Message request;
     private final EventLoop loop;
     private final Clock clock;
-    private final long deadline;
+    private final long deadlineNs;
     private final Listener listener;
-    private final Runnable whenWritten;
+    private final Runnable onWritten;
     private Connection connection;
     private ScheduledFuture<?> timer;
     /** Its last byte is written: from now on it may have run. */
@@ -42,13 +42,13 @@
 
     private final long timeoutNs;
     /** When the time began that it has. */
-    private long began;
+    private long startedAtNs;
     /** It must have gone out by then. */
-    private final long latest;
+    private final long sendByNs;
 
     private boolean sent;
-    private boolean calledOff;
-    private boolean ended;
+    private boolean isAbandoned;
+    private boolean hasEnded;
 
     Attempt(
             Backend backend,
@@ -56,27 +56,27 @@
             EventLoop loop,
             Clock clock,
             long timeoutNs,
-            long withinNs,
+            long sendWithinNs,
             Listener listener,
             Runnable whenWritten) {
         this.backend = backend;
         this.request = request;
         this.loop = loop;
         this.clock = clock;
-        this.began = clock.now();
+        this.startedAtNs = clock.now();
         this.timeoutNs = timeoutNs;
-        this.deadline = began + timeoutNs;
-        this.latest = withinNs == Long.MAX_VALUE ? withinNs : began + withinNs;
+        this.deadlineNs = startedAtNs + timeoutNs;
+        this.sendByNs = sendWithinNs == Long.MAX_VALUE ? sendWithinNs : startedAtNs + sendWithinNs;
         this.listener = listener;
-        this.whenWritten = whenWritten;
+        this.onWritten = whenWritten;
     }
 
     Backend backend() {
         return backend;
     }
 
-    boolean ended() {
-        return ended;
+    boolean hasEnded() {
+        return hasEnded;
     }
 
     /**
@@ -84,21 +84,21 @@
      * protocol counts. Until then both ends must make progress.
      */
     void startTimer() {
-        timer = loop.schedule(this::timeOut, timeoutNs, TimeUnit.NANOSECONDS);
+        timer = loop.schedule(this::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
     /**
      * May it still go out? Not if it is over or called off, which ends it a moment later, nor once it is too
      * late for it.
      */
-    boolean mayBegin() {
-        return !ended && !calledOff && clock.now() <= latest;
+    boolean canStart() {
+        return !hasEnded && !isAbandoned && clock.now() <= sendByNs;
     }
 
     /** Asks whether anybody still waits for it; where nobody does it goes out no more. */
-    boolean wanted() {
-        calledOff |= !listener.wanted();
-        return !calledOff;
+    boolean checkNeeded() {
+        isAbandoned |= !listener.isNeeded();
+        return !isAbandoned;
     }
 
     /** The request that it sends. */
@@ -107,25 +107,25 @@
     }
 
     /** When its time began, in ns. */
-    public long began() {
-        return began;
+    public long startedAtNs() {
+        return startedAtNs;
     }
 
     /** The backend does not read it. */
-    void stuck() {
+    void failUnread() {
         giveUp(Status.CONNECT_FAILED);
     }
 
     /** It goes over that connection. */
-    void over(Connection c) {
+    void setConnection(Connection c) {
         connection = c;
     }
 
     void written() {
         written = true;
-        whenWritten.run();
-        if (request.rest() != null && !ended) {
-            began = clock.now();
+        onWritten.run();
+        if (request.rest() != null && !hasEnded) {
+            startedAtNs = clock.now();
             startTimer();
         }
     }
@@ -148,16 +148,16 @@
      * not gone out does not go out any more, though its connection may come up in this very moment.
      */
     public void cancel() {
-        calledOff = true;
+        isAbandoned = true;
         loop.execute(() -> giveUp(Status.CANCELLED));
     }
 
-    private void timeOut() {
+    private void onTimeout() {
         giveUp(written ? Status.TIMEOUT : Status.CONNECT_FAILED);
     }
 
     private void giveUp(Status status) {
-        if (!ended) {
+        if (!hasEnded) {
             end(status, null, null);
             if (connection != null) {
                 connection.close();
@@ -165,25 +165,25 @@
         }
     }
 
-    void broken() {
+    void onConnectionLost() {
         end(written ? Status.RESET : Status.CONNECT_FAILED, null, null);
     }
 
-    void end(Status status, Report report, Answer answer) {
-        if (ended) {
+    void end(Status status, Report report, BackendResponse answer) {
+        if (hasEnded) {
             return;
         }
-        ended = true;
+        hasEnded = true;
         if (timer != null) {
             timer.cancel(false);
         }
-        listener.ended(this, status, report, answer);
+        listener.onEnd(this, status, report, answer);
     }
 
     /** The head, and the body as far as it is there. */
-    HttpRequest toWrite() {
-        boolean whole = request.rest() == null;
-        HttpRequest r = whole
+    HttpRequest toHttpRequest() {
+        boolean isComplete = request.rest() == null;
+        HttpRequest r = isComplete
                 ? new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
                         request.method(),
@@ -192,8 +192,8 @@
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
         Message.copyRequest(request.headers(), r.headers());
         r.headers().set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST, ""));
-        long left = whole ? deadline - clock.now() : timeoutNs;
-        r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, left)));
+        long remainingNs = isComplete ? deadlineNs - clock.now() : timeoutNs;
+        r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, remainingNs)));
         if (request.length() < 0) {
             HttpUtil.setTransferEncodingChunked(r, true);
         } else if (request.hasBody() || !request.method().equals(HttpMethod.GET)) {
--- a/src/main/java/gullspar/proxy/backend/Backend.java
+++ b/src/main/java/gullspar/proxy/backend/Backend.java
@@ -9,16 +9,16 @@
     InetSocketAddress address;
     long bootNs;
     /** When this proxy heard that it drains or is gone; 0 while it is in service. */
-    long leftAt;
+    long leftAtNs;
     /** The most recently used last. */
     final Deque<Connection> idle = new ArrayDeque<>();
 
-    void leave(long now) {
-        leftAt = leftAt == 0 ? now : leftAt;
-        closeIdle();
+    void markLeft(long nowNs) {
+        leftAtNs = leftAtNs == 0 ? nowNs : leftAtNs;
+        closeIdleConnections();
     }
 
-    void closeIdle() {
+    void closeIdleConnections() {
         while (!idle.isEmpty()) {
             idle.pop().close();
         }
--- a/src/main/java/gullspar/proxy/backend/Answer.java
+++ b/src/main/java/gullspar/proxy/backend/BackendResponse.java
@@ -4,4 +4,4 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** An answer of a backend: whole, or its beginning, and the rest is still to come; null if there is none. */
-public record Answer(HttpResponse head, byte[] body, Pieces rest) {}
+public record BackendResponse(HttpResponse head, byte[] body, Pieces rest) {}
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -8,9 +8,9 @@
 import gullspar.proxy.discovery.ListedBackend;
 import gullspar.proxy.http.Message;
 import gullspar.proxy.io.Clock;
-import gullspar.proxy.io.Dial;
+import gullspar.proxy.io.ConnectOperation;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.proxy.io.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -29,56 +29,56 @@
     /** An idle connection is closed so long before the backend does it: no request may cross that. */
     private static final long KEEP_ALIVE_MARGIN_NS = 1_500_000_000L;
 
-    private static final long SWEEP_MS = 500;
+    private static final long SWEEP_INTERVAL_MS = 500;
     /** A connection rests so long behind an answer: a second answer that comes late is not the next one's. */
-    private static final long SETTLE_NS = 20_000_000L;
+    private static final long REUSE_DELAY_NS = 20_000_000L;
     /** Where so many connections to a backend are idle, the one that rested longest is used again at once. */
-    private static final int MOST_RESTING = 8;
+    private static final int MAX_SETTLING_CONNECTIONS = 8;
 
     private final EventLoop loop;
     private final Transport transport;
     private final Clock clock;
-    private final Sockets.Share sockets;
+    private final DescriptorLimits.Share sockets;
     private final long connectTimeoutNs;
     private final long keepAliveNs;
     private final long drainGraceNs;
     private final Map<Integer, Backend> backends = new HashMap<>();
-    private long written;
+    private long writtenCount;
 
-    public Backends(Platform platform, Sockets.Share sockets, Config config) {
+    public Backends(Platform platform, DescriptorLimits.Share sockets, Config config) {
         this.transport = platform.transport();
         this.loop = platform.loop();
         this.clock = platform.clock();
         this.sockets = sockets;
-        sockets.whenFull(this::closeOneIdle);
+        sockets.onFull(this::closeOneIdle);
         this.connectTimeoutNs = config.connectTimeoutNs();
         this.keepAliveNs = Math.max(config.keepAliveNs() / 2, config.keepAliveNs() - KEEP_ALIVE_MARGIN_NS);
         this.drainGraceNs = config.drainGraceNs();
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::closeExpired, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     // ---- the list ----
 
-    public void learn(ListUpdate news) {
-        long now = clock.now();
-        if (news.kind() != ListKind.DELTA) {
+    public void update(ListUpdate listUpdate) {
+        long nowNs = clock.now();
+        if (listUpdate.kind() != ListKind.DELTA) {
             Map<Integer, Backend> missing = new HashMap<>(backends);
-            news.list().forEach(l -> missing.remove(l.member().id()));
-            missing.values().forEach(b -> b.leave(now));
+            listUpdate.list().forEach(l -> missing.remove(l.member().id()));
+            missing.values().forEach(b -> b.markLeft(nowNs));
             backends.keySet().removeAll(missing.keySet());
         }
-        for (ListedBackend l : news.list()) {
+        for (ListedBackend l : listUpdate.list()) {
             Backend b = backends.computeIfAbsent(l.member().id(), id -> new Backend());
-            boolean moved = l.address() != null && !l.address().equals(b.address);
-            if (moved || l.member().bootNs() > b.bootNs) {
-                b.closeIdle(); // they lead to a process that is no more
+            boolean hasMoved = l.address() != null && !l.address().equals(b.address);
+            if (hasMoved || l.member().bootNs() > b.bootNs) {
+                b.closeIdleConnections(); // they lead to a process that is no more
             }
-            b.address = moved ? l.address() : b.address;
+            b.address = hasMoved ? l.address() : b.address;
             b.bootNs = l.member().bootNs();
             if (l.member().state() == State.READY) {
-                b.leftAt = 0;
+                b.leftAtNs = 0;
             } else {
-                b.leave(now);
+                b.markLeft(nowNs);
             }
             if (l.member().state() == State.GONE) {
                 backends.remove(l.member().id());
@@ -87,21 +87,21 @@
     }
 
     /** Backends in the list, those that drain too. */
-    public int listed() {
+    public int listedCount() {
         return backends.size();
     }
 
     /** Attempts whose last byte was written. */
-    public long written() {
-        return written;
+    public long writtenCount() {
+        return writtenCount;
     }
 
     // ---- idle connections ----
 
-    public void closeIdle(int id) {
+    public void closeIdleConnections(int id) {
         Backend b = backends.get(id);
         if (b != null) {
-            b.closeIdle();
+            b.closeIdleConnections();
         }
     }
 
@@ -111,8 +111,8 @@
         for (Backend b : backends.values()) {
             if (!b.idle.isEmpty()
                     && (oldest == null
-                            || b.idle.peekFirst().idleSince()
-                                    < oldest.idle.peekFirst().idleSince())) {
+                            || b.idle.peekFirst().idleSinceNs()
+                                    < oldest.idle.peekFirst().idleSinceNs())) {
                 oldest = b;
             }
         }
@@ -123,16 +123,16 @@
         return true;
     }
 
-    private void sweep() {
+    private void closeExpired() {
         for (Backend b : backends.values()) {
-            while (!b.idle.isEmpty() && !fresh(b.idle.peekFirst())) {
+            while (!b.idle.isEmpty() && !isFresh(b.idle.peekFirst())) {
                 b.idle.pollFirst().close();
             }
         }
     }
 
-    private boolean fresh(Connection c) {
-        return clock.now() - c.idleSince() < keepAliveNs;
+    private boolean isFresh(Connection c) {
+        return clock.now() - c.idleSinceNs() < keepAliveNs;
     }
 
     /**
@@ -140,18 +140,18 @@
      * behind an answer, or sends too much, is seen by then. For what may not be repeated the one used last:
      * a backend that closes what stands idle, sooner than it must, closes that last.
      */
-    private Connection reuse(Backend b, boolean repeatable) {
+    private Connection takeIdle(Backend b, boolean isRepeatable) {
         // Not left to the sweep: one that stands still would write to what the backend is about to close.
         while (!b.idle.isEmpty()
-                && !(fresh(b.idle.peekFirst()) && b.idle.peekFirst().active())) {
+                && !(isFresh(b.idle.peekFirst()) && b.idle.peekFirst().isActive())) {
             b.idle.pollFirst().close();
         }
-        Connection found = b.idle.size() < MOST_RESTING ? null : b.idle.peekFirst();
+        Connection found = b.idle.size() < MAX_SETTLING_CONNECTIONS ? null : b.idle.peekFirst();
         for (Connection c : b.idle) {
-            if (clock.now() - c.idleSince() < SETTLE_NS) {
+            if (clock.now() - c.idleSinceNs() < REUSE_DELAY_NS) {
                 break; // nor have those behind it
             }
-            if (c.active() && (found == null || !repeatable)) {
+            if (c.isActive() && (found == null || !isRepeatable)) {
                 found = c;
             }
         }
@@ -166,20 +166,25 @@
      * repeatable: may it run twice?
      */
     public Attempt send(
-            int server, Message request, long timeoutNs, long withinNs, boolean repeatable, Attempt.Listener listener) {
-        Attempt a =
-                new Attempt(backends.get(server), request, loop, clock, timeoutNs, withinNs, listener, () -> written++);
-        if (a.backend() == null || !a.wanted()) {
+            int server,
+            Message request,
+            long timeoutNs,
+            long sendWithinNs,
+            boolean isRepeatable,
+            Attempt.Listener listener) {
+        Attempt a = new Attempt(
+                backends.get(server), request, loop, clock, timeoutNs, sendWithinNs, listener, () -> writtenCount++);
+        if (a.backend() == null || !a.checkNeeded()) {
             loop.execute(() -> a.end(Status.MOOT, null, null)); // it, or who asked, is gone since
             return a;
         }
         if (request.rest() == null) {
             a.startTimer();
         }
-        Connection idle = reuse(a.backend(), repeatable);
+        Connection idle = takeIdle(a.backend(), isRepeatable);
         if (idle != null) {
-            idle.begin(a);
-        } else if (sockets.take()) {
+            idle.start(a);
+        } else if (sockets.tryAcquire()) {
             connect(a);
         } else {
             loop.execute(() -> a.end(Status.MOOT, null, null)); // no fault of the backend's
@@ -190,34 +195,34 @@
     private void connect(Attempt a) {
         Connection c = new Connection(a.backend(), loop, clock, drainGraceNs);
         Bootstrap bootstrap = transport
-                .to(a.backend().address)
+                .clientBootstrap(a.backend().address)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNs / 1_000_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        c.openOn(channel);
+                        c.initPipeline(channel);
                     }
                 });
-        Dial dial = Dial.start(bootstrap, loop, new Dial.Listener() {
+        ConnectOperation operation = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
             /** Not within the turn's reading: the end of the client or the news of a drain counts first. */
             @Override
-            public void connected() {
-                a.wanted();
-                c.begin(a);
+            public void onConnected() {
+                a.checkNeeded();
+                c.start(a);
             }
 
             @Override
-            public void failed(Dial.Failure failure) {
+            public void onFailed(ConnectOperation.Failure failure) {
                 // What this machine lacks is no fault of the backend's.
-                a.end(failure.local() ? Status.MOOT : Status.CONNECT_FAILED, null, null);
+                a.end(failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED, null, null);
             }
 
             @Override
-            public void released() {
+            public void onReleased() {
                 sockets.release();
             }
         });
-        c.opening(dial.channel());
-        a.over(c);
+        c.setChannel(operation.channel());
+        a.setConnection(c);
     }
 }
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -26,13 +26,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** A connection: carries one attempt at a time. */
-final class Connection extends SimpleChannelInboundHandler<HttpObject> implements AnswerDecoder.Listener {
+final class Connection extends SimpleChannelInboundHandler<HttpObject> implements BackendResponseDecoder.Listener {
     /** Interim (1xx) answers ahead of one final answer. */
-    private static final int MOST_INTERIM = 8;
+    private static final int MAX_INTERIM_RESPONSES = 8;
 
-    private static final int LONGEST_LINE = 1024, LONGEST_HEAD = 8 << 10;
+    private static final int MAX_STATUS_LINE_BYTES = 1024, MAX_HEAD_BYTES = 8 << 10;
     /** A backend that reads nothing of a request for so long is given up. */
-    private static final long UPLOAD_STALL_NS = 2_000_000_000L;
+    private static final long UPLOAD_STALL_TIMEOUT_NS = 2_000_000_000L;
 
     private final Backend backend;
     /** The process that it leads to: where that was and when it had started. */
@@ -42,24 +42,25 @@
     private final EventLoop loop;
     private final Clock clock;
     private final long drainGraceNs;
-    private final AnswerDecoder decoder = new AnswerDecoder(this, LONGEST_LINE, LONGEST_HEAD);
+    private final BackendResponseDecoder decoder =
+            new BackendResponseDecoder(this, MAX_STATUS_LINE_BYTES, MAX_HEAD_BYTES);
     private Channel channel;
-    private long idleSince;
+    private long idleSinceNs;
     private Attempt attempt;
     private HttpResponse head;
     private ByteBuf body;
-    private int interim;
+    private int interimCount;
     /** The answer has ended, but what came with it is still to be seen. */
-    private boolean whole;
+    private boolean isResponseComplete;
 
-    private boolean trailed;
+    private boolean hasTrailingBytes;
     /** The answer is passed on while it comes; null if it is held, or none comes. */
     private Pieces rest;
 
-    private long passed;
-    private ScheduledFuture<?> watch;
-    private final PieceWriter writer = new PieceWriter();
-    private long sentAt;
+    private long streamedBytes;
+    private ScheduledFuture<?> stallCheck;
+    private final PieceWriter uploadWriter = new PieceWriter();
+    private long uploadProgressNs;
 
     Connection(Backend backend, EventLoop loop, Clock clock, long drainGraceNs) {
         this.backend = backend;
@@ -71,11 +72,11 @@
     }
 
     /** The channel that it will be, before that is open; null where there is none. */
-    void opening(Channel c) {
+    void setChannel(Channel c) {
         channel = c;
     }
 
-    void openOn(Channel c) {
+    void initPipeline(Channel c) {
         c.pipeline().addLast(decoder, new HttpRequestEncoder(), this);
     }
 
@@ -85,20 +86,20 @@
         }
     }
 
-    boolean active() {
+    boolean isActive() {
         return channel.isActive();
     }
 
-    long idleSince() {
-        return idleSince;
+    long idleSinceNs() {
+        return idleSinceNs;
     }
 
-    void begin(Attempt a) {
-        a.over(this);
+    void start(Attempt a) {
+        a.setConnection(this);
         // Connecting takes time: meanwhile the news may have come that the backend drains or is gone, the
         // request may be nobody's any more, the time may be over in which its repeats are dropped, and the
         // backend may have closed again.
-        if (backend.leftAt != 0 && clock.now() - backend.leftAt > drainGraceNs || !a.mayBegin()) {
+        if (backend.leftAtNs != 0 && clock.now() - backend.leftAtNs > drainGraceNs || !a.canStart()) {
             channel.close();
             loop.execute(() -> a.end(Status.MOOT, null, null));
             return;
@@ -109,116 +110,119 @@
         }
         attempt = a;
         head = null;
-        interim = 0;
-        whole = false;
-        trailed = false;
+        interimCount = 0;
+        isResponseComplete = false;
+        hasTrailingBytes = false;
         rest = null;
-        passed = 0;
+        streamedBytes = 0;
         body = Unpooled.buffer(512, Message.MOST_HELD);
-        decoder.expect();
+        decoder.expectResponse();
         Pieces upload = a.request().rest();
         if (upload == null) {
-            channel.writeAndFlush(a.toWrite(), tellsOf(a));
+            channel.writeAndFlush(a.toHttpRequest(), writePromise(a));
             return;
         }
-        sentAt = clock.now();
-        writer.ahead(() -> {
-            channel.write(a.toWrite());
+        uploadProgressNs = clock.now();
+        uploadWriter.ahead(() -> {
+            channel.write(a.toHttpRequest());
             channel.writeAndFlush(new DefaultHttpContent(a.request().body().bytes()));
         });
-        watch = loop.scheduleWithFixedDelay(
+        stallCheck = loop.scheduleWithFixedDelay(
                 () -> {
-                    if ((a.isSent() || !channel.isWritable()) && clock.now() - sentAt > UPLOAD_STALL_NS) {
-                        a.stuck();
+                    if ((a.isSent() || !channel.isWritable())
+                            && clock.now() - uploadProgressNs > UPLOAD_STALL_TIMEOUT_NS) {
+                        a.failUnread();
                     }
                 },
-                UPLOAD_STALL_NS / 4,
-                UPLOAD_STALL_NS / 4,
+                UPLOAD_STALL_TIMEOUT_NS / 4,
+                UPLOAD_STALL_TIMEOUT_NS / 4,
                 TimeUnit.NANOSECONDS);
-        upload.to(this::upload);
-        upload();
+        upload.to(this::continueUpload);
+        continueUpload();
     }
 
     /** It listens before anything is written: within one process an answer may come from inside the write. */
-    private ChannelPromise tellsOf(Attempt a) {
-        return channel.newPromise().addListener(f -> written(a, f.isSuccess()));
+    private ChannelPromise writePromise(Attempt a) {
+        return channel.newPromise().addListener(f -> onWriteComplete(a, f.isSuccess()));
     }
 
-    private void written(Attempt a, boolean success) {
-        if (watch != null) {
-            watch.cancel(false);
+    private void onWriteComplete(Attempt a, boolean success) {
+        if (stallCheck != null) {
+            stallCheck.cancel(false);
         }
         if (success) {
             a.written();
         } else if (attempt == a) {
-            broken(); // before its last byte was handed over: it never ran
+            fail(); // before its last byte was handed over: it never ran
         } else {
             channel.close();
         }
     }
 
     /** Passes on what has come of the request, as far as the backend takes it. */
-    private void upload() {
+    private void continueUpload() {
         Attempt a = attempt;
         Pieces upload = a == null ? null : a.request().rest();
         if (upload == null
                 || a.isSent()
-                || !writer.write(channel, upload, () -> attempt == a, () -> sentAt = clock.now())) {
+                || !uploadWriter.write(channel, upload, () -> attempt == a, () -> uploadProgressNs = clock.now())) {
             return;
         }
         if (attempt == a && upload.taken()) {
             a.sent();
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, tellsOf(a));
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, writePromise(a));
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        upload();
+        continueUpload();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (attempt == null && rest == null || message.decoderResult().isFailure()) {
-            broken();
+            fail();
             return;
         }
         if (message instanceof HttpResponse r) {
             head = r;
-            boolean informs = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (informs ? ++interim > MOST_INTERIM || r.status().code() == 101 : !Answers.framed(r)) {
-                broken();
+            boolean isInterim = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (isInterim
+                    ? ++interimCount > MAX_INTERIM_RESPONSES || r.status().code() == 101
+                    : !ResponseHeads.hasKnownLength(r)) {
+                fail();
                 return;
             }
-            if (!informs && HttpUtil.getContentLength(r, 0L) > Message.MOST_HELD && !passOn()) {
+            if (!isInterim && HttpUtil.getContentLength(r, 0L) > Message.MOST_HELD && !startStreaming()) {
                 return;
             }
         }
-        if (message instanceof HttpContent content && !content(content.content())) {
-            broken();
+        if (message instanceof HttpContent content && !acceptContent(content.content())) {
+            fail();
             return;
         }
         if (message instanceof LastHttpContent) {
             if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                decoder.expect();
+                decoder.expectResponse();
             } else {
-                whole = true;
-                decoder.whole();
+                isResponseComplete = true;
+                decoder.responseComplete();
             }
         }
     }
 
     /** Some of the body: held, or passed on; false if there is more of it than there may be. */
-    private boolean content(ByteBuf bytes) {
-        if (rest == null && bytes.readableBytes() > body.maxWritableBytes() && !passOn()) {
+    private boolean acceptContent(ByteBuf bytes) {
+        if (rest == null && bytes.readableBytes() > body.maxWritableBytes() && !startStreaming()) {
             return false;
         }
         if (rest == null) {
             body.writeBytes(bytes);
             return true;
         }
-        passed += bytes.readableBytes();
-        if (passed > Message.MOST_BYTES) {
+        streamedBytes += bytes.readableBytes();
+        if (streamedBytes > Message.MOST_BYTES) {
             return false;
         }
         if (bytes.isReadable() && !rest.add(bytes.retain())) {
@@ -228,18 +232,21 @@
     }
 
     /** The answer is too large to be held: the attempt has been served, and the rest is passed on. */
-    private boolean passOn() {
+    private boolean startStreaming() {
         Attempt a = attempt;
-        if (Answers.status(head) != Status.OK || !a.isWritten()) {
-            broken(); // nothing of a failure is passed on, nor what comes ahead of the whole request
+        if (ResponseHeads.statusOf(head) != Status.OK || !a.isWritten()) {
+            fail(); // nothing of a failure is passed on, nor what comes ahead of the whole request
             return false;
         }
         attempt = null;
-        rest = new Pieces(() -> channel.config().setAutoRead(true), this::unwanted);
-        passed = body.readableBytes();
+        rest = new Pieces(() -> channel.config().setAutoRead(true), this::abortStreaming);
+        streamedBytes = body.readableBytes();
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
-        a.end(Status.OK, LoadReport.last(head.headers().getAll("Server-Load")), new Answer(head, bytes, rest));
+        a.end(
+                Status.OK,
+                LoadReport.lastValid(head.headers().getAll("Server-Load")),
+                new BackendResponse(head, bytes, rest));
         return true;
     }
 
@@ -247,15 +254,15 @@
      * Nobody wants the rest of the answer. Once all of it has come the connection may carry another attempt,
      * which has nothing to do with that.
      */
-    private void unwanted() {
+    private void abortStreaming() {
         if (rest != null) {
             channel.close();
         }
     }
 
     @Override
-    public void noise() {
-        broken();
+    public void onUnexpectedBytes() {
+        fail();
     }
 
     /**
@@ -263,96 +270,96 @@
      * Anything else may as well be the rest of its body under too short a length: that is not served.
      */
     @Override
-    public void trailing(boolean again) {
-        if (!trailed && !again) {
-            broken();
+    public void onTrailingBytes(boolean again) {
+        if (!hasTrailingBytes && !again) {
+            fail();
         }
-        trailed = true;
+        hasTrailingBytes = true;
     }
 
     /** Only now is all seen that came with the answer: a connection that holds more is not used again. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (whole && attempt != null) {
-            served();
-        } else if (whole && rest != null) {
-            passedOn();
+        if (isResponseComplete && attempt != null) {
+            finishBuffered();
+        } else if (isResponseComplete && rest != null) {
+            finishStreaming();
         }
     }
 
-    private void passedOn() {
-        Pieces all = rest;
+    private void finishStreaming() {
+        Pieces completed = rest;
         rest = null;
-        decoder.quiet();
+        decoder.expectNothing();
         // What waits for the client is its own matter: the next answer on this connection must be read.
         channel.config().setAutoRead(true);
         keepOrClose(true);
-        all.whole();
+        completed.whole();
     }
 
-    private void keepOrClose(boolean written) {
-        if (written
-                && !trailed
+    private void keepOrClose(boolean isRequestWritten) {
+        if (isRequestWritten
+                && !hasTrailingBytes
                 && HttpUtil.isKeepAlive(head)
-                && backend.leftAt == 0
+                && backend.leftAtNs == 0
                 && backend.bootNs == bootNs
                 && Objects.equals(backend.address, address)) {
-            idleSince = clock.now();
+            idleSinceNs = clock.now();
             backend.idle.addLast(this);
         } else {
             channel.close();
         }
     }
 
-    private void served() {
+    private void finishBuffered() {
         Attempt a = attempt;
-        Status status = Answers.status(head);
+        Status status = ResponseHeads.statusOf(head);
         if (status == Status.OK && !a.isWritten()) {
-            broken(); // ahead of the whole request nothing has begun: it is the answer to something else
+            fail(); // ahead of the whole request nothing has begun: it is the answer to something else
             return;
         }
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
         attempt = null;
-        decoder.quiet();
+        decoder.expectNothing();
         keepOrClose(a.isWritten());
         a.end(
                 status,
-                LoadReport.last(head.headers().getAll("Server-Load")),
-                status == Status.OK || status == Status.MOOT ? new Answer(head, bytes, null) : null);
+                LoadReport.lastValid(head.headers().getAll("Server-Load")),
+                status == Status.OK || status == Status.MOOT ? new BackendResponse(head, bytes, null) : null);
     }
 
     /**
      * Ends the attempt before the connection: as it closes, the decoder passes on what it holds, and that
      * must not make a whole answer of one that was found wanting.
      */
-    private void broken() {
+    private void fail() {
         Attempt a = attempt;
         attempt = null;
-        decoder.quiet();
+        decoder.expectNothing();
         backend.idle.remove(this);
-        if (watch != null) {
-            watch.cancel(false);
+        if (stallCheck != null) {
+            stallCheck.cancel(false);
         }
         if (a != null) {
-            a.broken();
+            a.onConnectionLost();
         }
         if (rest != null) {
-            Pieces cut = rest;
+            Pieces truncated = rest;
             rest = null;
-            cut.broken();
+            truncated.broken();
         }
         channel.close();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (whole && attempt != null) {
-            served(); // the end came in the same go
-        } else if (whole && rest != null) {
-            passedOn();
+        if (isResponseComplete && attempt != null) {
+            finishBuffered(); // the end came in the same go
+        } else if (isResponseComplete && rest != null) {
+            finishStreaming();
         }
-        broken();
+        fail();
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/backend/LoadReport.java
+++ b/src/main/java/gullspar/proxy/backend/LoadReport.java
@@ -7,12 +7,12 @@
 /** Reads what a backend says of its load, the header Server-Load. */
 public final class LoadReport {
     /** Figures beyond these are no load: a busy share of one is all, and nothing counts a million. */
-    private static final double MOST_UTIL = 100, MOST_COUNT = 1e6;
+    private static final double MAX_UTIL = 100, MAX_COUNT = 1e6;
 
     private LoadReport() {}
 
     /** The last load report that can be read; null if none can. */
-    public static Report last(List<String> texts) {
+    public static Report lastValid(List<String> texts) {
         Report last = null;
         for (String text : texts) {
             Report r = parse(text);
@@ -46,7 +46,7 @@
                 } catch (NumberFormatException e) {
                     return null;
                 }
-                if (!(values[i] >= 0 && values[i] <= (i == 2 ? MOST_UTIL : MOST_COUNT))) {
+                if (!(values[i] >= 0 && values[i] <= (i == 2 ? MAX_UTIL : MAX_COUNT))) {
                     return null;
                 }
             }
--- a/src/main/java/gullspar/proxy/backend/Answers.java
+++ b/src/main/java/gullspar/proxy/backend/ResponseHeads.java
@@ -7,14 +7,14 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /** What the head of an answer means. */
-final class Answers {
-    private Answers() {}
+final class ResponseHeads {
+    private ResponseHeads() {}
 
     /**
      * Does the head tell where its answer ends, within what an answer may hold? One that only the end of the
      * connection would end cannot be told from one cut short.
      */
-    static boolean framed(HttpResponse r) {
+    static boolean hasKnownLength(HttpResponse r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             return false;
@@ -25,7 +25,7 @@
                 || HttpUtil.isContentLengthSet(r) && HttpUtil.getContentLength(r, -1L) <= Message.MOST_BYTES;
     }
 
-    static Status status(HttpResponse r) {
+    static Status statusOf(HttpResponse r) {
         int code = r.status().code();
         if (code == 200) {
             return Status.OK;
--- a/src/main/java/gullspar/proxy/client/ConnectionPressure.java
+++ b/src/main/java/gullspar/proxy/client/ConnectionPressure.java
@@ -32,7 +32,7 @@
         if (refused + unused + used > 0) {
             String youngest =
                     unused == 0 ? "" : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestNs) + " ms";
-            log.say("too few places for clients: of " + accepted + " accepted " + refused
+            log.write("too few places for clients: of " + accepted + " accepted " + refused
                     + " closed at once; closed to make room: " + unused + " with nothing asked" + youngest
                     + ", " + used + " idle; requests taken: " + requests);
         }
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -7,10 +7,10 @@
 import gullspar.proxy.config.Config;
 import gullspar.proxy.http.BodyBudget;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.io.AcceptFailures;
+import gullspar.proxy.io.AcceptBackoff;
 import gullspar.proxy.io.Clock;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -72,7 +72,7 @@
     private final Classes classes;
     private final Platform platform;
     private final Clock clock;
-    private final Sockets.Share sockets;
+    private final DescriptorLimits.Share sockets;
     private final Taker taker;
     private final BooleanSupplier ready;
     private final long unreadNs;
@@ -86,7 +86,7 @@
 
     private final ConnectionPressure crowding = new ConnectionPressure();
     private final BodyBudget budget = new BodyBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
-    private AcceptFailures acceptFailures;
+    private AcceptBackoff acceptFailures;
     private boolean timersStarted;
     private Channel listener;
     private long accepted;
@@ -97,7 +97,7 @@
             Platform platform,
             Config config,
             Classes classes,
-            Sockets.Share sockets,
+            DescriptorLimits.Share sockets,
             Taker taker,
             BooleanSupplier ready) {
         this(platform, config, classes, sockets, taker, ready, UNREAD_NS);
@@ -108,7 +108,7 @@
             Platform platform,
             Config config,
             Classes classes,
-            Sockets.Share sockets,
+            DescriptorLimits.Share sockets,
             Taker taker,
             BooleanSupplier ready,
             long unreadNs) {
@@ -120,7 +120,7 @@
         this.taker = taker;
         this.ready = ready;
         this.unreadNs = unreadNs;
-        sockets.whenFull(this::closeOneIdle);
+        sockets.onFull(this::closeOneIdle);
     }
 
     /** Listens; again, where that failed before. */
@@ -132,7 +132,7 @@
             }
         });
         listener = bound.channel();
-        acceptFailures = new AcceptFailures(this::closeOneIdle);
+        acceptFailures = new AcceptBackoff(this::closeOneIdle);
         listener.pipeline().addFirst(acceptFailures);
         startTimers();
         return bound;
@@ -153,7 +153,7 @@
     public void accept(Channel c) {
         crowding.accepted++;
         accepted++;
-        if (!sockets.take()) {
+        if (!sockets.tryAcquire()) {
             crowding.refused++;
             c.close();
             return;
@@ -173,7 +173,7 @@
 
     private void sayRejected() {
         if (!rejected.isEmpty()) {
-            platform.log().say("requests that made no sense, by status: " + rejected);
+            platform.log().write("requests that made no sense, by status: " + rejected);
             rejected.clear();
         }
         crowding.say(platform.log());
@@ -195,7 +195,7 @@
 
     /** May connections wait in the system's queue because accepting one has just failed? */
     public boolean acceptsAgainSoon() {
-        return acceptFailures != null && acceptFailures.pausing();
+        return acceptFailures != null && acceptFailures.isPaused();
     }
 
     /** Connections that have been accepted so far. */
@@ -269,7 +269,7 @@
 
     @Override
     public long receivedAt() {
-        return clock.now() - platform.unread().ns();
+        return clock.now() - platform.unreadAge().ns();
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -5,7 +5,7 @@
 import gullspar.decide.Balancer.ListKind;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Json;
-import gullspar.proxy.io.Dial;
+import gullspar.proxy.io.ConnectOperation;
 import gullspar.proxy.io.Platform;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -152,7 +152,7 @@
             ListUpdate news = catalog.read(known, false, platform.clock().now());
             return new ListUpdate(ListKind.CACHED, news.version(), news.list());
         } catch (IllegalArgumentException e) {
-            platform.log().say("the known list is not used: " + e.getMessage());
+            platform.log().write("the known list is not used: " + e.getMessage());
             return null;
         }
     }
@@ -242,7 +242,7 @@
     private void complain(String what) {
         if (!what.equals(complaint)) {
             complaint = what;
-            platform.log().say(what);
+            platform.log().write(what);
         }
     }
 
@@ -255,7 +255,7 @@
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final Json values = new Json();
         private final InetSocketAddress at = address;
-        private Dial dial;
+        private ConnectOperation dial;
         /** It has told a list: from then on blank lines are words too. */
         private boolean told;
 
@@ -264,7 +264,7 @@
         void open() {
             watches.add(this);
             Bootstrap bootstrap = platform.transport()
-                    .to(at)
+                    .clientBootstrap(at)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) patience.connectMs())
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -273,14 +273,14 @@
                         }
                     });
             deadline(askForList ? patience.listMs() : patience.silenceMs());
-            dial = Dial.start(bootstrap, loop, new Dial.Listener() {
+            dial = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
                 @Override
-                public void failed(Dial.Failure failure) {
+                public void onFailed(ConnectOperation.Failure failure) {
                     ended(Watch.this);
                 }
 
                 @Override
-                public void released() {
+                public void onReleased() {
                     ended(Watch.this);
                 }
             });
@@ -394,7 +394,7 @@
                     behindSince = behindSince == 0 ? platform.clock().now() : behindSince;
                     throw new IllegalArgumentException("generation " + generation + " comes after " + version);
                 }
-                platform.log().say("discovery counts anew: " + generation + " after " + version);
+                platform.log().write("discovery counts anew: " + generation + " after " + version);
             }
             ListUpdate news = catalog.read(list, heardList, platform.clock().now());
             heardList = true;
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -52,7 +52,7 @@
                 event.at(now, balancer);
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
-                platform.log().say("the module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+                platform.log().write("the module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
                 afterSlip.run();
             }
         });
--- a/src/main/java/gullspar/proxy/io/AcceptFailures.java
+++ b/src/main/java/gullspar/proxy/io/AcceptBackoff.java
@@ -10,57 +10,57 @@
  * Goes on accepting soon after the system refused to: stands ahead of the library's own handler, which rests
  * for a second after each failure, longer than some requests have.
  */
-public final class AcceptFailures extends ChannelInboundHandlerAdapter {
-    static final long FIRST_PAUSE_MS = 5;
-    static final long LONGEST_PAUSE_MS = 80;
+public final class AcceptBackoff extends ChannelInboundHandlerAdapter {
+    static final long INITIAL_BACKOFF_MS = 5;
+    static final long MAX_BACKOFF_MS = 80;
 
     private final BooleanSupplier closeOneIdle;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private boolean pausing;
-    private long failures;
+    private long backoffMs = INITIAL_BACKOFF_MS;
+    private boolean isPaused;
+    private long failureCount;
 
     /** closeOneIdle: gives back a descriptor, if one can be spared. */
-    public AcceptFailures(BooleanSupplier closeOneIdle) {
+    public AcceptBackoff(BooleanSupplier closeOneIdle) {
         this.closeOneIdle = closeOneIdle;
     }
 
     /** The same listener, which goes on so; nothing is closed for it. */
-    public static ChannelFuture on(ChannelFuture listening) {
-        listening.channel().pipeline().addFirst(new AcceptFailures(() -> false));
-        return listening;
+    public static ChannelFuture addTo(ChannelFuture bindFuture) {
+        bindFuture.channel().pipeline().addFirst(new AcceptBackoff(() -> false));
+        return bindFuture;
     }
 
     /** Is accepting resting, so that connections may wait in the system's queue? */
-    public boolean pausing() {
-        return pausing;
+    public boolean isPaused() {
+        return isPaused;
     }
 
     /** Accepts that failed so far. */
-    public long failures() {
-        return failures;
+    public long failureCount() {
+        return failureCount;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object connection) {
-        pauseMs = FIRST_PAUSE_MS;
+        backoffMs = INITIAL_BACKOFF_MS;
         context.fireChannelRead(connection);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failures++;
+        failureCount++;
         closeOneIdle.getAsBoolean();
-        if (pausing) {
+        if (isPaused) {
             return;
         }
-        pausing = true;
+        isPaused = true;
         context.channel().config().setAutoRead(false); // what waits would be reported again and again
-        context.executor().schedule(() -> resume(context), pauseMs, TimeUnit.MILLISECONDS);
-        pauseMs = Math.min(2 * pauseMs, LONGEST_PAUSE_MS);
+        context.executor().schedule(() -> resume(context), backoffMs, TimeUnit.MILLISECONDS);
+        backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     }
 
     private void resume(ChannelHandlerContext context) {
-        pausing = false;
+        isPaused = false;
         context.channel().config().setAutoRead(true);
     }
 }
--- a/src/main/java/gullspar/proxy/io/ClassArchive.java
+++ b/src/main/java/gullspar/proxy/io/ClassArchive.java
@@ -30,15 +30,15 @@
         try {
             Optional<String> archive = Stream.of(Files.readString(commandLine, StandardCharsets.UTF_8)
                             .split("\0"))
-                    .filter(w -> w.startsWith(OPTION))
-                    .map(w -> w.substring(OPTION.length()))
+                    .filter(argument -> argument.startsWith(OPTION))
+                    .map(argument -> argument.substring(OPTION.length()))
                     .reduce((earlier, later) -> later);
             if (archive.isEmpty()) {
                 return NONE;
             }
             String file = Path.of(archive.get()).toAbsolutePath().normalize().toString();
             try (Stream<String> lines = Files.lines(maps, StandardCharsets.UTF_8)) {
-                return lines.anyMatch(l -> l.endsWith(" " + file)) ? USED : UNUSED;
+                return lines.anyMatch(line -> line.endsWith(" " + file)) ? USED : UNUSED;
             }
         } catch (IOException | RuntimeException e) {
             return NONE;
--- a/src/main/java/gullspar/proxy/io/Dial.java
+++ b/src/main/java/gullspar/proxy/io/ConnectOperation.java
@@ -10,17 +10,17 @@
  * One try to open a connection. However it ends, also where the system gives no socket for it, its end is told
  * exactly once, on the loop and later than the call, and so is the moment from which it holds no descriptor.
  */
-public final class Dial {
+public final class ConnectOperation {
     /** Hears what becomes of it. */
     public interface Listener {
         /** The connection is open. */
-        default void connected() {}
+        default void onConnected() {}
 
         /** It is not to be had. */
-        void failed(Failure failure);
+        void onFailed(Failure failure);
 
         /** No descriptor is held any more, behind a failure or at the end of the connection. */
-        default void released() {}
+        default void onReleased() {}
     }
 
     /**
@@ -29,56 +29,56 @@
      * @param cause what the system or the library said
      * @param local whether this machine lacks what a connection needs, whoever is at the other end
      */
-    public record Failure(Throwable cause, boolean local) {}
+    public record Failure(Throwable cause, boolean isLocal) {}
 
     private final EventLoop loop;
     private final Listener listener;
     /** Null where none could be made. */
     private Channel channel;
 
-    private Dial(EventLoop loop, Listener listener) {
+    private ConnectOperation(EventLoop loop, Listener listener) {
         this.loop = loop;
         this.listener = listener;
     }
 
     /** Begins to connect. */
-    public static Dial start(Bootstrap bootstrap, EventLoop loop, Listener listener) {
-        Dial dial = new Dial(loop, listener);
-        dial.connect(bootstrap);
-        return dial;
+    public static ConnectOperation start(Bootstrap bootstrap, EventLoop loop, Listener listener) {
+        ConnectOperation operation = new ConnectOperation(loop, listener);
+        operation.connect(bootstrap);
+        return operation;
     }
 
     private void connect(Bootstrap bootstrap) {
-        ChannelFuture connecting;
+        ChannelFuture connectFuture;
         try {
-            connecting = bootstrap.connect();
+            connectFuture = bootstrap.connect();
         } catch (RuntimeException e) {
-            neverMade(e);
+            failWithoutChannel(e);
             return;
         }
-        Channel made = connecting.channel();
-        if (!made.isOpen() && !made.closeFuture().isDone()) {
-            neverMade(connecting.cause()); // the library's stand-in for a channel, which never closes
+        Channel created = connectFuture.channel();
+        if (!created.isOpen() && !created.closeFuture().isDone()) {
+            failWithoutChannel(connectFuture.cause()); // the library's stand-in for a channel, which never closes
             return;
         }
-        channel = made;
-        connecting.addListener(done -> loop.execute(() -> ended(done.cause())));
-        made.closeFuture().addListener(closed -> loop.execute(listener::released));
+        channel = created;
+        connectFuture.addListener(done -> loop.execute(() -> onConnectComplete(done.cause())));
+        created.closeFuture().addListener(closed -> loop.execute(listener::onReleased));
     }
 
-    private void neverMade(Throwable cause) {
+    private void failWithoutChannel(Throwable cause) {
         loop.execute(() -> {
-            listener.failed(new Failure(cause, true));
-            listener.released();
+            listener.onFailed(new Failure(cause, true));
+            listener.onReleased();
         });
     }
 
-    private void ended(Throwable cause) {
+    private void onConnectComplete(Throwable cause) {
         if (cause == null) {
-            listener.connected();
+            listener.onConnected();
         } else {
             channel.close();
-            listener.failed(new Failure(cause, cause instanceof BindException || Shortage.of(cause)));
+            listener.onFailed(new Failure(cause, cause instanceof BindException || ResourceShortage.isCauseOf(cause)));
         }
     }
 
--- a/src/main/java/gullspar/proxy/io/Sockets.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -7,45 +7,45 @@
  * where accepting, connecting and discovery would all fail at once, and against clients that connect by
  * hundreds: they must not take the connections to the backends.
  */
-public final class Sockets {
+public final class DescriptorLimits {
     /** Descriptors for the runtime's files, the selector, the listener and discovery; a quarter of a small limit. */
-    private static final int RESERVE = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     /** A side's share. */
     public static final class Share {
-        private final int most;
-        private int open;
-        private BooleanSupplier spare = () -> false;
+        private final int limit;
+        private int openCount;
+        private BooleanSupplier closeOneIdle = () -> false;
 
         private Share(int most) {
-            this.most = Math.max(1, most);
+            this.limit = Math.max(1, most);
         }
 
         /** Who closes an idle connection when all are taken; true if there was one. */
-        public void whenFull(BooleanSupplier closeOneIdle) {
-            this.spare = closeOneIdle;
+        public void onFull(BooleanSupplier closeOneIdle) {
+            this.closeOneIdle = closeOneIdle;
         }
 
         /** Takes a descriptor, of an idle connection if need be; false if none can be had. */
-        public boolean take() {
-            if (open >= most && !spare.getAsBoolean()) {
+        public boolean tryAcquire() {
+            if (openCount >= limit && !closeOneIdle.getAsBoolean()) {
                 return false;
             }
-            open++;
+            openCount++;
             return true;
         }
 
         public void release() {
-            open--;
+            openCount--;
         }
 
         /** Descriptors that are held. */
-        public int open() {
-            return open;
+        public int openCount() {
+            return openCount;
         }
 
-        public int most() {
-            return most;
+        public int limit() {
+            return limit;
         }
     }
 
@@ -54,8 +54,8 @@
     /** For connections to backends. */
     public final Share backends;
 
-    public Sockets(int limit) {
-        int rest = limit - Math.min(RESERVE, limit / 4);
+    public DescriptorLimits(int limit) {
+        int rest = limit - Math.min(RESERVED_DESCRIPTORS, limit / 4);
         this.clients = new Share(rest * 3 / 5);
         this.backends = new Share(rest - rest * 3 / 5);
     }
--- a/src/main/java/gullspar/proxy/io/FileChanges.java
+++ b/src/main/java/gullspar/proxy/io/FileWatcher.java
@@ -10,26 +10,26 @@
  * Hears that a file was replaced or written by looking at it, where nothing else can tell: a process that was
  * started where SIGHUP is ignored never gets it, and would serve by its old configuration for good.
  */
-public final class FileChanges {
-    private static final long LOOK_MS = 500;
+public final class FileWatcher {
+    private static final long POLL_INTERVAL_MS = 500;
 
-    private FileChanges() {}
+    private FileWatcher() {}
 
     /** Calls the action after each change from now on, on a thread of its own that ends with the process. */
-    public static void on(Path file, Runnable action) {
-        List<Object> first = stamp(file);
+    public static void watch(Path file, Runnable action) {
+        List<Object> initial = fingerprint(file);
         Thread thread = new Thread(
                 () -> {
-                    List<Object> last = first;
+                    List<Object> last = initial;
                     while (!Thread.currentThread().isInterrupted()) {
                         try {
-                            Thread.sleep(LOOK_MS);
+                            Thread.sleep(POLL_INTERVAL_MS);
                         } catch (InterruptedException e) {
                             return;
                         }
-                        List<Object> now = stamp(file);
-                        if (!now.equals(last) && !now.isEmpty()) {
-                            last = now;
+                        List<Object> current = fingerprint(file);
+                        if (!current.equals(last) && !current.isEmpty()) {
+                            last = current;
                             action.run();
                         }
                     }
@@ -40,10 +40,10 @@
     }
 
     /** What is different once it was written or another was moved there; empty while there is none. */
-    private static List<Object> stamp(Path file) {
+    private static List<Object> fingerprint(Path file) {
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return List.of(a.lastModifiedTime(), a.size(), String.valueOf(a.fileKey()));
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return List.of(attributes.lastModifiedTime(), attributes.size(), String.valueOf(attributes.fileKey()));
         } catch (IOException e) {
             return List.of();
         }
--- a/src/main/java/gullspar/proxy/io/Inherited.java
+++ b/src/main/java/gullspar/proxy/io/InheritedTransport.java
@@ -16,34 +16,34 @@
  * A listener that the platform holds and this process was started with, as descriptor 0: another process that
  * has it too may accept from the same queue, so none of what waits there is lost when one of them ends.
  */
-public final class Inherited implements Transport {
+public final class InheritedTransport implements Transport {
     private final Transport tcp;
     private final EventLoop loop;
     private final ServerSocketChannel listener;
 
-    private Inherited(EventLoop loop, ServerSocketChannel listener) {
+    private InheritedTransport(EventLoop loop, ServerSocketChannel listener) {
         this.tcp = Transport.tcp(loop);
         this.loop = loop;
         this.listener = listener;
     }
 
     /** The sockets of this machine, with that listener; an IOException if descriptor 0 is none. */
-    public static Transport transport(EventLoop loop) throws IOException {
+    public static Transport create(EventLoop loop) throws IOException {
         Channel inherited = System.inheritedChannel();
         if (!(inherited instanceof ServerSocketChannel s)) {
             throw new IOException("descriptor 0 is no listening socket");
         }
-        return new Inherited(loop, s);
+        return new InheritedTransport(loop, s);
     }
 
     @Override
-    public Bootstrap to(InetSocketAddress address) {
-        return tcp.to(address);
+    public Bootstrap clientBootstrap(InetSocketAddress address) {
+        return tcp.clientBootstrap(address);
     }
 
     @Override
-    public ServerBootstrap at(InetSocketAddress address) {
-        return tcp.at(address);
+    public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+        return tcp.serverBootstrap(address);
     }
 
     /** It is bound already, whatever the address: the platform says where clients come. */
--- a/src/main/java/gullspar/proxy/io/LibraryLog.java
+++ b/src/main/java/gullspar/proxy/io/LibraryLogHandler.java
@@ -9,7 +9,7 @@
  * for the first one loads time zones and locales from files: with no descriptor left that is an Error, which
  * ends the event loop, and done beforehand it costs a start more than a tenth of a second.
  */
-public final class LibraryLog extends Handler {
+public final class LibraryLogHandler extends Handler {
     private final Log log = Log.standardError();
 
     public static void install() {
@@ -17,15 +17,15 @@
         for (Handler h : root.getHandlers()) {
             root.removeHandler(h);
         }
-        root.addHandler(new LibraryLog());
+        root.addHandler(new LibraryLogHandler());
     }
 
     @Override
-    public void publish(LogRecord r) {
-        if (isLoggable(r)) {
-            Throwable thrown = r.getThrown();
+    public void publish(LogRecord record) {
+        if (isLoggable(record)) {
+            Throwable thrown = record.getThrown();
             StackTraceElement[] trace = thrown == null ? new StackTraceElement[0] : thrown.getStackTrace();
-            log.say(r.getLevel().getName() + " " + r.getMessage() + (thrown == null ? "" : ": " + thrown)
+            log.write(record.getLevel().getName() + " " + record.getMessage() + (thrown == null ? "" : ": " + thrown)
                     + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
--- a/src/main/java/gullspar/proxy/io/ListenRetry.java
+++ b/src/main/java/gullspar/proxy/io/ListenRetry.java
@@ -6,25 +6,27 @@
 
 /** Listening at the start, where the system may lack for a moment what a socket needs. */
 public final class ListenRetry {
-    private static final long PAUSE_MS = 50;
+    private static final long RETRY_INTERVAL_MS = 50;
     /** A start has 10 s, and its warm-up takes some of them. */
-    private static final long MOST_NS = TimeUnit.SECONDS.toNanos(5);
+    private static final long MAX_RETRY_NS = TimeUnit.SECONDS.toNanos(5);
 
     private ListenRetry() {}
 
     /** Listens, again and again while this machine is short of something; what is wrong for good ends it at once. */
     public static ChannelFuture listen(Supplier<ChannelFuture> listen) {
-        long end = System.nanoTime() + MOST_NS;
-        ChannelFuture bound = listen.get().awaitUninterruptibly();
-        while (!bound.isSuccess() && Shortage.of(bound.cause()) && System.nanoTime() < end) {
+        long retryUntilNs = System.nanoTime() + MAX_RETRY_NS;
+        ChannelFuture bindFuture = listen.get().awaitUninterruptibly();
+        while (!bindFuture.isSuccess()
+                && ResourceShortage.isCauseOf(bindFuture.cause())
+                && System.nanoTime() < retryUntilNs) {
             try {
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                return bound;
+                return bindFuture;
             }
-            bound = listen.get().awaitUninterruptibly();
+            bindFuture = listen.get().awaitUninterruptibly();
         }
-        return bound;
+        return bindFuture;
     }
 }
--- a/src/main/java/gullspar/proxy/io/Log.java
+++ b/src/main/java/gullspar/proxy/io/Log.java
@@ -6,7 +6,7 @@
 
 /** Where a proxy's own words go, a line each. */
 public interface Log {
-    void say(String line);
+    void write(String line);
 
     /** One line on standard error, with Unix time in ms ahead. */
     static Log standardError() {
@@ -18,7 +18,7 @@
      *
      * @return what is to be drained before the process ends
      */
-    static NonBlockingStream neverBlocking() {
+    static NonBlockingStream makeStandardErrorNonBlocking() {
         NonBlockingStream stream = new NonBlockingStream(new FileOutputStream(FileDescriptor.err));
         System.setErr(new PrintStream(stream, true));
         return stream;
--- a/src/main/java/gullspar/proxy/io/LoopFigures.java
+++ b/src/main/java/gullspar/proxy/io/LoopStatistics.java
@@ -4,7 +4,7 @@
  * What an event loop has done since its start. A turn is one look at the sockets and the work that follows
  * it. Written and read on the loop.
  */
-public final class LoopFigures {
+public final class LoopStatistics {
     /** Work or a wait that takes so much longer than it should counts as a standstill. */
     static final long STANDSTILL_NS = 100_000_000L;
 
@@ -16,7 +16,7 @@
     private long longestStandstillNs;
 
     /** A look has found so many ready channels. */
-    void looked(int ready) {
+    void recordTurn(int ready) {
         turns++;
         emptyTurns += ready == 0 ? 1 : 0;
         served += ready;
@@ -29,7 +29,7 @@
     }
 
     /** The loop neither looked nor waited for so long; true if that counts as a standstill. */
-    boolean stoodStill(long ns) {
+    boolean recordStandstill(long ns) {
         if (ns < STANDSTILL_NS) {
             return false;
         }
--- a/src/main/java/gullspar/proxy/io/NonBlockingStream.java
+++ b/src/main/java/gullspar/proxy/io/NonBlockingStream.java
@@ -14,21 +14,21 @@
  * costs lines of the log, not service. What is lost is counted, and told once lines get through again.
  */
 public final class NonBlockingStream extends OutputStream {
-    private static final int MOST_QUEUED = 1024;
-    private static final long LOOK_MS = 2;
+    private static final int MAX_QUEUED_WRITES = 1024;
+    private static final long DRAIN_POLL_MS = 2;
     /** A process that is told to end has 80 ms left behind its last answer, until it may be killed. */
-    private static final long LAST_MS = 50;
+    private static final long EXIT_DRAIN_MS = 50;
 
-    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(MOST_QUEUED);
+    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(MAX_QUEUED_WRITES);
     private final AtomicLong dropped = new AtomicLong();
     private final AtomicLong unwritten = new AtomicLong();
     private final OutputStream sink;
-    private long told;
+    private long reportedDrops;
 
     /** Writes to that sink from now on, until the process ends. */
     public NonBlockingStream(OutputStream sink) {
         this.sink = sink;
-        Thread writer = new Thread(this::writeAll, "log");
+        Thread writer = new Thread(this::runWriter, "log");
         writer.setDaemon(true);
         writer.start();
     }
@@ -53,10 +53,10 @@
     }
 
     /** Waits until all is written, so long at the most; false if something is left. */
-    public boolean drain(long mostMs) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-        while (unwritten.get() > 0 && System.nanoTime() < end) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+    public boolean drain(long timeoutMs) throws InterruptedException {
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (unwritten.get() > 0 && System.nanoTime() < endNs) {
+            TimeUnit.MILLISECONDS.sleep(DRAIN_POLL_MS);
         }
         return unwritten.get() == 0;
     }
@@ -64,13 +64,13 @@
     /** Gives the last lines a moment; one that stalls does not hold up the end. */
     public void drainAtEnd() {
         try {
-            drain(LAST_MS);
+            drain(EXIT_DRAIN_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void writeAll() {
+    private void runWriter() {
         while (true) {
             byte[] next;
             try {
@@ -78,17 +78,18 @@
             } catch (InterruptedException e) {
                 continue; // nobody ends it but the process
             }
-            writeOut(next);
+            writeToSink(next);
             unwritten.decrementAndGet();
         }
     }
 
-    private void writeOut(byte[] bytes) {
+    private void writeToSink(byte[] bytes) {
         try {
-            long lost = dropped.get();
-            if (lost > told) {
-                sink.write(("dropped from this log: " + (lost - told) + "\n").getBytes(StandardCharsets.UTF_8));
-                told = lost;
+            long drops = dropped.get();
+            if (drops > reportedDrops) {
+                sink.write(
+                        ("dropped from this log: " + (drops - reportedDrops) + "\n").getBytes(StandardCharsets.UTF_8));
+                reportedDrops = drops;
             }
             sink.write(bytes);
             sink.flush();
--- a/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
+++ b/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
@@ -32,25 +32,25 @@
  */
 final class OrderedNioHandler implements IoHandler {
     /** For so long clients are read in one turn, in ns. */
-    static final long READING_NS = 20_000_000L;
+    static final long MAX_CLIENT_READ_NS = 20_000_000L;
     /** Netty accepts so many connections in one turn; where it took fewer, none is left in the queue. */
-    private static final int MOST_ACCEPTED = 16;
+    private static final int MAX_ACCEPTS_PER_TURN = 16;
 
     private static final InternalLogger LOG = InternalLoggerFactory.getInstance(OrderedNioHandler.class);
 
     private final IoHandler nio;
     private final LongSupplier clock;
-    private final LookTimes times = new LookTimes();
-    private final LoopFigures figures = new LoopFigures();
-    private final WholeMillis context = new WholeMillis();
-    private final List<Source> opened = new ArrayList<>();
-    private final List<Source> clients = new ArrayList<>();
-    private final List<Source> others = new ArrayList<>();
+    private final PollTimes pollTimes = new PollTimes();
+    private final LoopStatistics statistics = new LoopStatistics();
+    private final WholeMillisContext context = new WholeMillisContext();
+    private final List<ReadyChannel> outbound = new ArrayList<>();
+    private final List<ReadyChannel> clients = new ArrayList<>();
+    private final List<ReadyChannel> others = new ArrayList<>();
     /** The source that is being served; null between them. */
-    private Source serving;
+    private ReadyChannel serving;
 
     private long turn;
-    private int registered;
+    private int registrationCount;
 
     /** clock: ns from any origin, the one that the loop's timers go by. */
     OrderedNioHandler(IoHandler nio, LongSupplier clock) {
@@ -58,84 +58,84 @@
         this.clock = clock;
     }
 
-    LoopFigures figures() {
-        return figures;
+    LoopStatistics statistics() {
+        return statistics;
     }
 
     /** How long what is read now may have waited, in ns. */
-    long unreadNs() {
-        long since = serving == null ? times.seenUntil() : serving.readableSince;
-        return Math.max(0, clock.getAsLong() - since);
+    long unreadAgeNs() {
+        long sinceNs = serving == null ? pollTimes.seenUntilNs() : serving.readableSinceNs;
+        return Math.max(0, clock.getAsLong() - sinceNs);
     }
 
     @Override
-    public int run(IoHandlerContext of) {
+    public int run(IoHandlerContext loopContext) {
         turn++;
-        long now = clock.getAsLong();
-        long worked = times.worked(now);
-        int ready = 0;
-        long overslept = 0;
-        if (times.unsure(now)) {
-            overslept = look(of, false);
-            ready = ready();
+        long nowNs = clock.getAsLong();
+        long workedNs = pollTimes.workedNs(nowNs);
+        int readyCount = 0;
+        long oversleptNs = 0;
+        if (pollTimes.needsNonBlockingPoll(nowNs)) {
+            oversleptNs = poll(loopContext, false);
+            readyCount = readyCount();
         }
-        if (ready == 0) {
-            overslept += look(of, true);
-            ready = ready();
+        if (readyCount == 0) {
+            oversleptNs += poll(loopContext, true);
+            readyCount = readyCount();
         }
-        figures.looked(ready);
-        stoodStill(worked + overslept);
-        serveAll(opened);
+        statistics.recordTurn(readyCount);
+        recordStandstill(workedNs + oversleptNs);
+        serveAll(outbound);
         serveClients();
         serveAll(others);
-        return ready;
+        return readyCount;
     }
 
     /** Looks at the sockets; returns how long the thread stood still meanwhile, in ns. */
-    private long look(IoHandlerContext of, boolean mayWait) {
-        long began = clock.getAsLong();
-        context.begin(of, mayWait);
+    private long poll(IoHandlerContext loopContext, boolean canWait) {
+        long startNs = clock.getAsLong();
+        context.begin(loopContext, canWait);
         nio.run(context);
-        return times.looked(began, clock.getAsLong(), context.allowedNs);
+        return pollTimes.recordPoll(startNs, clock.getAsLong(), context.allowedWaitNs);
     }
 
-    private int ready() {
-        return opened.size() + clients.size() + others.size();
+    private int readyCount() {
+        return outbound.size() + clients.size() + others.size();
     }
 
-    private void stoodStill(long ns) {
-        if (figures.stoodStill(ns)) {
+    private void recordStandstill(long ns) {
+        if (statistics.recordStandstill(ns)) {
             LOG.warn("the event loop stood still for {} ms", TimeUnit.NANOSECONDS.toMillis(ns));
         }
     }
 
-    private void serveAll(List<Source> sources) {
-        sources.forEach(Source::dated);
+    private void serveAll(List<ReadyChannel> sources) {
+        sources.forEach(ReadyChannel::updateReadableSince);
         sources.forEach(this::serve);
         sources.clear();
     }
 
     private void serveClients() {
-        clients.forEach(Source::dated);
-        clients.sort(Comparator.comparingLong(c -> c.readableSince)); // what was left comes first
-        long began = clock.getAsLong();
+        clients.forEach(ReadyChannel::updateReadableSince);
+        clients.sort(Comparator.comparingLong(c -> c.readableSinceNs)); // what was left comes first
+        long startNs = clock.getAsLong();
         int next = 0;
-        while (next < clients.size() && (next == 0 || clock.getAsLong() - began < READING_NS)) {
+        while (next < clients.size() && (next == 0 || clock.getAsLong() - startNs < MAX_CLIENT_READ_NS)) {
             serve(clients.get(next));
             next++;
         }
-        List<Source> left = clients.subList(next, clients.size());
-        left.forEach(Source::left); // the next look finds them again
-        figures.postponed(left.size());
+        List<ReadyChannel> remaining = clients.subList(next, clients.size());
+        remaining.forEach(ReadyChannel::markUnserved); // the next look finds them again
+        statistics.postponed(remaining.size());
         clients.clear();
     }
 
-    private void serve(Source source) {
+    private void serve(ReadyChannel source) {
         if (!source.registration.isValid()) {
             return; // closed by what was served before it
         }
         serving = source;
-        registered = 0;
+        registrationCount = 0;
         try {
             source.handle.handle(source.registration, source.event);
         } catch (RuntimeException e) {
@@ -143,15 +143,15 @@
         } finally {
             serving = null;
         }
-        if (registered >= MOST_ACCEPTED) {
-            source.left();
+        if (registrationCount >= MAX_ACCEPTS_PER_TURN) {
+            source.markUnserved();
         }
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        registered++;
-        return nio.register(new Source((NioIoHandle) handle));
+        registrationCount++;
+        return nio.register(new ReadyChannel((NioIoHandle) handle));
     }
 
     @Override
@@ -181,46 +181,46 @@
 
     /** A channel as the NIO handler sees it: its events are noted, and served in this handler's order. */
     @SuppressWarnings("try")
-    private final class Source implements NioIoHandle {
+    private final class ReadyChannel implements NioIoHandle {
         private final NioIoHandle handle;
         /** Where its events are noted: by who opened the connection. */
-        private final List<Source> kind;
+        private final List<ReadyChannel> readyQueue;
 
-        private final long registeredIn = turn;
+        private final long registrationTurn = turn;
         /** What a connection brings first may have come with it, while it waited to be accepted. */
-        private final long registeredSince = serving == null ? Long.MAX_VALUE : serving.readableSince;
+        private final long acceptorReadableSinceNs = serving == null ? Long.MAX_VALUE : serving.readableSinceNs;
 
         private IoRegistration registration;
         private IoEvent event;
-        private long readableSince;
+        private long readableSinceNs;
         /** The turn in which it was ready and not, or not wholly, served. */
-        private long leftIn = -1;
+        private long unservedTurn = -1;
 
-        Source(NioIoHandle handle) {
+        ReadyChannel(NioIoHandle handle) {
             this.handle = handle;
             boolean connection = handle.selectableChannel() instanceof SocketChannel;
             boolean accepted = connection && ((SocketChannel) handle.selectableChannel()).isConnected();
-            this.kind = accepted ? clients : connection ? opened : others;
+            this.readyQueue = accepted ? clients : connection ? outbound : others;
         }
 
         /** It is about to be served: since when may what it brings have been there? */
-        void dated() {
-            if (leftIn != turn - 1) {
-                readableSince = registeredIn == turn - 1
-                        ? Math.min(registeredSince, times.readableSince())
-                        : times.readableSince();
+        void updateReadableSince() {
+            if (unservedTurn != turn - 1) {
+                readableSinceNs = registrationTurn == turn - 1
+                        ? Math.min(acceptorReadableSinceNs, pollTimes.readableSinceNs())
+                        : pollTimes.readableSinceNs();
             }
         }
 
-        void left() {
-            leftIn = turn;
+        void markUnserved() {
+            unservedTurn = turn;
         }
 
         @Override
-        public void handle(IoRegistration of, IoEvent what) {
-            registration = of;
-            event = what;
-            kind.add(this);
+        public void handle(IoRegistration ioRegistration, IoEvent ioEvent) {
+            registration = ioRegistration;
+            event = ioEvent;
+            readyQueue.add(this);
         }
 
         @Override
@@ -246,48 +246,48 @@
     }
 
     /** Rounds the time to the next timer up to whole ms: the system's wait knows no less. */
-    private static final class WholeMillis implements IoHandlerContext {
+    private static final class WholeMillisContext implements IoHandlerContext {
         private static final long MS = 1_000_000L;
 
-        private IoHandlerContext of;
-        private boolean mayWait;
+        private IoHandlerContext delegate;
+        private boolean canWait;
         /** For how long the NIO handler may wait in this turn, in ns; 0 if it may not. */
-        private long allowedNs;
+        private long allowedWaitNs;
 
         void begin(IoHandlerContext next, boolean wait) {
-            of = next;
-            mayWait = wait;
-            allowedNs = 0;
+            delegate = next;
+            canWait = wait;
+            allowedWaitNs = 0;
         }
 
         @Override
         public boolean canBlock() {
-            return mayWait && of.canBlock();
+            return canWait && delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long now) {
-            long delay = of.delayNanos(now);
-            if (delay > 0 && delay < Long.MAX_VALUE - MS) {
-                delay = (delay + MS - 1) / MS * MS;
+            long delayNs = delegate.delayNanos(now);
+            if (delayNs > 0 && delayNs < Long.MAX_VALUE - MS) {
+                delayNs = (delayNs + MS - 1) / MS * MS;
             }
-            allowedNs = Math.max(0, delay);
-            return delay;
+            allowedWaitNs = Math.max(0, delayNs);
+            return delayNs;
         }
 
         @Override
         public long deadlineNanos() {
-            return of.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long ns) {
-            of.reportActiveIoTime(ns);
+            delegate.reportActiveIoTime(ns);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return of.shouldReportActiveIoTime();
+            return delegate.shouldReportActiveIoTime();
         }
     }
 }
--- a/src/main/java/gullspar/proxy/io/Platform.java
+++ b/src/main/java/gullspar/proxy/io/Platform.java
@@ -13,7 +13,7 @@
  * @param figures what the loop has done; null where nobody counts
  */
 public record Platform(
-        EventLoop loop, Clock clock, Transport transport, Log log, UnreadAge unread, LoopFigures figures) {
+        EventLoop loop, Clock clock, Transport transport, Log log, UnreadAge unreadAge, LoopStatistics statistics) {
     /** One whose loop cannot tell how long what it reads has waited. */
     public Platform(EventLoop loop, Clock clock, Transport transport, Log log) {
         this(loop, clock, transport, log, UnreadAge.UNKNOWN, null);
@@ -26,7 +26,7 @@
 
     /** The same with another transport. */
     public static Platform of(ServingLoop serving, Transport transport, Log log) {
-        return new Platform(serving.loop(), Clock.system(), transport, log, serving.unread(), serving.figures());
+        return new Platform(serving.loop(), Clock.system(), transport, log, serving.unreadAge(), serving.statistics());
     }
 
     /** This machine: its time, its sockets, standard error. */
--- a/src/main/java/gullspar/proxy/io/ServingLoop.java
+++ b/src/main/java/gullspar/proxy/io/ServingLoop.java
@@ -12,20 +12,20 @@
  * @param unread how long what it reads now may have waited
  * @param figures what it has done
  */
-public record ServingLoop(EventLoop loop, UnreadAge unread, LoopFigures figures) {
+public record ServingLoop(EventLoop loop, UnreadAge unreadAge, LoopStatistics statistics) {
     /** Makes what such a loop runs on. */
-    public static IoHandlerFactory handlers() {
+    public static IoHandlerFactory handlerFactory() {
         return executor -> new OrderedNioHandler(NioIoHandler.newFactory().newHandler(executor), System::nanoTime);
     }
 
     /** Starts one over the sockets of this machine. */
     public static ServingLoop start() {
-        OrderedNioHandler[] made = new OrderedNioHandler[1];
+        OrderedNioHandler[] handler = new OrderedNioHandler[1];
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor -> {
-                    made[0] = (OrderedNioHandler) handlers().newHandler(executor);
-                    return made[0];
+                    handler[0] = (OrderedNioHandler) handlerFactory().newHandler(executor);
+                    return handler[0];
                 })
                 .next();
-        return new ServingLoop(loop, made[0]::unreadNs, made[0].figures());
+        return new ServingLoop(loop, handler[0]::unreadAgeNs, handler[0].statistics());
     }
 }
--- a/src/main/java/gullspar/proxy/io/Signals.java
+++ b/src/main/java/gullspar/proxy/io/Signals.java
@@ -9,7 +9,7 @@
  */
 public final class Signals {
     /** What a process says that does not hear of SIGHUP. */
-    public static final String NO_HUP = "SIGHUP is not heard: it is ignored where this was started (nohup?), "
+    public static final String HUP_UNAVAILABLE = "SIGHUP is not heard: it is ignored where this was started (nohup?), "
             + "or the runtime cannot hear it; the configuration is read again when its file has changed";
 
     private Signals() {}
@@ -19,11 +19,11 @@
      * runtime has no such class, or the process was started where the signal is ignored (nohup, a trap),
      * which the runtime leaves as it is.
      */
-    public static boolean on(String name, Runnable action) {
+    public static boolean register(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler call = (self, method, arguments) -> switch (method.getName()) {
+            InvocationHandler invocationHandler = (self, method, arguments) -> switch (method.getName()) {
                 case "handle" -> {
                     action.run();
                     yield null;
@@ -32,12 +32,13 @@
                 case "hashCode" -> System.identityHashCode(self);
                 default -> "handler of SIG" + name;
             };
-            Object before = signal.getMethod("handle", signal, handler)
+            Object previous = signal.getMethod("handle", signal, handler)
                     .invoke(
                             null,
                             signal.getConstructor(String.class).newInstance(name),
-                            Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler}, call));
-            return before != handler.getField("SIG_IGN").get(null);
+                            Proxy.newProxyInstance(
+                                    Signals.class.getClassLoader(), new Class<?>[] {handler}, invocationHandler));
+            return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
         }
--- a/src/main/java/gullspar/proxy/io/Transport.java
+++ b/src/main/java/gullspar/proxy/io/Transport.java
@@ -14,26 +14,26 @@
 /** How connections are made and accepted: by TCP, but while a proxy warms up or is rehearsed. */
 public interface Transport {
     /** For one connection to that address. */
-    Bootstrap to(InetSocketAddress address);
+    Bootstrap clientBootstrap(InetSocketAddress address);
 
     /** For a listener at that address, which still wants its handler. */
-    ServerBootstrap at(InetSocketAddress address);
+    ServerBootstrap serverBootstrap(InetSocketAddress address);
 
     /** For a socket for datagrams at that address, which still wants its handler. */
-    default Bootstrap datagrams(InetSocketAddress address) {
+    default Bootstrap datagramBootstrap(InetSocketAddress address) {
         throw new UnsupportedOperationException("no datagrams here");
     }
 
     /** Begins to listen there. */
-    default ChannelFuture listen(InetSocketAddress address, ChannelHandler children) {
-        return at(address).childHandler(children).bind();
+    default ChannelFuture listen(InetSocketAddress address, ChannelHandler childHandler) {
+        return serverBootstrap(address).childHandler(childHandler).bind();
     }
 
     /** By the sockets of this machine. */
     static Transport tcp(EventLoop loop) {
         return new Transport() {
             @Override
-            public Bootstrap to(InetSocketAddress address) {
+            public Bootstrap clientBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
@@ -42,7 +42,7 @@
             }
 
             @Override
-            public ServerBootstrap at(InetSocketAddress address) {
+            public ServerBootstrap serverBootstrap(InetSocketAddress address) {
                 return new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
@@ -53,7 +53,7 @@
             }
 
             @Override
-            public Bootstrap datagrams(InetSocketAddress address) {
+            public Bootstrap datagramBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
--- a/src/main/java/gullspar/proxy/operator/OperatorPort.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorPort.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.operator;
 
-import gullspar.proxy.io.AcceptFailures;
+import gullspar.proxy.io.AcceptBackoff;
 import gullspar.proxy.io.Platform;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -83,8 +83,8 @@
 
     /** Listens there. */
     public ChannelFuture listen(InetSocketAddress address) {
-        return AcceptFailures.on(platform.transport()
-                .at(address)
+        return AcceptBackoff.addTo(platform.transport()
+                .serverBootstrap(address)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
--- a/src/main/java/gullspar/proxy/operator/Report.java
+++ b/src/main/java/gullspar/proxy/operator/Report.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import gullspar.proxy.io.ClassArchive;
-import gullspar.proxy.io.LoopFigures;
+import gullspar.proxy.io.LoopStatistics;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
@@ -23,7 +23,7 @@
         int pending,
         int members,
         int unavailable,
-        LoopFigures loop,
+        LoopStatistics loop,
         Descriptors descriptors) {
     /** Descriptors that are counted as held, by side. */
     public record Descriptors(int clients, int backends) {}
--- a/src/main/java/gullspar/rehearse/live/LiveTransport.java
+++ b/src/main/java/gullspar/rehearse/live/LiveTransport.java
@@ -67,8 +67,8 @@
     }
 
     @Override
-    public Bootstrap to(InetSocketAddress address) {
-        Bootstrap real = tcp.to(address);
+    public Bootstrap clientBootstrap(InetSocketAddress address) {
+        Bootstrap real = tcp.clientBootstrap(address);
         String peer = names.apply(address);
         return new Bootstrap() {
             @Override
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public ServerBootstrap at(InetSocketAddress address) {
-        ServerBootstrap real = tcp.at(address).handler(new ChannelInitializer<Channel>() {
+    public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+        ServerBootstrap real = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
                 opened(c);
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -220,7 +220,7 @@
     public Transport transport(Host host) {
         return new Transport() {
             @Override
-            public Bootstrap to(InetSocketAddress address) {
+            public Bootstrap clientBootstrap(InetSocketAddress address) {
                 // The library keeps a resolver of names for each loop for good, and with it each day played.
                 return new Bootstrap()
                         .group(host.loop)
@@ -231,7 +231,7 @@
             }
 
             @Override
-            public ServerBootstrap at(InetSocketAddress address) {
+            public ServerBootstrap serverBootstrap(InetSocketAddress address) {
                 return new ServerBootstrap()
                         .group(host.loop)
                         .channelFactory(() -> new MemoryServerChannel(Network.this, host))
@@ -240,7 +240,7 @@
             }
 
             @Override
-            public Bootstrap datagrams(InetSocketAddress address) {
+            public Bootstrap datagramBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(host.loop)
                         .channelFactory(() -> new MemoryDatagramChannel(Network.this, host))
--- a/src/main/java/gullspar/rehearse/stage/Agent.java
+++ b/src/main/java/gullspar/rehearse/stage/Agent.java
@@ -104,7 +104,7 @@
 
     private void listen() {
         listener = platform.transport()
-                .at(address)
+                .serverBootstrap(address)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
--- a/src/main/java/gullspar/rehearse/stage/Front.java
+++ b/src/main/java/gullspar/rehearse/stage/Front.java
@@ -84,7 +84,7 @@
             return;
         }
         platform.transport()
-                .to(stage.address(proxy))
+                .clientBootstrap(stage.address(proxy))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -184,7 +184,7 @@
         }
         Connection fresh = new Connection(proxy);
         ChannelFuture connect = platform.transport()
-                .to(stage.address(proxy))
+                .clientBootstrap(stage.address(proxy))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -110,7 +110,7 @@
 
     void start() {
         platform.transport()
-                .at(address)
+                .serverBootstrap(address)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
--- a/src/main/java/gullspar/rehearse/stage/RudeClients.java
+++ b/src/main/java/gullspar/rehearse/stage/RudeClients.java
@@ -75,7 +75,7 @@
             String pattern = NONSENSE[random.nextInt(NONSENSE.length)];
             String text = !speaks ? null : pattern.replace("%s", someClass).replace("%d", Integer.toString(n));
             platform.transport()
-                    .to(stage.address(proxy))
+                    .clientBootstrap(stage.address(proxy))
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
--- a/src/main/java/gullspar/site/Call.java
+++ b/src/main/java/gullspar/site/Call.java
@@ -97,7 +97,7 @@
     /** Ends an answer that has made no headway for so long. */
     void check(long now, long stallNs) {
         if (answering != null && now - movedAt > stallNs) {
-            pool.platform.log().say("an answer of pool " + to.pool() + " made no headway and is cut off");
+            pool.platform.log().write("an answer of pool " + to.pool() + " made no headway and is cut off");
             PlainAttempt a = answering;
             done();
             a.cancel();
@@ -184,7 +184,7 @@
 
     @Override
     public boolean head(PlainAttempt a, HttpResponse head) {
-        Report report = LoadReport.last(head.headers().getAll("Server-Load"));
+        Report report = LoadReport.lastValid(head.headers().getAll("Server-Load"));
         Status status = status(head);
         boolean served = !over && (status == Status.OK || status == Status.MOOT);
         if (served) {
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -12,8 +12,8 @@
 import gullspar.proxy.discovery.ListUpdate;
 import gullspar.proxy.discovery.ListedBackend;
 import gullspar.proxy.events.Events;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.route.Members;
 import gullspar.site.backend.PlainBackends;
 import java.util.HashMap;
@@ -55,7 +55,7 @@
 
     Pool(
             Platform platform,
-            Sockets.Share sockets,
+            DescriptorLimits.Share sockets,
             Balancer.Factory factory,
             long seed,
             Site.Pool declared,
@@ -217,7 +217,7 @@
             case FULL, CANCELLED -> {}
             default -> {
                 if (members.failed(name, platform.clock().now())) {
-                    platform.log().say("pool " + declared.name() + ": " + name + " is out for its failures");
+                    platform.log().write("pool " + declared.name() + ": " + name + " is out for its failures");
                     list();
                 }
             }
@@ -336,7 +336,7 @@
 
     @Override
     public void log(String line) {
-        platform.log().say(line);
+        platform.log().write(line);
     }
 
     @Override
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -3,8 +3,8 @@
 import gullspar.config.Site;
 import gullspar.config.SiteReader;
 import gullspar.decide.Balancer;
-import gullspar.proxy.io.FileChanges;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.FileWatcher;
+import gullspar.proxy.io.LibraryLogHandler;
 import gullspar.proxy.io.Log;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
@@ -62,11 +62,11 @@
         ServingLoop serving = ServingLoop.start();
         EventLoop loop = serving.loop();
         Runnable reload = () -> started.thenAccept(Runnable::run);
-        if (!Signals.on("HUP", reload)) {
-            LOG.say(Signals.NO_HUP);
-            FileChanges.on(file, reload);
+        if (!Signals.register("HUP", reload)) {
+            LOG.write(Signals.HUP_UNAVAILABLE);
+            FileWatcher.watch(file, reload);
         }
-        LibraryLog.install();
+        LibraryLogHandler.install();
         Site site = source.first();
         if (site == null) {
             return false;
@@ -106,7 +106,7 @@
                         },
                         "drain"));
         site.listeners()
-                .forEach(l -> LOG.say("listening on " + NetUtil.toSocketAddressString(proxy.address(l.address()))));
+                .forEach(l -> LOG.write("listening on " + NetUtil.toSocketAddressString(proxy.address(l.address()))));
         Source.Taker taker = (s, done) -> loop.execute(() -> proxy.reload(s, done));
         source.serve(taker);
         started.complete(() -> {
@@ -135,9 +135,9 @@
         try {
             to.take(SiteReader.read(file), why -> {});
         } catch (ProblemsException e) {
-            e.getMessage().lines().forEach(line -> LOG.say("the new configuration is not used: " + line));
+            e.getMessage().lines().forEach(line -> LOG.write("the new configuration is not used: " + line));
         } catch (IOException e) {
-            LOG.say("the new configuration is not used: " + file + " cannot be read: " + e.getMessage());
+            LOG.write("the new configuration is not used: " + file + " cannot be read: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/gullspar/site/SiteProxy.java
+++ b/src/main/java/gullspar/site/SiteProxy.java
@@ -3,9 +3,9 @@
 import gullspar.config.Site;
 import gullspar.decide.Balancer;
 import gullspar.proxy.http.BodyBudget;
-import gullspar.proxy.io.AcceptFailures;
+import gullspar.proxy.io.AcceptBackoff;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.proxy.operator.Companion;
 import gullspar.proxy.operator.OperatorPort;
 import gullspar.route.Router;
@@ -41,7 +41,7 @@
 
     private final Platform platform;
     private final Balancer.Factory factory;
-    private final Sockets sockets;
+    private final DescriptorLimits sockets;
     private final Clients clients;
     private final Map<InetSocketAddress, Channel> listening = new LinkedHashMap<>();
     private final Map<InetSocketAddress, Router> routers = new HashMap<>();
@@ -67,7 +67,7 @@
         this.platform = platform;
         this.factory = factory;
         this.seed = seed;
-        this.sockets = new Sockets(site.limits().sockets());
+        this.sockets = new DescriptorLimits(site.limits().sockets());
         this.clients = new Clients(
                 platform,
                 sockets.clients,
@@ -75,7 +75,7 @@
                 new BodyBudget(site.limits().bodyBytes()),
                 seed,
                 this);
-        sockets.backends.whenFull(() -> pools.values().stream().anyMatch(Pool::closeOneIdle)
+        sockets.backends.onFull(() -> pools.values().stream().anyMatch(Pool::closeOneIdle)
                 || leaving.stream().anyMatch(Pool::closeOneIdle));
     }
 
@@ -148,8 +148,8 @@
     }
 
     private ChannelFuture bind(InetSocketAddress address) {
-        return AcceptFailures.on(platform.transport()
-                .at(address)
+        return AcceptBackoff.addTo(platform.transport()
+                .serverBootstrap(address)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
@@ -187,10 +187,10 @@
             if (cause == null) {
                 apply(s);
                 platform.log()
-                        .say("a new configuration: " + s.listeners().size() + " listeners, "
+                        .write("a new configuration: " + s.listeners().size() + " listeners, "
                                 + s.pools().size() + " pools");
             } else {
-                platform.log().say("the new configuration is not used: " + cause.getMessage());
+                platform.log().write("the new configuration is not used: " + cause.getMessage());
             }
             replacing = false;
             done.accept(cause == null ? null : cause.getMessage());
@@ -302,7 +302,7 @@
     /** Takes no more connections and answers what is in hand; the future is done once all is answered. */
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
-            platform.log().say("draining");
+            platform.log().write("draining");
             draining = true;
             listening.values().forEach(Channel::close);
             clients.drain();
@@ -315,7 +315,7 @@
     private void whenEmpty(long until) {
         if (clients.open() == 0 || platform.clock().now() >= until) {
             platform.log()
-                    .say(
+                    .write(
                             clients.open() == 0
                                     ? "drained"
                                     : "drained, but for " + clients.open() + " connections that are cut off");
--- a/src/main/java/gullspar/site/backend/PlainBackends.java
+++ b/src/main/java/gullspar/site/backend/PlainBackends.java
@@ -2,9 +2,9 @@
 
 import gullspar.config.Site;
 import gullspar.decide.Balancer.Status;
-import gullspar.proxy.io.Dial;
+import gullspar.proxy.io.ConnectOperation;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -27,12 +27,13 @@
     private static final int MOST_READ = 32 << 10;
 
     private final Platform platform;
-    private final Sockets.Share sockets;
+    private final DescriptorLimits.Share sockets;
     private final Places places;
     private final Map<Integer, PlainBackend> backends = new HashMap<>();
     private Site.Connections connections;
 
-    public PlainBackends(Platform platform, Sockets.Share sockets, Site.Connections connections, Places places) {
+    public PlainBackends(
+            Platform platform, DescriptorLimits.Share sockets, Site.Connections connections, Places places) {
         this.platform = platform;
         this.sockets = sockets;
         this.connections = connections;
@@ -120,7 +121,7 @@
         long deadline = platform.clock().now() + timeoutNs;
         a.startTimer(timeoutNs);
         PlainConnection c = reuse(b);
-        if (c == null && !sockets.take()) {
+        if (c == null && !sockets.tryAcquire()) {
             moot(a); // no fault of the server's
             return a;
         }
@@ -153,7 +154,7 @@
     private void connect(PlainAttempt a, long deadline) {
         PlainConnection c = new PlainConnection(a.backend, platform.clock(), this);
         Bootstrap bootstrap = platform.transport()
-                .to(a.backend.address)
+                .clientBootstrap(a.backend.address)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connections.connectNs() / 1_000_000))
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 4096, MOST_READ))
                 .handler(new ChannelInitializer<Channel>() {
@@ -162,9 +163,9 @@
                         c.openOn(channel);
                     }
                 });
-        Dial dial = Dial.start(bootstrap, platform.loop(), new Dial.Listener() {
+        ConnectOperation dial = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
             @Override
-            public void connected() {
+            public void onConnected() {
                 if (a.ended()) {
                     c.close();
                     notConnected(a, Status.CONNECT_FAILED);
@@ -174,13 +175,13 @@
             }
 
             @Override
-            public void failed(Dial.Failure failure) {
+            public void onFailed(ConnectOperation.Failure failure) {
                 // What this machine lacks is no fault of the server's.
-                notConnected(a, failure.local() ? Status.MOOT : Status.CONNECT_FAILED);
+                notConnected(a, failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED);
             }
 
             @Override
-            public void released() {
+            public void onReleased() {
                 sockets.release();
             }
         });
--- a/src/main/java/gullspar/site/backend/PlainConnection.java
+++ b/src/main/java/gullspar/site/backend/PlainConnection.java
@@ -1,7 +1,7 @@
 package gullspar.site.backend;
 
 import gullspar.decide.Balancer.Status;
-import gullspar.proxy.backend.AnswerDecoder;
+import gullspar.proxy.backend.BackendResponseDecoder;
 import gullspar.proxy.io.Clock;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -24,7 +24,7 @@
  * A connection to a server: carries one attempt at a time, and reads no faster than the answer is taken. Its
  * channel reads only when told to.
  */
-final class PlainConnection extends ChannelInboundHandlerAdapter implements AnswerDecoder.Listener {
+final class PlainConnection extends ChannelInboundHandlerAdapter implements BackendResponseDecoder.Listener {
     private static final int LONGEST_LINE = 8 << 10, LONGEST_HEAD = 64 << 10, MOST_INTERIM = 8;
     /** A server that drains or is gone gets nothing new later than so long after it was told. */
     private static final long DRAIN_GRACE_NS = 500_000_000L;
@@ -41,7 +41,7 @@
     private final PlainBackend backend;
     private final Clock clock;
     private final Keeper keeper;
-    private final AnswerDecoder decoder = new AnswerDecoder(this, LONGEST_LINE, LONGEST_HEAD);
+    private final BackendResponseDecoder decoder = new BackendResponseDecoder(this, LONGEST_LINE, LONGEST_HEAD);
     private Channel channel;
     private long idleSince;
     private PlainAttempt attempt;
@@ -108,7 +108,7 @@
             refuse(Status.CONNECT_FAILED);
             return;
         }
-        decoder.expect(a.sending.headOnly());
+        decoder.expectResponse(a.sending.headOnly());
         ByteBuf body = a.sending.body();
         if (body.isReadable()) {
             a.mayHaveRun(); // a server may act on a request before all of its body is there
@@ -196,16 +196,16 @@
         }
         if (content instanceof LastHttpContent end) {
             if (interimEnd) {
-                decoder.expect();
+                decoder.expectResponse();
             } else {
                 last = end;
-                decoder.whole();
+                decoder.responseComplete();
             }
         }
     }
 
     @Override
-    public void noise() {
+    public void onUnexpectedBytes() {
         broken();
     }
 
@@ -214,7 +214,7 @@
      * Anything else may as well be the rest of its body under too short a length.
      */
     @Override
-    public void trailing(boolean again) {
+    public void onTrailingBytes(boolean again) {
         if (!trailed && !again) {
             broken();
         }
@@ -238,7 +238,7 @@
         PlainAttempt a = attempt;
         HttpHeaders trailers = last.trailingHeaders();
         attempt = null;
-        decoder.quiet();
+        decoder.expectNothing();
         // An answer before the whole request was written: the rest of that is still to go out on this one.
         boolean again = written && !trailed && HttpUtil.isKeepAlive(head) && backend.leftAt == 0 && channel.isActive();
         idleSince = clock.now();
@@ -255,7 +255,7 @@
     private void broken() {
         PlainAttempt a = attempt;
         attempt = null;
-        decoder.quiet();
+        decoder.expectNothing();
         backend.idle.remove(this);
         channel.close();
         if (a != null) {
--- a/src/main/java/gullspar/site/client/Clients.java
+++ b/src/main/java/gullspar/site/client/Clients.java
@@ -2,8 +2,8 @@
 
 import gullspar.config.Site;
 import gullspar.proxy.http.BodyBudget;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.route.Request;
 import gullspar.route.Router;
 import gullspar.site.http.PlainRequest;
@@ -51,7 +51,7 @@
     private static final int MOST_READ = 32 << 10;
 
     private final Platform platform;
-    private final Sockets.Share sockets;
+    private final DescriptorLimits.Share sockets;
     private final Taker taker;
     private final BodyBudget budget;
     /** Ids need be no secret, only different. */
@@ -63,14 +63,19 @@
     private boolean draining;
 
     public Clients(
-            Platform platform, Sockets.Share sockets, Site.Limits limits, BodyBudget budget, long seed, Taker taker) {
+            Platform platform,
+            DescriptorLimits.Share sockets,
+            Site.Limits limits,
+            BodyBudget budget,
+            long seed,
+            Taker taker) {
         this.platform = platform;
         this.sockets = sockets;
         this.limits = limits;
         this.budget = budget;
         this.ids = new Random(seed);
         this.taker = taker;
-        sockets.whenFull(this::closeOneIdle);
+        sockets.onFull(this::closeOneIdle);
     }
 
     /** Other limits from now on. */
@@ -81,7 +86,7 @@
 
     /** A new connection that came to a listener. */
     public void accept(Channel c, InetSocketAddress listener) {
-        if (draining || !sockets.take()) {
+        if (draining || !sockets.tryAcquire()) {
             c.close();
             return;
         }
--- a/src/main/java/gullspar/versions/net/ControlDaemon.java
+++ b/src/main/java/gullspar/versions/net/ControlDaemon.java
@@ -1,7 +1,7 @@
 package gullspar.versions.net;
 
 import gullspar.config.ControlFile;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.LibraryLogHandler;
 import gullspar.proxy.io.Log;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
@@ -23,7 +23,7 @@
 
     /** Runs until the process ends; an IOException if it cannot listen, or has no use of its folder. */
     public static void run(ControlFile file) throws IOException {
-        LibraryLog.install();
+        LibraryLogHandler.install();
         try (DiskFolder folder = DiskFolder.hold(file.folder())) {
             Store store = new Store(folder);
             Store.Found found = store.read();
@@ -49,11 +49,11 @@
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                LOG.say("ends");
+                                LOG.write("ends");
                                 Runtime.getRuntime().halt(0);
                             },
                             "end"));
-            LOG.say("control " + file.name()
+            LOG.write("control " + file.name()
                     + (file.name().equals(file.primary()) ? ", the primary," : ", after " + file.primary() + ",")
                     + " listens on "
                     + NetUtil.toSocketAddressString(node.address()));
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -1,7 +1,7 @@
 package gullspar.versions.net;
 
 import gullspar.config.ControlFile;
-import gullspar.proxy.io.AcceptFailures;
+import gullspar.proxy.io.AcceptBackoff;
 import gullspar.proxy.io.Platform;
 import gullspar.versions.Delta;
 import gullspar.versions.Document;
@@ -116,17 +116,17 @@
 
     /** Begins with what its disk has; bound is told when it listens, with null, or why not. On the loop. */
     public void start(Store.Found found, Consumer<String> bound) {
-        found.damage().forEach(platform.log()::say);
+        found.damage().forEach(platform.log()::write);
         if (found.kept() != null) {
             Codec.Kept k = found.kept();
             history.restore(k.document(), k.oldest(), k.deltas());
             platform.log()
-                    .say("has version " + history.version() + " and "
+                    .write("has version " + history.version() + " and "
                             + history.deltas().size()
                             + " changes before it"
                             + (found.mayBeOlder() ? "; it had a newer one, which is damaged" : ""));
         } else {
-            platform.log().say("has no version yet");
+            platform.log().write("has no version yet");
         }
         ChannelFuture f = platform.transport()
                 .listen(file.controls().get(file.name()), new ChannelInitializer<Channel>() {
@@ -140,7 +140,7 @@
                 bound.accept(done.cause().getMessage());
                 return;
             }
-            listener = AcceptFailures.on(f).channel();
+            listener = AcceptBackoff.addTo(f).channel();
             begin(found);
             platform.loop().scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
             bound.accept(null);
@@ -191,7 +191,7 @@
             asking.clear();
             platform.loop().execute(() -> done.forEach(FollowerNode::end));
             platform.log()
-                    .say("all control processes are heard: takes changes after "
+                    .write("all control processes are heard: takes changes after "
                             + (history.head() == null ? "nothing" : history.version()));
             audience.beat(head(), SILENT_NS);
         }
@@ -338,10 +338,10 @@
         if (why == null) {
             adopt(next);
             platform.log()
-                    .say("version " + history.version() + " from " + c.from().peer());
+                    .write("version " + history.version() + " from " + c.from().peer());
             over(c, Publisher.Outcome.ACCEPTED, List.of());
         } else {
-            platform.log().say("a change is refused: " + why);
+            platform.log().write("a change is refused: " + why);
             over(c, Publisher.Outcome.FAILED, List.of(why));
         }
     }
@@ -423,7 +423,7 @@
             boolean before = publisher.ready(history);
             publisher.heard(who.name(), a.inForce());
             if (before && !publisher.ready(history)) {
-                platform.log().say("takes no changes: " + publisher.obstacle(history));
+                platform.log().write("takes no changes: " + publisher.obstacle(history));
             }
         }
     }
@@ -433,7 +433,7 @@
         links.remove(l);
         Message.Hello who = audience.who(l);
         if (!why.equals(Link.CLOSED)) {
-            platform.log().say("closed the connection of " + (who == null ? l.peer() : who.name()) + ": " + why);
+            platform.log().write("closed the connection of " + (who == null ? l.peer() : who.name()) + ": " + why);
         }
         audience.leave(l);
         if (who == null || who.role() == Message.Role.PRIMARY) {
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -1,6 +1,6 @@
 package gullspar.versions.net;
 
-import gullspar.proxy.io.Dial;
+import gullspar.proxy.io.ConnectOperation;
 import gullspar.proxy.io.Platform;
 import gullspar.versions.Delta;
 import gullspar.versions.Document;
@@ -118,20 +118,20 @@
         Link mine = new Link(this, MOST);
         link = mine;
         Bootstrap bootstrap = platform.transport()
-                .to(addresses.get(which))
+                .clientBootstrap(addresses.get(which))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(mine);
-        Dial[] dial = new Dial[1];
-        dial[0] = Dial.start(bootstrap, platform.loop(), new Dial.Listener() {
+        ConnectOperation[] dial = new ConnectOperation[1];
+        dial[0] = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
             @Override
-            public void connected() {
+            public void onConnected() {
                 if (link != mine) {
                     dial[0].close();
                 }
             }
 
             @Override
-            public void failed(Dial.Failure failure) {
+            public void onFailed(ConnectOperation.Failure failure) {
                 if (link == mine) {
                     link = null;
                     follower.closed(now(), String.valueOf(failure.cause().getMessage()));
@@ -174,7 +174,7 @@
 
     @Override
     public void say(String line) {
-        platform.log().say(says + line);
+        platform.log().write(says + line);
     }
 
     // ---- what the connection brings ----
--- a/src/main/java/gullspar/versions/net/Following.java
+++ b/src/main/java/gullspar/versions/net/Following.java
@@ -92,9 +92,9 @@
 
     @Override
     public Site first() {
-        found.damage().forEach(line -> LOG.say("versions: " + line));
+        found.damage().forEach(line -> LOG.write("versions: " + line));
         Document stored = found.kept() == null ? null : found.kept().document();
-        LOG.say("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
+        LOG.write("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
                 + "; asks " + file.addresses().size() + " control processes");
         loop.execute(() -> node.start(stored, found.mayBeOlder()));
         return first.join();
@@ -124,13 +124,13 @@
             }
             if (first.complete(site)) {
                 proxy.thenRun(() -> {
-                    LOG.say("versions: " + d.version() + " is in force");
+                    LOG.write("versions: " + d.version() + " is in force");
                     done.accept(null);
                 });
             } else {
                 proxy.thenAccept(p -> p.take(site, why -> {
                     if (why == null) {
-                        LOG.say("versions: " + d.version() + " is in force");
+                        LOG.write("versions: " + d.version() + " is in force");
                     }
                     done.accept(why);
                 }));
@@ -145,6 +145,6 @@
 
     @Override
     public void reload(Taker to) {
-        LOG.say("versions: the configuration comes from control; SIGHUP reads nothing of it");
+        LOG.write("versions: the configuration comes from control; SIGHUP reads nothing of it");
     }
 }
--- a/src/test/java/gullspar/capacity/ConnectionCount.java
+++ b/src/test/java/gullspar/capacity/ConnectionCount.java
@@ -9,7 +9,7 @@
 import gullspar.decide.Balancer.State;
 import gullspar.decide.Balancer.Status;
 import gullspar.decide.Policy;
-import gullspar.proxy.io.Sockets;
+import gullspar.proxy.io.DescriptorLimits;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -241,7 +241,7 @@
                 heldOut,
                 size,
                 free.handshakes / (double) (SECONDS - WARM_SECONDS));
-        Proxy held = new Proxy(instances, servers, new Sockets(1024).backends.most());
+        Proxy held = new Proxy(instances, servers, new DescriptorLimits(1024).backends.limit());
         held.run();
         results.point(
                 "connections." + axis + ".handshakes.held",
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -14,8 +14,8 @@
 import gullspar.proxy.discovery.ListUpdate;
 import gullspar.proxy.discovery.ListedBackend;
 import gullspar.proxy.io.Clock;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.proxy.io.Transport;
 import gullspar.route.Request;
 import gullspar.route.Router;
@@ -76,7 +76,7 @@
             config = Inputs.config(Inputs.settings(PROXIES, 0, new String(list, StandardCharsets.UTF_8)));
             discovery = new Discovery(platform, Discovery.source(config), null);
             module = new Policy(config.settings(), 7, now, new NoActions());
-            backends = new Backends(platform, new Sockets(1024).backends, config);
+            backends = new Backends(platform, new DescriptorLimits(1024).backends, config);
         }
 
         /** As a list that comes: to the module and to the connections' side. */
@@ -85,7 +85,7 @@
             List<Member> members =
                     news.list().stream().map(ListedBackend::member).toList();
             module.onMembers(now, kind, 1, members);
-            backends.learn(new ListUpdate(kind, 1, news.list()));
+            backends.update(new ListUpdate(kind, 1, news.list()));
             return this;
         }
     }
@@ -113,7 +113,7 @@
                 Map.of(),
                 0,
                 1024,
-                new Sockets(1024).backends.most());
+                new DescriptorLimits(1024).backends.limit());
     }
 
     private void list(int n) {
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -23,7 +23,7 @@
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
     /** A request on its way: the module has sent it to the backend. */
-    private Request sent(Peer.Wire client) throws Exception {
+    private Request sendRequest(Peer.Wire client) throws Exception {
         client.write(Setup.get());
         Request r = setup.request();
         setup.act(() -> setup.actions.send(r.ticket(), server, 0));
@@ -31,9 +31,9 @@
     }
 
     @Test
-    void anAnswerGoesBackUnchangedAndTheConnectionIsUsedAgain() throws Exception {
+    void responseIsReturnedUnchangedAndTheConnectionIsReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             String request = wire.read();
             assertTrue(request.startsWith("GET /look/1?x=2 HTTP/1.1\r\n"), request);
@@ -48,7 +48,7 @@
             assertEquals(7, o.report().inflight());
             assertEquals(0.61, o.report().util());
             setup.passes(20);
-            sent(client);
+            sendRequest(client);
             wire.read(); // on the same connection
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
@@ -66,9 +66,9 @@
         "504 Late, Not-Started: 1, FULL",
         "500 Oops, Not-Started: 1, ERROR"
     })
-    void onlyTheBackendsOwnWordProvesThatItNeverRan(String line, String header, Status status) throws Exception {
+    void onlyNotStartedProvesThatTheRequestNeverRan(String line, String header, Status status) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write("HTTP/1.1 " + line + "\r\n" + (header.isEmpty() ? "" : header + "\r\n")
@@ -88,9 +88,9 @@
         "rubbish|",
         "HTTP/1.1 200 OK|Content-Length: x||"
     })
-    void anAnswerThatIsNotWholeIsAResetAndIsNotServed(String answer) throws Exception {
+    void truncatedResponseIsAResetAndIsNotServed(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n")).close();
@@ -121,9 +121,9 @@
         "HTTP/1.1 101 Switching Protocols||",
         "noise"
     })
-    void aSpoiltAnswerIsAResetAtOnceAndItsConnectionIsOfNoUse(String answer) throws Exception {
+    void malformedResponseIsAnImmediateResetAndClosesTheConnection(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n"));
@@ -137,10 +137,10 @@
     }
 
     @Test
-    void aHeadWithoutEndAndInterimAnswersWithoutEndAreResets() throws Exception {
+    void endlessHeadsAndInterimResponsesAreResets() throws Exception {
         for (String endless : List.of("X-Pad: ppppppppppppppppppppppppp\r\n", "HTTP/1.1 103 Early\r\n\r\n")) {
             try (Peer.Wire client = setup.client()) {
-                Request r = sent(client);
+                Request r = sendRequest(client);
                 Peer.Wire wire = backend.accept();
                 wire.read();
                 wire.write((endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "") + endless.repeat(400));
@@ -152,16 +152,16 @@
     }
 
     @Test
-    void aSecondCopyBehindAGoodAnswerIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void duplicateResponseIsNotServedToTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\n" + OK + OK.substring(0, OK.length() - 2));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
             assertEquals(Status.OK, setup.outcome().status());
             assertTrue(first.ended());
-            sent(client);
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK.replace("body", "next"));
@@ -171,13 +171,13 @@
 
     /** A backend that closes right behind its answer must not be written to before that is seen. */
     @Test
-    void theConnectionIdleLongestIsUsedFirst() throws Exception {
+    void longestIdleConnectionIsUsedFirst() throws Exception {
         try (Peer.Wire one = setup.client();
                 Peer.Wire two = setup.client()) {
-            sent(one);
+            sendRequest(one);
             Peer.Wire first = backend.accept();
             first.read();
-            sent(two);
+            sendRequest(two);
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -185,7 +185,7 @@
             second.write(OK);
             assertTrue(two.read().endsWith("body"));
             setup.passes(20);
-            sent(one);
+            sendRequest(one);
             assertTrue(first.read().startsWith("GET "));
         }
     }
@@ -195,14 +195,14 @@
      * connection by then.
      */
     @Test
-    void aSecondAnswerThatComesLateIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void delayedDuplicateResponseIsNotServedToTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
-            sent(client); // at once
+            sendRequest(client); // at once
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -214,13 +214,13 @@
 
     /** The idle connection that its backend is the least likely to be closing just then. */
     @Test
-    void whatMayNotRunTwiceGoesOverTheConnectionUsedLast() throws Exception {
+    void nonRepeatableRequestUsesTheMostRecentConnection() throws Exception {
         try (Peer.Wire one = setup.client();
                 Peer.Wire two = setup.client()) {
-            sent(one);
+            sendRequest(one);
             Peer.Wire first = backend.accept();
             first.read();
-            sent(two);
+            sendRequest(two);
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -240,12 +240,12 @@
      * The module sends a request, and its connection comes up while the loop stands still: what happens until
      * go is found in the same turn as that.
      */
-    private Peer.Wire comesUp(Runnable send, CountDownLatch go) throws Exception {
+    private Peer.Wire connectWhileLoopIsBlocked(Runnable send, CountDownLatch resume) throws Exception {
         setup.loop.execute(() -> {
             send.run();
             setup.loop.execute(() -> {
                 try {
-                    go.await(20, TimeUnit.SECONDS);
+                    resume.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -256,12 +256,12 @@
 
     /** Its client has left by the time that the connection is up: both are found in one turn. */
     @Test
-    void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent() throws Exception {
+    void requestIsNotSentIfItsClientLeavesDuringConnect() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
         CountDownLatch go = new CountDownLatch(1);
-        Peer.Wire wire = comesUp(() -> setup.actions.send(r.ticket(), server, 0), go);
+        Peer.Wire wire = connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0), go);
         client.reset();
         go.countDown();
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
@@ -271,12 +271,13 @@
 
     /** A repeat whose time has run out while its connection came up might take effect a second time. */
     @Test
-    void aRepeatThatComesUpTooLateIsNotSent() throws Exception {
+    void repeatIsNotSentIfItConnectsTooLate() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             Request r = setup.request();
             CountDownLatch go = new CountDownLatch(1);
-            Peer.Wire wire = comesUp(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), go);
+            Peer.Wire wire =
+                    connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), go);
             setup.passes(101);
             go.countDown();
             assertEquals(Status.MOOT, setup.outcome().status());
@@ -288,7 +289,7 @@
 
     /** A backend begins with the last byte: what it says ahead of that is no answer to this request. */
     @Test
-    void anAnswerAheadOfTheWholeRequestIsNotServed() throws Exception {
+    void responseBeforeTheEndOfTheRequestIsNotServed() throws Exception {
         try (Peer.Wire client = setup.client()) {
             String body = "x".repeat(8 << 20);
             client.write("POST /pay HTTP/1.1\r\nHost: api\r\nRequest-Id: ahead\r\nRequest-Timeout: 30\r\n"
@@ -305,25 +306,25 @@
     }
 
     @Test
-    void bytesOnAnIdleConnectionCloseItAlsoWhereTheyMakeNoMessage() throws Exception {
+    void partialMessageOnAnIdleConnectionClosesIt() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
             first.write("H");
             assertTrue(first.ended());
-            sent(client);
+            sendRequest(client);
             backend.accept().read();
         }
     }
 
     /** A request that no backend can use is its client's trouble: no backend is the worse for it. */
     @Test
-    void aRequestThatTheBackendCannotUseIsOverAtOnce() throws Exception {
+    void clientErrorEndsTheRequestAtOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
@@ -335,9 +336,9 @@
     }
 
     @Test
-    void aConnectionThatDiesAfterTheRequestIsAReset() throws Exception {
+    void connectionLostAfterTheRequestIsAReset() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.reset();
@@ -347,16 +348,16 @@
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsConnectFailed() throws Exception {
         backend.close();
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             assertEquals(Status.CONNECT_FAILED, setup.outcome().status());
         }
     }
 
     @Test
-    void aTimeoutIsTheModulesAndClosesTheConnection() throws Exception {
+    void moduleTimeoutClosesTheConnection() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             Request r = setup.request();
@@ -371,9 +372,9 @@
     }
 
     @Test
-    void aCancelledAttemptClosesItsConnectionAndEndsOnce() throws Exception {
+    void cancelledAttemptClosesItsConnectionAndEndsOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             setup.act(() -> {
@@ -391,16 +392,16 @@
     }
 
     @Test
-    void anIdleConnectionThatTheBackendEndsIsNotUsed() throws Exception {
+    void connectionClosedByTheBackendIsNotReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             client.read();
             assertEquals(Status.OK, setup.outcome().status());
             assertTrue(wire.ended());
-            sent(client);
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK);
@@ -409,7 +410,7 @@
     }
 
     @Test
-    void outOfDescriptorsAnAttemptFailsAndNeverRan() throws Exception {
+    void attemptIsNotStartedWithoutAFreeDescriptor() throws Exception {
         setup.close();
         setup = new Setup()
                 .start(Config.parse(
@@ -419,9 +420,9 @@
         try (Peer.Wire first = setup.client();
                 Peer.Wire second = setup.client();
                 Peer.Wire third = setup.client()) {
-            sent(first);
-            sent(second);
-            Request r = sent(third);
+            sendRequest(first);
+            sendRequest(second);
+            Request r = sendRequest(third);
             Outcome o = setup.outcome();
             assertEquals(r.ticket(), o.ticket());
             assertEquals(Status.MOOT, o.status()); // says nothing of the backend
@@ -429,7 +430,7 @@
     }
 
     @Test
-    void aReportThatMakesNoSenseIsNone() {
+    void invalidLoadReportIsIgnored() {
         assertNull(LoadReport.parse(null));
         assertNull(LoadReport.parse("inflight=x"));
         assertNull(LoadReport.parse("util"));
--- a/src/test/java/gullspar/proxy/DeployedRunTest.java
+++ b/src/test/java/gullspar/proxy/DeployedRunTest.java
@@ -57,8 +57,8 @@
                 "the restriction is for x86-64 Linux, by perl");
         root = Files.createDirectories(folder.resolve("root"));
         tmp = Files.createDirectories(folder.resolve("tmp"));
-        OrdinaryUser.opened(folder);
-        OrdinaryUser.writable(tmp);
+        UnprivilegedUser.makeReadable(folder);
+        UnprivilegedUser.makeWritable(tmp);
         for (String name : List.of("balancer.toml", "serve.sh")) {
             Files.createDirectories(root.resolve("deploy"));
             Files.copy(Path.of("deploy", name), root.resolve("deploy").resolve(name));
@@ -72,7 +72,7 @@
                         Attributes.Name.CLASS_PATH,
                         String.join(
                                 " ",
-                                Arrays.stream(OrdinaryUser.classPath().split(File.pathSeparator))
+                                Arrays.stream(UnprivilegedUser.classPath().split(File.pathSeparator))
                                         .map(p -> Path.of(p).toUri().toString())
                                         .toList()));
         Files.createDirectories(root.resolve("target"));
@@ -81,11 +81,11 @@
         }
     }
 
-    private static String run() throws IOException {
+    private static String deployedCommand() throws IOException {
         return Toml.parse(Path.of("deploy/balancer.toml")).getString("run");
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return (InetSocketAddress) s.getLocalSocketAddress();
         }
@@ -97,7 +97,7 @@
         ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
         config.put("listen", "127.0.0.1:" + at.getPort());
         Path file = Files.writeString(folder.resolve("config.json"), config.toString());
-        List<String> all = new ArrayList<>(OrdinaryUser.asOrdinaryUser());
+        List<String> all = new ArrayList<>(UnprivilegedUser.commandPrefix());
         all.addAll(List.of("/usr/bin/perl", refuse.toString()));
         if (writes) {
             all.addAll(List.of("--tmp", tmp.toString()));
@@ -110,7 +110,7 @@
     }
 
     /** The lines up to one that holds the text; null, with all lines in said, if the process ends before. */
-    private static String until(BufferedReader log, String text, List<String> said) throws IOException {
+    private static String readUntil(BufferedReader log, String text, List<String> said) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             said.add(line);
             if (line.contains(text)) {
@@ -121,9 +121,9 @@
     }
 
     /** One request through, and the end by SIGTERM. */
-    private static void servesAndEnds(
+    private static void assertServesAndExits(
             Process p, BufferedReader log, Peer backend, InetSocketAddress at, List<String> said) throws Exception {
-        assertNotEquals(null, until(log, " ready", said), () -> String.join("\n", said));
+        assertNotEquals(null, readUntil(log, " ready", said), () -> String.join("\n", said));
         assertEquals(0, p.descendants().count(), "other processes");
         assertEquals(
                 "java", Path.of(p.info().command().orElseThrow()).getFileName().toString());
@@ -142,14 +142,14 @@
         assertEquals(0, p.exitValue());
     }
 
-    private void assertWarm(boolean writes) throws Exception {
+    private void assertStartsWarm(boolean writes) throws Exception {
         List<String> said = new ArrayList<>();
-        InetSocketAddress at = free();
+        InetSocketAddress at = freeAddress();
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
-            Process p = start(run(), writes, discovery, backend, at);
+            Process p = start(deployedCommand(), writes, discovery, backend, at);
             try (BufferedReader log = p.inputReader()) {
-                servesAndEnds(p, log, backend, at, said);
+                assertServesAndExits(p, log, backend, at, said);
             } finally {
                 p.destroyForcibly();
             }
@@ -160,27 +160,27 @@
     }
 
     @Test
-    void oneProcessThatStartsNoOtherAndWritesToItsOwnFolderOnly() throws Exception {
-        assertWarm(true);
+    void runsAsOneProcessThatWritesOnlyToItsTemporaryFolder() throws Exception {
+        assertStartsWarm(true);
     }
 
     /** A start that depended on a file or on a socket of its own would be cold here, and wait for nothing. */
     @Test
-    void whereNothingCanBeWrittenAndNoUnixSocketIsHadItIsWarmAllTheSame() throws Exception {
-        assertWarm(false);
+    void startsWarmWithoutWritableFoldersOrUnixSockets() throws Exception {
+        assertStartsWarm(false);
     }
 
     /** The restriction itself: what it is there to catch does not get through. */
     @Test
-    void whatForksOrWritesElsewhereDoesNotStart() throws Exception {
+    void commandThatForksOrWritesElsewhereDoesNotStart() throws Exception {
         for (String planted :
                 List.of("mb=$(sed -n p deploy/balancer.toml); ", "echo x > deploy/written; ", "sleep 1 & ")) {
             List<String> said = new ArrayList<>();
             try (Peer discovery = new Peer();
                     Peer backend = new Peer()) {
-                Process p = start("set -e; " + planted + run(), true, discovery, backend, free());
+                Process p = start("set -e; " + planted + deployedCommand(), true, discovery, backend, freeAddress());
                 try (BufferedReader log = p.inputReader()) {
-                    assertNull(until(log, " starting", said), planted);
+                    assertNull(readUntil(log, " starting", said), planted);
                     assertNotEquals(0, p.waitFor(), planted);
                 } finally {
                     p.destroyForcibly();
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -299,7 +299,7 @@
             Discovery d = new Discovery(
                     on(to -> {
                         more.countDown();
-                        return tcp.to(to);
+                        return tcp.clientBootstrap(to);
                     }),
                     Discovery.Source.pushed(address),
                     setup.proxy,
@@ -321,7 +321,7 @@
         AtomicInteger without = new AtomicInteger(3);
         Discovery d = new Discovery(
                 on(to -> without.getAndDecrement() <= 0
-                        ? tcp.to(to)
+                        ? tcp.clientBootstrap(to)
                         : new Bootstrap().group(setup.loop).remoteAddress(to).channelFactory(() -> {
                             throw new ChannelException("Too many open files");
                         })),
@@ -340,12 +340,12 @@
                 Clock.system(),
                 new Transport() {
                     @Override
-                    public Bootstrap to(InetSocketAddress address) {
+                    public Bootstrap clientBootstrap(InetSocketAddress address) {
                         return to.apply(address);
                     }
 
                     @Override
-                    public ServerBootstrap at(InetSocketAddress address) {
+                    public ServerBootstrap serverBootstrap(InetSocketAddress address) {
                         throw new AssertionError("discovery listens nowhere");
                     }
                 },
--- a/src/test/java/gullspar/proxy/FaultyProxy.java
+++ b/src/test/java/gullspar/proxy/FaultyProxy.java
@@ -23,15 +23,15 @@
 @SuppressWarnings("try")
 final class FaultyProxy implements AutoCloseable {
     /** Its limit: few, so that those which are lost are soon missed. */
-    private static final int DESCRIPTORS = 128;
+    private static final int MAX_DESCRIPTORS = 128;
 
-    private static final long LOOK_MS = 10;
+    private static final long POLL_INTERVAL_MS = 10;
     /** So long behind the last fault, or its start, it may take to serve. */
-    private static final long RECOVERY_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final long MAX_RECOVERY_NS = TimeUnit.SECONDS.toNanos(10);
 
     final SystemCallFaults faults;
     final InetSocketAddress address;
-    final InetSocketAddress operators = free();
+    final InetSocketAddress operatorAddress = freeAddress();
     final Path log;
     private final AnsweringServer backend = new AnsweringServer(AnsweringServer.OK);
     private final AnsweringServer discovery = AnsweringServer.discovery();
@@ -40,18 +40,18 @@
 
     FaultyProxy(Path folder) throws Exception {
         this.folder = folder;
-        OrdinaryUser.opened(folder);
+        UnprivilegedUser.makeReadable(folder);
         faults = SystemCallFaults.buildIn(folder);
         Files.setPosixFilePermissions(folder.resolve("faults"), PosixFilePermissions.fromString("rw-r--r--"));
         log = Files.createFile(folder.resolve("log"));
-        address = free();
-        ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), DESCRIPTORS, 5000);
+        address = freeAddress();
+        ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), MAX_DESCRIPTORS, 5000);
         config.put("listen", "127.0.0.1:" + address.getPort());
-        config.put("operator", "127.0.0.1:" + operators.getPort());
+        config.put("operator", "127.0.0.1:" + operatorAddress.getPort());
         Files.writeString(folder.resolve("config.json"), config.toString());
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) s.getLocalSocketAddress();
         }
@@ -68,7 +68,7 @@
         Map<String, String> variables = faults.environment();
         variables.forEach((name, value) -> command.add(name + "=" + value));
         command.add("NODE_CONFIG=" + folder.resolve("config.json"));
-        command.addAll(OrdinaryUser.serve(List.of()));
+        command.addAll(UnprivilegedUser.serveCommand(List.of()));
         process = new ProcessBuilder(command).redirectError(standardError).start();
         return this;
     }
@@ -77,7 +77,7 @@
         return process;
     }
 
-    String said() {
+    String logText() {
         try {
             return Files.readString(log);
         } catch (IOException e) {
@@ -86,9 +86,9 @@
     }
 
     FaultyProxy awaitLine(String text) throws InterruptedException {
-        while (!said().contains(text)) {
-            assertTrue(process.isAlive(), () -> "it ended: " + said());
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+        while (!logText().contains(text)) {
+            assertTrue(process.isAlive(), () -> "it ended: " + logText());
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return this;
     }
@@ -98,7 +98,7 @@
     }
 
     /** One request on a connection of its own; the status of its answer, 0 where none came. */
-    int ask() {
+    int sendRequest() {
         try (Peer.Wire client = Peer.Wire.to(address)) {
             String answer = client.write(Setup.get("Request-Timeout: 0.2\r\n")).read();
             return answer.length() < 12 ? 0 : Integer.parseInt(answer.substring(9, 12));
@@ -108,18 +108,18 @@
     }
 
     /** Asks until so many answers in a row were 200, ten seconds at the most. */
-    void awaitServing(int inRow) {
-        long end = System.nanoTime() + RECOVERY_NS;
-        for (int served = 0; served < inRow; ) {
-            served = ask() == 200 ? served + 1 : 0;
-            assertTrue(process.isAlive(), () -> "it ended: " + said());
-            assertTrue(System.nanoTime() < end, () -> "it does not serve again: " + said());
+    void awaitServing(int consecutive) {
+        long end = System.nanoTime() + MAX_RECOVERY_NS;
+        for (int served = 0; served < consecutive; ) {
+            served = sendRequest() == 200 ? served + 1 : 0;
+            assertTrue(process.isAlive(), () -> "it ended: " + logText());
+            assertTrue(System.nanoTime() < end, () -> "it does not serve again: " + logText());
         }
     }
 
     /** A figure that operators are told, by its name. */
-    long figure(String name) throws IOException {
-        try (Peer.Wire operator = Peer.Wire.to(operators)) {
+    long readMetric(String name) throws IOException {
+        try (Peer.Wire operator = Peer.Wire.to(operatorAddress)) {
             String vars =
                     operator.write("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n").read();
             Matcher found = Pattern.compile("\"" + name + "\":(\\d+)").matcher(vars);
@@ -129,10 +129,10 @@
     }
 
     /** Waits until a figure is at that value. */
-    void awaitFigure(String name, long value) throws IOException {
+    void awaitMetric(String name, long value) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-        while (figure(name) != value) {
-            assertTrue(System.nanoTime() < end, () -> name + " stays off " + value + ": " + said());
+        while (readMetric(name) != value) {
+            assertTrue(System.nanoTime() < end, () -> name + " stays off " + value + ": " + logText());
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Told to end, it ends well. */
-    void endsWell() throws InterruptedException {
+    void assertCleanExit() throws InterruptedException {
         process.destroy();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it hangs");
         assertEquals(0, process.exitValue());
--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -33,8 +33,8 @@
     private AnsweringServer discovery;
 
     @BeforeEach
-    void open() throws IOException {
-        OrdinaryUser.opened(folder);
+    void setUp() throws IOException {
+        UnprivilegedUser.makeReadable(folder);
         log = Files.createFile(folder.resolve("log"));
         backend = new AnsweringServer(AnsweringServer.OK);
         discovery = AnsweringServer.discovery();
@@ -48,9 +48,9 @@
         discovery.close();
     }
 
-    private Process holder() throws IOException {
+    private Process startHolder() throws IOException {
         List<String> command = new ArrayList<>(List.of("/usr/bin/perl", "src/test/resources/hold-listener.pl"));
-        command.addAll(OrdinaryUser.serve(List.of()));
+        command.addAll(UnprivilegedUser.serveCommand(List.of()));
         return new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
@@ -64,7 +64,7 @@
         }
     }
 
-    private String said() {
+    private String logText() {
         try {
             Files.setPosixFilePermissions(log, PosixFilePermissions.fromString("rw-r--r--"));
             return Files.readString(log);
@@ -75,8 +75,8 @@
 
     /** Nobody may open the log again by its path, its opener and the proxy's user included. */
     @Test
-    void startsWhereTheLogOfAnotherUserCannotBeOpenedAgain() throws Exception {
-        Process holder = holder();
+    void startsWithALogThatItCannotReopen() throws Exception {
+        Process holder = startHolder();
         Files.setPosixFilePermissions(log, PosixFilePermissions.fromString("---------"));
         try (BufferedReader said = holder.inputReader();
                 Writer to = holder.outputWriter()) {
@@ -89,11 +89,11 @@
                 client.write(Setup.get());
                 CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> read(client));
                 CompletableFuture.anyOf(answer, proxy.onExit()).get(20, TimeUnit.SECONDS);
-                assertTrue(proxy.isAlive(), () -> "it ended: " + said());
+                assertTrue(proxy.isAlive(), () -> "it ended: " + logText());
                 assertTrue(answer.get().startsWith("HTTP/1.1 200"), answer.get());
                 proxy.destroy();
                 proxy.onExit().get(20, TimeUnit.SECONDS);
-                assertTrue(said().contains("drained"), "the log goes on to the end: " + said());
+                assertTrue(logText().contains("drained"), "the log goes on to the end: " + logText());
             } finally {
                 proxy.destroyForcibly();
             }
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -45,7 +45,7 @@
     }
 
     private static JsonNode figures(ProxyProcess process) throws IOException {
-        try (Peer.Wire operator = Peer.Wire.to(process.operators)) {
+        try (Peer.Wire operator = Peer.Wire.to(process.operatorAddress)) {
             String answer =
                     operator.write("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n").read();
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
@@ -60,7 +60,7 @@
     }
 
     private static void served(ProxyProcess process) throws IOException {
-        try (Peer.Wire client = Peer.Wire.to(process.door)) {
+        try (Peer.Wire client = Peer.Wire.to(process.address)) {
             assertTrue(client.write(Setup.get()).read().startsWith("HTTP/1.1 200"));
         }
     }
@@ -76,17 +76,17 @@
         try (Peer backend = new Peer();
                 ProxyProcess process = new ProxyProcess(folder, backend.hostPort(), SMALLEST)) {
             answer(backend);
-            process.list(42, servers(SERVERS, "", backend.hostPort()));
+            process.sendList(42, servers(SERVERS, "", backend.hostPort()));
             process.awaitReady();
             awaitMembers(process, SERVERS);
             served(process);
-            process.list(43, servers(SERVERS - 1, "", backend.hostPort()));
+            process.sendList(43, servers(SERVERS - 1, "", backend.hostPort()));
             awaitMembers(process, SERVERS - 1);
-            process.list(44, servers(SERVERS + 1, LONG, backend.hostPort()));
+            process.sendList(44, servers(SERVERS + 1, LONG, backend.hostPort()));
             awaitMembers(process, SERVERS + 1);
             served(process);
             assertEquals(0, figures(process).path("failed").path("look").asInt());
-            assertTrue(process.alive());
+            assertTrue(process.isAlive());
         }
     }
 }
--- a/src/test/java/gullspar/proxy/ProxyProcess.java
+++ b/src/test/java/gullspar/proxy/ProxyProcess.java
@@ -22,22 +22,22 @@
 /** The program as a process that serves, and the discovery that it watches. */
 @SuppressWarnings("try")
 final class ProxyProcess implements AutoCloseable {
-    private static final long BEAT_MS = 500;
+    private static final long HEARTBEAT_INTERVAL_MS = 500;
 
-    final InetSocketAddress door;
-    final InetSocketAddress operators;
+    final InetSocketAddress address;
+    final InetSocketAddress operatorAddress;
     private final Process process;
     private final Peer discovery = new Peer();
-    private final ScheduledExecutorService beats = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledExecutorService heartbeats = Executors.newSingleThreadScheduledExecutor();
     private Peer.Wire watch;
 
     /** Starts one that knows of one backend at that address. */
     ProxyProcess(Path folder, String backend, List<String> options) throws Exception {
-        door = free();
-        operators = free();
+        address = freeAddress();
+        operatorAddress = freeAddress();
         ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend, 1024, 5000);
-        config.put("listen", "127.0.0.1:" + door.getPort());
-        config.put("operator", "127.0.0.1:" + operators.getPort());
+        config.put("listen", "127.0.0.1:" + address.getPort());
+        config.put("operator", "127.0.0.1:" + operatorAddress.getPort());
         Path file = Files.writeString(folder.resolve("config.json"), config.toString());
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -49,7 +49,7 @@
         process = java.start();
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) s.getLocalSocketAddress();
         }
@@ -63,17 +63,19 @@
     }
 
     /** Tells it the whole list, and goes on with beats. */
-    void list(int generation, List<String> instances) throws Exception {
+    void sendList(int generation, List<String> instances) throws Exception {
         if (watch == null) {
             watch = discovery.accept();
             watch.read();
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            beats.scheduleAtFixedRate(() -> line(""), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+            heartbeats.scheduleAtFixedRate(
+                    () -> writeLine(""), HEARTBEAT_INTERVAL_MS, HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
-        line("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[" + String.join(",", instances) + "]}");
+        writeLine("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[" + String.join(",", instances)
+                + "]}");
     }
 
-    private synchronized void line(String text) {
+    private synchronized void writeLine(String text) {
         try {
             watch.write(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
         } catch (IOException e) {
@@ -108,13 +110,13 @@
                         .waitFor());
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
     @Override
     public void close() throws Exception {
-        beats.shutdownNow();
+        heartbeats.shutdownNow();
         process.destroyForcibly().waitFor();
         discovery.close();
     }
--- a/src/test/java/gullspar/proxy/SeededFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SeededFaultsTest.java
@@ -29,15 +29,15 @@
 
     private static final int CLIENTS = 8;
     private static final int FAULTS = 12;
-    private static final long LONGEST_FAULT_MS = 600;
-    private static final long LONGEST_STOP_MS = 300;
+    private static final long MAX_FAULT_MS = 600;
+    private static final long MAX_STOP_MS = 300;
     private static final List<ErrorNumber> SHORTAGES =
             List.of(ErrorNumber.ENOBUFS, ErrorNumber.ENOMEM, ErrorNumber.EMFILE, ErrorNumber.ENFILE);
 
     @TempDir
     Path folder;
 
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean isDone = new AtomicBoolean();
     private final AtomicInteger answers = new AtomicInteger();
     private FaultyProxy proxy;
 
@@ -58,27 +58,27 @@
         try {
             proxy.start().awaitReady();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(client());
+                clients.add(startClient());
             }
             for (int i = 0; i < FAULTS; i++) {
-                fault(random);
-                assertTrue(proxy.process().isAlive(), () -> "it ended: " + proxy.said());
+                injectFault(random);
+                assertTrue(proxy.process().isAlive(), () -> "it ended: " + proxy.logText());
             }
             proxy.awaitServing(20);
-            end(clients);
-            proxy.awaitFigure("descriptors_clients", 0);
-            proxy.endsWell();
+            stopClients(clients);
+            proxy.awaitMetric("descriptors_clients", 0);
+            proxy.assertCleanExit();
         } finally {
-            end(clients);
+            stopClients(clients);
             proxy.close();
         }
     }
 
     /** Asks on a connection of its own each time, until the end. */
-    private Thread client() {
+    private Thread startClient() {
         Thread thread = new Thread(() -> {
-            while (!over.get()) {
-                proxy.ask();
+            while (!isDone.get()) {
+                proxy.sendRequest();
                 answers.incrementAndGet();
             }
         });
@@ -86,31 +86,31 @@
         return thread;
     }
 
-    private void end(List<Thread> clients) throws InterruptedException {
-        over.set(true);
+    private void stopClients(List<Thread> clients) throws InterruptedException {
+        isDone.set(true);
         for (Thread client : clients) {
             client.join();
         }
     }
 
-    private void fault(Random random) throws Exception {
+    private void injectFault(Random random) throws Exception {
         switch (random.nextInt(4)) {
-            case 0 -> failing(SystemCall.SOCKET, random);
-            case 1 -> failing(SystemCall.ACCEPT, random);
-            case 2 -> failing(SystemCall.CONNECT, random);
-            default -> stopped(random);
+            case 0 -> failCalls(SystemCall.SOCKET, random);
+            case 1 -> failCalls(SystemCall.ACCEPT, random);
+            case 2 -> failCalls(SystemCall.CONNECT, random);
+            default -> stopProcess(random);
         }
     }
 
-    private void failing(SystemCall call, Random random) throws Exception {
+    private void failCalls(SystemCall call, Random random) throws Exception {
         proxy.faults.failOneIn(1 + random.nextInt(4), call, SHORTAGES.get(random.nextInt(SHORTAGES.size())));
-        TimeUnit.MILLISECONDS.sleep(random.nextLong(LONGEST_FAULT_MS));
+        TimeUnit.MILLISECONDS.sleep(random.nextLong(MAX_FAULT_MS));
         proxy.faults.heal(call);
     }
 
-    private void stopped(Random random) throws Exception {
+    private void stopProcess(Random random) throws Exception {
         proxy.signal("STOP");
-        TimeUnit.MILLISECONDS.sleep(random.nextLong(LONGEST_STOP_MS));
+        TimeUnit.MILLISECONDS.sleep(random.nextLong(MAX_STOP_MS));
         proxy.signal("CONT");
         proxy.signal("HUP");
     }
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.proxy.config.ConfigException;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.LibraryLogHandler;
 import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -276,7 +276,7 @@
         private Warning() {}
 
         public static void main(String[] args) {
-            LibraryLog.install();
+            LibraryLogHandler.install();
             Logger.getLogger("library").log(Level.WARNING, "odd", new IllegalStateException("why"));
         }
     }
--- a/src/test/java/gullspar/proxy/Setup.java
+++ b/src/test/java/gullspar/proxy/Setup.java
@@ -113,10 +113,10 @@
                 new Observed(),
                 line -> {
                     onLog.accept(line);
-                    Log.standardError().say(line);
+                    Log.standardError().write(line);
                 },
-                serving.unread(),
-                serving.figures());
+                serving.unreadAge(),
+                serving.statistics());
         proxy = Proxy.on(
                         platform,
                         () -> Proxy.begun(new Proxy(
@@ -188,8 +188,8 @@
         private final Transport tcp = Transport.tcp(loop);
 
         @Override
-        public Bootstrap to(InetSocketAddress address) {
-            Bootstrap bare = tcp.to(address);
+        public Bootstrap clientBootstrap(InetSocketAddress address) {
+            Bootstrap bare = tcp.clientBootstrap(address);
             return new Bootstrap() {
                 @Override
                 public Bootstrap handler(ChannelHandler handler) {
@@ -219,8 +219,8 @@
         }
 
         @Override
-        public ServerBootstrap at(InetSocketAddress address) {
-            return tcp.at(address);
+        public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+            return tcp.serverBootstrap(address);
         }
     }
 
--- a/src/test/java/gullspar/proxy/StandstillTest.java
+++ b/src/test/java/gullspar/proxy/StandstillTest.java
@@ -35,37 +35,37 @@
     /** An answer may come so much behind its time (the protocol). */
     private static final long SLACK_NS = 500_000_000L;
     /** An attempt may tell so much more than its client has left. */
-    private static final long TOLD_SLACK_NS = 150_000_000L;
+    private static final long REQUEST_TIMEOUT_SLACK_NS = 150_000_000L;
 
-    private static final long BACK_NS = 1_000_000_000L;
-    private static final long EVERY_MS = 10;
-    private static final double SERVED = 0.9;
+    private static final long MAX_RECOVERY_NS = 1_000_000_000L;
+    private static final long SEND_INTERVAL_MS = 10;
+    private static final double MIN_SERVED_SHARE = 0.9;
 
     @TempDir
     Path folder;
 
-    private final Map<String, Sent> sent = new ConcurrentHashMap<>();
+    private final Map<String, SentRequest> requests = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     private Backend backend;
     private ProxyProcess process;
     /** Requests ask for what the backend never answers. */
-    private volatile boolean hanging;
+    private volatile boolean isHanging;
 
     /** One request as its client sees it, and its attempts as the backend sees them. */
-    private static final class Sent {
-        final long at = System.nanoTime();
+    private static final class SentRequest {
+        final long sentAtNs = System.nanoTime();
         final boolean hangs;
         final List<Attempt> attempts = new ArrayList<>();
-        volatile long endedAt;
+        volatile long endedAtNs;
         volatile String status = "";
 
-        Sent(boolean hangs) {
+        SentRequest(boolean hangs) {
             this.hangs = hangs;
         }
 
-        synchronized void attempt(Attempt a) {
+        synchronized void addAttempt(Attempt a) {
             attempts.add(a);
         }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    private record Attempt(long at, long toldNs) {}
+    private record Attempt(long receivedAtNs, long requestTimeoutNs) {}
 
     /** Answers each request but those that are to hang, and notes them all. */
     private final class Backend implements AutoCloseable {
@@ -96,8 +96,8 @@
         private void serve(Peer.Wire wire) {
             try (wire) {
                 for (String r = wire.read(); !r.isEmpty(); r = wire.read()) {
-                    Sent request = sent.get(header(r, "request-id"));
-                    request.attempt(new Attempt(
+                    SentRequest request = requests.get(header(r, "request-id"));
+                    request.addAttempt(new Attempt(
                             System.nanoTime(), (long) (Double.parseDouble(header(r, "request-timeout")) * 1e9)));
                     if (!r.contains("/hang")) {
                         wire.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -127,7 +127,7 @@
         backend = new Backend();
         String address = "127.0.0.1:" + backend.server.getLocalPort();
         process = new ProxyProcess(folder, address, List.of());
-        process.list(42, List.of(ProxyProcess.instance("s-1", address)));
+        process.sendList(42, List.of(ProxyProcess.instance("s-1", address)));
         process.awaitReady();
     }
 
@@ -142,13 +142,13 @@
     /** Sends a request now, on a connection of its own; safe ones and, each third, one that is not. */
     private void send() {
         String id = "r" + ids.incrementAndGet();
-        Sent request = new Sent(hanging);
-        sent.put(id, request);
+        SentRequest request = new SentRequest(isHanging);
+        requests.put(id, request);
         boolean unsafe = ids.get() % 3 == 0;
         String line = (unsafe ? "POST /pay" : "GET /look") + (request.hangs ? "/hang" : "/1");
         String length = unsafe ? "Content-Length: 0\r\n" : "";
         threads.execute(() -> {
-            try (Peer.Wire wire = Peer.Wire.to(process.door)) {
+            try (Peer.Wire wire = Peer.Wire.to(process.address)) {
                 wire.write(line + " HTTP/1.1\r\nHost: a\r\nRequest-Id: " + id + "\r\nRequest-Timeout: 0.9\r\n" + length
                         + "\r\n");
                 String answer = wire.read();
@@ -156,65 +156,67 @@
             } catch (IOException e) {
                 request.status = "closed: " + e;
             }
-            request.endedAt = System.nanoTime();
+            request.endedAtNs = System.nanoTime();
         });
     }
 
-    private void load(long ms) throws Exception {
+    private void sendLoad(long ms) throws Exception {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        var sending = clock.scheduleAtFixedRate(this::send, 0, EVERY_MS, TimeUnit.MILLISECONDS);
+        var sending = clock.scheduleAtFixedRate(this::send, 0, SEND_INTERVAL_MS, TimeUnit.MILLISECONDS);
         TimeUnit.NANOSECONDS.sleep(until - System.nanoTime());
         sending.cancel(false);
     }
 
     /** Every request has ended, well or not. */
-    private void allEnded() throws Exception {
+    private void awaitAllEnded() throws Exception {
         threads.shutdown();
-        for (Sent s : sent.values()) {
-            while (s.endedAt == 0) {
-                TimeUnit.MILLISECONDS.sleep(EVERY_MS);
+        for (SentRequest s : requests.values()) {
+            while (s.endedAtNs == 0) {
+                TimeUnit.MILLISECONDS.sleep(SEND_INTERVAL_MS);
             }
         }
     }
 
     /** Since that moment each request has to end in its time, those unread at that end excepted till then. */
-    private void inTime(long from, long resumed) {
-        for (Map.Entry<String, Sent> e : sent.entrySet()) {
-            Sent s = e.getValue();
-            String what = e.getKey() + ", sent " + ms(s.at - from) + " ms behind the stop, ended " + s.status
-                    + " after " + ms(s.endedAt - s.at) + " ms: ";
+    private void assertInTime(long from, long resumed) {
+        for (Map.Entry<String, SentRequest> e : requests.entrySet()) {
+            SentRequest s = e.getValue();
+            String what = e.getKey() + ", sent " + toMs(s.sentAtNs - from) + " ms behind the stop, ended " + s.status
+                    + " after " + toMs(s.endedAtNs - s.sentAtNs) + " ms: ";
             assertTrue(s.status.matches("200|503|502|504"), what + "no answer");
             assertTrue(s.attempts().size() <= 1, what + "sent on twice");
-            s.attempts().forEach(a -> assertTrue(a.at() <= s.endedAt, what + "sent on behind its answer"));
-            if (s.at >= from) {
-                assertTrue(s.endedAt <= Math.max(s.at + TIMEOUT_NS, resumed) + SLACK_NS, what + "late");
-                s.attempts().forEach(a -> toldTheTruth(s, a, what));
+            s.attempts().forEach(a -> assertTrue(a.receivedAtNs() <= s.endedAtNs, what + "sent on behind its answer"));
+            if (s.sentAtNs >= from) {
+                assertTrue(s.endedAtNs <= Math.max(s.sentAtNs + TIMEOUT_NS, resumed) + SLACK_NS, what + "late");
+                s.attempts().forEach(a -> assertTimeoutWithinDeadline(s, a, what));
             }
         }
     }
 
-    private static void toldTheTruth(Sent s, Attempt a, String what) {
-        long left = s.at + TIMEOUT_NS - a.at();
+    private static void assertTimeoutWithinDeadline(SentRequest s, Attempt a, String what) {
+        long left = s.sentAtNs + TIMEOUT_NS - a.receivedAtNs();
         assertTrue(
-                a.toldNs() <= left + TOLD_SLACK_NS,
-                what + "its attempt was given " + ms(a.toldNs()) + " ms, when " + ms(left) + " were left");
+                a.requestTimeoutNs() <= left + REQUEST_TIMEOUT_SLACK_NS,
+                what + "its attempt was given " + toMs(a.requestTimeoutNs()) + " ms, when " + toMs(left)
+                        + " were left");
     }
 
-    private void servedFrom(long time) {
-        List<Sent> later = sent.values().stream().filter(s -> s.at > time).toList();
+    private void assertServedSince(long time) {
+        List<SentRequest> later =
+                requests.values().stream().filter(s -> s.sentAtNs > time).toList();
         long served = later.stream().filter(s -> s.status.equals("200")).count();
         assertTrue(
-                served >= SERVED * later.size(),
+                served >= MIN_SERVED_SHARE * later.size(),
                 "a second behind the standstill " + served + " of " + later.size() + " were served");
     }
 
-    private static long ms(long ns) {
+    private static long toMs(long ns) {
         return TimeUnit.NANOSECONDS.toMillis(ns);
     }
 
-    private long standStill(long ms) throws Exception {
+    private long stopUnderLoad(long ms) throws Exception {
         process.signal("STOP");
-        load(ms);
+        sendLoad(ms);
         long resumed = System.nanoTime();
         process.signal("CONT");
         return resumed;
@@ -223,41 +225,41 @@
     /** The backend answers nothing of what comes then: only the proxy's own reckoning ends that in time. */
     @ParameterizedTest
     @ValueSource(longs = {300, 1000, 3000})
-    void whatIsReadBehindAStandstillIsDatedByItsBeginning(long standstillMs) throws Exception {
-        load(1000);
+    void requestsReadAfterAStandstillCountFromItsStart(long standstillMs) throws Exception {
+        sendLoad(1000);
         long stopped = System.nanoTime();
-        hanging = true;
-        long resumed = standStill(standstillMs);
-        hanging = false;
-        load(500);
-        allEnded();
-        inTime(stopped, resumed);
+        isHanging = true;
+        long resumed = stopUnderLoad(standstillMs);
+        isHanging = false;
+        sendLoad(500);
+        awaitAllEnded();
+        assertInTime(stopped, resumed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {300, 1000, 3000})
-    void serviceIsBackASecondBehindAStandstill(long standstillMs) throws Exception {
-        load(1000);
+    void servesAgainWithinASecondOfAStandstill(long standstillMs) throws Exception {
+        sendLoad(1000);
         long stopped = System.nanoTime();
-        long resumed = standStill(standstillMs);
-        load(TimeUnit.NANOSECONDS.toMillis(BACK_NS) + 1000);
-        allEnded();
-        inTime(stopped, resumed);
-        servedFrom(resumed + BACK_NS);
+        long resumed = stopUnderLoad(standstillMs);
+        sendLoad(TimeUnit.NANOSECONDS.toMillis(MAX_RECOVERY_NS) + 1000);
+        awaitAllEnded();
+        assertInTime(stopped, resumed);
+        assertServedSince(resumed + MAX_RECOVERY_NS);
     }
 
     @Test
-    void aProcessWithATenthOfItsTimeAnswersInTime() throws Exception {
-        load(1000);
+    void respondsInTimeWithATenthOfItsProcessorTime() throws Exception {
+        sendLoad(1000);
         long slowed = System.nanoTime();
         for (int i = 0; i < 50; i++) {
-            standStill(90);
-            load(10);
+            stopUnderLoad(90);
+            sendLoad(10);
         }
         long resumed = System.nanoTime();
-        load(TimeUnit.NANOSECONDS.toMillis(BACK_NS) + 1000);
-        allEnded();
-        inTime(slowed, slowed);
-        servedFrom(resumed + BACK_NS);
+        sendLoad(TimeUnit.NANOSECONDS.toMillis(MAX_RECOVERY_NS) + 1000);
+        awaitAllEnded();
+        assertInTime(slowed, slowed);
+        assertServedSince(resumed + MAX_RECOVERY_NS);
     }
 }
--- a/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
@@ -28,7 +28,7 @@
     private static final int PIPE_BYTES = 64 << 10;
 
     /** Long enough for a start to come to its listeners and fail there. */
-    private static final long FIRST_FAILURES_MS = 1500;
+    private static final long STARTUP_FAILURE_MS = 1500;
 
     @TempDir
     Path folder;
@@ -47,75 +47,75 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "EMFILE"})
-    void servesAgainOnceSocketsCanBeMade(ErrorNumber error) throws Exception {
+    void recoversFromSocketFailures(ErrorNumber error) throws Exception {
         proxy.start().awaitReady();
         proxy.faults.fail(SystemCall.SOCKET, error);
         for (int i = 0; i < REQUESTS; i++) {
-            assertTrue(proxy.ask() != 200, "a backend was reached with no socket");
+            assertTrue(proxy.sendRequest() != 200, "a backend was reached with no socket");
         }
-        proxy.awaitFigure("descriptors_backends", 0);
+        proxy.awaitMetric("descriptors_backends", 0);
         proxy.faults.heal(SystemCall.SOCKET);
         proxy.awaitServing(20);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "EACCES"})
-    void servesAgainOnceConnectsWork(ErrorNumber error) throws Exception {
+    void recoversFromConnectFailures(ErrorNumber error) throws Exception {
         proxy.start().awaitReady();
         proxy.faults.fail(SystemCall.CONNECT, error);
         for (int i = 0; i < REQUESTS; i++) {
-            proxy.ask();
+            proxy.sendRequest();
         }
-        proxy.awaitFigure("descriptors_backends", 0);
+        proxy.awaitMetric("descriptors_backends", 0);
         proxy.faults.heal(SystemCall.CONNECT);
         proxy.awaitServing(20);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "EMFILE"})
-    void eachClientIsAcceptedThoughOneAcceptInThreeFails(ErrorNumber error) throws Exception {
+    void everyClientIsAcceptedWhileOneAcceptInThreeFails(ErrorNumber error) throws Exception {
         proxy.start().awaitReady();
         proxy.awaitServing(1);
         proxy.faults.failOneIn(3, SystemCall.ACCEPT, error);
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals(200, proxy.ask(), proxy::said);
+            assertEquals(200, proxy.sendRequest(), proxy::logText);
         }
-        proxy.endsWell();
+        proxy.assertCleanExit();
     }
 
     @Test
-    void servesAndEndsThoughNobodyReadsItsLogAndItsPipeIsFull() throws Exception {
+    void servesAndExitsWhileItsLogPipeIsFull() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (RandomAccessFile bothEnds = new RandomAccessFile(pipe.toFile(), "rw")) {
             bothEnds.write(new byte[PIPE_BYTES]);
             proxy.start(ProcessBuilder.Redirect.appendTo(pipe.toFile()));
             proxy.awaitServing(5);
-            proxy.endsWell();
+            proxy.assertCleanExit();
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"EIO", "ENOSPC", "EPIPE"})
-    void servesAndEndsThoughItsLogCannotBeWritten(ErrorNumber error) throws Exception {
+    void servesAndExitsWhileItsLogCannotBeWritten(ErrorNumber error) throws Exception {
         proxy.faults.fail(SystemCall.WRITE_LOG, error);
         proxy.start();
         proxy.awaitServing(5);
-        proxy.endsWell();
+        proxy.assertCleanExit();
     }
 
     @ParameterizedTest
     @EnumSource(names = {"SOCKET", "BIND", "LISTEN"})
-    void startsThoughListeningFailsAtFirst(SystemCall call) throws Exception {
+    void startsAfterInitialListenFailures(SystemCall call) throws Exception {
         proxy.faults.fail(call, ErrorNumber.ENOBUFS);
         proxy.start().awaitLine("configured: ");
-        TimeUnit.MILLISECONDS.sleep(FIRST_FAILURES_MS);
+        TimeUnit.MILLISECONDS.sleep(STARTUP_FAILURE_MS);
         proxy.faults.heal(call);
         proxy.awaitReady().awaitServing(1);
     }
 
     @Test
-    void aConfigurationThatIsHalfWrittenAtItsSignalIsReadAgain() throws Exception {
+    void partlyWrittenConfigurationIsReadAgain() throws Exception {
         proxy.start().awaitReady();
         Path file = folder.resolve("config.json");
         String whole = Files.readString(file);
