--- a/src/test/java/gullspar/proxy/OrdinaryUser.java
+++ b/src/test/java/gullspar/proxy/UnprivilegedUser.java
@@ -11,17 +11,17 @@
 import java.util.stream.Stream;
 
 /** Starts the program as a platform does: as a user without special rights, also where the tests run as root. */
-final class OrdinaryUser {
-    private static final String NOBODY = "65534";
+final class UnprivilegedUser {
+    private static final String NOBODY_ID = "65534";
     /** What a user without rights cannot read of this process's class path is copied, once a run. */
-    private static final String CLASS_PATH = readableClassPath();
+    private static final String CLASS_PATH = copyClassPath();
 
-    private OrdinaryUser() {}
+    private UnprivilegedUser() {}
 
     /** Goes ahead of a command that such a user is to run; nothing where this process is one's. */
-    static List<String> asOrdinaryUser() throws IOException {
+    static List<String> commandPrefix() throws IOException {
         return isRoot()
-                ? List.of("setpriv", "--reuid=" + NOBODY, "--regid=" + NOBODY, "--clear-groups", "--")
+                ? List.of("setpriv", "--reuid=" + NOBODY_ID, "--regid=" + NOBODY_ID, "--clear-groups", "--")
                 : List.of();
     }
 
@@ -31,8 +31,8 @@
     }
 
     /** The command that starts the program, with options of the runtime ahead of its own. */
-    static List<String> serve(List<String> options) throws IOException {
-        List<String> command = new ArrayList<>(asOrdinaryUser());
+    static List<String> serveCommand(List<String> options) throws IOException {
+        List<String> command = new ArrayList<>(commandPrefix());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-Xlog:disable", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m"));
         command.addAll(options);
@@ -45,19 +45,19 @@
     }
 
     /** A folder that such a user may read; what is in it need not be its own. */
-    static void opened(Path folder) throws IOException {
+    static void makeReadable(Path folder) throws IOException {
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
     /** A folder that such a user may write to, as it may to $TMPDIR. */
-    static void writable(Path folder) throws IOException {
+    static void makeWritable(Path folder) throws IOException {
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxrwxrwx"));
     }
 
-    private static String readableClassPath() {
+    private static String copyClassPath() {
         try {
             Path copy = Files.createTempDirectory("gullspar-class-path");
-            opened(copy);
+            makeReadable(copy);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> delete(copy)));
             List<String> entries = new ArrayList<>();
             for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
--- a/src/test/java/gullspar/proxy/backend/PassedOnTest.java
+++ b/src/test/java/gullspar/proxy/backend/StreamedResponseTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.api.Test;
 
 /** An answer has come whole, and its client has not taken all of it yet. */
-class PassedOnTest {
+class StreamedResponseTest {
     private static final int LENGTH = 300_000;
 
     private final Backend backend = new Backend();
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Connection connection = new Connection(backend, channel.eventLoop(), () -> 1, 1);
-    private final List<Answer> answers = new ArrayList<>();
+    private final List<BackendResponse> responses = new ArrayList<>();
 
-    private void attempt() {
+    private void startAttempt() {
         Message m =
                 Message.whole(HttpMethod.GET, "/look", new DefaultHttpHeaders(), new Body(new BodyBudget(1000), 1000));
-        connection.begin(new Attempt(
+        connection.start(new Attempt(
                 backend,
                 m,
                 channel.eventLoop(),
@@ -40,12 +40,12 @@
                 Long.MAX_VALUE,
                 new Attempt.Listener() {
                     @Override
-                    public void ended(Attempt a, Status status, Report report, Answer answer) {
-                        answers.add(answer);
+                    public void onEnd(Attempt a, Status status, Report report, BackendResponse answer) {
+                        responses.add(answer);
                     }
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isNeeded() {
                         return true;
                     }
                 },
@@ -53,41 +53,41 @@
         channel.releaseOutbound();
     }
 
-    private void answer(int length) {
+    private void writeResponse(int length) {
         ByteBuf bytes = Unpooled.buffer();
         bytes.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n", StandardCharsets.US_ASCII);
         channel.writeInbound(bytes.writeZero(length));
     }
 
     @Test
-    void itsConnectionIsReadAndUsedAgainAndLivesOnWhenItsClientLeaves() {
-        connection.opening(channel);
-        connection.openOn(channel);
-        attempt();
-        answer(LENGTH);
-        assertEquals(1, answers.size());
-        assertTrue(answers.get(0).rest().paused(), "nobody has taken anything");
+    void connectionOfAReceivedResponseIsReusedAndSurvivesItsClient() {
+        connection.setChannel(channel);
+        connection.initPipeline(channel);
+        startAttempt();
+        writeResponse(LENGTH);
+        assertEquals(1, responses.size());
+        assertTrue(responses.get(0).rest().paused(), "nobody has taken anything");
         assertTrue(channel.config().isAutoRead());
         assertEquals(connection, backend.idle.peekFirst());
         backend.idle.pollFirst();
-        attempt();
-        answers.get(0).rest().drop();
+        startAttempt();
+        responses.get(0).rest().drop();
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "it carries another's attempt");
-        answer(10);
-        assertEquals(2, answers.size());
-        assertEquals(10, answers.get(1).body().length);
+        writeResponse(10);
+        assertEquals(2, responses.size());
+        assertEquals(10, responses.get(1).body().length);
     }
 
     @Test
-    void anAnswerThatNobodyWantsAndIsStillComingEndsItsConnection() {
-        connection.opening(channel);
-        connection.openOn(channel);
-        attempt();
+    void droppingAnIncompleteResponseClosesItsConnection() {
+        connection.setChannel(channel);
+        connection.initPipeline(channel);
+        startAttempt();
         ByteBuf bytes = Unpooled.buffer();
         bytes.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n", StandardCharsets.US_ASCII);
         channel.writeInbound(bytes.writeZero(LENGTH / 2));
-        answers.get(0).rest().drop();
+        responses.get(0).rest().drop();
         channel.runPendingTasks();
         assertFalse(channel.isOpen());
     }
--- a/src/test/java/gullspar/proxy/client/BodiesGivenBackTest.java
+++ b/src/test/java/gullspar/proxy/client/BodiesGivenBackTest.java
@@ -7,8 +7,8 @@
 import gullspar.proxy.config.Classes;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.http.Message;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -50,7 +50,7 @@
                 new Platform(new EmbeddedChannel().eventLoop(), () -> 1, null, line -> {}),
                 config,
                 new Classes(config),
-                new Sockets(100).clients,
+                new DescriptorLimits(100).clients,
                 taker,
                 () -> true);
     }
--- a/src/test/java/gullspar/proxy/client/CrossingTest.java
+++ b/src/test/java/gullspar/proxy/client/CrossingTest.java
@@ -8,8 +8,8 @@
 import gullspar.proxy.config.Classes;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.http.Message;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -51,7 +51,12 @@
             public void onClientLeft(Client client) {}
         };
         Frontend frontend = loop.submit(() -> new Frontend(
-                        Platform.of(loop), config, new Classes(config), new Sockets(100).clients, taker, () -> true))
+                        Platform.of(loop),
+                        config,
+                        new Classes(config),
+                        new DescriptorLimits(100).clients,
+                        taker,
+                        () -> true))
                 .get(20, TimeUnit.SECONDS);
         InetSocketAddress at = (InetSocketAddress) loop.submit(frontend::listen)
                 .get(20, TimeUnit.SECONDS)
--- a/src/test/java/gullspar/proxy/io/AcceptFailuresTest.java
+++ b/src/test/java/gullspar/proxy/io/AcceptBackoffTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A listener on a clock of its own whose accepts fail. */
-class AcceptFailuresTest {
+class AcceptBackoffTest {
     private final AtomicInteger closed = new AtomicInteger();
-    private final AcceptFailures failures = new AcceptFailures(() -> closed.incrementAndGet() > 0);
-    private final EmbeddedChannel listener = new EmbeddedChannel(failures);
+    private final AcceptBackoff backoff = new AcceptBackoff(() -> closed.incrementAndGet() > 0);
+    private final EmbeddedChannel listener = new EmbeddedChannel(backoff);
 
-    AcceptFailuresTest() {
+    AcceptBackoffTest() {
         listener.freezeTime();
     }
 
@@ -31,30 +31,30 @@
     }
 
     @Test
-    void acceptingRestsForMillisecondsAfterAFailure() {
+    void acceptingPausesBrieflyAfterAFailure() {
         fail();
-        assertTrue(failures.pausing());
+        assertTrue(backoff.isPaused());
         assertFalse(listener.config().isAutoRead());
-        assertTrue(acceptsAfter(AcceptFailures.FIRST_PAUSE_MS));
-        assertFalse(failures.pausing());
-        assertEquals(1, failures.failures());
+        assertTrue(acceptsAfter(AcceptBackoff.INITIAL_BACKOFF_MS));
+        assertFalse(backoff.isPaused());
+        assertEquals(1, backoff.failureCount());
     }
 
     @Test
-    void restsGrowToABoundWhileFailuresGoOnAndBeginAnewBehindAConnection() {
+    void backoffGrowsToItsMaximumAndIsResetByAnAcceptedConnection() {
         for (int i = 0; i < 10; i++) {
             fail();
-            assertTrue(acceptsAfter(AcceptFailures.LONGEST_PAUSE_MS));
+            assertTrue(acceptsAfter(AcceptBackoff.MAX_BACKOFF_MS));
         }
         listener.writeInbound("a connection");
         fail();
-        assertTrue(acceptsAfter(AcceptFailures.FIRST_PAUSE_MS));
+        assertTrue(acceptsAfter(AcceptBackoff.INITIAL_BACKOFF_MS));
     }
 
     @Test
-    void eachFailureGivesBackAnIdleDescriptor() {
+    void eachFailureClosesAnIdleConnection() {
         fail();
-        acceptsAfter(AcceptFailures.FIRST_PAUSE_MS);
+        acceptsAfter(AcceptBackoff.INITIAL_BACKOFF_MS);
         fail();
         assertEquals(2, closed.get());
     }
--- a/src/test/java/gullspar/proxy/io/ClassArchiveTest.java
+++ b/src/test/java/gullspar/proxy/io/ClassArchiveTest.java
@@ -19,12 +19,12 @@
     }
 
     @Test
-    void whereNoneIsNamedThereIsNone() throws Exception {
+    void noneWithoutTheOption() throws Exception {
         assertEquals(ClassArchive.NONE, of("java\0-jar\0a.jar\0", "7f00-7f01 r--p 0 08:01 1 /lib/a.so\n"));
     }
 
     @Test
-    void theLastThatIsNamedCountsAndIsUsedIfItIsMapped() throws Exception {
+    void theLastOptionCountsAndIsUsedIfItsFileIsMapped() throws Exception {
         Path archive = folder.resolve("b.jsa");
         String line = "java\0-XX:SharedArchiveFile=a.jsa\0-XX:SharedArchiveFile=" + archive + "\0-jar\0a.jar\0";
         assertEquals(ClassArchive.USED, of(line, "7f00-7f01 r--p 0 08:01 1          " + archive + "\n"));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whereTheSystemDoesNotTellThereIsNone() {
+    void noneWhereProcFilesCannotBeRead() {
         assertEquals(ClassArchive.NONE, ClassArchive.of(folder.resolve("none"), folder.resolve("none")));
     }
 }
--- a/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
+++ b/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
@@ -37,15 +37,15 @@
         }
     });
 
-    private void line(String text) {
+    private void writeLine(String text) {
         byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
         stream.write(bytes, 0, bytes.length);
     }
 
     @Test
-    void aStalledSinkKeepsNobodyWaitingAndWhatWasLostIsTold() throws Exception {
+    void stalledSinkDoesNotBlockWritersAndDropsAreReported() throws Exception {
         for (int i = 0; i < LINES; i++) {
-            line("line " + i);
+            writeLine("line " + i);
         }
         assertFalse(stream.drain(10), "the sink takes nothing");
         long lost = stream.dropped();
@@ -65,13 +65,13 @@
     }
 
     @Test
-    void aSinkThatFailsForAWhileLosesJustThatWhile() throws Exception {
+    void onlyWritesDuringASinkFailureAreDropped() throws Exception {
         fails.set(true);
-        line("lost");
+        writeLine("lost");
         assertTrue(stream.drain(10_000));
         fails.set(false);
         mayWrite.release(2);
-        line("kept");
+        writeLine("kept");
         assertTrue(stream.drain(10_000));
         assertEquals("dropped from this log: 1\nkept\n", written.toString());
     }
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -36,30 +36,30 @@
     private static final int TIMERS = 200;
     private final ServingLoop serving = ServingLoop.start();
     /** What the loop did, in order, and how long what it read had waited. */
-    private final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
     private final List<Socket> clients = new ArrayList<>();
-    private final CountDownLatch go = new CountDownLatch(1);
-    private volatile LongConsumer whileReading = age -> {};
+    private final CountDownLatch resume = new CountDownLatch(1);
+    private volatile LongConsumer onRead = age -> {};
     private ServerSocket backend;
     private Channel listener;
     private InetSocketAddress address;
 
-    private record Seen(String what, long ageNs) {}
+    private record Event(String what, long ageNs) {}
 
-    private final class Notes extends ChannelInboundHandlerAdapter {
+    private final class EventRecorder extends ChannelInboundHandlerAdapter {
         private final String what;
 
-        Notes(String what) {
+        EventRecorder(String what) {
             this.what = what;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            long age = serving.unread().ns();
+            long age = serving.unreadAge().ns();
             ((ByteBuf) message).release();
-            seen.add(new Seen(what, age));
-            whileReading.accept(age);
+            events.add(new Event(what, age));
+            onRead.accept(age);
         }
     }
 
@@ -72,14 +72,14 @@
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object message) {
-                        seen.add(new Seen("accept", serving.unread().ns()));
+                        events.add(new Event("accept", serving.unreadAge().ns()));
                         ctx.fireChannelRead(message);
                     }
                 })
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Notes("client"));
+                        c.pipeline().addLast(new EventRecorder("client"));
                     }
                 })
                 .bind(InetAddress.getLoopbackAddress(), 0)
@@ -90,7 +90,7 @@
 
     @AfterEach
     void end() throws Exception {
-        go.countDown();
+        resume.countDown();
         for (Socket s : clients) {
             s.close();
         }
@@ -104,19 +104,19 @@
         return s;
     }
 
-    private Socket accepted() throws Exception {
+    private Socket connectAndAccept() throws Exception {
         Socket s = connect();
-        assertEquals("accept", next().what());
+        assertEquals("accept", nextEvent().what());
         serving.loop().submit(() -> {}).get(); // registered
         return s;
     }
 
     /** A connection that the loop opens; this is its other end. */
-    private Socket opened() throws Exception {
+    private Socket openOutbound() throws Exception {
         new Bootstrap()
                 .group(serving.loop())
                 .channel(NioSocketChannel.class)
-                .handler(new Notes("answer"))
+                .handler(new EventRecorder("answer"))
                 .connect(backend.getLocalSocketAddress())
                 .sync();
         Socket s = backend.accept();
@@ -124,8 +124,8 @@
         return s;
     }
 
-    private Seen next() throws InterruptedException {
-        Seen s = seen.poll(20, TimeUnit.SECONDS);
+    private Event nextEvent() throws InterruptedException {
+        Event s = events.poll(20, TimeUnit.SECONDS);
         if (s == null) {
             throw new AssertionError("the loop read nothing");
         }
@@ -133,138 +133,138 @@
     }
 
     /** The loop stands still until it may go on. */
-    private Future<?> standStill() throws Exception {
-        CountDownLatch still = new CountDownLatch(1);
+    private Future<?> blockLoop() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         Future<?> task = serving.loop().submit(() -> {
-            still.countDown();
+            blocked.countDown();
             try {
-                go.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        still.await();
+        blocked.await();
         return task;
     }
 
     @Test
-    void timersAreWaitedForAndNotPolled() throws Exception {
+    void loopSleepsUntilTimersAreDue() throws Exception {
         CountDownLatch done = new CountDownLatch(TIMERS);
         long[] turns = new long[2];
         serving.loop()
                 .submit(() -> {
-                    turns[0] = serving.figures().turns();
-                    again(done);
+                    turns[0] = serving.statistics().turns();
+                    reschedule(done);
                 })
                 .get();
         assertTrue(done.await(50, TimeUnit.SECONDS));
         serving.loop()
                 .submit(() -> {
-                    turns[1] = serving.figures().turns();
+                    turns[1] = serving.statistics().turns();
                 })
                 .get();
         assertTrue(turns[1] - turns[0] <= 3 * TIMERS, (turns[1] - turns[0]) + " turns for " + TIMERS + " timers");
     }
 
-    private void again(CountDownLatch done) {
+    private void reschedule(CountDownLatch done) {
         done.countDown();
         if (done.getCount() > 0) {
-            serving.loop().schedule(() -> again(done), 1_400, TimeUnit.MICROSECONDS);
+            serving.loop().schedule(() -> reschedule(done), 1_400, TimeUnit.MICROSECONDS);
         }
     }
 
     @Test
-    void afterAStandstillAnswersComeFirstThenClientsThenNewConnections() throws Exception {
-        Socket client = accepted();
-        Socket server = opened();
-        standStill();
+    void afterAStandstillResponsesAreServedBeforeClientsAndNewConnections() throws Exception {
+        Socket client = connectAndAccept();
+        Socket server = openOutbound();
+        blockLoop();
         connect();
         client.getOutputStream().write(1);
         server.getOutputStream().write(1);
-        go.countDown();
-        assertEquals("answer", next().what());
-        assertEquals("client", next().what());
-        assertEquals("accept", next().what());
+        resume.countDown();
+        assertEquals("answer", nextEvent().what());
+        assertEquals("client", nextEvent().what());
+        assertEquals("accept", nextEvent().what());
     }
 
     @Test
-    void whatLayUnreadIsDatedByTheLastLook() throws Exception {
-        Socket client = accepted();
-        standStill();
+    void unreadDataCountsFromTheLastPoll() throws Exception {
+        Socket client = connectAndAccept();
+        blockLoop();
         long sent = System.nanoTime();
         client.getOutputStream().write(1);
         TimeUnit.MILLISECONDS.sleep(300);
         long waited = System.nanoTime() - sent;
-        go.countDown();
-        assertTrue(next().ageNs() >= waited);
+        resume.countDown();
+        assertTrue(nextEvent().ageNs() >= waited);
     }
 
     @Test
-    void whatANewConnectionBringsIsDatedByTheLookThatFoundTheConnection() throws Exception {
-        standStill();
+    void dataOnANewConnectionCountsFromThePollThatFoundTheConnection() throws Exception {
+        blockLoop();
         long sent = System.nanoTime();
         connect().getOutputStream().write(1);
         TimeUnit.MILLISECONDS.sleep(300);
         long waited = System.nanoTime() - sent;
-        go.countDown();
-        assertEquals("accept", next().what());
-        assertTrue(next().ageNs() >= waited);
+        resume.countDown();
+        assertEquals("accept", nextEvent().what());
+        assertTrue(nextEvent().ageNs() >= waited);
     }
 
     @Test
-    void newConnectionsBeyondOneTurnsShareKeepTheirDate() throws Exception {
-        standStill();
+    void connectionsAcceptedInLaterTurnsKeepTheirAge() throws Exception {
+        blockLoop();
         long sent = System.nanoTime();
         for (int i = 0; i < 40; i++) {
             connect().getOutputStream().write(1);
         }
         TimeUnit.MILLISECONDS.sleep(300);
         long waited = System.nanoTime() - sent;
-        go.countDown();
+        resume.countDown();
         int read = 0;
         while (read < 40) {
-            Seen s = next();
+            Event s = nextEvent();
             read += s.what().equals("client") ? 1 : 0;
             assertTrue(s.ageNs() >= waited / 2, s + " of " + waited);
         }
     }
 
     @Test
-    void whatEndsALongWaitHasJustCome() throws Exception {
-        Socket client = accepted();
+    void dataThatEndsALongWaitHasJustArrived() throws Exception {
+        Socket client = connectAndAccept();
         long idleSince = System.nanoTime();
         TimeUnit.MILLISECONDS.sleep(800);
         long idle = System.nanoTime() - idleSince;
         client.getOutputStream().write(1);
-        assertTrue(next().ageNs() < idle, "dated by the beginning of the wait");
+        assertTrue(nextEvent().ageNs() < idle, "dated by the beginning of the wait");
     }
 
     @Test
-    void clientsAreReadForABoundedTimeAndNoneIsForgotten() throws Exception {
+    void clientReadsPerTurnAreBoundedAndEveryClientIsRead() throws Exception {
         List<Socket> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            many.add(accepted());
+            many.add(connectAndAccept());
         }
-        Socket server = opened();
+        Socket server = openOutbound();
         AtomicBoolean answered = new AtomicBoolean();
-        standStill();
+        blockLoop();
         for (Socket s : many) {
             s.getOutputStream().write(1);
         }
-        whileReading = age -> {
+        onRead = age -> {
             if (answered.compareAndSet(false, true)) {
                 write(server); // an answer that comes while clients are read
             }
-            busy(OrderedNioHandler.READING_NS / 4);
+            spin(OrderedNioHandler.MAX_CLIENT_READ_NS / 4);
         };
-        go.countDown();
+        resume.countDown();
         List<String> order = new ArrayList<>();
         for (int i = 0; i < 12 + 1; i++) {
-            order.add(next().what());
+            order.add(nextEvent().what());
         }
         assertTrue(order.indexOf("answer") < 12, "all clients were read before the answer: " + order);
         assertEquals(12, order.stream().filter("client"::equals).count());
-        assertTrue(serving.loop().submit(() -> serving.figures().postponed()).get() > 0);
+        assertTrue(serving.loop().submit(() -> serving.statistics().postponed()).get() > 0);
     }
 
     private static void write(Socket to) {
@@ -275,7 +275,7 @@
         }
     }
 
-    private static void busy(long ns) {
+    private static void spin(long ns) {
         long until = System.nanoTime() + ns;
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
@@ -284,13 +284,13 @@
 
     @Test
     void aStandstillIsCounted() throws Exception {
-        standStill();
+        blockLoop();
         TimeUnit.MILLISECONDS.sleep(150);
-        go.countDown();
+        resume.countDown();
         serving.loop().schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get(); // a turn later
         long[] found = serving.loop()
                 .submit(() -> new long[] {
-                    serving.figures().standstills(), serving.figures().longestStandstillNs()
+                    serving.statistics().standstills(), serving.statistics().longestStandstillNs()
                 })
                 .get();
         assertTrue(found[0] >= 1);
--- a/src/test/java/gullspar/rehearse/net/NetworkTest.java
+++ b/src/test/java/gullspar/rehearse/net/NetworkTest.java
@@ -47,7 +47,7 @@
         serverLoop = new VirtualLoop(agenda, slips::add);
         server.runs(serverLoop);
         network.transport(server)
-                .at(SERVER)
+                .serverBootstrap(SERVER)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
@@ -115,7 +115,7 @@
 
     private ChannelFuture connect(End e, InetSocketAddress to) {
         return network.transport(client)
-                .to(to)
+                .clientBootstrap(to)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 50)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -422,18 +422,18 @@
 
     private record Filtered(Transport real, Supplier<Filter> filters) implements Transport {
         @Override
-        public Bootstrap to(InetSocketAddress address) {
-            return real.to(address);
+        public Bootstrap clientBootstrap(InetSocketAddress address) {
+            return real.clientBootstrap(address);
         }
 
         @Override
-        public ServerBootstrap at(InetSocketAddress address) {
-            return real.at(address);
+        public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+            return real.serverBootstrap(address);
         }
 
         @Override
-        public Bootstrap datagrams(InetSocketAddress address) {
-            Bootstrap bare = real.datagrams(address);
+        public Bootstrap datagramBootstrap(InetSocketAddress address) {
+            Bootstrap bare = real.datagramBootstrap(address);
             return new Bootstrap() {
                 @Override
                 public Bootstrap handler(ChannelHandler handler) {
--- a/src/test/java/gullspar/rehearse/play/Planted.java
+++ b/src/test/java/gullspar/rehearse/play/Planted.java
@@ -40,8 +40,8 @@
                         p.clock(),
                         new Sockets(p.transport(), accepted, connected),
                         p.log(),
-                        p.unread(),
-                        p.figures()),
+                        p.unreadAge(),
+                        p.statistics()),
                 Progress.NONE);
     }
 
@@ -103,8 +103,8 @@
             Transport real, Supplier<ChannelHandler> accepted, Function<InetSocketAddress, ChannelHandler> connected)
             implements Transport {
         @Override
-        public Bootstrap to(InetSocketAddress address) {
-            Bootstrap bare = real.to(address);
+        public Bootstrap clientBootstrap(InetSocketAddress address) {
+            Bootstrap bare = real.clientBootstrap(address);
             return connected == null
                     ? bare
                     : new Bootstrap() {
@@ -122,8 +122,8 @@
         }
 
         @Override
-        public ServerBootstrap at(InetSocketAddress address) {
-            ServerBootstrap bare = real.at(address);
+        public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+            ServerBootstrap bare = real.serverBootstrap(address);
             return accepted == null
                     ? bare
                     : new ServerBootstrap() {
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameInstantTest.java
@@ -92,7 +92,7 @@
             // Until discovery has spoken nobody is sent to.
             write(atDiscovery, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(1, "in_service")));
             network.transport(network.host("client"))
-                    .to(PROXY)
+                    .clientBootstrap(PROXY)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
@@ -115,7 +115,7 @@
 
         private void listen(String name, InetSocketAddress at, Consumer<ChannelHandlerContext> to) {
             network.transport(network.host(name))
-                    .at(at)
+                    .serverBootstrap(at)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -107,17 +107,17 @@
         Transport tcp = Transport.tcp(loop);
         return new Transport() {
             @Override
-            public Bootstrap to(InetSocketAddress address) {
-                return tcp.to(address);
+            public Bootstrap clientBootstrap(InetSocketAddress address) {
+                return tcp.clientBootstrap(address);
             }
 
             @Override
-            public ServerBootstrap at(InetSocketAddress address) {
-                return tcp.at(address);
+            public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+                return tcp.serverBootstrap(address);
             }
 
             @Override
-            public Bootstrap datagrams(InetSocketAddress address) {
+            public Bootstrap datagramBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
                         .channelFactory(HollowMembers.this::counted)
--- a/src/test/java/gullspar/scale/HollowProxies.java
+++ b/src/test/java/gullspar/scale/HollowProxies.java
@@ -81,14 +81,14 @@
     private Transport counting(Transport tcp) {
         return new Transport() {
             @Override
-            public Bootstrap to(InetSocketAddress address) {
+            public Bootstrap clientBootstrap(InetSocketAddress address) {
                 connects.incrementAndGet();
-                return tcp.to(address);
+                return tcp.clientBootstrap(address);
             }
 
             @Override
-            public ServerBootstrap at(InetSocketAddress address) {
-                return tcp.at(address);
+            public ServerBootstrap serverBootstrap(InetSocketAddress address) {
+                return tcp.serverBootstrap(address);
             }
         };
     }
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -314,7 +314,7 @@
     public Operator publish(String text, long after) {
         Operator o = new Operator(new Message.Publish(after, "f", text));
         network.transport(operators)
-                .to(controls.get(0).address)
+                .clientBootstrap(controls.get(0).address)
                 .handler(new Link(o, 1 << 25))
                 .connect();
         return o;
