--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One try of one request at one backend. */
+/** One attempt to send one request to one backend. */
 public final class Attempt {
     /**
-     * Who hears, once, how an attempt ended. There is an answer if it was served, and with MOOT if the
-     * backend cannot use the request.
+     * Notified once of how an attempt ended. There is a response with OK, and with MOOT if the backend rejected
+     * the request.
      */
     public interface Listener {
         void onEnd(Attempt attempt, Status status, Report report, BackendResponse answer);
 
-        /** Does anybody still wait for it, by all that is known at this moment? Asked before it begins. */
+        /** Is the response still needed, as far as is known now? Checked before the attempt is sent. */
         boolean isNeeded();
     }
 
@@ -37,13 +37,13 @@
     private final Runnable onWritten;
     private Connection connection;
     private ScheduledFuture<?> timer;
-    /** Its last byte is written: from now on it may have run. */
+    /** Its last byte was written: from now on it may have run. */
     private boolean written;
 
     private final long timeoutNs;
-    /** When the time began that it has. */
+    /** Start of its time-out. */
     private long startedAtNs;
-    /** It must have gone out by then. */
+    /** It is not sent after this time. */
     private final long sendByNs;
 
     private boolean sent;
@@ -80,22 +80,22 @@
     }
 
     /**
-     * Its time begins: with the attempt, or, where the request is still coming, with its last byte, as the
-     * protocol counts. Until then both ends must make progress.
+     * Starts the time-out: with the attempt, or, where the request is still being received, with its last byte, as
+     * the protocol defines. Until then both ends must make progress.
      */
     void startTimer() {
         timer = loop.schedule(this::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * May it still go out? Not if it is over or called off, which ends it a moment later, nor once it is too
-     * late for it.
+     * May it still be sent? Not if it has ended, was abandoned (its end follows a moment later), or its time to be
+     * sent has passed.
      */
     boolean canStart() {
         return !hasEnded && !isAbandoned && clock.now() <= sendByNs;
     }
 
-    /** Asks whether anybody still waits for it; where nobody does it goes out no more. */
+    /** Checks whether the response is still needed; if not, the attempt is abandoned. */
     boolean checkNeeded() {
         isAbandoned |= !listener.isNeeded();
         return !isAbandoned;
@@ -106,17 +106,17 @@
         return request;
     }
 
-    /** When its time began, in ns. */
+    /** Start of its time-out. */
     public long startedAtNs() {
         return startedAtNs;
     }
 
-    /** The backend does not read it. */
+    /** Ends it because the backend does not read the request. */
     void failUnread() {
         giveUp(Status.CONNECT_FAILED);
     }
 
-    /** It goes over that connection. */
+    /** Sets the connection that carries it. */
     void setConnection(Connection c) {
         connection = c;
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /** All of it is on its way to be written. */
+    /** All of the request was handed to the channel. */
     void sent() {
         sent = true;
     }
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Takes it back: it ends as cancelled, if it has not ended by then; never within this call. One that has
-     * not gone out does not go out any more, though its connection may come up in this very moment.
+     * Cancels the attempt: it ends as CANCELLED unless it ends otherwise first, never within this call. If it was
+     * not sent yet, it never is, even if its connection opens at this moment.
      */
     public void cancel() {
         isAbandoned = true;
@@ -180,7 +180,7 @@
         listener.onEnd(this, status, report, answer);
     }
 
-    /** The head, and the body as far as it is there. */
+    /** The head, and the body if all of it was received. */
     HttpRequest toHttpRequest() {
         boolean isComplete = request.rest() == null;
         HttpRequest r = isComplete
--- a/src/main/java/gullspar/proxy/backend/Backend.java
+++ b/src/main/java/gullspar/proxy/backend/Backend.java
@@ -4,13 +4,13 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A backend as this side knows it: where it is, whether it has left, and its idle connections. */
+/** A backend as seen by the proxy: its address, whether it has left, and its idle connections. */
 final class Backend {
     InetSocketAddress address;
     long bootNs;
-    /** When this proxy heard that it drains or is gone; 0 while it is in service. */
+    /** When discovery reported that it drains or is gone; 0 while it is in service. */
     long leftAtNs;
-    /** The most recently used last. */
+    /** In order of their last use, the most recent last. */
     final Deque<Connection> idle = new ArrayDeque<>();
 
     void markLeft(long nowNs) {
--- a/src/main/java/gullspar/proxy/backend/BackendResponse.java
+++ b/src/main/java/gullspar/proxy/backend/BackendResponse.java
@@ -3,5 +3,5 @@
 import gullspar.proxy.http.Pieces;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** An answer of a backend: whole, or its beginning, and the rest is still to come; null if there is none. */
+/** A response of a backend: complete, or its start with the rest still being received; rest is null if complete. */
 public record BackendResponse(HttpResponse head, byte[] body, Pieces rest) {}
--- a/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
+++ b/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
@@ -11,16 +11,16 @@
 import java.util.List;
 
 /**
- * Decodes one answer for each request, and sees to it that bytes which belong to none are never taken for the
- * next one's: what is no answer from its first byte on is said at once, and so is what follows a whole one.
+ * Decodes one response for each request, and never takes stray bytes for the response to the next request: bytes
+ * that do not start a response, and bytes after a complete one, are reported at once.
  */
 public final class BackendResponseDecoder extends HttpResponseDecoder {
-    /** Who hears what the decoder itself cannot say. */
+    /** Notified of bytes that are not part of an expected response. */
     public interface Listener {
-        /** Bytes that no answer begins with, or that came while no answer was due. */
+        /** Bytes that do not start a response, or that arrived while none was expected. */
         void onUnexpectedBytes();
 
-        /** Bytes behind a whole answer; again: another answer begins there, so the first one did end. */
+        /** Bytes after a complete response; startsResponse: another response starts there, so the first one did end. */
         void onTrailingBytes(boolean startsResponse);
     }
 
@@ -37,7 +37,7 @@
     private Expected expected = Expected.NOTHING;
     private boolean hasNoBody;
 
-    /** The longest first line and the longest head that it reads, in bytes. */
+    /** Limits the status line and the head, in bytes. */
     public BackendResponseDecoder(Listener listener, int maxStatusLineBytes, int maxHeadBytes) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(maxStatusLineBytes)
@@ -46,7 +46,7 @@
         this.listener = listener;
     }
 
-    /** As expect; to a request whose answer has no body, whatever its head says (HEAD). */
+    /** Expects a response; headOnly: it has no body, whatever its head says (HEAD). */
     public void expectResponse(boolean headOnly) {
         hasNoBody = headOnly;
         expectResponse();
@@ -57,17 +57,17 @@
         return hasNoBody || super.isContentAlwaysEmpty(message);
     }
 
-    /** An answer is due from now on: to the request that is being written, or after an interim one. */
+    /** Expects a response: to the request that is being written, or after an interim response. */
     public void expectResponse() {
         expected = Expected.START;
     }
 
-    /** The answer is whole: what still comes in this go is not part of it. */
+    /** The response is complete: further bytes of this read are not part of it. */
     public void responseComplete() {
         expected = Expected.END;
     }
 
-    /** All that came with the answer has been seen: whatever comes before the next request is noise. */
+    /** The read that completed the response has ended: bytes before the next request are unexpected. */
     public void expectNothing() {
         expected = Expected.NOTHING;
     }
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -22,17 +22,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The backends' side: idle connections, attempts, and what became of them. Every attempt ends exactly once.
- * Nothing is sent again from here.
+ * Sends attempts to backends and keeps idle connections. Every attempt ends exactly once, and none is retried
+ * here.
  */
 public final class Backends {
-    /** An idle connection is closed so long before the backend does it: no request may cross that. */
+    /** Idle connections are closed this long before the backend does, so that no request crosses its close. */
     private static final long KEEP_ALIVE_MARGIN_NS = 1_500_000_000L;
 
     private static final long SWEEP_INTERVAL_MS = 500;
-    /** A connection rests so long behind an answer: a second answer that comes late is not the next one's. */
+    /** A connection is not reused for this long, so that a late duplicate response is not taken for the next one. */
     private static final long REUSE_DELAY_NS = 20_000_000L;
-    /** Where so many connections to a backend are idle, the one that rested longest is used again at once. */
+    /** If this many connections to a backend are idle, the longest idle is reused without that delay. */
     private static final int MAX_SETTLING_CONNECTIONS = 8;
 
     private final EventLoop loop;
@@ -57,7 +57,7 @@
         loop.scheduleAtFixedRate(this::closeExpired, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- the list ----
+    // ---- the list of backends ----
 
     public void update(ListUpdate listUpdate) {
         long nowNs = clock.now();
@@ -71,7 +71,7 @@
             Backend b = backends.computeIfAbsent(l.member().id(), id -> new Backend());
             boolean hasMoved = l.address() != null && !l.address().equals(b.address);
             if (hasMoved || l.member().bootNs() > b.bootNs) {
-                b.closeIdleConnections(); // they lead to a process that is no more
+                b.closeIdleConnections(); // they lead to a process that has ended
             }
             b.address = hasMoved ? l.address() : b.address;
             b.bootNs = l.member().bootNs();
@@ -86,12 +86,12 @@
         }
     }
 
-    /** Backends in the list, those that drain too. */
+    /** Number of listed backends, including draining ones. */
     public int listedCount() {
         return backends.size();
     }
 
-    /** Attempts whose last byte was written. */
+    /** Number of attempts whose last byte was written. */
     public long writtenCount() {
         return writtenCount;
     }
@@ -136,12 +136,12 @@
     }
 
     /**
-     * An idle connection, null if there is none to use. The one idle longest: what a backend closes right
-     * behind an answer, or sends too much, is seen by then. For what may not be repeated the one used last:
-     * a backend that closes what stands idle, sooner than it must, closes that last.
+     * Takes an idle connection, null if none is usable. By default the longest idle: a close right after a response,
+     * or surplus bytes, have been seen by then. For a request that may not be repeated, the most recently used: a
+     * backend that closes idle connections early closes that one last.
      */
     private Connection takeIdle(Backend b, boolean isRepeatable) {
-        // Not left to the sweep: one that stands still would write to what the backend is about to close.
+        // Not left to the timer: after a standstill this would write to what the backend is about to close.
         while (!b.idle.isEmpty()
                 && !(isFresh(b.idle.peekFirst()) && b.idle.peekFirst().isActive())) {
             b.idle.pollFirst().close();
@@ -149,7 +149,7 @@
         Connection found = b.idle.size() < MAX_SETTLING_CONNECTIONS ? null : b.idle.peekFirst();
         for (Connection c : b.idle) {
             if (clock.now() - c.idleSinceNs() < REUSE_DELAY_NS) {
-                break; // nor have those behind it
+                break; // the following ones are more recent
             }
             if (c.isActive() && (found == null || !isRepeatable)) {
                 found = c;
@@ -162,8 +162,8 @@
     // ---- attempts ----
 
     /**
-     * Starts an attempt; it ends later, never within this call. It goes out within so long or not at all;
-     * repeatable: may it run twice?
+     * Starts an attempt; it ends later, never within this call. It is sent within sendWithinNs or not at all;
+     * isRepeatable: may it run twice?
      */
     public Attempt send(
             int server,
@@ -175,7 +175,7 @@
         Attempt a = new Attempt(
                 backends.get(server), request, loop, clock, timeoutNs, sendWithinNs, listener, () -> writtenCount++);
         if (a.backend() == null || !a.checkNeeded()) {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // it, or who asked, is gone since
+            loop.execute(() -> a.end(Status.MOOT, null, null)); // the backend or the client has gone
             return a;
         }
         if (request.rest() == null) {
@@ -187,7 +187,7 @@
         } else if (sockets.tryAcquire()) {
             connect(a);
         } else {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // no fault of the backend's
+            loop.execute(() -> a.end(Status.MOOT, null, null)); // not the backend's fault
         }
         return a;
     }
@@ -204,7 +204,7 @@
                     }
                 });
         ConnectOperation operation = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
-            /** Not within the turn's reading: the end of the client or the news of a drain counts first. */
+            /** Runs after the reads of this turn, so that a client's disconnect or a drain takes effect first. */
             @Override
             public void onConnected() {
                 a.checkNeeded();
@@ -213,7 +213,7 @@
 
             @Override
             public void onFailed(ConnectOperation.Failure failure) {
-                // What this machine lacks is no fault of the backend's.
+                // A shortage on this machine is not the backend's fault.
                 a.end(failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED, null, null);
             }
 
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -25,17 +25,17 @@
 import java.util.Objects;
 import java.util.concurrent.TimeUnit;
 
-/** A connection: carries one attempt at a time. */
+/** A connection to a backend; carries one attempt at a time. */
 final class Connection extends SimpleChannelInboundHandler<HttpObject> implements BackendResponseDecoder.Listener {
-    /** Interim (1xx) answers ahead of one final answer. */
+    /** Interim (1xx) responses before one final response. */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
     private static final int MAX_STATUS_LINE_BYTES = 1024, MAX_HEAD_BYTES = 8 << 10;
-    /** A backend that reads nothing of a request for so long is given up. */
+    /** The attempt fails if the backend reads nothing of the request for this long. */
     private static final long UPLOAD_STALL_TIMEOUT_NS = 2_000_000_000L;
 
     private final Backend backend;
-    /** The process that it leads to: where that was and when it had started. */
+    /** The address and the start time of the process that it leads to. */
     private final InetSocketAddress address;
 
     private final long bootNs;
@@ -50,11 +50,11 @@
     private HttpResponse head;
     private ByteBuf body;
     private int interimCount;
-    /** The answer has ended, but what came with it is still to be seen. */
+    /** The response has ended, but the rest of that read is not yet processed. */
     private boolean isResponseComplete;
 
     private boolean hasTrailingBytes;
-    /** The answer is passed on while it comes; null if it is held, or none comes. */
+    /** The response that is streamed to the client; null if it is buffered, or none is expected. */
     private Pieces rest;
 
     private long streamedBytes;
@@ -71,7 +71,7 @@
         this.drainGraceNs = drainGraceNs;
     }
 
-    /** The channel that it will be, before that is open; null where there is none. */
+    /** Sets the channel before it is open; null if no socket could be created. */
     void setChannel(Channel c) {
         channel = c;
     }
@@ -96,9 +96,9 @@
 
     void start(Attempt a) {
         a.setConnection(this);
-        // Connecting takes time: meanwhile the news may have come that the backend drains or is gone, the
-        // request may be nobody's any more, the time may be over in which its repeats are dropped, and the
-        // backend may have closed again.
+        // While connecting, the backend may have been reported as draining or gone, the request may have been
+        // abandoned, the window in which its repeats are dropped may have ended, and the backend may have closed
+        // the connection.
         if (backend.leftAtNs != 0 && clock.now() - backend.leftAtNs > drainGraceNs || !a.canStart()) {
             channel.close();
             loop.execute(() -> a.end(Status.MOOT, null, null));
@@ -141,7 +141,7 @@
         continueUpload();
     }
 
-    /** It listens before anything is written: within one process an answer may come from inside the write. */
+    /** Adds its listener before the write: within one process a response may arrive during the write. */
     private ChannelPromise writePromise(Attempt a) {
         return channel.newPromise().addListener(f -> onWriteComplete(a, f.isSuccess()));
     }
@@ -153,13 +153,13 @@
         if (success) {
             a.written();
         } else if (attempt == a) {
-            fail(); // before its last byte was handed over: it never ran
+            fail(); // failed before its last byte was written: it never ran
         } else {
             channel.close();
         }
     }
 
-    /** Passes on what has come of the request, as far as the backend takes it. */
+    /** Writes the received part of the request, as far as the backend accepts it. */
     private void continueUpload() {
         Attempt a = attempt;
         Pieces upload = a == null ? null : a.request().rest();
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Some of the body: held, or passed on; false if there is more of it than there may be. */
+    /** Buffers or streams a part of the body; returns false if the body exceeds its limit. */
     private boolean acceptContent(ByteBuf bytes) {
         if (rest == null && bytes.readableBytes() > body.maxWritableBytes() && !startStreaming()) {
             return false;
@@ -231,11 +231,11 @@
         return true;
     }
 
-    /** The answer is too large to be held: the attempt has been served, and the rest is passed on. */
+    /** Ends the attempt with a response too large to be buffered, and streams the rest of it. */
     private boolean startStreaming() {
         Attempt a = attempt;
         if (ResponseHeads.statusOf(head) != Status.OK || !a.isWritten()) {
-            fail(); // nothing of a failure is passed on, nor what comes ahead of the whole request
+            fail(); // neither failures nor responses before the end of the request are streamed
             return false;
         }
         attempt = null;
@@ -251,8 +251,8 @@
     }
 
     /**
-     * Nobody wants the rest of the answer. Once all of it has come the connection may carry another attempt,
-     * which has nothing to do with that.
+     * Closes the connection because the rest of the response is not needed. Once the response is complete the
+     * connection may carry another attempt and stays open.
      */
     private void abortStreaming() {
         if (rest != null) {
@@ -266,8 +266,8 @@
     }
 
     /**
-     * More than the answer's length. If another answer begins there, the first one ended where it said.
-     * Anything else may as well be the rest of its body under too short a length: that is not served.
+     * There are bytes beyond the response's length. If another response starts there, the first one did end. Anything
+     * else may be the rest of a body whose declared length is too short: that response is not served.
      */
     @Override
     public void onTrailingBytes(boolean again) {
@@ -277,7 +277,7 @@
         hasTrailingBytes = true;
     }
 
-    /** Only now is all seen that came with the answer: a connection that holds more is not used again. */
+    /** Completes the response after the whole read: a connection with surplus bytes is not reused. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (isResponseComplete && attempt != null) {
@@ -291,7 +291,7 @@
         Pieces completed = rest;
         rest = null;
         decoder.expectNothing();
-        // What waits for the client is its own matter: the next answer on this connection must be read.
+        // The client may still be reading this response, but the next one on the connection must be read.
         channel.config().setAutoRead(true);
         keepOrClose(true);
         completed.whole();
@@ -315,7 +315,7 @@
         Attempt a = attempt;
         Status status = ResponseHeads.statusOf(head);
         if (status == Status.OK && !a.isWritten()) {
-            fail(); // ahead of the whole request nothing has begun: it is the answer to something else
+            fail(); // a response before the end of the request cannot belong to it
             return;
         }
         byte[] bytes = new byte[body.readableBytes()];
@@ -330,8 +330,8 @@
     }
 
     /**
-     * Ends the attempt before the connection: as it closes, the decoder passes on what it holds, and that
-     * must not make a whole answer of one that was found wanting.
+     * Ends the attempt before closing the connection: on close the decoder emits what it holds, which must not
+     * complete a response that was found invalid.
      */
     private void fail() {
         Attempt a = attempt;
@@ -355,7 +355,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (isResponseComplete && attempt != null) {
-            finishBuffered(); // the end came in the same go
+            finishBuffered(); // the connection ended in the same read
         } else if (isResponseComplete && rest != null) {
             finishStreaming();
         }
--- a/src/main/java/gullspar/proxy/backend/LoadReport.java
+++ b/src/main/java/gullspar/proxy/backend/LoadReport.java
@@ -4,14 +4,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads what a backend says of its load, the header Server-Load. */
+/** Parses the load that a backend reports in the header Server-Load. */
 public final class LoadReport {
-    /** Figures beyond these are no load: a busy share of one is all, and nothing counts a million. */
+    /** Larger values are invalid: a utilization of one is full load, and no count reaches a million. */
     private static final double MAX_UTIL = 100, MAX_COUNT = 1e6;
 
     private LoadReport() {}
 
-    /** The last load report that can be read; null if none can. */
+    /** The last valid load report; null if there is none. */
     public static Report lastValid(List<String> texts) {
         Report last = null;
         for (String text : texts) {
@@ -21,7 +21,7 @@
         return last;
     }
 
-    /** Reads a load report; null if there is none or any of it makes no sense. */
+    /** Parses a load report; null if there is none or any value of it is invalid. */
     public static Report parse(String text) {
         if (text == null) {
             return null;
--- a/src/main/java/gullspar/proxy/backend/ResponseHeads.java
+++ b/src/main/java/gullspar/proxy/backend/ResponseHeads.java
@@ -6,13 +6,13 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** What the head of an answer means. */
+/** Interprets the heads of responses. */
 final class ResponseHeads {
     private ResponseHeads() {}
 
     /**
-     * Does the head tell where its answer ends, within what an answer may hold? One that only the end of the
-     * connection would end cannot be told from one cut short.
+     * Does the head tell where the response ends, within the maximum length? A response that only the end of the
+     * connection delimits cannot be distinguished from a truncated one.
      */
     static boolean hasKnownLength(HttpResponse r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
@@ -30,11 +30,11 @@
         if (code == 200) {
             return Status.OK;
         }
-        // 4xx speaks of the request, not of the backend: no other would take it, and none is worse for it.
+        // 4xx is about the request: every backend would reject it, and it does not count against this one.
         if (code / 100 == 4 && code != 408 && code != 425 && code != 429) {
             return Status.MOOT;
         }
-        // Only the backend's own word proves that the request never ran.
+        // Only the backend's header Not-Started proves that the request never ran.
         return (code == 503 || code == 504) && "1".equals(r.headers().get("Not-Started")) ? Status.FULL : Status.ERROR;
     }
 }
--- a/src/main/java/gullspar/proxy/io/AcceptBackoff.java
+++ b/src/main/java/gullspar/proxy/io/AcceptBackoff.java
@@ -7,8 +7,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Goes on accepting soon after the system refused to: stands ahead of the library's own handler, which rests
- * for a second after each failure, longer than some requests have.
+ * Resumes accepting a few milliseconds after accept() failed. Must precede Netty's own acceptor, which pauses
+ * for a second after each failure: longer than the deadlines of some requests.
  */
 public final class AcceptBackoff extends ChannelInboundHandlerAdapter {
     static final long INITIAL_BACKOFF_MS = 5;
@@ -19,23 +19,23 @@
     private boolean isPaused;
     private long failureCount;
 
-    /** closeOneIdle: gives back a descriptor, if one can be spared. */
+    /** closeOneIdle: closes an idle connection to free a descriptor, if there is one. */
     public AcceptBackoff(BooleanSupplier closeOneIdle) {
         this.closeOneIdle = closeOneIdle;
     }
 
-    /** The same listener, which goes on so; nothing is closed for it. */
+    /** Installs the backoff on a listener, without closing idle connections; returns the same future. */
     public static ChannelFuture addTo(ChannelFuture bindFuture) {
         bindFuture.channel().pipeline().addFirst(new AcceptBackoff(() -> false));
         return bindFuture;
     }
 
-    /** Is accepting resting, so that connections may wait in the system's queue? */
+    /** Is accepting paused, so that connections may be waiting in the kernel's accept queue? */
     public boolean isPaused() {
         return isPaused;
     }
 
-    /** Accepts that failed so far. */
+    /** Number of failed accepts since the start. */
     public long failureCount() {
         return failureCount;
     }
@@ -54,7 +54,7 @@
             return;
         }
         isPaused = true;
-        context.channel().config().setAutoRead(false); // what waits would be reported again and again
+        context.channel().config().setAutoRead(false); // the selector would report pending connections continuously
         context.executor().schedule(() -> resume(context), backoffMs, TimeUnit.MILLISECONDS);
         backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     }
--- a/src/main/java/gullspar/proxy/io/ClassArchive.java
+++ b/src/main/java/gullspar/proxy/io/ClassArchive.java
@@ -8,24 +8,24 @@
 import java.util.stream.Stream;
 
 /**
- * Does the runtime use the archive of classes that it was started with? One that was made for another build
- * or runtime, or whose jar was copied since, is passed over without a word, and each start then takes longer.
+ * Whether the JVM uses the class data sharing archive that it was started with. It silently ignores an archive
+ * made for another build or JVM, or whose jar was copied since; every start then takes longer.
  */
 public enum ClassArchive {
-    /** The command line names none, or this system does not tell. */
+    /** The command line names none, or /proc is not available. */
     NONE,
     USED,
-    /** One is named, and the runtime has not taken it. */
+    /** The command line names one, and the JVM has not mapped it. */
     UNUSED;
 
     private static final String OPTION = "-XX:SharedArchiveFile=";
 
-    /** As this process was started; the system tells by its command line and its mapped files. */
+    /** The state of this process, from its command line and its mapped files in /proc. */
     public static ClassArchive ofThisProcess() {
         return of(Path.of("/proc/self/cmdline"), Path.of("/proc/self/maps"));
     }
 
-    /** By a command line, its words ended by NUL, and the mapped files, one at the end of each line. */
+    /** Reads a command line, its arguments terminated by NUL, and the mapped files, one at the end of each line. */
     static ClassArchive of(Path commandLine, Path maps) {
         try {
             Optional<String> archive = Stream.of(Files.readString(commandLine, StandardCharsets.UTF_8)
--- a/src/main/java/gullspar/proxy/io/ConnectOperation.java
+++ b/src/main/java/gullspar/proxy/io/ConnectOperation.java
@@ -7,33 +7,33 @@
 import java.net.BindException;
 
 /**
- * One try to open a connection. However it ends, also where the system gives no socket for it, its end is told
- * exactly once, on the loop and later than the call, and so is the moment from which it holds no descriptor.
+ * Opens one connection. Its listener is notified exactly once of the result, even if no socket could be created,
+ * and exactly once of the release of its descriptor. Both happen on the loop, never within the call.
  */
 public final class ConnectOperation {
-    /** Hears what becomes of it. */
+    /** Notified of the result. */
     public interface Listener {
         /** The connection is open. */
         default void onConnected() {}
 
-        /** It is not to be had. */
+        /** The connection could not be opened. */
         void onFailed(Failure failure);
 
-        /** No descriptor is held any more, behind a failure or at the end of the connection. */
+        /** The descriptor was released, after a failure or when the connection closed. */
         default void onReleased() {}
     }
 
     /**
-     * Why there is no connection.
+     * Why the connection could not be opened.
      *
-     * @param cause what the system or the library said
-     * @param local whether this machine lacks what a connection needs, whoever is at the other end
+     * @param cause the exception of the operating system or the library
+     * @param isLocal whether this machine lacks a resource, whatever the remote address
      */
     public record Failure(Throwable cause, boolean isLocal) {}
 
     private final EventLoop loop;
     private final Listener listener;
-    /** Null where none could be made. */
+    /** Null if no socket could be created. */
     private Channel channel;
 
     private ConnectOperation(EventLoop loop, Listener listener) {
@@ -41,7 +41,7 @@
         this.listener = listener;
     }
 
-    /** Begins to connect. */
+    /** Starts to connect. */
     public static ConnectOperation start(Bootstrap bootstrap, EventLoop loop, Listener listener) {
         ConnectOperation operation = new ConnectOperation(loop, listener);
         operation.connect(bootstrap);
@@ -58,7 +58,7 @@
         }
         Channel created = connectFuture.channel();
         if (!created.isOpen() && !created.closeFuture().isDone()) {
-            failWithoutChannel(connectFuture.cause()); // the library's stand-in for a channel, which never closes
+            failWithoutChannel(connectFuture.cause()); // Netty's placeholder channel, which never closes
             return;
         }
         channel = created;
@@ -82,12 +82,12 @@
         }
     }
 
-    /** The channel that it opens; null where the system gave no socket for one. */
+    /** The channel that is being opened; null if no socket could be created. */
     public Channel channel() {
         return channel;
     }
 
-    /** Gives it up, or closes the connection that came of it. */
+    /** Cancels connecting, or closes the open connection. */
     public void close() {
         if (channel != null) {
             channel.close();
--- a/src/main/java/gullspar/proxy/io/DescriptorLimits.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -3,15 +3,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The descriptors of the process, a share for each side. Guards against running into the process's limit,
- * where accepting, connecting and discovery would all fail at once, and against clients that connect by
- * hundreds: they must not take the connections to the backends.
+ * Divides the descriptors of the process between clients and backends. Keeps the process below its limit, where
+ * accepting, connecting and discovery would all fail at once, and keeps hundreds of client connections from using
+ * up the descriptors for connections to backends.
  */
 public final class DescriptorLimits {
-    /** Descriptors for the runtime's files, the selector, the listener and discovery; a quarter of a small limit. */
+    /** For the JVM's files, the selector, the listener and discovery; at most a quarter of the limit. */
     private static final int RESERVED_DESCRIPTORS = 64;
 
-    /** A side's share. */
+    /** The descriptors of one side. */
     public static final class Share {
         private final int limit;
         private int openCount;
@@ -21,12 +21,12 @@
             this.limit = Math.max(1, most);
         }
 
-        /** Who closes an idle connection when all are taken; true if there was one. */
+        /** Sets what closes an idle connection when all descriptors are in use; it returns true if there was one. */
         public void onFull(BooleanSupplier closeOneIdle) {
             this.closeOneIdle = closeOneIdle;
         }
 
-        /** Takes a descriptor, of an idle connection if need be; false if none can be had. */
+        /** Acquires a descriptor, closing an idle connection if necessary; returns false if none is available. */
         public boolean tryAcquire() {
             if (openCount >= limit && !closeOneIdle.getAsBoolean()) {
                 return false;
@@ -39,7 +39,7 @@
             openCount--;
         }
 
-        /** Descriptors that are held. */
+        /** Number of descriptors in use. */
         public int openCount() {
             return openCount;
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The larger share: idle and stalled clients hold descriptors too. */
+    /** The larger share, because idle and stalled clients hold descriptors too. */
     public final Share clients;
     /** For connections to backends. */
     public final Share backends;
--- a/src/main/java/gullspar/proxy/io/FileWatcher.java
+++ b/src/main/java/gullspar/proxy/io/FileWatcher.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Hears that a file was replaced or written by looking at it, where nothing else can tell: a process that was
- * started where SIGHUP is ignored never gets it, and would serve by its old configuration for good.
+ * Detects by polling that a file was replaced or written. A process that was started with SIGHUP ignored never
+ * receives it, and would otherwise keep its old configuration for good.
  */
 public final class FileWatcher {
     private static final long POLL_INTERVAL_MS = 500;
 
     private FileWatcher() {}
 
-    /** Calls the action after each change from now on, on a thread of its own that ends with the process. */
+    /** Runs the action after each change from now on, on a daemon thread of its own. */
     public static void watch(Path file, Runnable action) {
         List<Object> initial = fingerprint(file);
         Thread thread = new Thread(
@@ -39,7 +39,7 @@
         thread.start();
     }
 
-    /** What is different once it was written or another was moved there; empty while there is none. */
+    /** Changes when the file is written or replaced; empty while it does not exist. */
     private static List<Object> fingerprint(Path file) {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
--- a/src/main/java/gullspar/proxy/io/InheritedTransport.java
+++ b/src/main/java/gullspar/proxy/io/InheritedTransport.java
@@ -13,8 +13,8 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listener that the platform holds and this process was started with, as descriptor 0: another process that
- * has it too may accept from the same queue, so none of what waits there is lost when one of them ends.
+ * Accepts from a listening socket that the platform holds and passes to this process as descriptor 0. Several
+ * processes may share its accept queue, so no pending connection is lost when one of them exits.
  */
 public final class InheritedTransport implements Transport {
     private final Transport tcp;
@@ -27,11 +27,11 @@
         this.listener = listener;
     }
 
-    /** The sockets of this machine, with that listener; an IOException if descriptor 0 is none. */
+    /** A TCP transport with the inherited listener; throws IOException if descriptor 0 is not a listening socket. */
     public static Transport create(EventLoop loop) throws IOException {
         Channel inherited = System.inheritedChannel();
         if (!(inherited instanceof ServerSocketChannel s)) {
-            throw new IOException("descriptor 0 is no listening socket");
+            throw new IOException("descriptor 0 is not a listening socket");
         }
         return new InheritedTransport(loop, s);
     }
@@ -46,7 +46,7 @@
         return tcp.serverBootstrap(address);
     }
 
-    /** It is bound already, whatever the address: the platform says where clients come. */
+    /** Ignores the address: the inherited socket is already bound by the platform. */
     @Override
     public ChannelFuture listen(InetSocketAddress address, ChannelHandler children) {
         return new ServerBootstrap()
@@ -57,13 +57,13 @@
                 .register();
     }
 
-    /** Stops accepting when it is closed, and leaves the descriptor open until the process ends. */
+    /** Stops accepting when it is closed, but leaves the descriptor open until the process exits. */
     private static final class SharedListener extends NioServerSocketChannel {
         SharedListener(ServerSocketChannel listener) {
             super(listener);
         }
 
-        /** Cancels the key alone: at the close of an inherited channel the runtime gives standard error away. */
+        /** Only cancels the selection key: closing an inherited channel makes the JVM redirect standard error. */
         @Override
         protected void doClose() throws Exception {
             doDeregister();
--- a/src/main/java/gullspar/proxy/io/LibraryLogHandler.java
+++ b/src/main/java/gullspar/proxy/io/LibraryLogHandler.java
@@ -5,9 +5,9 @@
 import java.util.logging.Logger;
 
 /**
- * Writes what libraries log as lines of the proxy's own log. The usual handler puts a date before each, and
- * for the first one loads time zones and locales from files: with no descriptor left that is an Error, which
- * ends the event loop, and done beforehand it costs a start more than a tenth of a second.
+ * Writes log records of libraries to the proxy's own log. The default handler formats dates, for which it loads
+ * time zones and locales from files at the first record: without a free descriptor that throws an Error, which
+ * ends the event loop, and loading them in advance delays each start by more than 0.1 s.
  */
 public final class LibraryLogHandler extends Handler {
     private final Log log = Log.standardError();
--- a/src/main/java/gullspar/proxy/io/ListenRetry.java
+++ b/src/main/java/gullspar/proxy/io/ListenRetry.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Listening at the start, where the system may lack for a moment what a socket needs. */
+/** Retries listening at the start, when the system may briefly lack resources for a socket. */
 public final class ListenRetry {
     private static final long RETRY_INTERVAL_MS = 50;
-    /** A start has 10 s, and its warm-up takes some of them. */
+    /** A start may take 10 s, including its warm-up. */
     private static final long MAX_RETRY_NS = TimeUnit.SECONDS.toNanos(5);
 
     private ListenRetry() {}
 
-    /** Listens, again and again while this machine is short of something; what is wrong for good ends it at once. */
+    /** Listens, and retries while this machine lacks resources; any other failure is returned at once. */
     public static ChannelFuture listen(Supplier<ChannelFuture> listen) {
         long retryUntilNs = System.nanoTime() + MAX_RETRY_NS;
         ChannelFuture bindFuture = listen.get().awaitUninterruptibly();
--- a/src/main/java/gullspar/proxy/io/Log.java
+++ b/src/main/java/gullspar/proxy/io/Log.java
@@ -4,19 +4,19 @@
 import java.io.FileOutputStream;
 import java.io.PrintStream;
 
-/** Where a proxy's own words go, a line each. */
+/** The proxy's own log, written line by line. */
 public interface Log {
     void write(String line);
 
-    /** One line on standard error, with Unix time in ms ahead. */
+    /** Writes each line to standard error, preceded by the Unix time in ms. */
     static Log standardError() {
         return line -> System.err.println(System.currentTimeMillis() + " " + line);
     }
 
     /**
-     * From now on nothing that this process writes to standard error keeps its writer waiting.
+     * Replaces standard error by a stream whose writers never block.
      *
-     * @return what is to be drained before the process ends
+     * @return the stream, to be drained before the process exits
      */
     static NonBlockingStream makeStandardErrorNonBlocking() {
         NonBlockingStream stream = new NonBlockingStream(new FileOutputStream(FileDescriptor.err));
--- a/src/main/java/gullspar/proxy/io/LoopStatistics.java
+++ b/src/main/java/gullspar/proxy/io/LoopStatistics.java
@@ -1,11 +1,11 @@
 package gullspar.proxy.io;
 
 /**
- * What an event loop has done since its start. A turn is one look at the sockets and the work that follows
- * it. Written and read on the loop.
+ * Statistics of an event loop since its start. A turn is one poll of the sockets and the work that follows it.
+ * Written and read on the loop only.
  */
 public final class LoopStatistics {
-    /** Work or a wait that takes so much longer than it should counts as a standstill. */
+    /** Work or an overrun wait of at least this duration counts as a standstill. */
     static final long STANDSTILL_NS = 100_000_000L;
 
     private long turns;
@@ -15,20 +15,20 @@
     private long standstills;
     private long longestStandstillNs;
 
-    /** A look has found so many ready channels. */
+    /** Records a poll that found the given number of ready channels. */
     void recordTurn(int ready) {
         turns++;
         emptyTurns += ready == 0 ? 1 : 0;
         served += ready;
     }
 
-    /** So many ready clients were left for the next turn. */
+    /** Records ready clients that were left for the next turn. */
     void postponed(int clients) {
         postponed += clients;
         served -= clients;
     }
 
-    /** The loop neither looked nor waited for so long; true if that counts as a standstill. */
+    /** Records a period without a poll or wait; returns true if it counts as a standstill. */
     boolean recordStandstill(long ns) {
         if (ns < STANDSTILL_NS) {
             return false;
@@ -38,32 +38,32 @@
         return true;
     }
 
-    /** Looks at the sockets. */
+    /** Number of polls. */
     public long turns() {
         return turns;
     }
 
-    /** Looks that found nothing: timers, tasks of other threads, or a loop that polls. */
+    /** Polls that found nothing: woken by timers or tasks of other threads, or busy polling. */
     public long emptyTurns() {
         return emptyTurns;
     }
 
-    /** Ready channels that were served. */
+    /** Number of ready channels that were served. */
     public long served() {
         return served;
     }
 
-    /** Ready clients that were left for a later turn, so that answers went out first. */
+    /** Ready clients that were left for a later turn, so that responses were sent first. */
     public long postponed() {
         return postponed;
     }
 
-    /** Times between two looks, or waits beyond their end, of 0.1 s and more. */
+    /** Number of periods of work between two polls, or of overrun waits, of 0.1 s or more. */
     public long standstills() {
         return standstills;
     }
 
-    /** The longest of those, in ns. */
+    /** The longest standstill, in ns. */
     public long longestStandstillNs() {
         return longestStandstillNs;
     }
--- a/src/main/java/gullspar/proxy/io/NonBlockingStream.java
+++ b/src/main/java/gullspar/proxy/io/NonBlockingStream.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands what is written to a thread of its own, and never waits for it: a sink that stalls, is full or is gone
- * costs lines of the log, not service. What is lost is counted, and told once lines get through again.
+ * Hands writes to a thread of its own and never blocks the caller: a sink that stalls, is full or was closed loses
+ * log lines but does not stop the service. Dropped writes are counted, and reported once the sink works again.
  */
 public final class NonBlockingStream extends OutputStream {
     private static final int MAX_QUEUED_WRITES = 1024;
     private static final long DRAIN_POLL_MS = 2;
-    /** A process that is told to end has 80 ms left behind its last answer, until it may be killed. */
+    /** After its last response, a process that received SIGTERM has 80 ms left before it may be killed. */
     private static final long EXIT_DRAIN_MS = 50;
 
     private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(MAX_QUEUED_WRITES);
@@ -25,7 +25,7 @@
     private final OutputStream sink;
     private long reportedDrops;
 
-    /** Writes to that sink from now on, until the process ends. */
+    /** Starts the thread that writes to the sink until the process exits. */
     public NonBlockingStream(OutputStream sink) {
         this.sink = sink;
         Thread writer = new Thread(this::runWriter, "log");
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Writes that were lost so far: no place was left for them, or the sink failed. */
+    /** Number of writes dropped because the queue was full or the sink failed. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Waits until all is written, so long at the most; false if something is left. */
+    /** Waits until everything is written; returns false if something is left after the time-out. */
     public boolean drain(long timeoutMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (unwritten.get() > 0 && System.nanoTime() < endNs) {
@@ -61,7 +61,7 @@
         return unwritten.get() == 0;
     }
 
-    /** Gives the last lines a moment; one that stalls does not hold up the end. */
+    /** Waits briefly for the last lines at exit; a stalled sink does not delay the exit any longer. */
     public void drainAtEnd() {
         try {
             drain(EXIT_DRAIN_MS);
@@ -76,7 +76,7 @@
             try {
                 next = queue.take();
             } catch (InterruptedException e) {
-                continue; // nobody ends it but the process
+                continue; // the thread runs until the process exits
             }
             writeToSink(next);
             unwritten.decrementAndGet();
--- a/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
+++ b/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
@@ -17,23 +17,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Netty's NIO handler with what a proxy needs when its processor is scarce.
+ * Wraps Netty's NIO handler for a proxy that is short of processor time.
  *
  * <ul>
- * <li>It sleeps until timers are due. Netty's own rounds the time to the next timer to the nearest ms and
- * polls without a wait for the last half of one; that cost a proxy thousands of system calls a second.
- * <li>It serves ready channels in a fixed order: connections that the process opened (answers of servers,
- * news of discovery), then those that clients opened, then listeners and all others. Timers and tasks follow.
- * <li>It reads clients for a bounded time in each turn, so that answers go out in between.
- * <li>It knows since when what it reads may have waited in the system.
+ * <li>It sleeps until timers are due. Netty's handler rounds the time to the next timer to the nearest ms and
+ * polls without waiting for the last half ms; that cost a proxy thousands of system calls per second.
+ * <li>It serves ready channels in a fixed order: connections that this process opened (responses of servers,
+ * updates of discovery), then those that clients opened, then listeners and all others. Timers and tasks follow.
+ * <li>It bounds the time for reading clients in each turn, so that responses are sent in between.
+ * <li>It tracks how long the data that it reads may have waited in the kernel.
  * </ul>
  *
- * <p>All on the thread of its loop.
+ * <p>Used on the thread of its loop only.
  */
 final class OrderedNioHandler implements IoHandler {
-    /** For so long clients are read in one turn, in ns. */
+    /** Clients are read for this long in one turn; the rest are left for the next one. */
     static final long MAX_CLIENT_READ_NS = 20_000_000L;
-    /** Netty accepts so many connections in one turn; where it took fewer, none is left in the queue. */
+    /** Netty's limit of accepts per turn; after fewer of them the accept queue is empty. */
     private static final int MAX_ACCEPTS_PER_TURN = 16;
 
     private static final InternalLogger LOG = InternalLoggerFactory.getInstance(OrderedNioHandler.class);
@@ -46,13 +46,13 @@
     private final List<ReadyChannel> outbound = new ArrayList<>();
     private final List<ReadyChannel> clients = new ArrayList<>();
     private final List<ReadyChannel> others = new ArrayList<>();
-    /** The source that is being served; null between them. */
+    /** The channel that is being served; null if none is. */
     private ReadyChannel serving;
 
     private long turn;
     private int registrationCount;
 
-    /** clock: ns from any origin, the one that the loop's timers go by. */
+    /** clock: the time in ns that the loop's timers use, from any origin. */
     OrderedNioHandler(IoHandler nio, LongSupplier clock) {
         this.nio = nio;
         this.clock = clock;
@@ -62,7 +62,7 @@
         return statistics;
     }
 
-    /** How long what is read now may have waited, in ns. */
+    /** How long the data that is read now may have waited in the kernel, in ns. */
     long unreadAgeNs() {
         long sinceNs = serving == null ? pollTimes.seenUntilNs() : serving.readableSinceNs;
         return Math.max(0, clock.getAsLong() - sinceNs);
@@ -91,7 +91,7 @@
         return readyCount;
     }
 
-    /** Looks at the sockets; returns how long the thread stood still meanwhile, in ns. */
+    /** Polls the sockets; returns how long the thread stood still during the poll, in ns. */
     private long poll(IoHandlerContext loopContext, boolean canWait) {
         long startNs = clock.getAsLong();
         context.begin(loopContext, canWait);
@@ -105,7 +105,7 @@
 
     private void recordStandstill(long ns) {
         if (statistics.recordStandstill(ns)) {
-            LOG.warn("the event loop stood still for {} ms", TimeUnit.NANOSECONDS.toMillis(ns));
+            LOG.warn("event loop stalled for {} ms", TimeUnit.NANOSECONDS.toMillis(ns));
         }
     }
 
@@ -117,7 +117,7 @@
 
     private void serveClients() {
         clients.forEach(ReadyChannel::updateReadableSince);
-        clients.sort(Comparator.comparingLong(c -> c.readableSinceNs)); // what was left comes first
+        clients.sort(Comparator.comparingLong(c -> c.readableSinceNs)); // clients left by earlier turns come first
         long startNs = clock.getAsLong();
         int next = 0;
         while (next < clients.size() && (next == 0 || clock.getAsLong() - startNs < MAX_CLIENT_READ_NS)) {
@@ -125,21 +125,21 @@
             next++;
         }
         List<ReadyChannel> remaining = clients.subList(next, clients.size());
-        remaining.forEach(ReadyChannel::markUnserved); // the next look finds them again
+        remaining.forEach(ReadyChannel::markUnserved); // the next poll finds them again
         statistics.postponed(remaining.size());
         clients.clear();
     }
 
     private void serve(ReadyChannel source) {
         if (!source.registration.isValid()) {
-            return; // closed by what was served before it
+            return; // closed while an earlier channel was served
         }
         serving = source;
         registrationCount = 0;
         try {
             source.handle.handle(source.registration, source.event);
         } catch (RuntimeException e) {
-            LOG.warn("a channel failed", e);
+            LOG.warn("unexpected exception while serving a channel", e);
         } finally {
             serving = null;
         }
@@ -179,21 +179,21 @@
         return nio.isCompatible(type);
     }
 
-    /** A channel as the NIO handler sees it: its events are noted, and served in this handler's order. */
+    /** A channel whose events are queued by the NIO handler and served in the order of this handler. */
     @SuppressWarnings("try")
     private final class ReadyChannel implements NioIoHandle {
         private final NioIoHandle handle;
-        /** Where its events are noted: by who opened the connection. */
+        /** The queue for its events, by who opened the connection. */
         private final List<ReadyChannel> readyQueue;
 
         private final long registrationTurn = turn;
-        /** What a connection brings first may have come with it, while it waited to be accepted. */
+        /** The first data of a connection may have arrived while the connection waited to be accepted. */
         private final long acceptorReadableSinceNs = serving == null ? Long.MAX_VALUE : serving.readableSinceNs;
 
         private IoRegistration registration;
         private IoEvent event;
         private long readableSinceNs;
-        /** The turn in which it was ready and not, or not wholly, served. */
+        /** The last turn in which it was ready and was not, or not completely, served. */
         private long unservedTurn = -1;
 
         ReadyChannel(NioIoHandle handle) {
@@ -203,7 +203,7 @@
             this.readyQueue = accepted ? clients : connection ? outbound : others;
         }
 
-        /** It is about to be served: since when may what it brings have been there? */
+        /** Sets since when its data may have been readable, just before it is served. */
         void updateReadableSince() {
             if (unservedTurn != turn - 1) {
                 readableSinceNs = registrationTurn == turn - 1
@@ -239,19 +239,19 @@
         }
 
         @Override
-        @SuppressWarnings("try") // the library's signature
+        @SuppressWarnings("try") // signature of IoHandle
         public void close() throws Exception {
             handle.close();
         }
     }
 
-    /** Rounds the time to the next timer up to whole ms: the system's wait knows no less. */
+    /** Rounds the time to the next timer up to whole ms, the resolution of the selector's wait. */
     private static final class WholeMillisContext implements IoHandlerContext {
         private static final long MS = 1_000_000L;
 
         private IoHandlerContext delegate;
         private boolean canWait;
-        /** For how long the NIO handler may wait in this turn, in ns; 0 if it may not. */
+        /** How long the NIO handler may wait in this turn; 0 if it may not. */
         private long allowedWaitNs;
 
         void begin(IoHandlerContext next, boolean wait) {
--- a/src/main/java/gullspar/proxy/io/Platform.java
+++ b/src/main/java/gullspar/proxy/io/Platform.java
@@ -3,33 +3,33 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What a proxy stands on: nothing else ties it to a machine and its time.
+ * The environment of a proxy: its only access to the machine and its time.
  *
- * @param loop the thread that all of it runs on
+ * @param loop the event loop that runs the whole proxy
  * @param clock the time, in ns
  * @param transport how connections are made and accepted
- * @param log where its lines go
- * @param unread how long what the loop reads now may have waited
- * @param figures what the loop has done; null where nobody counts
+ * @param log the proxy's log
+ * @param unreadAge how long the data that the loop reads now may have waited
+ * @param statistics what the loop has done; null if not collected
  */
 public record Platform(
         EventLoop loop, Clock clock, Transport transport, Log log, UnreadAge unreadAge, LoopStatistics statistics) {
-    /** One whose loop cannot tell how long what it reads has waited. */
+    /** A platform whose loop does not track how long the data that it reads has waited. */
     public Platform(EventLoop loop, Clock clock, Transport transport, Log log) {
         this(loop, clock, transport, log, UnreadAge.UNKNOWN, null);
     }
 
-    /** This machine, with a loop that can. */
+    /** This machine, with a loop that tracks the age of unread data. */
     public static Platform of(ServingLoop serving) {
         return of(serving, Transport.tcp(serving.loop()), Log.standardError());
     }
 
-    /** The same with another transport. */
+    /** This machine, with another transport and log. */
     public static Platform of(ServingLoop serving, Transport transport, Log log) {
         return new Platform(serving.loop(), Clock.system(), transport, log, serving.unreadAge(), serving.statistics());
     }
 
-    /** This machine: its time, its sockets, standard error. */
+    /** This machine: its clock, its sockets and standard error. */
     public static Platform of(EventLoop loop) {
         return new Platform(loop, Clock.system(), Transport.tcp(loop), Log.standardError());
     }
--- a/src/main/java/gullspar/proxy/io/PollTimes.java
+++ b/src/main/java/gullspar/proxy/io/PollTimes.java
@@ -1,14 +1,14 @@
 package gullspar.proxy.io;
 
 /**
- * Tells since when the data that a look at the sockets found may have been readable. A process may lose its
- * processor for a second (a busy neighbour, a long collection, SIGSTOP); what it reads next is then older
- * than the moment of reading. Reads no clock of its own: times in ns from one origin, any.
+ * Computes since when the data found by a poll of the sockets may have been readable. A process may be off its
+ * processor for a second (a busy neighbour, a long garbage collection, SIGSTOP); what it reads next is then older
+ * than the time of reading. Reads no clock: all times are in ns from one arbitrary origin.
  */
 final class PollTimes {
-    /** After less work than that it does not matter whether data came during the work or behind it. */
+    /** After less work than this, it does not matter whether data arrived during the work or after it. */
     static final long SHORT_WORK_NS = 1_000_000L;
-    /** A look that ends so much later than it was allowed to wait: the thread did not run meanwhile. */
+    /** If a poll ends later than its allowed wait by more than this, the thread was not running. */
     static final long OVERSLEEP_TOLERANCE_NS = 20_000_000L;
 
     private boolean isFirstPoll = true;
@@ -18,43 +18,43 @@
     private long readableSinceNs;
 
     /**
-     * A look has ended. One that may wait has to follow one that may not and found nothing, wherever
-     * {@link #unsure} says so: else data that came before it seem to have just come.
+     * Records a finished poll. Where {@link #needsNonBlockingPoll} is true, a poll that may wait must follow one
+     * that may not and found nothing: otherwise data that arrived before it would seem to have just arrived.
      *
-     * @param began when it began
-     * @param now when it ended
-     * @param allowedNs for how long it was allowed to wait for data; 0 if it was not
-     * @return how long the thread stood still during the look, 0 if it did not
+     * @param startNs when the poll started
+     * @param nowNs when it ended
+     * @param allowedWaitNs how long it was allowed to wait for data; 0 if it was not
+     * @return how long the thread stood still during the poll, 0 if it did not
      */
     long recordPoll(long startNs, long nowNs, long allowedWaitNs) {
         long elapsedNs = nowNs - startNs;
         hasOverslept = elapsedNs > allowedWaitNs + OVERSLEEP_TOLERANCE_NS;
         long previouslySeenNs = isFirstPoll ? startNs : seenUntilNs;
-        // A wait that ends in time was ended by the data, or by a timer.
+        // A wait that did not overrun was ended by the data or by a timer.
         readableSinceNs = allowedWaitNs == 0 ? previouslySeenNs : hasOverslept ? startNs : nowNs;
-        // Where the thread stood still, the wait may have ended by its time and not have looked again.
+        // After a standstill the wait may have ended by its time-out, without checking the sockets again.
         seenUntilNs = hasOverslept ? Math.min(startNs, readableSinceNs) : nowNs;
         endedAtNs = nowNs;
         isFirstPoll = false;
         return hasOverslept ? elapsedNs - allowedWaitNs : 0;
     }
 
-    /** For how long the loop has worked since its last look, at that time. */
+    /** How long the loop has worked since its last poll. */
     long workedNs(long nowNs) {
         return isFirstPoll ? 0 : nowNs - endedAtNs;
     }
 
-    /** May data have come, at that time, that did not end a wait? */
+    /** May data have arrived without ending a wait, so that the next poll must not wait? */
     boolean needsNonBlockingPoll(long nowNs) {
         return hasOverslept || workedNs(nowNs) >= SHORT_WORK_NS;
     }
 
-    /** What is read outside of a look's findings came after that. */
+    /** Data that is read without having been found by a poll arrived after this time. */
     long seenUntilNs() {
         return seenUntilNs;
     }
 
-    /** No data that the last look found was readable before. */
+    /** None of the data found by the last poll was readable before this time. */
     long readableSinceNs() {
         return readableSinceNs;
     }
--- a/src/main/java/gullspar/proxy/io/ResourceShortage.java
+++ b/src/main/java/gullspar/proxy/io/ResourceShortage.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** Failures of this machine that may pass: it lacks buffers, memory or descriptors. */
+/** Transient failures of this machine: it lacks buffers, memory or descriptors. */
 final class ResourceShortage {
-    /** How the C library words ENOBUFS, ENOMEM, EMFILE and ENFILE. */
+    /** Messages of the C library for ENOBUFS, ENOMEM, EMFILE and ENFILE. */
     private static final List<String> MESSAGES =
             List.of("No buffer space available", "Cannot allocate memory", "Too many open files");
 
     private ResourceShortage() {}
 
-    /** Is that the cause, or the cause of the cause? */
+    /** Is a shortage anywhere in the chain of causes? */
     static boolean isCauseOf(Throwable failure) {
         for (Throwable t = failure; t != null; t = t.getCause()) {
             String message = String.valueOf(t.getMessage());
--- a/src/main/java/gullspar/proxy/io/ServingLoop.java
+++ b/src/main/java/gullspar/proxy/io/ServingLoop.java
@@ -6,19 +6,19 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * An event loop of one thread for a process that serves.
+ * A single-threaded event loop for a serving process.
  *
  * @param loop the loop
- * @param unread how long what it reads now may have waited
- * @param figures what it has done
+ * @param unreadAge how long the data that it reads now may have waited
+ * @param statistics what it has done
  */
 public record ServingLoop(EventLoop loop, UnreadAge unreadAge, LoopStatistics statistics) {
-    /** Makes what such a loop runs on. */
+    /** Creates the I/O handlers of such loops. */
     public static IoHandlerFactory handlerFactory() {
         return executor -> new OrderedNioHandler(NioIoHandler.newFactory().newHandler(executor), System::nanoTime);
     }
 
-    /** Starts one over the sockets of this machine. */
+    /** Starts a loop on the sockets of this machine. */
     public static ServingLoop start() {
         OrderedNioHandler[] handler = new OrderedNioHandler[1];
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor -> {
--- a/src/main/java/gullspar/proxy/io/Signals.java
+++ b/src/main/java/gullspar/proxy/io/Signals.java
@@ -4,20 +4,20 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals that must not end the process. The runtime offers no public way to hear of SIGHUP, whose default is
- * to end it, so the class that most runtimes have is looked up by name.
+ * Handles signals that must not end the process. The JVM has no public API for SIGHUP, whose default action ends
+ * the process, so the class that most JVMs have for it is looked up by name.
  */
 public final class Signals {
-    /** What a process says that does not hear of SIGHUP. */
-    public static final String HUP_UNAVAILABLE = "SIGHUP is not heard: it is ignored where this was started (nohup?), "
-            + "or the runtime cannot hear it; the configuration is read again when its file has changed";
+    /** Logged by a process that cannot handle SIGHUP. */
+    public static final String HUP_UNAVAILABLE = "SIGHUP is not handled: it was ignored when this process "
+            + "was started (nohup?), or the JVM cannot handle it; the configuration is reloaded when its file changes";
 
     private Signals() {}
 
     /**
-     * Calls the action at each such signal, on a thread of its own; false if that is not to be had: the
-     * runtime has no such class, or the process was started where the signal is ignored (nohup, a trap),
-     * which the runtime leaves as it is.
+     * Runs the action at each such signal, on a thread of its own. Returns false if that is not possible: the JVM
+     * has no such class, or the process was started with the signal ignored (nohup, a trap), which the JVM does
+     * not change.
      */
     public static boolean register(String name, Runnable action) {
         try {
--- a/src/main/java/gullspar/proxy/io/Transport.java
+++ b/src/main/java/gullspar/proxy/io/Transport.java
@@ -11,25 +11,25 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** How connections are made and accepted: by TCP, but while a proxy warms up or is rehearsed. */
+/** Opens and accepts connections: over TCP, except during warm-up and in rehearsals. */
 public interface Transport {
-    /** For one connection to that address. */
+    /** For one connection to an address. */
     Bootstrap clientBootstrap(InetSocketAddress address);
 
-    /** For a listener at that address, which still wants its handler. */
+    /** For a listener on an address; the caller sets its handler. */
     ServerBootstrap serverBootstrap(InetSocketAddress address);
 
-    /** For a socket for datagrams at that address, which still wants its handler. */
+    /** For a datagram socket on an address; the caller sets its handler. */
     default Bootstrap datagramBootstrap(InetSocketAddress address) {
-        throw new UnsupportedOperationException("no datagrams here");
+        throw new UnsupportedOperationException("this transport has no datagrams");
     }
 
-    /** Begins to listen there. */
+    /** Starts to listen on an address. */
     default ChannelFuture listen(InetSocketAddress address, ChannelHandler childHandler) {
         return serverBootstrap(address).childHandler(childHandler).bind();
     }
 
-    /** By the sockets of this machine. */
+    /** TCP and UDP over the sockets of this machine. */
     static Transport tcp(EventLoop loop) {
         return new Transport() {
             @Override
--- a/src/main/java/gullspar/proxy/io/UnreadAge.java
+++ b/src/main/java/gullspar/proxy/io/UnreadAge.java
@@ -1,12 +1,12 @@
 package gullspar.proxy.io;
 
 /**
- * How long what the event loop reads now may have lain in the system's buffers, in ns, never negative. To be
- * asked on the loop.
+ * How long the data that the event loop reads now may have waited in the kernel's buffers, in ns, never negative.
+ * Call it on the loop only.
  */
 @FunctionalInterface
 public interface UnreadAge {
-    /** For loops that cannot tell: everything is read as it comes. */
+    /** For loops that do not track it: all data counts as read on arrival. */
     UnreadAge UNKNOWN = () -> 0;
 
     long ns();
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What comes back from a backend, and what the module is told of it. */
+/** Responses of backends and failures of attempts, and the outcomes reported to the decision module. */
 class BackendsTest extends LoopbackTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
-    /** A request on its way: the module has sent it to the backend. */
+    /** Sends a request that the module routes to the backend. */
     private Request sendRequest(Peer.Wire client) throws Exception {
         client.write(Setup.get());
         Request r = setup.request();
@@ -49,7 +49,7 @@
             assertEquals(0.61, o.report().util());
             setup.passes(20);
             sendRequest(client);
-            wire.read(); // on the same connection
+            wire.read(); // on the same connection as before
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
             assertTrue(backend.quiet());
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The connection stays open: nothing but the bytes says that no answer will come of it. */
+    /** The backend keeps the connection open: only the bytes show that the response is malformed. */
     @ParameterizedTest
     @CsvSource({
         "xHTTP/1.1 200 OK|Content-Length: 4||body",
@@ -169,7 +169,7 @@
         }
     }
 
-    /** A backend that closes right behind its answer must not be written to before that is seen. */
+    /** A backend may close right after its response: the proxy must see that before it reuses the connection. */
     @Test
     void longestIdleConnectionIsUsedFirst() throws Exception {
         try (Peer.Wire one = setup.client();
@@ -191,8 +191,8 @@
     }
 
     /**
-     * A second answer to a request may come some milliseconds late: the next request must not be on that
-     * connection by then.
+     * A duplicate response may arrive some milliseconds late: the connection must not carry the next request by
+     * then.
      */
     @Test
     void delayedDuplicateResponseIsNotServedToTheNextRequest() throws Exception {
@@ -212,7 +212,7 @@
         }
     }
 
-    /** The idle connection that its backend is the least likely to be closing just then. */
+    /** The most recently used connection is the one that the backend is least likely to be closing. */
     @Test
     void nonRepeatableRequestUsesTheMostRecentConnection() throws Exception {
         try (Peer.Wire one = setup.client();
@@ -237,8 +237,8 @@
     }
 
     /**
-     * The module sends a request, and its connection comes up while the loop stands still: what happens until
-     * go is found in the same turn as that.
+     * Starts an attempt whose connection opens while the loop is blocked: whatever happens until resume is counted
+     * down is found in the same turn of the loop.
      */
     private Peer.Wire connectWhileLoopIsBlocked(Runnable send, CountDownLatch resume) throws Exception {
         setup.loop.execute(() -> {
@@ -254,7 +254,7 @@
         return backend.accept();
     }
 
-    /** Its client has left by the time that the connection is up: both are found in one turn. */
+    /** The loop finds the client's disconnect and the open connection in one turn. */
     @Test
     void requestIsNotSentIfItsClientLeavesDuringConnect() throws Exception {
         Peer.Wire client = setup.client();
@@ -269,7 +269,7 @@
         assertEquals("", wire.read());
     }
 
-    /** A repeat whose time has run out while its connection came up might take effect a second time. */
+    /** A repeat that is sent after the window in which the backend drops repeats might take effect twice. */
     @Test
     void repeatIsNotSentIfItConnectsTooLate() throws Exception {
         try (Peer.Wire client = setup.client()) {
@@ -287,7 +287,7 @@
         }
     }
 
-    /** A backend begins with the last byte: what it says ahead of that is no answer to this request. */
+    /** A backend starts a request at its last byte: an earlier response cannot belong to this request. */
     @Test
     void responseBeforeTheEndOfTheRequestIsNotServed() throws Exception {
         try (Peer.Wire client = setup.client()) {
@@ -320,7 +320,7 @@
         }
     }
 
-    /** A request that no backend can use is its client's trouble: no backend is the worse for it. */
+    /** A 4xx response is about the request: it ends the request and does not count against the backend. */
     @Test
     void clientErrorEndsTheRequestAtOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
@@ -343,7 +343,7 @@
             wire.read();
             wire.reset();
             assertEquals(Status.RESET, setup.outcome().status());
-            assertTrue(backend.quiet()); // nothing was sent again
+            assertTrue(backend.quiet()); // no retry
         }
     }
 
@@ -415,7 +415,7 @@
         setup = new Setup()
                 .start(Config.parse(
                         Setup.json(discovery.hostPort(), backend.hostPort(), 6, 5000),
-                        Map.of())); // two of them for backends
+                        Map.of())); // two descriptors for backends
         server = setup.backend();
         try (Peer.Wire first = setup.client();
                 Peer.Wire second = setup.client();
@@ -425,7 +425,7 @@
             Request r = sendRequest(third);
             Outcome o = setup.outcome();
             assertEquals(r.ticket(), o.ticket());
-            assertEquals(Status.MOOT, o.status()); // says nothing of the backend
+            assertEquals(Status.MOOT, o.status()); // does not count against the backend
         }
     }
 
--- a/src/test/java/gullspar/proxy/DeployedRunTest.java
+++ b/src/test/java/gullspar/proxy/DeployedRunTest.java
@@ -32,8 +32,8 @@
 import org.tomlj.Toml;
 
 /**
- * What the deploy file's run starts, under what a platform may refuse it (refuse.pl): it must be one process
- * that starts no other program and writes nowhere but to $TMPDIR.
+ * Runs the command of the deploy file under the restrictions of a platform (refuse.pl): it must be one process that
+ * starts no other program and writes only to $TMPDIR.
  */
 @Timeout(120)
 @ResourceLock("much of the machine")
@@ -42,7 +42,7 @@
 
     @TempDir
     Path folder;
-    /** Stands for the repository's folder, as the build leaves it. */
+    /** Stands in for the repository's folder after a build. */
     private Path root;
 
     private Path tmp;
@@ -54,7 +54,7 @@
                 new File("/usr/bin/perl").canExecute()
                         && new File("/proc/self/fd").exists()
                         && System.getProperty("os.arch").equals("amd64"),
-                "the restriction is for x86-64 Linux, by perl");
+                "the restrictions need perl on x86-64 Linux");
         root = Files.createDirectories(folder.resolve("root"));
         tmp = Files.createDirectories(folder.resolve("tmp"));
         UnprivilegedUser.makeReadable(folder);
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Starts a command as the platform does; without a place to write to, not even $TMPDIR is one. */
+    /** Starts a command as the platform does; without writes, not even $TMPDIR is writable. */
     private Process start(String command, boolean writes, Peer discovery, Peer backend, InetSocketAddress at)
             throws IOException {
         ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
@@ -109,7 +109,7 @@
         return p.start();
     }
 
-    /** The lines up to one that holds the text; null, with all lines in said, if the process ends before. */
+    /** Collects lines up to one that contains the text; returns it, or null if the process ends before. */
     private static String readUntil(BufferedReader log, String text, List<String> said) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             said.add(line);
@@ -120,11 +120,11 @@
         return null;
     }
 
-    /** One request through, and the end by SIGTERM. */
+    /** Serves one request, then exits on SIGTERM. */
     private static void assertServesAndExits(
             Process p, BufferedReader log, Peer backend, InetSocketAddress at, List<String> said) throws Exception {
         assertNotEquals(null, readUntil(log, " ready", said), () -> String.join("\n", said));
-        assertEquals(0, p.descendants().count(), "other processes");
+        assertEquals(0, p.descendants().count(), "the process has started others");
         assertEquals(
                 "java", Path.of(p.info().command().orElseThrow()).getFileName().toString());
         assertTrue(
@@ -164,13 +164,13 @@
         assertStartsWarm(true);
     }
 
-    /** A start that depended on a file or on a socket of its own would be cold here, and wait for nothing. */
+    /** If warm-up depended on a writable file or a Unix socket, the start would be cold here. */
     @Test
     void startsWarmWithoutWritableFoldersOrUnixSockets() throws Exception {
         assertStartsWarm(false);
     }
 
-    /** The restriction itself: what it is there to catch does not get through. */
+    /** Checks the restrictions themselves: commands that violate them do not start. */
     @Test
     void commandThatForksOrWritesElsewhereDoesNotStart() throws Exception {
         for (String planted :
--- a/src/test/java/gullspar/proxy/FaultyProxy.java
+++ b/src/test/java/gullspar/proxy/FaultyProxy.java
@@ -19,14 +19,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The program as a process of an ordinary user whose system calls can be made to fail; one backend answers all. */
+/** A proxy process of an unprivileged user with injectable system call failures, and one responding backend. */
 @SuppressWarnings("try")
 final class FaultyProxy implements AutoCloseable {
-    /** Its limit: few, so that those which are lost are soon missed. */
+    /** A low limit, so that leaked descriptors soon show. */
     private static final int MAX_DESCRIPTORS = 128;
 
     private static final long POLL_INTERVAL_MS = 10;
-    /** So long behind the last fault, or its start, it may take to serve. */
+    /** Allowed time until it serves, after its start or the last fault. */
     private static final long MAX_RECOVERY_NS = TimeUnit.SECONDS.toNanos(10);
 
     final SystemCallFaults faults;
@@ -57,12 +57,12 @@
         }
     }
 
-    /** Starts it, with standard error as a file. */
+    /** Starts it with standard error appended to the log file. */
     FaultyProxy start() throws IOException {
         return start(ProcessBuilder.Redirect.appendTo(log.toFile()));
     }
 
-    /** Starts it, with that as standard error. */
+    /** Starts it with the given standard error. */
     FaultyProxy start(ProcessBuilder.Redirect standardError) throws IOException {
         List<String> command = new ArrayList<>(List.of("env"));
         Map<String, String> variables = faults.environment();
@@ -87,7 +87,7 @@
 
     FaultyProxy awaitLine(String text) throws InterruptedException {
         while (!logText().contains(text)) {
-            assertTrue(process.isAlive(), () -> "it ended: " + logText());
+            assertTrue(process.isAlive(), () -> "the proxy ended: " + logText());
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return this;
@@ -97,7 +97,7 @@
         return awaitLine(" ready");
     }
 
-    /** One request on a connection of its own; the status of its answer, 0 where none came. */
+    /** Sends one request on a new connection; returns the status of the response, 0 if there was none. */
     int sendRequest() {
         try (Peer.Wire client = Peer.Wire.to(address)) {
             String answer = client.write(Setup.get("Request-Timeout: 0.2\r\n")).read();
@@ -107,17 +107,17 @@
         }
     }
 
-    /** Asks until so many answers in a row were 200, ten seconds at the most. */
+    /** Sends requests until enough consecutive responses were 200, for at most ten seconds. */
     void awaitServing(int consecutive) {
         long end = System.nanoTime() + MAX_RECOVERY_NS;
         for (int served = 0; served < consecutive; ) {
             served = sendRequest() == 200 ? served + 1 : 0;
-            assertTrue(process.isAlive(), () -> "it ended: " + logText());
-            assertTrue(System.nanoTime() < end, () -> "it does not serve again: " + logText());
+            assertTrue(process.isAlive(), () -> "the proxy ended: " + logText());
+            assertTrue(System.nanoTime() < end, () -> "the proxy does not serve again within 10 s: " + logText());
         }
     }
 
-    /** A figure that operators are told, by its name. */
+    /** Reads a metric from the operators' port. */
     long readMetric(String name) throws IOException {
         try (Peer.Wire operator = Peer.Wire.to(operatorAddress)) {
             String vars =
@@ -128,11 +128,11 @@
         }
     }
 
-    /** Waits until a figure is at that value. */
+    /** Waits until a metric has the given value. */
     void awaitMetric(String name, long value) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
         while (readMetric(name) != value) {
-            assertTrue(System.nanoTime() < end, () -> name + " stays off " + value + ": " + logText());
+            assertTrue(System.nanoTime() < end, () -> name + " is not " + value + ": " + logText());
         }
     }
 
@@ -141,10 +141,10 @@
         assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
     }
 
-    /** Told to end, it ends well. */
+    /** Sends SIGTERM and expects exit code 0. */
     void assertCleanExit() throws InterruptedException {
         process.destroy();
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it hangs");
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the proxy did not exit within 20 s");
         assertEquals(0, process.exitValue());
     }
 
--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** A process of an ordinary user that takes over a listener, with descriptors that somebody else opened. */
+/** A process of an unprivileged user that inherits a listener and a log opened by another user. */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class InheritedListenerTest {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Nobody may open the log again by its path, its opener and the proxy's user included. */
+    /** Nobody has permission to open the log by its path, neither its owner nor the proxy's user. */
     @Test
     void startsWithALogThatItCannotReopen() throws Exception {
         Process holder = startHolder();
@@ -89,11 +89,11 @@
                 client.write(Setup.get());
                 CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> read(client));
                 CompletableFuture.anyOf(answer, proxy.onExit()).get(20, TimeUnit.SECONDS);
-                assertTrue(proxy.isAlive(), () -> "it ended: " + logText());
+                assertTrue(proxy.isAlive(), () -> "the proxy ended: " + logText());
                 assertTrue(answer.get().startsWith("HTTP/1.1 200"), answer.get());
                 proxy.destroy();
                 proxy.onExit().get(20, TimeUnit.SECONDS);
-                assertTrue(logText().contains("drained"), "the log goes on to the end: " + logText());
+                assertTrue(logText().contains("drained"), "the log lacks the last line: " + logText());
             } finally {
                 proxy.destroyForcibly();
             }
--- a/src/test/java/gullspar/proxy/ProxyProcess.java
+++ b/src/test/java/gullspar/proxy/ProxyProcess.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The program as a process that serves, and the discovery that it watches. */
+/** A real proxy process and the discovery service that it watches. */
 @SuppressWarnings("try")
 final class ProxyProcess implements AutoCloseable {
     private static final long HEARTBEAT_INTERVAL_MS = 500;
@@ -31,7 +31,7 @@
     private final ScheduledExecutorService heartbeats = Executors.newSingleThreadScheduledExecutor();
     private Peer.Wire watch;
 
-    /** Starts one that knows of one backend at that address. */
+    /** Starts a proxy that is configured with one backend address. */
     ProxyProcess(Path folder, String backend, List<String> options) throws Exception {
         address = freeAddress();
         operatorAddress = freeAddress();
@@ -55,14 +55,14 @@
         }
     }
 
-    /** An entry of a list. */
+    /** An instance in a discovery list. */
     static String instance(String id, String address) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"a\","
                 + "\"machineType\":\"m1\",\"cell\":3,\"lifecycle\":\"in_service\",\"weight\":1.0,"
                 + "\"startedAtMs\":0}";
     }
 
-    /** Tells it the whole list, and goes on with beats. */
+    /** Sends the whole list to the proxy, and keeps sending heartbeats. */
     void sendList(int generation, List<String> instances) throws Exception {
         if (watch == null) {
             watch = discovery.accept();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Waits until it serves; what it says from then on is dropped. */
+    /** Waits until it serves; later log lines are discarded. */
     void awaitReady() throws IOException {
         BufferedReader log = process.inputReader();
         String line = log.readLine();
--- a/src/test/java/gullspar/proxy/SeededFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SeededFaultsTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A real process under load while faults come and go by a seed: it lives, serves again within ten seconds of the
- * last one, holds no descriptor that is not open, and ends when it is told to.
+ * A real proxy process under load with a seeded sequence of faults: it stays alive, serves again within ten seconds
+ * of the last fault, leaks no descriptors, and exits on SIGTERM.
  */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class SeededFaultsTest {
-    /** More seeds by hand: -Dgullspar.seeds=50. */
+    /** To run more seeds: -Dgullspar.seeds=50. */
     private static final int SEEDS = Integer.getInteger("gullspar.seeds", 4);
 
     private static final int CLIENTS = 8;
@@ -62,7 +62,7 @@
             }
             for (int i = 0; i < FAULTS; i++) {
                 injectFault(random);
-                assertTrue(proxy.process().isAlive(), () -> "it ended: " + proxy.logText());
+                assertTrue(proxy.process().isAlive(), () -> "the proxy ended: " + proxy.logText());
             }
             proxy.awaitServing(20);
             stopClients(clients);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Asks on a connection of its own each time, until the end. */
+    /** Sends requests, each on a new connection, until the test is done. */
     private Thread startClient() {
         Thread thread = new Thread(() -> {
             while (!isDone.get()) {
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -84,7 +84,7 @@
                     .putAll(Map.of("NODE_CONFIG", folder.resolve("config.json").toString(), "NODE_SOCKET_FD", "0"));
             Process p = java.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "gullspar: descriptor 0 is no listening socket");
+                said(log, "gullspar: descriptor 0 is not a listening socket");
             }
             assertEquals(1, p.waitFor());
         }
@@ -144,7 +144,7 @@
             nohup.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process p = nohup.start();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "SIGHUP is not heard");
+                said(log, "SIGHUP is not handled");
                 said(log, "to warm up");
                 write("{\"listen\":");
                 said(log, "is not used");
--- a/src/test/java/gullspar/proxy/StandstillTest.java
+++ b/src/test/java/gullspar/proxy/StandstillTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A process that loses its processor under load, by SIGSTOP: what it then finds in its sockets is older than
- * the moment in which it reads that. Clients go on sending at a fixed rate, whatever becomes of the answers.
+ * Stops a proxy process under load by SIGSTOP: what it then finds in its sockets is older than the time at which it
+ * reads it, and deadlines must count from arrival. Clients send at a fixed rate, regardless of responses.
  */
 @Timeout(120)
 class StandstillTest {
-    /** The deadline of each request; longer than the slack, else a late answer could not be told. */
+    /** The time-out of each request; longer than the slack, else a late response would go unnoticed. */
     private static final long TIMEOUT_NS = 900_000_000L;
-    /** An answer may come so much behind its time (the protocol). */
+    /** A response may arrive this late (as the protocol defines). */
     private static final long SLACK_NS = 500_000_000L;
-    /** An attempt may tell so much more than its client has left. */
+    /** The Request-Timeout of an attempt may exceed the client's remaining time by this. */
     private static final long REQUEST_TIMEOUT_SLACK_NS = 150_000_000L;
 
     private static final long MAX_RECOVERY_NS = 1_000_000_000L;
@@ -50,10 +50,10 @@
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     private Backend backend;
     private ProxyProcess process;
-    /** Requests ask for what the backend never answers. */
+    /** New requests ask for a path to which the backend never responds. */
     private volatile boolean isHanging;
 
-    /** One request as its client sees it, and its attempts as the backend sees them. */
+    /** A request as seen by its client, and its attempts as seen by the backend. */
     private static final class SentRequest {
         final long sentAtNs = System.nanoTime();
         final boolean hangs;
@@ -76,7 +76,7 @@
 
     private record Attempt(long receivedAtNs, long requestTimeoutNs) {}
 
-    /** Answers each request but those that are to hang, and notes them all. */
+    /** Responds to each request unless its path ends in /hang, and records all of them. */
     private final class Backend implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
 
@@ -88,7 +88,7 @@
                         threads.execute(() -> serve(wire));
                     }
                 } catch (IOException e) {
-                    // closed: the test is over
+                    // closed at the end of the test
                 }
             });
         }
@@ -104,7 +104,7 @@
                     }
                 }
             } catch (IOException e) {
-                // the proxy has given it up
+                // the proxy has closed the connection
             }
         }
 
@@ -139,7 +139,7 @@
         threads.shutdownNow();
     }
 
-    /** Sends a request now, on a connection of its own; safe ones and, each third, one that is not. */
+    /** Sends a request on a connection of its own; every third request is unsafe. */
     private void send() {
         String id = "r" + ids.incrementAndGet();
         SentRequest request = new SentRequest(isHanging);
@@ -167,7 +167,7 @@
         sending.cancel(false);
     }
 
-    /** Every request has ended, well or not. */
+    /** Waits until every request has ended, successfully or not. */
     private void awaitAllEnded() throws Exception {
         threads.shutdown();
         for (SentRequest s : requests.values()) {
@@ -177,15 +177,15 @@
         }
     }
 
-    /** Since that moment each request has to end in its time, those unread at that end excepted till then. */
+    /** Requests since the stop must end in time; those due during the stop may end up to the slack after it. */
     private void assertInTime(long from, long resumed) {
         for (Map.Entry<String, SentRequest> e : requests.entrySet()) {
             SentRequest s = e.getValue();
-            String what = e.getKey() + ", sent " + toMs(s.sentAtNs - from) + " ms behind the stop, ended " + s.status
+            String what = e.getKey() + ", sent " + toMs(s.sentAtNs - from) + " ms after the stop, ended " + s.status
                     + " after " + toMs(s.endedAtNs - s.sentAtNs) + " ms: ";
-            assertTrue(s.status.matches("200|503|502|504"), what + "no answer");
+            assertTrue(s.status.matches("200|503|502|504"), what + "no response");
             assertTrue(s.attempts().size() <= 1, what + "sent on twice");
-            s.attempts().forEach(a -> assertTrue(a.receivedAtNs() <= s.endedAtNs, what + "sent on behind its answer"));
+            s.attempts().forEach(a -> assertTrue(a.receivedAtNs() <= s.endedAtNs, what + "sent on after its response"));
             if (s.sentAtNs >= from) {
                 assertTrue(s.endedAtNs <= Math.max(s.sentAtNs + TIMEOUT_NS, resumed) + SLACK_NS, what + "late");
                 s.attempts().forEach(a -> assertTimeoutWithinDeadline(s, a, what));
@@ -197,8 +197,8 @@
         long left = s.sentAtNs + TIMEOUT_NS - a.receivedAtNs();
         assertTrue(
                 a.requestTimeoutNs() <= left + REQUEST_TIMEOUT_SLACK_NS,
-                what + "its attempt was given " + toMs(a.requestTimeoutNs()) + " ms, when " + toMs(left)
-                        + " were left");
+                what + "the Request-Timeout of its attempt is " + toMs(a.requestTimeoutNs()) + " ms, while "
+                        + toMs(left) + " were left");
     }
 
     private void assertServedSince(long time) {
@@ -207,7 +207,7 @@
         long served = later.stream().filter(s -> s.status.equals("200")).count();
         assertTrue(
                 served >= MIN_SERVED_SHARE * later.size(),
-                "a second behind the standstill " + served + " of " + later.size() + " were served");
+                "a second after the standstill " + served + " of " + later.size() + " were served");
     }
 
     private static long toMs(long ns) {
@@ -222,7 +222,7 @@
         return resumed;
     }
 
-    /** The backend answers nothing of what comes then: only the proxy's own reckoning ends that in time. */
+    /** The backend does not respond to these requests: only the proxy's own time-out ends them in time. */
     @ParameterizedTest
     @ValueSource(longs = {300, 1000, 3000})
     void requestsReadAfterAStandstillCountFromItsStart(long standstillMs) throws Exception {
--- a/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A real process while calls of the system fail, and behind that. */
+/** A real proxy process during and after failures of system calls. */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class SystemCallFaultsTest {
     private static final int REQUESTS = 40;
 
-    /** What a pipe holds by default. */
+    /** The default capacity of a pipe. */
     private static final int PIPE_BYTES = 64 << 10;
 
-    /** Long enough for a start to come to its listeners and fail there. */
+    /** Long enough for a start to reach its listeners and fail there. */
     private static final long STARTUP_FAILURE_MS = 1500;
 
     @TempDir
@@ -51,7 +51,7 @@
         proxy.start().awaitReady();
         proxy.faults.fail(SystemCall.SOCKET, error);
         for (int i = 0; i < REQUESTS; i++) {
-            assertTrue(proxy.sendRequest() != 200, "a backend was reached with no socket");
+            assertTrue(proxy.sendRequest() != 200, "a backend was reached without a socket");
         }
         proxy.awaitMetric("descriptors_backends", 0);
         proxy.faults.heal(SystemCall.SOCKET);
--- a/src/test/java/gullspar/proxy/UnprivilegedUser.java
+++ b/src/test/java/gullspar/proxy/UnprivilegedUser.java
@@ -10,27 +10,27 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Starts the program as a platform does: as a user without special rights, also where the tests run as root. */
+/** Starts the program as a platform does: as an unprivileged user, even if the tests run as root. */
 final class UnprivilegedUser {
     private static final String NOBODY_ID = "65534";
-    /** What a user without rights cannot read of this process's class path is copied, once a run. */
+    /** A copy of this process's class path that an unprivileged user can read, made once per run. */
     private static final String CLASS_PATH = copyClassPath();
 
     private UnprivilegedUser() {}
 
-    /** Goes ahead of a command that such a user is to run; nothing where this process is one's. */
+    /** Prefix of a command that such a user shall run; empty if this process is unprivileged itself. */
     static List<String> commandPrefix() throws IOException {
         return isRoot()
                 ? List.of("setpriv", "--reuid=" + NOBODY_ID, "--regid=" + NOBODY_ID, "--clear-groups", "--")
                 : List.of();
     }
 
-    /** This process's class path, where such a user may read it. */
+    /** The copied class path, readable by such a user. */
     static String classPath() {
         return CLASS_PATH;
     }
 
-    /** The command that starts the program, with options of the runtime ahead of its own. */
+    /** The command that starts the program with the given JVM options. */
     static List<String> serveCommand(List<String> options) throws IOException {
         List<String> command = new ArrayList<>(commandPrefix());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -44,12 +44,12 @@
         return Files.getAttribute(Path.of("/proc/self"), "unix:uid").equals(0);
     }
 
-    /** A folder that such a user may read; what is in it need not be its own. */
+    /** Lets such a user read a folder that it does not own. */
     static void makeReadable(Path folder) throws IOException {
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
-    /** A folder that such a user may write to, as it may to $TMPDIR. */
+    /** Lets such a user write to a folder, as it may to $TMPDIR. */
     static void makeWritable(Path folder) throws IOException {
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxrwxrwx"));
     }
@@ -83,7 +83,7 @@
         try (Stream<Path> all = Files.walk(folder)) {
             all.sorted((a, b) -> b.compareTo(a)).forEach(p -> p.toFile().delete());
         } catch (IOException e) {
-            // it is in the system's folder for what may go at any time
+            // a leftover in the system's temporary folder does no harm
         }
     }
 }
--- a/src/test/java/gullspar/proxy/backend/StreamedResponseTest.java
+++ b/src/test/java/gullspar/proxy/backend/StreamedResponseTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An answer has come whole, and its client has not taken all of it yet. */
+/** Responses that are streamed to a client which has not read all of them yet. */
 class StreamedResponseTest {
     private static final int LENGTH = 300_000;
 
@@ -66,14 +66,14 @@
         startAttempt();
         writeResponse(LENGTH);
         assertEquals(1, responses.size());
-        assertTrue(responses.get(0).rest().paused(), "nobody has taken anything");
+        assertTrue(responses.get(0).rest().paused(), "the client has read nothing");
         assertTrue(channel.config().isAutoRead());
         assertEquals(connection, backend.idle.peekFirst());
         backend.idle.pollFirst();
         startAttempt();
         responses.get(0).rest().drop();
         channel.runPendingTasks();
-        assertTrue(channel.isOpen(), "it carries another's attempt");
+        assertTrue(channel.isOpen(), "it carries the attempt of another request");
         writeResponse(10);
         assertEquals(2, responses.size());
         assertEquals(10, responses.get(1).body().length);
--- a/src/test/java/gullspar/proxy/io/AcceptBackoffTest.java
+++ b/src/test/java/gullspar/proxy/io/AcceptBackoffTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A listener on a clock of its own whose accepts fail. */
+/** Accept failures of a listener in virtual time. */
 class AcceptBackoffTest {
     private final AtomicInteger closed = new AtomicInteger();
     private final AcceptBackoff backoff = new AcceptBackoff(() -> closed.incrementAndGet() > 0);
--- a/src/test/java/gullspar/proxy/io/ClassArchiveTest.java
+++ b/src/test/java/gullspar/proxy/io/ClassArchiveTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a command line and the mapped files tell of the class archive. */
+/** Reads the state of the class archive from a command line and the mapped files. */
 class ClassArchiveTest {
     @TempDir
     Path folder;
--- a/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
+++ b/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A log whose sink stalls or fails. */
+/** Writes to a sink that stalls or fails. */
 @Timeout(20)
 class NonBlockingStreamTest {
     private static final int LINES = 5000;
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -30,12 +30,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The loop over real sockets: order, dates, a bound on reading, and waits instead of polling. */
+/** The loop over real sockets: order of service, age of unread data, bounded reading, no busy polling. */
 @Timeout(60)
 class OrderedNioHandlerTest {
     private static final int TIMERS = 200;
     private final ServingLoop serving = ServingLoop.start();
-    /** What the loop did, in order, and how long what it read had waited. */
+    /** What the loop served, in order, and how long the data may have waited. */
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
     private final List<Socket> clients = new ArrayList<>();
@@ -107,11 +107,11 @@
     private Socket connectAndAccept() throws Exception {
         Socket s = connect();
         assertEquals("accept", nextEvent().what());
-        serving.loop().submit(() -> {}).get(); // registered
+        serving.loop().submit(() -> {}).get(); // waits until it is registered
         return s;
     }
 
-    /** A connection that the loop opens; this is its other end. */
+    /** Opens a connection from the loop; returns its remote end. */
     private Socket openOutbound() throws Exception {
         new Bootstrap()
                 .group(serving.loop())
@@ -127,12 +127,12 @@
     private Event nextEvent() throws InterruptedException {
         Event s = events.poll(20, TimeUnit.SECONDS);
         if (s == null) {
-            throw new AssertionError("the loop read nothing");
+            throw new AssertionError("the loop read nothing within 20 s");
         }
         return s;
     }
 
-    /** The loop stands still until it may go on. */
+    /** Blocks the loop until resume is counted down. */
     private Future<?> blockLoop() throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         Future<?> task = serving.loop().submit(() -> {
@@ -236,7 +236,7 @@
         TimeUnit.MILLISECONDS.sleep(800);
         long idle = System.nanoTime() - idleSince;
         client.getOutputStream().write(1);
-        assertTrue(nextEvent().ageNs() < idle, "dated by the beginning of the wait");
+        assertTrue(nextEvent().ageNs() < idle, "the age counts from the start of the wait");
     }
 
     @Test
@@ -253,7 +253,7 @@
         }
         onRead = age -> {
             if (answered.compareAndSet(false, true)) {
-                write(server); // an answer that comes while clients are read
+                write(server); // a response that arrives while clients are read
             }
             spin(OrderedNioHandler.MAX_CLIENT_READ_NS / 4);
         };
@@ -287,7 +287,7 @@
         blockLoop();
         TimeUnit.MILLISECONDS.sleep(150);
         resume.countDown();
-        serving.loop().schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get(); // a turn later
+        serving.loop().schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get(); // one turn later
         long[] found = serving.loop()
                 .submit(() -> new long[] {
                     serving.statistics().standstills(), serving.statistics().longestStandstillNs()
--- a/src/test/java/gullspar/proxy/io/PollTimesTest.java
+++ b/src/test/java/gullspar/proxy/io/PollTimesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Since when what a look found may have been readable. */
+/** Since when the data found by a poll may have been readable. */
 class PollTimesTest {
     private static final long MS = 1_000_000L;
     private final PollTimes times = new PollTimes();
@@ -38,7 +38,7 @@
         assertEquals(1 * MS, times.readableSinceNs());
     }
 
-    /** A wait that SIGSTOP cuts short ends with nothing, and the next look finds what came meanwhile. */
+    /** A wait interrupted by SIGSTOP finds nothing, and the next poll finds the data that arrived meanwhile. */
     @Test
     void pollAfterAnOverlongWaitCountsFromTheStartOfThatWait() {
         times.recordPoll(0, 1, 0);
