--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -22,7 +22,7 @@
      * the request.
      */
     public interface Listener {
-        void onEnd(Attempt attempt, Status status, Report report, BackendResponse answer);
+        void onEnd(Attempt attempt, Status status, Report report, BackendResponse response);
 
         /** Is the response still needed, as far as is known now? Checked before the attempt is sent. */
         boolean isNeeded();
@@ -169,7 +169,7 @@
         end(written ? Status.RESET : Status.CONNECT_FAILED, null, null);
     }
 
-    void end(Status status, Report report, BackendResponse answer) {
+    void end(Status status, Report report, BackendResponse response) {
         if (hasEnded) {
             return;
         }
@@ -177,7 +177,7 @@
         if (timer != null) {
             timer.cancel(false);
         }
-        listener.onEnd(this, status, report, answer);
+        listener.onEnd(this, status, report, response);
     }
 
     /** The head, and the body if all of it was received. */
--- a/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
+++ b/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
@@ -28,7 +28,7 @@
 
     private enum Expected {
         NOTHING,
-        START,
+        BEGINNING,
         REST,
         END
     }
@@ -59,7 +59,7 @@
 
     /** Expects a response: to the request that is being written, or after an interim response. */
     public void expectResponse() {
-        expected = Expected.START;
+        expected = Expected.BEGINNING;
     }
 
     /** The response is complete: further bytes of this read are not part of it. */
@@ -84,7 +84,7 @@
                 in.skipBytes(in.readableBytes());
                 listener.onTrailingBytes(startsResponse);
             }
-            case START -> {
+            case BEGINNING -> {
                 if (!startsWithVersion(in)) {
                     in.skipBytes(in.readableBytes());
                     listener.onUnexpectedBytes();
--- a/src/main/java/gullspar/proxy/io/DescriptorLimits.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -55,8 +55,8 @@
     public final Share backends;
 
     public DescriptorLimits(int limit) {
-        int rest = limit - Math.min(RESERVED_DESCRIPTORS, limit / 4);
-        this.clients = new Share(rest * 3 / 5);
-        this.backends = new Share(rest - rest * 3 / 5);
+        int available = limit - Math.min(RESERVED_DESCRIPTORS, limit / 4);
+        this.clients = new Share(available * 3 / 5);
+        this.backends = new Share(available - available * 3 / 5);
     }
 }
--- a/src/main/java/gullspar/proxy/io/LoopStatistics.java
+++ b/src/main/java/gullspar/proxy/io/LoopStatistics.java
@@ -16,10 +16,10 @@
     private long longestStandstillNs;
 
     /** Records a poll that found the given number of ready channels. */
-    void recordTurn(int ready) {
+    void recordTurn(int readyChannels) {
         turns++;
-        emptyTurns += ready == 0 ? 1 : 0;
-        served += ready;
+        emptyTurns += readyChannels == 0 ? 1 : 0;
+        served += readyChannels;
     }
 
     /** Records ready clients that were left for the next turn. */
@@ -29,12 +29,12 @@
     }
 
     /** Records a period without a poll or wait; returns true if it counts as a standstill. */
-    boolean recordStandstill(long ns) {
-        if (ns < STANDSTILL_NS) {
+    boolean recordStandstill(long durationNs) {
+        if (durationNs < STANDSTILL_NS) {
             return false;
         }
         standstills++;
-        longestStandstillNs = Math.max(longestStandstillNs, ns);
+        longestStandstillNs = Math.max(longestStandstillNs, durationNs);
         return true;
     }
 
--- a/src/test/java/gullspar/proxy/DeployedRunTest.java
+++ b/src/test/java/gullspar/proxy/DeployedRunTest.java
@@ -92,10 +92,10 @@
     }
 
     /** Starts a command as the platform does; without writes, not even $TMPDIR is writable. */
-    private Process start(String command, boolean writes, Peer discovery, Peer backend, InetSocketAddress at)
+    private Process start(String command, boolean writes, Peer discovery, Peer backend, InetSocketAddress address)
             throws IOException {
         ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
-        config.put("listen", "127.0.0.1:" + at.getPort());
+        config.put("listen", "127.0.0.1:" + address.getPort());
         Path file = Files.writeString(folder.resolve("config.json"), config.toString());
         List<String> all = new ArrayList<>(UnprivilegedUser.commandPrefix());
         all.addAll(List.of("/usr/bin/perl", refuse.toString()));
@@ -110,9 +110,9 @@
     }
 
     /** Collects lines up to one that contains the text; returns it, or null if the process ends before. */
-    private static String readUntil(BufferedReader log, String text, List<String> said) throws IOException {
+    private static String readUntil(BufferedReader log, String text, List<String> logLines) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            said.add(line);
+            logLines.add(line);
             if (line.contains(text)) {
                 return line;
             }
@@ -122,15 +122,16 @@
 
     /** Serves one request, then exits on SIGTERM. */
     private static void assertServesAndExits(
-            Process p, BufferedReader log, Peer backend, InetSocketAddress at, List<String> said) throws Exception {
-        assertNotEquals(null, readUntil(log, " ready", said), () -> String.join("\n", said));
+            Process p, BufferedReader log, Peer backend, InetSocketAddress address, List<String> logLines)
+            throws Exception {
+        assertNotEquals(null, readUntil(log, " ready", logLines), () -> String.join("\n", logLines));
         assertEquals(0, p.descendants().count(), "the process has started others");
         assertEquals(
                 "java", Path.of(p.info().command().orElseThrow()).getFileName().toString());
         assertTrue(
                 Files.readString(Path.of("/proc/" + p.pid() + "/maps")).contains("/libc.so"),
                 "not linked dynamically against the C library");
-        try (Peer.Wire client = Peer.Wire.to(at)) {
+        try (Peer.Wire client = Peer.Wire.to(address)) {
             client.write(Setup.get());
             Peer.Wire b = backend.accept();
             b.read();
@@ -143,20 +144,20 @@
     }
 
     private void assertStartsWarm(boolean writes) throws Exception {
-        List<String> said = new ArrayList<>();
-        InetSocketAddress at = freeAddress();
+        List<String> logLines = new ArrayList<>();
+        InetSocketAddress address = freeAddress();
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
-            Process p = start(deployedCommand(), writes, discovery, backend, at);
+            Process p = start(deployedCommand(), writes, discovery, backend, address);
             try (BufferedReader log = p.inputReader()) {
-                assertServesAndExits(p, log, backend, at, said);
+                assertServesAndExits(p, log, backend, address, logLines);
             } finally {
                 p.destroyForcibly();
             }
         }
         assertTrue(
-                said.stream().anyMatch(l -> l.matches(".* served [1-9][0-9]* requests to warm up")),
-                () -> String.join("\n", said));
+                logLines.stream().anyMatch(l -> l.matches(".* served [1-9][0-9]* requests to warm up")),
+                () -> String.join("\n", logLines));
     }
 
     @Test
@@ -173,15 +174,15 @@
     /** Checks the restrictions themselves: commands that violate them do not start. */
     @Test
     void commandThatForksOrWritesElsewhereDoesNotStart() throws Exception {
-        for (String planted :
+        for (String violation :
                 List.of("mb=$(sed -n p deploy/balancer.toml); ", "echo x > deploy/written; ", "sleep 1 & ")) {
-            List<String> said = new ArrayList<>();
+            List<String> logLines = new ArrayList<>();
             try (Peer discovery = new Peer();
                     Peer backend = new Peer()) {
-                Process p = start("set -e; " + planted + deployedCommand(), true, discovery, backend, freeAddress());
+                Process p = start("set -e; " + violation + deployedCommand(), true, discovery, backend, freeAddress());
                 try (BufferedReader log = p.inputReader()) {
-                    assertNull(readUntil(log, " starting", said), planted);
-                    assertNotEquals(0, p.waitFor(), planted);
+                    assertNull(readUntil(log, " starting", logLines), violation);
+                    assertNotEquals(0, p.waitFor(), violation);
                 } finally {
                     p.destroyForcibly();
                 }
--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -78,12 +78,12 @@
     void startsWithALogThatItCannotReopen() throws Exception {
         Process holder = startHolder();
         Files.setPosixFilePermissions(log, PosixFilePermissions.fromString("---------"));
-        try (BufferedReader said = holder.inputReader();
-                Writer to = holder.outputWriter()) {
-            int port = Integer.parseInt(said.readLine().substring("port ".length()));
-            to.write("NODE_SOCKET_FD=0 NODE_CONFIG=" + folder.resolve("config.json") + "\n");
-            to.flush();
-            long pid = Long.parseLong(said.readLine().substring("started ".length()));
+        try (BufferedReader output = holder.inputReader();
+                Writer input = holder.outputWriter()) {
+            int port = Integer.parseInt(output.readLine().substring("port ".length()));
+            input.write("NODE_SOCKET_FD=0 NODE_CONFIG=" + folder.resolve("config.json") + "\n");
+            input.flush();
+            long pid = Long.parseLong(output.readLine().substring("started ".length()));
             ProcessHandle proxy = ProcessHandle.of(pid).orElseThrow();
             try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", port))) {
                 client.write(Setup.get());
--- a/src/test/java/gullspar/proxy/StandstillTest.java
+++ b/src/test/java/gullspar/proxy/StandstillTest.java
@@ -47,7 +47,7 @@
     private final Map<String, SentRequest> requests = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     private Backend backend;
     private ProxyProcess process;
     /** New requests ask for a path to which the backend never responds. */
@@ -133,7 +133,7 @@
 
     @AfterEach
     void end() throws Exception {
-        clock.shutdownNow();
+        scheduler.shutdownNow();
         process.close();
         backend.close();
         threads.shutdownNow();
@@ -162,7 +162,7 @@
 
     private void sendLoad(long ms) throws Exception {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        var sending = clock.scheduleAtFixedRate(this::send, 0, SEND_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        var sending = scheduler.scheduleAtFixedRate(this::send, 0, SEND_INTERVAL_MS, TimeUnit.MILLISECONDS);
         TimeUnit.NANOSECONDS.sleep(until - System.nanoTime());
         sending.cancel(false);
     }
@@ -178,16 +178,16 @@
     }
 
     /** Requests since the stop must end in time; those due during the stop may end up to the slack after it. */
-    private void assertInTime(long from, long resumed) {
+    private void assertInTime(long fromNs, long resumedNs) {
         for (Map.Entry<String, SentRequest> e : requests.entrySet()) {
             SentRequest s = e.getValue();
-            String what = e.getKey() + ", sent " + toMs(s.sentAtNs - from) + " ms after the stop, ended " + s.status
+            String what = e.getKey() + ", sent " + toMs(s.sentAtNs - fromNs) + " ms after the stop, ended " + s.status
                     + " after " + toMs(s.endedAtNs - s.sentAtNs) + " ms: ";
             assertTrue(s.status.matches("200|503|502|504"), what + "no response");
             assertTrue(s.attempts().size() <= 1, what + "sent on twice");
             s.attempts().forEach(a -> assertTrue(a.receivedAtNs() <= s.endedAtNs, what + "sent on after its response"));
-            if (s.sentAtNs >= from) {
-                assertTrue(s.endedAtNs <= Math.max(s.sentAtNs + TIMEOUT_NS, resumed) + SLACK_NS, what + "late");
+            if (s.sentAtNs >= fromNs) {
+                assertTrue(s.endedAtNs <= Math.max(s.sentAtNs + TIMEOUT_NS, resumedNs) + SLACK_NS, what + "late");
                 s.attempts().forEach(a -> assertTimeoutWithinDeadline(s, a, what));
             }
         }
@@ -201,9 +201,9 @@
                         + toMs(left) + " were left");
     }
 
-    private void assertServedSince(long time) {
+    private void assertServedSince(long sinceNs) {
         List<SentRequest> later =
-                requests.values().stream().filter(s -> s.sentAtNs > time).toList();
+                requests.values().stream().filter(s -> s.sentAtNs > sinceNs).toList();
         long served = later.stream().filter(s -> s.status.equals("200")).count();
         assertTrue(
                 served >= MIN_SERVED_SHARE * later.size(),
--- a/src/test/java/gullspar/proxy/io/AcceptBackoffTest.java
+++ b/src/test/java/gullspar/proxy/io/AcceptBackoffTest.java
@@ -12,8 +12,8 @@
 
 /** Accept failures of a listener in virtual time. */
 class AcceptBackoffTest {
-    private final AtomicInteger closed = new AtomicInteger();
-    private final AcceptBackoff backoff = new AcceptBackoff(() -> closed.incrementAndGet() > 0);
+    private final AtomicInteger closedCount = new AtomicInteger();
+    private final AcceptBackoff backoff = new AcceptBackoff(() -> closedCount.incrementAndGet() > 0);
     private final EmbeddedChannel listener = new EmbeddedChannel(backoff);
 
     AcceptBackoffTest() {
@@ -56,6 +56,6 @@
         fail();
         acceptsAfter(AcceptBackoff.INITIAL_BACKOFF_MS);
         fail();
-        assertEquals(2, closed.get());
+        assertEquals(2, closedCount.get());
     }
 }
--- a/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
+++ b/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
@@ -48,19 +48,19 @@
             writeLine("line " + i);
         }
         assertFalse(stream.drain(10), "the sink takes nothing");
-        long lost = stream.dropped();
-        assertTrue(lost > 0 && lost < LINES, "lost " + lost);
+        long dropped = stream.dropped();
+        assertTrue(dropped > 0 && dropped < LINES, "lost " + dropped);
         mayWrite.release(LINES);
         assertTrue(stream.drain(10_000));
         assertTrue(written.toString().contains("line 0\n"), "the first lines are kept");
-        long told = Pattern.compile("dropped from this log: (\\d+)\n")
+        long reported = Pattern.compile("dropped from this log: (\\d+)\n")
                 .matcher(written)
                 .results()
                 .mapToLong(r -> Long.parseLong(r.group(1)))
                 .sum();
-        assertEquals(lost, told);
+        assertEquals(dropped, reported);
         assertEquals(
-                LINES - lost,
+                LINES - dropped,
                 Pattern.compile("line \\d+\n").matcher(written).results().count());
     }
 
