--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -4,9 +4,9 @@
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.ConfigException;
 import gullspar.proxy.io.ClassArchive;
-import gullspar.proxy.io.FileChanges;
-import gullspar.proxy.io.Inherited;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.FileWatcher;
+import gullspar.proxy.io.InheritedTransport;
+import gullspar.proxy.io.LibraryLogHandler;
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Log;
 import gullspar.proxy.io.Platform;
@@ -58,9 +58,9 @@
         EventLoop loop = servingLoop.loop();
         ConfigReloader reloader = new ConfigReloader(environment, loop);
         Runnable reload = () -> started.thenAccept(reloader::reload);
-        if (!Signals.on("HUP", reload)) {
-            LOG.say(Signals.NO_HUP);
-            Config.file(environment).ifPresent(file -> FileChanges.on(file, reload));
+        if (!Signals.register("HUP", reload)) {
+            LOG.write(Signals.HUP_UNAVAILABLE);
+            Config.file(environment).ifPresent(file -> FileWatcher.watch(file, reload));
         }
         Shutdown shutdown = new Shutdown(afterDrain);
         try {
@@ -80,18 +80,18 @@
             Shutdown shutdown)
             throws ConfigException, IOException {
         EventLoop loop = servingLoop.loop();
-        LibraryLog.install();
-        LOG.say("starting, pid " + ProcessHandle.current().pid() + ", user " + System.getProperty("user.name"));
+        LibraryLogHandler.install();
+        LOG.write("starting, pid " + ProcessHandle.current().pid() + ", user " + System.getProperty("user.name"));
         ClassArchive archive = ClassArchive.ofThisProcess();
         if (archive == ClassArchive.UNUSED) {
-            LOG.say("class archive not used, it was made for another build or runtime: rebuild it; "
+            LOG.write("class archive not used, it was made for another build or runtime: rebuild it; "
                     + "startup takes longer until then");
         }
         Config config = reloader.readInitial();
-        LOG.say("configured: listens on " + (config.inherited() ? "descriptor 0" : config.listen()) + ", discovery "
+        LOG.write("configured: listens on " + (config.inherited() ? "descriptor 0" : config.listen()) + ", discovery "
                 + config.discovery() + ", descriptors " + config.sockets());
         Platform platform = config.inherited()
-                ? Platform.of(servingLoop, Inherited.transport(loop), LOG)
+                ? Platform.of(servingLoop, InheritedTransport.create(loop), LOG)
                 : Platform.of(servingLoop);
         OperatorPort operatorEndpoint = listenForOperators(config, platform);
         Proxy proxy = Proxy.callOnLoop(platform, () -> Proxy.startUnopened(config, platform, factory));
@@ -206,7 +206,7 @@
             });
         }
         long limitMs = archive == ClassArchive.UNUSED ? WARMUP_WITHOUT_ARCHIVE_LIMIT_MS : WARMUP_LIMIT_MS;
-        LOG.say("served " + Warmup.run(config, factory, WARMUP_REQUESTS, limitMs) + " requests to warm up");
+        LOG.write("served " + Warmup.run(config, factory, WARMUP_REQUESTS, limitMs) + " requests to warm up");
     }
 
     /** Opens the operators' port if the configuration has one; otherwise returns null. */
@@ -248,7 +248,7 @@
         void reload(Proxy proxy) {
             ConfigException problem = tryReload(proxy);
             for (int i = 0; i < MAX_REREADS && problem != null; i++) {
-                LOG.say("the new configuration cannot be read yet, retrying in " + REREAD_INTERVAL_MS + " ms: "
+                LOG.write("the new configuration cannot be read yet, retrying in " + REREAD_INTERVAL_MS + " ms: "
                         + problem.getMessage());
                 sleep(REREAD_INTERVAL_MS);
                 problem = tryReload(proxy);
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -5,8 +5,8 @@
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.Status;
-import gullspar.proxy.backend.Answer;
 import gullspar.proxy.backend.Attempt;
+import gullspar.proxy.backend.BackendResponse;
 import gullspar.proxy.client.Client;
 import gullspar.proxy.client.RequestParameters;
 import gullspar.proxy.config.Classes.Known;
@@ -123,7 +123,7 @@
     /** Responds to the client if the module has not ended the request in time. */
     private void onBackstop() {
         if (!finished) {
-            exchanges.platform.log().say("module did not end the request in time, responding 504: ticket " + ticket);
+            exchanges.platform.log().write("module did not end the request in time, responding 504: ticket " + ticket);
             respond(504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
             withdraw();
         }
@@ -146,7 +146,7 @@
     }
 
     private void onAttemptEnded(
-            int attemptNumber, int server, long startedAtNs, Status status, Report report, Answer response) {
+            int attemptNumber, int server, long startedAtNs, Status status, Report report, BackendResponse response) {
         if (status == Status.OK && finished && response.rest() != null) {
             response.rest().drop();
         } else if (status == Status.OK && !finished && response.rest() != null) {
@@ -174,7 +174,7 @@
     }
 
     /** Streams the response to the client as it is received; it is counted once it has ended. */
-    private void streamResponse(Answer response) {
+    private void streamResponse(BackendResponse response) {
         finish();
         exchanges.streaming(true);
         // A response that has not ended by the client's timeout has failed.
@@ -221,12 +221,12 @@
                 requestClass.profile().effect() == Effect.IDEMPOTENT,
                 new Attempt.Listener() {
                     @Override
-                    public void ended(Attempt a, Status status, Report report, Answer answer) {
-                        Exchange.this.onAttemptEnded(attemptNumber, server, a.began(), status, report, answer);
+                    public void onEnd(Attempt a, Status status, Report report, BackendResponse answer) {
+                        Exchange.this.onAttemptEnded(attemptNumber, server, a.startedAtNs(), status, report, answer);
                     }
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isNeeded() {
                         return Exchange.this.isWanted();
                     }
                 }));
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -103,7 +103,7 @@
             exchange.send(server, timeoutNs, withinNs);
             return;
         }
-        platform.log().say("attempt dropped: ticket " + ticket + " is unknown or finished");
+        platform.log().write("attempt dropped: ticket " + ticket + " is unknown or finished");
         events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -11,9 +11,9 @@
 import gullspar.proxy.discovery.ListUpdate;
 import gullspar.proxy.discovery.ListedBackend;
 import gullspar.proxy.events.Events;
+import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.io.Sockets;
 import gullspar.proxy.operator.Companion;
 import gullspar.proxy.operator.Figures;
 import gullspar.proxy.operator.OperatorPort;
@@ -56,7 +56,7 @@
 
     private final Platform platform;
     private final Config config;
-    private final Sockets sockets;
+    private final DescriptorLimits sockets;
     private final Events events;
     private final Frontend frontend;
     private final Backends backends;
@@ -96,7 +96,7 @@
             long unreadTimeoutNs) {
         this.config = config;
         this.platform = platform;
-        this.sockets = new Sockets(config.sockets());
+        this.sockets = new DescriptorLimits(config.sockets());
         this.events = new Events(platform);
         this.backends = new Backends(platform, sockets.backends, config);
         this.classes = new Classes(config);
@@ -190,7 +190,7 @@
     }
 
     private void startDiscovery() {
-        platform.log().say("requesting the backend list from discovery");
+        platform.log().write("requesting the backend list from discovery");
         knownList = discovery.knownList();
         if (knownList != null) {
             discovery.setVersion(knownList.version());
@@ -209,7 +209,7 @@
     void useKnownList() {
         if (!listReceived && knownList != null && !knownList.list().isEmpty()) {
             platform.log()
-                    .say("no list from discovery within " + DISCOVERY_WAIT_MS
+                    .write("no list from discovery within " + DISCOVERY_WAIT_MS
                             + " ms: serving with the known list of the configuration");
             applyKnownList();
             listReceived();
@@ -243,7 +243,7 @@
      */
     public void reload(Config config) {
         platform.log()
-                .say("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
+                .write("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
         List<Profile> profiles = classes.take(config);
         events.news((now, m) -> m.onProfiles(profiles));
@@ -253,7 +253,7 @@
 
     /** Records that a configuration was rejected. Call on the event loop. */
     public void onConfigurationRejected(String reason) {
-        platform.log().say("the new configuration is not used: " + reason);
+        platform.log().write("the new configuration is not used: " + reason);
         figures.reloaded(false);
     }
 
@@ -269,12 +269,12 @@
         return new Report(
                         classes.names(),
                         figures,
-                        backends.written(),
+                        backends.writtenCount(),
                         exchanges.openRequests(),
-                        backends.listed(),
+                        backends.listedCount(),
                         module.avoided(),
-                        platform.figures(),
-                        new Report.Descriptors(sockets.clients.open(), sockets.backends.open()))
+                        platform.statistics(),
+                        new Report.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
                 .json();
     }
 
@@ -290,7 +290,7 @@
     /** Answers all open requests and those still received; the future completes once all are answered. */
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
-            platform.log().say("draining");
+            platform.log().write("draining");
             draining = true;
             frontend.drain();
             long timeToKillMs = Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
@@ -314,7 +314,7 @@
 
     private void completeDrain() {
         if (!drainCompleted.isDone()) {
-            platform.log().say("drained"); // logged first: the process may exit as soon as the future completes
+            platform.log().write("drained"); // logged first: the process may exit as soon as the future completes
             drainCompleted.complete(null);
         }
     }
@@ -387,7 +387,7 @@
             }
             listenFuture.addListener(bound -> {
                 if (bound.isSuccess()) {
-                    platform.log().say("ready");
+                    platform.log().write("ready");
                 }
             });
         }
@@ -395,7 +395,7 @@
 
     /** Applies a list update to the connections and the module. */
     void apply(ListUpdate update) {
-        backends.learn(update);
+        backends.update(update);
         events.news((now, module) -> module.onMembers(
                 now,
                 update.kind(),
@@ -446,12 +446,12 @@
 
     @Override
     public void closeIdle(int server) {
-        backends.closeIdle(server);
+        backends.closeIdleConnections(server);
     }
 
     @Override
     public void log(String line) {
-        platform.log().say(line);
+        platform.log().write(line);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -90,7 +90,7 @@
             SocketAddress backendAddress) {
         static Endpoints domainSockets(Path folder) {
             return new Endpoints(
-                    ServingLoop.handlers(),
+                    ServingLoop.handlerFactory(),
                     NioDomainSocketChannel.class,
                     NioServerDomainSocketChannel.class,
                     UnixDomainSocketAddress.of(folder.resolve("door")),
@@ -134,7 +134,7 @@
         try {
             return play(config, factory, requests, limitMs, Endpoints.inProcess());
         } catch (IOException e) {
-            LOG.say("warm-up failed, serving without it: " + e);
+            LOG.write("warm-up failed, serving without it: " + e);
             return 0;
         }
     }
@@ -170,19 +170,19 @@
                 Files.deleteIfExists(folder);
             }
         } catch (IOException e) {
-            LOG.say("cannot delete the temporary directory of the warm-up: " + folder);
+            LOG.write("cannot delete the temporary directory of the warm-up: " + folder);
         }
     }
 
     /** Connects every address to the synthetic backends. */
     private final class WarmupTransport implements Transport {
         @Override
-        public Bootstrap to(InetSocketAddress address) {
+        public Bootstrap clientBootstrap(InetSocketAddress address) {
             return bootstrapTo(endpoints.backendAddress);
         }
 
         @Override
-        public ServerBootstrap at(InetSocketAddress address) {
+        public ServerBootstrap serverBootstrap(InetSocketAddress address) {
             throw new UnsupportedOperationException("the warm-up proxy does not listen");
         }
     }
--- a/src/main/java/gullspar/proxy/backend/Answer.java
+++ /dev/null
@@ -1,7 +0,0 @@
-package gullspar.proxy.backend;
-
-import gullspar.proxy.http.Pieces;
-import io.netty.handler.codec.http.HttpResponse;
-
-/** An answer of a backend: whole, or its beginning, and the rest is still to come; null if there is none. */
-public record Answer(HttpResponse head, byte[] body, Pieces rest) {}
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -15,40 +15,40 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One try of one request at one backend. */
+/** One attempt to send one request to one backend. */
 public final class Attempt {
     /**
-     * Who hears, once, how an attempt ended. There is an answer if it was served, and with MOOT if the
-     * backend cannot use the request.
+     * Notified once of how an attempt ended. There is a response with OK, and with MOOT if the backend rejected
+     * the request.
      */
     public interface Listener {
-        void ended(Attempt attempt, Status status, Report report, Answer answer);
+        void onEnd(Attempt attempt, Status status, Report report, BackendResponse response);
 
-        /** Does anybody still wait for it, by all that is known at this moment? Asked before it begins. */
-        boolean wanted();
+        /** Is the response still needed, as far as is known now? Checked before the attempt is sent. */
+        boolean isNeeded();
     }
 
     private final Backend backend;
     private final Message request;
     private final EventLoop loop;
     private final Clock clock;
-    private final long deadline;
+    private final long deadlineNs;
     private final Listener listener;
-    private final Runnable whenWritten;
+    private final Runnable onWritten;
     private Connection connection;
     private ScheduledFuture<?> timer;
-    /** Its last byte is written: from now on it may have run. */
+    /** Its last byte was written: from now on it may have run. */
     private boolean written;
 
     private final long timeoutNs;
-    /** When the time began that it has. */
-    private long began;
-    /** It must have gone out by then. */
-    private final long latest;
+    /** Start of its time-out. */
+    private long startedAtNs;
+    /** It is not sent after this time. */
+    private final long sendByNs;
 
     private boolean sent;
-    private boolean calledOff;
-    private boolean ended;
+    private boolean isAbandoned;
+    private boolean hasEnded;
 
     Attempt(
             Backend backend,
@@ -56,49 +56,49 @@
             EventLoop loop,
             Clock clock,
             long timeoutNs,
-            long withinNs,
+            long sendWithinNs,
             Listener listener,
             Runnable whenWritten) {
         this.backend = backend;
         this.request = request;
         this.loop = loop;
         this.clock = clock;
-        this.began = clock.now();
+        this.startedAtNs = clock.now();
         this.timeoutNs = timeoutNs;
-        this.deadline = began + timeoutNs;
-        this.latest = withinNs == Long.MAX_VALUE ? withinNs : began + withinNs;
+        this.deadlineNs = startedAtNs + timeoutNs;
+        this.sendByNs = sendWithinNs == Long.MAX_VALUE ? sendWithinNs : startedAtNs + sendWithinNs;
         this.listener = listener;
-        this.whenWritten = whenWritten;
+        this.onWritten = whenWritten;
     }
 
     Backend backend() {
         return backend;
     }
 
-    boolean ended() {
-        return ended;
+    boolean hasEnded() {
+        return hasEnded;
     }
 
     /**
-     * Its time begins: with the attempt, or, where the request is still coming, with its last byte, as the
-     * protocol counts. Until then both ends must make progress.
+     * Starts the time-out: with the attempt, or, where the request is still being received, with its last byte, as
+     * the protocol defines. Until then both ends must make progress.
      */
     void startTimer() {
-        timer = loop.schedule(this::timeOut, timeoutNs, TimeUnit.NANOSECONDS);
+        timer = loop.schedule(this::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * May it still go out? Not if it is over or called off, which ends it a moment later, nor once it is too
-     * late for it.
+     * May it still be sent? Not if it has ended, was abandoned (its end follows a moment later), or its time to be
+     * sent has passed.
      */
-    boolean mayBegin() {
-        return !ended && !calledOff && clock.now() <= latest;
+    boolean canStart() {
+        return !hasEnded && !isAbandoned && clock.now() <= sendByNs;
     }
 
-    /** Asks whether anybody still waits for it; where nobody does it goes out no more. */
-    boolean wanted() {
-        calledOff |= !listener.wanted();
-        return !calledOff;
+    /** Checks whether the response is still needed; if not, the attempt is abandoned. */
+    boolean checkNeeded() {
+        isAbandoned |= !listener.isNeeded();
+        return !isAbandoned;
     }
 
     /** The request that it sends. */
@@ -106,31 +106,31 @@
         return request;
     }
 
-    /** When its time began, in ns. */
-    public long began() {
-        return began;
+    /** Start of its time-out. */
+    public long startedAtNs() {
+        return startedAtNs;
     }
 
-    /** The backend does not read it. */
-    void stuck() {
+    /** Ends it because the backend does not read the request. */
+    void failUnread() {
         giveUp(Status.CONNECT_FAILED);
     }
 
-    /** It goes over that connection. */
-    void over(Connection c) {
+    /** Sets the connection that carries it. */
+    void setConnection(Connection c) {
         connection = c;
     }
 
     void written() {
         written = true;
-        whenWritten.run();
-        if (request.rest() != null && !ended) {
-            began = clock.now();
+        onWritten.run();
+        if (request.rest() != null && !hasEnded) {
+            startedAtNs = clock.now();
             startTimer();
         }
     }
 
-    /** All of it is on its way to be written. */
+    /** All of the request was handed to the channel. */
     void sent() {
         sent = true;
     }
@@ -144,20 +144,20 @@
     }
 
     /**
-     * Takes it back: it ends as cancelled, if it has not ended by then; never within this call. One that has
-     * not gone out does not go out any more, though its connection may come up in this very moment.
+     * Cancels the attempt: it ends as CANCELLED unless it ends otherwise first, never within this call. If it was
+     * not sent yet, it never is, even if its connection opens at this moment.
      */
     public void cancel() {
-        calledOff = true;
+        isAbandoned = true;
         loop.execute(() -> giveUp(Status.CANCELLED));
     }
 
-    private void timeOut() {
+    private void onTimeout() {
         giveUp(written ? Status.TIMEOUT : Status.CONNECT_FAILED);
     }
 
     private void giveUp(Status status) {
-        if (!ended) {
+        if (!hasEnded) {
             end(status, null, null);
             if (connection != null) {
                 connection.close();
@@ -165,25 +165,25 @@
         }
     }
 
-    void broken() {
+    void onConnectionLost() {
         end(written ? Status.RESET : Status.CONNECT_FAILED, null, null);
     }
 
-    void end(Status status, Report report, Answer answer) {
-        if (ended) {
+    void end(Status status, Report report, BackendResponse response) {
+        if (hasEnded) {
             return;
         }
-        ended = true;
+        hasEnded = true;
         if (timer != null) {
             timer.cancel(false);
         }
-        listener.ended(this, status, report, answer);
+        listener.onEnd(this, status, report, response);
     }
 
-    /** The head, and the body as far as it is there. */
-    HttpRequest toWrite() {
-        boolean whole = request.rest() == null;
-        HttpRequest r = whole
+    /** The head, and the body if all of it was received. */
+    HttpRequest toHttpRequest() {
+        boolean isComplete = request.rest() == null;
+        HttpRequest r = isComplete
                 ? new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
                         request.method(),
@@ -192,8 +192,8 @@
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
         Message.copyRequest(request.headers(), r.headers());
         r.headers().set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST, ""));
-        long left = whole ? deadline - clock.now() : timeoutNs;
-        r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, left)));
+        long remainingNs = isComplete ? deadlineNs - clock.now() : timeoutNs;
+        r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, remainingNs)));
         if (request.length() < 0) {
             HttpUtil.setTransferEncodingChunked(r, true);
         } else if (request.hasBody() || !request.method().equals(HttpMethod.GET)) {
--- a/src/main/java/gullspar/proxy/backend/Backend.java
+++ b/src/main/java/gullspar/proxy/backend/Backend.java
@@ -4,21 +4,21 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A backend as this side knows it: where it is, whether it has left, and its idle connections. */
+/** A backend as seen by the proxy: its address, whether it has left, and its idle connections. */
 final class Backend {
     InetSocketAddress address;
     long bootNs;
-    /** When this proxy heard that it drains or is gone; 0 while it is in service. */
-    long leftAt;
-    /** The most recently used last. */
+    /** When discovery reported that it drains or is gone; 0 while it is in service. */
+    long leftAtNs;
+    /** In order of their last use, the most recent last. */
     final Deque<Connection> idle = new ArrayDeque<>();
 
-    void leave(long now) {
-        leftAt = leftAt == 0 ? now : leftAt;
-        closeIdle();
+    void markLeft(long nowNs) {
+        leftAtNs = leftAtNs == 0 ? nowNs : leftAtNs;
+        closeIdleConnections();
     }
 
-    void closeIdle() {
+    void closeIdleConnections() {
         while (!idle.isEmpty()) {
             idle.pop().close();
         }
--- /dev/null
+++ b/src/main/java/gullspar/proxy/backend/BackendResponse.java
@@ -0,0 +1,7 @@
+package gullspar.proxy.backend;
+
+import gullspar.proxy.http.Pieces;
+import io.netty.handler.codec.http.HttpResponse;
+
+/** A response of a backend: complete, or its start with the rest still being received; rest is null if complete. */
+public record BackendResponse(HttpResponse head, byte[] body, Pieces rest) {}
--- /dev/null
+++ b/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
@@ -0,0 +1,114 @@
+package gullspar.proxy.backend;
+
+import gullspar.proxy.http.HeadLines;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.HttpDecoderConfig;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.util.AsciiString;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/**
+ * Decodes one response for each request, and never takes stray bytes for the response to the next request: bytes
+ * that do not start a response, and bytes after a complete one, are reported at once.
+ */
+public final class BackendResponseDecoder extends HttpResponseDecoder {
+    /** Notified of bytes that are not part of an expected response. */
+    public interface Listener {
+        /** Bytes that do not start a response, or that arrived while none was expected. */
+        void onUnexpectedBytes();
+
+        /** Bytes after a complete response; startsResponse: another response starts there, so the first one did end. */
+        void onTrailingBytes(boolean startsResponse);
+    }
+
+    private static final byte[] VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+
+    private enum Expected {
+        NOTHING,
+        BEGINNING,
+        REST,
+        END
+    }
+
+    private final Listener listener;
+    private Expected expected = Expected.NOTHING;
+    private boolean hasNoBody;
+
+    /** Limits the status line and the head, in bytes. */
+    public BackendResponseDecoder(Listener listener, int maxStatusLineBytes, int maxHeadBytes) {
+        super(new HttpDecoderConfig()
+                .setMaxInitialLineLength(maxStatusLineBytes)
+                .setMaxHeaderSize(maxHeadBytes)
+                .setMaxChunkSize(64 << 10));
+        this.listener = listener;
+    }
+
+    /** Expects a response; headOnly: it has no body, whatever its head says (HEAD). */
+    public void expectResponse(boolean headOnly) {
+        hasNoBody = headOnly;
+        expectResponse();
+    }
+
+    @Override
+    protected boolean isContentAlwaysEmpty(HttpMessage message) {
+        return hasNoBody || super.isContentAlwaysEmpty(message);
+    }
+
+    /** Expects a response: to the request that is being written, or after an interim response. */
+    public void expectResponse() {
+        expected = Expected.BEGINNING;
+    }
+
+    /** The response is complete: further bytes of this read are not part of it. */
+    public void responseComplete() {
+        expected = Expected.END;
+    }
+
+    /** The read that completed the response has ended: bytes before the next request are unexpected. */
+    public void expectNothing() {
+        expected = Expected.NOTHING;
+    }
+
+    @Override
+    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
+        switch (expected) {
+            case NOTHING -> {
+                in.skipBytes(in.readableBytes());
+                listener.onUnexpectedBytes();
+            }
+            case END -> {
+                boolean startsResponse = startsWithVersion(in) && in.readableBytes() >= VERSION_PREFIX.length;
+                in.skipBytes(in.readableBytes());
+                listener.onTrailingBytes(startsResponse);
+            }
+            case BEGINNING -> {
+                if (!startsWithVersion(in)) {
+                    in.skipBytes(in.readableBytes());
+                    listener.onUnexpectedBytes();
+                } else if (in.readableBytes() >= VERSION_PREFIX.length) {
+                    expected = Expected.REST;
+                    super.decode(ctx, in, out);
+                }
+            }
+            default -> super.decode(ctx, in, out);
+        }
+    }
+
+    @Override
+    protected AsciiString splitHeaderName(byte[] line, int start, int length) {
+        HeadLines.checkColon(line, start + length);
+        return super.splitHeaderName(line, start, length);
+    }
+
+    private static boolean startsWithVersion(ByteBuf in) {
+        for (int i = 0; i < Math.min(VERSION_PREFIX.length, in.readableBytes()); i++) {
+            if (in.getByte(in.readerIndex() + i) != VERSION_PREFIX[i]) {
+                return false;
+            }
+        }
+        return true;
+    }
+}
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -5,7 +5,7 @@
 import gullspar.decide.Balancer.ListKind;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Json;
-import gullspar.proxy.io.Dial;
+import gullspar.proxy.io.ConnectOperation;
 import gullspar.proxy.io.Platform;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -156,7 +156,7 @@
             ListUpdate update = catalog.read(knownList, false, platform.clock().now());
             return new ListUpdate(ListKind.CACHED, update.version(), update.list());
         } catch (IllegalArgumentException e) {
-            platform.log().say("invalid known list in the configuration, not used: " + e.getMessage());
+            platform.log().write("invalid known list in the configuration, not used: " + e.getMessage());
             return null;
         }
     }
@@ -246,7 +246,7 @@
     private void warnOnce(String warning) {
         if (!warning.equals(lastWarning)) {
             lastWarning = warning;
-            platform.log().say(warning);
+            platform.log().write(warning);
         }
     }
 
@@ -259,7 +259,7 @@
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final Json parser = new Json();
         private final InetSocketAddress watchedAddress = address;
-        private Dial connectOperation;
+        private ConnectOperation connectOperation;
         /** The watch has sent a list; from then on heartbeats extend its deadline. */
         private boolean hasList;
 
@@ -268,7 +268,7 @@
         void open() {
             watches.add(this);
             Bootstrap bootstrap = platform.transport()
-                    .to(watchedAddress)
+                    .clientBootstrap(watchedAddress)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeouts.connectMs())
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -277,14 +277,14 @@
                         }
                     });
             deadline(listOnRequest ? timeouts.firstListMs() : timeouts.silenceMs());
-            connectOperation = Dial.start(bootstrap, loop, new Dial.Listener() {
+            connectOperation = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
                 @Override
-                public void failed(Dial.Failure failure) {
+                public void onFailed(ConnectOperation.Failure failure) {
                     onWatchEnded(Watch.this);
                 }
 
                 @Override
-                public void released() {
+                public void onReleased() {
                     onWatchEnded(Watch.this);
                 }
             });
@@ -399,7 +399,7 @@
                     throw new IllegalArgumentException(
                             "generation " + generation + " is lower than the last one, " + version);
                 }
-                platform.log().say("discovery has restarted its generations: " + generation + " after " + version);
+                platform.log().write("discovery has restarted its generations: " + generation + " after " + version);
             }
             ListUpdate update = catalog.read(list, hadList, platform.clock().now());
             hadList = true;
--- a/src/main/java/gullspar/proxy/io/ServingLoop.java
+++ b/src/main/java/gullspar/proxy/io/ServingLoop.java
@@ -6,26 +6,26 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * An event loop of one thread for a process that serves.
+ * A single-threaded event loop for a serving process.
  *
  * @param loop the loop
- * @param unread how long what it reads now may have waited
- * @param figures what it has done
+ * @param unreadAge how long the data that it reads now may have waited
+ * @param statistics what it has done
  */
-public record ServingLoop(EventLoop loop, UnreadAge unread, LoopFigures figures) {
-    /** Makes what such a loop runs on. */
-    public static IoHandlerFactory handlers() {
+public record ServingLoop(EventLoop loop, UnreadAge unreadAge, LoopStatistics statistics) {
+    /** Creates the I/O handlers of such loops. */
+    public static IoHandlerFactory handlerFactory() {
         return executor -> new OrderedNioHandler(NioIoHandler.newFactory().newHandler(executor), System::nanoTime);
     }
 
-    /** Starts one over the sockets of this machine. */
+    /** Starts a loop on the sockets of this machine. */
     public static ServingLoop start() {
-        OrderedNioHandler[] made = new OrderedNioHandler[1];
+        OrderedNioHandler[] handler = new OrderedNioHandler[1];
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor -> {
-                    made[0] = (OrderedNioHandler) handlers().newHandler(executor);
-                    return made[0];
+                    handler[0] = (OrderedNioHandler) handlerFactory().newHandler(executor);
+                    return handler[0];
                 })
                 .next();
-        return new ServingLoop(loop, made[0]::unreadNs, made[0].figures());
+        return new ServingLoop(loop, handler[0]::unreadAgeNs, handler[0].statistics());
     }
 }
--- a/src/main/java/gullspar/proxy/io/Transport.java
+++ b/src/main/java/gullspar/proxy/io/Transport.java
@@ -11,29 +11,29 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** How connections are made and accepted: by TCP, but while a proxy warms up or is rehearsed. */
+/** Opens and accepts connections: over TCP, except during warm-up and in rehearsals. */
 public interface Transport {
-    /** For one connection to that address. */
-    Bootstrap to(InetSocketAddress address);
+    /** For one connection to an address. */
+    Bootstrap clientBootstrap(InetSocketAddress address);
 
-    /** For a listener at that address, which still wants its handler. */
-    ServerBootstrap at(InetSocketAddress address);
+    /** For a listener on an address; the caller sets its handler. */
+    ServerBootstrap serverBootstrap(InetSocketAddress address);
 
-    /** For a socket for datagrams at that address, which still wants its handler. */
-    default Bootstrap datagrams(InetSocketAddress address) {
-        throw new UnsupportedOperationException("no datagrams here");
+    /** For a datagram socket on an address; the caller sets its handler. */
+    default Bootstrap datagramBootstrap(InetSocketAddress address) {
+        throw new UnsupportedOperationException("this transport has no datagrams");
     }
 
-    /** Begins to listen there. */
-    default ChannelFuture listen(InetSocketAddress address, ChannelHandler children) {
-        return at(address).childHandler(children).bind();
+    /** Starts to listen on an address. */
+    default ChannelFuture listen(InetSocketAddress address, ChannelHandler childHandler) {
+        return serverBootstrap(address).childHandler(childHandler).bind();
     }
 
-    /** By the sockets of this machine. */
+    /** TCP and UDP over the sockets of this machine. */
     static Transport tcp(EventLoop loop) {
         return new Transport() {
             @Override
-            public Bootstrap to(InetSocketAddress address) {
+            public Bootstrap clientBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
@@ -42,7 +42,7 @@
             }
 
             @Override
-            public ServerBootstrap at(InetSocketAddress address) {
+            public ServerBootstrap serverBootstrap(InetSocketAddress address) {
                 return new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
@@ -53,7 +53,7 @@
             }
 
             @Override
-            public Bootstrap datagrams(InetSocketAddress address) {
+            public Bootstrap datagramBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What comes back from a backend, and what the module is told of it. */
+/** Responses of backends and failures of attempts, and the outcomes reported to the decision module. */
 class BackendsTest extends LoopbackTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
-    /** A request on its way: the module has sent it to the backend. */
-    private Request sent(Peer.Wire client) throws Exception {
+    /** Sends a request that the module routes to the backend. */
+    private Request sendRequest(Peer.Wire client) throws Exception {
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
         setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
@@ -31,9 +31,9 @@
     }
 
     @Test
-    void anAnswerGoesBackUnchangedAndTheConnectionIsUsedAgain() throws Exception {
+    void responseIsReturnedUnchangedAndTheConnectionIsReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             String request = wire.read();
             assertTrue(request.startsWith("GET /look/1?x=2 HTTP/1.1\r\n"), request);
@@ -48,8 +48,8 @@
             assertEquals(7, o.report().inflight());
             assertEquals(0.61, o.report().util());
             setup.advanceClock(20);
-            sent(client);
-            wire.read(); // on the same connection
+            sendRequest(client);
+            wire.read(); // on the same connection as before
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
             assertTrue(backend.quiet());
@@ -66,9 +66,9 @@
         "504 Late, Not-Started: 1, FULL",
         "500 Oops, Not-Started: 1, ERROR"
     })
-    void onlyTheBackendsOwnWordProvesThatItNeverRan(String line, String header, Status status) throws Exception {
+    void onlyNotStartedProvesThatTheRequestNeverRan(String line, String header, Status status) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write("HTTP/1.1 " + line + "\r\n" + (header.isEmpty() ? "" : header + "\r\n")
@@ -88,9 +88,9 @@
         "rubbish|",
         "HTTP/1.1 200 OK|Content-Length: x||"
     })
-    void anAnswerThatIsNotWholeIsAResetAndIsNotServed(String answer) throws Exception {
+    void truncatedResponseIsAResetAndIsNotServed(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n")).close();
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The connection stays open: nothing but the bytes says that no answer will come of it. */
+    /** The backend keeps the connection open: only the bytes show that the response is malformed. */
     @ParameterizedTest
     @CsvSource({
         "xHTTP/1.1 200 OK|Content-Length: 4||body",
@@ -121,9 +121,9 @@
         "HTTP/1.1 101 Switching Protocols||",
         "noise"
     })
-    void aSpoiltAnswerIsAResetAtOnceAndItsConnectionIsOfNoUse(String answer) throws Exception {
+    void malformedResponseIsAnImmediateResetAndClosesTheConnection(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n"));
@@ -137,10 +137,10 @@
     }
 
     @Test
-    void aHeadWithoutEndAndInterimAnswersWithoutEndAreResets() throws Exception {
+    void endlessHeadsAndInterimResponsesAreResets() throws Exception {
         for (String endless : List.of("X-Pad: ppppppppppppppppppppppppp\r\n", "HTTP/1.1 103 Early\r\n\r\n")) {
             try (Peer.Wire client = setup.client()) {
-                Request r = sent(client);
+                Request r = sendRequest(client);
                 Peer.Wire wire = backend.accept();
                 wire.read();
                 wire.write((endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "") + endless.repeat(400));
@@ -152,16 +152,16 @@
     }
 
     @Test
-    void aSecondCopyBehindAGoodAnswerIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void duplicateResponseIsNotServedToTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\n" + OK + OK.substring(0, OK.length() - 2));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
             assertEquals(Status.OK, setup.nextOutcome().status());
             assertTrue(first.ended());
-            sent(client);
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK.replace("body", "next"));
@@ -169,15 +169,15 @@
         }
     }
 
-    /** A backend that closes right behind its answer must not be written to before that is seen. */
+    /** A backend may close right after its response: the proxy must see that before it reuses the connection. */
     @Test
-    void theConnectionIdleLongestIsUsedFirst() throws Exception {
+    void longestIdleConnectionIsUsedFirst() throws Exception {
         try (Peer.Wire one = setup.client();
                 Peer.Wire two = setup.client()) {
-            sent(one);
+            sendRequest(one);
             Peer.Wire first = backend.accept();
             first.read();
-            sent(two);
+            sendRequest(two);
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -185,24 +185,24 @@
             second.write(OK);
             assertTrue(two.read().endsWith("body"));
             setup.advanceClock(20);
-            sent(one);
+            sendRequest(one);
             assertTrue(first.read().startsWith("GET "));
         }
     }
 
     /**
-     * A second answer to a request may come some milliseconds late: the next request must not be on that
-     * connection by then.
+     * A duplicate response may arrive some milliseconds late: the connection must not carry the next request by
+     * then.
      */
     @Test
-    void aSecondAnswerThatComesLateIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void delayedDuplicateResponseIsNotServedToTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
-            sent(client); // at once
+            sendRequest(client); // at once
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -212,15 +212,15 @@
         }
     }
 
-    /** The idle connection that its backend is the least likely to be closing just then. */
+    /** The most recently used connection is the one that the backend is least likely to be closing. */
     @Test
-    void whatMayNotRunTwiceGoesOverTheConnectionUsedLast() throws Exception {
+    void nonRepeatableRequestUsesTheMostRecentConnection() throws Exception {
         try (Peer.Wire one = setup.client();
                 Peer.Wire two = setup.client()) {
-            sent(one);
+            sendRequest(one);
             Peer.Wire first = backend.accept();
             first.read();
-            sent(two);
+            sendRequest(two);
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
@@ -238,15 +238,15 @@
     }
 
     /**
-     * The module sends a request, and its connection comes up while the loop stands still: what happens until
-     * go is found in the same turn as that.
+     * Starts an attempt whose connection opens while the loop is blocked: whatever happens until resume is counted
+     * down is found in the same turn of the loop.
      */
-    private Peer.Wire comesUp(Runnable send, CountDownLatch go) throws Exception {
+    private Peer.Wire connectWhileLoopIsBlocked(Runnable send, CountDownLatch resume) throws Exception {
         setup.loop.execute(() -> {
             send.run();
             setup.loop.execute(() -> {
                 try {
-                    go.await(20, TimeUnit.SECONDS);
+                    resume.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -255,14 +255,14 @@
         return backend.accept();
     }
 
-    /** Its client has left by the time that the connection is up: both are found in one turn. */
+    /** The loop finds the client's disconnect and the open connection in one turn. */
     @Test
-    void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSent() throws Exception {
+    void requestIsNotSentIfItsClientLeavesDuringConnect() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
         CountDownLatch go = new CountDownLatch(1);
-        Peer.Wire wire = comesUp(() -> setup.actions.send(r.ticket(), server, 0), go);
+        Peer.Wire wire = connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0), go);
         client.reset();
         go.countDown();
         assertEquals(r.ticket(), setup.nextEvent("withdrawn", Integer.class));
@@ -270,14 +270,15 @@
         assertEquals("", wire.read());
     }
 
-    /** A repeat whose time has run out while its connection came up might take effect a second time. */
+    /** A repeat that is sent after the window in which the backend drops repeats might take effect twice. */
     @Test
-    void aRepeatThatComesUpTooLateIsNotSent() throws Exception {
+    void repeatIsNotSentIfItConnectsTooLate() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
             CountDownLatch go = new CountDownLatch(1);
-            Peer.Wire wire = comesUp(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), go);
+            Peer.Wire wire =
+                    connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), go);
             setup.advanceClock(101);
             go.countDown();
             assertEquals(Status.MOOT, setup.nextOutcome().status());
@@ -287,9 +288,9 @@
         }
     }
 
-    /** A backend begins with the last byte: what it says ahead of that is no answer to this request. */
+    /** A backend starts a request at its last byte: an earlier response cannot belong to this request. */
     @Test
-    void anAnswerAheadOfTheWholeRequestIsNotServed() throws Exception {
+    void responseBeforeTheEndOfTheRequestIsNotServed() throws Exception {
         try (Peer.Wire client = setup.client()) {
             String body = "x".repeat(8 << 20);
             client.write("POST /pay HTTP/1.1\r\nHost: api\r\nRequest-Id: ahead\r\nRequest-Timeout: 30\r\n"
@@ -306,25 +307,25 @@
     }
 
     @Test
-    void bytesOnAnIdleConnectionCloseItAlsoWhereTheyMakeNoMessage() throws Exception {
+    void partialMessageOnAnIdleConnectionClosesIt() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
             first.write("H");
             assertTrue(first.ended());
-            sent(client);
+            sendRequest(client);
             backend.accept().read();
         }
     }
 
-    /** A request that no backend can use is its client's trouble: no backend is the worse for it. */
+    /** A 4xx response is about the request: it ends the request and does not count against the backend. */
     @Test
-    void aRequestThatTheBackendCannotUseIsOverAtOnce() throws Exception {
+    void clientErrorEndsTheRequestAtOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
@@ -336,28 +337,28 @@
     }
 
     @Test
-    void aConnectionThatDiesAfterTheRequestIsAReset() throws Exception {
+    void connectionLostAfterTheRequestIsAReset() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.reset();
             assertEquals(Status.RESET, setup.nextOutcome().status());
-            assertTrue(backend.quiet()); // nothing was sent again
+            assertTrue(backend.quiet()); // no retry
         }
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsConnectFailed() throws Exception {
         backend.close();
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status());
         }
     }
 
     @Test
-    void aTimeoutIsTheModulesAndClosesTheConnection() throws Exception {
+    void moduleTimeoutClosesTheConnection() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
@@ -372,9 +373,9 @@
     }
 
     @Test
-    void aCancelledAttemptClosesItsConnectionAndEndsOnce() throws Exception {
+    void cancelledAttemptClosesItsConnectionAndEndsOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
+            Request r = sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             setup.runOnLoop(() -> {
@@ -392,16 +393,16 @@
     }
 
     @Test
-    void anIdleConnectionThatTheBackendEndsIsNotUsed() throws Exception {
+    void connectionClosedByTheBackendIsNotReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             client.read();
             assertEquals(Status.OK, setup.nextOutcome().status());
             assertTrue(wire.ended());
-            sent(client);
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK);
@@ -410,27 +411,27 @@
     }
 
     @Test
-    void outOfDescriptorsAnAttemptFailsAndNeverRan() throws Exception {
+    void attemptIsNotStartedWithoutAFreeDescriptor() throws Exception {
         setup.close();
         setup = new Setup()
                 .start(Config.parse(
                         Setup.json(discovery.hostPort(), backend.hostPort(), 6, 5000),
-                        Map.of())); // two of them for backends
+                        Map.of())); // two descriptors for backends
         server = setup.listedServer();
         try (Peer.Wire first = setup.client();
                 Peer.Wire second = setup.client();
                 Peer.Wire third = setup.client()) {
-            sent(first);
-            sent(second);
-            Request r = sent(third);
+            sendRequest(first);
+            sendRequest(second);
+            Request r = sendRequest(third);
             Outcome o = setup.nextOutcome();
             assertEquals(r.ticket(), o.ticket());
-            assertEquals(Status.MOOT, o.status()); // says nothing of the backend
+            assertEquals(Status.MOOT, o.status()); // does not count against the backend
         }
     }
 
     @Test
-    void aReportThatMakesNoSenseIsNone() {
+    void invalidLoadReportIsIgnored() {
         assertNull(LoadReport.parse(null));
         assertNull(LoadReport.parse("inflight=x"));
         assertNull(LoadReport.parse("util"));
--- a/src/test/java/gullspar/proxy/DeployedRunTest.java
+++ b/src/test/java/gullspar/proxy/DeployedRunTest.java
@@ -32,8 +32,8 @@
 import org.tomlj.Toml;
 
 /**
- * What the deploy file's run starts, under what a platform may refuse it (refuse.pl): it must be one process
- * that starts no other program and writes nowhere but to $TMPDIR.
+ * Runs the command of the deploy file under the restrictions of a platform (refuse.pl): it must be one process that
+ * starts no other program and writes only to $TMPDIR.
  */
 @Timeout(120)
 @ResourceLock("much of the machine")
@@ -42,7 +42,7 @@
 
     @TempDir
     Path folder;
-    /** Stands for the repository's folder, as the build leaves it. */
+    /** Stands in for the repository's folder after a build. */
     private Path root;
 
     private Path tmp;
@@ -54,11 +54,11 @@
                 new File("/usr/bin/perl").canExecute()
                         && new File("/proc/self/fd").exists()
                         && System.getProperty("os.arch").equals("amd64"),
-                "the restriction is for x86-64 Linux, by perl");
+                "the restrictions need perl on x86-64 Linux");
         root = Files.createDirectories(folder.resolve("root"));
         tmp = Files.createDirectories(folder.resolve("tmp"));
-        OrdinaryUser.opened(folder);
-        OrdinaryUser.writable(tmp);
+        UnprivilegedUser.makeReadable(folder);
+        UnprivilegedUser.makeWritable(tmp);
         for (String name : List.of("balancer.toml", "serve.sh")) {
             Files.createDirectories(root.resolve("deploy"));
             Files.copy(Path.of("deploy", name), root.resolve("deploy").resolve(name));
@@ -72,7 +72,7 @@
                         Attributes.Name.CLASS_PATH,
                         String.join(
                                 " ",
-                                Arrays.stream(OrdinaryUser.classPath().split(File.pathSeparator))
+                                Arrays.stream(UnprivilegedUser.classPath().split(File.pathSeparator))
                                         .map(p -> Path.of(p).toUri().toString())
                                         .toList()));
         Files.createDirectories(root.resolve("target"));
@@ -81,23 +81,23 @@
         }
     }
 
-    private static String run() throws IOException {
+    private static String deployedCommand() throws IOException {
         return Toml.parse(Path.of("deploy/balancer.toml")).getString("run");
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return (InetSocketAddress) s.getLocalSocketAddress();
         }
     }
 
-    /** Starts a command as the platform does; without a place to write to, not even $TMPDIR is one. */
-    private Process start(String command, boolean writes, Peer discovery, Peer backend, InetSocketAddress at)
+    /** Starts a command as the platform does; without writes, not even $TMPDIR is writable. */
+    private Process start(String command, boolean writes, Peer discovery, Peer backend, InetSocketAddress address)
             throws IOException {
         ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
-        config.put("listen", "127.0.0.1:" + at.getPort());
+        config.put("listen", "127.0.0.1:" + address.getPort());
         Path file = Files.writeString(folder.resolve("config.json"), config.toString());
-        List<String> all = new ArrayList<>(OrdinaryUser.asOrdinaryUser());
+        List<String> all = new ArrayList<>(UnprivilegedUser.commandPrefix());
         all.addAll(List.of("/usr/bin/perl", refuse.toString()));
         if (writes) {
             all.addAll(List.of("--tmp", tmp.toString()));
@@ -109,10 +109,10 @@
         return p.start();
     }
 
-    /** The lines up to one that holds the text; null, with all lines in said, if the process ends before. */
-    private static String until(BufferedReader log, String text, List<String> said) throws IOException {
+    /** Collects lines up to one that contains the text; returns it, or null if the process ends before. */
+    private static String readUntil(BufferedReader log, String text, List<String> logLines) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            said.add(line);
+            logLines.add(line);
             if (line.contains(text)) {
                 return line;
             }
@@ -120,17 +120,18 @@
         return null;
     }
 
-    /** One request through, and the end by SIGTERM. */
-    private static void servesAndEnds(
-            Process p, BufferedReader log, Peer backend, InetSocketAddress at, List<String> said) throws Exception {
-        assertNotEquals(null, until(log, " ready", said), () -> String.join("\n", said));
-        assertEquals(0, p.descendants().count(), "other processes");
+    /** Serves one request, then exits on SIGTERM. */
+    private static void assertServesAndExits(
+            Process p, BufferedReader log, Peer backend, InetSocketAddress address, List<String> logLines)
+            throws Exception {
+        assertNotEquals(null, readUntil(log, " ready", logLines), () -> String.join("\n", logLines));
+        assertEquals(0, p.descendants().count(), "the process has started others");
         assertEquals(
                 "java", Path.of(p.info().command().orElseThrow()).getFileName().toString());
         assertTrue(
                 Files.readString(Path.of("/proc/" + p.pid() + "/maps")).contains("/libc.so"),
                 "not linked dynamically against the C library");
-        try (Peer.Wire client = Peer.Wire.to(at)) {
+        try (Peer.Wire client = Peer.Wire.to(address)) {
             client.write(Setup.getRequest());
             Peer.Wire b = backend.accept();
             b.read();
@@ -142,46 +143,46 @@
         assertEquals(0, p.exitValue());
     }
 
-    private void assertWarm(boolean writes) throws Exception {
-        List<String> said = new ArrayList<>();
-        InetSocketAddress at = free();
+    private void assertStartsWarm(boolean writes) throws Exception {
+        List<String> logLines = new ArrayList<>();
+        InetSocketAddress address = freeAddress();
         try (Peer discovery = new Peer();
                 Peer backend = new Peer()) {
-            Process p = start(run(), writes, discovery, backend, at);
+            Process p = start(deployedCommand(), writes, discovery, backend, address);
             try (BufferedReader log = p.inputReader()) {
-                servesAndEnds(p, log, backend, at, said);
+                assertServesAndExits(p, log, backend, address, logLines);
             } finally {
                 p.destroyForcibly();
             }
         }
         assertTrue(
-                said.stream().anyMatch(l -> l.matches(".* served [1-9][0-9]* requests to warm up")),
-                () -> String.join("\n", said));
+                logLines.stream().anyMatch(l -> l.matches(".* served [1-9][0-9]* requests to warm up")),
+                () -> String.join("\n", logLines));
     }
 
     @Test
-    void oneProcessThatStartsNoOtherAndWritesToItsOwnFolderOnly() throws Exception {
-        assertWarm(true);
+    void runsAsOneProcessThatWritesOnlyToItsTemporaryFolder() throws Exception {
+        assertStartsWarm(true);
     }
 
-    /** A start that depended on a file or on a socket of its own would be cold here, and wait for nothing. */
+    /** If warm-up depended on a writable file or a Unix socket, the start would be cold here. */
     @Test
-    void whereNothingCanBeWrittenAndNoUnixSocketIsHadItIsWarmAllTheSame() throws Exception {
-        assertWarm(false);
+    void startsWarmWithoutWritableFoldersOrUnixSockets() throws Exception {
+        assertStartsWarm(false);
     }
 
-    /** The restriction itself: what it is there to catch does not get through. */
+    /** Checks the restrictions themselves: commands that violate them do not start. */
     @Test
-    void whatForksOrWritesElsewhereDoesNotStart() throws Exception {
-        for (String planted :
+    void commandThatForksOrWritesElsewhereDoesNotStart() throws Exception {
+        for (String violation :
                 List.of("mb=$(sed -n p deploy/balancer.toml); ", "echo x > deploy/written; ", "sleep 1 & ")) {
-            List<String> said = new ArrayList<>();
+            List<String> logLines = new ArrayList<>();
             try (Peer discovery = new Peer();
                     Peer backend = new Peer()) {
-                Process p = start("set -e; " + planted + run(), true, discovery, backend, free());
+                Process p = start("set -e; " + violation + deployedCommand(), true, discovery, backend, freeAddress());
                 try (BufferedReader log = p.inputReader()) {
-                    assertNull(until(log, " starting", said), planted);
-                    assertNotEquals(0, p.waitFor(), planted);
+                    assertNull(readUntil(log, " starting", logLines), violation);
+                    assertNotEquals(0, p.waitFor(), violation);
                 } finally {
                     p.destroyForcibly();
                 }
--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** A process of an ordinary user that takes over a listener, with descriptors that somebody else opened. */
+/** A process of an unprivileged user that inherits a listener and a log opened by another user. */
 @Timeout(120)
 @ResourceLock("much of the machine")
 class InheritedListenerTest {
@@ -33,8 +33,8 @@
     private AnsweringServer discovery;
 
     @BeforeEach
-    void open() throws IOException {
-        OrdinaryUser.opened(folder);
+    void setUp() throws IOException {
+        UnprivilegedUser.makeReadable(folder);
         log = Files.createFile(folder.resolve("log"));
         backend = new AnsweringServer(AnsweringServer.OK);
         discovery = AnsweringServer.discovery();
@@ -48,9 +48,9 @@
         discovery.close();
     }
 
-    private Process holder() throws IOException {
+    private Process startHolder() throws IOException {
         List<String> command = new ArrayList<>(List.of("/usr/bin/perl", "src/test/resources/hold-listener.pl"));
-        command.addAll(OrdinaryUser.serve(List.of()));
+        command.addAll(UnprivilegedUser.serveCommand(List.of()));
         return new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
@@ -64,7 +64,7 @@
         }
     }
 
-    private String said() {
+    private String logText() {
         try {
             Files.setPosixFilePermissions(log, PosixFilePermissions.fromString("rw-r--r--"));
             return Files.readString(log);
@@ -73,27 +73,27 @@
         }
     }
 
-    /** Nobody may open the log again by its path, its opener and the proxy's user included. */
+    /** Nobody has permission to open the log by its path, neither its owner nor the proxy's user. */
     @Test
-    void startsWhereTheLogOfAnotherUserCannotBeOpenedAgain() throws Exception {
-        Process holder = holder();
+    void startsWithALogThatItCannotReopen() throws Exception {
+        Process holder = startHolder();
         Files.setPosixFilePermissions(log, PosixFilePermissions.fromString("---------"));
-        try (BufferedReader said = holder.inputReader();
-                Writer to = holder.outputWriter()) {
-            int port = Integer.parseInt(said.readLine().substring("port ".length()));
-            to.write("NODE_SOCKET_FD=0 NODE_CONFIG=" + folder.resolve("config.json") + "\n");
-            to.flush();
-            long pid = Long.parseLong(said.readLine().substring("started ".length()));
+        try (BufferedReader output = holder.inputReader();
+                Writer input = holder.outputWriter()) {
+            int port = Integer.parseInt(output.readLine().substring("port ".length()));
+            input.write("NODE_SOCKET_FD=0 NODE_CONFIG=" + folder.resolve("config.json") + "\n");
+            input.flush();
+            long pid = Long.parseLong(output.readLine().substring("started ".length()));
             ProcessHandle proxy = ProcessHandle.of(pid).orElseThrow();
             try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", port))) {
                 client.write(Setup.getRequest());
                 CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> read(client));
                 CompletableFuture.anyOf(answer, proxy.onExit()).get(20, TimeUnit.SECONDS);
-                assertTrue(proxy.isAlive(), () -> "it ended: " + said());
+                assertTrue(proxy.isAlive(), () -> "the proxy ended: " + logText());
                 assertTrue(answer.get().startsWith("HTTP/1.1 200"), answer.get());
                 proxy.destroy();
                 proxy.onExit().get(20, TimeUnit.SECONDS);
-                assertTrue(said().contains("drained"), "the log goes on to the end: " + said());
+                assertTrue(logText().contains("drained"), "the log lacks the last line: " + logText());
             } finally {
                 proxy.destroyForcibly();
             }
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.proxy.config.ConfigException;
-import gullspar.proxy.io.LibraryLog;
+import gullspar.proxy.io.LibraryLogHandler;
 import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -83,7 +83,7 @@
                     .putAll(Map.of("NODE_CONFIG", folder.resolve("config.json").toString(), "NODE_SOCKET_FD", "0"));
             Process p = java.start();
             try (BufferedReader log = p.errorReader()) {
-                awaitLogLine(log, "gullspar: descriptor 0 is no listening socket");
+                awaitLogLine(log, "gullspar: descriptor 0 is not a listening socket");
             }
             assertEquals(1, p.waitFor());
         }
@@ -143,7 +143,7 @@
             nohup.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process p = nohup.start();
             try (BufferedReader log = p.errorReader()) {
-                awaitLogLine(log, "SIGHUP is not heard");
+                awaitLogLine(log, "SIGHUP is not handled");
                 awaitLogLine(log, "to warm up");
                 write("{\"listen\":");
                 awaitLogLine(log, "is not used");
@@ -275,7 +275,7 @@
         private WarningProgram() {}
 
         public static void main(String[] args) {
-            LibraryLog.install();
+            LibraryLogHandler.install();
             Logger.getLogger("library").log(Level.WARNING, "odd", new IllegalStateException("why"));
         }
     }
--- a/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
+++ b/src/test/java/gullspar/proxy/io/NonBlockingStreamTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A log whose sink stalls or fails. */
+/** Writes to a sink that stalls or fails. */
 @Timeout(20)
 class NonBlockingStreamTest {
     private static final int LINES = 5000;
@@ -37,41 +37,41 @@
         }
     });
 
-    private void line(String text) {
+    private void writeLine(String text) {
         byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
         stream.write(bytes, 0, bytes.length);
     }
 
     @Test
-    void aStalledSinkKeepsNobodyWaitingAndWhatWasLostIsTold() throws Exception {
+    void stalledSinkDoesNotBlockWritersAndDropsAreReported() throws Exception {
         for (int i = 0; i < LINES; i++) {
-            line("line " + i);
+            writeLine("line " + i);
         }
         assertFalse(stream.drain(10), "the sink takes nothing");
-        long lost = stream.dropped();
-        assertTrue(lost > 0 && lost < LINES, "lost " + lost);
+        long dropped = stream.dropped();
+        assertTrue(dropped > 0 && dropped < LINES, "lost " + dropped);
         mayWrite.release(LINES);
         assertTrue(stream.drain(10_000));
         assertTrue(written.toString().contains("line 0\n"), "the first lines are kept");
-        long told = Pattern.compile("dropped from this log: (\\d+)\n")
+        long reported = Pattern.compile("dropped from this log: (\\d+)\n")
                 .matcher(written)
                 .results()
                 .mapToLong(r -> Long.parseLong(r.group(1)))
                 .sum();
-        assertEquals(lost, told);
+        assertEquals(dropped, reported);
         assertEquals(
-                LINES - lost,
+                LINES - dropped,
                 Pattern.compile("line \\d+\n").matcher(written).results().count());
     }
 
     @Test
-    void aSinkThatFailsForAWhileLosesJustThatWhile() throws Exception {
+    void onlyWritesDuringASinkFailureAreDropped() throws Exception {
         fails.set(true);
-        line("lost");
+        writeLine("lost");
         assertTrue(stream.drain(10_000));
         fails.set(false);
         mayWrite.release(2);
-        line("kept");
+        writeLine("kept");
         assertTrue(stream.drain(10_000));
         assertEquals("dropped from this log: 1\nkept\n", written.toString());
     }
