--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -68,14 +68,14 @@
             Effect effect,
             Scope scope,
             long windowNs,
-            long promiseNs,
-            long giveUpNs,
+            long latencyTargetNs,
+            long clientTimeoutNs,
             double worth,
             double lateShare,
             boolean streamed,
             boolean sequential,
-            int attempts,
-            long attemptNs) {
+            int maxAttempts,
+            long attemptTimeoutNs) {
         public Profile(
                 Effect effect,
                 Scope scope,
@@ -90,19 +90,19 @@
         }
 
         /** The same with so many attempts at the most. */
-        public Profile withAttempts(int most) {
+        public Profile withMaxAttempts(int maxAttempts) {
             return new Profile(
                     effect,
                     scope,
                     windowNs,
-                    promiseNs,
-                    giveUpNs,
+                    latencyTargetNs,
+                    clientTimeoutNs,
                     worth,
                     lateShare,
                     streamed,
                     sequential,
-                    most,
-                    attemptNs);
+                    maxAttempts,
+                    attemptTimeoutNs);
         }
     }
 
@@ -113,24 +113,24 @@
      * weights of the list, and the promises are limits rather than what is usual.
      */
     record Settings(
-            int me,
-            int balancers,
+            int proxyIndex,
+            int proxyCount,
             int zone,
             List<Profile> profiles,
-            boolean askForList,
-            boolean mayCancel,
+            boolean listOnRequest,
+            boolean canCancel,
             int maxAttempts,
             long maxRetryAfterNs,
             double startCapacity,
-            long coldNs,
-            double tipMultiple,
-            long fallNs,
-            long askWithinNs,
-            long stepNs,
+            long coldStartNs,
+            double overloadMultiple,
+            long overloadWindowNs,
+            long refreshWithinNs,
+            long clockStepNs,
             double crossZonePrice,
-            boolean fullIsNoProof,
-            long turnGapNs,
-            boolean listWeights) {
+            boolean fullMayHaveRun,
+            long sequentialGapNs,
+            boolean usesListWeights) {
         public Settings {
             profiles = List.copyOf(profiles);
         }
@@ -176,14 +176,21 @@
     }
 
     /** A server as listed. bootNs is when it last started, by the clock of now; 0 for long ago. */
-    record Member(int id, int kind, State state, long bootNs, int cell, int zone, double units) {}
+    record ListedServer(int id, int kind, State state, long startedAtNs, int cell, int zone, double weight) {}
 
     /**
      * A request; key 0 is none; leftNs is the time until the client abandons it; hintNs 0 is no hint. ageNs:
      * how long it may have waited since its client sent it, unread or in line behind another.
      */
     record Request(
-            int ticket, int profile, int tenant, long key, long leftNs, long hintNs, boolean repeat, long ageNs) {
+            int ticket,
+            int profile,
+            int tenant,
+            long key,
+            long timeLeftNs,
+            long workHintNs,
+            boolean isRepeat,
+            long ageNs) {
         /** One that is told of as it is sent. */
         public Request(int ticket, int profile, int tenant, long key, long leftNs, long hintNs, boolean repeat) {
             this(ticket, profile, tenant, key, leftNs, hintNs, repeat, 0);
@@ -192,14 +199,20 @@
 
     /** A load report; NaN for each value that the servers do not report. */
     record Report(
-            double inflight, double queue, double util, double recentMs, double perSecond, double errorsPerSecond) {}
+            double inflight,
+            double queued,
+            double utilization,
+            double recentMs,
+            double requestsPerSecond,
+            double errorsPerSecond) {}
 
     /** How an attempt ended; over: the request is finished; report may be null. */
-    record Outcome(int ticket, int attempt, int server, Status status, long elapsedNs, boolean over, Report report) {}
+    record Outcome(
+            int ticket, int attempt, int server, Status status, long elapsedNs, boolean isFinal, Report report) {}
 
     /** Makes the balancer of one proxy. */
     interface Factory {
-        Balancer create(Settings settings, long seed, long now, Actions out);
+        Balancer create(Settings settings, long seed, long now, Actions actions);
     }
 
     /** What the module may do. All take effect at once, in the order called. */
@@ -217,42 +230,42 @@
         }
 
         /** Final answer: refused, and harmless to try again; retryInNs 0 is no advice. */
-        void refuse(int ticket, long retryInNs);
+        void refuse(int ticket, long retryAfterNs);
 
         /** Final answer: failed, with no promise about the effect. */
         void fail(int ticket);
 
         void cancel(int ticket, int attempt);
 
-        void timer(long at, long token);
+        void setTimer(long atNs, long token);
 
         void probe(int server);
 
         /** Closes the idle connections to a server. */
-        void closeIdle(int server);
+        void closeIdleConnections(int server);
 
-        void tell(int peer, byte[] message);
+        void sendToPeer(int peer, byte[] message);
 
         void log(String line);
 
         void subscribe(boolean on);
 
         /** Asks for the whole list once. */
-        void reload();
+        void requestList();
     }
 
     /** Discovery news, in order; members is empty for FAILED. */
-    void onMembers(long now, ListKind kind, long version, List<Member> members);
+    void onServerList(long now, ListKind kind, long version, List<ListedServer> servers);
 
     void onRequest(long now, Request request);
 
     /** A streamed answer has begun: the attempt is the client's, no time-out or deadline counts any more. */
-    void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs);
+    void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs);
 
     void onOutcome(long now, Outcome outcome);
 
     /** The client has left; no answer is owed. */
-    void onWithdrawn(long now, int ticket);
+    void onClientDisconnected(long now, int ticket);
 
     void onTimer(long now, long token);
 
@@ -262,13 +275,13 @@
     }
 
     /** Listed servers that get nothing new now, as an operator is told. */
-    default int avoided() {
+    default int avoidedServers() {
         return 0;
     }
 
     /** The result of a probe; not heard by a module that sends none. */
-    default void onProbe(long now, int server, Status status, long elapsedNs, Report report) {}
+    default void onProbeResult(long now, int server, Status status, long elapsedNs, Report report) {}
 
     /** A message of another proxy; not heard by a module that shares nothing. */
-    default void onPeer(long now, int peer, byte[] message) {}
+    default void onPeerMessage(long now, int peer, byte[] message) {}
 }
--- a/src/main/java/gullspar/decide/Classes.java
+++ b/src/main/java/gullspar/decide/Classes.java
@@ -14,97 +14,98 @@
  */
 final class Classes {
     /** A class gives way to one worth so many times as much for its work, by this share of its patience. */
-    private static final double DEARER = 2, YIELD = 0.75;
+    private static final double MIN_WORTH_RATIO = 2, YIELD_SHARE = 0.75;
     /** So many answers tell how large a class's requests are; the first guess counts as a few. */
-    private static final double SIZE_ANSWERS = 50, SIZE_FIRST = 4;
+    private static final double MAX_SIZE_SAMPLES = 50, INITIAL_SIZE_SAMPLES = 4;
     /** Step by which the median time of a class's answers follows them. */
     private static final double MEDIAN_STEP = 0.05;
 
     private List<Profile> profiles = List.of();
-    private double[] median = {};
-    private long[] mostLeft = {};
+    private double[] medianNs = {};
+    private long[] maxTimeLeftNs = {};
     /** A request's time against that of all at the same server, and how many answers tell it. */
-    private double[] size = {};
+    private double[] relativeSize = {};
 
-    private double[] sized = {};
+    private double[] sizeSamples = {};
     /** The worth asked for lately. */
-    private double[] worth = {};
+    private double[] recentWorth = {};
     /** The longest wait that a request of mean size may join for the sake of dearer classes. */
-    private double[] mostWait = {};
+    private double[] maxWaitNs = {};
     /** Another class gives way to it. */
-    private boolean[] dear = {};
+    private boolean[] hasPriority = {};
 
-    void know(List<Profile> known) {
-        int had = size.length;
-        profiles = known;
-        median = Arrays.copyOf(median, known.size());
-        mostLeft = Arrays.copyOf(mostLeft, known.size());
-        size = Arrays.copyOf(size, known.size());
-        sized = Arrays.copyOf(sized, known.size());
-        worth = Arrays.copyOf(worth, known.size());
-        if (had < size.length) {
-            Arrays.fill(size, had, size.length, 1);
+    void setProfiles(List<Profile> newProfiles) {
+        int oldCount = relativeSize.length;
+        profiles = newProfiles;
+        medianNs = Arrays.copyOf(medianNs, newProfiles.size());
+        maxTimeLeftNs = Arrays.copyOf(maxTimeLeftNs, newProfiles.size());
+        relativeSize = Arrays.copyOf(relativeSize, newProfiles.size());
+        sizeSamples = Arrays.copyOf(sizeSamples, newProfiles.size());
+        recentWorth = Arrays.copyOf(recentWorth, newProfiles.size());
+        if (oldCount < relativeSize.length) {
+            Arrays.fill(relativeSize, oldCount, relativeSize.length, 1);
         }
-        rank();
+        updatePriorities();
     }
 
     /** A request with so much time left; the most that one had. */
-    long asked(int profile, long leftNs) {
-        worth[profile] += profiles.get(profile).worth();
-        mostLeft[profile] = Math.max(mostLeft[profile], leftNs);
-        return mostLeft[profile];
+    long recordRequest(int profile, long timeLeftNs) {
+        recentWorth[profile] += profiles.get(profile).worth();
+        maxTimeLeftNs[profile] = Math.max(maxTimeLeftNs[profile], timeLeftNs);
+        return maxTimeLeftNs[profile];
     }
 
-    void age(double keep) {
-        for (int c = 0; c < worth.length; c++) {
-            worth[c] *= keep;
+    void decay(double keep) {
+        for (int c = 0; c < recentWorth.length; c++) {
+            recentWorth[c] *= keep;
         }
-        rank();
+        updatePriorities();
     }
 
     /** An answer after so long, so many times what requests take at that server; the median before it. */
-    double answered(int profile, long elapsedNs, double times) {
-        double m = median[profile] == 0 ? elapsedNs : median[profile];
-        median[profile] = m * (elapsedNs > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
-        sized[profile] = Math.min(SIZE_ANSWERS, sized[profile] + 1);
-        size[profile] += (times - size[profile]) / (sized[profile] + SIZE_FIRST);
+    double recordAnswer(int profile, long elapsedNs, double relativeTime) {
+        double m = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
+        medianNs[profile] = m * (elapsedNs > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
+        sizeSamples[profile] = Math.min(MAX_SIZE_SAMPLES, sizeSamples[profile] + 1);
+        relativeSize[profile] += (relativeTime - relativeSize[profile]) / (sizeSamples[profile] + INITIAL_SIZE_SAMPLES);
         return m;
     }
 
     /** The time that half of its answers took, of a promise half at the most; 0 before the first. */
-    double usual(int profile) {
-        return Math.min(median[profile], profiles.get(profile).promiseNs() / 2.0);
+    double typicalNs(int profile) {
+        return Math.min(medianNs[profile], profiles.get(profile).latencyTargetNs() / 2.0);
     }
 
-    private void rank() {
-        mostWait = new double[size.length];
-        dear = new boolean[size.length];
-        Arrays.fill(mostWait, Double.MAX_VALUE);
-        for (int c = 0; c < size.length; c++) {
-            for (int d = 0; d < size.length; d++) {
-                if (givesWay(c, d)) {
-                    mostWait[c] = Math.min(mostWait[c], YIELD * profiles.get(d).promiseNs() / size[d]);
-                    dear[d] = true;
+    private void updatePriorities() {
+        maxWaitNs = new double[relativeSize.length];
+        hasPriority = new boolean[relativeSize.length];
+        Arrays.fill(maxWaitNs, Double.MAX_VALUE);
+        for (int c = 0; c < relativeSize.length; c++) {
+            for (int d = 0; d < relativeSize.length; d++) {
+                if (yieldsTo(c, d)) {
+                    maxWaitNs[c] =
+                            Math.min(maxWaitNs[c], YIELD_SHARE * profiles.get(d).latencyTargetNs() / relativeSize[d]);
+                    hasPriority[d] = true;
                 }
             }
         }
     }
 
-    private boolean givesWay(int c, int d) {
+    private boolean yieldsTo(int c, int d) {
         Profile p = profiles.get(c);
         Profile o = profiles.get(d);
-        return o.promiseNs() < p.promiseNs()
-                && o.worth() / size[d] > DEARER * p.worth() / size[c]
-                && worth[d] > worth[c];
+        return o.latencyTargetNs() < p.latencyTargetNs()
+                && o.worth() / relativeSize[d] > MIN_WORTH_RATIO * p.worth() / relativeSize[c]
+                && recentWorth[d] > recentWorth[c];
     }
 
     /** Does it give way to another, or another to it? */
-    boolean ranked(int profile) {
-        return dear[profile] || mostWait[profile] < Double.MAX_VALUE;
+    boolean isRanked(int profile) {
+        return hasPriority[profile] || maxWaitNs[profile] < Double.MAX_VALUE;
     }
 
     /** Of the time that is left to a request the most that may matter, for a wait at the mean pace. */
-    double room(int profile, double leftNs) {
-        return ranked(profile) ? Math.min(mostWait[profile], leftNs / size[profile]) : leftNs;
+    double usableTimeNs(int profile, double timeLeftNs) {
+        return isRanked(profile) ? Math.min(maxWaitNs[profile], timeLeftNs / relativeSize[profile]) : timeLeftNs;
     }
 }
--- a/src/main/java/gullspar/decide/ColdBudget.java
+++ b/src/main/java/gullspar/decide/ColdBudget.java
@@ -15,14 +15,14 @@
  */
 final class ColdBudget {
     /** Part of the budget that this proxy uses; bursts and peers that see it otherwise take the rest. */
-    private static final double SAFETY = 0.6;
+    private static final double SAFETY_SHARE = 0.6;
 
     private final Settings settings;
-    private final ZoneFigures zones;
+    private final ZoneStats zones;
     private final TrafficRates rates;
     private final ServerWeights weights;
 
-    ColdBudget(Settings settings, ZoneFigures zones, TrafficRates rates, ServerWeights weights) {
+    ColdBudget(Settings settings, ZoneStats zones, TrafficRates rates, ServerWeights weights) {
         this.settings = settings;
         this.zones = zones;
         this.rates = rates;
@@ -36,25 +36,26 @@
             return true;
         }
         double rate = rate(s, warmth, subset, now);
-        s.tokens = Math.min(Math.max(1, rate * settings.fallNs() / 2), s.tokens + rate * (now - s.tokensAt));
-        s.tokensAt = now;
+        s.tokens = Math.min(
+                Math.max(1, rate * settings.overloadWindowNs() / 2), s.tokens + rate * (now - s.tokensUpdatedAt));
+        s.tokensUpdatedAt = now;
         return s.tokens >= 1;
     }
 
     /** Requests in a ns. */
     private double rate(Server s, double warmth, double subset, long now) {
-        int ready = Math.max(1, zones.ready(s.zone()));
-        double mine = zones.sentToEach(s.zone())
-                / rates.lived(TrafficRates.RATE_NS, now)
-                * Math.max(1, zones.ready(s.zone()) / subset);
-        double wanted = mine + rates.unsent / rates.lived(ZoneFigures.USUAL_NS, now) / ready;
-        double even = s.parallel / s.pace / Math.max(1, settings.balancers());
-        mine = Math.max(mine, Math.min(wanted, even));
-        double idle = Math.min(1, 2 * Math.max(ServerWeights.SPARE_FLOOR, s.spare));
-        return SAFETY
-                * idle
+        int ready = Math.max(1, zones.readyCount(s.zone()));
+        double ownRate = zones.sendsPerServer(s.zone())
+                / rates.effectiveWindowNs(TrafficRates.DECAY_NS, now)
+                * Math.max(1, zones.readyCount(s.zone()) / subset);
+        double demandRate = ownRate + rates.unsent / rates.effectiveWindowNs(ZoneStats.DECAY_NS, now) / ready;
+        double evenRate = s.concurrency / s.serviceNs / Math.max(1, settings.proxyCount());
+        ownRate = Math.max(ownRate, Math.min(demandRate, evenRate));
+        double idleFactor = Math.min(1, 2 * Math.max(ServerWeights.MIN_SPARE_SHARE, s.spareShare));
+        return SAFETY_SHARE
+                * idleFactor
                 * Math.max(
-                        mine * settings.tipMultiple() * warmth,
-                        1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
+                        ownRate * settings.overloadMultiple() * warmth,
+                        1.0 / settings.overloadWindowNs() / Math.max(1, settings.proxyCount()));
     }
 }
--- a/src/main/java/gullspar/decide/DiscoveryCalls.java
+++ b/src/main/java/gullspar/decide/DiscoveryCalls.java
@@ -11,47 +11,47 @@
      * counts 6 s after discovery had it and could be reached, and a call that is never answered and one that
      * waits in turn take 4.5 of them. In ns.
      */
-    private static final long FIRST_PAUSE_NS = 250_000_000L;
+    private static final long MIN_BACKOFF_NS = 250_000_000L;
 
-    private static final long MOST_PAUSE_NS = 600_000_000L;
+    private static final long MAX_BACKOFF_NS = 600_000_000L;
 
     private final Settings settings;
     private final SplittableRandom random;
-    private final Actions out;
-    private long pauseNs = FIRST_PAUSE_NS;
+    private final Actions actions;
+    private long backoffNs = MIN_BACKOFF_NS;
     /** Calls are numbered: the timer of an earlier one is void. */
-    private int calls;
+    private int currentCall;
 
-    DiscoveryCalls(Settings settings, SplittableRandom random, Actions out) {
+    DiscoveryCalls(Settings settings, SplittableRandom random, Actions actions) {
         this.settings = settings;
         this.random = random;
-        this.out = out;
+        this.actions = actions;
     }
 
-    void ask(long now) {
-        out.subscribe(true);
-        askAt(now + settings.askWithinNs() / 2); // well before an unheard list would bind this proxy
+    void requestList(long now) {
+        actions.subscribe(true);
+        requestListAt(now + settings.refreshWithinNs() / 2); // well before an unheard list would bind this proxy
     }
 
-    private void askAt(long at) {
-        out.timer(at, ++calls);
+    private void requestListAt(long at) {
+        actions.setTimer(at, ++currentCall);
     }
 
     /** A failure may mean a broken subscription. Jitter keeps the proxies from asking in step. */
-    void failed(long now) {
-        askAt(now + (long) (pauseNs * (0.5 + random.nextDouble())));
-        pauseNs = Math.min(pauseNs * 2, MOST_PAUSE_NS);
+    void onFailure(long now) {
+        requestListAt(now + (long) (backoffNs * (0.5 + random.nextDouble())));
+        backoffNs = Math.min(backoffNs * 2, MAX_BACKOFF_NS);
     }
 
     /** The call is answered. */
-    void answered() {
-        calls++;
-        pauseNs = FIRST_PAUSE_NS;
+    void onAnswer() {
+        currentCall++;
+        backoffNs = MIN_BACKOFF_NS;
     }
 
     void onTimer(long now, long token) {
-        if (token == calls) {
-            ask(now);
+        if (token == currentCall) {
+            requestList(now);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/gullspar/decide/KindServiceTimes.java
@@ -0,0 +1,42 @@
+package gullspar.decide;
+
+import java.util.Arrays;
+
+/** The time of a request at a warm server of each kind, in ns. Grows with the kinds listed. State only. */
+final class KindServiceTimes {
+    /** Memory of the pace of a kind, in ns. */
+    static final double DECAY_NS = 5e9;
+
+    private final double initialNs;
+    private final long startedAt;
+    private double[] serviceNs = new double[0];
+    private long[] updatedAt = new long[0];
+
+    KindServiceTimes(double firstGuessNs, long now) {
+        this.initialNs = firstGuessNs;
+        this.startedAt = now;
+    }
+
+    private void ensureKind(int kind) {
+        int oldCount = serviceNs.length;
+        if (kind >= oldCount) {
+            serviceNs = Arrays.copyOf(serviceNs, kind + 1);
+            updatedAt = Arrays.copyOf(updatedAt, kind + 1);
+            Arrays.fill(serviceNs, oldCount, serviceNs.length, initialNs);
+            Arrays.fill(updatedAt, oldCount, updatedAt.length, startedAt);
+        }
+    }
+
+    double get(int kind) {
+        ensureKind(kind);
+        return serviceNs[kind];
+    }
+
+    /** A server of the kind, if it were warm, took so long for a request. */
+    void record(int kind, double ns, long now) {
+        ensureKind(kind);
+        double gain = 1 - Math.exp((updatedAt[kind] - now) / DECAY_NS);
+        serviceNs[kind] += gain * (ns - serviceNs[kind]);
+        updatedAt[kind] = now;
+    }
+}
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -1,7 +1,7 @@
 package gullspar.decide;
 
-import gullspar.decide.Ticket.Attempt;
-import gullspar.decide.Ticket.Turn;
+import gullspar.decide.TrackedRequest.Attempt;
+import gullspar.decide.TrackedRequest.KeyQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,58 +19,59 @@
  */
 public final class Policy implements Balancer {
     /** A guess at the time of a request where promises are limits: they tell nothing of what is usual. */
-    private static final double GUESS_NS = 20e6;
+    private static final double INITIAL_SERVICE_NS = 20e6;
     /** What a report says of the others' requests fades so fast to what is usual: unheard is not empty. */
-    private static final double OTHERS_NS = 1e9;
+    private static final double FOREIGN_LOAD_DECAY_NS = 1e9;
     /** How often memories age. */
-    private static final long AGE_NS = 50_000_000L;
+    private static final long DECAY_INTERVAL_NS = 50_000_000L;
     /** The proxy's own pulse: with none for twice as long it stood still. */
-    private static final long PULSE_NS = 50_000_000L;
+    private static final long HEARTBEAT_NS = 50_000_000L;
     /** Tokens of the timers for what waits and for the pulse; those below number the calls to discovery. */
-    private static final long WAIT_TOKEN = 1L << 32;
+    private static final long WAITING_TIMER = 1L << 32;
 
-    private static final long PULSE_TOKEN = WAIT_TOKEN + 1;
+    private static final long HEARTBEAT_TIMER = WAITING_TIMER + 1;
 
     private final Settings settings;
-    private final Actions out;
-    private final IntMap<Ticket> tickets = new IntMap<>();
-    private final Map<Long, Turn> turns = new HashMap<>();
+    private final Actions actions;
+    private final IntMap<TrackedRequest> requests = new IntMap<>();
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
     /** Requests that wait here, those worth most first. */
-    private final List<Ticket> waiting = new ArrayList<>();
+    private final List<TrackedRequest> waiting = new ArrayList<>();
 
     private final Classes classes = new Classes();
-    private final ZoneFigures zones;
+    private final ZoneStats zones;
     private final TrafficRates rates;
     private final ServerWeights weights;
     private final Servers servers;
     private final Ejection ejection;
     private final Rotation rotation;
     private final Admission admission;
-    private final RepeatRules repeats;
-    private final RetryBudget retries = new RetryBudget();
+    private final RepeatRules repeatRules;
+    private final RetryBudget retryBudget = new RetryBudget();
     private final Outcomes outcomes;
-    private final DiscoveryCalls discovery;
+    private final DiscoveryCalls discoveryCalls;
     private List<Profile> profiles;
-    private long minPromise;
-    private long agedAt;
-    private long heardAt;
-    private long wokeAt;
+    private long minLatencyTargetNs;
+    private long decayedAt;
+    private long lastEventAt;
+    private long resumedAt;
     /** The class of which the last offer found no room. */
-    private Profile full;
+    private Profile classWithoutRoom;
 
-    private boolean armed;
+    private boolean isWaitingTimerSet;
 
-    public Policy(Settings settings, long seed, long now, Actions out) {
+    public Policy(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         SplittableRandom random = new SplittableRandom(seed);
-        minPromise = shortest(settings.profiles());
+        minLatencyTargetNs = shortestLatencyTargetNs(settings.profiles());
         // The first guess is soon forgotten.
-        KindPaces kinds = new KindPaces(settings.listWeights() ? GUESS_NS : minPromise / 6.0, now);
-        zones = new ZoneFigures(now);
+        KindServiceTimes serviceTimes =
+                new KindServiceTimes(settings.usesListWeights() ? INITIAL_SERVICE_NS : minLatencyTargetNs / 6.0, now);
+        zones = new ZoneStats(now);
         rates = new TrafficRates(now);
         weights = new ServerWeights(settings, zones);
-        servers = new Servers(settings, random, zones, kinds, weights);
+        servers = new Servers(settings, random, zones, serviceTimes, weights);
         ejection = new Ejection(servers.all());
         rotation = new Rotation(
                 settings,
@@ -81,43 +82,44 @@
                 new ColdBudget(settings, zones, rates, weights),
                 classes);
         admission = new Admission(settings, classes, rates);
-        repeats = new RepeatRules(settings);
-        outcomes = new Outcomes(settings, classes, rates, zones, kinds, weights, ejection, servers);
-        discovery = new DiscoveryCalls(settings, random, out);
+        repeatRules = new RepeatRules(settings);
+        outcomes = new Outcomes(settings, classes, rates, zones, serviceTimes, weights, ejection, servers);
+        discoveryCalls = new DiscoveryCalls(settings, random, actions);
         onProfiles(settings.profiles());
-        agedAt = now;
-        heardAt = now;
-        out.timer(now + PULSE_NS, PULSE_TOKEN);
-        if (settings.askForList()) {
-            discovery.ask(now);
+        decayedAt = now;
+        lastEventAt = now;
+        actions.setTimer(now + HEARTBEAT_NS, HEARTBEAT_TIMER);
+        if (settings.listOnRequest()) {
+            discoveryCalls.requestList(now);
         }
     }
 
-    private static long shortest(List<Profile> profiles) {
-        return profiles.stream().mapToLong(Profile::promiseNs).min().orElse(0);
+    private static long shortestLatencyTargetNs(List<Profile> profiles) {
+        return profiles.stream().mapToLong(Profile::latencyTargetNs).min().orElse(0);
     }
 
     @Override
-    public void onProfiles(List<Profile> known) {
-        profiles = List.copyOf(known);
-        minPromise = shortest(known);
-        weights.promise(minPromise);
-        outcomes.promise(minPromise);
-        rotation.profiles(
-                minPromise, known.stream().mapToDouble(Profile::worth).average().orElse(1));
-        classes.know(profiles);
+    public void onProfiles(List<Profile> newProfiles) {
+        profiles = List.copyOf(newProfiles);
+        minLatencyTargetNs = shortestLatencyTargetNs(newProfiles);
+        weights.setMinLatencyTarget(minLatencyTargetNs);
+        outcomes.setMinLatencyTarget(minLatencyTargetNs);
+        rotation.setTargets(
+                minLatencyTargetNs,
+                newProfiles.stream().mapToDouble(Profile::worth).average().orElse(1));
+        classes.setProfiles(profiles);
     }
 
     @Override
-    public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+    public void onServerList(long now, ListKind kind, long version, List<ListedServer> listed) {
         if (kind == ListKind.FAILED) {
-            discovery.failed(now);
+            discoveryCalls.onFailure(now);
             return;
         }
         if (kind != ListKind.CACHED) {
-            discovery.answered();
+            discoveryCalls.onAnswer();
         }
-        servers.learn(now, kind, members);
+        servers.applyList(now, kind, listed);
     }
 
     // ---- requests ----
@@ -126,117 +128,125 @@
      * A proxy that stood still finds outcomes and time-outs that are its own fault, not the servers': what
      * comes in that moment teaches nothing of them. Hurts nobody: a moment later all counts again.
      */
-    private void heard(long now) {
-        if (now - heardAt > 2 * PULSE_NS) {
-            wokeAt = now;
-            servers.all().forEach(s -> s.owedSince = now);
+    private void detectStandstill(long now) {
+        if (now - lastEventAt > 2 * HEARTBEAT_NS) {
+            resumedAt = now;
+            servers.all().forEach(s -> s.awaitingSince = now);
         }
-        heardAt = now;
+        lastEventAt = now;
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        heard(now);
-        age(now);
-        rates.arrived(now);
+        detectStandstill(now);
+        decay(now);
+        rates.recordArrival(now);
         Profile profile = profiles.get(request.profile());
-        Ticket t = new Ticket(request, profile, admission.aim(request, profile, now), now + request.leftNs());
-        tickets.put(request.ticket(), t);
+        TrackedRequest t = new TrackedRequest(
+                request, profile, admission.usefulUntil(request, profile, now), now + request.timeLeftNs());
+        requests.put(request.ticket(), t);
         if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new Turn());
-            t.turn.queue.add(t);
+            t.keyQueue = keyQueues.computeIfAbsent(request.key(), k -> new KeyQueue());
+            t.keyQueue.requests.add(t);
         }
-        retries.earn();
-        if (!offer(t, now)) {
+        retryBudget.earn();
+        if (!trySend(t, now)) {
             int at = waiting.size();
             while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) {
                 at--;
             }
             waiting.add(at, t);
-            arm(now);
+            setWaitingTimer(now);
         }
     }
 
-    private void age(long now) {
-        if (now - agedAt <= AGE_NS) {
+    private void decay(long now) {
+        if (now - decayedAt <= DECAY_INTERVAL_NS) {
             return;
         }
-        double keepRates = keep(now, TrafficRates.RATE_NS);
-        zones.age(keepRates, keep(now, KindPaces.MEMORY_NS));
-        classes.age(keepRates);
-        rates.age(keep(now, ZoneFigures.USUAL_NS));
-        double keepOthers = keep(now, OTHERS_NS);
+        double keepRates = retention(now, TrafficRates.DECAY_NS);
+        zones.decay(keepRates, retention(now, KindServiceTimes.DECAY_NS));
+        classes.decay(keepRates);
+        rates.decay(retention(now, ZoneStats.DECAY_NS));
+        double keepOthers = retention(now, FOREIGN_LOAD_DECAY_NS);
         for (Server s : servers.all()) {
-            s.fresh *= keepOthers;
-            s.others = s.fresh * s.heard + (1 - s.fresh) * zones.usualOthers(s.zone());
+            s.reportFreshness *= keepOthers;
+            s.foreignLoad = s.reportFreshness * s.reportedForeignLoad
+                    + (1 - s.reportFreshness) * zones.typicalForeignLoad(s.zone());
         }
-        turns.values().removeIf(u -> u.queue.isEmpty() && now >= u.restUntil);
-        agedAt = now;
+        keyQueues.values().removeIf(u -> u.requests.isEmpty() && now >= u.blockedUntil);
+        decayedAt = now;
     }
 
     /** What is kept, by now, of a memory of that length. */
-    private double keep(long now, double memoryNs) {
-        return Math.exp((agedAt - now) / memoryNs);
+    private double retention(long now, double decayNs) {
+        return Math.exp((decayedAt - now) / decayNs);
     }
 
     /**
      * Sends a first attempt while a server has room; else it waits here, where it costs no server anything
      * and can still be refused harmlessly. True if it need not wait (any longer).
      */
-    private boolean offer(Ticket t, long now) {
-        if (t.over) {
+    private boolean trySend(TrackedRequest t, long now) {
+        if (t.isFinished) {
             return true;
         }
-        boolean held = !inTurn(t, now) || admission.throttled();
-        Server s = held || endHopeless(t, now) ? null : pick(t, now);
+        boolean isHeld = !isNextOfKey(t, now) || admission.isThrottled();
+        Server s = isHeld || endIfHopeless(t, now) ? null : pick(t, now);
         if (s != null) {
             send(t, s, now);
             return true;
         }
-        full = held ? full : t.profile;
-        return endHopeless(t, now);
+        classWithoutRoom = isHeld ? classWithoutRoom : t.profile;
+        return endIfHopeless(t, now);
     }
 
-    private Server pick(Ticket t, long now) {
-        return rotation.pick(t, repeats.bound(t), servers.subset(rates.arrivals, minPromise), now);
+    private Server pick(TrackedRequest t, long now) {
+        return rotation.pick(
+                t, repeatRules.bindingAttempt(t), servers.subsetSize(rates.arrivals, minLatencyTargetNs), now);
     }
 
     /** Ends a request that cannot be served in time; true if it is over. */
-    private boolean endHopeless(Ticket t, long now) {
-        if (!t.over && admission.hopeless(t, now)) {
-            end(t);
+    private boolean endIfHopeless(TrackedRequest t, long now) {
+        if (!t.isFinished && admission.isHopeless(t, now)) {
+            answerUnserved(t);
         }
-        return t.over;
+        return t.isFinished;
     }
 
-    private void arm(long now) {
-        if (!armed && !waiting.isEmpty()) {
-            armed = true;
-            out.timer(now + Admission.HOLD_NS, WAIT_TOKEN);
+    private void setWaitingTimer(long now) {
+        if (!isWaitingTimerSet && !waiting.isEmpty()) {
+            isWaitingTimerSet = true;
+            actions.setTimer(now + Admission.WAITING_CHECK_NS, WAITING_TIMER);
         }
     }
 
     /** Offers what waits again; after the first of a class that stays, the rest are only checked for time. */
-    private void drain(long now) {
-        full = null;
+    private void dispatchWaiting(long now) {
+        classWithoutRoom = null;
         // All are looked at, not the head alone: a client's repeat behind it may have less time left.
-        waiting.removeIf(t -> t.profile == full ? endHopeless(t, now) : offer(t, now));
+        waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfHopeless(t, now) : trySend(t, now));
     }
 
-    private void send(Ticket t, Server s, long now) {
-        Attempt bound = repeats.bound(t);
+    private void send(TrackedRequest t, Server s, long now) {
+        Attempt binding = repeatRules.bindingAttempt(t);
         t.attempts.add(new Attempt(s, s.load(), now));
-        t.out++;
-        s.owedSince = s.out++ == 0 ? now : s.owedSince;
+        t.openAttempts++;
+        s.awaitingSince = s.openAttempts++ == 0 ? now : s.awaitingSince;
         s.tokens--;
         rates.sent++;
         zones.sent(s.zone());
         // An answer that would earn nothing leaves the server, unless a repeat would then run beside it.
-        boolean cut = settings.mayCancel() && t.profile.lateShare() == 0 && !RepeatRules.droppedEverywhere(t.profile);
-        long most = Math.min(
-                cut ? Math.max(1, t.aim - now) : Long.MAX_VALUE,
-                t.profile.attemptNs() > 0 ? t.profile.attemptNs() : Long.MAX_VALUE);
-        out.send(t.request.ticket(), s.id, most == Long.MAX_VALUE ? 0 : most, repeats.withinNs(t, bound, now));
+        boolean isCutWhenLate =
+                settings.canCancel() && t.profile.lateShare() == 0 && !RepeatRules.isDroppedEverywhere(t.profile);
+        long timeoutNs = Math.min(
+                isCutWhenLate ? Math.max(1, t.usefulUntil - now) : Long.MAX_VALUE,
+                t.profile.attemptTimeoutNs() > 0 ? t.profile.attemptTimeoutNs() : Long.MAX_VALUE);
+        actions.send(
+                t.request.ticket(),
+                s.id,
+                timeoutNs == Long.MAX_VALUE ? 0 : timeoutNs,
+                repeatRules.startWithinNs(t, binding, now));
     }
 
     /**
@@ -244,15 +254,15 @@
      * after a connection that was not to be had needs none: it is no more load than a first try there, and
      * without reports nothing else keeps first tries from a server that is gone.
      */
-    private void again(Ticket t, long now) {
-        Status last = t.attempts.get(t.attempts.size() - 1).ended;
-        boolean broke = last == Status.RESET || last == Status.CONNECT_FAILED;
-        boolean free = settings.listWeights() && last == Status.CONNECT_FAILED;
-        if ((free || retries.has(broke)) && repeats.mayAttempt(t, now)) {
+    private void retry(TrackedRequest t, long now) {
+        Status last = t.attempts.get(t.attempts.size() - 1).status;
+        boolean connectionFailed = last == Status.RESET || last == Status.CONNECT_FAILED;
+        boolean isFree = settings.usesListWeights() && last == Status.CONNECT_FAILED;
+        if ((isFree || retryBudget.canSpend(connectionFailed)) && repeatRules.canAttempt(t, now)) {
             Server s = pick(t, now);
             if (s != null) {
-                if (!free) {
-                    retries.spend(broke);
+                if (!isFree) {
+                    retryBudget.spend(connectionFailed);
                 }
                 send(t, s, now);
             }
@@ -260,22 +270,22 @@
     }
 
     /** The final answer where no attempt served: refused if a repeat is harmless, else failed. */
-    private void end(Ticket t) {
+    private void answerUnserved(TrackedRequest t) {
         rates.unsent += t.attempts.isEmpty() ? 1 : 0;
-        if (repeats.refusable(t)) {
-            out.refuse(t.request.ticket(), settings.maxRetryAfterNs());
+        if (repeatRules.canRefuse(t)) {
+            actions.refuse(t.request.ticket(), settings.maxRetryAfterNs());
         } else {
-            out.fail(t.request.ticket());
+            actions.fail(t.request.ticket());
         }
-        close(t);
+        finish(t);
     }
 
-    private void close(Ticket t) {
-        t.over = true;
-        if (t.out == 0) {
-            forget(t);
-        } else if (settings.mayCancel()) {
-            out.cancel(t.request.ticket(), t.attempts.size() - 1); // never more than one is out
+    private void finish(TrackedRequest t) {
+        t.isFinished = true;
+        if (t.openAttempts == 0) {
+            release(t);
+        } else if (settings.canCancel()) {
+            actions.cancel(t.request.ticket(), t.attempts.size() - 1); // never more than one is out
         }
     }
 
@@ -283,85 +293,85 @@
      * Order: one that follows waits until each earlier one of its key is over and has no attempt out, and
      * until the key has rested from attempts that may still be running.
      */
-    private static boolean inTurn(Ticket t, long now) {
-        return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
+    private static boolean isNextOfKey(TrackedRequest t, long now) {
+        return t.keyQueue == null || t.keyQueue.requests.peek() == t && now >= t.keyQueue.blockedUntil;
     }
 
     /** Its last attempt has ended: the next of its key may run. */
-    private void forget(Ticket t) {
-        tickets.remove(t.request.ticket());
-        if (t.turn != null) {
-            t.turn.queue.remove(t);
+    private void release(TrackedRequest t) {
+        requests.remove(t.request.ticket());
+        if (t.keyQueue != null) {
+            t.keyQueue.requests.remove(t);
         }
     }
 
     @Override
-    public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        Ticket t = tickets.get(ticket);
+    public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
+        TrackedRequest t = requests.get(ticket);
         if (t != null) {
-            t.begun = true;
+            t.isStreaming = true;
         }
     }
 
     @Override
     public void onOutcome(long now, Outcome o) {
-        heard(now);
-        Ticket t = tickets.get(o.ticket());
-        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
+        detectStandstill(now);
+        TrackedRequest t = requests.get(o.ticket());
+        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).status != null) {
             return;
         }
         Attempt a = t.attempts.get(o.attempt());
-        a.ended = o.status();
-        t.out--;
-        a.to.out--;
-        if (t.turn != null
+        a.status = o.status();
+        t.openAttempts--;
+        a.server.openAttempts--;
+        if (t.keyQueue != null
                 && (o.status() == Status.TIMEOUT || o.status() == Status.RESET || o.status() == Status.CANCELLED)) {
-            t.turn.restUntil = now + settings.turnGapNs();
+            t.keyQueue.blockedUntil = now + settings.sequentialGapNs();
         }
-        if (now != wokeAt) {
-            outcomes.learn(t, a, o, now);
+        if (now != resumedAt) {
+            outcomes.record(t, a, o, now);
         }
-        weights.report(a.to, now, o.report());
-        if (o.over() && !t.over) {
-            close(t);
-        } else if (t.over && t.out == 0) {
-            forget(t);
-        } else if (!t.over && t.out == 0) {
-            again(t, now);
-            if (t.out == 0) {
-                end(t);
+        weights.applyReport(a.server, now, o.report());
+        if (o.isFinal() && !t.isFinished) {
+            finish(t);
+        } else if (t.isFinished && t.openAttempts == 0) {
+            release(t);
+        } else if (!t.isFinished && t.openAttempts == 0) {
+            retry(t, now);
+            if (t.openAttempts == 0) {
+                answerUnserved(t);
             }
         }
-        drain(now);
+        dispatchWaiting(now);
     }
 
     @Override
-    public int avoided() {
+    public int avoidedServers() {
         return (int) servers.all().stream()
-                .filter(s -> s.named && s.listed.state() != State.GONE && (s.ejected || !s.ready()))
+                .filter(s -> s.isListed && s.listed.state() != State.GONE && (s.isEjected || !s.isReady()))
                 .count();
     }
 
     @Override
-    public void onWithdrawn(long now, int ticket) {
-        Ticket t = tickets.get(ticket);
-        if (t != null && !t.over) {
-            t.leftEarly = now < t.aim;
-            close(t);
+    public void onClientDisconnected(long now, int ticket) {
+        TrackedRequest t = requests.get(ticket);
+        if (t != null && !t.isFinished) {
+            t.clientLeftEarly = now < t.usefulUntil;
+            finish(t);
         }
     }
 
     @Override
     public void onTimer(long now, long token) {
-        heard(now);
-        if (token == PULSE_TOKEN) {
-            out.timer(now + PULSE_NS, PULSE_TOKEN);
-        } else if (token == WAIT_TOKEN) {
-            armed = false;
-            drain(now);
-            arm(now);
+        detectStandstill(now);
+        if (token == HEARTBEAT_TIMER) {
+            actions.setTimer(now + HEARTBEAT_NS, HEARTBEAT_TIMER);
+        } else if (token == WAITING_TIMER) {
+            isWaitingTimerSet = false;
+            dispatchWaiting(now);
+            setWaitingTimer(now);
         } else {
-            discovery.onTimer(now, token);
+            discoveryCalls.onTimer(now, token);
         }
     }
 }
--- a/src/main/java/gullspar/decide/RepeatRules.java
+++ b/src/main/java/gullspar/decide/RepeatRules.java
@@ -5,7 +5,7 @@
 import gullspar.decide.Balancer.Scope;
 import gullspar.decide.Balancer.Settings;
 import gullspar.decide.Balancer.Status;
-import gullspar.decide.Ticket.Attempt;
+import gullspar.decide.TrackedRequest.Attempt;
 
 /** Whether a request may be sent again, and what may be said of it, by what became of its attempts. */
 final class RepeatRules {
@@ -16,11 +16,11 @@
     }
 
     /** The first attempt that may have run: it binds all further ones. Null if none may have. */
-    Attempt bound(Ticket t) {
+    Attempt bindingAttempt(TrackedRequest t) {
         for (Attempt a : t.attempts) {
-            boolean never =
-                    a.ended != null && a.ended.neverRan && !(a.ended == Status.FULL && settings.fullIsNoProof());
-            if (!never) {
+            boolean neverRan =
+                    a.status != null && a.status.neverRan && !(a.status == Status.FULL && settings.fullMayHaveRun());
+            if (!neverRan) {
                 return a;
             }
         }
@@ -28,43 +28,43 @@
     }
 
     /** For how long repeats are surely dropped, from the first attempt that may have run, in ns. */
-    long rememberedNs(Ticket t) {
-        return t.profile.windowNs() - 2 * settings.stepNs();
+    long safeRepeatNs(TrackedRequest t) {
+        return t.profile.windowNs() - 2 * settings.clockStepNs();
     }
 
     /** Within that time from now an attempt has to go out, in ns; MAX_VALUE for whenever it may be. */
-    long withinNs(Ticket t, Attempt bound, long now) {
-        return bound == null || t.profile.effect() != Effect.DEDUPLICATED
+    long startWithinNs(TrackedRequest t, Attempt binding, long now) {
+        return binding == null || t.profile.effect() != Effect.DEDUPLICATED
                 ? Long.MAX_VALUE
-                : bound.sentAt + rememberedNs(t) - now;
+                : binding.sentAt + safeRepeatNs(t) - now;
     }
 
     /** May another attempt start now? */
-    boolean mayAttempt(Ticket t, long now) {
-        if (t.over
-                || t.begun
-                || now >= t.aim
-                || t.attempts.size() >= most(t.profile)
-                || now >= t.deadline - settings.stepNs()) {
+    boolean canAttempt(TrackedRequest t, long now) {
+        if (t.isFinished
+                || t.isStreaming
+                || now >= t.usefulUntil
+                || t.attempts.size() >= maxAttempts(t.profile)
+                || now >= t.deadline - settings.clockStepNs()) {
             return false;
         }
-        Attempt bound = bound(t);
-        return bound == null
+        Attempt binding = bindingAttempt(t);
+        return binding == null
                 || t.profile.effect() == Effect.IDEMPOTENT
-                || t.profile.effect() == Effect.DEDUPLICATED && now - bound.sentAt < rememberedNs(t);
+                || t.profile.effect() == Effect.DEDUPLICATED && now - binding.sentAt < safeRepeatNs(t);
     }
 
-    private int most(Profile p) {
-        return p.attempts() > 0 ? p.attempts() : settings.maxAttempts();
+    private int maxAttempts(Profile p) {
+        return p.maxAttempts() > 0 ? p.maxAttempts() : settings.maxAttempts();
     }
 
     /** Is a repeat by the client harmless, so that the request may be refused? */
-    boolean refusable(Ticket t) {
-        return bound(t) == null || t.profile.effect() == Effect.IDEMPOTENT || droppedEverywhere(t.profile);
+    boolean canRefuse(TrackedRequest t) {
+        return bindingAttempt(t) == null || t.profile.effect() == Effect.IDEMPOTENT || isDroppedEverywhere(t.profile);
     }
 
     /** Are repeats dropped wherever they go? */
-    static boolean droppedEverywhere(Profile p) {
+    static boolean isDroppedEverywhere(Profile p) {
         return p.effect() == Effect.DEDUPLICATED && p.scope() == Scope.ALL;
     }
 }
--- a/src/main/java/gullspar/decide/Server.java
+++ b/src/main/java/gullspar/decide/Server.java
@@ -3,38 +3,38 @@
 /** What a proxy knows of one server. State only, no decision. */
 final class Server {
     final int id;
-    Balancer.Member listed;
+    Balancer.ListedServer listed;
     /** Time of a request when warm: as used, as its own answers tell, and how many of them count. */
-    double pace, ownPace, seen;
+    double serviceNs, ownServiceNs, serviceSamples;
     /** The reported spare share, the factor made of it, the rotation's tally. */
-    double spare = 1, factor, tally;
+    double spareShare = 1, factor, rotationCredit;
     /** The last report; the others' requests by it, how fresh that is, and what is held of them now. */
-    double util, held, heard, fresh, others;
+    double reportedUtilization, reportedRequests, reportedForeignLoad, reportFreshness, foreignLoad;
     /** Requests that run side by side without slowing each other: the requests above count in these. */
-    double parallel, rate, busy, told;
+    double concurrency, meanThroughput, meanUtilization, reportedThroughput;
 
     double tokens;
-    final long bootNs;
+    final long startedAtNs;
     /** When a connection to it failed last; 0 for never. */
-    long refusedAt;
+    long connectFailedAt;
 
-    long renewedAt, learntAt, owedSince, trialAt, trialPause, tokensAt;
-    int out, failures;
-    boolean named, ejected, fit, blind;
+    long factorUpdatedAt, serviceUpdatedAt, awaitingSince, nextTrialAt, trialPauseNs, tokensUpdatedAt;
+    int openAttempts, consecutiveFailures;
+    boolean isListed, isEjected, isEligible, lacksInflight;
     /** Place in this proxy's order of the zone's servers, 0 to 1: the subset is those under its width. */
-    double place;
+    double subsetPosition;
 
-    Server(Balancer.Member listed, double pace, double parallel, long now) {
+    Server(Balancer.ListedServer listed, double pace, double parallel, long now) {
         this.id = listed.id();
         this.listed = listed;
-        this.bootNs = listed.bootNs();
-        this.pace = pace;
-        this.parallel = parallel;
-        this.tokensAt = now;
+        this.startedAtNs = listed.startedAtNs();
+        this.serviceNs = pace;
+        this.concurrency = parallel;
+        this.tokensUpdatedAt = now;
     }
 
     double load() {
-        return out / parallel + others;
+        return openAttempts / concurrency + foreignLoad;
     }
 
     /** The number of its zone. */
@@ -42,7 +42,7 @@
         return Math.max(0, listed.zone());
     }
 
-    boolean ready() {
-        return named && listed.state() == Balancer.State.READY;
+    boolean isReady() {
+        return isListed && listed.state() == Balancer.State.READY;
     }
 }
--- a/src/main/java/gullspar/decide/ServerWeights.java
+++ b/src/main/java/gullspar/decide/ServerWeights.java
@@ -9,38 +9,38 @@
  */
 final class ServerWeights {
     /** A factor is renewed by the first report so long after the last renewal, in ns. */
-    private static final long RENEW_NS = 200_000_000L;
+    private static final long FACTOR_INTERVAL_NS = 200_000_000L;
     /** Weight of a new report's spare share: two reports halve the noise without doubling their lateness. */
-    private static final double SPARE_GAIN = 0.5;
+    private static final double SPARE_SMOOTHING = 0.5;
     /** No spare share under this: a server at 0 would never get the request that renews it. */
-    static final double SPARE_FLOOR = 0.1;
+    static final double MIN_SPARE_SHARE = 0.1;
     /** Of more requests in hand no report is believed. */
-    private static final double HELD_MOST = 1000;
+    private static final double MAX_REPORTED_REQUESTS = 1000;
     /** Weight of a new report in what a server can do in a second. */
-    private static final double PARALLEL_GAIN = 0.2;
+    private static final double THROUGHPUT_SMOOTHING = 0.2;
 
     private final Settings settings;
-    private final ZoneFigures zones;
+    private final ZoneStats zones;
     /** No server has reported its load: the weights of the list count. */
-    private boolean byList;
+    private boolean usesListWeights;
 
-    private double parallel = 1;
-    private double minPromiseNs;
+    private double meanConcurrency = 1;
+    private double minLatencyTargetNs;
 
-    ServerWeights(Settings settings, ZoneFigures zones) {
+    ServerWeights(Settings settings, ZoneStats zones) {
         this.settings = settings;
         this.zones = zones;
-        this.byList = settings.listWeights();
+        this.usesListWeights = settings.usesListWeights();
     }
 
     /** The shortest promise of all classes, in ns. */
-    void promise(double shortestNs) {
-        minPromiseNs = shortestNs;
+    void setMinLatencyTarget(double latencyTargetNs) {
+        minLatencyTargetNs = latencyTargetNs;
     }
 
     /** Requests that a server runs side by side without slowing each other, in the mean. */
-    double parallel() {
-        return parallel;
+    double meanConcurrency() {
+        return meanConcurrency;
     }
 
     /**
@@ -50,60 +50,64 @@
      * or had no place for a connection a part of its share for the time of a start.
      */
     double warmth(Server s, long now) {
-        long start = Math.max(s.bootNs, s.refusedAt);
-        double age = (now - start) / (double) settings.coldNs();
+        long start = Math.max(s.startedAtNs, s.connectFailedAt);
+        double age = (now - start) / (double) settings.coldStartNs();
         return start <= 0 || age >= 1
                 ? 1
                 : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, age);
     }
 
     /** Takes in the report of an answer; null if it held none. */
-    void report(Server s, long now, Report r) {
+    void applyReport(Server s, long now, Report r) {
         if (r == null) {
             return;
         }
-        byList = false;
-        held(s, now, r);
-        rate(s, r);
-        if (now - s.renewedAt >= RENEW_NS) {
-            if (Double.isFinite(r.util())) {
-                s.spare += SPARE_GAIN * (1 - Math.max(0, Math.min(1, r.util())) - s.spare);
+        usesListWeights = false;
+        updateForeignLoad(s, now, r);
+        updateConcurrency(s, r);
+        if (now - s.factorUpdatedAt >= FACTOR_INTERVAL_NS) {
+            if (Double.isFinite(r.utilization())) {
+                s.spareShare += SPARE_SMOOTHING * (1 - Math.max(0, Math.min(1, r.utilization())) - s.spareShare);
             }
-            renew(s, now);
+            updateFactor(s, now);
         }
     }
 
-    private void held(Server s, long now, Report r) {
-        s.blind = !Double.isFinite(r.inflight());
-        double held = Double.isFinite(r.inflight()) ? r.inflight() : r.queue();
+    private void updateForeignLoad(Server s, long now, Report r) {
+        s.lacksInflight = !Double.isFinite(r.inflight());
+        double requests = Double.isFinite(r.inflight()) ? r.inflight() : r.queued();
         // Answers repeat a report until the next is made; of two the util differs, also where both held none.
-        boolean news = held != s.held || Double.compare(r.util(), s.util) != 0;
-        if (held >= 0 && held < HELD_MOST && news) {
-            s.held = held;
-            s.util = r.util();
-            double others = Math.max(0, held - s.out) / s.parallel;
-            s.heard += SPARE_GAIN * (others - s.heard);
-            s.others = s.heard;
-            s.fresh = 1;
-            zones.crowd(s.zone(), others, now);
+        boolean isNew = requests != s.reportedRequests || Double.compare(r.utilization(), s.reportedUtilization) != 0;
+        if (requests >= 0 && requests < MAX_REPORTED_REQUESTS && isNew) {
+            s.reportedRequests = requests;
+            s.reportedUtilization = r.utilization();
+            double foreignLoad = Math.max(0, requests - s.openAttempts) / s.concurrency;
+            s.reportedForeignLoad += SPARE_SMOOTHING * (foreignLoad - s.reportedForeignLoad);
+            s.foreignLoad = s.reportedForeignLoad;
+            s.reportFreshness = 1;
+            zones.recordForeignLoad(s.zone(), foreignLoad, now);
         }
     }
 
-    private void rate(Server s, Report r) {
-        if (r.perSecond() > 0 && r.util() > 0 && r.perSecond() != s.told) {
+    private void updateConcurrency(Server s, Report r) {
+        if (r.requestsPerSecond() > 0 && r.utilization() > 0 && r.requestsPerSecond() != s.reportedThroughput) {
             // What it does in a second over its busy share is what it can do, whatever its requests wait for.
-            s.told = r.perSecond();
-            s.rate += PARALLEL_GAIN * (r.perSecond() - s.rate);
-            s.busy += PARALLEL_GAIN * (Math.min(1, r.util()) - s.busy);
-            s.parallel = Math.max(1, s.rate / s.busy * s.pace / 1e9);
-            parallel += PARALLEL_GAIN * (s.parallel - parallel);
+            s.reportedThroughput = r.requestsPerSecond();
+            s.meanThroughput += THROUGHPUT_SMOOTHING * (r.requestsPerSecond() - s.meanThroughput);
+            s.meanUtilization += THROUGHPUT_SMOOTHING * (Math.min(1, r.utilization()) - s.meanUtilization);
+            s.concurrency = Math.max(1, s.meanThroughput / s.meanUtilization * s.serviceNs / 1e9);
+            meanConcurrency += THROUGHPUT_SMOOTHING * (s.concurrency - meanConcurrency);
         }
     }
 
     /** The design's formula: low while young, else capacity times spare share. */
-    void renew(Server s, long now) {
-        s.renewedAt = now;
-        s.factor = minPromiseNs / s.pace * s.parallel * Math.max(SPARE_FLOOR, s.spare) * warmth(s, now);
+    void updateFactor(Server s, long now) {
+        s.factorUpdatedAt = now;
+        s.factor = minLatencyTargetNs
+                / s.serviceNs
+                * s.concurrency
+                * Math.max(MIN_SPARE_SHARE, s.spareShare)
+                * warmth(s, now);
     }
 
     /**
@@ -112,8 +116,8 @@
      * shares that their operator declared, however quick each seems.
      */
     double weight(Server s) {
-        if (byList) {
-            return s.listed.units();
+        if (usesListWeights) {
+            return s.listed.weight();
         }
         double wait = 1 + s.load();
         return s.factor / (wait * wait * wait * wait);
--- a/src/main/java/gullspar/decide/Servers.java
+++ b/src/main/java/gullspar/decide/Servers.java
@@ -1,7 +1,7 @@
 package gullspar.decide;
 
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Settings;
 import gullspar.decide.Balancer.State;
 import java.util.ArrayList;
@@ -13,25 +13,30 @@
 /** The servers as they are listed, and which of them this proxy uses (its subset). */
 final class Servers {
     /** Servers of the own zone in the subset at the least; how often to hear of each in a promise. */
-    private static final double SUBSET_LEAST = 2;
+    private static final double MIN_SUBSET = 2;
 
-    private static final double SUBSET_HEARD = 2;
+    private static final double ANSWERS_PER_TARGET = 2;
     /** Spreads the proxies' subsets evenly over the servers, however many of each there are. */
-    private static final double GOLDEN = 0.6180339887;
+    private static final double GOLDEN_RATIO = 0.6180339887;
 
     private final Settings settings;
     private final SplittableRandom random;
-    private final ZoneFigures zones;
-    private final KindPaces kinds;
+    private final ZoneStats zones;
+    private final KindServiceTimes serviceTimes;
     private final ServerWeights weights;
     private final IntMap<Server> byId = new IntMap<>();
     private final List<Server> all = new ArrayList<>();
 
-    Servers(Settings settings, SplittableRandom random, ZoneFigures zones, KindPaces kinds, ServerWeights weights) {
+    Servers(
+            Settings settings,
+            SplittableRandom random,
+            ZoneStats zones,
+            KindServiceTimes serviceTimes,
+            ServerWeights weights) {
         this.settings = settings;
         this.random = random;
         this.zones = zones;
-        this.kinds = kinds;
+        this.serviceTimes = serviceTimes;
         this.weights = weights;
     }
 
@@ -41,50 +46,52 @@
     }
 
     /** A list that was not a failed call. */
-    void learn(long now, ListKind kind, List<Member> members) {
+    void applyList(long now, ListKind kind, List<ListedServer> servers) {
         for (Server s : all) {
-            s.named &= kind == ListKind.DELTA; // missing from a whole list: gone
+            s.isListed &= kind == ListKind.DELTA; // missing from a whole list: gone
         }
-        for (Member m : members) {
+        for (ListedServer m : servers) {
             Server s = byId.get(m.id());
-            if (s == null || m.bootNs() > s.bootNs) {
-                s = started(m, now);
+            if (s == null || m.startedAtNs() > s.startedAtNs) {
+                s = addStarted(m, now);
             }
             s.listed = m;
-            s.named = true;
+            s.isListed = true;
         }
-        place();
+        updatePositions();
     }
 
-    private void place() {
-        zones.forgetReady();
+    private void updatePositions() {
+        zones.resetReady();
         all.sort(Comparator.comparingInt(s -> s.id));
         for (Iterator<Server> i = all.iterator(); i.hasNext(); ) {
             Server s = i.next();
-            s.place = s.ready() ? zones.countReady(s.zone()) : zones.ready(s.zone());
-            if (s.out == 0 && (!s.named || s.listed.state() == State.GONE)) {
+            s.subsetPosition = s.isReady() ? zones.countReady(s.zone()) : zones.readyCount(s.zone());
+            if (s.openAttempts == 0 && (!s.isListed || s.listed.state() == State.GONE)) {
                 i.remove();
                 byId.remove(s.id);
             }
         }
         for (Server s : all) {
-            double place = s.place / Math.max(1, zones.ready(s.zone())) + settings.me() * GOLDEN;
-            s.place = place - Math.floor(place);
+            double position =
+                    s.subsetPosition / Math.max(1, zones.readyCount(s.zone())) + settings.proxyIndex() * GOLDEN_RATIO;
+            s.subsetPosition = position - Math.floor(position);
         }
     }
 
     /** A server is new or has started anew: nothing learnt of an old process holds. */
-    private Server started(Member m, long now) {
-        Server s = new Server(m, kinds.of(m.kind()), weights.parallel(), now); // it needs what its kind needs
-        s.named = true;
+    private Server addStarted(ListedServer m, long now) {
+        Server s = new Server(
+                m, serviceTimes.get(m.kind()), weights.meanConcurrency(), now); // it needs what its kind needs
+        s.isListed = true;
         Server old = byId.get(s.id);
         if (old != null) {
             all.remove(old);
         }
         all.add(s);
         byId.put(s.id, s);
-        weights.renew(s, now);
-        spread(s, now);
+        weights.updateFactor(s, now);
+        randomizePhase(s, now);
         return s;
     }
 
@@ -92,15 +99,15 @@
      * Proxies that take a server for cold from one moment on must not all turn to it at once: a phase of its
      * own in the rotation, and part of a token, so that their first requests are spread as their later ones.
      */
-    void spread(Server s, long now) {
+    void randomizePhase(Server s, long now) {
         s.tokens = random.nextDouble();
-        s.tokensAt = now;
-        s.tally = -random.nextDouble();
+        s.tokensUpdatedAt = now;
+        s.rotationCredit = -random.nextDouble();
     }
 
     /** Subsetting: servers of a zone that can each be heard of within a promise, and none left out. */
-    double subset(double arrivals, double minPromiseNs) {
-        double heard = arrivals * minPromiseNs / ZoneFigures.USUAL_NS / SUBSET_HEARD;
-        return Math.max(heard, SUBSET_LEAST * Math.max(1, all.size() / (double) settings.balancers()));
+    double subsetSize(double arrivals, double minLatencyTargetNs) {
+        double observable = arrivals * minLatencyTargetNs / ZoneStats.DECAY_NS / ANSWERS_PER_TARGET;
+        return Math.max(observable, MIN_SUBSET * Math.max(1, all.size() / (double) settings.proxyCount()));
     }
 }
--- a/src/main/java/gullspar/decide/TrafficRates.java
+++ b/src/main/java/gullspar/decide/TrafficRates.java
@@ -3,38 +3,38 @@
 /** Decaying counts of a proxy's own requests. State only, no decision. */
 final class TrafficRates {
     /** Memory of sends by zone, in ns: a release must not shrink the cold budgets that it needs. */
-    static final double RATE_NS = 15e9;
+    static final double DECAY_NS = 15e9;
 
-    private static final double RATE_LEAST_NS = 1e9;
+    private static final double MIN_ELAPSED_NS = 1e9;
 
     /** Requests that came; those that no server got; attempts sent, served in good time, and lost. */
     double arrivals;
 
     double unsent;
     double sent;
-    double good;
+    double servedInTime;
     double lost;
-    private long servesSince;
+    private long countingSince;
 
     TrafficRates(long now) {
-        servesSince = now;
+        countingSince = now;
     }
 
-    void arrived(long now) {
-        servesSince = arrivals == 0 ? now : servesSince; // none yet, or none for so long that no rate is left
+    void recordArrival(long now) {
+        countingSince = arrivals == 0 ? now : countingSince; // none yet, or none for so long that no rate is left
         arrivals++;
     }
 
     /** An attempt has ended that tells nothing of the load. */
-    void forgetSend() {
+    void discountSend() {
         sent = Math.max(0, sent - 1);
     }
 
-    void age(double keep) {
+    void decay(double keep) {
         arrivals *= keep;
         unsent *= keep;
         sent *= keep;
-        good *= keep;
+        servedInTime *= keep;
         lost *= keep;
     }
 
@@ -45,7 +45,7 @@
      * that knows the list long before its clients come has no lower rates for it. Of the first moment no
      * rate is made.
      */
-    double lived(double memory, long now) {
-        return memory * (1 - Math.exp(-Math.max(RATE_LEAST_NS, now - servesSince) / memory));
+    double effectiveWindowNs(double decayNs, long now) {
+        return decayNs * (1 - Math.exp(-Math.max(MIN_ELAPSED_NS, now - countingSince) / decayNs));
     }
 }
--- a/src/main/java/gullspar/drill/Batch.java
+++ b/src/main/java/gullspar/drill/Batch.java
@@ -8,34 +8,34 @@
 
 /** One frame of events: a clock, records of 48 bytes and a tail. Reads are checked against the frame. */
 final class Batch {
-    static final int HEADER = 16;
-    static final int RECORD = 48;
+    static final int HEADER_BYTES = 16;
+    static final int RECORD_BYTES = 48;
 
-    final long clock;
+    final long nowNs;
     final int count;
     private final ByteBuffer body;
     private final int tailStart;
 
     private Batch(long clock, int count, byte[] body) {
-        this.clock = clock;
+        this.nowNs = clock;
         this.count = count;
         this.body = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-        this.tailStart = count * RECORD;
+        this.tailStart = count * RECORD_BYTES;
     }
 
     /** Reads the next frame; null where the input ends between frames. */
     static Batch read(InputStream in) throws IOException {
-        byte[] head = in.readNBytes(HEADER);
+        byte[] head = in.readNBytes(HEADER_BYTES);
         if (head.length == 0) {
             return null;
         }
-        if (head.length < HEADER) {
+        if (head.length < HEADER_BYTES) {
             throw new WireException("the input ends inside a frame's header");
         }
         ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
         long length = Integer.toUnsignedLong(header.getInt());
         long count = Integer.toUnsignedLong(header.getInt());
-        if (count * RECORD > length) {
+        if (count * RECORD_BYTES > length) {
             throw new WireException(count + " records do not fit in a frame of " + length + " bytes");
         }
         if (length > Integer.MAX_VALUE - 64) {
@@ -69,9 +69,9 @@
     }
 
     /** Where in the frame a tail reference at this place points to; size is that of one of its entries. */
-    int tail(int at, int size) {
+    int tailPosition(int at, int entryBytes) {
         long offset = Integer.toUnsignedLong(body.getInt(at));
-        long bytes = Integer.toUnsignedLong(body.getInt(at + 4)) * size;
+        long bytes = Integer.toUnsignedLong(body.getInt(at + 4)) * entryBytes;
         if (offset + bytes > body.capacity() - tailStart) {
             throw new WireException("a reference of " + bytes + " bytes at " + offset + " leaves the tail of "
                     + (body.capacity() - tailStart) + " bytes");
@@ -79,8 +79,8 @@
         return tailStart + (int) offset;
     }
 
-    byte[] bytes(int at) {
-        int from = tail(at, 1);
+    byte[] tailBytes(int at) {
+        int from = tailPosition(at, 1);
         return Arrays.copyOfRange(body.array(), from, from + body.getInt(at + 4));
     }
 }
--- a/src/main/java/gullspar/drill/Host.java
+++ b/src/main/java/gullspar/drill/Host.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
@@ -22,7 +22,7 @@
 
 /** Hosts many instances of the module on the simulator's wire. It translates and decides nothing. */
 public final class Host {
-    private static final int ENTRY = 22;
+    private static final int ENTRY_BYTES = 22;
     private static final Status[] STATUSES = Status.values();
     private static final State[] STATES = State.values();
     private static final ListKind[] LIST_KINDS = ListKind.values();
@@ -35,7 +35,7 @@
 
     private final Balancer.Factory factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Member>> tables = new HashMap<>();
+    private final Map<Integer, List<ListedServer>> serverLists = new HashMap<>();
     private final Reply reply = new Reply();
 
     public Host(Balancer.Factory factory) {
@@ -47,48 +47,48 @@
         InputStream in = new BufferedInputStream(input, 1 << 16);
         for (Batch b = Batch.read(in); b != null; b = Batch.read(in)) {
             for (int i = 0; i < b.count; i++) {
-                event(b, i * Batch.RECORD);
+                handleEvent(b, i * Batch.RECORD_BYTES);
             }
             reply.writeTo(output);
         }
     }
 
-    private void event(Batch b, int at) {
+    private void handleEvent(Batch b, int at) {
         int code = b.u8(at);
         if (code < 1 || code > 11) {
             throw new WireException("unknown event code " + code);
         }
         if (code == 11) {
-            tables.put(b.u16(at + 1), members(b, at + 3));
+            serverLists.put(b.u16(at + 1), readServerList(b, at + 3));
             return;
         }
         int proxy = b.i32(at + 1);
         if (code == 10) {
-            running(instances.remove(proxy), code, proxy);
+            requireRunning(instances.remove(proxy), code, proxy);
             return;
         }
-        SettingsParser.Parsed start = code == 1 ? settings(b.bytes(at + 13)) : null;
+        SettingsParser.Parsed start = code == 1 ? parseSettings(b.tailBytes(at + 13)) : null;
         try {
             if (start != null) {
-                int[] columns = columns(start.columns());
+                int[] columns = findColumns(start.columns());
                 instances.put(
                         proxy,
                         new Instance(
-                                factory.create(start.settings(), b.i64(at + 5), b.clock, reply.forInstance(proxy)),
+                                factory.create(start.settings(), b.i64(at + 5), b.nowNs, reply.actionsOf(proxy)),
                                 columns,
                                 start.settings().profiles().size()));
                 return;
             }
-            deliver(b, at, code, running(instances.get(proxy), code, proxy));
+            deliver(b, at, code, requireRunning(instances.get(proxy), code, proxy));
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.exception(proxy, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.reportException(proxy, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private static SettingsParser.Parsed settings(byte[] text) {
+    private static SettingsParser.Parsed parseSettings(byte[] text) {
         try {
             return SettingsParser.parse(new String(text, StandardCharsets.UTF_8));
         } catch (SettingsException e) {
@@ -96,7 +96,7 @@
         }
     }
 
-    private static Instance running(Instance i, int code, int proxy) {
+    private static Instance requireRunning(Instance i, int code, int proxy) {
         if (i == null) {
             throw new WireException("event " + code + " for instance " + proxy + ", which is not running");
         }
@@ -105,15 +105,15 @@
 
     private void deliver(Batch b, int at, int code, Instance to) {
         Balancer m = to.balancer();
-        long now = b.clock;
+        long now = b.nowNs;
         switch (code) {
             case 2 -> {
-                ListKind kind = pick(LIST_KINDS, b.u8(at + 5), "list kind");
-                List<Member> list = kind == ListKind.FAILED ? List.of() : tables.get(b.u16(at + 14));
+                ListKind kind = constantAt(LIST_KINDS, b.u8(at + 5), "list kind");
+                List<ListedServer> list = kind == ListKind.FAILED ? List.of() : serverLists.get(b.u16(at + 14));
                 if (list == null) {
                     throw new WireException("list number " + b.u16(at + 14) + " was never given");
                 }
-                m.onMembers(now, kind, b.i64(at + 6), list);
+                m.onServerList(now, kind, b.i64(at + 6), list);
             }
             case 3 -> {
                 int flags = b.u16(at + 36);
@@ -131,40 +131,40 @@
                                 (flags & 1) != 0 ? b.i64(at + 28) : 0,
                                 (flags & 2) != 0));
             }
-            case 4 -> m.onStreamBegun(now, b.i32(at + 5), b.u16(at + 9), b.i32(at + 11), b.i64(at + 15));
+            case 4 -> m.onStreamStarted(now, b.i32(at + 5), b.u16(at + 9), b.i32(at + 11), b.i64(at + 15));
             case 5 -> m.onOutcome(
                     now,
                     new Outcome(
                             b.i32(at + 5),
                             b.u16(at + 9),
                             b.i32(at + 11),
-                            pick(STATUSES, b.u16(at + 15), "outcome"),
+                            constantAt(STATUSES, b.u16(at + 15), "outcome"),
                             b.i64(at + 17),
                             b.u8(at + 25) != 0,
-                            report(b, at + 26, to.columns())));
-            case 6 -> m.onWithdrawn(now, b.i32(at + 5));
+                            readReport(b, at + 26, to.columns())));
+            case 6 -> m.onClientDisconnected(now, b.i32(at + 5));
             case 7 -> m.onTimer(now, b.i64(at + 5));
-            case 8 -> m.onProbe(
+            case 8 -> m.onProbeResult(
                     now,
                     b.i32(at + 5),
-                    pick(STATUSES, b.u16(at + 9), "outcome"),
+                    constantAt(STATUSES, b.u16(at + 9), "outcome"),
                     b.i64(at + 11),
-                    report(b, at + 19, to.columns()));
-            case 9 -> m.onPeer(now, b.i32(at + 5), b.bytes(at + 9));
+                    readReport(b, at + 19, to.columns()));
+            case 9 -> m.onPeerMessage(now, b.i32(at + 5), b.tailBytes(at + 9));
             default -> throw new WireException("unknown event code " + code);
         }
     }
 
-    private static List<Member> members(Batch b, int at) {
-        int from = b.tail(at, ENTRY);
+    private static List<ListedServer> readServerList(Batch b, int at) {
+        int from = b.tailPosition(at, ENTRY_BYTES);
         int n = b.i32(at + 4);
-        List<Member> list = new ArrayList<>(n);
+        List<ListedServer> list = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
-            int e = from + i * ENTRY;
-            list.add(new Member(
+            int e = from + i * ENTRY_BYTES;
+            list.add(new ListedServer(
                     b.i32(e),
                     b.u16(e + 4),
-                    pick(STATES, b.u8(e + 6), "server state"),
+                    constantAt(STATES, b.u8(e + 6), "server state"),
                     b.i64(e + 7),
                     b.u16(e + 15),
                     b.u8(e + 17),
@@ -174,7 +174,7 @@
     }
 
     /** For each value of {@link Report}, the column that holds it, or -1. */
-    private static int[] columns(String[] names) {
+    private static int[] findColumns(String[] names) {
         int[] columns = new int[REPORT_NAMES.size()];
         for (int i = 0; i < columns.length; i++) {
             columns[i] = List.of(names).indexOf(REPORT_NAMES.get(i));
@@ -182,7 +182,7 @@
         return columns;
     }
 
-    private static Report report(Batch b, int at, int[] columns) {
+    private static Report readReport(Batch b, int at, int[] columns) {
         int n = b.u8(at);
         if (n > 4) {
             throw new WireException("a load report of " + n + " values");
@@ -190,19 +190,19 @@
         return n == 0
                 ? null
                 : new Report(
-                        value(b, at, n, columns[0]),
-                        value(b, at, n, columns[1]),
-                        value(b, at, n, columns[2]),
-                        value(b, at, n, columns[3]),
-                        value(b, at, n, columns[4]),
-                        value(b, at, n, columns[5]));
+                        reportValue(b, at, n, columns[0]),
+                        reportValue(b, at, n, columns[1]),
+                        reportValue(b, at, n, columns[2]),
+                        reportValue(b, at, n, columns[3]),
+                        reportValue(b, at, n, columns[4]),
+                        reportValue(b, at, n, columns[5]));
     }
 
-    private static double value(Batch b, int at, int n, int column) {
+    private static double reportValue(Batch b, int at, int n, int column) {
         return column < 0 || column >= n ? Double.NaN : b.f32(at + 1 + 4 * column);
     }
 
-    private static <E> E pick(E[] values, int i, String what) {
+    private static <E> E constantAt(E[] values, int i, String what) {
         if (i >= values.length) {
             throw new WireException("unknown " + what + " " + i);
         }
--- a/src/main/java/gullspar/drill/Reply.java
+++ b/src/main/java/gullspar/drill/Reply.java
@@ -10,79 +10,79 @@
 
 /** The reply to one batch: action records of 24 bytes, then the tail that they refer to. */
 final class Reply {
-    static final int RECORD = 24;
+    static final int RECORD_BYTES = 24;
 
     private ByteBuffer records = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
     private byte[] tail = new byte[1 << 10];
     private int tailLength;
 
     /** The sink of one instance: every action carries its number. */
-    Balancer.Actions forInstance(int proxy) {
+    Balancer.Actions actionsOf(int proxy) {
         return new Balancer.Actions() {
             @Override
             public void send(int ticket, int server, long timeoutNs) {
-                end(begin(65, proxy).putInt(ticket).putInt(server).putLong(timeoutNs));
+                padRecord(beginRecord(65, proxy).putInt(ticket).putInt(server).putLong(timeoutNs));
             }
 
             @Override
             public void refuse(int ticket, long retryInNs) {
-                end(begin(66, proxy).putInt(ticket).putLong(retryInNs));
+                padRecord(beginRecord(66, proxy).putInt(ticket).putLong(retryInNs));
             }
 
             @Override
             public void fail(int ticket) {
-                end(begin(67, proxy).putInt(ticket));
+                padRecord(beginRecord(67, proxy).putInt(ticket));
             }
 
             @Override
             public void cancel(int ticket, int attempt) {
-                end(begin(68, proxy).putInt(ticket).putShort((short) attempt));
+                padRecord(beginRecord(68, proxy).putInt(ticket).putShort((short) attempt));
             }
 
             @Override
-            public void timer(long at, long token) {
-                end(begin(69, proxy).putLong(at).putLong(token));
+            public void setTimer(long at, long token) {
+                padRecord(beginRecord(69, proxy).putLong(at).putLong(token));
             }
 
             @Override
             public void probe(int server) {
-                end(begin(70, proxy).putInt(server));
+                padRecord(beginRecord(70, proxy).putInt(server));
             }
 
             @Override
-            public void closeIdle(int server) {
-                end(begin(71, proxy).putInt(server));
+            public void closeIdleConnections(int server) {
+                padRecord(beginRecord(71, proxy).putInt(server));
             }
 
             @Override
-            public void tell(int peer, byte[] message) {
-                end(bytes(begin(72, proxy).putInt(peer), message));
+            public void sendToPeer(int peer, byte[] message) {
+                padRecord(appendTail(beginRecord(72, proxy).putInt(peer), message));
             }
 
             @Override
             public void log(String line) {
-                end(bytes(begin(73, proxy), line.getBytes(StandardCharsets.UTF_8)));
+                padRecord(appendTail(beginRecord(73, proxy), line.getBytes(StandardCharsets.UTF_8)));
             }
 
             @Override
             public void subscribe(boolean on) {
-                end(begin(75, proxy).put((byte) (on ? 1 : 0)));
+                padRecord(beginRecord(75, proxy).put((byte) (on ? 1 : 0)));
             }
 
             @Override
-            public void reload() {
-                end(begin(76, proxy));
+            public void requestList() {
+                padRecord(beginRecord(76, proxy));
             }
         };
     }
 
     /** Says that the module of an instance has thrown. */
-    void exception(int proxy, String text) {
-        end(bytes(begin(74, proxy), text.getBytes(StandardCharsets.UTF_8)));
+    void reportException(int proxy, String text) {
+        padRecord(appendTail(beginRecord(74, proxy), text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private ByteBuffer begin(int code, int proxy) {
-        if (records.remaining() < RECORD) {
+    private ByteBuffer beginRecord(int code, int proxy) {
+        if (records.remaining() < RECORD_BYTES) {
             records = ByteBuffer.wrap(Arrays.copyOf(records.array(), records.capacity() * 2))
                     .order(ByteOrder.LITTLE_ENDIAN)
                     .position(records.position());
@@ -90,7 +90,7 @@
         return records.put((byte) code).putInt(proxy);
     }
 
-    private ByteBuffer bytes(ByteBuffer record, byte[] text) {
+    private ByteBuffer appendTail(ByteBuffer record, byte[] text) {
         if (tail.length - tailLength < text.length) {
             tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailLength + text.length));
         }
@@ -100,8 +100,8 @@
         return record;
     }
 
-    private void end(ByteBuffer record) {
-        while (record.position() % RECORD != 0) {
+    private void padRecord(ByteBuffer record) {
+        while (record.position() % RECORD_BYTES != 0) {
             record.put((byte) 0);
         }
     }
@@ -109,7 +109,7 @@
     /** Writes the frame, flushes and starts anew. */
     void writeTo(OutputStream out) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN);
-        header.putInt(records.position() / RECORD).putInt(records.position() + tailLength);
+        header.putInt(records.position() / RECORD_BYTES).putInt(records.position() + tailLength);
         out.write(header.array());
         out.write(records.array(), 0, records.position());
         out.write(tail, 0, tailLength);
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -134,7 +134,7 @@
             cancel(i);
         }
         tell((now, module) -> {
-            module.onWithdrawn(now, ticket);
+            module.onClientDisconnected(now, ticket);
             owner.forget(this);
         });
     }
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -83,7 +83,7 @@
                 config,
                 platform,
                 factory,
-                config.settings().askForList() ? Discovery.Patience.SERVICE : Discovery.Patience.AGENT,
+                config.settings().listOnRequest() ? Discovery.Patience.SERVICE : Discovery.Patience.AGENT,
                 Frontend.UNREAD_NS);
     }
 
@@ -188,7 +188,7 @@
         if (known != null) {
             discovery.startFrom(known.version());
         }
-        if (config.settings().askForList()) {
+        if (config.settings().listOnRequest()) {
             applyKnown();
         } else {
             // What the agent has counts as told from the first moment: until it has spoken the known list may
@@ -263,7 +263,7 @@
                         backends.written(),
                         exchanges.open(),
                         backends.listed(),
-                        module.avoided(),
+                        module.avoidedServers(),
                         platform.figures(),
                         new Report.Descriptors(sockets.clients.open(), sockets.backends.open()))
                 .json();
@@ -384,7 +384,7 @@
     /** Takes in what is known of the backends. */
     void apply(ListUpdate news) {
         backends.learn(news);
-        events.news((now, module) -> module.onMembers(
+        events.news((now, module) -> module.onServerList(
                 now,
                 news.kind(),
                 news.version(),
@@ -393,7 +393,7 @@
 
     @Override
     public void failed() {
-        events.news((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
+        events.news((now, module) -> module.onServerList(now, ListKind.FAILED, 0, List.of()));
     }
 
     // ---- the module's actions ----
@@ -424,7 +424,7 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         platform.loop()
                 .schedule(
                         () -> events.tell((now, module) -> module.onTimer(now, token)),
@@ -433,7 +433,7 @@
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         backends.closeIdle(server);
     }
 
@@ -453,12 +453,12 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         throw new UnsupportedOperationException("this proxy talks to no peers");
     }
 
     @Override
-    public void reload() {
+    public void requestList() {
         throw new UnsupportedOperationException("this proxy watches, it does not ask once");
     }
 }
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -3,7 +3,7 @@
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Profile;
 import gullspar.decide.Balancer.State;
 import gullspar.proxy.config.Config;
@@ -197,7 +197,9 @@
         List<ListedBackend> list = new ArrayList<>();
         for (int i = 0; i < BACKENDS; i++) {
             list.add(new ListedBackend(
-                    new Member(i + 1, 0, State.READY, 0, 0, config.settings().zone(), 1), config.listen()));
+                    new ListedServer(
+                            i + 1, 0, State.READY, 0, 0, config.settings().zone(), 1),
+                    config.listen()));
         }
         proxy.apply(new ListUpdate(ListKind.FULL, 1, list));
         open(
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -70,11 +70,11 @@
         for (ListedBackend l : news.list()) {
             Backend b = backends.computeIfAbsent(l.member().id(), id -> new Backend());
             boolean moved = l.address() != null && !l.address().equals(b.address);
-            if (moved || l.member().bootNs() > b.bootNs) {
+            if (moved || l.member().startedAtNs() > b.bootNs) {
                 b.closeIdle(); // they lead to a process that is no more
             }
             b.address = moved ? l.address() : b.address;
-            b.bootNs = l.member().bootNs();
+            b.bootNs = l.member().startedAtNs();
             if (l.member().state() == State.READY) {
                 b.leftAt = 0;
             } else {
--- a/src/main/java/gullspar/proxy/config/Classes.java
+++ b/src/main/java/gullspar/proxy/config/Classes.java
@@ -29,7 +29,7 @@
         int attempts = config.settings().maxAttempts();
         for (int i = 0; i < config.classes().size(); i++) {
             String name = config.classes().get(i);
-            Profile p = config.settings().profiles().get(i).withAttempts(attempts);
+            Profile p = config.settings().profiles().get(i).withMaxAttempts(attempts);
             int place = names.indexOf(name);
             if (place < 0) {
                 place = names.size();
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -86,7 +86,10 @@
 
     /** The longest that a client waits for an answer by any class, in ns. */
     public long longestDeadlineNs() {
-        return settings.profiles().stream().mapToLong(Profile::giveUpNs).max().orElse(0);
+        return settings.profiles().stream()
+                .mapToLong(Profile::clientTimeoutNs)
+                .max()
+                .orElse(0);
     }
 
     public static Config parse(JsonNode root, Map<String, String> environment) throws ConfigException {
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.State;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Fnv;
@@ -72,7 +72,7 @@
         for (int i = 0; i < entries.size(); i++) {
             JsonNode e = entries.get(i);
             list.add(new ListedBackend(
-                    new Member(
+                    new ListedServer(
                             number(e.path("instanceId").asText()),
                             place(kinds, e.path("machineType")),
                             state(e),
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -140,7 +140,7 @@
     /** What a configuration of the platform says of it. */
     public static Source source(Config config) {
         return new Source(
-                config.discovery(), config.settings().askForList(), config.known(), config.kinds(), config.zones());
+                config.discovery(), config.settings().listOnRequest(), config.known(), config.kinds(), config.zones());
     }
 
     /** The list that the proxy was started with; null if there is none that can be read. */
--- a/src/main/java/gullspar/proxy/discovery/ListedBackend.java
+++ b/src/main/java/gullspar/proxy/discovery/ListedBackend.java
@@ -1,7 +1,7 @@
 package gullspar.proxy.discovery;
 
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import java.net.InetSocketAddress;
 
 /** A backend as listed, and where this proxy reaches it. */
-public record ListedBackend(Member member, InetSocketAddress address) {}
+public record ListedBackend(ListedServer member, InetSocketAddress address) {}
--- a/src/main/java/gullspar/rehearse/record/DecisionLog.java
+++ b/src/main/java/gullspar/rehearse/record/DecisionLog.java
@@ -3,7 +3,7 @@
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.Actions;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
@@ -87,23 +87,23 @@
         }
 
         @Override
-        public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
             StringBuilder s = new StringBuilder("list ")
                     .append(kind.name().toLowerCase(Locale.ROOT))
                     .append(" v=")
                     .append(version);
-            for (Member m : members) {
+            for (ListedServer m : members) {
                 s.append(' ')
                         .append(nodes.apply(m.id()))
                         .append(':')
                         .append(m.state().name().toLowerCase(Locale.ROOT))
                         .append(':')
-                        .append(m.units())
+                        .append(m.weight())
                         .append(':')
-                        .append(m.bootNs());
+                        .append(m.startedAtNs());
             }
             line(who, s.toString());
-            module.onMembers(now, kind, version, members);
+            module.onServerList(now, kind, version, members);
         }
 
         @Override
@@ -111,14 +111,14 @@
             line(
                     who,
                     "request t=" + r.ticket() + " class=" + r.profile() + " key=" + Long.toHexString(r.key()) + " left="
-                            + r.leftNs() + (r.repeat() ? " repeat" : ""));
+                            + r.timeLeftNs() + (r.isRepeat() ? " repeat" : ""));
             module.onRequest(now, r);
         }
 
         @Override
-        public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
+        public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
             line(who, "begun t=" + ticket + " a=" + attempt + " n=" + nodes.apply(server));
-            module.onStreamBegun(now, ticket, attempt, server, elapsedNs);
+            module.onStreamStarted(now, ticket, attempt, server, elapsedNs);
         }
 
         @Override
@@ -128,19 +128,19 @@
                     who,
                     "outcome t=" + o.ticket() + " a=" + o.attempt() + " n=" + nodes.apply(o.server()) + " "
                             + o.status().name().toLowerCase(Locale.ROOT) + " ns=" + o.elapsedNs()
-                            + (o.over() ? " over" : "")
+                            + (o.isFinal() ? " over" : "")
                             + (r == null
                                     ? ""
-                                    : " inflight=" + figure(r.inflight()) + " util=" + figure(r.util())
+                                    : " inflight=" + figure(r.inflight()) + " util=" + figure(r.utilization())
                                             + " eps="
                                             + figure(r.errorsPerSecond())));
             module.onOutcome(now, o);
         }
 
         @Override
-        public void onWithdrawn(long now, int ticket) {
+        public void onClientDisconnected(long now, int ticket) {
             line(who, "withdrawn t=" + ticket);
-            module.onWithdrawn(now, ticket);
+            module.onClientDisconnected(now, ticket);
         }
 
         @Override
@@ -199,8 +199,8 @@
         }
 
         @Override
-        public void timer(long at, long token) {
-            out.timer(at, token);
+        public void setTimer(long at, long token) {
+            out.setTimer(at, token);
         }
 
         @Override
@@ -209,13 +209,13 @@
         }
 
         @Override
-        public void closeIdle(int server) {
-            out.closeIdle(server);
+        public void closeIdleConnections(int server) {
+            out.closeIdleConnections(server);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
-            out.tell(peer, message);
+        public void sendToPeer(int peer, byte[] message) {
+            out.sendToPeer(peer, message);
         }
 
         @Override
@@ -229,8 +229,8 @@
         }
 
         @Override
-        public void reload() {
-            out.reload();
+        public void requestList() {
+            out.requestList();
         }
     }
 }
--- a/src/main/java/gullspar/settings/SettingsParser.java
+++ b/src/main/java/gullspar/settings/SettingsParser.java
@@ -34,41 +34,41 @@
     }
 
     public static Parsed parse(Map<String, String> values) {
-        SettingsParser c = new SettingsParser(values);
+        SettingsParser parser = new SettingsParser(values);
         List<Profile> profiles = new ArrayList<>();
-        long count = c.integer("profiles.count");
+        long count = parser.integer("profiles.count");
         if (count < 1 || count > 256) {
             throw new SettingsException("setting profiles.count is " + count + ", not 1 to 256");
         }
         for (int i = 0; i < count; i++) {
-            profiles.add(c.profile("profiles." + i + "."));
+            profiles.add(parser.profile("profiles." + i + "."));
         }
-        String columns = c.values.getOrDefault("report.columns", "");
-        return new Parsed(c.settings(profiles), columns.isEmpty() ? new String[0] : columns.split(",", -1));
+        String columns = parser.values.getOrDefault("report.columns", "");
+        return new Parsed(parser.settings(profiles), columns.isEmpty() ? new String[0] : columns.split(",", -1));
     }
 
-    private Profile profile(String p) {
-        Effect effect = choice(p + "effect", Effect.class, null);
+    private Profile profile(String prefix) {
+        Effect effect = enumValue(prefix + "effect", Effect.class, null);
         return new Profile(
                 effect,
-                choice(p + "dedup_scope", Scope.class, Scope.ALL),
-                effect == Effect.DEDUPLICATED ? integer(p + "window_ns") : 0,
-                integer(p + "promise_ns"),
-                integer(p + "give_up_ns"),
-                number(p + "worth"),
-                number(p + "late_share", 0),
-                flag(p + "streamed"),
-                flag(p + "sequential"));
+                enumValue(prefix + "dedup_scope", Scope.class, Scope.ALL),
+                effect == Effect.DEDUPLICATED ? integer(prefix + "window_ns") : 0,
+                integer(prefix + "promise_ns"),
+                integer(prefix + "give_up_ns"),
+                number(prefix + "worth"),
+                number(prefix + "late_share", 0),
+                flag(prefix + "streamed"),
+                flag(prefix + "sequential"));
     }
 
     private Settings settings(List<Profile> profiles) {
-        boolean ask = "on_request".equals(values.get("discovery"));
+        boolean listOnRequest = "on_request".equals(values.get("discovery"));
         return new Settings(
                 (int) integer("me"),
                 (int) integer("balancers"),
                 (int) integer("zone"),
                 profiles,
-                ask,
+                listOnRequest,
                 flag("limits.cancelling"),
                 (int) integer("limits.max_attempts"),
                 flag("limits.retry_after") ? (long) number("limits.max_retry_after_ns", 0) : 0,
@@ -76,14 +76,14 @@
                 integer("rules.cold_ns"),
                 number("rules.tip_multiple"),
                 integer("rules.fall_ns"),
-                ask ? integer("rules.ask_within_ns") : 0,
+                listOnRequest ? integer("rules.ask_within_ns") : 0,
                 integer("step_ns"),
                 number("prices.cross_zone", 0),
                 flag("rules.busy_is_no_proof"),
                 integer("rules.turn_gap_ns", 0));
     }
 
-    private String needed(String key) {
+    private String required(String key) {
         String v = values.get(key);
         if (v == null) {
             throw new SettingsException("setting " + key + " is missing");
@@ -92,7 +92,7 @@
     }
 
     private long integer(String key) {
-        String v = needed(key);
+        String v = required(key);
         try {
             return Long.parseLong(v);
         } catch (NumberFormatException e) {
@@ -100,12 +100,12 @@
         }
     }
 
-    private long integer(String key, long absent) {
-        return values.containsKey(key) ? integer(key) : absent;
+    private long integer(String key, long defaultValue) {
+        return values.containsKey(key) ? integer(key) : defaultValue;
     }
 
     private double number(String key) {
-        String v = needed(key);
+        String v = required(key);
         try {
             double d = Double.parseDouble(v);
             if (Double.isFinite(d)) {
@@ -117,18 +117,18 @@
         throw new SettingsException("setting " + key + " is not a number: " + v);
     }
 
-    private double number(String key, double absent) {
-        return values.containsKey(key) ? number(key) : absent;
+    private double number(String key, double defaultValue) {
+        return values.containsKey(key) ? number(key) : defaultValue;
     }
 
     private boolean flag(String key) {
         return "true".equals(values.get(key));
     }
 
-    private <E extends Enum<E>> E choice(String key, Class<E> type, E absent) {
-        String v = absent == null ? needed(key) : values.get(key);
+    private <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
+        String v = defaultValue == null ? required(key) : values.get(key);
         if (v == null || v.isEmpty()) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
--- a/src/main/java/gullspar/site/Call.java
+++ b/src/main/java/gullspar/site/Call.java
@@ -133,7 +133,7 @@
             cancel(i);
         }
         tell((now, module) -> {
-            module.onWithdrawn(now, ticket);
+            module.onClientDisconnected(now, ticket);
             forget();
         });
     }
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -3,7 +3,7 @@
 import gullspar.config.Site;
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Profile;
 import gullspar.decide.Balancer.Settings;
 import gullspar.decide.Balancer.State;
@@ -152,7 +152,7 @@
         platform.loop()
                 .schedule(
                         () -> {
-                            events.news((now, module) -> module.onMembers(now, ListKind.FULL, 0, List.of()));
+                            events.news((now, module) -> module.onServerList(now, ListKind.FULL, 0, List.of()));
                             backends.leaveAll();
                         },
                         LAST_MS,
@@ -179,10 +179,10 @@
             return;
         }
         long now = platform.clock().now();
-        List<Member> list = members.listed(now).stream()
-                .map(l -> new Member(number(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
+        List<ListedServer> list = members.listed(now).stream()
+                .map(l -> new ListedServer(number(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
                 .toList();
-        events.news((at, module) -> module.onMembers(at, ListKind.FULL, 0, list));
+        events.news((at, module) -> module.onServerList(at, ListKind.FULL, 0, list));
         long next = members.changesAt(now);
         if (next < changesAt || changesAt <= now) {
             changesAt = next;
@@ -239,7 +239,7 @@
                 forget(l.member().id());
             }
         }
-        events.news((now, module) -> module.onMembers(
+        events.news((now, module) -> module.onServerList(
                 now,
                 news.kind(),
                 news.version(),
@@ -317,7 +317,7 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         platform.loop()
                 .schedule(
                         () -> {
@@ -330,7 +330,7 @@
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         backends.closeIdle(server);
     }
 
@@ -345,7 +345,7 @@
     }
 
     @Override
-    public void reload() {
+    public void requestList() {
         throw new UnsupportedOperationException("a pool's list is pushed");
     }
 
@@ -355,7 +355,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         throw new UnsupportedOperationException("pools talk to no peers");
     }
 }
--- a/src/test/java/gullspar/capacity/ColdCount.java
+++ b/src/test/java/gullspar/capacity/ColdCount.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
@@ -80,7 +80,7 @@
         private final Map<Integer, int[]> attempts = new HashMap<>();
         private int ticket;
 
-        Proxy(int me, Settings all, int proxies, List<Member> list) {
+        Proxy(int me, Settings all, int proxies, List<ListedServer> list) {
             Settings s = new Settings(
                     me,
                     proxies,
@@ -95,12 +95,12 @@
                     MULTIPLE,
                     FALL_NS,
                     0,
-                    all.stepNs(),
+                    all.clockStepNs(),
                     all.crossZonePrice(),
                     false,
                     0);
             module = new Policy(s, random.nextLong(), now, this);
-            module.onMembers(now, ListKind.FULL, 1, list);
+            module.onServerList(now, ListKind.FULL, 1, list);
         }
 
         void request() {
@@ -166,7 +166,7 @@
         }
 
         @Override
-        public void timer(long time, long token) {
+        public void setTimer(long time, long token) {
             at(time, () -> module.onTimer(now, token));
         }
 
@@ -183,10 +183,10 @@
         public void probe(int server) {}
 
         @Override
-        public void closeIdle(int server) {}
+        public void closeIdleConnections(int server) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
         public void log(String line) {}
@@ -195,7 +195,7 @@
         public void subscribe(boolean on) {}
 
         @Override
-        public void reload() {}
+        public void requestList() {}
     }
 
     private final SplittableRandom random;
@@ -249,15 +249,15 @@
         at(now + ns, what);
     }
 
-    private Member member(Server s) {
-        return new Member(s.id, 0, State.READY, s.bootNs, 0, 0, 1);
+    private ListedServer member(Server s) {
+        return new ListedServer(s.id, 0, State.READY, s.bootNs, 0, 0, 1);
     }
 
     private double play(int count, int backends, double use) {
         for (int i = 0; i < backends; i++) {
             servers.put(i, new Server(i));
         }
-        List<Member> list = servers.values().stream().map(this::member).toList();
+        List<ListedServer> list = servers.values().stream().map(this::member).toList();
         Settings all = Inputs.config(Inputs.settings(count, 0, "{}")).settings();
         for (int i = 0; i < count; i++) {
             proxies.add(new Proxy(i, all, count, list));
@@ -302,7 +302,7 @@
             s.sent.clear();
             proxies.forEach(p -> after(
                     500 * MS + random.nextLong(2 * S),
-                    () -> p.module.onMembers(now, ListKind.DELTA, 2, List.of(member(s)))));
+                    () -> p.module.onServerList(now, ListKind.DELTA, 2, List.of(member(s)))));
         });
     }
 }
--- a/src/test/java/gullspar/capacity/ConnectionCount.java
+++ b/src/test/java/gullspar/capacity/ConnectionCount.java
@@ -1,7 +1,7 @@
 package gullspar.capacity;
 
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
@@ -86,22 +86,22 @@
                     5,
                     all.maxRetryAfterNs(),
                     all.startCapacity(),
-                    all.coldNs(),
-                    all.tipMultiple(),
-                    all.fallNs(),
+                    all.coldStartNs(),
+                    all.overloadMultiple(),
+                    all.overloadWindowNs(),
                     0,
-                    all.stepNs(),
+                    all.clockStepNs(),
                     all.crossZonePrice(),
                     false,
                     0);
             for (int i = 0; i < instances; i++) {
                 NoActions a = new NoActions();
                 Policy p = new Policy(s, seed + i, now, a);
-                List<Member> list = new ArrayList<>();
+                List<ListedServer> list = new ArrayList<>();
                 for (int k = 0; k < servers; k++) {
-                    list.add(new Member((i * servers + k) * 0x9e3779b1, k % 3, State.READY, 0, k / 5, k % 8, 1));
+                    list.add(new ListedServer((i * servers + k) * 0x9e3779b1, k % 3, State.READY, 0, k / 5, k % 8, 1));
                 }
-                p.onMembers(now, ListKind.FULL, 1, list);
+                p.onServerList(now, ListKind.FULL, 1, list);
                 modules.add(p);
                 actions.add(a);
             }
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -4,7 +4,7 @@
 import gullspar.config.Site;
 import gullspar.config.SiteReader;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Policy;
 import gullspar.proxy.backend.Backends;
 import gullspar.proxy.client.TenantLookup;
@@ -82,9 +82,9 @@
         /** As a list that comes: to the module and to the connections' side. */
         Known take(ListUpdate news, ListKind kind) {
             now += 1_000_000;
-            List<Member> members =
+            List<ListedServer> members =
                     news.list().stream().map(ListedBackend::member).toList();
-            module.onMembers(now, kind, 1, members);
+            module.onServerList(now, kind, 1, members);
             backends.learn(new ListUpdate(kind, 1, news.list()));
             return this;
         }
--- a/src/test/java/gullspar/capacity/ModuleCost.java
+++ b/src/test/java/gullspar/capacity/ModuleCost.java
@@ -1,7 +1,7 @@
 package gullspar.capacity;
 
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Request;
@@ -54,11 +54,11 @@
         One(int servers, int zones) {
             Settings s = Inputs.config(Inputs.settings(PROXIES, 0, "{}")).settings();
             module = new Policy(s, 7, now, actions);
-            List<Member> list = new ArrayList<>();
+            List<ListedServer> list = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
-                list.add(new Member(i * 0x9e3779b1, i % 3, State.READY, 0, i / 5, i % zones, 1));
+                list.add(new ListedServer(i * 0x9e3779b1, i % 3, State.READY, 0, i / 5, i % zones, 1));
             }
-            module.onMembers(now, ListKind.FULL, 1, list);
+            module.onServerList(now, ListKind.FULL, 1, list);
         }
 
         /** A request, and its answer with a load report. */
--- a/src/test/java/gullspar/capacity/NoActions.java
+++ b/src/test/java/gullspar/capacity/NoActions.java
@@ -28,16 +28,16 @@
     public void cancel(int ticket, int attempt) {}
 
     @Override
-    public void timer(long at, long token) {}
+    public void setTimer(long at, long token) {}
 
     @Override
     public void probe(int to) {}
 
     @Override
-    public void closeIdle(int to) {}
+    public void closeIdleConnections(int to) {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
     public void log(String line) {}
@@ -46,5 +46,5 @@
     public void subscribe(boolean on) {}
 
     @Override
-    public void reload() {}
+    public void requestList() {}
 }
--- a/src/test/java/gullspar/decide/EmbeddingTest.java
+++ b/src/test/java/gullspar/decide/EmbeddingTest.java
@@ -20,10 +20,10 @@
                 });
         long now = 0;
         Balancer balancer = new Policy(Rig.settings(false, Rig.SAFE), 42, now, actions);
-        balancer.onMembers(now, Balancer.ListKind.FULL, 1, List.of(Rig.member(7, 0, Balancer.State.READY)));
+        balancer.onServerList(now, Balancer.ListKind.FULL, 1, List.of(Rig.member(7, 0, Balancer.State.READY)));
         balancer.onRequest(now, new Balancer.Request(1, 0, 0, 0, 1_000_000_000L, 0, false));
         now += 20_000_000L;
         balancer.onOutcome(now, new Balancer.Outcome(1, 0, 7, Balancer.Status.OK, 20_000_000L, true, null));
-        assertEquals(List.of("timer", "send"), done);
+        assertEquals(List.of("setTimer", "send"), done);
     }
 }
--- a/src/test/java/gullspar/decide/ListWeightsTest.java
+++ b/src/test/java/gullspar/decide/ListWeightsTest.java
@@ -6,7 +6,7 @@
 
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Profile;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.Scope;
@@ -43,8 +43,8 @@
                 listWeights);
     }
 
-    private static Member weighing(int id, double units) {
-        return new Member(id, 0, State.READY, 0, 0, 0, units);
+    private static ListedServer weighing(int id, double units) {
+        return new ListedServer(id, 0, State.READY, 0, 0, 0, units);
     }
 
     private static Rig rig(boolean listWeights) {
--- a/src/test/java/gullspar/decide/ModuleSizeTest.java
+++ b/src/test/java/gullspar/decide/ModuleSizeTest.java
@@ -47,11 +47,11 @@
         Set<String> others = Set.of(
                 "Balancer.java",
                 "IntMap.java",
-                "KindPaces.java",
+                "KindServiceTimes.java",
                 "Server.java",
-                "Ticket.java",
+                "TrackedRequest.java",
                 "TrafficRates.java",
-                "ZoneFigures.java");
+                "ZoneStats.java");
         try (Stream<Path> all = Files.list(Path.of("src/main/java/gullspar/decide"))) {
             assertEquals(
                     all.filter(f -> !others.contains(f.getFileName().toString()))
--- a/src/test/java/gullspar/decide/NoLoadTest.java
+++ b/src/test/java/gullspar/decide/NoLoadTest.java
@@ -29,7 +29,7 @@
             int t = r.request();
             sent += r.sends.containsKey(t) ? 1 : 0;
             r.pass(afterMs);
-            r.rules.onWithdrawn(r.now, t);
+            r.rules.onClientDisconnected(r.now, t);
             if (r.sends.containsKey(t)) {
                 r.done(t, 0, Status.CANCELLED, afterMs, null);
             }
--- a/src/test/java/gullspar/decide/OrderTest.java
+++ b/src/test/java/gullspar/decide/OrderTest.java
@@ -130,7 +130,7 @@
         Rig r = strict(Rig.ONCE_IN_TURN);
         int first = r.request(0, 900, 42);
         int second = r.request(0, 2000, 42);
-        r.rules.onWithdrawn(r.now, first);
+        r.rules.onClientDisconnected(r.now, first);
         r.answers.put(first, "left");
         r.pass(40);
         assertEquals(0, r.attempts(second));
@@ -161,7 +161,7 @@
             }
         }
         r.pass(400).request(0, 900, 1);
-        var turns = Policy.class.getDeclaredField("turns");
+        var turns = Policy.class.getDeclaredField("keyQueues");
         turns.setAccessible(true);
         int size = ((java.util.Map<?, ?>) turns.get(r.rules)).size();
         assertTrue(size <= 60, size + " keys kept");
--- a/src/test/java/gullspar/decide/PolicyTest.java
+++ b/src/test/java/gullspar/decide/PolicyTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Report;
 import gullspar.decide.Balancer.State;
 import gullspar.decide.Balancer.Status;
@@ -86,7 +86,7 @@
     @Test
     void aYoungServerGetsLittle() {
         Rig r = rig(Rig.SAFE);
-        Member young = new Member(1, 0, READY, r.now, 0, 0, 1);
+        ListedServer young = new ListedServer(1, 0, READY, r.now, 0, 0, 1);
         r.list(ListKind.FULL, Rig.member(0, 0, READY), young);
         int[] got = serve(r, 60, 2, 20, null);
         assertTrue(got[1] > 0 && got[1] < got[0] / 2, got[0] + " to " + got[1]);
@@ -159,8 +159,8 @@
         r.ok(t, 20);
         int before = r.actions.size();
         r.rules.onOutcome(r.now, new Balancer.Outcome(t, 0, r.server(t, 0), Status.OK, 1, true, null));
-        r.rules.onWithdrawn(r.now, t);
-        r.rules.onStreamBegun(r.now, t, 0, 0, 1);
+        r.rules.onClientDisconnected(r.now, t);
+        r.rules.onStreamStarted(r.now, t, 0, 0, 1);
         r.pass(2000);
         assertEquals(before, r.actions.size());
     }
@@ -169,7 +169,7 @@
     void eventsForTicketsNeverSeenAreIgnored() {
         Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(1));
         r.rules.onOutcome(r.now, new Balancer.Outcome(99, 0, 0, Status.OK, 1, false, null));
-        r.rules.onWithdrawn(r.now, 99);
+        r.rules.onClientDisconnected(r.now, 99);
         r.rules.onTimer(r.now, 99);
         assertTrue(r.actions.isEmpty());
     }
@@ -248,7 +248,7 @@
     @Test
     void aClassThatIsToldOfLaterSaysItselfHowManyAttemptsItAllows() {
         Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
-        r.rules.onProfiles(List.of(Rig.SAFE.withAttempts(1)));
+        r.rules.onProfiles(List.of(Rig.SAFE.withMaxAttempts(1)));
         int t = r.request();
         r.done(t, 0, Status.RESET, 5, null);
         assertEquals(1, r.attempts(t));
@@ -264,12 +264,12 @@
                         Rig.member(1, 0, READY),
                         Rig.member(2, 0, READY),
                         Rig.member(3, 0, State.DRAINING));
-        assertEquals(1, r.rules.avoided());
+        assertEquals(1, r.rules.avoidedServers());
         int t = r.request();
         r.done(t, 0, Status.CONNECT_FAILED, 5, null);
-        assertEquals(2, r.rules.avoided(), "one is ejected now");
+        assertEquals(2, r.rules.avoidedServers(), "one is ejected now");
         r.list(ListKind.FULL, Rig.ready(2));
-        assertTrue(r.rules.avoided() <= 1, "who is listed no more is not counted");
+        assertTrue(r.rules.avoidedServers() <= 1, "who is listed no more is not counted");
     }
 
     @Test
@@ -300,7 +300,7 @@
     private static int sentToOneColdServer(double util) {
         Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
         serve(r, 1000, 3, 20, null);
-        Member cold = new Member(9, 0, READY, r.now, 0, 0, 1);
+        ListedServer cold = new ListedServer(9, 0, READY, r.now, 0, 0, 1);
         r.list(ListKind.FULL, cold);
         int sent = 0;
         for (int i = 0; i < 400; i++) {
@@ -380,9 +380,9 @@
     void aFleetThatIsColdAllAtOnceIsNotHeldBackFurtherByItsOwnLowRate() {
         Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
         serve(r, 1000, 4, 20, null);
-        Member[] cold = new Member[4];
+        ListedServer[] cold = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
-            cold[i] = new Member(10 + i, 0, READY, r.now, 0, 0, 1);
+            cold[i] = new ListedServer(10 + i, 0, READY, r.now, 0, 0, 1);
         }
         r.list(ListKind.FULL, cold);
         int sent = sentOf300(r);
@@ -420,9 +420,9 @@
     @Test
     void aProxyWithNoPastInAFleetThatIsColdAsAWholeGetsItsEvenPartOfIt() {
         Rig r = rig(Rig.SAFE);
-        Member[] members = new Member[4];
+        ListedServer[] members = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
-            members[i] = new Member(i, 0, READY, r.now, 0, 0, 1);
+            members[i] = new ListedServer(i, 0, READY, r.now, 0, 0, 1);
         }
         r.list(ListKind.FULL, members);
         int sent = sentOf300(r);
@@ -433,9 +433,9 @@
     private static int sentToColdServersInTheFirstSeconds(int idle) {
         Rig r = rig(Rig.SAFE);
         r.pass(1000L * idle);
-        Member[] members = new Member[5];
+        ListedServer[] members = new ListedServer[5];
         for (int i = 0; i < 5; i++) {
-            members[i] = new Member(i, 0, READY, i == 0 ? 0 : r.now, 0, 0, 1);
+            members[i] = new ListedServer(i, 0, READY, i == 0 ? 0 : r.now, 0, 0, 1);
         }
         r.list(ListKind.FULL, members);
         int[] got = new int[5];
@@ -485,7 +485,7 @@
         List<Rig> bank = bank(200, 20);
         run(bank, 100, 20);
         for (Rig r : bank) {
-            r.list(ListKind.DELTA, new Member(20, 0, READY, r.now, 0, 0, 1));
+            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int first = run(bank, 2, 21)[20];
         int sent = first + run(bank, 18, 21)[20];
@@ -503,7 +503,7 @@
             for (int s = 0; s < 20; s++) {
                 r.list(ListKind.DELTA, Rig.member(s, 0, State.DRAINING));
             }
-            r.list(ListKind.DELTA, new Member(20, 0, READY, r.now, 0, 0, 1));
+            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = 0;
         for (Rig r : bank) {
@@ -520,7 +520,7 @@
     void proxiesThatSendLittleDoNotPushOverAColdServerTogether() {
         List<Rig> bank = bank(200, 20);
         for (Rig r : bank) {
-            r.list(ListKind.FULL, new Member(20, 0, READY, r.now, 0, 0, 1));
+            r.list(ListKind.FULL, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = 0;
         for (Rig r : bank) { // the first requests of all: no rate is known, so no budget but the floor
@@ -538,7 +538,7 @@
         List<Rig> bank = bank(200, 20);
         run(bank, 100, 20);
         for (Rig r : bank) {
-            r.list(ListKind.DELTA, new Member(20, 0, READY, r.now, 0, 0, 1));
+            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = run(bank, 40, 21)[20];
         assertTrue(sent > 20, "budgets by the whole zone's servers would leave it idle; sent " + sent);
--- a/src/test/java/gullspar/decide/Rig.java
+++ b/src/test/java/gullspar/decide/Rig.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Profile;
 import gullspar.decide.Balancer.Report;
@@ -53,8 +53,8 @@
                 p.effect(),
                 p.scope(),
                 p.windowNs(),
-                p.promiseNs(),
-                p.giveUpNs(),
+                p.latencyTargetNs(),
+                p.clientTimeoutNs(),
                 p.worth(),
                 p.lateShare(),
                 p.streamed(),
@@ -95,20 +95,20 @@
                 strict ? 300 * MS : 0);
     }
 
-    static Member member(int id, int zone, State state) {
-        return new Member(id, 0, state, 0, zone, zone, 1);
+    static ListedServer member(int id, int zone, State state) {
+        return new ListedServer(id, 0, state, 0, zone, zone, 1);
     }
 
-    static Member[] ready(int count) {
-        Member[] members = new Member[count];
+    static ListedServer[] ready(int count) {
+        ListedServer[] members = new ListedServer[count];
         for (int i = 0; i < count; i++) {
             members[i] = member(i, 0, State.READY);
         }
         return members;
     }
 
-    Rig list(ListKind kind, Member... members) {
-        rules.onMembers(now, kind, 1, List.of(members));
+    Rig list(ListKind kind, ListedServer... members) {
+        rules.onServerList(now, kind, 1, List.of(members));
         return this;
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         timers.add(new long[] {at, token});
     }
 
@@ -207,12 +207,12 @@
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         actions.add("close " + server);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer);
     }
 
@@ -227,7 +227,7 @@
     }
 
     @Override
-    public void reload() {
+    public void requestList() {
         actions.add("reload");
     }
 }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
             heard.add("members " + kind + " " + version + " " + members);
         }
 
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
+        public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
             heard.add("begun " + attempt + " " + server + " " + elapsedNs);
         }
 
@@ -87,7 +87,7 @@
         }
 
         @Override
-        public void onWithdrawn(long now, int ticket) {
+        public void onClientDisconnected(long now, int ticket) {
             heard.add("withdrawn " + ticket);
         }
 
@@ -97,12 +97,12 @@
         }
 
         @Override
-        public void onProbe(long now, int server, Status status, long elapsedNs, Report report) {
-            heard.add("probe " + server + " " + status + " " + elapsedNs + " " + report.util());
+        public void onProbeResult(long now, int server, Status status, long elapsedNs, Report report) {
+            heard.add("probe " + server + " " + status + " " + elapsedNs + " " + report.utilization());
         }
 
         @Override
-        public void onPeer(long now, int peer, byte[] message) {
+        public void onPeerMessage(long now, int peer, byte[] message) {
             heard.add("peer " + peer + " " + new String(message, StandardCharsets.UTF_8));
         }
     }
@@ -151,7 +151,7 @@
         String reply = run(
                 () -> {
                     sink.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
-                    sink.timer(0x213362490L, 0x4d);
+                    sink.setTimer(0x213362490L, 0x4d);
                     sink.log("two servers known");
                 },
                 start(CONFIG),
@@ -173,11 +173,11 @@
                     sink.fail(0x0e6f2b19);
                     sink.cancel(0x5d3a91c4, 2);
                     sink.probe(0x2c9011f2);
-                    sink.closeIdle(0x2c9011f2);
-                    sink.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+                    sink.closeIdleConnections(0x2c9011f2);
+                    sink.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
                     sink.subscribe(true);
                     sink.subscribe(false);
-                    sink.reload();
+                    sink.requestList();
                 },
                 start(CONFIG),
                 frame("", INGRESS));
@@ -216,19 +216,20 @@
         assertEquals(
                 List.of(
                         "start 42",
-                        "members CACHED 41 [Member[id=51530247, kind=0, state=READY, bootNs=0, cell=0, zone=0, "
-                                + "units=1.0], "
-                                + "Member[id=747639282, kind=0, state=READY, bootNs=6100000000, cell=0, "
-                                + "zone=1, units=1.5]]",
+                        "members CACHED 41 [ListedServer[id=51530247, kind=0, state=READY, startedAtNs=0, cell=0, "
+                                + "zone=0, weight=1.0], "
+                                + "ListedServer[id=747639282, kind=0, state=READY, startedAtNs=6100000000, cell=0, "
+                                + "zone=1, weight=1.5]]",
                         "request Request[ticket=1564119492, profile=0, tenant=0, key=-7930773538597631388, "
-                                + "leftNs=240000000, "
-                                + "hintNs=12000000, repeat=false, ageNs=0]",
+                                + "timeLeftNs=240000000, "
+                                + "workHintNs=12000000, isRepeat=false, ageNs=0]",
                         "timer 8412250000 77",
                         "outcome Outcome[ticket=1564119492, attempt=0, server=51530247, status=OK, "
                                 + "elapsedNs=18500000, "
-                                + "over=true, report=Report[inflight=NaN, queue=3.0, util=0.6200000047683716, "
+                                + "isFinal=true, report=Report[inflight=NaN, queued=3.0, "
+                                + "utilization=0.6200000047683716, "
                                 + "recentMs=NaN, "
-                                + "perSecond=NaN, errorsPerSecond=NaN]]",
+                                + "requestsPerSecond=NaN, errorsPerSecond=NaN]]",
                         "withdrawn 242166553",
                         "begun 0 51530247 9250000",
                         "probe 747639282 OK 1400000 0.6200000047683716",
@@ -239,23 +240,23 @@
     @Test
     void settingsAreReadAndUnknownOnesSkipped() throws IOException {
         run(start(CONFIG));
-        assertEquals(3, settings.balancers());
+        assertEquals(3, settings.proxyCount());
         assertEquals(Balancer.Scope.ZONE, settings.profiles().get(0).scope());
         assertEquals(8_000_000_000L, settings.profiles().get(0).windowNs());
         assertEquals(0.33, settings.startCapacity());
         assertEquals(2_000_000_000L, settings.maxRetryAfterNs());
         assertEquals(4, settings.maxAttempts());
-        assertTrue(settings.fullIsNoProof());
+        assertTrue(settings.fullMayHaveRun());
         assertTrue(settings.profiles().get(0).sequential());
-        assertEquals(300_000_000L, settings.turnGapNs());
+        assertEquals(300_000_000L, settings.sequentialGapNs());
     }
 
     @Test
     void rulesThatAreNotStatedDoNotHold() throws IOException {
         run(start(CONFIG.replaceAll("rules.busy.*\n|rules.turn.*\n|.*sequential.*\n", "")));
-        assertFalse(settings.fullIsNoProof());
+        assertFalse(settings.fullMayHaveRun());
         assertFalse(settings.profiles().get(0).sequential());
-        assertEquals(0, settings.turnGapNs());
+        assertEquals(0, settings.sequentialGapNs());
     }
 
     private void refused(String message, String... frames) {
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -44,9 +44,9 @@
             Outcome o = setup.outcome();
             assertEquals(Status.OK, o.status());
             assertEquals(r.ticket(), o.ticket());
-            assertTrue(o.over());
+            assertTrue(o.isFinal());
             assertEquals(7, o.report().inflight());
-            assertEquals(0.61, o.report().util());
+            assertEquals(0.61, o.report().utilization());
             setup.passes(20);
             sent(client);
             wire.read(); // on the same connection
@@ -75,7 +75,7 @@
                     + "Content-Length: 0\r\n\r\n");
             Outcome o = setup.outcome();
             assertEquals(status, o.status());
-            assertFalse(o.over());
+            assertFalse(o.isFinal());
         }
     }
 
@@ -96,7 +96,7 @@
             wire.write(answer.replace("|", "\r\n")).close();
             Outcome o = setup.outcome();
             assertEquals(Status.RESET, o.status());
-            assertFalse(o.over());
+            assertFalse(o.isFinal());
             setup.act(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
         }
@@ -129,7 +129,7 @@
             wire.write(answer.replace("|", "\r\n"));
             Outcome o = setup.outcome();
             assertEquals(Status.RESET, o.status());
-            assertFalse(o.over());
+            assertFalse(o.isFinal());
             assertTrue(wire.ended());
             setup.act(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
@@ -265,7 +265,7 @@
         client.reset();
         go.countDown();
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
-        assertTrue(setup.outcome().over());
+        assertTrue(setup.outcome().isFinal());
         assertEquals("", wire.read());
     }
 
@@ -330,7 +330,7 @@
             assertTrue(client.read().startsWith("HTTP/1.1 404 "));
             Outcome o = setup.outcome();
             assertEquals(Status.MOOT, o.status());
-            assertTrue(o.over());
+            assertTrue(o.isFinal());
         }
     }
 
@@ -365,7 +365,7 @@
             wire.read();
             Outcome o = setup.outcome();
             assertEquals(Status.TIMEOUT, o.status());
-            assertFalse(o.over());
+            assertFalse(o.isFinal());
             assertTrue(wire.ended());
         }
     }
@@ -438,6 +438,6 @@
         assertNull(LoadReport.parse("util=1e300"));
         assertNull(LoadReport.parse("inflight=1e12,util=0.5"));
         assertNull(LoadReport.parse("=,="));
-        assertEquals(0.5, LoadReport.parse("new=1, util=0.5").util());
+        assertEquals(0.5, LoadReport.parse("new=1, util=0.5").utilization());
     }
 }
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -283,7 +283,7 @@
         assertEquals("", backend.accept().read());
         setup.onConnected = () -> {};
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
-        assertTrue(setup.outcome().over());
+        assertTrue(setup.outcome().isFinal());
         nothingWentOut();
     }
 
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.State;
 import gullspar.decide.Balancer.Status;
@@ -67,8 +67,8 @@
                 .formatted(generation, whole, id, backend.hostPort(), lifecycle);
     }
 
-    private Member member() throws Exception {
-        return (Member) setup.next("members", List.class).get(0);
+    private ListedServer member() throws Exception {
+        return (ListedServer) setup.next("members", List.class).get(0);
     }
 
     @Test
@@ -77,9 +77,9 @@
         assertTrue(watch.read().startsWith("GET /catalog/members?stream=1&index=41 "));
         String line = list(42, false, "s-1", "terminating");
         watch.write(HEAD + chunk("\n" + line.substring(0, 30)) + chunk(line.substring(30)));
-        Member m = member();
-        assertEquals(new Member(known, 1, State.DRAINING, m.bootNs(), 3, 1, 0.5), m);
-        assertTrue(m.bootNs() > 1_700_000_000_000_000_000L, "its least age is none: the latest start of all");
+        ListedServer m = member();
+        assertEquals(new ListedServer(known, 1, State.DRAINING, m.startedAtNs(), 3, 1, 0.5), m);
+        assertTrue(m.startedAtNs() > 1_700_000_000_000_000_000L, "its least age is none: the latest start of all");
         assertEquals(ListKind.DELTA, setup.next("kind", ListKind.class));
         String cut = list(43, false, "s-1", "in_service").trim();
         watch.write(chunk(cut.substring(0, cut.length() - 1))).close(); // no end: no news
@@ -686,7 +686,7 @@
         JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
         ((ObjectNode) root.at("/settings/rules")).put("drain_grace_ns", 1); // over before any connect
         setup = new Setup().start(Config.parse(root, Map.of()));
-        Member drains = new Member(setup.backend(), 0, State.DRAINING, 0, 3, 0, 1);
+        ListedServer drains = new ListedServer(setup.backend(), 0, State.DRAINING, 0, 3, 0, 1);
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             Request r = setup.request();
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -174,9 +174,9 @@
             assertEquals(1, r.profile());
             assertEquals(RequestParameters.key("sid=7f3a9c21e0b4d655"), r.key());
             assertNotEquals(0, r.key());
-            assertEquals(300_000, r.hintNs());
-            assertTrue(r.repeat());
-            assertTrue(r.leftNs() > 2_000_000_000L && r.leftNs() < 2_500_000_000L);
+            assertEquals(300_000, r.workHintNs());
+            assertTrue(r.isRepeat());
+            assertTrue(r.timeLeftNs() > 2_000_000_000L && r.timeLeftNs() < 2_500_000_000L);
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             String sent = backend.accept().read();
             assertTrue(sent.startsWith("POST /order/7 ") && sent.endsWith("\r\n\r\nabc"), sent);
@@ -196,7 +196,7 @@
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
         Outcome o = setup.outcome();
         assertEquals(Status.CANCELLED, o.status());
-        assertTrue(o.over());
+        assertTrue(o.isFinal());
         assertTrue(wire.ended());
     }
 
@@ -210,7 +210,7 @@
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             Outcome o = setup.outcome();
             assertEquals(Status.MOOT, o.status());
-            assertTrue(o.over());
+            assertTrue(o.isFinal());
             assertTrue(backend.quiet());
         }
     }
--- a/src/test/java/gullspar/proxy/HandOverTest.java
+++ b/src/test/java/gullspar/proxy/HandOverTest.java
@@ -74,8 +74,8 @@
             kept.write(Setup.get());
             Request late = setup.request();
             assertTrue(
-                    late.leftNs() < TimeUnit.MILLISECONDS.toNanos(1900),
-                    "answered before the process is killed: " + late.leftNs());
+                    late.timeLeftNs() < TimeUnit.MILLISECONDS.toNanos(1900),
+                    "answered before the process is killed: " + late.timeLeftNs());
             setup.act(() -> setup.actions.send(late.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
--- a/src/test/java/gullspar/proxy/Setup.java
+++ b/src/test/java/gullspar/proxy/Setup.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import gullspar.decide.Balancer;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Profile;
 import gullspar.decide.Balancer.Request;
@@ -166,7 +166,7 @@
 
     /** The one backend of the known list. */
     int backend() throws InterruptedException {
-        return ((Member) next("members", List.class).get(0)).id();
+        return ((ListedServer) next("members", List.class).get(0)).id();
     }
 
     /** A request with an id of its own. */
@@ -233,7 +233,7 @@
         }
 
         @Override
-        public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
             note("members", members);
             note("kind", kind);
         }
@@ -252,7 +252,7 @@
         }
 
         @Override
-        public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {}
+        public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {}
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
@@ -260,7 +260,7 @@
         }
 
         @Override
-        public void onWithdrawn(long now, int ticket) {
+        public void onClientDisconnected(long now, int ticket) {
             note("withdrawn", ticket);
         }
 
--- a/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
@@ -7,7 +7,7 @@
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.Settings;
@@ -278,9 +278,9 @@
         }
 
         @Override
-        public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
             members.stream().filter(m -> !nodes.contains(m.id())).forEach(m -> nodes.add(m.id()));
-            super.onMembers(now, kind, version, members);
+            super.onServerList(now, kind, version, members);
         }
 
         @Override
@@ -402,11 +402,11 @@
             });
             return new Planted.Module(real.create(settings, seed, now, redirected)) {
                 @Override
-                public void onMembers(long at, ListKind kind, long version, List<Member> members) {
+                public void onServerList(long at, ListKind kind, long version, List<ListedServer> members) {
                     members.stream()
-                            .filter(m -> m.bootNs() > 0 && m.state() == State.READY)
+                            .filter(m -> m.startedAtNs() > 0 && m.state() == State.READY)
                             .forEach(m -> newest[0] = m.id());
-                    super.onMembers(at, kind, version, members);
+                    super.onServerList(at, kind, version, members);
                 }
             };
         });
--- a/src/test/java/gullspar/rehearse/play/Planted.java
+++ b/src/test/java/gullspar/rehearse/play/Planted.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Request;
 import gullspar.proxy.io.Platform;
@@ -54,8 +54,8 @@
         }
 
         @Override
-        public void onMembers(long now, ListKind kind, long version, List<Member> members) {
-            real.onMembers(now, kind, version, members);
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
+            real.onServerList(now, kind, version, members);
         }
 
         @Override
@@ -64,8 +64,8 @@
         }
 
         @Override
-        public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-            real.onStreamBegun(now, ticket, attempt, server, elapsedNs);
+        public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
+            real.onStreamStarted(now, ticket, attempt, server, elapsedNs);
         }
 
         @Override
@@ -74,8 +74,8 @@
         }
 
         @Override
-        public void onWithdrawn(long now, int ticket) {
-            real.onWithdrawn(now, ticket);
+        public void onClientDisconnected(long now, int ticket) {
+            real.onClientDisconnected(now, ticket);
         }
 
         @Override
--- a/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
@@ -129,8 +129,8 @@
     void oneConstantOfThePolicyIsAnotherDay() throws Exception {
         Path source = Files.createDirectories(folder.resolve("src")).resolve("Rotation.java");
         String policy = Files.readString(Path.of("src/main/java/gullspar/decide/Rotation.java"));
-        assertTrue(policy.contains("ADMIT = 0.25;"));
-        Files.writeString(source, policy.replace("ADMIT = 0.25;", "ADMIT = 0.24;"));
+        assertTrue(policy.contains("MAX_WORK_SHARE = 0.25;"));
+        Files.writeString(source, policy.replace("MAX_WORK_SHARE = 0.25;", "MAX_WORK_SHARE = 0.24;"));
         Path classes = Files.createDirectories(folder.resolve("classes"));
         assertEquals(
                 0,
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameInstantTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import gullspar.decide.Balancer;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.Outcome;
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.State;
@@ -172,7 +172,7 @@
             private boolean ready;
 
             @Override
-            public void onMembers(long now, ListKind kind, long version, List<Member> members) {
+            public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
                 node = members.get(0).id();
                 ready = members.get(0).state() == State.READY;
                 seen.add(ready ? "ready" : "drains");
@@ -190,18 +190,18 @@
             }
 
             @Override
-            public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {}
+            public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {}
 
             @Override
             public void onOutcome(long now, Outcome o) {
                 seen.add(o.status().name());
-                if (!o.over()) {
+                if (!o.isFinal()) {
                     actions.fail(o.ticket());
                 }
             }
 
             @Override
-            public void onWithdrawn(long now, int ticket) {
+            public void onClientDisconnected(long now, int ticket) {
                 seen.add("withdrawn");
             }
 
--- a/src/test/java/gullspar/scale/HearingModule.java
+++ b/src/test/java/gullspar/scale/HearingModule.java
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public void onMembers(long now, ListKind kind, long version, List<Member> members) {
-        policy.onMembers(now, kind, version, members);
+    public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
+        policy.onServerList(now, kind, version, members);
         if (kind == ListKind.FULL || kind == ListKind.DELTA) {
             heard.putIfAbsent(version, System.nanoTime());
             if (heard.size() > MOST_KEPT) {
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        policy.onStreamBegun(now, ticket, attempt, server, elapsedNs);
+    public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
+        policy.onStreamStarted(now, ticket, attempt, server, elapsedNs);
     }
 
     @Override
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void onWithdrawn(long now, int ticket) {
-        policy.onWithdrawn(now, ticket);
+    public void onClientDisconnected(long now, int ticket) {
+        policy.onClientDisconnected(now, ticket);
     }
 
     @Override
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public int avoided() {
-        return policy.avoided();
+    public int avoidedServers() {
+        return policy.avoidedServers();
     }
 }
