--- a/src/main/java/gullspar/decide/Admission.java
+++ b/src/main/java/gullspar/decide/Admission.java
@@ -4,16 +4,16 @@
 import gullspar.decide.Balancer.Request;
 import gullspar.decide.Balancer.Settings;
 
-/** Which requests are refused before they are sent: those too late to be served in time, and a throttle. */
+/** Decides which requests are not sent: those that cannot be served in time, and those beyond the throttle. */
 final class Admission {
-    /** Attempts lately sent for each served, and as many more to find out; from so many lost. */
+    /** Recent attempts allowed per served one, attempts allowed beyond that, and the losses that engage it. */
     private static final double THROTTLE_RATIO = 1.2;
 
     private static final double THROTTLE_MIN_SENDS = 1;
     private static final double THROTTLE_MIN_LOST = 0.7;
-    /** Share of the arrivals that may go out while fewer than that were served. */
+    /** Share of the arrivals that may be sent while fewer than that were served. */
     private static final double THROTTLE_TRIAL_SHARE = 0.3;
-    /** Requests that wait are looked at this often, besides at each answer, in ns. */
+    /** Interval at which waiting requests are checked, besides at each outcome. */
     static final long WAITING_CHECK_NS = 20_000_000L;
 
     private final Settings settings;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * When an answer stops earning anything. A client's repeat with less time than first tries have has
-     * waited since the first, and what lay unread since it was sent: the promise counts from there. Guards
-     * against work for late answers; hurts where marked repeats come short of time for another reason.
+     * The time after which an answer misses its latency target. For a client's repeat with less time left
+     * than first tries have, the target counts from the first try; for a request that lay unread, from when it
+     * was sent. This avoids work on late answers; it is wrong if a repeat has little time for another reason.
      */
     long usefulUntil(Request r, Profile p, long now) {
         long maxTimeLeftNs = classes.recordRequest(r.profile(), r.timeLeftNs());
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Most sends are lost: no more go out than so many for each served. Where few were served lately, a share
-     * of the arrivals goes out all the same. That guards against a proxy that loses its first sends, by its
-     * own slow start or a short outage: with nothing sent nothing is served, and the throttle stays shut.
+     * Limits sends to a multiple of those served while most are lost. If few were served recently, a share of
+     * the arrivals is still sent: a proxy that lost its first sends, by its own slow start or a short outage,
+     * would otherwise send nothing, have nothing served, and stay throttled.
      */
     boolean isThrottled() {
         double trialSends = Math.max(THROTTLE_MIN_SENDS, THROTTLE_TRIAL_SHARE * rates.arrivals - rates.servedInTime);
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Has a request less time left than half of its class's answers took? Guards against work for clients
-     * that will have left: of little patience, or held here for long.
+     * Whether a request has less time left than half of its class's answers took. Avoids work for clients
+     * that will have disconnected, because their timeout is short or the request waited here for long.
      */
     boolean isHopeless(TrackedRequest t, long now) {
         return t.usefulUntil - now < classes.typicalNs(t.request.profile())
--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: what it is told at the start, the events that it hears and the
- * actions that it may take. One instance serves one proxy. It keeps no thread, no clock and no I/O of its
- * own; the host calls it from one thread at a time with a clock that never goes back, in nanoseconds from
- * any origin. Tickets and server ids are opaque 32-bit values; the sign means nothing.
+ * The interface of the decision module: its settings, the events it receives and the actions it can take.
+ * One instance serves one proxy and has no thread, clock or I/O of its own; the host calls it from one
+ * thread at a time with a monotonic clock, in nanoseconds from any origin. Tickets and server ids are opaque
+ * 32-bit values; the sign has no meaning.
  */
 public interface Balancer {
 
-    /** May a request of a class run twice? */
+    /** Whether a request of a class may run more than once. */
     enum Effect {
         IDEMPOTENT,
         DEDUPLICATED,
         AT_MOST_ONCE
     }
 
-    /** Which servers drop repeats of a DEDUPLICATED request. */
+    /** The servers among which repeats of a DEDUPLICATED request are dropped. */
     enum Scope {
         ALL,
         ZONE,
@@ -31,7 +31,7 @@
         DRAINING
     }
 
-    /** What a list event is: changes only, a whole list, the whole list as cached, or a failed call. */
+    /** Kind of a list event: changes only, a complete list, a cached complete list, or a failed call. */
     enum ListKind {
         DELTA,
         FULL,
@@ -39,7 +39,7 @@
         FAILED
     }
 
-    /** How an attempt ended. */
+    /** Outcome of an attempt. */
     enum Status {
         ERROR(false),
         OK(false),
@@ -50,7 +50,7 @@
         CANCELLED(false),
         MOOT(true);
 
-        /** True if this outcome proves that the attempt never ran; FULL unless the settings deny it. */
+        /** True if this outcome proves that the attempt never ran; for FULL only unless fullMayHaveRun is set. */
         public final boolean neverRan;
 
         Status(boolean neverRan) {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * A class of request. Times in ns; lateShare is the share of the worth for an answer after the promise;
+     * A class of request. lateShare is the share of the worth that an answer after the latency target earns;
      * windowNs is how long a repeat of a DEDUPLICATED request is dropped within its scope. Requests of all
-     * sequential classes with one key run one at a time, in the order taken. attempts: so many at the most, 0
-     * for what the settings say; attemptNs: the longest that one may take, 0 for no limit of its own.
+     * sequential classes with one key run one at a time, in order of arrival. maxAttempts 0 uses the limit of
+     * the settings; attemptTimeoutNs 0 sets no timeout for a single attempt.
      */
     record Profile(
             Effect effect,
@@ -89,7 +89,7 @@
             this(effect, scope, windowNs, promiseNs, giveUpNs, worth, lateShare, streamed, sequential, 0, 0);
         }
 
-        /** The same with so many attempts at the most. */
+        /** A copy with another limit on attempts. */
         public Profile withMaxAttempts(int maxAttempts) {
             return new Profile(
                     effect,
@@ -107,10 +107,10 @@
     }
 
     /**
-     * What the deployment states at the start. Times in ns, the price as a fraction of the result.
-     * fullIsNoProof: FULL does not prove that an attempt never ran. turnGapNs: how long a key rests after an
-     * attempt that may still be running. listWeights: while no server reports its load, requests follow the
-     * weights of the list, and the promises are limits rather than what is usual.
+     * Settings of the deployment. crossZonePrice is a fraction of the worth. fullMayHaveRun: FULL does not
+     * prove that an attempt never ran. sequentialGapNs: how long a key is blocked after an attempt that may
+     * still be running. usesListWeights: while no server reports its load, requests follow the weights of
+     * the list, and latency targets are upper limits, not typical response times.
      */
     record Settings(
             int proxyIndex,
@@ -175,12 +175,12 @@
         }
     }
 
-    /** A server as listed. bootNs is when it last started, by the clock of now; 0 for long ago. */
+    /** A server in the list. startedAtNs is its last start on the module's clock, 0 if long ago. */
     record ListedServer(int id, int kind, State state, long startedAtNs, int cell, int zone, double weight) {}
 
     /**
-     * A request; key 0 is none; leftNs is the time until the client abandons it; hintNs 0 is no hint. ageNs:
-     * how long it may have waited since its client sent it, unread or in line behind another.
+     * A request. key 0 is no key; timeLeftNs is the time until the client gives up; workHintNs 0 is no hint;
+     * ageNs is how long it may have waited since its client sent it, unread or queued behind another.
      */
     record Request(
             int ticket,
@@ -191,13 +191,13 @@
             long workHintNs,
             boolean isRepeat,
             long ageNs) {
-        /** One that is told of as it is sent. */
+        /** A request that did not wait before it was read. */
         public Request(int ticket, int profile, int tenant, long key, long leftNs, long hintNs, boolean repeat) {
             this(ticket, profile, tenant, key, leftNs, hintNs, repeat, 0);
         }
     }
 
-    /** A load report; NaN for each value that the servers do not report. */
+    /** A load report of a server; NaN for each value that is not reported. */
     record Report(
             double inflight,
             double queued,
@@ -206,33 +206,33 @@
             double requestsPerSecond,
             double errorsPerSecond) {}
 
-    /** How an attempt ended; over: the request is finished; report may be null. */
+    /** The end of an attempt. isFinal: the request is finished. report may be null. */
     record Outcome(
             int ticket, int attempt, int server, Status status, long elapsedNs, boolean isFinal, Report report) {}
 
-    /** Makes the balancer of one proxy. */
+    /** Creates the balancer of one proxy. */
     interface Factory {
         Balancer create(Settings settings, long seed, long now, Actions actions);
     }
 
-    /** What the module may do. All take effect at once, in the order called. */
+    /** Actions of the module. Each takes effect at once, in the order called. */
     interface Actions {
-        /** Starts an attempt, numbered 0, 1, 2... per ticket; timeoutNs 0 is until the client gives up. */
+        /** Starts an attempt, numbered 0, 1, 2... per ticket; timeoutNs 0 lasts until the client gives up. */
         void send(int ticket, int server, long timeoutNs);
 
         /**
-         * The same where the rules bind a repeat to a time: it goes out within so long from now, though a
-         * connection may have to be made first, or ends as MOOT; Long.MAX_VALUE for whenever it may be. A
-         * host whose attempts go out at once need not look.
+         * The same with a limit on when the attempt may start: it is sent within withinNs from now, including
+         * the time to connect, or ends as MOOT. Long.MAX_VALUE is no limit. A host that sends attempts
+         * immediately can ignore it.
          */
         default void send(int ticket, int server, long timeoutNs, long withinNs) {
             send(ticket, server, timeoutNs);
         }
 
-        /** Final answer: refused, and harmless to try again; retryInNs 0 is no advice. */
+        /** Final answer: refused, safe to repeat; retryAfterNs 0 gives no advice on when. */
         void refuse(int ticket, long retryAfterNs);
 
-        /** Final answer: failed, with no promise about the effect. */
+        /** Final answer: failed; the request may or may not have taken effect. */
         void fail(int ticket);
 
         void cancel(int ticket, int attempt);
@@ -250,38 +250,38 @@
 
         void subscribe(boolean on);
 
-        /** Asks for the whole list once. */
+        /** Requests the complete list once. */
         void requestList();
     }
 
-    /** Discovery news, in order; members is empty for FAILED. */
+    /** A list event from discovery, in order; servers is empty for FAILED. */
     void onServerList(long now, ListKind kind, long version, List<ListedServer> servers);
 
     void onRequest(long now, Request request);
 
-    /** A streamed answer has begun: the attempt is the client's, no time-out or deadline counts any more. */
+    /** A streamed answer has started: the attempt no longer has a timeout or deadline. */
     void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs);
 
     void onOutcome(long now, Outcome outcome);
 
-    /** The client has left; no answer is owed. */
+    /** The client has disconnected; no answer is needed. */
     void onClientDisconnected(long now, int ticket);
 
     void onTimer(long now, long token);
 
-    /** Classes of requests that come later: the whole list, in which those known keep their places. */
+    /** Replaces the list of classes; classes already known keep their indexes. */
     default void onProfiles(List<Profile> profiles) {
-        throw new UnsupportedOperationException("this module knows its classes from the start");
+        throw new UnsupportedOperationException("this balancer does not support adding request classes after start");
     }
 
-    /** Listed servers that get nothing new now, as an operator is told. */
+    /** Number of listed servers that currently get no new requests, for operators. */
     default int avoidedServers() {
         return 0;
     }
 
-    /** The result of a probe; not heard by a module that sends none. */
+    /** The result of a probe; ignored by a module that sends none. */
     default void onProbeResult(long now, int server, Status status, long elapsedNs, Report report) {}
 
-    /** A message of another proxy; not heard by a module that shares nothing. */
+    /** A message from another proxy; ignored by a module that shares no state. */
     default void onPeerMessage(long now, int peer, byte[] message) {}
 }
--- a/src/main/java/gullspar/decide/Classes.java
+++ b/src/main/java/gullspar/decide/Classes.java
@@ -5,33 +5,33 @@
 import java.util.List;
 
 /**
- * What a proxy has learnt of each class of request, and which class gives way to which.
+ * Statistics of each class of request, and which class yields to which.
  *
- * <p>A class gives way to each that promises an answer sooner, is worth clearly more for its work and asks
- * for more worth in all: its requests join no queue longer than that one bears. Guards against patient
- * requests that keep every queue longer than the impatient bear, so that what is worth most is refused;
- * costs the patient some of the servers' time.
+ * <p>A class yields to each class that has a shorter latency target, a clearly higher worth per unit of work
+ * and more requested worth in total: its requests join no queue too long for that class. Otherwise requests
+ * with a long target keep every queue too long for those with a short one, and the most valuable are refused.
+ * The price is that classes that yield get less of the servers' time.
  */
 final class Classes {
-    /** A class gives way to one worth so many times as much for its work, by this share of its patience. */
+    /** Ratio of worth per work from which a class yields, and the share of the other's latency target it may use. */
     private static final double MIN_WORTH_RATIO = 2, YIELD_SHARE = 0.75;
-    /** So many answers tell how large a class's requests are; the first guess counts as a few. */
+    /** Answers averaged for the relative size of a class, and the weight of its initial estimate in answers. */
     private static final double MAX_SIZE_SAMPLES = 50, INITIAL_SIZE_SAMPLES = 4;
-    /** Step by which the median time of a class's answers follows them. */
+    /** Relative step of the running median of response times. */
     private static final double MEDIAN_STEP = 0.05;
 
     private List<Profile> profiles = List.of();
     private double[] medianNs = {};
     private long[] maxTimeLeftNs = {};
-    /** A request's time against that of all at the same server, and how many answers tell it. */
+    /** Service time relative to all requests at the same server, and the number of samples behind it. */
     private double[] relativeSize = {};
 
     private double[] sizeSamples = {};
-    /** The worth asked for lately. */
+    /** Decaying sum of the requested worth. */
     private double[] recentWorth = {};
-    /** The longest wait that a request of mean size may join for the sake of dearer classes. */
+    /** The longest queue that a request of mean size may join so that classes with priority have room. */
     private double[] maxWaitNs = {};
-    /** Another class gives way to it. */
+    /** Whether another class yields to it. */
     private boolean[] hasPriority = {};
 
     void setProfiles(List<Profile> newProfiles) {
@@ -48,7 +48,7 @@
         updatePriorities();
     }
 
-    /** A request with so much time left; the most that one had. */
+    /** Records a request; returns the largest time left of any in its class. */
     long recordRequest(int profile, long timeLeftNs) {
         recentWorth[profile] += profiles.get(profile).worth();
         maxTimeLeftNs[profile] = Math.max(maxTimeLeftNs[profile], timeLeftNs);
@@ -62,7 +62,7 @@
         updatePriorities();
     }
 
-    /** An answer after so long, so many times what requests take at that server; the median before it. */
+    /** Records a response time, also relative to the server's mean service time; returns the previous median. */
     double recordAnswer(int profile, long elapsedNs, double relativeTime) {
         double m = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
         medianNs[profile] = m * (elapsedNs > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
@@ -71,7 +71,7 @@
         return m;
     }
 
-    /** The time that half of its answers took, of a promise half at the most; 0 before the first. */
+    /** The median response time, at most half the latency target; 0 before the first answer. */
     double typicalNs(int profile) {
         return Math.min(medianNs[profile], profiles.get(profile).latencyTargetNs() / 2.0);
     }
@@ -99,12 +99,12 @@
                 && recentWorth[d] > recentWorth[c];
     }
 
-    /** Does it give way to another, or another to it? */
+    /** Whether it yields to another class or another yields to it. */
     boolean isRanked(int profile) {
         return hasPriority[profile] || maxWaitNs[profile] < Double.MAX_VALUE;
     }
 
-    /** Of the time that is left to a request the most that may matter, for a wait at the mean pace. */
+    /** The time left to a request that it may spend in a queue, in units of mean service time. */
     double usableTimeNs(int profile, double timeLeftNs) {
         return isRanked(profile) ? Math.min(maxWaitNs[profile], timeLeftNs / relativeSize[profile]) : timeLeftNs;
     }
--- a/src/main/java/gullspar/decide/ColdBudget.java
+++ b/src/main/java/gullspar/decide/ColdBudget.java
@@ -3,18 +3,17 @@
 import gullspar.decide.Balancer.Settings;
 
 /**
- * How much a cold server gets from this proxy: a token bucket. Its rate is what this proxy sent to the
- * average server of that zone, for as many as its subset leaves to it, times the multiple and the warmth: if
- * every peer does the same, all together stay under the multiple of what the server can do, however unevenly
- * the traffic falls on them. Less where the server reports itself busy: something else may hold down what it
- * can do while cold.
+ * Token bucket that limits what this proxy sends to a cold server. Its rate is this proxy's rate to the average
+ * server of the zone, scaled up by its subset, times the overload multiple and the warmth: if every proxy does
+ * the same, the total stays below the multiple of the server's capacity, however unevenly traffic is spread over
+ * the proxies. The rate is lower if the server reports itself busy, as its cold capacity may be reduced further.
  *
- * <p>Requests that no server got count as well, up to this proxy's even part of what the server can do.
- * Guards against a fleet that is cold as a whole: by its sends alone a proxy would be held to less than it
- * sent, send less for it, and be held to less again. One with no past would never get out of that.
+ * <p>Requests that were not sent to any server count as well, up to this proxy's even share of the server's
+ * capacity. Otherwise, in a fleet that is cold as a whole, each limit would reduce the sends that the next is
+ * computed from, and a proxy with no history would never send more.
  */
 final class ColdBudget {
-    /** Part of the budget that this proxy uses; bursts and peers that see it otherwise take the rest. */
+    /** Share of the budget used; the rest covers bursts and proxies with other estimates. */
     private static final double SAFETY_SHARE = 0.6;
 
     private final Settings settings;
@@ -29,7 +28,7 @@
         this.weights = weights;
     }
 
-    /** May a request go there now? subset: how many servers of a zone this proxy uses. */
+    /** Whether a request may be sent there now; subset is how many servers of a zone this proxy uses. */
     boolean allows(Server s, double subset, long now) {
         double warmth = weights.warmth(s, now);
         if (warmth >= 1) {
@@ -42,7 +41,7 @@
         return s.tokens >= 1;
     }
 
-    /** Requests in a ns. */
+    /** Requests per ns. */
     private double rate(Server s, double warmth, double subset, long now) {
         int ready = Math.max(1, zones.readyCount(s.zone()));
         double ownRate = zones.sendsPerServer(s.zone())
--- a/src/main/java/gullspar/decide/DiscoveryCalls.java
+++ b/src/main/java/gullspar/decide/DiscoveryCalls.java
@@ -4,12 +4,11 @@
 import gullspar.decide.Balancer.Settings;
 import java.util.SplittableRandom;
 
-/** When discovery is asked for the list: regularly where it has to be asked, and again after a failure. */
+/** Schedules requests for the list: regularly where discovery must be polled, and after a failure. */
 final class DiscoveryCalls {
     /**
-     * First pause before discovery is asked again after a failure; it doubles, up to the other. A change
-     * counts 6 s after discovery had it and could be reached, and a call that is never answered and one that
-     * waits in turn take 4.5 of them. In ns.
+     * Backoff after a failed call; doubles up to the maximum. A change must take effect within 6 s of being
+     * available from a reachable discovery; an unanswered call and one that queues behind it take 4.5 s of that.
      */
     private static final long MIN_BACKOFF_NS = 250_000_000L;
 
@@ -19,7 +18,7 @@
     private final SplittableRandom random;
     private final Actions actions;
     private long backoffNs = MIN_BACKOFF_NS;
-    /** Calls are numbered: the timer of an earlier one is void. */
+    /** Number of the current call; timers of earlier calls are ignored. */
     private int currentCall;
 
     DiscoveryCalls(Settings settings, SplittableRandom random, Actions actions) {
@@ -30,20 +29,20 @@
 
     void requestList(long now) {
         actions.subscribe(true);
-        requestListAt(now + settings.refreshWithinNs() / 2); // well before an unheard list would bind this proxy
+        requestListAt(
+                now + settings.refreshWithinNs() / 2); // well before the proxy would break the limit on the list's age
     }
 
     private void requestListAt(long at) {
         actions.setTimer(at, ++currentCall);
     }
 
-    /** A failure may mean a broken subscription. Jitter keeps the proxies from asking in step. */
+    /** Schedules a retry, as the subscription may be broken. Jitter keeps proxies from calling in step. */
     void onFailure(long now) {
         requestListAt(now + (long) (backoffNs * (0.5 + random.nextDouble())));
         backoffNs = Math.min(backoffNs * 2, MAX_BACKOFF_NS);
     }
 
-    /** The call is answered. */
     void onAnswer() {
         currentCall++;
         backoffNs = MIN_BACKOFF_NS;
--- a/src/main/java/gullspar/decide/Ejection.java
+++ b/src/main/java/gullspar/decide/Ejection.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** Outlier ejection: servers that fail in a row or owe answers get nothing but a trial now and then. */
+/** Outlier ejection: servers that fail repeatedly or stop answering get only an occasional trial request. */
 final class Ejection {
-    /** Failures in a row that eject a server; one or two happen to a healthy one. */
+    /** Consecutive failures that eject a server; one or two occur on healthy ones. */
     static final int FAILURES_TO_EJECT = 4;
-    /** Never more of the ready servers than this: ejecting most of a crowded fleet drowns the rest. */
+    /** Largest share of the ready servers that may be ejected; more would overload the rest of a busy fleet. */
     private static final double MAX_EJECTED_SHARE = 0.34;
-    /** Silent: owes answers, and gave none for so many of its usual gaps plus this share of a promise. */
+    /** A server is silent after this many of its usual gaps between answers plus this share of a latency target. */
     private static final double SILENT_ANSWER_GAPS = 6;
 
     private static final double SILENT_TARGET_SHARE = 0.8;
-    /** Pause before the first trial of an ejected server, in ns; doubles, four times at most. */
+    /** Pause before the first trial of an ejected server; doubles up to four times this. */
     private static final long FIRST_TRIAL_PAUSE_NS = 500_000_000L;
 
     private final List<Server> servers;
@@ -21,7 +21,7 @@
         this.servers = servers;
     }
 
-    /** Owes answers and gives none: told from a slow one by the gaps between its answers, to any request. */
+    /** Whether a server with open attempts has stopped answering; gaps between any answers tell it from a slow one. */
     boolean isSilent(Server s, double minLatencyTargetNs, long now) {
         return s.openAttempts > 0
                 && now - s.awaitingSince
@@ -29,7 +29,7 @@
                                 + SILENT_ANSWER_GAPS * s.serviceNs * (1 + s.foreignLoad / s.openAttempts);
     }
 
-    /** Ejects a server, if not too many are, or puts off the next trial of one that is. */
+    /** Ejects a server unless too many are ejected, or postpones the next trial of an ejected one. */
     void eject(Server s, long now) {
         long ready = servers.stream().filter(Server::isReady).count();
         long ejected = servers.stream().filter(o -> o.isReady() && o.isEjected).count();
--- a/src/main/java/gullspar/decide/KindServiceTimes.java
+++ b/src/main/java/gullspar/decide/KindServiceTimes.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** The time of a request at a warm server of each kind, in ns. Grows with the kinds listed. State only. */
+/** Mean service time of a warm server of each kind. Grows with the kinds listed; makes no decision. */
 final class KindServiceTimes {
-    /** Memory of the pace of a kind, in ns. */
+    /** Decay time of the mean service time. */
     static final double DECAY_NS = 5e9;
 
     private final double initialNs;
@@ -32,7 +32,7 @@
         return serviceNs[kind];
     }
 
-    /** A server of the kind, if it were warm, took so long for a request. */
+    /** Records a service time, already scaled to a warm server. */
     void record(int kind, double ns, long now) {
         ensureKind(kind);
         double gain = 1 - Math.exp((updatedAt[kind] - now) / DECAY_NS);
--- a/src/main/java/gullspar/decide/Outcomes.java
+++ b/src/main/java/gullspar/decide/Outcomes.java
@@ -5,14 +5,14 @@
 import gullspar.decide.Balancer.Status;
 import gullspar.decide.TrackedRequest.Attempt;
 
-/** What the end of an attempt teaches of its server, its class and the load. */
+/** Updates server, class and load statistics when an attempt ends. */
 final class Outcomes {
-    /** So many answers tell a pace, for so long at the most; the pace of the kind counts as a few more. */
+    /** Samples averaged for a service time, their decay time, and the weight of the kind's mean in samples. */
     private static final double MAX_SERVICE_SAMPLES = 10;
 
     private static final double SAMPLE_DECAY_NS = 10e9;
     private static final double KIND_SAMPLES = 4;
-    /** An answer so far over the service time, reported and median, and half the promise counts as lost. */
+    /** An answer counts as lost beyond this multiple of the service time, reported and median, and half the target. */
     private static final double SLOW_RATIO = 2;
 
     private final Settings settings;
@@ -44,7 +44,7 @@
         this.servers = servers;
     }
 
-    /** The shortest promise of all classes, in ns. */
+    /** Sets the shortest latency target of all classes. */
     void setMinLatencyTarget(double latencyTargetNs) {
         minLatencyTargetNs = latencyTargetNs;
     }
@@ -54,13 +54,13 @@
             case OK -> recordServed(t, a, o, now);
             case FULL, TIMEOUT -> rates.lost++;
             case CANCELLED -> recordCancelled(t);
-            default -> rates.discountSend(); // says nothing of the load
+            default -> rates.discountSend(); // not evidence of load
         }
         recordOverload(a, o, now);
         recordFailure(a.server, o.status(), now);
     }
 
-    /** A client that leaves before its answer would be late does so for reasons of its own, not of the load. */
+    /** A client that disconnects before the latency target is no evidence of overload. */
     private void recordCancelled(TrackedRequest t) {
         if (t.clientLeftEarly) {
             rates.discountSend();
@@ -73,7 +73,7 @@
         Server s = a.server;
         double serviceNs = Math.max(1000, o.elapsedNs()) / (a.loadAhead + 1) * weights.warmth(s, now);
         double medianNs = classes.recordAnswer(t.request.profile(), o.elapsedNs(), serviceNs / s.serviceNs);
-        // Far over its work, by the server's word and the median: a queue that will lose the next.
+        // Far above both the reported service time and the median: a queue that will make later answers late.
         double reportedWorkNs =
                 s.lacksInflight && o.report() != null ? 1e6 * o.report().recentMs() : Double.NaN;
         boolean isSlow = o.elapsedNs()
@@ -96,7 +96,7 @@
                 / (s.serviceSamples + KIND_SAMPLES);
     }
 
-    /** No answer or no place: a jam that no report tells of, with so much work ahead at the least. */
+    /** FULL or no answer at all: an overload without a report; estimates the work queued at the server. */
     private void recordOverload(Attempt a, Outcome o, long now) {
         if (o.status() == Status.FULL || o.status() == Status.TIMEOUT && a.server.awaitingSince <= a.sentAt) {
             zones.recordForeignLoad(
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A fast failure teaches no pace: a server that fails fast must not look quick. */
+    /** Records a failure; it updates no service time, as a server that fails fast must not look fast. */
     private void recordFailure(Server s, Status status, long now) {
         switch (status) {
             case OK, MOOT, TIMEOUT, CANCELLED -> {
@@ -112,7 +112,7 @@
             }
             default -> s.awaitingSince = now;
         }
-        if (status == Status.CONNECT_FAILED && !settings.usesListWeights()) { // there none is cold
+        if (status == Status.CONNECT_FAILED && !settings.usesListWeights()) { // list weights have no cold start
             s.connectFailedAt = now;
             weights.updateFactor(s, now);
             servers.randomizePhase(s, now);
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -9,24 +9,24 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions, all of them. The interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
+ * The decision module's event handling. The interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
  * is on "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
  *
- * <p>Ordinary path: reports become factors (capacity x spare share, low while young), requests go by smooth
- * weighted rotation over them, each less what unanswered sends and reports say of the queue. Exceptions, each
- * with its condition where it acts: own zone first, subsets (pick, subset), waiting (offer), jams (crowd),
- * ejection and trials (silent, eject), cold budget (budget), further attempts (again).
+ * <p>Normally load reports become factors (capacity x spare share, low during cold start), and requests follow
+ * smooth weighted rotation over the factors, each reduced by the estimated queue of the server. Exceptions are
+ * documented where they apply: own zone first and subsets (Rotation, Servers), waiting (trySend), overload
+ * without reports (recordOverload), ejection and trials (Ejection), cold budget (ColdBudget), retries (retry).
  */
 public final class Policy implements Balancer {
-    /** A guess at the time of a request where promises are limits: they tell nothing of what is usual. */
+    /** Initial service time with list weights, where latency targets are limits and say nothing of it. */
     private static final double INITIAL_SERVICE_NS = 20e6;
-    /** What a report says of the others' requests fades so fast to what is usual: unheard is not empty. */
+    /** Decay of a reported foreign load to the typical one: a server without recent reports is not idle. */
     private static final double FOREIGN_LOAD_DECAY_NS = 1e9;
-    /** How often memories age. */
+    /** Interval at which decaying averages are updated. */
     private static final long DECAY_INTERVAL_NS = 50_000_000L;
-    /** The proxy's own pulse: with none for twice as long it stood still. */
+    /** Heartbeat timer; no event for twice as long means that the proxy itself was stalled. */
     private static final long HEARTBEAT_NS = 50_000_000L;
-    /** Tokens of the timers for what waits and for the pulse; those below number the calls to discovery. */
+    /** Timer tokens for waiting requests and the heartbeat; lower tokens number the calls to discovery. */
     private static final long WAITING_TIMER = 1L << 32;
 
     private static final long HEARTBEAT_TIMER = WAITING_TIMER + 1;
@@ -35,7 +35,7 @@
     private final Actions actions;
     private final IntMap<TrackedRequest> requests = new IntMap<>();
     private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
-    /** Requests that wait here, those worth most first. */
+    /** Requests waiting for a server, by descending worth. */
     private final List<TrackedRequest> waiting = new ArrayList<>();
 
     private final Classes classes = new Classes();
@@ -55,7 +55,7 @@
     private long decayedAt;
     private long lastEventAt;
     private long resumedAt;
-    /** The class of which the last offer found no room. */
+    /** The class whose last request found no server with room. */
     private Profile classWithoutRoom;
 
     private boolean isWaitingTimerSet;
@@ -65,7 +65,7 @@
         this.actions = actions;
         SplittableRandom random = new SplittableRandom(seed);
         minLatencyTargetNs = shortestLatencyTargetNs(settings.profiles());
-        // The first guess is soon forgotten.
+        // Real service times soon replace the initial estimate.
         KindServiceTimes serviceTimes =
                 new KindServiceTimes(settings.usesListWeights() ? INITIAL_SERVICE_NS : minLatencyTargetNs / 6.0, now);
         zones = new ZoneStats(now);
@@ -125,8 +125,8 @@
     // ---- requests ----
 
     /**
-     * A proxy that stood still finds outcomes and time-outs that are its own fault, not the servers': what
-     * comes in that moment teaches nothing of them. Hurts nobody: a moment later all counts again.
+     * After a stall, outcomes and timeouts are caused by the proxy, not by the servers: outcomes of that
+     * moment are not used as evidence about servers. Later ones count again.
      */
     private void detectStandstill(long now) {
         if (now - lastEventAt > 2 * HEARTBEAT_NS) {
@@ -178,14 +178,14 @@
         decayedAt = now;
     }
 
-    /** What is kept, by now, of a memory of that length. */
+    /** Share of a decaying average that remains now, for this decay time. */
     private double retention(long now, double decayNs) {
         return Math.exp((decayedAt - now) / decayNs);
     }
 
     /**
-     * Sends a first attempt while a server has room; else it waits here, where it costs no server anything
-     * and can still be refused harmlessly. True if it need not wait (any longer).
+     * Sends a first attempt if a server has room. Otherwise the request waits in the proxy, where it uses no
+     * server and can still be refused safely. Returns true if it need not wait any longer.
      */
     private boolean trySend(TrackedRequest t, long now) {
         if (t.isFinished) {
@@ -206,7 +206,7 @@
                 t, repeatRules.bindingAttempt(t), servers.subsetSize(rates.arrivals, minLatencyTargetNs), now);
     }
 
-    /** Ends a request that cannot be served in time; true if it is over. */
+    /** Ends a request that cannot be served in time; returns true if it is finished. */
     private boolean endIfHopeless(TrackedRequest t, long now) {
         if (!t.isFinished && admission.isHopeless(t, now)) {
             answerUnserved(t);
@@ -221,10 +221,10 @@
         }
     }
 
-    /** Offers what waits again; after the first of a class that stays, the rest are only checked for time. */
+    /** Retries waiting requests; once one of a class finds no room, others of it are only checked for time. */
     private void dispatchWaiting(long now) {
         classWithoutRoom = null;
-        // All are looked at, not the head alone: a client's repeat behind it may have less time left.
+        // Checks all, not only the head: a client's repeat behind it may have less time left.
         waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfHopeless(t, now) : trySend(t, now));
     }
 
@@ -236,7 +236,7 @@
         s.tokens--;
         rates.sent++;
         zones.sent(s.zone());
-        // An answer that would earn nothing leaves the server, unless a repeat would then run beside it.
+        // Cancels an attempt whose answer would earn nothing, unless the client's repeat could then run beside it.
         boolean isCutWhenLate =
                 settings.canCancel() && t.profile.lateShare() == 0 && !RepeatRules.isDroppedEverywhere(t.profile);
         long timeoutNs = Math.min(
@@ -250,9 +250,9 @@
     }
 
     /**
-     * A further attempt elsewhere, within the rules and the retry budget. Where the list's weights count, one
-     * after a connection that was not to be had needs none: it is no more load than a first try there, and
-     * without reports nothing else keeps first tries from a server that is gone.
+     * Retries on another server, within the repeat rules and the retry budget. With list weights a retry after
+     * a failed connect needs no budget: it adds no more load than a first attempt, and without reports nothing
+     * else keeps first attempts away from a server that is down.
      */
     private void retry(TrackedRequest t, long now) {
         Status last = t.attempts.get(t.attempts.size() - 1).status;
@@ -269,7 +269,7 @@
         }
     }
 
-    /** The final answer where no attempt served: refused if a repeat is harmless, else failed. */
+    /** Sends the final answer if no attempt succeeded: refused if a repeat is safe, else failed. */
     private void answerUnserved(TrackedRequest t) {
         rates.unsent += t.attempts.isEmpty() ? 1 : 0;
         if (repeatRules.canRefuse(t)) {
@@ -285,19 +285,19 @@
         if (t.openAttempts == 0) {
             release(t);
         } else if (settings.canCancel()) {
-            actions.cancel(t.request.ticket(), t.attempts.size() - 1); // never more than one is out
+            actions.cancel(t.request.ticket(), t.attempts.size() - 1); // at most one attempt is open
         }
     }
 
     /**
-     * Order: one that follows waits until each earlier one of its key is over and has no attempt out, and
-     * until the key has rested from attempts that may still be running.
+     * Whether a sequential request may run: each earlier one of its key is finished with no open attempt, and
+     * the key is no longer blocked by attempts that may still be running.
      */
     private static boolean isNextOfKey(TrackedRequest t, long now) {
         return t.keyQueue == null || t.keyQueue.requests.peek() == t && now >= t.keyQueue.blockedUntil;
     }
 
-    /** Its last attempt has ended: the next of its key may run. */
+    /** Removes a request whose last attempt has ended, so that the next of its key may run. */
     private void release(TrackedRequest t) {
         requests.remove(t.request.ticket());
         if (t.keyQueue != null) {
--- a/src/main/java/gullspar/decide/RepeatRules.java
+++ b/src/main/java/gullspar/decide/RepeatRules.java
@@ -7,7 +7,7 @@
 import gullspar.decide.Balancer.Status;
 import gullspar.decide.TrackedRequest.Attempt;
 
-/** Whether a request may be sent again, and what may be said of it, by what became of its attempts. */
+/** Whether a request may be retried, and how it may be answered, given the outcomes of its attempts. */
 final class RepeatRules {
     private final Settings settings;
 
@@ -15,7 +15,7 @@
         this.settings = settings;
     }
 
-    /** The first attempt that may have run: it binds all further ones. Null if none may have. */
+    /** The first attempt that may have run, which restricts all further ones; null if none may have run. */
     Attempt bindingAttempt(TrackedRequest t) {
         for (Attempt a : t.attempts) {
             boolean neverRan =
@@ -27,19 +27,19 @@
         return null;
     }
 
-    /** For how long repeats are surely dropped, from the first attempt that may have run, in ns. */
+    /** How long repeats are certainly dropped, counted from the first attempt that may have run. */
     long safeRepeatNs(TrackedRequest t) {
         return t.profile.windowNs() - 2 * settings.clockStepNs();
     }
 
-    /** Within that time from now an attempt has to go out, in ns; MAX_VALUE for whenever it may be. */
+    /** Time from now within which an attempt must be sent; MAX_VALUE for no limit. */
     long startWithinNs(TrackedRequest t, Attempt binding, long now) {
         return binding == null || t.profile.effect() != Effect.DEDUPLICATED
                 ? Long.MAX_VALUE
                 : binding.sentAt + safeRepeatNs(t) - now;
     }
 
-    /** May another attempt start now? */
+    /** Whether another attempt may start now. */
     boolean canAttempt(TrackedRequest t, long now) {
         if (t.isFinished
                 || t.isStreaming
@@ -58,12 +58,12 @@
         return p.maxAttempts() > 0 ? p.maxAttempts() : settings.maxAttempts();
     }
 
-    /** Is a repeat by the client harmless, so that the request may be refused? */
+    /** Whether a repeat by the client is safe, so that the request may be refused. */
     boolean canRefuse(TrackedRequest t) {
         return bindingAttempt(t) == null || t.profile.effect() == Effect.IDEMPOTENT || isDroppedEverywhere(t.profile);
     }
 
-    /** Are repeats dropped wherever they go? */
+    /** Whether repeats are dropped at every server. */
     static boolean isDroppedEverywhere(Profile p) {
         return p.effect() == Effect.DEDUPLICATED && p.scope() == Scope.ALL;
     }
--- a/src/main/java/gullspar/decide/RetryBudget.java
+++ b/src/main/java/gullspar/decide/RetryBudget.java
@@ -1,14 +1,14 @@
 package gullspar.decide;
 
-/** Further attempts, as parts of the first tries: a fleet in trouble must not multiply its load. */
+/** Limits retries to a share of the first attempts, so that retries do not multiply the load of a failing fleet. */
 final class RetryBudget {
-    /** Further attempts for each first try, and the most saved up. */
+    /** Retries earned per request, and the most that can be saved. */
     private static final double RETRIES_PER_REQUEST = 0.02;
 
     private static final double MAX_RETRIES = 5;
     /**
-     * The same after a connection that broke or did not come up, or a spoilt answer: that tells of no load, and
-     * comes in rows.
+     * The same after a connection that broke or could not be made, or a corrupt answer: these are no evidence of
+     * load and occur in series.
      */
     private static final double RESENDS_PER_REQUEST = 0.3;
 
@@ -17,13 +17,13 @@
     private double retries = MAX_RETRIES / 2;
     private double resends = MAX_RESENDS / 2;
 
-    /** A first try. */
+    /** Adds the share of one first attempt. */
     void earn() {
         retries = Math.min(MAX_RETRIES, retries + RETRIES_PER_REQUEST);
         resends = Math.min(MAX_RESENDS, resends + RESENDS_PER_REQUEST);
     }
 
-    /** Is there one for a further attempt? broke: the last one broke or did not come up. */
+    /** Whether the budget allows a retry; connectionFailed: the last connection broke or could not be made. */
     boolean canSpend(boolean connectionFailed) {
         return (connectionFailed ? resends : retries) >= 1;
     }
--- a/src/main/java/gullspar/decide/Rotation.java
+++ b/src/main/java/gullspar/decide/Rotation.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * Smooth weighted rotation over the servers that may get a request, of the own zone first. A server that is
- * ejected gets a trial when it is due.
+ * Smooth weighted rotation over the eligible servers, own zone first. An ejected server gets a trial request
+ * when one is due.
  */
 final class Rotation {
-    /** A server has room while the work ahead takes this share of what is left of a promise. */
+    /** A server has room while its queued work takes at most this share of the time left to the latency target. */
     private static final double MAX_WORK_SHARE = 0.25;
 
-    /** What one pass over the servers adds up, of the own zone or of the others. */
+    /** Totals of one pass over the servers, for the own zone or for the others. */
     private static final class ZoneTotals {
         double weight;
-        /** Weights times expected times, in ns. */
+        /** Sum of weights times expected response times. */
         double weightedTimeNs;
-        /** Weights of those with room. */
+        /** Sum of the weights of servers with room. */
         double openWeight;
     }
 
@@ -32,7 +32,7 @@
     private final Classes classes;
     private double minLatencyTargetNs;
     private double meanWorth;
-    /** No server was fit in the last pass. */
+    /** No server was eligible in the last pass. */
     private boolean noneEligible;
 
     Rotation(
@@ -52,16 +52,16 @@
         this.classes = classes;
     }
 
-    /** The shortest promise and the mean worth of all classes. */
+    /** Sets the shortest latency target and the mean worth of all classes. */
     void setTargets(double latencyTargetNs, double worth) {
         minLatencyTargetNs = latencyTargetNs;
         meanWorth = worth;
     }
 
     /**
-     * The server that a request goes to; null if there is none.
+     * Returns the server for a request; null if there is none.
      *
-     * @param bound the attempt that binds further ones, null if none does
+     * @param binding the attempt that restricts further ones, null if none does
      * @param subset how many servers of a zone this proxy uses for first attempts
      */
     Server pick(TrackedRequest t, Attempt binding, double subset, long now) {
@@ -76,7 +76,7 @@
         double maxWorkNs = classes.usableTimeNs(t.request.profile(), t.usefulUntil - now) * MAX_WORK_SHARE;
         for (Server s : servers) {
             boolean isOwnZone = s.zone() == settings.zone();
-            int margin = isOwnZone ? 0 : 1; // of another zone one fewer
+            int margin = isOwnZone ? 0 : 1; // a subset has one server fewer in other zones
             s.isEligible = s.subsetPosition * zones.readyCount(s.zone()) < width - margin
                     && isEligible(s, t, binding, subset, now);
             if (!s.isEligible) {
@@ -98,7 +98,7 @@
         return choose(t, own, other, now);
     }
 
-    /** A trial: one request at a time that is still whole, and none that could be lost with it. */
+    /** A trial is one request with no attempt that may have run; AT_MOST_ONCE only if the server has none open. */
     private boolean startTrialIfDue(Server s, TrackedRequest t, Attempt binding, long now) {
         boolean isDue = now >= s.nextTrialAt
                 && binding == null
@@ -113,7 +113,7 @@
         double serviceNs = s.serviceNs / weights.warmth(s, now);
         double weight = weights.weight(s);
         side.weight += weight;
-        // Where no report tells what a server holds, its busy share tells how long one waits there.
+        // Without a reported request count, the utilization gives the expected wait.
         double waitFactor = s.lacksInflight ? 1 / Math.max(ServerWeights.MIN_SPARE_SHARE, s.spareShare) : 1;
         side.weightedTimeNs += weight * serviceNs * (s.load() + 1) * waitFactor;
         s.isEligible = serviceNs * s.load() <= maxWorkNs;
@@ -121,11 +121,11 @@
     }
 
     private Server choose(TrackedRequest t, ZoneTotals own, ZoneTotals other, long now) {
-        // Own zone first: crossing must save worth. Where classes give way short queues tell of no wait.
+        // Leaving the zone must save worth, except for ranked classes: their short queues do not show the wait.
         boolean canCross = lostWorthShare(own, t, now) - lostWorthShare(other, t, now) > settings.crossZonePrice()
                 || own.openWeight == 0 && classes.isRanked(t.request.profile());
         Server best = null;
-        // Tallies count in requests: a debt must not outlast weights that change a hundredfold in a second.
+        // Credits are in requests, not weights, as weights may change a hundredfold in a second.
         double total = own.openWeight + (canCross ? other.openWeight : 0);
         for (Server s : servers) {
             if (s.isEligible && (canCross || s.zone() == settings.zone())) {
@@ -139,14 +139,14 @@
         return best;
     }
 
-    /** Share of a mean request's worth lost by missing the promise, at the rotation's expected time. */
+    /** Share of a mean request's worth lost by missing the latency target at the expected response time. */
     private double lostWorthShare(ZoneTotals side, TrackedRequest t, long now) {
         double expected = side.weight > 0 ? side.weightedTimeNs / side.weight : Double.MAX_VALUE;
         double p = Math.exp(-Math.max(1, t.usefulUntil - now) / Math.max(1, expected));
         return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
     }
 
-    /** May this server get this request? A repeat of what may have run stays where repeats are dropped. */
+    /** Whether this server may get this request. A repeat of one that may have run stays where repeats are dropped. */
     private boolean isEligible(Server s, TrackedRequest t, Attempt binding, double subset, long now) {
         if (!s.isReady() || !coldBudget.allows(s, subset, now)) {
             return false;
@@ -159,7 +159,7 @@
         if (binding == null || t.profile.effect() != Effect.DEDUPLICATED || t.profile.scope() == Scope.ALL) {
             return true;
         }
-        // Where that was when it got the first: the list may have moved it since.
+        // The server's zone and cell at the first attempt; the list may have changed them since.
         return s.zone() == binding.listedAs.zone()
                 && (t.profile.scope() == Scope.ZONE || s.listed.cell() == binding.listedAs.cell());
     }
--- a/src/main/java/gullspar/decide/Server.java
+++ b/src/main/java/gullspar/decide/Server.java
@@ -1,27 +1,27 @@
 package gullspar.decide;
 
-/** What a proxy knows of one server. State only, no decision. */
+/** A proxy's state for one server; makes no decision. */
 final class Server {
     final int id;
     Balancer.ListedServer listed;
-    /** Time of a request when warm: as used, as its own answers tell, and how many of them count. */
+    /** Service time when warm: as used, from its own answers, and the number of samples behind that. */
     double serviceNs, ownServiceNs, serviceSamples;
-    /** The reported spare share, the factor made of it, the rotation's tally. */
+    /** The reported spare share, the factor derived from it, the credit in the rotation. */
     double spareShare = 1, factor, rotationCredit;
-    /** The last report; the others' requests by it, how fresh that is, and what is held of them now. */
+    /** The last report; the load of other proxies in it, its freshness, and the current estimate of that load. */
     double reportedUtilization, reportedRequests, reportedForeignLoad, reportFreshness, foreignLoad;
-    /** Requests that run side by side without slowing each other: the requests above count in these. */
+    /** Requests that run concurrently without slowing each other, the unit of the loads above, and its inputs. */
     double concurrency, meanThroughput, meanUtilization, reportedThroughput;
 
     double tokens;
     final long startedAtNs;
-    /** When a connection to it failed last; 0 for never. */
+    /** When a connection to it last failed; 0 for never. */
     long connectFailedAt;
 
     long factorUpdatedAt, serviceUpdatedAt, awaitingSince, nextTrialAt, trialPauseNs, tokensUpdatedAt;
     int openAttempts, consecutiveFailures;
     boolean isListed, isEjected, isEligible, lacksInflight;
-    /** Place in this proxy's order of the zone's servers, 0 to 1: the subset is those under its width. */
+    /** Position in this proxy's order of the zone's servers, 0 to 1; the subset is the positions below its width. */
     double subsetPosition;
 
     Server(Balancer.ListedServer listed, double pace, double parallel, long now) {
@@ -37,7 +37,6 @@
         return openAttempts / concurrency + foreignLoad;
     }
 
-    /** The number of its zone. */
     int zone() {
         return Math.max(0, listed.zone());
     }
--- a/src/main/java/gullspar/decide/ServerWeights.java
+++ b/src/main/java/gullspar/decide/ServerWeights.java
@@ -4,24 +4,24 @@
 import gullspar.decide.Balancer.Settings;
 
 /**
- * Makes factors of load reports: capacity times spare share, low while young (docs/DESIGN.md). The weight in
- * the rotation is the factor less what unanswered requests and reports say of the server's queue.
+ * Computes factors from load reports: capacity times spare share, low during cold start (docs/DESIGN.md). The
+ * weight in the rotation is the factor reduced by the server's estimated queue.
  */
 final class ServerWeights {
-    /** A factor is renewed by the first report so long after the last renewal, in ns. */
+    /** Minimum interval between updates of a factor. */
     private static final long FACTOR_INTERVAL_NS = 200_000_000L;
-    /** Weight of a new report's spare share: two reports halve the noise without doubling their lateness. */
+    /** Weight of a new report's spare share: averaging two reports halves the noise without doubling the lag. */
     private static final double SPARE_SMOOTHING = 0.5;
-    /** No spare share under this: a server at 0 would never get the request that renews it. */
+    /** Lower bound of the spare share: a server at 0 would never get the request whose report updates it. */
     static final double MIN_SPARE_SHARE = 0.1;
-    /** Of more requests in hand no report is believed. */
+    /** Reports of more requests than this are ignored. */
     private static final double MAX_REPORTED_REQUESTS = 1000;
-    /** Weight of a new report in what a server can do in a second. */
+    /** Weight of a new report in a server's mean throughput and utilization. */
     private static final double THROUGHPUT_SMOOTHING = 0.2;
 
     private final Settings settings;
     private final ZoneStats zones;
-    /** No server has reported its load: the weights of the list count. */
+    /** Whether the list's weights apply, as no server has reported its load yet. */
     private boolean usesListWeights;
 
     private double meanConcurrency = 1;
@@ -33,21 +33,21 @@
         this.usesListWeights = settings.usesListWeights();
     }
 
-    /** The shortest promise of all classes, in ns. */
+    /** Sets the shortest latency target of all classes. */
     void setMinLatencyTarget(double latencyTargetNs) {
         minLatencyTargetNs = latencyTargetNs;
     }
 
-    /** Requests that a server runs side by side without slowing each other, in the mean. */
+    /** Mean number of requests that a server runs concurrently without slowing each other. */
     double meanConcurrency() {
         return meanConcurrency;
     }
 
     /**
-     * Share of its capacity that a server surely has by now; 1 when warm. One that refused a connection may
-     * have started anew since: the list says so only seconds after it is back. Guards against proxies that
-     * all give a server that crashed its old share again while it is cold; costs one that was merely cut off
-     * or had no place for a connection a part of its share for the time of a start.
+     * Share of its capacity that a server is sure to have now; 1 when warm. A server that refused a connection
+     * may have restarted since, and the list shows that only seconds after it is back. Without this, all proxies
+     * would give a restarted server its old share while it is cold. A server that was only unreachable or had
+     * no room for a connection loses part of its share for the length of a cold start.
      */
     double warmth(Server s, long now) {
         long start = Math.max(s.startedAtNs, s.connectFailedAt);
@@ -57,7 +57,7 @@
                 : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, age);
     }
 
-    /** Takes in the report of an answer; null if it held none. */
+    /** Applies the report of an answer; null if it had none. */
     void applyReport(Server s, long now, Report r) {
         if (r == null) {
             return;
@@ -76,7 +76,7 @@
     private void updateForeignLoad(Server s, long now, Report r) {
         s.lacksInflight = !Double.isFinite(r.inflight());
         double requests = Double.isFinite(r.inflight()) ? r.inflight() : r.queued();
-        // Answers repeat a report until the next is made; of two the util differs, also where both held none.
+        // Answers repeat a report until the next is made; a new one differs in utilization, even with no requests.
         boolean isNew = requests != s.reportedRequests || Double.compare(r.utilization(), s.reportedUtilization) != 0;
         if (requests >= 0 && requests < MAX_REPORTED_REQUESTS && isNew) {
             s.reportedRequests = requests;
@@ -91,7 +91,7 @@
 
     private void updateConcurrency(Server s, Report r) {
         if (r.requestsPerSecond() > 0 && r.utilization() > 0 && r.requestsPerSecond() != s.reportedThroughput) {
-            // What it does in a second over its busy share is what it can do, whatever its requests wait for.
+            // Capacity is throughput over utilization, whatever the requests wait for.
             s.reportedThroughput = r.requestsPerSecond();
             s.meanThroughput += THROUGHPUT_SMOOTHING * (r.requestsPerSecond() - s.meanThroughput);
             s.meanUtilization += THROUGHPUT_SMOOTHING * (Math.min(1, r.utilization()) - s.meanUtilization);
@@ -100,7 +100,7 @@
         }
     }
 
-    /** The design's formula: low while young, else capacity times spare share. */
+    /** The formula of the design: capacity times spare share, reduced during cold start. */
     void updateFactor(Server s, long now) {
         s.factorUpdatedAt = now;
         s.factor = minLatencyTargetNs
@@ -111,9 +111,9 @@
     }
 
     /**
-     * The factor, less what waits there: as a fourth power, to level the queues and not the rates. Where no
-     * report makes factors it is the design's start, the list's weight: servers that tell nothing get the
-     * shares that their operator declared, however quick each seems.
+     * The factor divided by the fourth power of the queue, which evens out queues, not rates. Without any load
+     * report it is the weight in the list: servers that do not report get the shares that their operator
+     * declared, however fast each seems.
      */
     double weight(Server s) {
         if (usesListWeights) {
--- a/src/main/java/gullspar/decide/Servers.java
+++ b/src/main/java/gullspar/decide/Servers.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The servers as they are listed, and which of them this proxy uses (its subset). */
+/** The listed servers, and the subset of them that this proxy uses. */
 final class Servers {
-    /** Servers of the own zone in the subset at the least; how often to hear of each in a promise. */
+    /** Minimum size of the subset in the own zone, and the answers wanted from each server per latency target. */
     private static final double MIN_SUBSET = 2;
 
     private static final double ANSWERS_PER_TARGET = 2;
-    /** Spreads the proxies' subsets evenly over the servers, however many of each there are. */
+    /** Spreads the proxies' subsets evenly over the servers, for any number of either. */
     private static final double GOLDEN_RATIO = 0.6180339887;
 
     private final Settings settings;
@@ -40,15 +40,15 @@
         this.weights = weights;
     }
 
-    /** By their numbers, the same order at every proxy. */
+    /** Sorted by id, the same order at every proxy. */
     List<Server> all() {
         return all;
     }
 
-    /** A list that was not a failed call. */
+    /** Applies a list event other than FAILED. */
     void applyList(long now, ListKind kind, List<ListedServer> servers) {
         for (Server s : all) {
-            s.isListed &= kind == ListKind.DELTA; // missing from a whole list: gone
+            s.isListed &= kind == ListKind.DELTA; // absent from a complete list: no longer listed
         }
         for (ListedServer m : servers) {
             Server s = byId.get(m.id());
@@ -79,10 +79,10 @@
         }
     }
 
-    /** A server is new or has started anew: nothing learnt of an old process holds. */
+    /** Adds a server that is new or has restarted; statistics of an old process do not apply. */
     private Server addStarted(ListedServer m, long now) {
         Server s = new Server(
-                m, serviceTimes.get(m.kind()), weights.meanConcurrency(), now); // it needs what its kind needs
+                m, serviceTimes.get(m.kind()), weights.meanConcurrency(), now); // starts with the kind's service time
         s.isListed = true;
         Server old = byId.get(s.id);
         if (old != null) {
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Proxies that take a server for cold from one moment on must not all turn to it at once: a phase of its
-     * own in the rotation, and part of a token, so that their first requests are spread as their later ones.
+     * Gives a server a random rotation credit and part of a token, so that proxies that consider it cold from the
+     * same moment do not all send their first request at once.
      */
     void randomizePhase(Server s, long now) {
         s.tokens = random.nextDouble();
@@ -105,7 +105,7 @@
         s.rotationCredit = -random.nextDouble();
     }
 
-    /** Subsetting: servers of a zone that can each be heard of within a promise, and none left out. */
+    /** Subset size: servers that each answer within a latency target, with every server used by some proxy. */
     double subsetSize(double arrivals, double minLatencyTargetNs) {
         double observable = arrivals * minLatencyTargetNs / ZoneStats.DECAY_NS / ANSWERS_PER_TARGET;
         return Math.max(observable, MIN_SUBSET * Math.max(1, all.size() / (double) settings.proxyCount()));
--- a/src/main/java/gullspar/decide/TrackedRequest.java
+++ b/src/main/java/gullspar/decide/TrackedRequest.java
@@ -5,11 +5,11 @@
 import java.util.Deque;
 import java.util.List;
 
-/** A request that a proxy has taken, kept until its last attempt has ended. State only, no decision. */
+/** A request in progress, kept until its last attempt has ended; makes no decision. */
 final class TrackedRequest {
     final Balancer.Request request;
     final Balancer.Profile profile;
-    /** When its answer stops earning anything, and when its client leaves. */
+    /** When its answer would miss the latency target, and when its client gives up. */
     final long usefulUntil;
 
     final long deadline;
@@ -17,10 +17,10 @@
     int openAttempts;
     boolean isFinished;
     boolean isStreaming;
-    /** Its client left while an answer would still have been in time. */
+    /** The client disconnected while an answer would still have been in time. */
     boolean clientLeftEarly;
 
-    /** The queue of its key; null where the order of requests is free. */
+    /** The queue of its key; null if its class is not sequential or it has no key. */
     KeyQueue keyQueue;
 
     TrackedRequest(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
@@ -30,10 +30,10 @@
         this.deadline = deadline;
     }
 
-    /** One attempt; ahead is the load that the server had when it was sent, ended is null while it is out. */
+    /** One attempt; loadAhead is the server's load when it was sent, status is null while it is open. */
     static final class Attempt {
         final Server server;
-        /** The server as it was listed then: a repeat is bound to the group of that moment. */
+        /** The list's entry of the server when it was sent, whose zone and cell restrict repeats. */
         final Balancer.ListedServer listedAs;
 
         final double loadAhead;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The requests of one key that must keep their order, and until when the key rests. */
+    /** The sequential requests of one key in order, and until when the key is blocked. */
     static final class KeyQueue {
         final Deque<TrackedRequest> requests = new ArrayDeque<>();
         long blockedUntil;
--- a/src/main/java/gullspar/decide/TrafficRates.java
+++ b/src/main/java/gullspar/decide/TrafficRates.java
@@ -1,13 +1,13 @@
 package gullspar.decide;
 
-/** Decaying counts of a proxy's own requests. State only, no decision. */
+/** Decaying counts of a proxy's own requests; makes no decision. */
 final class TrafficRates {
-    /** Memory of sends by zone, in ns: a release must not shrink the cold budgets that it needs. */
+    /** Decay time of the sends by zone, long enough that a rolling release does not shrink its cold budgets. */
     static final double DECAY_NS = 15e9;
 
     private static final double MIN_ELAPSED_NS = 1e9;
 
-    /** Requests that came; those that no server got; attempts sent, served in good time, and lost. */
+    /** Requests received and those never sent; attempts sent, served in time, and lost. */
     double arrivals;
 
     double unsent;
@@ -21,11 +21,12 @@
     }
 
     void recordArrival(long now) {
-        countingSince = arrivals == 0 ? now : countingSince; // none yet, or none for so long that no rate is left
+        countingSince =
+                arrivals == 0 ? now : countingSince; // none yet, or none for so long that the rate has decayed to 0
         arrivals++;
     }
 
-    /** An attempt has ended that tells nothing of the load. */
+    /** Removes an attempt whose outcome is no evidence of load. */
     void discountSend() {
         sent = Math.max(0, sent - 1);
     }
@@ -39,11 +40,10 @@
     }
 
     /**
-     * The time over which a rate was counted, in ns: its memory, or what there has been of it. Guards against
-     * a proxy that starts in the middle of a release, where most servers are cold: by the whole memory its
-     * rates, and so its budgets, would seem a tenth of what they are. It counts from the first request: one
-     * that knows the list long before its clients come has no lower rates for it. Of the first moment no
-     * rate is made.
+     * The time over which a rate was counted: its decay time, or less if counting started recently. With the
+     * full decay time, a proxy that starts during a rolling release, when most servers are cold, would compute
+     * a tenth of its real rates and so of its cold budgets. Counting starts at the first request, so that
+     * time without clients does not lower the rates. A minimum avoids rates from the first moment.
      */
     double effectiveWindowNs(double decayNs, long now) {
         return decayNs * (1 - Math.exp(-Math.max(MIN_ELAPSED_NS, now - countingSince) / decayNs));
--- a/src/main/java/gullspar/decide/ZoneStats.java
+++ b/src/main/java/gullspar/decide/ZoneStats.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * What a proxy knows of each zone, by the zone's number in the settings. Grows with the zones that are
- * listed. State only, no decision.
+ * A proxy's statistics of each zone, by its number in the settings. Grows with the zones listed; makes no
+ * decision.
  */
 final class ZoneStats {
-    /** Memory of what is usual for the requests at all servers, in ns. */
+    /** Decay time of the typical load at the servers of a zone. */
     static final double DECAY_NS = 2e9;
 
     private static final int INITIAL_ZONES = 8;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A server of the zone has been listed as ready; returns how many were before it. */
+    /** Counts a server listed as ready; returns how many were counted before it. */
     int countReady(int zone) {
         ensureZone(zone);
         return readyCount[zone]++;
@@ -49,25 +49,25 @@
         Arrays.fill(readyCount, 0);
     }
 
-    /** Servers of the zone that are ready. */
+    /** Number of ready servers in the zone. */
     int readyCount(int zone) {
         ensureZone(zone);
         return readyCount[zone];
     }
 
-    /** A request was sent there. Counted by those ready now: a zone that shrinks grows no rate by it. */
+    /** Counts a send, divided by the servers ready now, so that a shrinking zone does not inflate the rate. */
     void sent(int zone) {
         ensureZone(zone);
         sent[zone] += 1.0 / readyCount[zone];
     }
 
-    /** Own sends to a server of the zone in the mean, of the time that is remembered. */
+    /** Decaying count of this proxy's sends per server of the zone. */
     double sendsPerServer(int zone) {
         ensureZone(zone);
         return sent[zone];
     }
 
-    /** A report tells of so many requests of others at a server: the share that a further one would get. */
+    /** Records the load of other proxies at a server, as the share that another request would get. */
     void recordForeignLoad(int zone, double foreignLoad, long now) {
         ensureZone(zone);
         double gain = 1 - Math.exp((openShareUpdatedAt[zone] - now) / DECAY_NS);
@@ -75,13 +75,13 @@
         openShareUpdatedAt[zone] = now;
     }
 
-    /** Others' requests that are usual at a server: by the mean share, which long queues hardly move. */
+    /** Typical load of other proxies at a server, from the mean share, which long queues hardly affect. */
     double typicalForeignLoad(int zone) {
         ensureZone(zone);
         return 1 / openShare[zone] - 1;
     }
 
-    /** Time passes: keeps that part of the sends, and that part of what is not open. */
+    /** Decays the sends and the share of capacity in use, keeping these parts of each. */
     void decay(double keepSent, double keepForeignLoad) {
         for (int z = 0; z < sent.length; z++) {
             sent[z] *= keepSent;
--- a/src/main/java/gullspar/drill/Batch.java
+++ b/src/main/java/gullspar/drill/Batch.java
@@ -6,7 +6,7 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** One frame of events: a clock, records of 48 bytes and a tail. Reads are checked against the frame. */
+/** One frame of events: the time, records of 48 bytes and a tail. References into the tail are bounds-checked. */
 final class Batch {
     static final int HEADER_BYTES = 16;
     static final int RECORD_BYTES = 48;
@@ -23,27 +23,27 @@
         this.tailStart = count * RECORD_BYTES;
     }
 
-    /** Reads the next frame; null where the input ends between frames. */
+    /** Reads the next frame; null if the input ends between frames. */
     static Batch read(InputStream in) throws IOException {
         byte[] head = in.readNBytes(HEADER_BYTES);
         if (head.length == 0) {
             return null;
         }
         if (head.length < HEADER_BYTES) {
-            throw new WireException("the input ends inside a frame's header");
+            throw new WireException("input truncated: it ends inside a frame header");
         }
         ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
         long length = Integer.toUnsignedLong(header.getInt());
         long count = Integer.toUnsignedLong(header.getInt());
         if (count * RECORD_BYTES > length) {
-            throw new WireException(count + " records do not fit in a frame of " + length + " bytes");
+            throw new WireException("malformed frame: " + count + " records do not fit in " + length + " bytes");
         }
         if (length > Integer.MAX_VALUE - 64) {
-            throw new WireException("a frame of " + length + " bytes is too long");
+            throw new WireException("malformed frame: length of " + length + " bytes exceeds the limit");
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
-            throw new WireException("the input ends inside a frame");
+            throw new WireException("input truncated: it ends inside a frame body");
         }
         return new Batch(header.getLong(), (int) count, body);
     }
@@ -68,13 +68,13 @@
         return body.getFloat(at);
     }
 
-    /** Where in the frame a tail reference at this place points to; size is that of one of its entries. */
+    /** Resolves the tail reference at this position to a position in the frame, for entries of this size. */
     int tailPosition(int at, int entryBytes) {
         long offset = Integer.toUnsignedLong(body.getInt(at));
         long bytes = Integer.toUnsignedLong(body.getInt(at + 4)) * entryBytes;
         if (offset + bytes > body.capacity() - tailStart) {
-            throw new WireException("a reference of " + bytes + " bytes at " + offset + " leaves the tail of "
-                    + (body.capacity() - tailStart) + " bytes");
+            throw new WireException("malformed frame: reference of " + bytes + " bytes at offset " + offset
+                    + " exceeds the tail of " + (body.capacity() - tailStart) + " bytes");
         }
         return tailStart + (int) offset;
     }
--- a/src/main/java/gullspar/drill/Host.java
+++ b/src/main/java/gullspar/drill/Host.java
@@ -20,14 +20,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many instances of the module on the simulator's wire. It translates and decides nothing. */
+/** Runs many instances of the decision module for the simulator, translating its wire protocol only. */
 public final class Host {
     private static final int ENTRY_BYTES = 22;
     private static final Status[] STATUSES = Status.values();
     private static final State[] STATES = State.values();
     private static final ListKind[] LIST_KINDS = ListKind.values();
 
-    /** A running instance and which report column holds what (see {@link #REPORT_NAMES}). */
+    /** A running instance and the columns of its reports (see {@link #REPORT_NAMES}). */
     private record Instance(Balancer balancer, int[] columns, int profiles) {}
 
     private static final List<String> REPORT_NAMES =
@@ -42,7 +42,7 @@
         this.factory = factory;
     }
 
-    /** Serves batches until the input ends. */
+    /** Processes batches until the input ends. */
     public void serve(InputStream input, OutputStream output) throws IOException {
         InputStream in = new BufferedInputStream(input, 1 << 16);
         for (Batch b = Batch.read(in); b != null; b = Batch.read(in)) {
@@ -98,7 +98,7 @@
 
     private static Instance requireRunning(Instance i, int code, int proxy) {
         if (i == null) {
-            throw new WireException("event " + code + " for instance " + proxy + ", which is not running");
+            throw new WireException("event " + code + " for instance " + proxy + ": the instance is not running");
         }
         return i;
     }
@@ -111,14 +111,15 @@
                 ListKind kind = constantAt(LIST_KINDS, b.u8(at + 5), "list kind");
                 List<ListedServer> list = kind == ListKind.FAILED ? List.of() : serverLists.get(b.u16(at + 14));
                 if (list == null) {
-                    throw new WireException("list number " + b.u16(at + 14) + " was never given");
+                    throw new WireException("unknown server list " + b.u16(at + 14));
                 }
                 m.onServerList(now, kind, b.i64(at + 6), list);
             }
             case 3 -> {
                 int flags = b.u16(at + 36);
                 if (b.u8(at + 9) >= to.profiles()) {
-                    throw new WireException("a request of class " + b.u8(at + 9) + " of " + to.profiles());
+                    throw new WireException(
+                            "request class " + b.u8(at + 9) + " out of range: number of classes is " + to.profiles());
                 }
                 m.onRequest(
                         now,
@@ -173,7 +174,7 @@
         return List.copyOf(list);
     }
 
-    /** For each value of {@link Report}, the column that holds it, or -1. */
+    /** For each value of {@link Report}, the column that holds it, or -1 if none does. */
     private static int[] findColumns(String[] names) {
         int[] columns = new int[REPORT_NAMES.size()];
         for (int i = 0; i < columns.length; i++) {
@@ -185,7 +186,7 @@
     private static Report readReport(Batch b, int at, int[] columns) {
         int n = b.u8(at);
         if (n > 4) {
-            throw new WireException("a load report of " + n + " values");
+            throw new WireException("load report of " + n + " values: at most 4 allowed");
         }
         return n == 0
                 ? null
--- a/src/main/java/gullspar/drill/Reply.java
+++ b/src/main/java/gullspar/drill/Reply.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply to one batch: action records of 24 bytes, then the tail that they refer to. */
+/** The reply to one batch: action records of 24 bytes, then the tail that they reference. */
 final class Reply {
     static final int RECORD_BYTES = 24;
 
@@ -16,7 +16,7 @@
     private byte[] tail = new byte[1 << 10];
     private int tailLength;
 
-    /** The sink of one instance: every action carries its number. */
+    /** The actions of one instance, each recorded with the instance's number. */
     Balancer.Actions actionsOf(int proxy) {
         return new Balancer.Actions() {
             @Override
@@ -76,7 +76,7 @@
         };
     }
 
-    /** Says that the module of an instance has thrown. */
+    /** Records that the module of an instance has thrown an exception. */
     void reportException(int proxy, String text) {
         padRecord(appendTail(beginRecord(74, proxy), text.getBytes(StandardCharsets.UTF_8)));
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Writes the frame, flushes and starts anew. */
+    /** Writes the frame, flushes and resets. */
     void writeTo(OutputStream out) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN);
         header.putInt(records.position() / RECORD_BYTES).putInt(records.position() + tailLength);
--- a/src/main/java/gullspar/drill/WireException.java
+++ b/src/main/java/gullspar/drill/WireException.java
@@ -1,6 +1,6 @@
 package gullspar.drill;
 
-/** Input that is not the wire; the message is one plain line. */
+/** Input that violates the wire protocol; the message is a single line. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/settings/SettingsException.java
+++ b/src/main/java/gullspar/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package gullspar.settings;
 
-/** Settings that cannot be used; the message says which and why. */
+/** Invalid settings; the message names the setting and the reason. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/settings/SettingsParser.java
+++ b/src/main/java/gullspar/settings/SettingsParser.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The settings by path, as in the text of a Start event. Keys that are not asked for are skipped. */
+/** Parses settings given by path, as in the text of a Start event. Unknown keys are ignored. */
 public final class SettingsParser {
     private final Map<String, String> values;
 
@@ -18,7 +18,7 @@
         this.values = values;
     }
 
-    /** The settings, with the names of the report columns beside them. */
+    /** The settings and the names of the report columns. */
     public record Parsed(Settings settings, String[] columns) {}
 
     /** Parses path=value lines. */
@@ -112,7 +112,7 @@
                 return d;
             }
         } catch (NumberFormatException e) {
-            // falls through to the one message for both
+            // reported below, as are infinities and NaN
         }
         throw new SettingsException("setting " + key + " is not a number: " + v);
     }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -266,23 +266,29 @@
 
     @Test
     void malformedInputIsSaidPlainly() {
-        refused("the input ends inside a frame's header", "0000000000");
-        refused("the input ends inside a frame", "3000000001000000" + CLOCK + "03");
-        refused("2 records do not fit in a frame of 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
+        refused("input truncated: it ends inside a frame header", "0000000000");
+        refused("input truncated: it ends inside a frame body", "3000000001000000" + CLOCK + "03");
+        refused("malformed frame: 2 records do not fit in 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
         refused("unknown event code 12", frame("", "0c" + "00".repeat(47)));
         refused("unknown event code 0", frame("", "00".repeat(48)));
-        refused("event 7 for instance 3, which is not running", frame("", ELAPSED));
-        refused("event 10 for instance 3, which is not running", frame("", "0a03000000" + "00".repeat(43)));
-        refused("a request of class 1 of 1", start(CONFIG), frame("", INGRESS.replace("5d00", "5d01")));
+        refused("event 7 for instance 3: the instance is not running", frame("", ELAPSED));
+        refused("event 10 for instance 3: the instance is not running", frame("", "0a03000000" + "00".repeat(43)));
         refused(
-                "list number 5 was never given",
+                "request class 1 out of range: number of classes is 1",
+                start(CONFIG),
+                frame("", INGRESS.replace("5d00", "5d01")));
+        refused(
+                "unknown server list 5",
                 start(CONFIG),
                 frame("", "0203000000022900000000000000" + "0500" + "00".repeat(32)));
         refused(
-                "a reference of 44 bytes at 0 leaves the tail of 4 bytes",
+                "malformed frame: reference of 44 bytes at offset 0 exceeds the tail of 4 bytes",
                 frame("00000000", "0b00000000000002000000" + "00".repeat(37)));
         refused("unknown outcome 9", start(CONFIG), frame("", DONE.replace("074a12030100", "074a12030900")));
-        refused("a load report of 7 values", start(CONFIG), frame("", DONE.replace("000102000040", "000107000040")));
+        refused(
+                "load report of 7 values: at most 4 allowed",
+                start(CONFIG),
+                frame("", DONE.replace("000102000040", "000107000040")));
     }
 
     @Test
@@ -329,7 +335,7 @@
     @Test
     void anInstanceThatWasKilledHearsNothing() {
         refused(
-                "event 7 for instance 3, which is not running",
+                "event 7 for instance 3: the instance is not running",
                 start(CONFIG),
                 frame("", "0a03000000" + "00".repeat(43)),
                 frame("", ELAPSED));
