--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -80,13 +80,24 @@
                 Effect effect,
                 Scope scope,
                 long windowNs,
-                long promiseNs,
-                long giveUpNs,
+                long latencyTargetNs,
+                long clientTimeoutNs,
                 double worth,
                 double lateShare,
                 boolean streamed,
                 boolean sequential) {
-            this(effect, scope, windowNs, promiseNs, giveUpNs, worth, lateShare, streamed, sequential, 0, 0);
+            this(
+                    effect,
+                    scope,
+                    windowNs,
+                    latencyTargetNs,
+                    clientTimeoutNs,
+                    worth,
+                    lateShare,
+                    streamed,
+                    sequential,
+                    0,
+                    0);
         }
 
         /** A copy with another limit on attempts. */
@@ -136,41 +147,41 @@
         }
 
         public Settings(
-                int me,
-                int balancers,
+                int proxyIndex,
+                int proxyCount,
                 int zone,
                 List<Profile> profiles,
-                boolean askForList,
-                boolean mayCancel,
+                boolean listOnRequest,
+                boolean canCancel,
                 int maxAttempts,
                 long maxRetryAfterNs,
                 double startCapacity,
-                long coldNs,
-                double tipMultiple,
-                long fallNs,
-                long askWithinNs,
-                long stepNs,
+                long coldStartNs,
+                double overloadMultiple,
+                long overloadWindowNs,
+                long refreshWithinNs,
+                long clockStepNs,
                 double crossZonePrice,
-                boolean fullIsNoProof,
-                long turnGapNs) {
+                boolean fullMayHaveRun,
+                long sequentialGapNs) {
             this(
-                    me,
-                    balancers,
+                    proxyIndex,
+                    proxyCount,
                     zone,
                     profiles,
-                    askForList,
-                    mayCancel,
+                    listOnRequest,
+                    canCancel,
                     maxAttempts,
                     maxRetryAfterNs,
                     startCapacity,
-                    coldNs,
-                    tipMultiple,
-                    fallNs,
-                    askWithinNs,
-                    stepNs,
+                    coldStartNs,
+                    overloadMultiple,
+                    overloadWindowNs,
+                    refreshWithinNs,
+                    clockStepNs,
                     crossZonePrice,
-                    fullIsNoProof,
-                    turnGapNs,
+                    fullMayHaveRun,
+                    sequentialGapNs,
                     false);
         }
     }
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -128,7 +128,7 @@
      * After a stall, outcomes and timeouts are caused by the proxy, not by the servers: outcomes of that
      * moment are not used as evidence about servers. Later ones count again.
      */
-    private void detectStandstill(long now) {
+    private void detectStall(long now) {
         if (now - lastEventAt > 2 * HEARTBEAT_NS) {
             resumedAt = now;
             servers.all().forEach(s -> s.awaitingSince = now);
@@ -138,7 +138,7 @@
 
     @Override
     public void onRequest(long now, Request request) {
-        detectStandstill(now);
+        detectStall(now);
         decay(now);
         rates.recordArrival(now);
         Profile profile = profiles.get(request.profile());
@@ -315,7 +315,7 @@
 
     @Override
     public void onOutcome(long now, Outcome o) {
-        detectStandstill(now);
+        detectStall(now);
         TrackedRequest t = requests.get(o.ticket());
         if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).status != null) {
             return;
@@ -363,7 +363,7 @@
 
     @Override
     public void onTimer(long now, long token) {
-        detectStandstill(now);
+        detectStall(now);
         if (token == HEARTBEAT_TIMER) {
             actions.setTimer(now + HEARTBEAT_NS, HEARTBEAT_TIMER);
         } else if (token == WAITING_TIMER) {
--- a/src/test/java/gullspar/decide/EmbeddingTest.java
+++ b/src/test/java/gullspar/decide/EmbeddingTest.java
@@ -10,7 +10,7 @@
 /** The README's example: a proxy that hands its events to the module and does what it is told. */
 class EmbeddingTest {
     @Test
-    void aProxyEmbedsTheModule() {
+    void drivesTheModuleThroughItsInterface() {
         List<String> done = new ArrayList<>();
         // A real proxy implements the interface; this one notes what it is told.
         Balancer.Actions actions = (Balancer.Actions) Proxy.newProxyInstance(
@@ -19,8 +19,8 @@
                     return null;
                 });
         long now = 0;
-        Balancer balancer = new Policy(Rig.settings(false, Rig.SAFE), 42, now, actions);
-        balancer.onServerList(now, Balancer.ListKind.FULL, 1, List.of(Rig.member(7, 0, Balancer.State.READY)));
+        Balancer balancer = new Policy(FakeHost.settings(false, FakeHost.IDEMPOTENT), 42, now, actions);
+        balancer.onServerList(now, Balancer.ListKind.FULL, 1, List.of(FakeHost.member(7, 0, Balancer.State.READY)));
         balancer.onRequest(now, new Balancer.Request(1, 0, 0, 0, 1_000_000_000L, 0, false));
         now += 20_000_000L;
         balancer.onOutcome(now, new Balancer.Outcome(1, 0, 7, Balancer.Status.OK, 20_000_000L, true, null));
--- a/src/test/java/gullspar/decide/Rig.java
+++ b/src/test/java/gullspar/decide/FakeHost.java
@@ -18,37 +18,37 @@
 import java.util.PriorityQueue;
 
 /** Drives one instance of the module by hand: a clock, a record of its actions and its timers. */
-final class Rig implements Balancer.Actions {
+final class FakeHost implements Balancer.Actions {
     static final long MS = 1_000_000L;
-    static final Profile SAFE = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
-    static final Profile KEYED = profile(Effect.DEDUPLICATED, Scope.ALL, 2000);
-    static final Profile KEYED_ZONE = profile(Effect.DEDUPLICATED, Scope.ZONE, 400);
-    static final Profile ONCE = profile(Effect.AT_MOST_ONCE, Scope.ALL, 0);
-    static final Profile SAFE_IN_TURN = inTurn(SAFE);
-    static final Profile ONCE_IN_TURN = inTurn(ONCE);
+    static final Profile IDEMPOTENT = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
+    static final Profile DEDUPLICATED = profile(Effect.DEDUPLICATED, Scope.ALL, 2000);
+    static final Profile DEDUPLICATED_IN_ZONE = profile(Effect.DEDUPLICATED, Scope.ZONE, 400);
+    static final Profile AT_MOST_ONCE = profile(Effect.AT_MOST_ONCE, Scope.ALL, 0);
+    static final Profile IDEMPOTENT_SEQUENTIAL = sequential(IDEMPOTENT);
+    static final Profile AT_MOST_ONCE_SEQUENTIAL = sequential(AT_MOST_ONCE);
 
     final List<String> actions = new ArrayList<>();
     final Map<Integer, List<Integer>> sends = new HashMap<>();
-    final Map<Integer, String> answers = new HashMap<>();
+    final Map<Integer, String> finalAnswers = new HashMap<>();
     final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-    final Policy rules;
+    final Policy policy;
     long now = 1_000_000_000_000L;
     long lastTimeout;
-    private int next;
+    private int lastTicket;
 
-    Rig(Settings settings) {
+    FakeHost(Settings settings) {
         this(settings, 7);
     }
 
-    Rig(Settings settings, long seed) {
-        rules = new Policy(settings, seed, now, this);
+    FakeHost(Settings settings, long seed) {
+        policy = new Policy(settings, seed, now, this);
     }
 
     static Profile profile(Effect effect, Scope scope, long windowMs) {
         return new Profile(effect, scope, windowMs * MS, 250 * MS, 1000 * MS, 5, 0, false, false);
     }
 
-    private static Profile inTurn(Profile p) {
+    private static Profile sequential(Profile p) {
         return new Profile(
                 p.effect(),
                 p.scope(),
@@ -107,28 +107,28 @@
         return members;
     }
 
-    Rig list(ListKind kind, ListedServer... members) {
-        rules.onServerList(now, kind, 1, List.of(members));
+    FakeHost deliverList(ListKind kind, ListedServer... members) {
+        policy.onServerList(now, kind, 1, List.of(members));
         return this;
     }
 
     /** A new request; returns its ticket. */
-    int request(int profile, long leftMs) {
-        return request(profile, leftMs, 0);
+    int request(int profile, long timeLeftMs) {
+        return request(profile, timeLeftMs, 0);
     }
 
-    int request(int profile, long leftMs, long key) {
-        return take(profile, leftMs, key, false);
+    int request(int profile, long timeLeftMs, long key) {
+        return deliverRequest(profile, timeLeftMs, key, false);
     }
 
     /** A client's repeat, marked as such. */
-    int repeat(int profile, long leftMs) {
-        return take(profile, leftMs, 0, true);
+    int repeat(int profile, long timeLeftMs) {
+        return deliverRequest(profile, timeLeftMs, 0, true);
     }
 
-    private int take(int profile, long leftMs, long key, boolean repeat) {
-        int ticket = ++next;
-        rules.onRequest(now, new Request(ticket, profile, 0, key, leftMs * MS, 0, repeat));
+    private int deliverRequest(int profile, long timeLeftMs, long key, boolean repeat) {
+        int ticket = ++lastTicket;
+        policy.onRequest(now, new Request(ticket, profile, 0, key, timeLeftMs * MS, 0, repeat));
         return ticket;
     }
 
@@ -137,38 +137,39 @@
     }
 
     /** The server of an attempt. */
-    int server(int ticket, int attempt) {
+    int serverOf(int ticket, int attempt) {
         return sends.get(ticket).get(attempt);
     }
 
-    int attempts(int ticket) {
+    int attemptCount(int ticket) {
         return sends.getOrDefault(ticket, List.of()).size();
     }
 
-    void done(int ticket, int attempt, Status status, long tookMs, Report report) {
-        boolean over = status == Status.OK || answers.containsKey(ticket);
-        rules.onOutcome(now, new Outcome(ticket, attempt, server(ticket, attempt), status, tookMs * MS, over, report));
+    void endAttempt(int ticket, int attempt, Status status, long elapsedMs, Report report) {
+        boolean isFinal = status == Status.OK || finalAnswers.containsKey(ticket);
+        policy.onOutcome(
+                now, new Outcome(ticket, attempt, serverOf(ticket, attempt), status, elapsedMs * MS, isFinal, report));
         if (status == Status.OK) {
-            answers.putIfAbsent(ticket, "served");
+            finalAnswers.putIfAbsent(ticket, "served");
         }
     }
 
-    void ok(int ticket, long tookMs) {
-        done(ticket, attempts(ticket) - 1, Status.OK, tookMs, null);
+    void succeed(int ticket, long elapsedMs) {
+        endAttempt(ticket, attemptCount(ticket) - 1, Status.OK, elapsedMs, null);
     }
 
     /** Lets time pass, delivering timers as they fall due, in steps of 5 ms. */
-    Rig pass(long ms) {
+    FakeHost advance(long ms) {
         for (long end = now + ms * MS; now < end; ) {
             now += 5 * MS;
             while (!timers.isEmpty() && timers.peek()[0] <= now) {
-                rules.onTimer(now, timers.poll()[1]);
+                policy.onTimer(now, timers.poll()[1]);
             }
         }
         return this;
     }
 
-    static Report util(double util, double inflight) {
+    static Report report(double util, double inflight) {
         return new Report(inflight, Double.NaN, util, Double.NaN, Double.NaN, Double.NaN);
     }
 
@@ -182,13 +183,13 @@
     @Override
     public void refuse(int ticket, long retryInNs) {
         actions.add("refuse " + ticket);
-        answers.merge(ticket, "refused", (a, b) -> a + " and " + b);
+        finalAnswers.merge(ticket, "refused", (a, b) -> a + " and " + b);
     }
 
     @Override
     public void fail(int ticket) {
         actions.add("fail " + ticket);
-        answers.merge(ticket, "failed", (a, b) -> a + " and " + b);
+        finalAnswers.merge(ticket, "failed", (a, b) -> a + " and " + b);
     }
 
     @Override
--- a/src/test/java/gullspar/decide/IntMapTest.java
+++ b/src/test/java/gullspar/decide/IntMapTest.java
@@ -10,7 +10,7 @@
 /** The map against the standard one. */
 class IntMapTest {
     @Test
-    void behavesLikeAMapThroughGrowthAndRemoval() {
+    void matchesHashMapThroughGrowthAndRemoval() {
         IntMap<Integer> map = new IntMap<>();
         Map<Integer, Integer> model = new HashMap<>();
         Random random = new Random(3);
--- a/src/test/java/gullspar/decide/ListWeightsTest.java
+++ b/src/test/java/gullspar/decide/ListWeightsTest.java
@@ -18,8 +18,8 @@
 
 /** Pools whose servers report no load, and classes of requests that are added later. */
 class ListWeightsTest {
-    private static final Profile MINUTE =
-            new Profile(Effect.IDEMPOTENT, Scope.ALL, 0, 60_000 * Rig.MS, 60_000 * Rig.MS, 1, 1, false, false);
+    private static final Profile MINUTE = new Profile(
+            Effect.IDEMPOTENT, Scope.ALL, 0, 60_000 * FakeHost.MS, 60_000 * FakeHost.MS, 1, 1, false, false);
 
     private static Settings settings(boolean listWeights, Profile... profiles) {
         return new Settings(
@@ -30,145 +30,156 @@
                 false,
                 false,
                 4,
-                1000 * Rig.MS,
+                1000 * FakeHost.MS,
                 0.3,
-                9000 * Rig.MS,
+                9000 * FakeHost.MS,
                 3,
-                2000 * Rig.MS,
+                2000 * FakeHost.MS,
                 0,
-                5 * Rig.MS,
+                5 * FakeHost.MS,
                 0.1,
                 false,
                 0,
                 listWeights);
     }
 
-    private static ListedServer weighing(int id, double units) {
+    private static ListedServer weighted(int id, double units) {
         return new ListedServer(id, 0, State.READY, 0, 0, 0, units);
     }
 
-    private static Rig rig(boolean listWeights) {
-        return new Rig(settings(listWeights, MINUTE))
-                .list(ListKind.FULL, weighing(0, 5), weighing(1, 2), weighing(2, 1));
+    private static FakeHost host(boolean listWeights) {
+        return new FakeHost(settings(listWeights, MINUTE))
+                .deliverList(ListKind.FULL, weighted(0, 5), weighted(1, 2), weighted(2, 1));
     }
 
-    private static int[] serve(Rig r, int n, long[] tookMs, Report report) {
+    private static int[] serve(FakeHost r, int n, long[] tookMs, Report report) {
         int[] got = new int[tookMs.length];
         for (int i = 0; i < n; i++) {
             int t = r.request();
-            int s = r.server(t, 0);
+            int s = r.serverOf(t, 0);
             got[s]++;
-            r.pass(tookMs[s]);
-            r.done(t, 0, Status.OK, tookMs[s], report);
+            r.advance(tookMs[s]);
+            r.endAttempt(t, 0, Status.OK, tookMs[s], report);
         }
         return got;
     }
 
     @Test
-    void sharesAreThoseOfTheListHoweverQuickTheServersSeem() {
-        assertArrayEquals(new int[] {500, 200, 100}, serve(rig(true), 800, new long[] {90, 5, 30}, null));
+    void sharesFollowTheListWhateverTheResponseTimes() {
+        assertArrayEquals(new int[] {500, 200, 100}, serve(host(true), 800, new long[] {90, 5, 30}, null));
     }
 
     @Test
-    void theSettingIsWhatDoesIt() {
-        int[] got = serve(rig(false), 800, new long[] {90, 5, 30}, null);
+    void sharesIgnoreListWeightsWithoutTheSetting() {
+        int[] got = serve(host(false), 800, new long[] {90, 5, 30}, null);
         assertTrue(got[0] < 300, "all alike until one reports, " + got[0]);
     }
 
     @Test
-    void sharesStayWhileRequestsWaitAtOneOfThem() {
-        Rig r = rig(true);
+    void sharesStayWhileRequestsQueueAtOneServer() {
+        FakeHost r = host(true);
         int[] got = new int[3];
         for (int i = 0; i < 800; i++) {
             int t = r.request(0, 60_000);
-            got[r.server(t, 0)]++;
-            r.pass(5);
-            if (r.server(t, 0) != 2 || i % 80 == 0) {
-                r.ok(t, 5); // one holds on to most of what it gets
+            got[r.serverOf(t, 0)]++;
+            r.advance(5);
+            if (r.serverOf(t, 0) != 2 || i % 80 == 0) {
+                r.succeed(t, 5); // one holds on to most of what it gets
             }
         }
         assertArrayEquals(new int[] {500, 200, 100}, got);
     }
 
     @Test
-    void aNewWeightCountsFromTheNextRequestOn() {
-        Rig r = rig(true);
+    void aNewWeightAppliesFromTheNextRequest() {
+        FakeHost r = host(true);
         serve(r, 80, new long[] {5, 5, 5}, null);
-        r.list(ListKind.FULL, weighing(0, 1), weighing(1, 2), weighing(2, 5));
+        r.deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 2), weighted(2, 5));
         assertArrayEquals(new int[] {100, 200, 500}, serve(r, 800, new long[] {5, 5, 5}, null));
     }
 
     @Test
-    void whereAServerReportsItsLoadFactorsTakeOver() {
-        Rig r = rig(true);
-        int[] got = serve(r, 2000, new long[] {50, 5, 50}, Rig.util(0.2, 0));
+    void factorsReplaceListWeightsOnceAServerReportsLoad() {
+        FakeHost r = host(true);
+        int[] got = serve(r, 2000, new long[] {50, 5, 50}, FakeHost.report(0.2, 0));
         assertTrue(got[1] > got[0], "the quick one draws more: " + got[0] + " and " + got[1]);
     }
 
     @Test
     void aBurstAtTheStartDoesNotWaitForFirstAnswers() {
-        Rig r = rig(true);
+        FakeHost r = host(true);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += r.attempts(r.request(0, 60_000));
+            sent += r.attemptCount(r.request(0, 60_000));
         }
         assertEquals(100, sent);
     }
 
     @Test
-    void aServerThatIsGoneCostsNoRequestHoweverOftenItIsTried() {
-        Rig r = new Rig(settings(true, MINUTE)).list(ListKind.FULL, weighing(0, 1), weighing(1, 1));
+    void failedConnectsToADownServerLoseNoRequest() {
+        FakeHost r = new FakeHost(settings(true, MINUTE)).deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 1));
         for (int i = 0; i < 200; i++) {
             int t = r.request();
-            if (r.server(t, 0) == 0) {
-                r.done(t, 0, Status.CONNECT_FAILED, 1, null);
-                assertEquals(1, r.server(t, 1));
+            if (r.serverOf(t, 0) == 0) {
+                r.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
+                assertEquals(1, r.serverOf(t, 1));
             }
-            r.pass(5);
-            r.ok(t, 5);
-            assertEquals("served", r.answers.get(t));
+            r.advance(5);
+            r.succeed(t, 5);
+            assertEquals("served", r.finalAnswers.get(t));
         }
     }
 
     @Test
     void furtherAttemptsAfterErrorsStillNeedTheBudget() {
-        Rig r = new Rig(settings(true, MINUTE)).list(ListKind.FULL, Rig.ready(4));
+        FakeHost r = new FakeHost(settings(true, MINUTE)).deliverList(ListKind.FULL, FakeHost.ready(4));
         int second = 0;
         for (int i = 0; i < 100; i++) {
             int t = r.request();
-            r.done(t, 0, Status.ERROR, 5, null);
-            if (r.attempts(t) > 1) {
+            r.endAttempt(t, 0, Status.ERROR, 5, null);
+            if (r.attemptCount(t) > 1) {
                 second++;
-                r.done(t, 1, Status.OK, 5, null);
+                r.endAttempt(t, 1, Status.OK, 5, null);
             }
-            r.pass(5);
+            r.advance(5);
         }
         assertTrue(second < 10, second + " of 100");
     }
 
     @Test
-    void aClassMayHaveFewerAttemptsAndAShorterTimeForEach() {
+    void aClassMayLimitAttemptsAndTheirTimeout() {
         Profile two = new Profile(
-                Effect.IDEMPOTENT, Scope.ALL, 0, 60_000 * Rig.MS, 60_000 * Rig.MS, 1, 1, false, false, 2, 300 * Rig.MS);
-        Rig r = new Rig(settings(true, two)).list(ListKind.FULL, Rig.ready(4));
+                Effect.IDEMPOTENT,
+                Scope.ALL,
+                0,
+                60_000 * FakeHost.MS,
+                60_000 * FakeHost.MS,
+                1,
+                1,
+                false,
+                false,
+                2,
+                300 * FakeHost.MS);
+        FakeHost r = new FakeHost(settings(true, two)).deliverList(ListKind.FULL, FakeHost.ready(4));
         int t = r.request();
-        assertEquals(300 * Rig.MS, r.lastTimeout);
-        r.done(t, 0, Status.ERROR, 5, null);
-        r.done(t, 1, Status.ERROR, 5, null);
-        assertEquals(2, r.attempts(t));
-        assertEquals("refused", r.answers.get(t));
+        assertEquals(300 * FakeHost.MS, r.lastTimeout);
+        r.endAttempt(t, 0, Status.ERROR, 5, null);
+        r.endAttempt(t, 1, Status.ERROR, 5, null);
+        assertEquals(2, r.attemptCount(t));
+        assertEquals("refused", r.finalAnswers.get(t));
     }
 
     @Test
-    void classesCanBeAddedWhileRequestsAreOut() {
-        Rig r = rig(true);
+    void classesCanBeAddedWhileAttemptsAreOpen() {
+        FakeHost r = host(true);
         int before = r.request();
-        Profile once = new Profile(Effect.AT_MOST_ONCE, Scope.ALL, 0, 1000 * Rig.MS, 1000 * Rig.MS, 1, 1, false, false);
-        r.rules.onProfiles(List.of(MINUTE, once));
+        Profile once = new Profile(
+                Effect.AT_MOST_ONCE, Scope.ALL, 0, 1000 * FakeHost.MS, 1000 * FakeHost.MS, 1, 1, false, false);
+        r.policy.onProfiles(List.of(MINUTE, once));
         int after = r.request(1, 1000);
-        r.done(after, 0, Status.RESET, 5, null);
-        assertEquals("failed", r.answers.get(after));
-        r.done(before, 0, Status.RESET, 5, null);
-        assertEquals(2, r.attempts(before));
+        r.endAttempt(after, 0, Status.RESET, 5, null);
+        assertEquals("failed", r.finalAnswers.get(after));
+        r.endAttempt(before, 0, Status.RESET, 5, null);
+        assertEquals(2, r.attemptCount(before));
     }
 }
--- a/src/test/java/gullspar/decide/ModuleSizeTest.java
+++ b/src/test/java/gullspar/decide/ModuleSizeTest.java
@@ -15,10 +15,10 @@
 
 /** The module is read aloud after an outage, so it stays short; comments count too. */
 class ModuleSizeTest {
-    private static final int MOST_LINES = 1200;
-    private static final int MOST_LINES_OF_A_FILE = 400;
+    private static final int MAX_LINES = 1200;
+    private static final int MAX_LINES_PER_FILE = 400;
     private static final Path DEPLOYMENT = Path.of("deploy/balancer.toml");
-    private static final int MOST_COLUMNS = 120;
+    private static final int MAX_COLUMNS = 120;
 
     /** The files that the deployment calls the module. */
     private static List<Path> files() throws IOException {
@@ -31,19 +31,19 @@
     }
 
     @Test
-    void theModuleStaysWithinItsLines() throws IOException {
+    void theModuleStaysWithinItsLineLimit() throws IOException {
         long all = 0;
         for (Path file : files()) {
             long count = count(file);
-            assertTrue(count > 0 && count <= MOST_LINES_OF_A_FILE, file + " has " + count + " lines");
+            assertTrue(count > 0 && count <= MAX_LINES_PER_FILE, file + " has " + count + " lines");
             all += count;
         }
-        assertTrue(all <= MOST_LINES, "the module has " + all + " lines");
+        assertTrue(all <= MAX_LINES, "the module has " + all + " lines");
     }
 
     /** Every class that decides is part of the module; what only holds state or is the interface is not. */
     @Test
-    void theDeploymentNamesEachFileThatDecides() throws IOException {
+    void theDeploymentListsEachFileThatDecides() throws IOException {
         Set<String> others = Set.of(
                 "Balancer.java",
                 "IntMap.java",
@@ -67,7 +67,7 @@
             assertEquals(
                     List.of(),
                     Files.readAllLines(file).stream()
-                            .filter(l -> l.length() > MOST_COLUMNS)
+                            .filter(l -> l.length() > MAX_COLUMNS)
                             .toList());
         }
     }
--- a/src/test/java/gullspar/decide/PolicyTest.java
+++ b/src/test/java/gullspar/decide/PolicyTest.java
@@ -22,20 +22,20 @@
 class PolicyTest {
     private static final State READY = State.READY;
 
-    private static Rig rig(Balancer.Profile... profiles) {
-        return new Rig(Rig.settings(false, profiles));
+    private static FakeHost host(Balancer.Profile... profiles) {
+        return new FakeHost(FakeHost.settings(false, profiles));
     }
 
     /** Serves n requests one after another; returns how many each of the servers got. */
-    private static int[] serve(Rig r, int n, int servers, long tookMs, Report[] reports) {
+    private static int[] serve(FakeHost r, int n, int servers, long tookMs, Report[] reports) {
         int[] got = new int[servers];
         for (int i = 0; i < n; i++) {
             int t = r.request();
-            if (r.attempts(t) > 0) {
-                int s = r.server(t, 0);
+            if (r.attemptCount(t) > 0) {
+                int s = r.serverOf(t, 0);
                 got[s]++;
-                r.pass(tookMs);
-                r.done(t, 0, Status.OK, tookMs, reports == null ? null : reports[s]);
+                r.advance(tookMs);
+                r.endAttempt(t, 0, Status.OK, tookMs, reports == null ? null : reports[s]);
             }
         }
         return got;
@@ -44,39 +44,39 @@
     // ---- the design ----
 
     @Test
-    void rotationOverEqualFactorsTakesTurnsInOrder() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+    void rotationOverEqualFactorsIsRoundRobin() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         serve(r, 60, 3, 20, null); // until this proxy's rate asks for all three
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             int t = r.request();
-            order.add(r.server(t, 0));
-            r.pass(20);
-            r.ok(t, 20);
+            order.add(r.serverOf(t, 0));
+            r.advance(20);
+            r.succeed(t, 20);
         }
         assertEquals(order.subList(0, 3), order.subList(3, 6));
         assertEquals(3, order.stream().distinct().count());
     }
 
     @Test
-    void spareShareDrawsRequests() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
-        int[] got = serve(r, 200, 2, 30, new Report[] {Rig.util(0.1, 0), Rig.util(0.8, 0)});
+    void higherSpareShareGetsMoreRequests() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int[] got = serve(r, 200, 2, 30, new Report[] {FakeHost.report(0.1, 0), FakeHost.report(0.8, 0)});
         assertTrue(got[0] > 2 * got[1], got[0] + " to " + got[1]);
     }
 
     @Test
-    void aBusyServerStillGetsTheRequestThatRenewsItsFactor() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
-        int[] got = serve(r, 300, 2, 30, new Report[] {Rig.util(0, 0), Rig.util(1, 0)});
+    void aBusyServerStillGetsRequestsThatUpdateItsFactor() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int[] got = serve(r, 300, 2, 30, new Report[] {FakeHost.report(0, 0), FakeHost.report(1, 0)});
         assertTrue(got[1] > 10, "the server at 0 got " + got[1]);
     }
 
     @Test
-    void allZeroAndAbsurdReportsLeaveTheRotationWorking() {
+    void invalidReportsLeaveTheRotationWorking() {
         for (double bad : new double[] {1, Double.NaN, Double.POSITIVE_INFINITY, -5, 1e30}) {
-            Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
-            Report report = Rig.util(bad, bad);
+            FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+            Report report = FakeHost.report(bad, bad);
             int[] got = serve(r, 100, 2, 20, new Report[] {report, report});
             assertEquals(100, got[0] + got[1], "requests sent at " + bad);
             assertTrue(got[0] > 20 && got[1] > 20, "both share at " + bad);
@@ -84,23 +84,23 @@
     }
 
     @Test
-    void aYoungServerGetsLittle() {
-        Rig r = rig(Rig.SAFE);
+    void aColdServerGetsFewRequests() {
+        FakeHost r = host(FakeHost.IDEMPOTENT);
         ListedServer young = new ListedServer(1, 0, READY, r.now, 0, 0, 1);
-        r.list(ListKind.FULL, Rig.member(0, 0, READY), young);
+        r.deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), young);
         int[] got = serve(r, 60, 2, 20, null);
         assertTrue(got[1] > 0 && got[1] < got[0] / 2, got[0] + " to " + got[1]);
     }
 
     @Test
-    void unansweredSendsLowerAFactor() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
+    void openAttemptsLowerAWeight() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         int first = r.request();
-        int stuck = r.server(first, 0);
+        int stuck = r.serverOf(first, 0);
         for (int i = 0; i < 3; i++) {
             int t = r.request();
-            assertNotEquals(stuck, r.server(t, 0));
-            r.ok(t, 20);
+            assertNotEquals(stuck, r.serverOf(t, 0));
+            r.succeed(t, 20);
         }
     }
 
@@ -108,69 +108,69 @@
 
     @Test
     void withNoServersARequestWaitsAndIsRefusedInTime() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL);
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int t = r.request(0, 120);
         assertTrue(r.actions.isEmpty(), "held at first");
-        r.pass(120);
-        assertEquals("refused", r.answers.get(t));
+        r.advance(120);
+        assertEquals("refused", r.finalAnswers.get(t));
     }
 
     @Test
     void aWaitingRepeatWithLessTimeIsAnsweredBeforeTheHeadOfTheQueue() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL);
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int head = r.request(0, 1000);
         int hasty = r.request(0, 90);
-        r.pass(90);
-        assertEquals("refused", r.answers.get(hasty));
-        assertFalse(r.answers.containsKey(head), "the head has time left");
+        r.advance(90);
+        assertEquals("refused", r.finalAnswers.get(hasty));
+        assertFalse(r.finalAnswers.containsKey(head), "the head has time left");
     }
 
     @Test
-    void aWaitingRequestGoesOutWhenAServerComes() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL);
+    void aWaitingRequestIsSentWhenAServerIsListed() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int t = r.request();
-        r.list(ListKind.DELTA, Rig.member(4, 0, READY)).pass(25);
-        assertEquals(4, r.server(t, 0));
+        r.deliverList(ListKind.DELTA, FakeHost.member(4, 0, READY)).advance(25);
+        assertEquals(4, r.serverOf(t, 0));
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsAnswered() {
-        Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(2));
+    void aTimeoutAtTheDeadlineIsAnswered() {
+        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(2));
         int t = r.request(0, 300);
-        r.pass(300);
-        r.done(t, 0, Status.TIMEOUT, 300, null);
-        assertEquals("failed", r.answers.get(t));
+        r.advance(300);
+        r.endAttempt(t, 0, Status.TIMEOUT, 300, null);
+        assertEquals("failed", r.finalAnswers.get(t));
     }
 
     @Test
-    void whatWaitedThroughAStandstillIsAnsweredOnceOnWaking() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL);
+    void aRequestThatWaitedThroughAStallIsAnsweredOnceAfterIt() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int t = r.request(0, 400);
-        r.now += 380 * Rig.MS; // no turn for this proxy, and the client is about to leave
-        r.list(ListKind.FULL, Rig.ready(2)).pass(5);
-        assertEquals("refused", r.answers.get(t));
-        assertEquals(0, r.attempts(t), "nothing is sent that its client will not wait for");
+        r.now += 380 * FakeHost.MS; // no turn for this proxy, and the client is about to leave
+        r.deliverList(ListKind.FULL, FakeHost.ready(2)).advance(5);
+        assertEquals("refused", r.finalAnswers.get(t));
+        assertEquals(0, r.attemptCount(t), "nothing is sent that its client will not wait for");
     }
 
     @Test
-    void afterTheFinalAnswerNothingMoreIsSaid() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+    void noActionFollowsTheFinalAnswer() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         int t = r.request();
-        r.ok(t, 20);
+        r.succeed(t, 20);
         int before = r.actions.size();
-        r.rules.onOutcome(r.now, new Balancer.Outcome(t, 0, r.server(t, 0), Status.OK, 1, true, null));
-        r.rules.onClientDisconnected(r.now, t);
-        r.rules.onStreamStarted(r.now, t, 0, 0, 1);
-        r.pass(2000);
+        r.policy.onOutcome(r.now, new Balancer.Outcome(t, 0, r.serverOf(t, 0), Status.OK, 1, true, null));
+        r.policy.onClientDisconnected(r.now, t);
+        r.policy.onStreamStarted(r.now, t, 0, 0, 1);
+        r.advance(2000);
         assertEquals(before, r.actions.size());
     }
 
     @Test
-    void eventsForTicketsNeverSeenAreIgnored() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(1));
-        r.rules.onOutcome(r.now, new Balancer.Outcome(99, 0, 0, Status.OK, 1, false, null));
-        r.rules.onClientDisconnected(r.now, 99);
-        r.rules.onTimer(r.now, 99);
+    void eventsForUnknownTicketsAreIgnored() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
+        r.policy.onOutcome(r.now, new Balancer.Outcome(99, 0, 0, Status.OK, 1, false, null));
+        r.policy.onClientDisconnected(r.now, 99);
+        r.policy.onTimer(r.now, 99);
         assertTrue(r.actions.isEmpty());
     }
 
@@ -179,118 +179,119 @@
     @Test
     void anAtMostOnceRequestIsNotRepeatedNorRefusedOnceItMayHaveRun() {
         for (Status status : new Status[] {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}) {
-            Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(3));
+            FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
             int t = r.request();
-            r.pass(100);
-            r.done(t, 0, status, 100, null);
-            assertEquals(1, r.attempts(t), status.toString());
-            assertEquals("failed", r.answers.get(t), status.toString());
+            r.advance(100);
+            r.endAttempt(t, 0, status, 100, null);
+            assertEquals(1, r.attemptCount(t), status.toString());
+            assertEquals("failed", r.finalAnswers.get(t), status.toString());
         }
     }
 
     @Test
-    void anAtMostOnceRequestThatNeverRanGoesElsewhere() {
+    void anAtMostOnceRequestThatNeverRanIsRetriedElsewhere() {
         for (Status status : new Status[] {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}) {
-            Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(3));
+            FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
             int t = r.request();
-            r.done(t, 0, status, 5, null);
-            assertEquals(2, r.attempts(t), status.toString());
-            assertNotEquals(r.server(t, 0), r.server(t, 1));
+            r.endAttempt(t, 0, status, 5, null);
+            assertEquals(2, r.attemptCount(t), status.toString());
+            assertNotEquals(r.serverOf(t, 0), r.serverOf(t, 1));
         }
     }
 
     @Test
     void anAtMostOnceRequestGetsNoSecondCopy() {
-        Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(3));
+        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
         int t = r.request();
-        r.pass(900);
-        assertEquals(1, r.attempts(t));
+        r.advance(900);
+        assertEquals(1, r.attemptCount(t));
     }
 
     @Test
-    void aKeyedRepeatStaysInItsZoneAndIsFailedNotRefused() {
-        Rig r = rig(Rig.KEYED_ZONE).list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
+    void aDeduplicatedRepeatStaysInItsZoneAndFails() {
+        FakeHost r = host(FakeHost.DEDUPLICATED_IN_ZONE)
+                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
         int t = r.request();
-        assertEquals(0, r.server(t, 0));
-        r.done(t, 0, Status.ERROR, 5, null);
-        assertEquals(1, r.attempts(t), "the only other server would not drop the repeat");
-        assertEquals("failed", r.answers.get(t));
+        assertEquals(0, r.serverOf(t, 0));
+        r.endAttempt(t, 0, Status.ERROR, 5, null);
+        assertEquals(1, r.attemptCount(t), "the only other server would not drop the repeat");
+        assertEquals("failed", r.finalAnswers.get(t));
     }
 
     @Test
-    void aKeyedRepeatComesWithinTheWindowOnly() {
+    void aDeduplicatedRepeatIsSentOnlyWithinTheWindow() {
         for (long after : new long[] {100, 395}) {
-            Rig r = rig(Rig.KEYED_ZONE).list(ListKind.FULL, Rig.ready(1));
+            FakeHost r = host(FakeHost.DEDUPLICATED_IN_ZONE).deliverList(ListKind.FULL, FakeHost.ready(1));
             int t = r.request();
-            r.list(ListKind.DELTA, Rig.member(1, 0, READY));
-            r.pass(after);
-            int sent = r.attempts(t);
+            r.deliverList(ListKind.DELTA, FakeHost.member(1, 0, READY));
+            r.advance(after);
+            int sent = r.attemptCount(t);
             if (sent == 1) {
-                r.done(t, 0, Status.RESET, after, null);
-                assertEquals(after < 390 ? 2 : 1, r.attempts(t), "after " + after + " ms");
+                r.endAttempt(t, 0, Status.RESET, after, null);
+                assertEquals(after < 390 ? 2 : 1, r.attemptCount(t), "after " + after + " ms");
             }
         }
     }
 
     @Test
-    void attemptsKeepToTheLimit() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(8));
+    void attemptsStayWithinTheLimit() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(8));
         int t = r.request();
-        for (int i = 0; i < r.attempts(t); i++) {
-            r.done(t, i, Status.FULL, 1, null);
+        for (int i = 0; i < r.attemptCount(t); i++) {
+            r.endAttempt(t, i, Status.FULL, 1, null);
         }
-        assertTrue(r.attempts(t) <= 4);
-        assertEquals("refused", r.answers.get(t));
+        assertTrue(r.attemptCount(t) <= 4);
+        assertEquals("refused", r.finalAnswers.get(t));
     }
 
     // ---- rule 3: drains ----
 
     @Test
-    void aClassThatIsToldOfLaterSaysItselfHowManyAttemptsItAllows() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
-        r.rules.onProfiles(List.of(Rig.SAFE.withMaxAttempts(1)));
+    void aClassAddedLaterLimitsItsAttempts() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        r.policy.onProfiles(List.of(FakeHost.IDEMPOTENT.withMaxAttempts(1)));
         int t = r.request();
-        r.done(t, 0, Status.RESET, 5, null);
-        assertEquals(1, r.attempts(t));
-        assertEquals("refused", r.answers.get(t));
+        r.endAttempt(t, 0, Status.RESET, 5, null);
+        assertEquals(1, r.attemptCount(t));
+        assertEquals("refused", r.finalAnswers.get(t));
     }
 
     @Test
-    void operatorsAreToldHowManyListedServersGetNothing() {
-        Rig r = rig(Rig.SAFE)
-                .list(
+    void avoidedServersCountsListedServersThatGetNoRequests() {
+        FakeHost r = host(FakeHost.IDEMPOTENT)
+                .deliverList(
                         ListKind.FULL,
-                        Rig.member(0, 0, READY),
-                        Rig.member(1, 0, READY),
-                        Rig.member(2, 0, READY),
-                        Rig.member(3, 0, State.DRAINING));
-        assertEquals(1, r.rules.avoidedServers());
+                        FakeHost.member(0, 0, READY),
+                        FakeHost.member(1, 0, READY),
+                        FakeHost.member(2, 0, READY),
+                        FakeHost.member(3, 0, State.DRAINING));
+        assertEquals(1, r.policy.avoidedServers());
         int t = r.request();
-        r.done(t, 0, Status.CONNECT_FAILED, 5, null);
-        assertEquals(2, r.rules.avoidedServers(), "one is ejected now");
-        r.list(ListKind.FULL, Rig.ready(2));
-        assertTrue(r.rules.avoidedServers() <= 1, "who is listed no more is not counted");
+        r.endAttempt(t, 0, Status.CONNECT_FAILED, 5, null);
+        assertEquals(2, r.policy.avoidedServers(), "one is ejected now");
+        r.deliverList(ListKind.FULL, FakeHost.ready(2));
+        assertTrue(r.policy.avoidedServers() <= 1, "who is listed no more is not counted");
     }
 
     @Test
-    void drainingGoneAndUnlistedServersGetNothing() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
-        r.list(ListKind.DELTA, Rig.member(0, 0, State.DRAINING), Rig.member(1, 0, State.GONE));
+    void drainingGoneAndUnlistedServersGetNoRequests() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        r.deliverList(ListKind.DELTA, FakeHost.member(0, 0, State.DRAINING), FakeHost.member(1, 0, State.GONE));
         assertEquals(0, serve(r, 20, 4, 20, null)[0]);
-        r.list(ListKind.FULL, Rig.member(2, 0, READY));
+        r.deliverList(ListKind.FULL, FakeHost.member(2, 0, READY));
         int[] got = serve(r, 20, 4, 20, null);
         assertEquals(20, got[2]);
     }
 
     @Test
-    void aServerMissingWhileItOwesAnAnswerGetsNothingAndMayComeBack() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
+    void anUnlistedServerWithAnOpenAttemptGetsNoRequestsUntilListedAgain() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         int t = r.request();
-        int busy = r.server(t, 0);
-        r.list(ListKind.FULL, Rig.member(1 - busy, 0, READY));
+        int busy = r.serverOf(t, 0);
+        r.deliverList(ListKind.FULL, FakeHost.member(1 - busy, 0, READY));
         assertEquals(0, serve(r, 10, 2, 20, null)[busy]);
-        r.ok(t, 100);
-        r.list(ListKind.FULL, Rig.ready(2));
+        r.succeed(t, 100);
+        r.deliverList(ListKind.FULL, FakeHost.ready(2));
         assertTrue(serve(r, 60, 2, 20, null)[busy] > 0);
     }
 
@@ -298,17 +299,17 @@
 
     /** What a cold server gets in 2 s of all that came to three, by the share of its time it reports busy. */
     private static int sentToOneColdServer(double util) {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         serve(r, 1000, 3, 20, null);
         ListedServer cold = new ListedServer(9, 0, READY, r.now, 0, 0, 1);
-        r.list(ListKind.FULL, cold);
+        r.deliverList(ListKind.FULL, cold);
         int sent = 0;
         for (int i = 0; i < 400; i++) {
             int newest = r.request();
-            r.pass(5);
+            r.advance(5);
             for (int t = Math.max(1001, newest - 100); t <= newest; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                    r.done(t, 0, Status.OK, 20, Rig.util(util, 0));
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                    r.endAttempt(t, 0, Status.OK, 20, FakeHost.report(util, 0));
                     sent++;
                 }
             }
@@ -324,7 +325,7 @@
     }
 
     /** Of 40 requests at one moment, how many one server of four is sent before any is answered. */
-    private static int ofABurst(Rig r, int server) {
+    private static int sentInABurst(FakeHost r, int server) {
         int got = 0;
         int first = r.request();
         int last = first;
@@ -332,40 +333,40 @@
             last = r.request();
         }
         for (int t = first; t <= last; t++) {
-            got += r.attempts(t) > 0 && r.server(t, 0) == server ? 1 : 0;
+            got += r.attemptCount(t) > 0 && r.serverOf(t, 0) == server ? 1 : 0;
         }
         for (int i = 0; i < 100; i++) { // those that waited go out as others are answered
             for (int t = first; t <= last; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                    r.ok(t, 20);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                    r.succeed(t, 20);
                 }
             }
-            r.pass(5);
+            r.advance(5);
         }
         return got;
     }
 
     /** It may have crashed and be back; the list says so seconds later. */
     @Test
-    void aServerThatRefusedAConnectionIsTakenForColdUntilItHadTimeToWarm() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
+    void aServerThatRefusedAConnectionIsTreatedAsCold() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
         serve(r, 400, 4, 20, null);
-        int usual = ofABurst(r, 2);
+        int usual = sentInABurst(r, 2);
         serve(r, 100, 4, 20, null);
         int t = r.request();
-        while (r.server(t, 0) != 2) {
-            r.ok(t, 20);
+        while (r.serverOf(t, 0) != 2) {
+            r.succeed(t, 20);
             t = r.request();
         }
-        r.done(t, 0, Status.CONNECT_FAILED, 1, null);
-        r.ok(t, 20); // elsewhere
-        r.pass(1000); // its trial is due
+        r.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
+        r.succeed(t, 20); // elsewhere
+        r.advance(1000); // its trial is due
         int[] back = serve(r, 20, 4, 20, null);
         assertTrue(back[2] > 0, "it has no trial");
-        int cold = ofABurst(r, 2);
+        int cold = sentInABurst(r, 2);
         assertTrue(cold * 4 <= usual * 3 && usual > 1, cold + " of a burst when back, " + usual + " before");
         serve(r, 600, 4, 20, null);
-        int warm = ofABurst(r, 2);
+        int warm = sentInABurst(r, 2);
         assertTrue(warm >= usual, warm + " of a burst when warm, " + usual + " before");
     }
 
@@ -377,27 +378,27 @@
     }
 
     @Test
-    void aFleetThatIsColdAllAtOnceIsNotHeldBackFurtherByItsOwnLowRate() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
+    void aFleetThatIsColdAsAWholeIsNotLimitedByItsOwnLowRate() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
         serve(r, 1000, 4, 20, null);
         ListedServer[] cold = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
             cold[i] = new ListedServer(10 + i, 0, READY, r.now, 0, 0, 1);
         }
-        r.list(ListKind.FULL, cold);
+        r.deliverList(ListKind.FULL, cold);
         int sent = sentOf300(r);
         assertTrue(sent > 180, "sent " + sent + " of 300 in the first 6 s");
     }
 
     /** 50 requests a second for 6 s, of which those that go out are answered after 20 ms. */
-    private static int sentOf300(Rig r) {
+    private static int sentOf300(FakeHost r) {
         int sent = 0;
         for (int i = 0; i < 300; i++) {
             int newest = r.request();
-            r.pass(20);
+            r.advance(20);
             for (int t = Math.max(1, newest - 50); t <= newest; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                    r.ok(t, 20);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                    r.succeed(t, 20);
                     sent++;
                 }
             }
@@ -406,47 +407,47 @@
     }
 
     @Test
-    void aProxyThatStartsInTheMiddleOfAReleaseFindsItsRatesWithinSeconds() {
+    void aProxyStartedDuringAReleaseEstimatesItsRatesWithinSeconds() {
         assertTrue(sentToColdServersInTheFirstSeconds(0) > 40);
     }
 
     /** It asks for the list before it warms up, and its clients come after that. */
     @Test
-    void aTimeBeforeTheFirstRequestDoesNotLowerTheRates() {
+    void timeBeforeTheFirstRequestDoesNotLowerTheRates() {
         assertEquals(sentToColdServersInTheFirstSeconds(0), sentToColdServersInTheFirstSeconds(20));
     }
 
     /** Its sends alone would hold it to less than it sent, and less again for that. */
     @Test
-    void aProxyWithNoPastInAFleetThatIsColdAsAWholeGetsItsEvenPartOfIt() {
-        Rig r = rig(Rig.SAFE);
+    void aProxyWithoutHistoryGetsItsEvenShareOfAColdFleet() {
+        FakeHost r = host(FakeHost.IDEMPOTENT);
         ListedServer[] members = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
             members[i] = new ListedServer(i, 0, READY, r.now, 0, 0, 1);
         }
-        r.list(ListKind.FULL, members);
+        r.deliverList(ListKind.FULL, members);
         int sent = sentOf300(r);
         assertTrue(sent > 200, "sent " + sent + " of 300");
     }
 
     /** To four that have just started beside a warm one, of 150 requests in 3 s; idle: before those, in s. */
     private static int sentToColdServersInTheFirstSeconds(int idle) {
-        Rig r = rig(Rig.SAFE);
-        r.pass(1000L * idle);
+        FakeHost r = host(FakeHost.IDEMPOTENT);
+        r.advance(1000L * idle);
         ListedServer[] members = new ListedServer[5];
         for (int i = 0; i < 5; i++) {
             members[i] = new ListedServer(i, 0, READY, i == 0 ? 0 : r.now, 0, 0, 1);
         }
-        r.list(ListKind.FULL, members);
+        r.deliverList(ListKind.FULL, members);
         int[] got = new int[5];
         for (int i = 0; i < 150; i++) { // 3 s
             int t = r.request();
-            if (r.attempts(t) > 0) {
-                got[r.server(t, 0)]++;
-                r.pass(10);
-                r.ok(t, 10);
+            if (r.attemptCount(t) > 0) {
+                got[r.serverOf(t, 0)]++;
+                r.advance(10);
+                r.succeed(t, 10);
             }
-            r.pass(10);
+            r.advance(10);
         }
         return got[1] + got[2] + got[3] + got[4];
     }
@@ -454,27 +455,27 @@
     // ---- a bank of many proxies ----
 
     /** Proxies of one zone, each with its own seed and number, that know n servers of it. */
-    private static List<Rig> bank(int proxies, int servers) {
-        List<Rig> bank = new ArrayList<>();
+    private static List<FakeHost> proxies(int proxies, int servers) {
+        List<FakeHost> bank = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
-            bank.add(new Rig(Rig.settings(i, proxies, false, Rig.SAFE), 1000 + i)
-                    .list(ListKind.FULL, Rig.ready(servers)));
+            bank.add(new FakeHost(FakeHost.settings(i, proxies, false, FakeHost.IDEMPOTENT), 1000 + i)
+                    .deliverList(ListKind.FULL, FakeHost.ready(servers)));
         }
         return bank;
     }
 
     /** Each proxy takes a request every 100 ms for a while; returns how many each server was sent. */
-    private static int[] run(List<Rig> bank, int rounds, int servers) {
+    private static int[] run(List<FakeHost> bank, int rounds, int servers) {
         int[] got = new int[servers];
         for (int i = 0; i < rounds; i++) {
-            for (Rig r : bank) {
+            for (FakeHost r : bank) {
                 int t = r.request();
-                r.pass(20);
-                if (r.attempts(t) > 0) {
-                    got[r.server(t, 0)]++;
-                    r.ok(t, 20);
+                r.advance(20);
+                if (r.attemptCount(t) > 0) {
+                    got[r.serverOf(t, 0)]++;
+                    r.succeed(t, 20);
                 }
-                r.pass(80);
+                r.advance(80);
             }
         }
         return got;
@@ -482,10 +483,10 @@
 
     @Test
     void allProxiesTogetherStayWithinAColdServersBudget() {
-        List<Rig> bank = bank(200, 20);
+        List<FakeHost> bank = proxies(200, 20);
         run(bank, 100, 20);
-        for (Rig r : bank) {
-            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+        for (FakeHost r : bank) {
+            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int first = run(bank, 2, 21)[20];
         int sent = first + run(bank, 18, 21)[20];
@@ -496,20 +497,20 @@
     }
 
     @Test
-    void aBankLeftWithOneColdServerDoesNotPushItOver() {
-        List<Rig> bank = bank(200, 20);
+    void manyProxiesLeftWithOneColdServerDoNotOverloadIt() {
+        List<FakeHost> bank = proxies(200, 20);
         run(bank, 100, 20);
-        for (Rig r : bank) {
+        for (FakeHost r : bank) {
             for (int s = 0; s < 20; s++) {
-                r.list(ListKind.DELTA, Rig.member(s, 0, State.DRAINING));
+                r.deliverList(ListKind.DELTA, FakeHost.member(s, 0, State.DRAINING));
             }
-            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = 0;
-        for (Rig r : bank) {
+        for (FakeHost r : bank) {
             for (int i = 0; i < 40; i++) {
                 r.request();
-                r.pass(50);
+                r.advance(50);
             }
             sent += (int) r.sends.values().stream().filter(l -> l.contains(20)).count();
         }
@@ -517,16 +518,16 @@
     }
 
     @Test
-    void proxiesThatSendLittleDoNotPushOverAColdServerTogether() {
-        List<Rig> bank = bank(200, 20);
-        for (Rig r : bank) {
-            r.list(ListKind.FULL, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+    void proxiesWithLowRatesDoNotOverloadAColdServerTogether() {
+        List<FakeHost> bank = proxies(200, 20);
+        for (FakeHost r : bank) {
+            r.deliverList(ListKind.FULL, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = 0;
-        for (Rig r : bank) { // the first requests of all: no rate is known, so no budget but the floor
+        for (FakeHost r : bank) { // the first requests of all: no rate is known, so no budget but the floor
             for (int i = 0; i < 5; i++) {
                 r.request();
-                r.pass(240);
+                r.advance(240);
             }
             sent += r.sends.size();
         }
@@ -534,11 +535,11 @@
     }
 
     @Test
-    void aNewServerIsGivenWorkByABankOfProxies() {
-        List<Rig> bank = bank(200, 20);
+    void aNewServerGetsRequestsFromManyProxies() {
+        List<FakeHost> bank = proxies(200, 20);
         run(bank, 100, 20);
-        for (Rig r : bank) {
-            r.list(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+        for (FakeHost r : bank) {
+            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = run(bank, 40, 21)[20];
         assertTrue(sent > 20, "budgets by the whole zone's servers would leave it idle; sent " + sent);
@@ -546,68 +547,68 @@
 
     @Test
     void subsetsAreSmallAndEvenOverTheServers() {
-        List<Rig> bank = bank(200, 20);
+        List<FakeHost> bank = proxies(200, 20);
         int[] got = run(bank, 30, 20);
         for (int s = 0; s < 20; s++) {
             assertTrue(got[s] > 150 && got[s] < 600, "server " + s + " got " + got[s] + " of 6000");
         }
-        for (Rig r : bank) {
+        for (FakeHost r : bank) {
             long used = r.sends.values().stream().map(l -> l.get(0)).distinct().count();
             assertTrue(used >= 2 && used <= 4, "a proxy with ten requests a second used " + used);
         }
     }
 
     @Test
-    void aHotProxyUsesAllServersAndASubsetThatIsGoneIsWidened() {
-        Balancer.Settings settings = Rig.settings(3, 200, false, Rig.SAFE);
-        Rig hot = new Rig(settings).list(ListKind.FULL, Rig.ready(20));
+    void aBusyProxyUsesAllServersAndADrainedSubsetIsWidened() {
+        Balancer.Settings settings = FakeHost.settings(3, 200, false, FakeHost.IDEMPOTENT);
+        FakeHost hot = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
         assertEquals(
                 20,
                 Arrays.stream(serve(hot, 1000, 20, 5, null)).filter(n -> n > 0).count());
-        Rig r = new Rig(settings).list(ListKind.FULL, Rig.ready(20));
-        r.list(ListKind.DELTA, Rig.member(r.server(r.request(), 0), 0, State.DRAINING));
-        r.list(ListKind.DELTA, Rig.member(r.server(r.request(), 0), 0, State.DRAINING));
-        assertEquals(1, r.attempts(r.request()), "others of the zone take over at once");
+        FakeHost r = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
+        r.deliverList(ListKind.DELTA, FakeHost.member(r.serverOf(r.request(), 0), 0, State.DRAINING));
+        r.deliverList(ListKind.DELTA, FakeHost.member(r.serverOf(r.request(), 0), 0, State.DRAINING));
+        assertEquals(1, r.attemptCount(r.request()), "others of the zone take over at once");
     }
 
     @Test
-    void oddNumbersOfProxiesAndOddListsDoNoHarm() {
+    void extremeProxyCountsAndListsAreHandled() {
         for (int balancers : new int[] {0, 1, 3, Integer.MAX_VALUE}) {
             for (int me : new int[] {-5, 0, 7, Integer.MAX_VALUE}) {
-                Rig r = new Rig(Rig.settings(me, balancers, false, Rig.SAFE));
-                r.list(ListKind.FULL, Rig.ready(3000));
-                assertEquals(1, r.attempts(r.request()), "a list of thousands");
-                r.list(ListKind.FULL, Rig.member(5, 3, READY)); // no server in the proxy's own zone
+                FakeHost r = new FakeHost(FakeHost.settings(me, balancers, false, FakeHost.IDEMPOTENT));
+                r.deliverList(ListKind.FULL, FakeHost.ready(3000));
+                assertEquals(1, r.attemptCount(r.request()), "a list of thousands");
+                r.deliverList(ListKind.FULL, FakeHost.member(5, 3, READY)); // no server in the proxy's own zone
                 int t = r.request();
-                r.pass(100);
-                assertEquals(5, r.server(t, 0), "the only one left, of another zone");
-                r.done(t, 0, Status.OK, 100, new Report(1e300, -1e300, -7, -1, 1e300, Double.NaN));
-                r.list(ListKind.FULL);
+                r.advance(100);
+                assertEquals(5, r.serverOf(t, 0), "the only one left, of another zone");
+                r.endAttempt(t, 0, Status.OK, 100, new Report(1e300, -1e300, -7, -1, 1e300, Double.NaN));
+                r.deliverList(ListKind.FULL);
                 int none = r.request();
-                r.pass(1000);
-                assertEquals("refused", r.answers.get(none), "an empty list");
+                r.advance(1000);
+                assertEquals("refused", r.finalAnswers.get(none), "an empty list");
             }
         }
     }
 
     @Test
-    void aSmallBankLeavesNoServerOut() {
-        List<Rig> bank = bank(3, 14);
+    void fewProxiesStillUseEveryServer() {
+        List<FakeHost> bank = proxies(3, 14);
         int[] got = run(bank, 40, 14);
         assertTrue(Arrays.stream(got).allMatch(n -> n > 0), Arrays.toString(got));
     }
 
     @Test
-    void aServerThatWasNotHeardOfIsNotTakenForEmpty() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+    void aServerThatDoesNotReportIsNotTreatedAsIdle() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         int mute = 0;
         for (int i = 0; i < 300; i++) {
             int newest = r.request();
-            r.pass(20);
+            r.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                    boolean reports = r.server(t, 0) != 2;
-                    r.done(t, 0, Status.OK, 20, reports ? Rig.util(0.5 + 0.001 * i, 3) : null);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                    boolean reports = r.serverOf(t, 0) != 2;
+                    r.endAttempt(t, 0, Status.OK, 20, reports ? FakeHost.report(0.5 + 0.001 * i, 3) : null);
                     mute += reports ? 0 : 1;
                 }
             }
@@ -616,14 +617,14 @@
     }
 
     @Test
-    void aJamThatNoReportTellsOfIsNotFedAndIsTriedAgain() {
-        Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(6));
+    void anUnreportedOverloadGetsFewRequestsUntilItIsRetried() {
+        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
         for (int i = 0; i < 100; i++) { // all servers jammed: nothing is answered, nothing is reported
             int newest = r.request();
-            r.pass(20);
+            r.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t) && t <= newest - 12) {
-                    r.done(t, 0, Status.TIMEOUT, 250, null);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && t <= newest - 12) {
+                    r.endAttempt(t, 0, Status.TIMEOUT, 250, null);
                 }
             }
         }
@@ -631,7 +632,7 @@
         int before = r.sends.size();
         for (int i = 0; i < 100; i++) {
             r.request();
-            r.pass(100);
+            r.advance(100);
         }
         assertTrue(r.sends.size() > before, "never tried again");
     }
@@ -639,33 +640,33 @@
     // ---- health ----
 
     @Test
-    void aSilentServerIsEjectedAndLeftAlone() {
-        Rig r = rig(Rig.SAFE, Rig.ONCE).list(ListKind.FULL, Rig.ready(4));
+    void aSilentServerIsEjected() {
+        FakeHost r = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(4));
         serve(r, 80, 4, 20, null);
         int toSilent = 0;
         for (int i = 0; i < 100; i++) {
             int t = r.request(1, 1000);
-            if (r.server(t, 0) == 2) {
+            if (r.serverOf(t, 0) == 2) {
                 toSilent++;
             } else {
-                r.ok(t, 20);
+                r.succeed(t, 20);
             }
-            r.pass(20);
+            r.advance(20);
         }
         assertTrue(toSilent <= 4, "sent to the silent server: " + toSilent);
     }
 
     @Test
-    void aServerThatFailsFastDoesNotAttract() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
+    void aServerThatFailsFastDoesNotAttractRequests() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
         int toBad = 0;
         for (int i = 0; i < 200; i++) {
             int t = r.request();
-            for (int a = 0; a < r.attempts(t); a++) {
-                boolean bad = r.server(t, a) == 0;
+            for (int a = 0; a < r.attemptCount(t); a++) {
+                boolean bad = r.serverOf(t, a) == 0;
                 toBad += bad ? 1 : 0;
-                r.pass(bad ? 5 : 30);
-                r.done(t, a, bad ? Status.ERROR : Status.OK, bad ? 1 : 30, Rig.util(bad ? 0 : 0.6, 0));
+                r.advance(bad ? 5 : 30);
+                r.endAttempt(t, a, bad ? Status.ERROR : Status.OK, bad ? 1 : 30, FakeHost.report(bad ? 0 : 0.6, 0));
             }
         }
         assertTrue(toBad < 20, "sent to the failing server: " + toBad);
@@ -673,84 +674,86 @@
 
     @Test
     void ejectionLeavesMostOfTheFleetInUse() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         serve(r, 200, 6, 20, null); // until all six are in use
         for (int i = 0; i < 60; i++) {
             int t = r.request();
-            for (int a = 0; a < r.attempts(t); a++) {
-                r.done(t, a, Status.ERROR, 1, null);
+            for (int a = 0; a < r.attemptCount(t); a++) {
+                r.endAttempt(t, a, Status.ERROR, 1, null);
             }
-            r.pass(5);
+            r.advance(5);
         }
         int[] used = new int[6];
         for (int i = 0; i < 60; i++) {
             int t = r.request();
-            used[r.server(t, 0)]++;
-            r.done(t, 0, Status.ERROR, 1, null);
+            used[r.serverOf(t, 0)]++;
+            r.endAttempt(t, 0, Status.ERROR, 1, null);
         }
         assertTrue(Arrays.stream(used).filter(n -> n > 0).count() >= 4, Arrays.toString(used));
     }
 
     @Test
-    void aSlowAnswerFromALiveServerGetsNoCopy() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(1));
+    void aSlowAnswerFromAHealthyServerCausesNoSecondAttempt() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
         int slow = r.request();
         int quick = r.request();
-        r.list(ListKind.DELTA, Rig.member(1, 0, READY));
-        r.pass(30);
-        r.ok(quick, 30);
-        r.pass(400);
-        assertEquals(1, r.attempts(slow));
+        r.deliverList(ListKind.DELTA, FakeHost.member(1, 0, READY));
+        r.advance(30);
+        r.succeed(quick, 30);
+        r.advance(400);
+        assertEquals(1, r.attemptCount(slow));
     }
 
     @Test
-    void anAttemptThatCanEarnNothingAnyMoreLeavesTheServer() {
-        Rig r = rig(Rig.SAFE, Rig.ONCE, Rig.KEYED).list(ListKind.FULL, Rig.ready(3));
+    void attemptsTimeOutAtTheLatencyTarget() {
+        FakeHost r = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
+                .deliverList(ListKind.FULL, FakeHost.ready(3));
         int t = r.request(0, 1000);
-        assertEquals(250 * Rig.MS, r.lastTimeout, "the promise");
-        r.pass(250);
-        int sent = r.attempts(t);
+        assertEquals(250 * FakeHost.MS, r.lastTimeout, "the promise");
+        r.advance(250);
+        int sent = r.attemptCount(t);
         for (int a = 0; a < sent; a++) {
-            r.done(t, a, Status.TIMEOUT, 250, null);
+            r.endAttempt(t, a, Status.TIMEOUT, 250, null);
         }
-        assertEquals(sent, r.attempts(t), "nothing is sent that would be late");
-        assertEquals("refused", r.answers.get(t), "no further attempt that would be late");
-        Rig calm = rig(Rig.SAFE, Rig.ONCE, Rig.KEYED).list(ListKind.FULL, Rig.ready(3));
+        assertEquals(sent, r.attemptCount(t), "nothing is sent that would be late");
+        assertEquals("refused", r.finalAnswers.get(t), "no further attempt that would be late");
+        FakeHost calm = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
+                .deliverList(ListKind.FULL, FakeHost.ready(3));
         calm.request(1, 1000);
-        assertEquals(250 * Rig.MS, calm.lastTimeout);
+        assertEquals(250 * FakeHost.MS, calm.lastTimeout);
         calm.request(2, 1000);
         assertEquals(0, calm.lastTimeout, "its client's repeat would run beside it");
     }
 
     @Test
-    void theRetryBudgetStopsAStorm() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(10));
+    void theRetryBudgetLimitsRetries() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(10));
         int attempts = 0;
         for (int i = 0; i < 200; i++) {
             int t = r.request();
-            for (int a = 0; a < r.attempts(t); a++) {
-                r.done(t, a, Status.FULL, 1, null);
+            for (int a = 0; a < r.attemptCount(t); a++) {
+                r.endAttempt(t, a, Status.FULL, 1, null);
             }
-            attempts += r.attempts(t);
+            attempts += r.attemptCount(t);
         }
         assertTrue(attempts < 215, "attempts " + attempts);
     }
 
     /** Resets tell of no load: a row of them is made good, within a budget of its own. */
     @Test
-    void brokenConnectionsAreMadeGoodWithinTheirOwnBudget() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
+    void brokenConnectionsAreRetriedWithinTheirOwnBudget() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         int again = 0;
         for (int i = 0; i < 200; i++) {
             int t = r.request();
             boolean breaks = i % 5 == 0 || i >= 100; // one in five, later all
-            r.done(t, 0, breaks ? Status.RESET : Status.OK, 1, null);
-            if (r.attempts(t) > 1) {
+            r.endAttempt(t, 0, breaks ? Status.RESET : Status.OK, 1, null);
+            if (r.attemptCount(t) > 1) {
                 again++;
-                r.ok(t, 1);
+                r.succeed(t, 1);
             }
             assertTrue(i != 99 || again == 20, "made good " + again + " of 20");
-            r.pass(5);
+            r.advance(5);
         }
         assertTrue(again < 70, "made good " + again + " of 120");
     }
@@ -758,40 +761,40 @@
     // ---- admission and zones ----
 
     @Test
-    void whatNoServerCanAnswerInTimeWaitsAtTheProxy() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(1));
+    void requestsWithoutRoomAtAServerWaitInTheProxy() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
         serve(r, 50, 1, 100, null);
         int first = r.request();
         int second = r.request();
         int third = r.request();
-        assertEquals(1, r.attempts(first));
-        assertEquals(0, r.attempts(third), "waits");
-        r.pass(50);
-        r.ok(first, 50);
-        assertEquals(1, r.attempts(third), "an answer makes room, for the newest: it has most time left");
-        assertEquals(0, r.attempts(second));
+        assertEquals(1, r.attemptCount(first));
+        assertEquals(0, r.attemptCount(third), "waits");
+        r.advance(50);
+        r.succeed(first, 50);
+        assertEquals(1, r.attemptCount(third), "an answer makes room, for the newest: it has most time left");
+        assertEquals(0, r.attemptCount(second));
     }
 
     @Test
     void aRequestWithLessTimeThanHalfOfTheAnswersTookIsRefusedAtOnce() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         serve(r, 200, 3, 100, null);
         int hasty = r.request(0, 60);
-        assertEquals("refused", r.answers.get(hasty));
-        assertEquals(0, r.attempts(hasty));
-        assertEquals(1, r.attempts(r.request(0, 200)));
+        assertEquals("refused", r.finalAnswers.get(hasty));
+        assertEquals(0, r.attemptCount(hasty));
+        assertEquals(1, r.attemptCount(r.request(0, 200)));
     }
 
     @Test
-    void attemptsFollowTheServedOnesWhenMostAreLost() {
-        Rig r = rig(Rig.ONCE).list(ListKind.FULL, Rig.ready(6));
+    void attemptsAreThrottledWhenMostAreLost() {
+        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
         int sent = 0;
         for (int i = 0; i < 400; i++) { // 50 requests a second for 8 s; one in three is answered
             int newest = r.request();
-            r.pass(20);
+            r.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t) && t <= newest - 3) {
-                    r.done(t, 0, t % 3 == 0 ? Status.OK : Status.TIMEOUT, 60, null);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && t <= newest - 3) {
+                    r.endAttempt(t, 0, t % 3 == 0 ? Status.OK : Status.TIMEOUT, 60, null);
                     sent++;
                 }
             }
@@ -800,43 +803,43 @@
     }
 
     @Test
-    void lostFirstSendsDoNotKeepTheThrottleShut() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
+    void lostFirstSendsDoNotKeepTheProxyThrottled() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         List<Integer> first = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             first.add(r.request());
-            r.pass(5);
+            r.advance(5);
         }
-        r.pass(50);
+        r.advance(50);
         for (int t : first) {
-            if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                r.done(t, 0, Status.TIMEOUT, 150, null);
+            if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                r.endAttempt(t, 0, Status.TIMEOUT, 150, null);
             }
         }
         int served = 0;
         for (int i = 0; i < 100; i++) { // a second of 100 requests, each answered at once where it is sent
             int t = r.request();
-            if (r.attempts(t) > 0) {
-                r.ok(t, 1);
+            if (r.attemptCount(t) > 0) {
+                r.succeed(t, 1);
                 served++;
             }
-            r.pass(10);
+            r.advance(10);
         }
         assertTrue(served > 25, "served " + served + " of 100");
     }
 
     /** Sends in 4 s of 50 requests a second where every answer comes in time, after so long. */
     private static int sentWithAnswersAfter(int ms, Report report) {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(6));
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         serve(r, 100, 6, 20, null);
         int before = r.sends.size();
         for (int i = 0; i < 200; i++) {
             int newest = r.request();
-            r.pass(20);
+            r.advance(20);
             int due = newest - ms / 20 + 1;
             for (int t = Math.max(101, due - 20); t <= due; t++) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t)) {
-                    r.done(t, 0, Status.OK, ms, report);
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
+                    r.endAttempt(t, 0, Status.OK, ms, report);
                 }
             }
         }
@@ -844,7 +847,7 @@
     }
 
     @Test
-    void answersThatOnlyJustMakeItThroughAQueueSlowTheSends() {
+    void answersDelayedByAQueueReduceTheSends() {
         Report works20ms = new Report(Double.NaN, Double.NaN, 0.5, 20, Double.NaN, Double.NaN);
         Report works200ms = new Report(Double.NaN, Double.NaN, 0.5, 200, Double.NaN, Double.NaN);
         int queued = sentWithAnswersAfter(200, works20ms);
@@ -853,28 +856,28 @@
     }
 
     @Test
-    void aServersCapacityIsItsThroughputOverItsBusyShare() {
+    void aServersCapacityIsItsThroughputOverItsUtilization() {
         // All take a second whatever they do; the one that is as busy with a third of the work gets less.
-        Rig r = rig(new Balancer.Profile(
+        FakeHost r = host(new Balancer.Profile(
                         Balancer.Effect.IDEMPOTENT,
                         Balancer.Scope.ALL,
                         0,
-                        3000 * Rig.MS,
-                        6000 * Rig.MS,
+                        3000 * FakeHost.MS,
+                        6000 * FakeHost.MS,
                         1,
                         0,
                         false,
                         false))
-                .list(ListKind.FULL, Rig.ready(2));
+                .deliverList(ListKind.FULL, FakeHost.ready(2));
         int[] got = new int[2];
         for (int i = 0; i < 600; i++) {
             int newest = r.request(0, 6000);
-            r.pass(25);
+            r.advance(25);
             int t = newest - 40;
-            if (t > 0 && r.attempts(t) > 0) {
-                int s = r.server(t, 0);
+            if (t > 0 && r.attemptCount(t) > 0) {
+                int s = r.serverOf(t, 0);
                 got[s]++;
-                r.done(
+                r.endAttempt(
                         t,
                         0,
                         Status.OK,
@@ -886,75 +889,78 @@
     }
 
     @Test
-    void aMarkedRepeatCountsItsPromiseFromTheFirstTry() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(3));
+    void aMarkedRepeatCountsItsLatencyTargetFromTheFirstTry() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         serve(r, 100, 3, 20, null); // first tries have 1000 ms, all that the class allows
         int late = r.repeat(0, 700); // 300 ms after its first try: the promise of 250 ms is over
-        assertEquals(0, r.attempts(late));
-        assertEquals("refused", r.answers.get(late));
+        assertEquals(0, r.attemptCount(late));
+        assertEquals("refused", r.finalAnswers.get(late));
         int early = r.repeat(0, 900);
-        assertEquals(1, r.attempts(early));
-        assertEquals(150 * Rig.MS, r.lastTimeout);
-        assertEquals(1, r.attempts(r.request(0, 700)), "a first try with as little time is not late");
+        assertEquals(1, r.attemptCount(early));
+        assertEquals(150 * FakeHost.MS, r.lastTimeout);
+        assertEquals(1, r.attemptCount(r.request(0, 700)), "a first try with as little time is not late");
     }
 
     @Test
-    void whatIsFoundAfterAStandstillTeachesNothingOfServers() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(4));
+    void outcomesFoundAfterAStallDoNotAffectServers() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
         serve(r, 200, 4, 20, null);
         List<Integer> out = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             out.add(r.request());
         }
-        r.now += 600 * Rig.MS; // no turn for this proxy
-        out.forEach(t -> r.done(t, 0, Status.TIMEOUT, 250, null));
-        r.pass(5);
+        r.now += 600 * FakeHost.MS; // no turn for this proxy
+        out.forEach(t -> r.endAttempt(t, 0, Status.TIMEOUT, 250, null));
+        r.advance(5);
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, r.attempts(r.request()), "nothing is held back");
+            assertEquals(1, r.attemptCount(r.request()), "nothing is held back");
         }
     }
 
     @Test
     void theOwnZoneComesFirstAndSpillsOverWhenFull() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
+        FakeHost r = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
         List<Integer> got = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             int t = r.request();
-            if (r.attempts(t) > 0) {
-                got.add(r.server(t, 0));
+            if (r.attemptCount(t) > 0) {
+                got.add(r.serverOf(t, 0));
             }
         }
         assertEquals(0, got.get(0));
         assertTrue(got.contains(1), "spills over: " + got);
-        Rig calm = rig(Rig.SAFE).list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
+        FakeHost calm = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
         assertEquals(50, serve(calm, 50, 2, 20, null)[0]);
     }
 
     /** How many of 200 requests leave an own zone whose server is nine tenths busy. */
-    private static int leavingABusyZone(double inflight) {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
-        Report[] reports = {Rig.util(0.9, inflight), Rig.util(0.1, inflight)};
+    private static int sentOutOfABusyZone(double inflight) {
+        FakeHost r = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
+        Report[] reports = {FakeHost.report(0.9, inflight), FakeHost.report(0.1, inflight)};
         return serve(r, 200, 2, 60, reports)[1];
     }
 
     @Test
-    void aBusyZoneSpillsOverWhereNoReportTellsWhatItsServersHold() {
-        assertTrue(leavingABusyZone(Double.NaN) > 50, "left: " + leavingABusyZone(Double.NaN));
-        assertTrue(leavingABusyZone(0) < 10, "left though it holds nothing: " + leavingABusyZone(0));
+    void aBusyZoneSpillsOverWithoutReportedRequestCounts() {
+        assertTrue(sentOutOfABusyZone(Double.NaN) > 50, "left: " + sentOutOfABusyZone(Double.NaN));
+        assertTrue(sentOutOfABusyZone(0) < 10, "left though it holds nothing: " + sentOutOfABusyZone(0));
     }
 
     // ---- classes that give way ----
 
-    private static final Balancer.Profile DEAR = lasting(250, 500, 12);
-    private static final Balancer.Profile PATIENT = lasting(1500, 4000, 1);
+    private static final Balancer.Profile VALUABLE = profile(250, 500, 12);
+    private static final Balancer.Profile LONG_TARGET = profile(1500, 4000, 1);
 
-    private static Balancer.Profile lasting(long promiseMs, long giveUpMs, double worth) {
+    private static Balancer.Profile profile(long promiseMs, long giveUpMs, double worth) {
         return new Balancer.Profile(
                 Balancer.Effect.IDEMPOTENT,
                 Balancer.Scope.ALL,
                 0,
-                promiseMs * Rig.MS,
-                giveUpMs * Rig.MS,
+                promiseMs * FakeHost.MS,
+                giveUpMs * FakeHost.MS,
                 worth,
                 0,
                 false,
@@ -966,7 +972,7 @@
      * hold alone; 8 s of short requests of class 0 and, for each, four long ones of class 1.
      * Returns the share of each that is served in time, and how many went to each server.
      */
-    private static double[] mixed(Rig r, int servers, int gapMs, int shortMs, int longMs) {
+    private static double[] runMixedLoad(FakeHost r, int servers, int gapMs, int shortMs, int longMs) {
         Map<Integer, double[]> out = new TreeMap<>(); // ticket: work left, sent at, server
         int[] asked = new int[2];
         int[] served = new int[2];
@@ -978,11 +984,11 @@
                 asked[c]++;
                 classes.put(r.request(c, c == 0 ? 500 : 4000), c);
             }
-            r.pass(5);
+            r.advance(5);
             for (int t : classes.keySet()) {
-                if (r.attempts(t) > 0 && !r.answers.containsKey(t) && !out.containsKey(t)) {
-                    out.put(t, new double[] {classes.get(t) == 0 ? shortMs : longMs, ms, r.server(t, 0)});
-                    got[2 + r.server(t, 0)]++;
+                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && !out.containsKey(t)) {
+                    out.put(t, new double[] {classes.get(t) == 0 ? shortMs : longMs, ms, r.serverOf(t, 0)});
+                    got[2 + r.serverOf(t, 0)]++;
                 }
             }
             int[] holds = new int[servers];
@@ -995,12 +1001,12 @@
                 if (o[0] <= 0 || late) {
                     out.remove(e.getKey());
                     served[classes.get(e.getKey())] += late ? 0 : 1;
-                    r.done(
+                    r.endAttempt(
                             e.getKey(),
                             0,
                             late ? Status.TIMEOUT : Status.OK,
                             Math.max(1, took),
-                            late ? null : Rig.util(Double.NaN, holds[(int) o[2]] - 1));
+                            late ? null : FakeHost.report(Double.NaN, holds[(int) o[2]] - 1));
                 }
             }
         }
@@ -1010,37 +1016,41 @@
     }
 
     @Test
-    void patientRequestsLeaveRoomForThoseWorthMoreThatAreNot() {
+    void requestsWithLongTargetsLeaveRoomForMoreValuableOnes() {
         // 2.9 cores' worth of work a second for two servers of two cores, later 5.6.
-        Rig busy = rig(DEAR, PATIENT).list(ListKind.FULL, Rig.ready(2));
-        double[] got = mixed(busy, 2, 40, 40, 200);
+        FakeHost busy = host(VALUABLE, LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
+        double[] got = runMixedLoad(busy, 2, 40, 40, 200);
         assertTrue(got[0] > 0.9 && got[1] > 0.6, "busy: " + Arrays.toString(got));
-        Rig over = rig(DEAR, PATIENT).list(ListKind.FULL, Rig.ready(2));
-        got = mixed(over, 2, 30, 40, 200);
+        FakeHost over = host(VALUABLE, LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
+        got = runMixedLoad(over, 2, 30, 40, 200);
         assertTrue(got[0] > 0.9 && got[1] > 0.4, "over its limit: " + Arrays.toString(got));
     }
 
     @Test
-    void whereAllBringInMostByPatientRequestsNoneGivesWay() {
-        Rig r = rig(lasting(250, 500, 0.5), PATIENT).list(ListKind.FULL, Rig.ready(2));
-        double[] got = mixed(r, 2, 40, 40, 200);
+    void requestsWithLongTargetsDoNotYieldIfTheyEarnMost() {
+        FakeHost r = host(profile(250, 500, 0.5), LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
+        double[] got = runMixedLoad(r, 2, 40, 40, 200);
         assertTrue(got[1] > 0.9, Arrays.toString(got));
     }
 
     @Test
-    void whatGivesWayGoesWhereThereIsRoom() {
-        Rig r = rig(DEAR, PATIENT)
-                .list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY), Rig.member(2, 1, READY));
-        double[] got = mixed(r, 3, 40, 40, 200);
+    void requestsThatYieldAreSentWhereThereIsRoom() {
+        FakeHost r = host(VALUABLE, LONG_TARGET)
+                .deliverList(
+                        ListKind.FULL,
+                        FakeHost.member(0, 0, READY),
+                        FakeHost.member(1, 1, READY),
+                        FakeHost.member(2, 1, READY));
+        double[] got = runMixedLoad(r, 3, 40, 40, 200);
         assertTrue(got[3] + got[4] > 40 && got[0] > 0.9 && got[1] > 0.6, Arrays.toString(got));
     }
 
     @Test
-    void aRepeatedReportIsNotTakenForNewWhereNoneTellsTheBusyShare() {
-        Report[] silent = {Rig.util(Double.NaN, 4), Rig.util(Double.NaN, 0)};
-        Report[] idle = {Rig.util(0, 4), Rig.util(0, 0)};
-        int[] got = serve(rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2)), 200, 2, 20, silent);
-        int[] told = serve(rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2)), 200, 2, 20, idle);
+    void aRepeatedReportWithoutUtilizationIsNotTreatedAsNew() {
+        Report[] silent = {FakeHost.report(Double.NaN, 4), FakeHost.report(Double.NaN, 0)};
+        Report[] idle = {FakeHost.report(0, 4), FakeHost.report(0, 0)};
+        int[] got = serve(host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)), 200, 2, 20, silent);
+        int[] told = serve(host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)), 200, 2, 20, idle);
         assertEquals(Arrays.toString(told), Arrays.toString(got));
     }
 
@@ -1048,34 +1058,35 @@
 
     @Test
     void discoveryIsAskedAtTheStartAndAgainAfterAFailure() {
-        Rig r = new Rig(Rig.settings(true, Rig.SAFE));
+        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
         assertEquals(List.of("subscribe true"), r.actions);
-        r.list(ListKind.CACHED, Rig.ready(1));
-        r.list(ListKind.FAILED);
-        r.pass(1000);
+        r.deliverList(ListKind.CACHED, FakeHost.ready(1));
+        r.deliverList(ListKind.FAILED);
+        r.advance(1000);
         assertTrue(r.actions.size() >= 2, "asked again");
-        r.list(ListKind.FULL, Rig.ready(2));
+        r.deliverList(ListKind.FULL, FakeHost.ready(2));
         int asked = r.actions.size();
-        r.pass(60_000);
+        r.advance(60_000);
         assertEquals(asked, r.actions.size(), "not asked again while subscribed");
     }
 
     /** What counts 6 s after discovery could be reached leaves no time for long pauses. */
     @Test
-    void howeverOftenCallsFailDiscoveryIsAskedAgainWithinASecond() {
-        Rig r = new Rig(Rig.settings(true, Rig.SAFE));
+    void failedDiscoveryCallsAreRetriedWithinASecond() {
+        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
         for (int asked = 1; asked < 50; asked++) {
             assertEquals(asked, r.actions.size());
-            r.list(ListKind.FAILED).pass(100);
+            r.deliverList(ListKind.FAILED).advance(100);
             assertEquals(asked, r.actions.size(), "asked again at once");
-            r.pass(800);
+            r.advance(800);
         }
     }
 
     @Test
-    void anUnansweredCallIsRepeatedBeforeTheRuleBinds() {
-        Rig r = new Rig(Rig.settings(true, Rig.SAFE)).list(ListKind.CACHED, Rig.ready(1));
-        r.pass(9000);
+    void anUnansweredCallIsRepeatedBeforeTheListIsTooOld() {
+        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT))
+                .deliverList(ListKind.CACHED, FakeHost.ready(1));
+        r.advance(9000);
         assertEquals(List.of("subscribe true", "subscribe true"), r.actions);
     }
 
@@ -1083,9 +1094,9 @@
 
     @Test
     void theSameEventsGiveTheSameActionsAlsoBesideAnotherInstance() {
-        Rig a = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(5));
-        Rig b = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(5));
-        Rig other = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
+        FakeHost a = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(5));
+        FakeHost b = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(5));
+        FakeHost other = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         serve(a, 50, 5, 20, null);
         for (int i = 0; i < 50; i++) {
             serve(other, 1, 2, 35, null);
@@ -1095,18 +1106,22 @@
     }
 
     @Test
-    void aClockThatStandsStillDoesNoHarm() {
-        Rig r = rig(Rig.SAFE).list(ListKind.FULL, Rig.ready(2));
+    void aClockThatDoesNotAdvanceIsHandled() {
+        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         for (int i = 0; i < 100; i++) {
-            r.done(r.request(), 0, Status.OK, 0, Rig.util(0.5, 0));
+            r.endAttempt(r.request(), 0, Status.OK, 0, FakeHost.report(0.5, 0));
         }
-        assertEquals(100, r.answers.size());
+        assertEquals(100, r.finalAnswers.size());
     }
 
     @Test
-    void contradictoryListsAreTakenInOrder() {
-        Rig r = rig(Rig.SAFE);
-        r.list(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(0, 0, State.DRAINING), Rig.member(1, 0, READY));
+    void contradictoryEntriesOfAListApplyInOrder() {
+        FakeHost r = host(FakeHost.IDEMPOTENT);
+        r.deliverList(
+                ListKind.FULL,
+                FakeHost.member(0, 0, READY),
+                FakeHost.member(0, 0, State.DRAINING),
+                FakeHost.member(1, 0, READY));
         assertEquals(10, serve(r, 10, 2, 20, null)[1]);
     }
 }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -47,13 +47,13 @@
             zone=0
             """;
     private static final String CLOCK = "90bf68f501000000";
-    private static final String INGRESS =
+    private static final String REQUEST =
             "0303000000c4913a5d000000640ad2557c3bf091001c4e0e00000000" + "001bb70000000000" + "0100" + "00".repeat(10);
-    private static final String ELAPSED = "07030000004d00000000000000" + "00".repeat(35);
-    private static final String DONE = "0503000000c4913a5d0000074a12030100a0491a0100000000010200004040"
+    private static final String TIMER = "07030000004d00000000000000" + "00".repeat(35);
+    private static final String OUTCOME = "0503000000c4913a5d0000074a12030100a0491a0100000000010200004040"
             + "52b81e3f0000000000000000" + "00".repeat(5);
 
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private Balancer.Actions sink;
     private Balancer.Settings settings;
 
@@ -67,43 +67,43 @@
 
         @Override
         public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
-            heard.add("members " + kind + " " + version + " " + members);
+            events.add("members " + kind + " " + version + " " + members);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            heard.add("request " + request);
+            events.add("request " + request);
             onRequest.run();
         }
 
         @Override
         public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
-            heard.add("begun " + attempt + " " + server + " " + elapsedNs);
+            events.add("begun " + attempt + " " + server + " " + elapsedNs);
         }
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
-            heard.add("outcome " + outcome);
+            events.add("outcome " + outcome);
         }
 
         @Override
         public void onClientDisconnected(long now, int ticket) {
-            heard.add("withdrawn " + ticket);
+            events.add("withdrawn " + ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            heard.add("timer " + now + " " + token);
+            events.add("timer " + now + " " + token);
         }
 
         @Override
         public void onProbeResult(long now, int server, Status status, long elapsedNs, Report report) {
-            heard.add("probe " + server + " " + status + " " + elapsedNs + " " + report.utilization());
+            events.add("probe " + server + " " + status + " " + elapsedNs + " " + report.utilization());
         }
 
         @Override
         public void onPeerMessage(long now, int peer, byte[] message) {
-            heard.add("peer " + peer + " " + new String(message, StandardCharsets.UTF_8));
+            events.add("peer " + peer + " " + new String(message, StandardCharsets.UTF_8));
         }
     }
 
@@ -130,7 +130,7 @@
         new Host((s, seed, now, actions) -> {
                     settings = s;
                     sink = actions;
-                    heard.add("start " + seed);
+                    events.add("start " + seed);
                     return new Recorder(onRequest);
                 })
                 .serve(new ByteArrayInputStream(HexFormat.of().parseHex(String.join("", frames))), out);
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void theDocumentsReplyIsWrittenToTheByte() throws IOException {
+    void theReplyMatchesTheWireDocumentByteForByte() throws IOException {
         String reply = run(
                 () -> {
                     sink.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
@@ -155,7 +155,7 @@
                     sink.log("two servers known");
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST));
         assertEquals(
                 "0000000000000000" + "0300000059000000"
                         + "4103000000c4913a5d074a120300b4c40400000000000000"
@@ -180,7 +180,7 @@
                     sink.requestList();
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST));
         assertEquals(
                 "0000000000000000" + "09000000" + u32(9 * 24 + 4)
                         + "4203000000192b6f0e80b2e60e00000000" + "00".repeat(7)
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void eventsAreReadFromTheDocumentsBytes() throws IOException {
+    void eventsOfTheWireDocumentAreDecoded() throws IOException {
         String entries = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f" + "f211902c"
                 + "0000" + "01" + "009d966b01000000" + "0000" + "01" + "0000c03f";
         run(
@@ -206,7 +206,7 @@
                         entries,
                         "0b00000000000002000000" + "00".repeat(37),
                         "02030000000229000000000000000000" + "00".repeat(32)),
-                frame("", INGRESS, ELAPSED, DONE, "0603000000192b6f0e" + "00".repeat(39)),
+                frame("", REQUEST, TIMER, OUTCOME, "0603000000192b6f0e" + "00".repeat(39)),
                 frame(
                         "68692037",
                         "0403000000c4913a5d0000074a1203d0248d0000000000" + "00".repeat(25),
@@ -234,11 +234,11 @@
                         "begun 0 51530247 9250000",
                         "probe 747639282 OK 1400000 0.6200000047683716",
                         "peer 2 hi 7"),
-                heard);
+                events);
     }
 
     @Test
-    void settingsAreReadAndUnknownOnesSkipped() throws IOException {
+    void settingsAreReadAndUnknownOnesIgnored() throws IOException {
         run(start(CONFIG));
         assertEquals(3, settings.proxyCount());
         assertEquals(Balancer.Scope.ZONE, settings.profiles().get(0).scope());
@@ -252,72 +252,74 @@
     }
 
     @Test
-    void rulesThatAreNotStatedDoNotHold() throws IOException {
+    void optionalRulesDefaultToOff() throws IOException {
         run(start(CONFIG.replaceAll("rules.busy.*\n|rules.turn.*\n|.*sequential.*\n", "")));
         assertFalse(settings.fullMayHaveRun());
         assertFalse(settings.profiles().get(0).sequential());
         assertEquals(0, settings.sequentialGapNs());
     }
 
-    private void refused(String message, String... frames) {
+    private void assertRejected(String message, String... frames) {
         WireException e = assertThrows(WireException.class, () -> run(frames));
         assertEquals(message, e.getMessage());
     }
 
     @Test
-    void malformedInputIsSaidPlainly() {
-        refused("input truncated: it ends inside a frame header", "0000000000");
-        refused("input truncated: it ends inside a frame body", "3000000001000000" + CLOCK + "03");
-        refused("malformed frame: 2 records do not fit in 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
-        refused("unknown event code 12", frame("", "0c" + "00".repeat(47)));
-        refused("unknown event code 0", frame("", "00".repeat(48)));
-        refused("event 7 for instance 3: the instance is not running", frame("", ELAPSED));
-        refused("event 10 for instance 3: the instance is not running", frame("", "0a03000000" + "00".repeat(43)));
-        refused(
+    void malformedInputIsRejectedWithAReason() {
+        assertRejected("input truncated: it ends inside a frame header", "0000000000");
+        assertRejected("input truncated: it ends inside a frame body", "3000000001000000" + CLOCK + "03");
+        assertRejected(
+                "malformed frame: 2 records do not fit in 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
+        assertRejected("unknown event code 12", frame("", "0c" + "00".repeat(47)));
+        assertRejected("unknown event code 0", frame("", "00".repeat(48)));
+        assertRejected("event 7 for instance 3: the instance is not running", frame("", TIMER));
+        assertRejected(
+                "event 10 for instance 3: the instance is not running", frame("", "0a03000000" + "00".repeat(43)));
+        assertRejected(
                 "request class 1 out of range: number of classes is 1",
                 start(CONFIG),
-                frame("", INGRESS.replace("5d00", "5d01")));
-        refused(
+                frame("", REQUEST.replace("5d00", "5d01")));
+        assertRejected(
                 "unknown server list 5",
                 start(CONFIG),
                 frame("", "0203000000022900000000000000" + "0500" + "00".repeat(32)));
-        refused(
+        assertRejected(
                 "malformed frame: reference of 44 bytes at offset 0 exceeds the tail of 4 bytes",
                 frame("00000000", "0b00000000000002000000" + "00".repeat(37)));
-        refused("unknown outcome 9", start(CONFIG), frame("", DONE.replace("074a12030100", "074a12030900")));
-        refused(
+        assertRejected("unknown outcome 9", start(CONFIG), frame("", OUTCOME.replace("074a12030100", "074a12030900")));
+        assertRejected(
                 "load report of 7 values: at most 4 allowed",
                 start(CONFIG),
-                frame("", DONE.replace("000102000040", "000107000040")));
+                frame("", OUTCOME.replace("000102000040", "000107000040")));
     }
 
     @Test
-    void settingsThatAreNeededAreMissedByName() {
-        refused("setting rules.cold_ns is missing", start(CONFIG.replace("rules.cold_ns=9000000000\n", "")));
-        refused("setting me is not a whole number: first", start(CONFIG.replace("me=0", "me=first")));
-        refused(
+    void missingAndInvalidSettingsAreNamed() {
+        assertRejected("setting rules.cold_ns is missing", start(CONFIG.replace("rules.cold_ns=9000000000\n", "")));
+        assertRejected("setting me is not a whole number: first", start(CONFIG.replace("me=0", "me=first")));
+        assertRejected(
                 "setting rules.tip_multiple is not a number: NaN",
                 start(CONFIG.replace("tip_multiple=4.0", "tip_multiple=NaN")));
-        refused(
+        assertRejected(
                 "setting profiles.0.effect has an unknown value: twice",
                 start(CONFIG.replace("effect=deduplicated", "effect=twice")));
     }
 
     @Test
-    void aModuleThatThrowsBecomesTheExceptionAction() throws IOException {
+    void anExceptionOfTheModuleIsReported() throws IOException {
         String reply = run(
                 () -> {
                     throw new IllegalStateException("index out of range");
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST));
         String text = new String(HexFormat.of().parseHex(reply.substring(16 + 16 + 48)), StandardCharsets.UTF_8);
         assertEquals("4a", reply.substring(32, 34));
         assertTrue(text.contains("index out of range"), text);
     }
 
     @Test
-    void aListNumberIsTakenOverWithinABatch() throws IOException {
+    void aListNumberCanBeReusedWithinABatch() throws IOException {
         String one = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f";
         String topology = "0203000000002900000000000000" + "0000" + "00".repeat(32);
         run(
@@ -328,16 +330,16 @@
                         topology,
                         "0b00000000000000000000" + "00".repeat(37),
                         topology));
-        assertTrue(heard.get(1).contains("51530247"), heard.get(1));
-        assertTrue(heard.get(2).endsWith("[]"), heard.get(2));
+        assertTrue(events.get(1).contains("51530247"), events.get(1));
+        assertTrue(events.get(2).endsWith("[]"), events.get(2));
     }
 
     @Test
-    void anInstanceThatWasKilledHearsNothing() {
-        refused(
+    void eventsForAStoppedInstanceAreRejected() {
+        assertRejected(
                 "event 7 for instance 3: the instance is not running",
                 start(CONFIG),
                 frame("", "0a03000000" + "00".repeat(43)),
-                frame("", ELAPSED));
+                frame("", TIMER));
     }
 }
