--- a/src/main/java/gullspar/drill/Batch.java
+++ b/src/main/java/gullspar/drill/Batch.java
@@ -36,7 +36,7 @@
         long length = Integer.toUnsignedLong(header.getInt());
         long count = Integer.toUnsignedLong(header.getInt());
         if (count * RECORD_BYTES > length) {
-            throw new WireException("malformed frame: " + count + " records do not fit in " + length + " bytes");
+            throw new WireException(count + " records exceed the frame length of " + length + " bytes");
         }
         if (length > Integer.MAX_VALUE - 64) {
             throw new WireException("malformed frame: length of " + length + " bytes exceeds the limit");
--- a/src/main/java/gullspar/drill/Host.java
+++ b/src/main/java/gullspar/drill/Host.java
@@ -111,7 +111,7 @@
                 ListKind kind = constantAt(LIST_KINDS, b.u8(at + 5), "list kind");
                 List<ListedServer> list = kind == ListKind.FAILED ? List.of() : serverLists.get(b.u16(at + 14));
                 if (list == null) {
-                    throw new WireException("unknown server list " + b.u16(at + 14));
+                    throw new WireException("server list " + b.u16(at + 14) + " has not been defined");
                 }
                 m.onServerList(now, kind, b.i64(at + 6), list);
             }
--- a/src/test/java/gullspar/decide/EmbeddingTest.java
+++ b/src/test/java/gullspar/decide/EmbeddingTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example: a proxy that hands its events to the module and does what it is told. */
+/** The README's example: a proxy that passes its events to the module and executes its actions. */
 class EmbeddingTest {
     @Test
     void drivesTheModuleThroughItsInterface() {
         List<String> done = new ArrayList<>();
-        // A real proxy implements the interface; this one notes what it is told.
+        // A real proxy implements the interface; this one records the calls.
         Balancer.Actions actions = (Balancer.Actions) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (p, method, args) -> {
                     done.add(method.getName());
--- a/src/test/java/gullspar/decide/FakeHost.java
+++ b/src/test/java/gullspar/decide/FakeHost.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Drives one instance of the module by hand: a clock, a record of its actions and its timers. */
+/** Drives one instance of the module with a manual clock; records its actions and timers. */
 final class FakeHost implements Balancer.Actions {
     static final long MS = 1_000_000L;
     static final Profile IDEMPOTENT = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
@@ -69,7 +69,7 @@
         return settings(me, balancers, ask, false, profiles);
     }
 
-    /** Strict: 'full' is no proof, and a key rests for 300 ms. */
+    /** Strict: FULL may have run, and a key is blocked for 300 ms after an attempt that may still run. */
     static Settings strict(Profile... profiles) {
         return settings(0, 3, false, true, profiles);
     }
@@ -112,7 +112,7 @@
         return this;
     }
 
-    /** A new request; returns its ticket. */
+    /** Delivers a new request; returns its ticket. */
     int request(int profile, long timeLeftMs) {
         return request(profile, timeLeftMs, 0);
     }
@@ -121,7 +121,7 @@
         return deliverRequest(profile, timeLeftMs, key, false);
     }
 
-    /** A client's repeat, marked as such. */
+    /** Delivers a request marked as a client's repeat. */
     int repeat(int profile, long timeLeftMs) {
         return deliverRequest(profile, timeLeftMs, 0, true);
     }
@@ -158,7 +158,7 @@
         endAttempt(ticket, attemptCount(ticket) - 1, Status.OK, elapsedMs, null);
     }
 
-    /** Lets time pass, delivering timers as they fall due, in steps of 5 ms. */
+    /** Advances the clock in steps of 5 ms, firing timers that are due. */
     FakeHost advance(long ms) {
         for (long end = now + ms * MS; now < end; ) {
             now += 5 * MS;
--- a/src/test/java/gullspar/decide/IntMapTest.java
+++ b/src/test/java/gullspar/decide/IntMapTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The map against the standard one. */
+/** Compares IntMap with HashMap under random operations. */
 class IntMapTest {
     @Test
     void matchesHashMapThroughGrowthAndRemoval() {
--- a/src/test/java/gullspar/decide/ListWeightsTest.java
+++ b/src/test/java/gullspar/decide/ListWeightsTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pools whose servers report no load, and classes of requests that are added later. */
+/** Pools whose servers report no load, and request classes added at run time. */
 class ListWeightsTest {
     private static final Profile MINUTE = new Profile(
             Effect.IDEMPOTENT, Scope.ALL, 0, 60_000 * FakeHost.MS, 60_000 * FakeHost.MS, 1, 1, false, false);
@@ -72,7 +72,7 @@
     @Test
     void sharesIgnoreListWeightsWithoutTheSetting() {
         int[] got = serve(host(false), 800, new long[] {90, 5, 30}, null);
-        assertTrue(got[0] < 300, "all alike until one reports, " + got[0]);
+        assertTrue(got[0] < 300, "equal shares until a server reports, " + got[0]);
     }
 
     @Test
@@ -84,7 +84,7 @@
             got[r.serverOf(t, 0)]++;
             r.advance(5);
             if (r.serverOf(t, 0) != 2 || i % 80 == 0) {
-                r.succeed(t, 5); // one holds on to most of what it gets
+                r.succeed(t, 5); // server 2 leaves most of its requests open
             }
         }
         assertArrayEquals(new int[] {500, 200, 100}, got);
@@ -102,7 +102,7 @@
     void factorsReplaceListWeightsOnceAServerReportsLoad() {
         FakeHost r = host(true);
         int[] got = serve(r, 2000, new long[] {50, 5, 50}, FakeHost.report(0.2, 0));
-        assertTrue(got[1] > got[0], "the quick one draws more: " + got[0] + " and " + got[1]);
+        assertTrue(got[1] > got[0], "the faster server gets more: " + got[0] + " and " + got[1]);
     }
 
     @Test
--- a/src/test/java/gullspar/decide/ModuleSizeTest.java
+++ b/src/test/java/gullspar/decide/ModuleSizeTest.java
@@ -13,14 +13,14 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 
-/** The module is read aloud after an outage, so it stays short; comments count too. */
+/** Limits the module's lines, comments included: it is read in full in reviews after an outage. */
 class ModuleSizeTest {
     private static final int MAX_LINES = 1200;
     private static final int MAX_LINES_PER_FILE = 400;
     private static final Path DEPLOYMENT = Path.of("deploy/balancer.toml");
     private static final int MAX_COLUMNS = 120;
 
-    /** The files that the deployment calls the module. */
+    /** The files that deploy/balancer.toml lists as the module. */
     private static List<Path> files() throws IOException {
         TomlArray named = Toml.parse(DEPLOYMENT).getArray("policy");
         return named.toList().stream().map(f -> Path.of(f.toString())).toList();
@@ -41,7 +41,7 @@
         assertTrue(all <= MAX_LINES, "the module has " + all + " lines");
     }
 
-    /** Every class that decides is part of the module; what only holds state or is the interface is not. */
+    /** Every class that decides belongs to the module; the interface and classes that only hold state do not. */
     @Test
     void theDeploymentListsEachFileThatDecides() throws IOException {
         Set<String> others = Set.of(
--- a/src/test/java/gullspar/decide/NoLoadTest.java
+++ b/src/test/java/gullspar/decide/NoLoadTest.java
@@ -8,7 +8,7 @@
 import gullspar.decide.Balancer.Status;
 import org.junit.jupiter.api.Test;
 
-/** Events that say nothing of the load must not make the module send less; what has waited is refused at once. */
+/** Events that are no evidence of load must not reduce sends; requests that waited too long are refused at once. */
 class NoLoadTest {
     private static final int SERVERS = 12;
     private static final int REQUESTS = 40;
@@ -16,14 +16,14 @@
     private static FakeHost healthyHost() {
         FakeHost r = new FakeHost(FakeHost.settings(false, FakeHost.IDEMPOTENT))
                 .deliverList(ListKind.FULL, FakeHost.ready(SERVERS));
-        for (int i = 0; i < REQUESTS; i++) { // all is well at first
+        for (int i = 0; i < REQUESTS; i++) { // a healthy phase first
             r.endAttempt(r.request(), 0, Status.OK, 20, null);
             r.advance(10);
         }
         return r;
     }
 
-    /** Asks again and again, and its client leaves so long after each request; how many of them were sent. */
+    /** Sends requests whose clients disconnect after this time; returns how many were sent to a server. */
     private static int sentWhileClientsDisconnect(FakeHost r, long afterMs) {
         int sent = 0;
         for (int i = 0; i < REQUESTS; i++) {
@@ -43,13 +43,13 @@
         assertEquals(REQUESTS, sentWhileClientsDisconnect(healthyHost(), 20));
     }
 
-    /** The promise is 250 ms: who leaves behind that has waited too long, and that tells of load. */
+    /** The latency target is 250 ms: a client that disconnects after that has waited too long, a sign of load. */
     @Test
     void disconnectsAfterTheLatencyTargetThrottle() {
         assertTrue(sentWhileClientsDisconnect(healthyHost(), 300) < REQUESTS);
     }
 
-    /** One first try in four, on a fleet that has room. */
+    /** One first attempt in four fails to connect, on a fleet with room. */
     @Test
     void aFailedConnectIsRetriedOnAnotherServer() {
         FakeHost r = healthyHost();
@@ -76,8 +76,8 @@
     void aRequestUnreadPastTheLatencyTargetIsRefused() {
         FakeHost r = healthyHost();
         r.policy.onRequest(r.now, new Request(900, 0, 0, 0, 700 * FakeHost.MS, 0, false, 300 * FakeHost.MS));
-        assertTrue(r.finalAnswers.containsKey(900), "it was kept");
-        assertTrue(!r.sends.containsKey(900), "it was sent");
+        assertTrue(r.finalAnswers.containsKey(900), "request 900 got no answer");
+        assertTrue(!r.sends.containsKey(900), "request 900 was sent");
     }
 
     @Test
--- a/src/test/java/gullspar/decide/OrderTest.java
+++ b/src/test/java/gullspar/decide/OrderTest.java
@@ -9,13 +9,13 @@
 import gullspar.decide.Balancer.Status;
 import org.junit.jupiter.api.Test;
 
-/** The rules that hold at some deployments only: order by key, and 'full' as no proof. */
+/** Rules of some deployments only: order by key, and FULL answers whose request may have run. */
 class OrderTest {
     private static FakeHost strict(Profile... profiles) {
         return new FakeHost(FakeHost.strict(profiles)).deliverList(ListKind.FULL, FakeHost.ready(6));
     }
 
-    // ---- 'full' is no proof ----
+    // ---- FULL may have run ----
 
     @Test
     void atMostOnceFailsAfterFullThatMayHaveRun() {
@@ -102,7 +102,7 @@
             assertEquals("failed", r.finalAnswers.get(first));
             int third = r.request(0, 2000, 42);
             r.advance(280);
-            assertEquals(0, r.attemptCount(second) + r.attemptCount(third), status + ": the key rests");
+            assertEquals(0, r.attemptCount(second) + r.attemptCount(third), status + ": the key is blocked");
         }
     }
 
--- a/src/test/java/gullspar/decide/PolicyTest.java
+++ b/src/test/java/gullspar/decide/PolicyTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The module through its interface, with no bench. */
+/** Tests the module through its interface. */
 class PolicyTest {
     private static final State READY = State.READY;
 
@@ -26,7 +26,7 @@
         return new FakeHost(FakeHost.settings(false, profiles));
     }
 
-    /** Serves n requests one after another; returns how many each of the servers got. */
+    /** Serves n requests one after another; returns how many each server got. */
     private static int[] serve(FakeHost r, int n, int servers, long tookMs, Report[] reports) {
         int[] got = new int[servers];
         for (int i = 0; i < n; i++) {
@@ -46,7 +46,7 @@
     @Test
     void rotationOverEqualFactorsIsRoundRobin() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 60, 3, 20, null); // until this proxy's rate asks for all three
+        serve(r, 60, 3, 20, null); // until this proxy's rate is high enough for a subset of all three
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             int t = r.request();
@@ -69,7 +69,7 @@
     void aBusyServerStillGetsRequestsThatUpdateItsFactor() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         int[] got = serve(r, 300, 2, 30, new Report[] {FakeHost.report(0, 0), FakeHost.report(1, 0)});
-        assertTrue(got[1] > 10, "the server at 0 got " + got[1]);
+        assertTrue(got[1] > 10, "the server without spare share got " + got[1]);
     }
 
     @Test
@@ -79,7 +79,7 @@
             Report report = FakeHost.report(bad, bad);
             int[] got = serve(r, 100, 2, 20, new Report[] {report, report});
             assertEquals(100, got[0] + got[1], "requests sent at " + bad);
-            assertTrue(got[0] > 20 && got[1] > 20, "both share at " + bad);
+            assertTrue(got[0] > 20 && got[1] > 20, "requests to both servers at " + bad);
         }
     }
 
@@ -110,7 +110,7 @@
     void withNoServersARequestWaitsAndIsRefusedInTime() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int t = r.request(0, 120);
-        assertTrue(r.actions.isEmpty(), "held at first");
+        assertTrue(r.actions.isEmpty(), "the request waits at first");
         r.advance(120);
         assertEquals("refused", r.finalAnswers.get(t));
     }
@@ -146,10 +146,10 @@
     void aRequestThatWaitedThroughAStallIsAnsweredOnceAfterIt() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
         int t = r.request(0, 400);
-        r.now += 380 * FakeHost.MS; // no turn for this proxy, and the client is about to leave
+        r.now += 380 * FakeHost.MS; // the proxy stalls until just before the client's timeout
         r.deliverList(ListKind.FULL, FakeHost.ready(2)).advance(5);
         assertEquals("refused", r.finalAnswers.get(t));
-        assertEquals(0, r.attemptCount(t), "nothing is sent that its client will not wait for");
+        assertEquals(0, r.attemptCount(t), "a request that its client will abandon is not sent");
     }
 
     @Test
@@ -268,9 +268,9 @@
         assertEquals(1, r.policy.avoidedServers());
         int t = r.request();
         r.endAttempt(t, 0, Status.CONNECT_FAILED, 5, null);
-        assertEquals(2, r.policy.avoidedServers(), "one is ejected now");
+        assertEquals(2, r.policy.avoidedServers(), "one is ejected, one is draining");
         r.deliverList(ListKind.FULL, FakeHost.ready(2));
-        assertTrue(r.policy.avoidedServers() <= 1, "who is listed no more is not counted");
+        assertTrue(r.policy.avoidedServers() <= 1, "unlisted servers are not counted");
     }
 
     @Test
@@ -297,7 +297,7 @@
 
     // ---- rule 4: cold servers ----
 
-    /** What a cold server gets in 2 s of all that came to three, by the share of its time it reports busy. */
+    /** Sends in 2 s to one cold server that replaces three, when it reports this utilization. */
     private static int sentToOneColdServer(double util) {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         serve(r, 1000, 3, 20, null);
@@ -319,12 +319,12 @@
 
     @Test
     void aBurstOnAColdServerStaysWithinTheBudget() {
-        // 50 requests a second came to a fleet of three; the budget for 2 s is 3 x 0.3..0.5 x 16.7 a second.
+        // Three servers had 50 requests per second in all; the budget for 2 s is 3 x 0.3..0.5 x 16.7 per second.
         int sent = sentToOneColdServer(0);
         assertTrue(sent > 1 && sent < 60, "sent " + sent);
     }
 
-    /** Of 40 requests at one moment, how many one server of four is sent before any is answered. */
+    /** Returns how many of 40 simultaneous requests go to one server of four before any is answered. */
     private static int sentInABurst(FakeHost r, int server) {
         int got = 0;
         int first = r.request();
@@ -335,7 +335,7 @@
         for (int t = first; t <= last; t++) {
             got += r.attemptCount(t) > 0 && r.serverOf(t, 0) == server ? 1 : 0;
         }
-        for (int i = 0; i < 100; i++) { // those that waited go out as others are answered
+        for (int i = 0; i < 100; i++) { // waiting requests are sent as others are answered
             for (int t = first; t <= last; t++) {
                 if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
                     r.succeed(t, 20);
@@ -346,7 +346,7 @@
         return got;
     }
 
-    /** It may have crashed and be back; the list says so seconds later. */
+    /** It may have crashed and restarted, which the list shows only seconds later. */
     @Test
     void aServerThatRefusedAConnectionIsTreatedAsCold() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
@@ -359,10 +359,10 @@
             t = r.request();
         }
         r.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
-        r.succeed(t, 20); // elsewhere
+        r.succeed(t, 20); // retried on another server
         r.advance(1000); // its trial is due
         int[] back = serve(r, 20, 4, 20, null);
-        assertTrue(back[2] > 0, "it has no trial");
+        assertTrue(back[2] > 0, "the ejected server got no trial");
         int cold = sentInABurst(r, 2);
         assertTrue(cold * 4 <= usual * 3 && usual > 1, cold + " of a burst when back, " + usual + " before");
         serve(r, 600, 4, 20, null);
@@ -390,7 +390,7 @@
         assertTrue(sent > 180, "sent " + sent + " of 300 in the first 6 s");
     }
 
-    /** 50 requests a second for 6 s, of which those that go out are answered after 20 ms. */
+    /** Sends 50 requests per second for 6 s, each answered 20 ms after it is sent; returns how many were sent. */
     private static int sentOf300(FakeHost r) {
         int sent = 0;
         for (int i = 0; i < 300; i++) {
@@ -411,13 +411,13 @@
         assertTrue(sentToColdServersInTheFirstSeconds(0) > 40);
     }
 
-    /** It asks for the list before it warms up, and its clients come after that. */
+    /** A proxy gets the list before it warms up, and its clients connect only after that. */
     @Test
     void timeBeforeTheFirstRequestDoesNotLowerTheRates() {
         assertEquals(sentToColdServersInTheFirstSeconds(0), sentToColdServersInTheFirstSeconds(20));
     }
 
-    /** Its sends alone would hold it to less than it sent, and less again for that. */
+    /** A budget computed from sends alone would shrink with each reduction of the sends. */
     @Test
     void aProxyWithoutHistoryGetsItsEvenShareOfAColdFleet() {
         FakeHost r = host(FakeHost.IDEMPOTENT);
@@ -430,7 +430,7 @@
         assertTrue(sent > 200, "sent " + sent + " of 300");
     }
 
-    /** To four that have just started beside a warm one, of 150 requests in 3 s; idle: before those, in s. */
+    /** Sends to four cold servers beside a warm one, of 150 requests in 3 s after this many idle seconds. */
     private static int sentToColdServersInTheFirstSeconds(int idle) {
         FakeHost r = host(FakeHost.IDEMPOTENT);
         r.advance(1000L * idle);
@@ -452,9 +452,9 @@
         return got[1] + got[2] + got[3] + got[4];
     }
 
-    // ---- a bank of many proxies ----
+    // ---- many proxies ----
 
-    /** Proxies of one zone, each with its own seed and number, that know n servers of it. */
+    /** Proxies of one zone, each with its own seed and index, with this many servers listed. */
     private static List<FakeHost> proxies(int proxies, int servers) {
         List<FakeHost> bank = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
@@ -464,7 +464,7 @@
         return bank;
     }
 
-    /** Each proxy takes a request every 100 ms for a while; returns how many each server was sent. */
+    /** Each proxy gets a request every 100 ms; returns how many each server was sent. */
     private static int[] run(List<FakeHost> bank, int rounds, int servers) {
         int[] got = new int[servers];
         for (int i = 0; i < rounds; i++) {
@@ -490,8 +490,8 @@
         }
         int first = run(bank, 2, 21)[20];
         int sent = first + run(bank, 18, 21)[20];
-        // 2000 requests a second come to 20 servers. Of the 100 of each a cold one can do 0.3 at first; in
-        // 2 s it may be sent three times that, and of these a tenth in the first 0.2 s: no burst.
+        // 20 servers get 2000 requests per second. A cold one can serve 0.3 of its 100 at first; in
+        // 2 s it may be sent three times that, with a tenth in the first 0.2 s, so without a burst.
         assertTrue(sent < 3 * 0.3 * 100 * 2, "sent " + sent);
         assertTrue(first < 3 * 0.3 * 100 * 0.2, "sent at first " + first);
     }
@@ -524,7 +524,7 @@
             r.deliverList(ListKind.FULL, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = 0;
-        for (FakeHost r : bank) { // the first requests of all: no rate is known, so no budget but the floor
+        for (FakeHost r : bank) { // no request before, so the rate is unknown and the budget is its minimum
             for (int i = 0; i < 5; i++) {
                 r.request();
                 r.advance(240);
@@ -542,7 +542,7 @@
             r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
         }
         int sent = run(bank, 40, 21)[20];
-        assertTrue(sent > 20, "budgets by the whole zone's servers would leave it idle; sent " + sent);
+        assertTrue(sent > 20, "a budget that ignores subsets would leave it idle; sent " + sent);
     }
 
     @Test
@@ -613,13 +613,13 @@
                 }
             }
         }
-        assertTrue(mute > 20 && mute < 240, "the one that reports nothing got " + mute + " of 300");
+        assertTrue(mute > 20 && mute < 240, "the server that does not report got " + mute + " of 300");
     }
 
     @Test
     void anUnreportedOverloadGetsFewRequestsUntilItIsRetried() {
         FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
-        for (int i = 0; i < 100; i++) { // all servers jammed: nothing is answered, nothing is reported
+        for (int i = 0; i < 100; i++) { // all servers overloaded: no answers, no reports
             int newest = r.request();
             r.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
@@ -628,7 +628,7 @@
                 }
             }
         }
-        assertTrue(r.sends.size() < 42, "sent into the jam: " + r.sends.size());
+        assertTrue(r.sends.size() < 42, "sent during the overload: " + r.sends.size());
         int before = r.sends.size();
         for (int i = 0; i < 100; i++) {
             r.request();
@@ -709,20 +709,20 @@
         FakeHost r = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
                 .deliverList(ListKind.FULL, FakeHost.ready(3));
         int t = r.request(0, 1000);
-        assertEquals(250 * FakeHost.MS, r.lastTimeout, "the promise");
+        assertEquals(250 * FakeHost.MS, r.lastTimeout, "the latency target");
         r.advance(250);
         int sent = r.attemptCount(t);
         for (int a = 0; a < sent; a++) {
             r.endAttempt(t, a, Status.TIMEOUT, 250, null);
         }
-        assertEquals(sent, r.attemptCount(t), "nothing is sent that would be late");
+        assertEquals(sent, r.attemptCount(t), "an attempt that would be late is not sent");
         assertEquals("refused", r.finalAnswers.get(t), "no further attempt that would be late");
         FakeHost calm = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
                 .deliverList(ListKind.FULL, FakeHost.ready(3));
         calm.request(1, 1000);
         assertEquals(250 * FakeHost.MS, calm.lastTimeout);
         calm.request(2, 1000);
-        assertEquals(0, calm.lastTimeout, "its client's repeat would run beside it");
+        assertEquals(0, calm.lastTimeout, "no timeout, as the client's repeat would run beside it");
     }
 
     @Test
@@ -739,7 +739,7 @@
         assertTrue(attempts < 215, "attempts " + attempts);
     }
 
-    /** Resets tell of no load: a row of them is made good, within a budget of its own. */
+    /** Resets are no evidence of load: a series of them is retried, within a budget of its own. */
     @Test
     void brokenConnectionsAreRetriedWithinTheirOwnBudget() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
@@ -752,10 +752,10 @@
                 again++;
                 r.succeed(t, 1);
             }
-            assertTrue(i != 99 || again == 20, "made good " + again + " of 20");
+            assertTrue(i != 99 || again == 20, "retried " + again + " of 20");
             r.advance(5);
         }
-        assertTrue(again < 70, "made good " + again + " of 120");
+        assertTrue(again < 70, "retried " + again + " of 120");
     }
 
     // ---- admission and zones ----
@@ -771,7 +771,7 @@
         assertEquals(0, r.attemptCount(third), "waits");
         r.advance(50);
         r.succeed(first, 50);
-        assertEquals(1, r.attemptCount(third), "an answer makes room, for the newest: it has most time left");
+        assertEquals(1, r.attemptCount(third), "an answer makes room for the newest, which has most time left");
         assertEquals(0, r.attemptCount(second));
     }
 
@@ -789,7 +789,7 @@
     void attemptsAreThrottledWhenMostAreLost() {
         FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
         int sent = 0;
-        for (int i = 0; i < 400; i++) { // 50 requests a second for 8 s; one in three is answered
+        for (int i = 0; i < 400; i++) { // 50 requests per second for 8 s; one in three is answered
             int newest = r.request();
             r.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
@@ -817,7 +817,7 @@
             }
         }
         int served = 0;
-        for (int i = 0; i < 100; i++) { // a second of 100 requests, each answered at once where it is sent
+        for (int i = 0; i < 100; i++) { // 100 requests in 1 s, each answered at once if it is sent
             int t = r.request();
             if (r.attemptCount(t) > 0) {
                 r.succeed(t, 1);
@@ -828,7 +828,7 @@
         assertTrue(served > 25, "served " + served + " of 100");
     }
 
-    /** Sends in 4 s of 50 requests a second where every answer comes in time, after so long. */
+    /** Sends in 4 s at 50 requests per second, if every answer takes this long, within the latency target. */
     private static int sentWithAnswersAfter(int ms, Report report) {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         serve(r, 100, 6, 20, null);
@@ -857,7 +857,7 @@
 
     @Test
     void aServersCapacityIsItsThroughputOverItsUtilization() {
-        // All take a second whatever they do; the one that is as busy with a third of the work gets less.
+        // Every answer takes 1 s; the server with the same utilization at a third of the throughput gets less.
         FakeHost r = host(new Balancer.Profile(
                         Balancer.Effect.IDEMPOTENT,
                         Balancer.Scope.ALL,
@@ -891,8 +891,8 @@
     @Test
     void aMarkedRepeatCountsItsLatencyTargetFromTheFirstTry() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 100, 3, 20, null); // first tries have 1000 ms, all that the class allows
-        int late = r.repeat(0, 700); // 300 ms after its first try: the promise of 250 ms is over
+        serve(r, 100, 3, 20, null); // first tries have 1000 ms, the client timeout of the class
+        int late = r.repeat(0, 700); // 300 ms after its first try, past the latency target of 250 ms
         assertEquals(0, r.attemptCount(late));
         assertEquals("refused", r.finalAnswers.get(late));
         int early = r.repeat(0, 900);
@@ -909,11 +909,11 @@
         for (int i = 0; i < 8; i++) {
             out.add(r.request());
         }
-        r.now += 600 * FakeHost.MS; // no turn for this proxy
+        r.now += 600 * FakeHost.MS; // the proxy stalls
         out.forEach(t -> r.endAttempt(t, 0, Status.TIMEOUT, 250, null));
         r.advance(5);
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, r.attemptCount(r.request()), "nothing is held back");
+            assertEquals(1, r.attemptCount(r.request()), "no request is held back");
         }
     }
 
@@ -935,7 +935,7 @@
         assertEquals(50, serve(calm, 50, 2, 20, null)[0]);
     }
 
-    /** How many of 200 requests leave an own zone whose server is nine tenths busy. */
+    /** Returns how many of 200 requests are sent to another zone while the own server reports utilization 0.9. */
     private static int sentOutOfABusyZone(double inflight) {
         FakeHost r = host(FakeHost.IDEMPOTENT)
                 .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
@@ -945,11 +945,13 @@
 
     @Test
     void aBusyZoneSpillsOverWithoutReportedRequestCounts() {
-        assertTrue(sentOutOfABusyZone(Double.NaN) > 50, "left: " + sentOutOfABusyZone(Double.NaN));
-        assertTrue(sentOutOfABusyZone(0) < 10, "left though it holds nothing: " + sentOutOfABusyZone(0));
+        assertTrue(sentOutOfABusyZone(Double.NaN) > 50, "sent to the other zone: " + sentOutOfABusyZone(Double.NaN));
+        assertTrue(
+                sentOutOfABusyZone(0) < 10,
+                "sent to the other zone though the own server is empty: " + sentOutOfABusyZone(0));
     }
 
-    // ---- classes that give way ----
+    // ---- classes that yield ----
 
     private static final Balancer.Profile VALUABLE = profile(250, 500, 12);
     private static final Balancer.Profile LONG_TARGET = profile(1500, 4000, 1);
@@ -968,9 +970,9 @@
     }
 
     /**
-     * Servers of two cores that work at all they hold side by side, as they say in each answer by what they
-     * hold alone; 8 s of short requests of class 0 and, for each, four long ones of class 1.
-     * Returns the share of each that is served in time, and how many went to each server.
+     * Simulates servers with two cores that share them among all open requests and report only the number of
+     * those; 8 s of short requests of class 0 with four long ones of class 1 for each.
+     * Returns the share of each class served in time, then the requests sent to each server.
      */
     private static double[] runMixedLoad(FakeHost r, int servers, int gapMs, int shortMs, int longMs) {
         Map<Integer, double[]> out = new TreeMap<>(); // ticket: work left, sent at, server
@@ -1017,7 +1019,7 @@
 
     @Test
     void requestsWithLongTargetsLeaveRoomForMoreValuableOnes() {
-        // 2.9 cores' worth of work a second for two servers of two cores, later 5.6.
+        // Work for 2.9 cores on two servers of two cores each, later for 5.6.
         FakeHost busy = host(VALUABLE, LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
         double[] got = runMixedLoad(busy, 2, 40, 40, 200);
         assertTrue(got[0] > 0.9 && got[1] > 0.6, "busy: " + Arrays.toString(got));
@@ -1063,21 +1065,21 @@
         r.deliverList(ListKind.CACHED, FakeHost.ready(1));
         r.deliverList(ListKind.FAILED);
         r.advance(1000);
-        assertTrue(r.actions.size() >= 2, "asked again");
+        assertTrue(r.actions.size() >= 2, "requested again after the failure");
         r.deliverList(ListKind.FULL, FakeHost.ready(2));
         int asked = r.actions.size();
         r.advance(60_000);
-        assertEquals(asked, r.actions.size(), "not asked again while subscribed");
+        assertEquals(asked, r.actions.size(), "not requested again while subscribed");
     }
 
-    /** What counts 6 s after discovery could be reached leaves no time for long pauses. */
+    /** A change must take effect within 6 s of discovery being reachable, so the backoff stays short. */
     @Test
     void failedDiscoveryCallsAreRetriedWithinASecond() {
         FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
         for (int asked = 1; asked < 50; asked++) {
             assertEquals(asked, r.actions.size());
             r.deliverList(ListKind.FAILED).advance(100);
-            assertEquals(asked, r.actions.size(), "asked again at once");
+            assertEquals(asked, r.actions.size(), "the list was requested without a pause");
             r.advance(800);
         }
     }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames in both directions; the bytes of the records are those of the wire document. */
+/** Frames in both directions, with the records' bytes as in the wire document. */
 class HostTest {
     private static final String CONFIG =
             """
@@ -57,7 +57,7 @@
     private Balancer.Actions sink;
     private Balancer.Settings settings;
 
-    /** Notes each call; what it does on a request is up to the test. */
+    /** Records each call; the test decides what it does on a request. */
     private final class Recorder implements Balancer {
         private final Runnable onRequest;
 
@@ -115,7 +115,7 @@
         return HexFormat.of().formatHex(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A frame of these records (hex), with this tail. */
+    /** A frame with these records and this tail, in hexadecimal. */
     private static String frame(String tail, String... records) {
         String body = String.join("", records) + tail;
         return u32(body.length() / 2) + u32(records.length) + CLOCK + body;
@@ -268,8 +268,7 @@
     void malformedInputIsRejectedWithAReason() {
         assertRejected("input truncated: it ends inside a frame header", "0000000000");
         assertRejected("input truncated: it ends inside a frame body", "3000000001000000" + CLOCK + "03");
-        assertRejected(
-                "malformed frame: 2 records do not fit in 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
+        assertRejected("2 records exceed the frame length of 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
         assertRejected("unknown event code 12", frame("", "0c" + "00".repeat(47)));
         assertRejected("unknown event code 0", frame("", "00".repeat(48)));
         assertRejected("event 7 for instance 3: the instance is not running", frame("", TIMER));
@@ -280,7 +279,7 @@
                 start(CONFIG),
                 frame("", REQUEST.replace("5d00", "5d01")));
         assertRejected(
-                "unknown server list 5",
+                "server list 5 has not been defined",
                 start(CONFIG),
                 frame("", "0203000000022900000000000000" + "0500" + "00".repeat(32)));
         assertRejected(
