--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -11,7 +11,7 @@
 import gullspar.peers.Statement;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Companion;
+import gullspar.proxy.operator.AuxiliaryService;
 import gullspar.toml.ProblemsException;
 import io.netty.channel.ChannelFuture;
 import io.netty.util.NetUtil;
@@ -36,7 +36,7 @@
  * A proxy's part in the fleet, as its operators' file says: it tells how the proxy does, and logs what it
  * hears.
  */
-public final class Membership implements Companion {
+public final class Membership implements AuxiliaryService {
     private static final int DIGEST_BYTES = 4;
 
     /** Reads what operators have written, of whatever kind their file is. */
@@ -233,13 +233,13 @@
     // ---- the companion ----
 
     @Override
-    public void at(Stage s) {
+    public void onStage(Stage s) {
         stage = s;
         tell();
     }
 
     @Override
-    public String answer(String path) {
+    public String query(String path) {
         return path.equals("/_fleet") && carrier.begun()
                 ? carrier.with(p -> FleetPage.of(p.view(platform.clock().now()), p.counters(), carrier))
                 : null;
--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -12,10 +12,10 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
 import gullspar.proxy.io.Signals;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.Figures;
-import gullspar.proxy.operator.OperatorPort;
-import gullspar.proxy.operator.Report;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
+import gullspar.proxy.operator.RequestCounters;
+import gullspar.proxy.operator.StatusReport;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -47,7 +47,10 @@
      * operators' file; it may make nothing, null. last: done before the process ends at a signal.
      */
     public static void run(
-            Map<String, String> environment, Runnable last, Balancer.Factory factory, Companion.Factory companions)
+            Map<String, String> environment,
+            Runnable last,
+            Balancer.Factory factory,
+            AuxiliaryService.Factory companions)
             throws ConfigException, IOException {
         // The default would end the process, so this comes first: an early signal waits for the proxy.
         CompletableFuture<Proxy> started = new CompletableFuture<>();
@@ -70,7 +73,7 @@
     private static void serve(
             Map<String, String> environment,
             Balancer.Factory factory,
-            Companion.Factory companions,
+            AuxiliaryService.Factory companions,
             ServingLoop serving,
             Reloads reloads,
             CompletableFuture<Proxy> started,
@@ -89,16 +92,16 @@
                 + config.discovery() + ", descriptors " + config.sockets());
         Platform platform =
                 config.inherited() ? Platform.of(serving, Inherited.transport(loop), LOG) : Platform.of(serving);
-        OperatorPort port = operatorPort(config, platform);
+        OperatorEndpoint port = operatorPort(config, platform);
         Proxy proxy = Proxy.on(platform, () -> Proxy.asking(config, platform, factory));
         started.complete(proxy); // what a new configuration changes counts during the warm-up too
-        Companion beside = config.operatorsFile() == null
+        AuxiliaryService beside = config.operatorsFile() == null
                 ? null
                 : companions.start(config.operatorsFile(), config.name(), platform, proxy::load);
         if (beside != null) {
             reloads.also(beside);
             if (port != null) {
-                loop.execute(() -> port.with(beside));
+                loop.execute(() -> port.setAuxiliaryService(beside));
             }
         }
         warm(config, factory, archive); // meanwhile discovery may answer
@@ -111,10 +114,10 @@
                 })
                 .bound();
         if (beside != null) {
-            loop.execute(() -> beside.at(Companion.Stage.SERVING));
+            loop.execute(() -> beside.onStage(AuxiliaryService.Stage.SERVING));
         }
         if (port != null) {
-            loop.execute(() -> port.about(proxy));
+            loop.execute(() -> port.setStatusSource(proxy));
         }
         loop.terminationFuture().awaitUninterruptibly();
         throw new IOException("the event loop has ended"); // better gone than deaf
@@ -167,9 +170,9 @@
     }
 
     /** The end of a proxy with a companion; apart, so that without one its class is not needed. */
-    private static Runnable together(Proxy proxy, Companion beside, EventLoop loop) {
+    private static Runnable together(Proxy proxy, AuxiliaryService beside, EventLoop loop) {
         return () -> {
-            loop.execute(() -> beside.at(Companion.Stage.DRAINING));
+            loop.execute(() -> beside.onStage(AuxiliaryService.Stage.DRAINING));
             proxy.drain().join();
             loop.submit(beside::leave).syncUninterruptibly().getNow().join();
         };
@@ -187,15 +190,23 @@
 
     private static void warm(Config config, Balancer.Factory factory, ClassArchive archive) {
         if (config.operator() != null) {
-            OperatorPort.rehearse(new OperatorPort.Subject() {
+            OperatorEndpoint.warmUp(new OperatorEndpoint.StatusSource() {
                 @Override
-                public boolean ready() {
+                public boolean isReady() {
                     return false;
                 }
 
                 @Override
-                public String figures() {
-                    return new Report(config.classes(), new Figures(), 0, 0, 0, 0, null, new Report.Descriptors(0, 0))
+                public String statusJson() {
+                    return new StatusReport(
+                                    config.classes(),
+                                    new RequestCounters(),
+                                    0,
+                                    0,
+                                    0,
+                                    0,
+                                    null,
+                                    new StatusReport.Descriptors(0, 0))
                             .json();
                 }
             });
@@ -205,11 +216,11 @@
     }
 
     /** Listens for operators, where the platform says so; null where it does not. */
-    private static OperatorPort operatorPort(Config config, Platform platform) throws IOException {
+    private static OperatorEndpoint operatorPort(Config config, Platform platform) throws IOException {
         if (config.operator() == null) {
             return null;
         }
-        OperatorPort port = new OperatorPort(platform);
+        OperatorEndpoint port = new OperatorEndpoint(platform);
         ChannelFuture bound = ListenRetry.listen(() -> port.listen(config.operator()));
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen for operators on " + config.operator() + ": "
@@ -223,14 +234,14 @@
         private final Map<String, String> environment;
         private final EventLoop loop;
         private Config last;
-        private Companion beside;
+        private AuxiliaryService beside;
 
         Reloads(Map<String, String> environment, EventLoop loop) {
             this.environment = environment;
             this.loop = loop;
         }
 
-        synchronized void also(Companion other) {
+        synchronized void also(AuxiliaryService other) {
             beside = other;
         }
 
@@ -257,7 +268,7 @@
         /** What is wrong with it, null if it is taken. */
         private synchronized ConfigException readOnce(Proxy proxy) {
             try {
-                last = Config.reread(environment, last);
+                last = Config.reload(environment, last);
                 Config config = last;
                 loop.execute(() -> proxy.reload(config));
                 return null;
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -9,7 +9,7 @@
 import gullspar.proxy.backend.Attempt;
 import gullspar.proxy.client.Client;
 import gullspar.proxy.client.RequestParameters;
-import gullspar.proxy.config.Classes.Known;
+import gullspar.proxy.config.Classes.RequestClass;
 import gullspar.proxy.events.Events;
 import gullspar.proxy.http.Message;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -36,7 +36,7 @@
     final Client client;
     private final Exchanges owner;
     private final Message message;
-    private final Known of;
+    private final RequestClass of;
     private final long margin;
     private final long timeoutNs;
     /** While its request is still coming the end of all time: its client's time runs from the last byte. */
@@ -56,7 +56,7 @@
         this.of = asked.of();
         this.timeoutNs = asked.timeoutNs();
         this.margin = Math.min(MARGIN_NS, timeoutNs / 4);
-        if (message.rest() == null || !message.rest().coming()) {
+        if (message.bodyStream() == null || !message.bodyStream().isReceiving()) {
             requestComplete(at);
         }
         boolean whole = deadline != Long.MAX_VALUE;
@@ -64,7 +64,7 @@
                 now,
                 new Request(
                         ticket,
-                        of.place(),
+                        of.index(),
                         asked.tenant(),
                         asked.key(),
                         Math.max(0, left(now)),
@@ -104,7 +104,7 @@
     }
 
     private void tell(Events.Event event) {
-        owner.events.tell(event, this::fail);
+        owner.events.enqueue(event, this::fail);
     }
 
     /** Over, and nothing of it is out. */
@@ -162,8 +162,8 @@
 
     private void answer(int status, HttpHeaders headers, byte[] body) {
         finish();
-        owner.figures.ended(of.place(), status);
-        client.answer(status, headers, body);
+        owner.figures.countEnded(of.index(), status);
+        client.respond(status, headers, body);
     }
 
     /** The answer is the client's from its first bytes on; it is counted when it has ended. */
@@ -174,11 +174,11 @@
         ScheduledFuture<?> end = owner.platform
                 .loop()
                 .schedule(
-                        client::cutOff, Math.max(0, left(owner.platform.clock().now()) + margin), TimeUnit.NANOSECONDS);
-        client.answer(answer.head(), answer.body(), answer.rest(), whole -> {
+                        client::abort, Math.max(0, left(owner.platform.clock().now()) + margin), TimeUnit.NANOSECONDS);
+        client.respond(answer.head(), answer.body(), answer.rest(), whole -> {
             end.cancel(false);
             owner.passing(false);
-            owner.figures.ended(of.place(), whole ? 200 : 502);
+            owner.figures.countEnded(of.index(), whole ? 200 : 502);
         });
     }
 
@@ -198,7 +198,7 @@
         long left = left(now);
         int number = attempts.size();
         out++;
-        if (over || left <= 0 || number >= of.attempts() || !message.sendable()) {
+        if (over || left <= 0 || number >= of.maxAttempts() || !message.isSendable()) {
             attempts.add(null);
             ended(number, server, now, Status.MOOT, null, null);
             return;
@@ -224,7 +224,7 @@
 
     /** Is its client still there? One that is found to have gone is not waited for to be heard of. */
     private boolean wanted() {
-        if (!over && !client.present() && !over) {
+        if (!over && !client.readAndCheckConnected() && !over) {
             abandoned();
         }
         return !over;
@@ -234,7 +234,7 @@
         if (!over) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (retryInNs > 0) {
-                headers.set("Retry-After", Message.seconds(retryInNs));
+                headers.set("Retry-After", Message.formatSeconds(retryInNs));
             }
             answer(503, headers, "refused, try again\n".getBytes(StandardCharsets.UTF_8));
             owner.forget(this);
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -9,17 +9,17 @@
 import gullspar.proxy.events.Events;
 import gullspar.proxy.http.Message;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Figures;
+import gullspar.proxy.operator.RequestCounters;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
 
 /** The requests that a proxy has taken and not yet done with, by the module's ticket and by client. */
-final class Exchanges implements Frontend.Taker {
+final class Exchanges implements Frontend.RequestHandler {
     final Platform platform;
     final Events events;
     final Backends backends;
-    final Figures figures;
+    final RequestCounters figures;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
     /** Those that still want their answer; only looked up, never walked. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
@@ -29,7 +29,7 @@
     /** No request is answered later, whatever its client allows. */
     private long lastAnswer = Long.MAX_VALUE;
 
-    Exchanges(Platform platform, Events events, Backends backends, Figures figures) {
+    Exchanges(Platform platform, Events events, Backends backends, RequestCounters figures) {
         this.platform = platform;
         this.events = events;
         this.backends = backends;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void onClientLeft(Client client) {
+    public void onClientDisconnected(Client client) {
         Exchange x = byClient.get(client);
         if (x != null) {
             x.abandoned();
@@ -104,7 +104,8 @@
             return;
         }
         platform.log().say("an attempt for ticket " + ticket + ", which is over");
-        events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
+        events.enqueue(
+                (now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
     void refuse(int ticket, long retryInNs) {
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -14,10 +14,10 @@
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Sockets;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.Figures;
-import gullspar.proxy.operator.OperatorPort;
-import gullspar.proxy.operator.Report;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
+import gullspar.proxy.operator.RequestCounters;
+import gullspar.proxy.operator.StatusReport;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import java.io.IOException;
@@ -33,7 +33,7 @@
  * One proxy: the decision module, the requests that it has taken and the sockets round it, all on one event
  * loop. Events become calls of the module, its actions become I/O; where, whether and when are its decisions.
  */
-public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorPort.Subject {
+public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorEndpoint.StatusSource {
     /** With the list that it was started with a proxy serves if discovery says nothing for so long. */
     private static final long LIST_WAIT_MS = 3000;
     /**
@@ -65,7 +65,7 @@
     private final Balancer module;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final Classes classes;
-    private final Figures figures = new Figures();
+    private final RequestCounters figures = new RequestCounters();
     private boolean listed;
     /** The list that it was started with, null if there is none; does the module know of it? */
     private ListUpdate known;
@@ -84,7 +84,7 @@
                 platform,
                 factory,
                 config.settings().askForList() ? Discovery.Patience.SERVICE : Discovery.Patience.AGENT,
-                Frontend.UNREAD_NS);
+                Frontend.UNREAD_TIMEOUT_NS);
     }
 
     /** One that waits for discovery with that patience, and leaves bodies unread for so long. */
@@ -100,7 +100,7 @@
         this.discovery = new Discovery(platform, Discovery.source(config), this, patience);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
-        events.to(module);
+        events.setModule(module);
     }
 
     /** Starts one and waits until it listens; an IOException if it cannot. */
@@ -236,28 +236,28 @@
         platform.log()
                 .say("a new configuration: discovery is at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
-        List<Profile> all = classes.take(config);
-        events.news((now, m) -> m.onProfiles(all));
+        List<Profile> all = classes.update(config);
+        events.backendUpdate((now, m) -> m.onProfiles(all));
         discovery.move(config.discovery());
-        figures.reloaded(true);
+        figures.countReload(true);
     }
 
     /** A configuration was turned down. To be called on the loop. */
     public void turnedDown(String why) {
         platform.log().say("the new configuration is not used: " + why);
-        figures.reloaded(false);
+        figures.countReload(false);
     }
 
     // ---- what operators ask ----
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return listed && !draining && listening != null && listening.isSuccess();
     }
 
     @Override
-    public String figures() {
-        return new Report(
+    public String statusJson() {
+        return new StatusReport(
                         classes.names(),
                         figures,
                         backends.written(),
@@ -265,15 +265,17 @@
                         backends.listed(),
                         module.avoided(),
                         platform.figures(),
-                        new Report.Descriptors(sockets.clients.open(), sockets.backends.open()))
+                        new StatusReport.Descriptors(sockets.clients.open(), sockets.backends.open()))
                 .json();
     }
 
     /** What it has done so far, for whoever runs beside it. On the loop. */
-    public Companion.Load load() {
-        long refused = figures.sum(Figures::rejected);
-        return new Companion.Load(
-                refused + figures.sum(Figures::completed) + figures.sum(Figures::failed), refused, exchanges.open());
+    public AuxiliaryService.Load load() {
+        long refused = figures.sum(RequestCounters::rejected);
+        return new AuxiliaryService.Load(
+                refused + figures.sum(RequestCounters::completed) + figures.sum(RequestCounters::failed),
+                refused,
+                exchanges.open());
     }
 
     /** Answers what has been taken and what still comes; the future is done once all is answered. */
@@ -282,15 +284,15 @@
             platform.log().say("draining");
             draining = true;
             frontend.drain();
-            long lastMs = Math.min(LONGEST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
-                    + KILL_SLACK_MS;
+            long lastMs =
+                    Math.min(LONGEST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(config.maxDeadlineNs())) + KILL_SLACK_MS;
             exchanges.endBy(platform.clock().now() + TimeUnit.MILLISECONDS.toNanos(lastMs - ANSWER_MS));
             if (config.inherited()) {
                 handOver(lastMs);
                 return;
             }
             after(ACCEPT_MS, () -> shut(-1, 0));
-            after(lastMs - CLOSE_MS, frontend::turnAway);
+            after(lastMs - CLOSE_MS, frontend::rejectPartialRequests);
             after(lastMs - LEAVE_MS, this::drained);
         });
         return ended;
@@ -312,12 +314,12 @@
      * has asked for nothing and is not heard.
      */
     private void shut(long accepted, long waitedMs) {
-        long now = frontend.accepted();
-        boolean stillComes = now != accepted || frontend.acceptsAgainSoon();
+        long now = frontend.acceptedConnections();
+        boolean stillComes = now != accepted || frontend.isAcceptPaused();
         if (stillComes && waitedMs < STILL_COMES_MS) {
             after(LOOK_MS, () -> shut(now, waitedMs + LOOK_MS));
         } else {
-            frontend.refuseNew();
+            frontend.stopAccepting();
             whenEmpty();
         }
     }
@@ -328,13 +330,13 @@
      * about to use would cost that request.
      */
     private void handOver(long lastMs) {
-        frontend.refuseNew();
+        frontend.stopAccepting();
         after(lastMs - CLOSE_MS, frontend::close);
         whenLeft();
     }
 
     private void whenLeft() {
-        if (frontend.open() == 0 && exchanges.open() == 0) {
+        if (frontend.openConnections() == 0 && exchanges.open() == 0) {
             drained();
         } else {
             after(LOOK_MS, this::whenLeft);
@@ -344,7 +346,7 @@
     /** Ends once nobody is owed an answer, none is on its way to its client and none may yet be asked for. */
     private void whenEmpty() {
         frontend.close();
-        if (exchanges.open() == 0 && !frontend.owes()) {
+        if (exchanges.open() == 0 && !frontend.hasPendingRequests()) {
             drained();
         } else {
             after(LOOK_MS, this::whenEmpty);
@@ -384,7 +386,7 @@
     /** Takes in what is known of the backends. */
     void apply(ListUpdate news) {
         backends.learn(news);
-        events.news((now, module) -> module.onMembers(
+        events.backendUpdate((now, module) -> module.onMembers(
                 now,
                 news.kind(),
                 news.version(),
@@ -393,7 +395,7 @@
 
     @Override
     public void failed() {
-        events.news((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
+        events.backendUpdate((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
     // ---- the module's actions ----
@@ -427,7 +429,7 @@
     public void timer(long at, long token) {
         platform.loop()
                 .schedule(
-                        () -> events.tell((now, module) -> module.onTimer(now, token)),
+                        () -> events.enqueue((now, module) -> module.onTimer(now, token)),
                         Math.max(0, at - platform.clock().now()),
                         TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/gullspar/proxy/backend/AnswerDecoder.java
+++ b/src/main/java/gullspar/proxy/backend/AnswerDecoder.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.backend;
 
-import gullspar.proxy.http.HeadLines;
+import gullspar.proxy.http.HeaderLines;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpDecoderConfig;
@@ -99,7 +99,7 @@
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        HeadLines.checkColon(line, start + length);
+        HeaderLines.checkColon(line, start + length);
         return super.splitHeaderName(line, start, length);
     }
 
--- a/src/main/java/gullspar/proxy/backend/Answers.java
+++ b/src/main/java/gullspar/proxy/backend/Answers.java
@@ -22,7 +22,7 @@
         return HttpUtil.isTransferEncodingChunked(r)
                 || r.status().code() == 204
                 || r.status().code() == 304
-                || HttpUtil.isContentLengthSet(r) && HttpUtil.getContentLength(r, -1L) <= Message.MOST_BYTES;
+                || HttpUtil.isContentLengthSet(r) && HttpUtil.getContentLength(r, -1L) <= Message.MAX_BODY_BYTES;
     }
 
     static Status status(HttpResponse r) {
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -124,7 +124,7 @@
     void written() {
         written = true;
         whenWritten.run();
-        if (request.rest() != null && !ended) {
+        if (request.bodyStream() != null && !ended) {
             began = clock.now();
             startTimer();
         }
@@ -182,7 +182,7 @@
 
     /** The head, and the body as far as it is there. */
     HttpRequest toWrite() {
-        boolean whole = request.rest() == null;
+        boolean whole = request.bodyStream() == null;
         HttpRequest r = whole
                 ? new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -190,14 +190,14 @@
                         request.uri(),
                         request.body().bytes())
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
-        Message.copyRequest(request.headers(), r.headers());
+        Message.copyRequestHeaders(request.headers(), r.headers());
         r.headers().set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST, ""));
         long left = whole ? deadline - clock.now() : timeoutNs;
-        r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, left)));
-        if (request.length() < 0) {
+        r.headers().set("Request-Timeout", Message.formatSeconds(Math.max(1000, left)));
+        if (request.bodyLength() < 0) {
             HttpUtil.setTransferEncodingChunked(r, true);
         } else if (request.hasBody() || !request.method().equals(HttpMethod.GET)) {
-            HttpUtil.setContentLength(r, request.length());
+            HttpUtil.setContentLength(r, request.bodyLength());
         }
         return r;
     }
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -173,7 +173,7 @@
             loop.execute(() -> a.end(Status.MOOT, null, null)); // it, or who asked, is gone since
             return a;
         }
-        if (request.rest() == null) {
+        if (request.bodyStream() == null) {
             a.startTimer();
         }
         Connection idle = reuse(a.backend(), repeatable);
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -1,9 +1,9 @@
 package gullspar.proxy.backend;
 
 import gullspar.decide.Balancer.Status;
+import gullspar.proxy.http.BodyStream;
+import gullspar.proxy.http.BodyStreamWriter;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.http.PieceWriter;
-import gullspar.proxy.http.Pieces;
 import gullspar.proxy.io.Clock;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -54,11 +54,11 @@
 
     private boolean trailed;
     /** The answer is passed on while it comes; null if it is held, or none comes. */
-    private Pieces rest;
+    private BodyStream rest;
 
     private long passed;
     private ScheduledFuture<?> watch;
-    private final PieceWriter writer = new PieceWriter();
+    private final BodyStreamWriter writer = new BodyStreamWriter();
     private long sentAt;
 
     Connection(Backend backend, EventLoop loop, Clock clock, long drainGraceNs) {
@@ -114,15 +114,15 @@
         trailed = false;
         rest = null;
         passed = 0;
-        body = Unpooled.buffer(512, Message.MOST_HELD);
+        body = Unpooled.buffer(512, Message.MAX_BUFFERED_RESPONSE_BYTES);
         decoder.expect();
-        Pieces upload = a.request().rest();
+        BodyStream upload = a.request().bodyStream();
         if (upload == null) {
             channel.writeAndFlush(a.toWrite(), tellsOf(a));
             return;
         }
         sentAt = clock.now();
-        writer.ahead(() -> {
+        writer.writeFirst(() -> {
             channel.write(a.toWrite());
             channel.writeAndFlush(new DefaultHttpContent(a.request().body().bytes()));
         });
@@ -135,7 +135,7 @@
                 UPLOAD_STALL_NS / 4,
                 UPLOAD_STALL_NS / 4,
                 TimeUnit.NANOSECONDS);
-        upload.to(this::upload);
+        upload.setReader(this::upload);
         upload();
     }
 
@@ -160,13 +160,13 @@
     /** Passes on what has come of the request, as far as the backend takes it. */
     private void upload() {
         Attempt a = attempt;
-        Pieces upload = a == null ? null : a.request().rest();
+        BodyStream upload = a == null ? null : a.request().bodyStream();
         if (upload == null
                 || a.isSent()
                 || !writer.write(channel, upload, () -> attempt == a, () -> sentAt = clock.now())) {
             return;
         }
-        if (attempt == a && upload.taken()) {
+        if (attempt == a && upload.isFullyRead()) {
             a.sent();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, tellsOf(a));
         }
@@ -190,7 +190,7 @@
                 broken();
                 return;
             }
-            if (!informs && HttpUtil.getContentLength(r, 0L) > Message.MOST_HELD && !passOn()) {
+            if (!informs && HttpUtil.getContentLength(r, 0L) > Message.MAX_BUFFERED_RESPONSE_BYTES && !passOn()) {
                 return;
             }
         }
@@ -218,7 +218,7 @@
             return true;
         }
         passed += bytes.readableBytes();
-        if (passed > Message.MOST_BYTES) {
+        if (passed > Message.MAX_BODY_BYTES) {
             return false;
         }
         if (bytes.isReadable() && !rest.add(bytes.retain())) {
@@ -235,7 +235,7 @@
             return false;
         }
         attempt = null;
-        rest = new Pieces(() -> channel.config().setAutoRead(true), this::unwanted);
+        rest = new BodyStream(() -> channel.config().setAutoRead(true), this::unwanted);
         passed = body.readableBytes();
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
@@ -281,13 +281,13 @@
     }
 
     private void passedOn() {
-        Pieces all = rest;
+        BodyStream all = rest;
         rest = null;
         decoder.quiet();
         // What waits for the client is its own matter: the next answer on this connection must be read.
         channel.config().setAutoRead(true);
         keepOrClose(true);
-        all.whole();
+        all.complete();
     }
 
     private void keepOrClose(boolean written) {
@@ -338,9 +338,9 @@
             a.broken();
         }
         if (rest != null) {
-            Pieces cut = rest;
+            BodyStream cut = rest;
             rest = null;
-            cut.broken();
+            cut.abort();
         }
         channel.close();
     }
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -2,9 +2,9 @@
 
 import gullspar.proxy.http.Body;
 import gullspar.proxy.http.BodyBudget;
+import gullspar.proxy.http.BodyStream;
+import gullspar.proxy.http.BodyStreamWriter;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.http.PieceWriter;
-import gullspar.proxy.http.Pieces;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -53,100 +53,100 @@
         BodyBudget budget();
 
         /** For so long a body may be left unread while nothing has gone out for its connection's requests. */
-        long unreadNs();
+        long unreadTimeoutNs();
 
         /** When what is read now may have come, at the earliest. */
         long receivedAt();
 
         /** An answer is about to be written; true if the connection should end with it. */
-        boolean answered(Client client, int status);
+        boolean onResponse(Client client, int status);
 
-        void closed(Client client);
+        void onClosed(Client client);
 
         long now();
     }
 
     /** Requests that may wait behind one on a connection: enough for clients that await no answer. */
-    public static final int MOST_PIPELINED = 16;
+    public static final int MAX_PIPELINED = 16;
 
     /** Bodies of up to so many bytes are awaited, if there is room; larger ones go on while they come. */
-    private static final int MOST_AWAITED = 1 << 20;
+    private static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
     /** A head must come within so long: from connecting for the first, from its first byte for later ones. */
-    static final long HEAD_NS = 2_500_000_000L;
+    static final long HEAD_TIMEOUT_NS = 2_500_000_000L;
     /** A body that comes may pause so long, and needs so many bytes a second after a first while. */
-    private static final long PAUSE_NS = 2_200_000_000L, SLOW_START_NS = 1_500_000_000L;
+    private static final long BODY_STALL_TIMEOUT_NS = 2_200_000_000L, BODY_RATE_GRACE_NS = 1_500_000_000L;
 
-    private static final long LEAST_RATE = 24 << 10;
+    private static final long MIN_BODY_BYTES_PER_S = 24 << 10;
     /** One who takes nothing of an answer, or gives nothing of one, for so long has gone. */
-    private static final long ANSWER_STALL_NS = 10_000_000_000L;
+    private static final long RESPONSE_STALL_TIMEOUT_NS = 10_000_000_000L;
 
     /** A request, or the error that one ended in; after an error nothing is read. */
-    private record Waiting(
-            Message message, int status, String error, long at, boolean keepAlive, HttpVersion version) {}
+    private record QueuedRequest(
+            Message message, int status, String error, long receivedAt, boolean keepAlive, HttpVersion version) {}
 
-    final long connectedAt;
+    final long connectedAtNs;
     private final Channel channel;
     private final RequestDecoder decoder;
     private final Owner owner;
-    private final Deque<Waiting> line = new ArrayDeque<>();
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
     private HttpRequest head;
     private Body body;
     /** What comes of a request that has been handed over; null if none does. */
-    private Pieces upload;
+    private BodyStream upload;
 
-    private long received;
-    private long total;
-    private long bodySince;
-    private long lastCame;
+    private long rateWindowBytes;
+    private long bodyBytes;
+    private long rateWindowStartNs;
+    private long lastReceivedNs;
     /** Since when nothing is read, while the upload is paused. */
-    private long unreadSince;
+    private long unreadSinceNs;
     /** The answer that is being passed on; null if none is. */
-    private Pieces rest;
+    private BodyStream responseStream;
 
-    private Consumer<Boolean> passed;
-    private long lastMoved;
-    private final PieceWriter writer = new PieceWriter();
-    private Message taken;
+    private Consumer<Boolean> onResponseSent;
+    private long lastProgressNs;
+    private final BodyStreamWriter writer = new BodyStreamWriter();
+    private Message currentRequest;
     private boolean busy;
     private boolean keepAlive;
     private HttpVersion version = HttpVersion.HTTP_1_1;
-    private boolean lastAnswer;
+    private boolean lastResponse;
     private boolean awaitsContinue;
     /** The connection ends while more may still come of a request. */
-    private boolean cutShort;
+    private boolean requestIncomplete;
 
     private boolean used;
     /** Answers that the system has not taken yet. */
-    private int unwritten;
+    private int pendingWrites;
     /** No more is read: an error or the end is on its way, since then. */
-    private boolean ending;
+    private boolean closing;
 
-    private long partSince;
-    private long idleSince;
-    private long endingSince;
+    private long partialSinceNs;
+    private long idleSinceNs;
+    private long closingSinceNs;
 
     Client(Channel channel, RequestDecoder decoder, Owner owner) {
         this.channel = channel;
         this.decoder = decoder;
         this.owner = owner;
-        this.connectedAt = owner.now();
-        this.idleSince = connectedAt;
+        this.connectedAtNs = owner.now();
+        this.idleSinceNs = connectedAtNs;
     }
 
     /** Is no request open or begun? */
-    boolean idle() {
-        return !busy && line.isEmpty() && !partial();
+    boolean isIdle() {
+        return !busy && queue.isEmpty() && !hasPartialRequest();
     }
 
     /** Is a request open or begun, or an answer still on its way to the system? */
-    boolean owed() {
-        return !idle() || rest != null || unwritten > 0;
+    boolean hasPendingWork() {
+        return !isIdle() || responseStream != null || pendingWrites > 0;
     }
 
     /** Of a request that has come in part the rest is not waited for any more. */
-    void turnAway() {
-        if (partial() && !ending) {
-            end(503, "this proxy ends");
+    void rejectPartialRequest() {
+        if (hasPartialRequest() && !closing) {
+            closeWithError(503, "this proxy ends");
         }
     }
 
@@ -156,8 +156,8 @@
     }
 
     /** Does it end by itself: an error or the last answer is on its way, or the client's own end awaited? */
-    boolean ending() {
-        return ending;
+    boolean closing() {
+        return closing;
     }
 
     boolean busy() {
@@ -165,22 +165,22 @@
     }
 
     /** The request in hand has been taken on; null from its answer on. */
-    void take(Message message) {
-        taken = message;
+    void setCurrentRequest(Message message) {
+        currentRequest = message;
     }
 
-    Message taken() {
-        return taken;
+    Message currentRequest() {
+        return currentRequest;
     }
 
     /**
      * Is its client still there? What has come by now is read first, not when the loop comes round to it: a
      * turn may be long, and a request may have lain in the system together with the end of its client.
      */
-    public boolean present() {
+    public boolean readAndCheckConnected() {
         if (upload != null && upload.paused()) {
-            if (owner.now() - unreadSince >= owner.unreadNs()) {
-                unreadTooLong();
+            if (owner.now() - unreadSinceNs >= owner.unreadTimeoutNs()) {
+                rejectUnreadUpload();
             }
         } else if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
@@ -188,8 +188,8 @@
         return channel.isActive();
     }
 
-    private boolean partial() {
-        return partSince != 0;
+    private boolean hasPartialRequest() {
+        return partialSinceNs != 0;
     }
 
     void close() {
@@ -202,7 +202,7 @@
      * ran.
      */
     boolean closeBetweenRequests() {
-        if (present() && (owed() || ending)) {
+        if (readAndCheckConnected() && (hasPendingWork() || closing)) {
             return false;
         }
         channel.close();
@@ -210,92 +210,93 @@
     }
 
     /** Ends the connection in the middle of an answer, which tells the client that it is not whole. */
-    public void cutOff() {
+    public void abort() {
         channel.close();
     }
 
     /** Ends a connection that has kept the proxy waiting for longer than the limits allow. */
-    void check(long now, long requestNs, long idleNs) {
-        if (rest != null) {
-            if (now - lastMoved > ANSWER_STALL_NS) {
+    void enforceTimeouts(long now, long requestTimeoutNs, long idleTimeoutNs) {
+        if (responseStream != null) {
+            if (now - lastProgressNs > RESPONSE_STALL_TIMEOUT_NS) {
                 channel.close();
             }
-        } else if (ending) {
-            if (now - endingSince > requestNs && !busy) {
+        } else if (closing) {
+            if (now - closingSinceNs > requestTimeoutNs && !busy) {
                 channel.close(); // its client does not read what it is told
             }
-        } else if (late(now)) {
-            end(408, "the request did not come in time");
-        } else if (idle() && now - idleSince > (used ? idleNs : requestNs)) {
+        } else if (isRequestTooSlow(now)) {
+            closeWithError(408, "the request did not come in time");
+        } else if (isIdle() && now - idleSinceNs > (used ? idleTimeoutNs : requestTimeoutNs)) {
             closeBetweenRequests();
         }
     }
 
     /** Has what is coming of a request stopped coming, or does it come too slowly? */
-    private boolean late(long now) {
+    private boolean isRequestTooSlow(long now) {
         if (head == null) {
-            return partial() && now - partSince > HEAD_NS;
+            return hasPartialRequest() && now - partialSinceNs > HEAD_TIMEOUT_NS;
         }
         if (awaitsContinue || upload != null && upload.paused()) {
-            lastCame = now; // it is this side that does not read
-            bodySince = now;
-            received = 0;
+            lastReceivedNs = now; // it is this side that does not read
+            rateWindowStartNs = now;
+            rateWindowBytes = 0;
             return false;
         }
-        return now - lastCame > PAUSE_NS || received < (now - bodySince - SLOW_START_NS) / 1e9 * LEAST_RATE;
+        return now - lastReceivedNs > BODY_STALL_TIMEOUT_NS
+                || rateWindowBytes < (now - rateWindowStartNs - BODY_RATE_GRACE_NS) / 1e9 * MIN_BODY_BYTES_PER_S;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (ending) {
+        if (closing) {
             return;
         }
         if (message.decoderResult().isFailure()) {
             boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
-            end(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
+            closeWithError(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
             return;
         }
         if (message instanceof HttpRequest r && !begin(r)) {
             return;
         }
-        if (message instanceof HttpContent content && !content(content.content())) {
+        if (message instanceof HttpContent content && !onContent(content.content())) {
             return;
         }
         if (message instanceof LastHttpContent) {
             if (upload == null) {
-                add(new Waiting(
-                        Message.whole(head.method(), head.uri(), head.headers(), body),
+                enqueue(new QueuedRequest(
+                        Message.withFullBody(head.method(), head.uri(), head.headers(), body),
                         0,
                         null,
                         owner.receivedAt(),
                         HttpUtil.isKeepAlive(head),
                         head.protocolVersion()));
             } else {
-                Pieces all = upload;
+                BodyStream all = upload;
                 upload = null;
-                all.whole();
-                if (taken != null && taken.rest() == all) {
+                all.complete();
+                if (currentRequest != null && currentRequest.bodyStream() == all) {
                     owner.onRequestComplete(this, owner.receivedAt());
                 }
             }
             head = null;
             body = null;
-            decoder.whole();
+            decoder.endRequest();
         }
     }
 
     /** Some of a body; false if there is more than there may be. */
-    private boolean content(ByteBuf bytes) {
-        received += bytes.readableBytes();
-        total += bytes.readableBytes();
-        lastCame = owner.now();
-        if (total > Message.MOST_BYTES) {
-            end(413, "the body is too long");
+    private boolean onContent(ByteBuf bytes) {
+        rateWindowBytes += bytes.readableBytes();
+        bodyBytes += bytes.readableBytes();
+        lastReceivedNs = owner.now();
+        if (bodyBytes > Message.MAX_BODY_BYTES) {
+            closeWithError(413, "the body is too long");
             return false;
         }
-        if (upload == null && body.add(bytes) != Body.Added.TAKEN) {
-            upload = new Pieces(() -> channel.config().setAutoRead(true), () -> {});
-            add(new Waiting(
+        if (upload == null && body.add(bytes) != Body.AddResult.ADDED) {
+            upload = new BodyStream(() -> channel.config().setAutoRead(true), () -> {});
+            enqueue(new QueuedRequest(
                     new Message(
                             head.method(),
                             head.uri(),
@@ -308,29 +309,30 @@
                     owner.receivedAt(),
                     HttpUtil.isKeepAlive(head),
                     head.protocolVersion()));
-            if (ending) {
+            if (closing) {
                 return false;
             }
         }
         if (upload != null && bytes.isReadable() && !upload.add(bytes.retain())) {
-            pause(upload);
+            pauseUpload(upload);
         }
         return true;
     }
 
-    private void pause(Pieces full) {
+    private void pauseUpload(BodyStream full) {
         if (channel.config().isAutoRead()) {
             channel.config().setAutoRead(false);
-            unreadSince = owner.now();
-            if (full.untouched()) {
+            unreadSinceNs = owner.now();
+            if (full.isUnread()) {
                 channel.eventLoop()
                         .schedule(
                                 () -> {
                                     if (upload == full) {
-                                        unreadTooLong(); // not by the clock as well: the two may differ by a little
+                                        rejectUnreadUpload(); // not by the clock as well: the two may differ by a
+                                        // little
                                     }
                                 },
-                                owner.unreadNs(),
+                                owner.unreadTimeoutNs(),
                                 TimeUnit.NANOSECONDS);
             }
         }
@@ -341,9 +343,9 @@
      * whether it still waits, so a request that has not begun to go out by then is turned away, and the rest
      * is read to see its client go.
      */
-    private void unreadTooLong() {
-        if (!ending && upload.paused() && upload.untouched()) {
-            end(503, "its body is too long to be kept waiting, try again");
+    private void rejectUnreadUpload() {
+        if (!closing && upload.paused() && upload.isUnread()) {
+            closeWithError(503, "its body is too long to be kept waiting, try again");
         }
     }
 
@@ -351,161 +353,161 @@
     private boolean begin(HttpRequest r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            end(505, "this is HTTP/1.1");
-        } else if (HttpUtil.getContentLength(r, 0L) > Message.MOST_BYTES) {
-            end(413, "the body is too long"); // not read first: it may be of any length
+            closeWithError(505, "this is HTTP/1.1");
+        } else if (HttpUtil.getContentLength(r, 0L) > Message.MAX_BODY_BYTES) {
+            closeWithError(413, "the body is too long"); // not read first: it may be of any length
         } else if (r.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(r)) {
-            end(417, "nothing to be expected but 100-continue");
+            closeWithError(417, "nothing to be expected but 100-continue");
         } else {
             head = r;
             awaitsContinue = HttpUtil.is100ContinueExpected(r);
-            goOn();
-            body = new Body(owner.budget(), MOST_AWAITED);
-            received = 0;
-            total = 0;
-            bodySince = owner.now();
-            lastCame = bodySince;
+            sendContinueIfAwaited();
+            body = new Body(owner.budget(), MAX_BUFFERED_BODY_BYTES);
+            rateWindowBytes = 0;
+            bodyBytes = 0;
+            rateWindowStartNs = owner.now();
+            lastReceivedNs = rateWindowStartNs;
             return true;
         }
         return false;
     }
 
     /** Tells a client that asked whether it may send its body, once no answer is due ahead of that. */
-    private void goOn() {
-        if (awaitsContinue && head != null && !busy && line.isEmpty()) {
+    private void sendContinueIfAwaited() {
+        if (awaitsContinue && head != null && !busy && queue.isEmpty()) {
             awaitsContinue = false;
-            lastCame = owner.now();
+            lastReceivedNs = owner.now();
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private void add(Waiting w) {
-        if (line.size() < MOST_PIPELINED) {
-            line.add(w);
+    private void enqueue(QueuedRequest request) {
+        if (queue.size() < MAX_PIPELINED) {
+            queue.add(request);
         } else {
             // Whoever sends so many at once is no usual client. None of those in line has been sent on, and
             // their deadlines would run out in it: each is turned away.
-            String why = "too many requests at once on a connection";
-            List<Waiting> turnedAway = line.stream()
-                    .map(o -> new Waiting(null, 429, why, o.at(), true, o.version()))
+            String reason = "too many requests at once on a connection";
+            List<QueuedRequest> rejected = queue.stream()
+                    .map(o -> new QueuedRequest(null, 429, reason, o.receivedAt(), true, o.version()))
                     .toList();
-            forgetLine();
-            line.addAll(turnedAway);
-            end(429, why);
+            clearQueue();
+            queue.addAll(rejected);
+            closeWithError(429, reason);
         }
     }
 
     /** An error behind what is in line, and then the end. */
-    private void end(int status, String error) {
-        ending = true;
-        endingSince = owner.now();
+    private void closeWithError(int status, String error) {
+        closing = true;
+        closingSinceNs = owner.now();
         decoder.stop();
-        letGo();
-        partSince = 0;
-        line.add(new Waiting(null, status, error, endingSince, false, HttpVersion.HTTP_1_1));
+        dropPartialRequest();
+        partialSinceNs = 0;
+        queue.add(new QueuedRequest(null, status, error, closingSinceNs, false, HttpVersion.HTTP_1_1));
         if (!busy) {
-            channel.eventLoop().execute(this::next);
+            channel.eventLoop().execute(this::processNext);
         }
     }
 
     /** What was coming of a request is no request any more. */
-    private void letGo() {
+    private void dropPartialRequest() {
         if (upload != null) {
-            Pieces cut = upload;
+            BodyStream cut = upload;
             upload = null;
-            cutShort = true;
-            if (taken != null && taken.rest() == cut) {
+            requestIncomplete = true;
+            if (currentRequest != null && currentRequest.bodyStream() == cut) {
                 owner.onRequestAborted(this);
-                taken = null;
+                currentRequest = null;
                 busy = false;
             } else {
-                line.removeIf(w -> w.message() != null && w.message().rest() == cut);
+                queue.removeIf(w -> w.message() != null && w.message().bodyStream() == cut);
             }
             cut.drop();
         }
         if (body != null) {
-            cutShort = true;
+            requestIncomplete = true;
             body.release();
         }
         head = null;
         body = null;
     }
 
-    private void forgetLine() {
-        line.forEach(w -> {
+    private void clearQueue() {
+        queue.forEach(w -> {
             if (w.message() != null) {
                 w.message().release();
             }
         });
-        line.clear();
+        queue.clear();
     }
 
     /** All that came is seen: only now is it known how many requests were sent at once. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!ending && decoder.begun()) {
+        if (!closing && decoder.inRequest()) {
             // A connection's first request counts from its connecting, however slowly it is sent.
-            partSince = partial() ? partSince : used || busy ? owner.now() : connectedAt;
+            partialSinceNs = hasPartialRequest() ? partialSinceNs : used || busy ? owner.now() : connectedAtNs;
         } else {
-            partSince = 0;
+            partialSinceNs = 0;
         }
-        next();
+        processNext();
     }
 
-    private void next() {
-        while (!busy && !line.isEmpty() && channel.isActive()) {
-            Waiting w = line.poll();
+    private void processNext() {
+        while (!busy && !queue.isEmpty() && channel.isActive()) {
+            QueuedRequest next = queue.poll();
             busy = true;
-            keepAlive = w.keepAlive();
-            version = w.version();
-            if (w.error() == null) {
-                owner.onRequest(this, w.message(), w.at());
+            keepAlive = next.keepAlive();
+            version = next.version();
+            if (next.error() == null) {
+                owner.onRequest(this, next.message(), next.receivedAt());
             } else {
-                answer(w.status(), null, w.error());
+                respond(next.status(), null, next.error());
             }
         }
     }
 
     /** The final answer to the request in hand; of a client that has gone nothing is written. */
-    public void answer(int status, HttpHeaders headers, byte[] bytes) {
+    public void respond(int status, HttpHeaders headers, byte[] bytes) {
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
         if (headers != null) {
-            Message.copyAnswer(headers, r.headers());
+            Message.copyResponseHeaders(headers, r.headers());
         }
         HttpUtil.setContentLength(r, bytes.length);
         busy = false;
         boolean last = begin(r, status);
-        ended(channel.writeAndFlush(r), last);
+        afterResponse(channel.writeAndFlush(r), last);
     }
 
     /** An answer is about to be written: whatever else is to be said in its head; true if it is the last. */
     private boolean begin(HttpResponse r, int status) {
-        used |= taken != null || status == 200;
-        idleSince = owner.now();
+        used |= currentRequest != null || status == 200;
+        idleSinceNs = owner.now();
         // Where the rest of its request is still to come, that is read and let go.
-        boolean last = owner.answered(this, status) && line.isEmpty() || !keepAlive;
-        taken = null;
+        boolean last = owner.onResponse(this, status) && queue.isEmpty() || !keepAlive;
+        currentRequest = null;
         if (last) {
             r.headers().set(HttpHeaderNames.CONNECTION, "close");
-            cutShort |= head != null;
-            ending = true;
-            endingSince = idleSince;
+            requestIncomplete |= head != null;
+            closing = true;
+            closingSinceNs = idleSinceNs;
             decoder.stop();
         }
         return last;
     }
 
-    private void ended(ChannelFuture written, boolean last) {
-        unwritten++;
-        written.addListener(f -> unwritten--);
+    private void afterResponse(ChannelFuture written, boolean last) {
+        pendingWrites++;
+        written.addListener(f -> pendingWrites--);
         if (last) {
-            written.addListener(f -> finish());
-        } else if (!line.isEmpty()) {
-            channel.eventLoop().execute(this::next);
+            written.addListener(f -> closeAfterResponse());
+        } else if (!queue.isEmpty()) {
+            channel.eventLoop().execute(this::processNext);
         } else {
-            goOn();
+            sendContinueIfAwaited();
         }
     }
 
@@ -513,8 +515,8 @@
      * The last answer is written. Where more is still to come of a request, closing at once would make the
      * system reset the connection, and the answer could be lost with it: what comes is dropped for a while.
      */
-    private void finish() {
-        if (cutShort && channel instanceof DuplexChannel duplex && channel.isActive()) {
+    private void closeAfterResponse() {
+        if (requestIncomplete && channel instanceof DuplexChannel duplex && channel.isActive()) {
             channel.config().setAutoRead(true);
             duplex.shutdownOutput();
         } else {
@@ -526,9 +528,9 @@
      * A final answer whose rest is still to come; done hears whether it went out whole. One that breaks off
      * ends the connection, which tells the client.
      */
-    public void answer(HttpResponse from, byte[] first, Pieces answer, Consumer<Boolean> done) {
+    public void respond(HttpResponse from, byte[] first, BodyStream stream, Consumer<Boolean> onSent) {
         DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        Message.copyAnswer(from.headers(), r.headers());
+        Message.copyResponseHeaders(from.headers(), r.headers());
         long length = HttpUtil.getContentLength(from, -1L);
         boolean chunked = length < 0 && version.equals(HttpVersion.HTTP_1_1);
         if (length >= 0) {
@@ -538,60 +540,60 @@
         } else {
             keepAlive = false; // its end tells where the answer ends
         }
-        rest = answer;
-        passed = done;
-        lastAnswer = begin(r, 200);
-        lastMoved = owner.now();
-        writer.ahead(() -> {
+        responseStream = stream;
+        onResponseSent = onSent;
+        lastResponse = begin(r, 200);
+        lastProgressNs = owner.now();
+        writer.writeFirst(() -> {
             channel.write(r);
             channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
         });
-        answer.to(this::pass);
-        pass();
+        stream.setReader(this::forwardResponse);
+        forwardResponse();
     }
 
     /** Passes on what has come of the answer, as far as the client takes it. */
-    private void pass() {
-        Pieces from = rest;
+    private void forwardResponse() {
+        BodyStream from = responseStream;
         if (from == null
-                || !writer.write(channel, from, () -> rest != null, () -> lastMoved = owner.now())
-                || rest == null) {
+                || !writer.write(channel, from, () -> responseStream != null, () -> lastProgressNs = owner.now())
+                || responseStream == null) {
             return; // there is none, it is being written, or the flush found the connection closed
         }
-        if (from.taken()) {
-            rest = null;
+        if (from.isFullyRead()) {
+            responseStream = null;
             busy = false;
-            idleSince = owner.now();
-            passed.accept(true);
-            ended(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), lastAnswer);
-        } else if (from.isBroken() && !from.ready()) {
+            idleSinceNs = owner.now();
+            onResponseSent.accept(true);
+            afterResponse(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), lastResponse);
+        } else if (from.isAborted() && !from.hasChunk()) {
             channel.close();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        pass();
+        forwardResponse();
     }
 
-    public void answer(int status, HttpHeaders headers, String text) {
-        answer(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
+    public void respond(int status, HttpHeaders headers, String text) {
+        respond(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         busy = false;
-        ending = true;
-        Pieces cut = rest;
-        rest = null;
+        closing = true;
+        BodyStream cut = responseStream;
+        responseStream = null;
         if (cut != null) {
             cut.drop();
-            passed.accept(false);
+            onResponseSent.accept(false);
         }
-        owner.closed(this);
-        taken = null;
+        owner.onClosed(this);
+        currentRequest = null;
         if (upload != null) {
-            upload.broken();
+            upload.abort();
             upload.drop();
         }
         if (body != null) {
@@ -599,7 +601,7 @@
         }
         upload = null;
         body = null;
-        forgetLine();
+        clearQueue();
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/client/ConnectionPressure.java
+++ b/src/main/java/gullspar/proxy/client/ConnectionPressure.java
@@ -13,34 +13,35 @@
     int refused;
 
     int requests;
-    private int unused;
-    private int used;
-    private long youngestNs = Long.MAX_VALUE;
+    private int evictedUnused;
+    private int evictedIdle;
+    private long youngestEvictedNs = Long.MAX_VALUE;
 
     /** One has been closed to make room. */
-    void closed(Client c, long now) {
+    void countEvicted(Client c, long now) {
         if (c.used()) {
-            used++;
+            evictedIdle++;
         } else {
-            unused++;
-            youngestNs = Math.min(youngestNs, now - c.connectedAt);
+            evictedUnused++;
+            youngestEvictedNs = Math.min(youngestEvictedNs, now - c.connectedAtNs);
         }
     }
 
     /** One line, if places ran out since the last, and all begins anew. */
-    void say(Log log) {
-        if (refused + unused + used > 0) {
-            String youngest =
-                    unused == 0 ? "" : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestNs) + " ms";
+    void logAndReset(Log log) {
+        if (refused + evictedUnused + evictedIdle > 0) {
+            String youngest = evictedUnused == 0
+                    ? ""
+                    : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestEvictedNs) + " ms";
             log.say("too few places for clients: of " + accepted + " accepted " + refused
-                    + " closed at once; closed to make room: " + unused + " with nothing asked" + youngest
-                    + ", " + used + " idle; requests taken: " + requests);
+                    + " closed at once; closed to make room: " + evictedUnused + " with nothing asked" + youngest
+                    + ", " + evictedIdle + " idle; requests taken: " + requests);
         }
         accepted = 0;
         refused = 0;
         requests = 0;
-        unused = 0;
-        used = 0;
-        youngestNs = Long.MAX_VALUE;
+        evictedUnused = 0;
+        evictedIdle = 0;
+        youngestEvictedNs = Long.MAX_VALUE;
     }
 }
--- a/src/main/java/gullspar/proxy/client/RequestDecoder.java
+++ b/src/main/java/gullspar/proxy/client/RequestDecoder.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.client;
 
-import gullspar.proxy.http.HeadLines;
+import gullspar.proxy.http.HeaderLines;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpDecoderConfig;
@@ -15,7 +15,7 @@
  */
 public class RequestDecoder extends HttpRequestDecoder {
     private boolean stopped;
-    private boolean begun;
+    private boolean inRequest;
 
     /** The longest first line and the longest head that it reads, in bytes. */
     public RequestDecoder(int longestLine, int longestHead) {
@@ -31,13 +31,13 @@
     }
 
     /** Has a request begun that is not whole yet? */
-    public boolean begun() {
-        return begun;
+    public boolean inRequest() {
+        return inRequest;
     }
 
     /** The request that had begun is whole. */
-    public void whole() {
-        begun = false;
+    public void endRequest() {
+        inRequest = false;
     }
 
     @Override
@@ -45,14 +45,14 @@
         if (stopped) {
             in.skipBytes(in.readableBytes());
         } else {
-            begun |= in.getByte(in.readerIndex()) > ' '; // an empty line ahead of a request is none yet
+            inRequest |= in.getByte(in.readerIndex()) > ' '; // an empty line ahead of a request is none yet
             super.decode(ctx, in, out);
         }
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        HeadLines.checkColon(line, start + length);
+        HeaderLines.checkColon(line, start + length);
         return super.splitHeaderName(line, start, length);
     }
 }
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.Profile;
-import gullspar.proxy.config.Classes.Known;
+import gullspar.proxy.config.Classes.RequestClass;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Fnv;
 import gullspar.proxy.http.Message;
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 
 /** What a request asks of the module: its class, the tenant by place, the rest as the client said it. */
-public record RequestParameters(Known of, int tenant, long key, long timeoutNs, long hintNs, boolean repeat) {
+public record RequestParameters(RequestClass of, int tenant, long key, long timeoutNs, long hintNs, boolean repeat) {
     /** No client waits longer; more is a slip of the pen. */
-    private static final double LONGEST_TIMEOUT_S = 3600;
+    private static final double MAX_TIMEOUT_S = 3600;
     /** Ids and keys: what any backend can read, and no longer than makes sense. */
     private static final Pattern NAME = Pattern.compile("[!-~]{1,128}");
 
@@ -23,18 +23,18 @@
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}(\\.[0-9]{0,12})?");
 
     /** What is wrong with a request of a class; null if nothing is. */
-    static String wrong(Message m, Profile p) {
+    static String validationError(Message m, Profile p) {
         if (!TARGET.matcher(m.uri()).matches()) {
             return "a target with odd characters";
         }
-        if (!one(m, "Request-Id", NAME)) {
+        if (!hasSingleValue(m, "Request-Id", NAME)) {
             return "no Request-Id, or an odd one, or several";
         }
-        if (timeout(m) <= 0) {
+        if (parseTimeoutNs(m) <= 0) {
             return "no sensible Request-Timeout";
         }
         boolean keyed = m.headers().contains("Idempotency-Key");
-        if (keyed && !one(m, "Idempotency-Key", NAME)) {
+        if (keyed && !hasSingleValue(m, "Idempotency-Key", NAME)) {
             return "an odd Idempotency-Key, or several";
         }
         if (p.effect() == Effect.DEDUPLICATED && !keyed || p.effect() == Effect.AT_MOST_ONCE && keyed) {
@@ -43,33 +43,33 @@
         return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "a body" : null;
     }
 
-    private static boolean one(Message m, String name, Pattern form) {
+    private static boolean hasSingleValue(Message m, String name, Pattern form) {
         List<String> values = m.headers().getAll(name);
         return values.size() == 1 && form.matcher(values.get(0)).matches();
     }
 
     /** In ns; 0 where it makes no sense. */
-    private static long timeout(Message m) {
-        if (!one(m, "Request-Timeout", SECONDS)) {
+    private static long parseTimeoutNs(Message m) {
+        if (!hasSingleValue(m, "Request-Timeout", SECONDS)) {
             return 0;
         }
         double s = Double.parseDouble(m.headers().get("Request-Timeout"));
-        return s > 0 && s <= LONGEST_TIMEOUT_S ? (long) (s * 1e9) : 0;
+        return s > 0 && s <= MAX_TIMEOUT_S ? (long) (s * 1e9) : 0;
     }
 
-    static RequestParameters of(Message m, Known of, Config config) {
+    static RequestParameters of(Message m, RequestClass of, Config config) {
         return new RequestParameters(
                 of,
                 Math.max(0, config.tenants().indexOf(m.headers().get("Tenant", ""))),
                 key(m.headers().get(HttpHeaderNames.COOKIE)),
-                timeout(m),
-                hint(m),
+                parseTimeoutNs(m),
+                parseHintNs(m),
                 "1".equals(m.headers().get("Client-Retry")));
     }
 
     /** A hint is advice: one that cannot be read is none. */
-    private static long hint(Message m) {
-        return one(m, "Work-Hint", SECONDS)
+    private static long parseHintNs(Message m) {
+        return hasSingleValue(m, "Work-Hint", SECONDS)
                 ? (long) (Double.parseDouble(m.headers().get("Work-Hint")) * 1000)
                 : 0;
     }
--- a/src/main/java/gullspar/proxy/config/Classes.java
+++ b/src/main/java/gullspar/proxy/config/Classes.java
@@ -13,39 +13,39 @@
  */
 public final class Classes {
     /** A class: its number, and what the module is told of it. attempts: so many at the most. */
-    public record Known(int place, String name, Profile profile, int attempts) {}
+    public record RequestClass(int index, String name, Profile profile, int maxAttempts) {}
 
     private final List<String> names = new ArrayList<>();
     private final List<Profile> profiles = new ArrayList<>();
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, RequestClass> current = new HashMap<>();
 
     public Classes(Config config) {
-        take(config);
+        update(config);
     }
 
     /** Takes over the classes of a configuration; returns all there ever were, by number, for the module. */
-    public List<Profile> take(Config config) {
-        known.clear();
+    public List<Profile> update(Config config) {
+        current.clear();
         int attempts = config.settings().maxAttempts();
         for (int i = 0; i < config.classes().size(); i++) {
             String name = config.classes().get(i);
             Profile p = config.settings().profiles().get(i).withAttempts(attempts);
-            int place = names.indexOf(name);
-            if (place < 0) {
-                place = names.size();
+            int index = names.indexOf(name);
+            if (index < 0) {
+                index = names.size();
                 names.add(name);
                 profiles.add(p);
             } else {
-                profiles.set(place, p);
+                profiles.set(index, p);
             }
-            known.put(name, new Known(place, name, p, attempts));
+            current.put(name, new RequestClass(index, name, p, attempts));
         }
         return List.copyOf(profiles);
     }
 
     /** The class of a name; null if the configuration has none. */
-    public Known of(String name) {
-        return known.get(name);
+    public RequestClass find(String name) {
+        return current.get(name);
     }
 
     /** The names of all there ever were, by number. */
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -72,7 +72,7 @@
      * the address of discovery, the file wins. A key that the file had before and lacks now makes it half a
      * file, which is none.
      */
-    public static Config reread(Map<String, String> environment, Config before) throws ConfigException {
+    public static Config reload(Map<String, String> environment, Config before) throws ConfigException {
         Map<String, String> lasting = new HashMap<>(environment);
         lasting.remove("NODE_DISCOVERY");
         Config c = read(lasting);
@@ -85,7 +85,7 @@
     }
 
     /** The longest that a client waits for an answer by any class, in ns. */
-    public long longestDeadlineNs() {
+    public long maxDeadlineNs() {
         return settings.profiles().stream().mapToLong(Profile::giveUpNs).max().orElse(0);
     }
 
@@ -93,10 +93,10 @@
         JsonNode settings = root.path("settings");
         Map<String, String> flat = new HashMap<>();
         flatten("", settings, flat);
-        positive(settings, "/limits/max_attempts");
+        requirePositive(settings, "/limits/max_attempts");
         for (JsonNode p : settings.path("profiles")) {
-            positive(p, "/promise_ns");
-            positive(p, "/give_up_ns");
+            requirePositive(p, "/promise_ns");
+            requirePositive(p, "/give_up_ns");
         }
         List<String> classes = names(settings.path("profiles"));
         if (classes.contains("") || Set.copyOf(classes).size() < classes.size()) {
@@ -110,20 +110,20 @@
         keys("", root, keys);
         try {
             return new Config(
-                    address("NODE_LISTEN", environment, root.path("listen")),
-                    address("NODE_DISCOVERY", environment, root.path("discovery")),
+                    parseAddress("NODE_LISTEN", environment, root.path("listen")),
+                    parseAddress("NODE_DISCOVERY", environment, root.path("discovery")),
                     Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
                     // Two processes share the limit while one takes over from the other.
-                    (int) positive(root, "/limits/sockets") / (descriptor.isEmpty() ? 1 : 2),
+                    (int) requirePositive(root, "/limits/sockets") / (descriptor.isEmpty() ? 1 : 2),
                     root.path("known"),
                     SettingsParser.parse(flat).settings(),
                     classes,
                     names(settings.path("tenants")),
                     names(settings.path("zones")),
                     names(settings.path("skus")),
-                    positive(settings, "/limits/connect_timeout_ns"),
-                    positive(settings, "/limits/keepalive_ns"),
-                    positive(settings, "/rules/drain_grace_ns"),
+                    requirePositive(settings, "/limits/connect_timeout_ns"),
+                    requirePositive(settings, "/limits/keepalive_ns"),
+                    requirePositive(settings, "/rules/drain_grace_ns"),
                     operator(environment, root),
                     !descriptor.isEmpty(),
                     root.hasNonNull("operators_file")
@@ -169,7 +169,7 @@
 
     private static InetSocketAddress operator(Map<String, String> environment, JsonNode root) throws ConfigException {
         boolean named = root.has("operator") || environment.containsKey("NODE_OPERATOR");
-        return named ? address("NODE_OPERATOR", environment, root.path("operator")) : null;
+        return named ? parseAddress("NODE_OPERATOR", environment, root.path("operator")) : null;
     }
 
     private static List<String> names(JsonNode list) {
@@ -178,7 +178,7 @@
         return List.copyOf(names);
     }
 
-    private static long positive(JsonNode node, String pointer) throws ConfigException {
+    private static long requirePositive(JsonNode node, String pointer) throws ConfigException {
         long value = node.at(pointer).asLong(0);
         if (value <= 0) {
             throw new ConfigException(pointer.substring(1).replace('/', '.') + " is missing or not positive");
@@ -186,10 +186,10 @@
         return value;
     }
 
-    private static InetSocketAddress address(String variable, Map<String, String> environment, JsonNode named)
+    private static InetSocketAddress parseAddress(String variable, Map<String, String> environment, JsonNode named)
             throws ConfigException {
         String text = environment.getOrDefault(variable, named.asText(""));
-        InetSocketAddress address = address(text);
+        InetSocketAddress address = parseAddress(text);
         if (address == null) {
             throw new ConfigException(variable + " is no address and port: '" + text + "'");
         }
@@ -197,7 +197,7 @@
     }
 
     /** An IP address and a port, with no look-up of names (there is no DNS); null if it is none. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = NetUtil.createInetAddressFromIpAddressString(text.substring(0, Math.max(0, colon)));
         if (ip == null) {
--- a/src/main/java/gullspar/proxy/config/Json.java
+++ b/src/main/java/gullspar/proxy/config/Json.java
@@ -19,8 +19,8 @@
  * lengths.
  */
 public final class Json {
-    private static final JsonFactory PARSERS = new JsonFactory();
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
+    private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
@@ -29,12 +29,12 @@
     /** The names of the fields that wait for their values, the innermost first. */
     private final Deque<String> names = new ArrayDeque<>();
 
-    private int pending;
+    private int pendingBytes;
 
     /** For what comes in pieces. */
     public Json() {
         try {
-            parser = PARSERS.createNonBlockingByteArrayParser();
+            parser = JSON_FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
             throw new IllegalStateException(e); // nothing is read here
         }
@@ -50,35 +50,35 @@
             json.feeder.endOfInput(); // what was cut off is an error from now on
             value = json.next();
         }
-        return value == null ? NODES.missingNode() : value;
+        return value == null ? NODE_FACTORY.missingNode() : value;
     }
 
     /** Adds what has come; all that came before has been asked for by {@link #next}. */
     public void add(byte[] bytes) throws IOException {
-        pending += bytes.length;
+        pendingBytes += bytes.length;
         feeder.feedInput(bytes, 0, bytes.length);
     }
 
     /** Has no object or list begun that has not ended? */
-    public boolean between() {
+    public boolean isBetweenValues() {
         return open.isEmpty();
     }
 
     /** So many bytes were added of an object or list that has begun and not ended, or a few more. */
-    public int pending() {
-        return pending;
+    public int pendingBytes() {
+        return pendingBytes;
     }
 
     /** The next value that is whole; null if there is none yet. An IOException if this is no JSON. */
     public JsonNode next() throws IOException {
         for (JsonToken t = parser.nextToken(); t != null; t = parser.nextToken()) {
             if (t == JsonToken.NOT_AVAILABLE) {
-                pending = between() ? 0 : pending;
+                pendingBytes = isBetweenValues() ? 0 : pendingBytes;
                 return null;
             }
-            JsonNode value = take(t);
-            if (value != null && between()) {
-                pending = 0;
+            JsonNode value = process(t);
+            if (value != null && isBetweenValues()) {
+                pendingBytes = 0;
                 return value;
             }
         }
@@ -86,31 +86,31 @@
     }
 
     /** Takes a token in; the value that ends with it, null if none does. */
-    private JsonNode take(JsonToken token) throws IOException {
+    private JsonNode process(JsonToken token) throws IOException {
         switch (token) {
             case FIELD_NAME:
                 names.push(parser.currentName());
                 return null;
             case START_OBJECT:
-                return begin(NODES.objectNode());
+                return begin(NODE_FACTORY.objectNode());
             case START_ARRAY:
-                return begin(NODES.arrayNode());
+                return begin(NODE_FACTORY.arrayNode());
             case END_OBJECT:
             case END_ARRAY:
                 return open.pop();
             default:
-                return put(scalar(token));
+                return attach(scalar(token));
         }
     }
 
     private JsonNode begin(JsonNode container) {
-        put(container);
+        attach(container);
         open.push(container);
         return null;
     }
 
     /** Puts a value into what it is part of. */
-    private JsonNode put(JsonNode value) {
+    private JsonNode attach(JsonNode value) {
         if (open.peek() instanceof ObjectNode object) {
             object.set(names.pop(), value);
         } else if (open.peek() instanceof ArrayNode array) {
@@ -122,18 +122,18 @@
     private JsonNode scalar(JsonToken token) throws IOException {
         switch (token) {
             case VALUE_STRING:
-                return NODES.textNode(parser.getText());
+                return NODE_FACTORY.textNode(parser.getText());
             case VALUE_NUMBER_INT:
                 return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? NODES.numberNode(parser.getBigIntegerValue())
-                        : NODES.numberNode(parser.getLongValue());
+                        ? NODE_FACTORY.numberNode(parser.getBigIntegerValue())
+                        : NODE_FACTORY.numberNode(parser.getLongValue());
             case VALUE_NUMBER_FLOAT:
-                return NODES.numberNode(parser.getDoubleValue());
+                return NODE_FACTORY.numberNode(parser.getDoubleValue());
             case VALUE_TRUE:
             case VALUE_FALSE:
-                return NODES.booleanNode(token == JsonToken.VALUE_TRUE);
+                return NODE_FACTORY.booleanNode(token == JsonToken.VALUE_TRUE);
             default:
-                return NODES.nullNode();
+                return NODE_FACTORY.nullNode();
         }
     }
 }
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -50,7 +50,7 @@
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode e : instances) {
             boolean gone = state(e) == State.GONE;
-            InetSocketAddress address = Config.address(e.path("hostPort").asText());
+            InetSocketAddress address = Config.parseAddress(e.path("hostPort").asText());
             if (e.path("instanceId").asText().isEmpty() || address == null && !gone) {
                 throw new IllegalArgumentException("an instance with no id or address");
             }
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -337,7 +337,7 @@
                 return;
             }
             try {
-                if (values.between()) {
+                if (values.isBetweenValues()) {
                     beats(bytes);
                 }
                 byte[] some = new byte[bytes.readableBytes()];
@@ -346,7 +346,7 @@
                 for (JsonNode n = values.next(); n != null && watches.contains(this); n = values.next()) {
                     take(n);
                 }
-                if (values.pending() > LONGEST_VALUE) {
+                if (values.pendingBytes() > LONGEST_VALUE) {
                     throw new IOException("it is longer than " + LONGEST_VALUE + " bytes");
                 }
             } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -14,12 +14,12 @@
 public final class Events {
     /** One call of the module. */
     public interface Event {
-        void at(long now, Balancer module);
+        void apply(long now, Balancer module);
     }
 
     private final Platform platform;
-    private final Queue<Event> news = new ArrayDeque<>();
-    private final Queue<Event> others = new ArrayDeque<>();
+    private final Queue<Event> backendUpdate = new ArrayDeque<>();
+    private final Queue<Event> requestEvents = new ArrayDeque<>();
     private Balancer module;
     private boolean delivering;
 
@@ -28,32 +28,32 @@
     }
 
     /** The module that hears; before any event is delivered. */
-    public void to(Balancer heir) {
-        module = heir;
+    public void setModule(Balancer balancer) {
+        module = balancer;
     }
 
     /** Tells what discovery said. */
-    public void news(Event event) {
-        add(news, event, () -> {});
+    public void backendUpdate(Event event) {
+        add(backendUpdate, event, () -> {});
     }
 
-    public void tell(Event event) {
-        tell(event, () -> {});
+    public void enqueue(Event event) {
+        enqueue(event, () -> {});
     }
 
     /** Tells of one request; a slip of the module costs that request, not all that the proxy holds. */
-    public void tell(Event event, Runnable afterSlip) {
-        add(others, event, afterSlip);
+    public void enqueue(Event event, Runnable onFailure) {
+        add(requestEvents, event, onFailure);
     }
 
-    private void add(Queue<Event> queue, Event event, Runnable afterSlip) {
+    private void add(Queue<Event> queue, Event event, Runnable onFailure) {
         queue.add((now, balancer) -> {
             try {
-                event.at(now, balancer);
+                event.apply(now, balancer);
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
                 platform.log().say("the module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
-                afterSlip.run();
+                onFailure.run();
             }
         });
         if (!delivering) {
@@ -64,8 +64,8 @@
 
     private void deliver() {
         long now = platform.clock().now();
-        while (!news.isEmpty() || !others.isEmpty()) {
-            (news.isEmpty() ? others : news).remove().at(now, module);
+        while (!backendUpdate.isEmpty() || !requestEvents.isEmpty()) {
+            (backendUpdate.isEmpty() ? requestEvents : backendUpdate).remove().apply(now, module);
         }
         delivering = false;
     }
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -10,53 +10,57 @@
  * from the budget before it is there: a client that declares much and sends little holds little.
  */
 public final class Body {
-    private static final int LEAST = 512, PIECE = 16 << 10;
+    private static final int MIN_CHUNK_BYTES = 512, CHUNK_BYTES = 16 << 10;
 
     private final BodyBudget budget;
-    private final long most;
-    private final List<byte[]> pieces = new ArrayList<>();
-    private long paid;
+    private final long maxBytes;
+    private final List<byte[]> chunks = new ArrayList<>();
+    private long reservedBytes;
     private long length;
-    private int filled;
+    private int lastChunkLength;
 
     /** Of so many bytes at the most. */
     public Body(BodyBudget budget, long most) {
         this.budget = budget;
-        this.most = most;
+        this.maxBytes = most;
     }
 
     /** What became of adding: it is there, it was more than a body may have, or the budget is spent. */
-    public enum Added {
-        TAKEN,
+    public enum AddResult {
+        ADDED,
         TOO_LONG,
-        NO_ROOM
+        BUDGET_EXHAUSTED
     }
 
     /** Adds all that can be read; the buffer stays its owner's. */
-    public Added add(ByteBuf bytes) {
+    public AddResult add(ByteBuf bytes) {
         while (bytes.isReadable()) {
-            if (length + bytes.readableBytes() > most) {
-                return Added.TOO_LONG;
+            if (length + bytes.readableBytes() > maxBytes) {
+                return AddResult.TOO_LONG;
             }
-            if (pieces.isEmpty() || filled == last().length) {
-                int size = pieces.isEmpty() ? Math.max(LEAST, Math.min(PIECE, bytes.readableBytes())) : PIECE;
-                if (!budget.take(size)) {
-                    return budget.everHolds(paid + size) ? Added.NO_ROOM : Added.TOO_LONG;
+            if (chunks.isEmpty() || lastChunkLength == lastChunk().length) {
+                int size = chunks.isEmpty()
+                        ? Math.max(MIN_CHUNK_BYTES, Math.min(CHUNK_BYTES, bytes.readableBytes()))
+                        : CHUNK_BYTES;
+                if (!budget.tryReserve(size)) {
+                    return budget.canEverReserve(reservedBytes + size)
+                            ? AddResult.BUDGET_EXHAUSTED
+                            : AddResult.TOO_LONG;
                 }
-                paid += size;
-                pieces.add(new byte[size]);
-                filled = 0;
+                reservedBytes += size;
+                chunks.add(new byte[size]);
+                lastChunkLength = 0;
             }
-            int n = Math.min(bytes.readableBytes(), last().length - filled);
-            bytes.readBytes(last(), filled, n);
-            filled += n;
+            int n = Math.min(bytes.readableBytes(), lastChunk().length - lastChunkLength);
+            bytes.readBytes(lastChunk(), lastChunkLength, n);
+            lastChunkLength += n;
             length += n;
         }
-        return Added.TAKEN;
+        return AddResult.ADDED;
     }
 
-    private byte[] last() {
-        return pieces.get(pieces.size() - 1);
+    private byte[] lastChunk() {
+        return chunks.get(chunks.size() - 1);
     }
 
     /** In bytes. */
@@ -66,20 +70,20 @@
 
     /** All of it, to be written; may be called again for a further attempt. */
     public ByteBuf bytes() {
-        if (pieces.isEmpty()) {
+        if (chunks.isEmpty()) {
             return Unpooled.EMPTY_BUFFER;
         }
-        ByteBuf[] all = new ByteBuf[pieces.size()];
+        ByteBuf[] all = new ByteBuf[chunks.size()];
         for (int i = 0; i < all.length; i++) {
-            byte[] p = pieces.get(i);
-            all[i] = Unpooled.wrappedBuffer(p, 0, i == all.length - 1 ? filled : p.length);
+            byte[] p = chunks.get(i);
+            all[i] = Unpooled.wrappedBuffer(p, 0, i == all.length - 1 ? lastChunkLength : p.length);
         }
         return Unpooled.wrappedBuffer(all.length, all);
     }
 
     /** Gives back what it was paid for; the request needs it no more. */
     public void release() {
-        budget.release(paid);
-        paid = 0;
+        budget.release(reservedBytes);
+        reservedBytes = 0;
     }
 }
--- a/src/main/java/gullspar/proxy/http/BodyBudget.java
+++ b/src/main/java/gullspar/proxy/http/BodyBudget.java
@@ -2,38 +2,38 @@
 
 /** The bytes that the bodies of all requests in hand may take together. Guards the heap against uploads. */
 public final class BodyBudget {
-    private long most;
-    private long taken;
+    private long maxBytes;
+    private long reservedBytes;
 
     /** In bytes. */
     public BodyBudget(long most) {
-        this.most = most;
+        this.maxBytes = most;
     }
 
     /** Another limit from now on; what is taken stays taken. */
-    public void limit(long bytes) {
-        most = bytes;
+    public void setLimit(long bytes) {
+        maxBytes = bytes;
     }
 
-    boolean take(long bytes) {
-        if (taken + bytes > most) {
+    boolean tryReserve(long bytes) {
+        if (reservedBytes + bytes > maxBytes) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
     /** Could one body take so much, if it were alone? If not, trying again is of no use. */
-    boolean everHolds(long bytes) {
-        return bytes <= most;
+    boolean canEverReserve(long bytes) {
+        return bytes <= maxBytes;
     }
 
     void release(long bytes) {
-        taken -= bytes;
+        reservedBytes -= bytes;
     }
 
     /** Bytes in use. */
-    public long taken() {
-        return taken;
+    public long reservedBytes() {
+        return reservedBytes;
     }
 }
--- a/src/main/java/gullspar/proxy/http/PieceWriter.java
+++ b/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
@@ -9,11 +9,11 @@
  * calls its handler from inside itself, half way through the encoder: whatever was written there would come
  * between the parts of a piece, so until the write is over nothing else is.
  */
-public final class PieceWriter {
+public final class BodyStreamWriter {
     private boolean writing;
 
     /** Writes what comes ahead of the pieces. */
-    public void ahead(Runnable writes) {
+    public void writeFirst(Runnable writes) {
         writing = true;
         writes.run();
         writing = false;
@@ -23,18 +23,18 @@
      * Writes what is there; true if it did, false if a write is under way, which sees to it. wanted: does
      * anybody still want it? moved: called for each piece.
      */
-    public boolean write(Channel channel, Pieces from, BooleanSupplier wanted, Runnable moved) {
+    public boolean write(Channel channel, BodyStream from, BooleanSupplier isActive, Runnable onChunk) {
         if (writing) {
             return false;
         }
         writing = true;
         do {
-            while (channel.isWritable() && from.ready()) {
-                moved.run();
-                channel.write(new DefaultHttpContent(from.next()));
+            while (channel.isWritable() && from.hasChunk()) {
+                onChunk.run();
+                channel.write(new DefaultHttpContent(from.nextChunk()));
             }
             channel.flush();
-        } while (wanted.getAsBoolean() && channel.isWritable() && from.ready());
+        } while (isActive.getAsBoolean() && channel.isWritable() && from.hasChunk());
         writing = false;
         return true;
     }
--- a/src/main/java/gullspar/proxy/operator/Companion.java
+++ b/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
@@ -11,14 +11,14 @@
  * operators' address. Where none does, no class of any is loaded. All but {@link #reload} is called on the
  * loop.
  */
-public interface Companion {
+public interface AuxiliaryService {
     /** Makes one of an operators' file. */
     interface Factory {
         /**
          * Starts it; name: what the platform calls this process, null if it does not; load: what the proxy
          * has done so far. Called off the loop; an IOException, with what is wrong, if it cannot start.
          */
-        Companion start(Path file, String name, Platform platform, Supplier<Load> load) throws IOException;
+        AuxiliaryService start(Path file, String name, Platform platform, Supplier<Load> load) throws IOException;
     }
 
     /** From the start: requests that have ended, those of them that were refused, and those in hand now. */
@@ -35,10 +35,10 @@
     }
 
     /** The proxy has come further. */
-    void at(Stage stage);
+    void onStage(Stage stage);
 
     /** What an operator asks for at that path, as JSON; null if it is not its to answer. */
-    String answer(String path);
+    String query(String path);
 
     /**
      * Its file may have changed. Off the loop; what is wrong with it is said in the log, and changes
--- a/src/main/java/gullspar/proxy/operator/OperatorPort.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
@@ -19,66 +19,68 @@
  * The address for operators: HTTP/1.1, one call on a connection. It listens from the process's start, when
  * the answer is still "not yet", and shares the proxy's loop, whose state it tells.
  */
-public final class OperatorPort {
+public final class OperatorEndpoint {
     /** What is asked about; called on the loop. */
-    public interface Subject {
+    public interface StatusSource {
         /** Can this process serve? */
-        boolean ready();
+        boolean isReady();
 
         /** The figures, as JSON. */
-        String figures();
+        String statusJson();
     }
 
     /**
      * Callers at one time. Guards against those that stay and say nothing: each holds a descriptor, and
      * the one that came first goes when another comes.
      */
-    static final int MOST_CALLERS = 12;
+    static final int MAX_CALLERS = 12;
     /** So long a caller may take for its call, in ms; a person at a terminal takes less. */
-    private static final long CALL_MS = 5000;
+    private static final long CALL_TIMEOUT_MS = 5000;
 
-    private static final int LONGEST_LINE = 1024, LONGEST_HEAD = 4096;
+    private static final int MAX_REQUEST_LINE_BYTES = 1024, MAX_HEAD_BYTES = 4096;
 
     private final Platform platform;
     /** Those that have made no call yet, in the order in which they came. */
     private final Set<Channel> callers = new LinkedHashSet<>();
 
-    private Subject subject;
-    private Companion companion;
+    private StatusSource statusSource;
+    private AuxiliaryService auxiliaryService;
 
     /** Until there is something to ask about, the answer is "not yet" to all. */
-    public OperatorPort(Platform platform) {
+    public OperatorEndpoint(Platform platform) {
         this.platform = platform;
     }
 
     /** What is asked about from now on. To be called on the loop. */
-    public void about(Subject known) {
-        subject = known;
+    public void setStatusSource(StatusSource source) {
+        statusSource = source;
     }
 
     /** Who else answers, from now on. To be called on the loop. */
-    public void with(Companion other) {
-        companion = other;
+    public void setAuxiliaryService(AuxiliaryService service) {
+        auxiliaryService = service;
     }
 
-    private String other(String path) {
-        return companion == null ? null : companion.answer(path);
+    private String queryAuxiliaryService(String path) {
+        return auxiliaryService == null ? null : auxiliaryService.query(path);
     }
 
     /**
      * Answers a call that nobody made, so that the first one that somebody makes finds all loaded: the loop
      * that answers it serves clients too.
      */
-    public static void rehearse(Subject subject) {
-        EmbeddedChannel c = new EmbeddedChannel(codec(), new OperatorCall(() -> subject, path -> null, called -> {}));
+    public static void warmUp(StatusSource subject) {
+        EmbeddedChannel c =
+                new EmbeddedChannel(codec(), new OperatorRequestHandler(() -> subject, path -> null, called -> {}));
         c.writeInbound(
                 Unpooled.copiedBuffer("GET /_vars HTTP/1.1\r\nHost: rehearsal\r\n\r\n", StandardCharsets.US_ASCII));
         c.finishAndReleaseAll();
     }
 
     private static HttpServerCodec codec() {
-        return new HttpServerCodec(
-                new HttpDecoderConfig().setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEAD));
+        return new HttpServerCodec(new HttpDecoderConfig()
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEAD_BYTES));
     }
 
     /** Listens there. */
@@ -88,25 +90,28 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        came(c);
+                        accept(c);
                     }
                 })
                 .bind());
     }
 
-    private void came(Channel c) {
-        if (callers.size() >= MOST_CALLERS) {
+    private void accept(Channel c) {
+        if (callers.size() >= MAX_CALLERS) {
             callers.iterator().next().close();
         }
         callers.add(c);
         c.closeFuture().addListener(f -> callers.remove(c));
-        c.pipeline().addLast(codec(), new OperatorCall(() -> subject, this::other, callers::remove));
+        c.pipeline()
+                .addLast(
+                        codec(),
+                        new OperatorRequestHandler(() -> statusSource, this::queryAuxiliaryService, callers::remove));
         platform.loop()
                 .schedule(
                         () -> {
                             c.close();
                         },
-                        CALL_MS,
+                        CALL_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/gullspar/proxy/operator/OperatorCall.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
@@ -21,20 +21,21 @@
 import java.util.function.UnaryOperator;
 
 /** One call of an operator: its head is all of it, and its answer ends the connection. */
-final class OperatorCall extends SimpleChannelInboundHandler<HttpObject> {
-    private final Supplier<OperatorPort.Subject> subject;
-    private final UnaryOperator<String> other;
-    private final Consumer<Channel> called;
+final class OperatorRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
+    private final Supplier<OperatorEndpoint.StatusSource> statusSource;
+    private final UnaryOperator<String> queryOther;
+    private final Consumer<Channel> onCall;
     private boolean answered;
 
     /**
      * subject: null while there is nothing to ask about; other: what else is answered, by its path, null for
      * nothing; called: hears of the call.
      */
-    OperatorCall(Supplier<OperatorPort.Subject> subject, UnaryOperator<String> other, Consumer<Channel> called) {
-        this.subject = subject;
-        this.other = other;
-        this.called = called;
+    OperatorRequestHandler(
+            Supplier<OperatorEndpoint.StatusSource> subject, UnaryOperator<String> other, Consumer<Channel> called) {
+        this.statusSource = subject;
+        this.queryOther = other;
+        this.onCall = called;
     }
 
     @Override
@@ -45,20 +46,20 @@
         if (message.decoderResult().isFailure()) {
             answer(ctx, HttpResponseStatus.BAD_REQUEST, "text/plain", "not a call\n", true);
         } else if (message instanceof HttpRequest r) {
-            call(ctx, r);
+            handle(ctx, r);
         }
     }
 
-    private void call(ChannelHandlerContext ctx, HttpRequest r) {
+    private void handle(ChannelHandlerContext ctx, HttpRequest r) {
         boolean body = !r.method().equals(HttpMethod.HEAD);
         if (body && !r.method().equals(HttpMethod.GET)) {
             answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET\n", true);
             return;
         }
-        OperatorPort.Subject asked = subject.get();
+        OperatorEndpoint.StatusSource source = statusSource.get();
         switch (new QueryStringDecoder(r.uri()).rawPath()) {
             case "/_ready" -> {
-                boolean ready = asked != null && asked.ready();
+                boolean ready = source != null && source.isReady();
                 answer(
                         ctx,
                         ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -67,18 +68,18 @@
                         body);
             }
             case "/_vars" -> {
-                if (asked == null) {
+                if (source == null) {
                     answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain", "not yet\n", body);
                 } else {
-                    answer(ctx, HttpResponseStatus.OK, "application/json", asked.figures(), body);
+                    answer(ctx, HttpResponseStatus.OK, "application/json", source.statusJson(), body);
                 }
             }
-            default -> other(ctx, new QueryStringDecoder(r.uri()).rawPath(), body);
+            default -> queryOther(ctx, new QueryStringDecoder(r.uri()).rawPath(), body);
         }
     }
 
-    private void other(ChannelHandlerContext ctx, String path, boolean body) {
-        String json = other.apply(path);
+    private void queryOther(ChannelHandlerContext ctx, String path, boolean body) {
+        String json = queryOther.apply(path);
         if (json == null) {
             answer(
                     ctx,
@@ -94,7 +95,7 @@
     private void answer(
             ChannelHandlerContext ctx, HttpResponseStatus status, String type, String text, boolean withBody) {
         answered = true;
-        called.accept(ctx.channel());
+        onCall.accept(ctx.channel());
         ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
         DefaultFullHttpResponse r =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, withBody ? bytes : Unpooled.EMPTY_BUFFER);
--- a/src/main/java/gullspar/proxy/operator/Figures.java
+++ b/src/main/java/gullspar/proxy/operator/RequestCounters.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** What has become of the requests that were taken, by the number of their class; from 0 at each start. */
-public final class Figures {
+public final class RequestCounters {
     private long[] completed = {};
     private long[] rejected = {};
     private long[] failed = {};
@@ -11,48 +11,48 @@
     private int reloadErrors;
 
     /** A request of a class has got its final answer. */
-    public void ended(int place, int status) {
-        if (place >= completed.length) {
-            completed = Arrays.copyOf(completed, place + 1);
-            rejected = Arrays.copyOf(rejected, place + 1);
-            failed = Arrays.copyOf(failed, place + 1);
+    public void countEnded(int classIndex, int status) {
+        if (classIndex >= completed.length) {
+            completed = Arrays.copyOf(completed, classIndex + 1);
+            rejected = Arrays.copyOf(rejected, classIndex + 1);
+            failed = Arrays.copyOf(failed, classIndex + 1);
         }
-        (status == 200 ? completed : status == 503 || status == 429 ? rejected : failed)[place]++;
+        (status == 200 ? completed : status == 503 || status == 429 ? rejected : failed)[classIndex]++;
     }
 
     /** A configuration was taken over, or turned down. */
-    public void reloaded(boolean taken) {
-        reloads += taken ? 1 : 0;
-        reloadErrors += taken ? 0 : 1;
+    public void countReload(boolean accepted) {
+        reloads += accepted ? 1 : 0;
+        reloadErrors += accepted ? 0 : 1;
     }
 
     /** Requests served. */
-    public long completed(int place) {
-        return place < completed.length ? completed[place] : 0;
+    public long completed(int classIndex) {
+        return classIndex < completed.length ? completed[classIndex] : 0;
     }
 
     /** Requests refused: a repeat is harmless. */
-    public long rejected(int place) {
-        return place < rejected.length ? rejected[place] : 0;
+    public long rejected(int classIndex) {
+        return classIndex < rejected.length ? rejected[classIndex] : 0;
     }
 
     /** Requests failed. */
-    public long failed(int place) {
-        return place < failed.length ? failed[place] : 0;
+    public long failed(int classIndex) {
+        return classIndex < failed.length ? failed[classIndex] : 0;
     }
 
     /** One of the three, over all classes. */
-    public long sum(Counted of) {
+    public long sum(Counter counter) {
         long sum = 0;
         for (int i = 0; i < completed.length; i++) {
-            sum += of.count(this, i);
+            sum += counter.count(this, i);
         }
         return sum;
     }
 
     /** One of the counts by class. */
-    public interface Counted {
-        long count(Figures of, int place);
+    public interface Counter {
+        long count(RequestCounters counters, int classIndex);
     }
 
     /** Configurations taken over. */
--- a/src/main/java/gullspar/proxy/operator/Report.java
+++ b/src/main/java/gullspar/proxy/operator/StatusReport.java
@@ -16,9 +16,9 @@
  * not yet ended; members and unavailable: backends in the list, and those of them that get nothing new; loop:
  * what the event loop has done, null where nobody counts; descriptors: of connections.
  */
-public record Report(
+public record StatusReport(
         List<String> classes,
-        Figures figures,
+        RequestCounters figures,
         long written,
         int pending,
         int members,
@@ -35,9 +35,9 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator to = JSON.createGenerator(text)) {
             to.writeStartObject();
-            byClass(to, "completed", figures::completed);
-            byClass(to, "rejected", figures::rejected);
-            byClass(to, "failed", figures::failed);
+            writeByClass(to, "completed", figures::completed);
+            writeByClass(to, "rejected", figures::rejected);
+            writeByClass(to, "failed", figures::failed);
             to.writeNumberField("upstream_requests", written);
             to.writeNumberField("pending", pending);
             to.writeNumberField("members", members);
@@ -69,7 +69,7 @@
         to.writeEndObject();
     }
 
-    private void byClass(JsonGenerator to, String name, IntToLongFunction count) throws IOException {
+    private void writeByClass(JsonGenerator to, String name, IntToLongFunction count) throws IOException {
         to.writeObjectFieldStart(name);
         for (int i = 0; i < classes.size(); i++) {
             to.writeNumberField(classes.get(i), count.applyAsLong(i));
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -4,7 +4,7 @@
 import gullspar.peers.net.Membership;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Companion;
+import gullspar.proxy.operator.AuxiliaryService;
 import gullspar.rehearse.net.Forger;
 import gullspar.rehearse.net.Liar;
 import gullspar.rehearse.net.Network;
@@ -56,7 +56,7 @@
     }
 
     /** A process begins to take part; who: its name, and which process of that name it is. On its loop. */
-    Membership join(String process, String who, Platform platform, Supplier<Companion.Load> load) {
+    Membership join(String process, String who, Platform platform, Supplier<AuxiliaryService.Load> load) {
         Fleet fleet = fleet(process);
         return Membership.join(
                 fleet,
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -10,7 +10,7 @@
 import gullspar.proxy.config.ConfigException;
 import gullspar.proxy.config.Fnv;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Companion;
+import gullspar.proxy.operator.AuxiliaryService;
 import gullspar.rehearse.judge.Judge;
 import gullspar.rehearse.net.Datagrams;
 import gullspar.rehearse.net.Host;
@@ -291,7 +291,7 @@
         if (fleet != null) {
             eventLog.began(name, agenda.now());
             life.loop.execute(() -> life.member = fleet.join(
-                    name, who, platform, () -> life.proxy == null ? Companion.Load.NONE : life.proxy.load()));
+                    name, who, platform, () -> life.proxy == null ? AuxiliaryService.Load.NONE : life.proxy.load()));
         }
         life.loop.schedule(
                 () -> {
@@ -305,7 +305,7 @@
                                 life.proxy = asking;
                                 asking.open();
                                 if (life.member != null) {
-                                    life.member.at(Companion.Stage.SERVING);
+                                    life.member.onStage(AuxiliaryService.Stage.SERVING);
                                 }
                                 if (standIns.proxies().contains(name)) {
                                     // The front looks at it from now on; at a twin nobody does.
@@ -323,7 +323,7 @@
     private void look() {
         lives.forEach((name, life) -> {
             String answer =
-                    life.member == null || life.loop.ended() || life.paused ? null : life.member.answer("/_fleet");
+                    life.member == null || life.loop.ended() || life.paused ? null : life.member.query("/_fleet");
             if (answer != null) {
                 try {
                     eventLog.looked(Look.of(agenda.now(), name, answer));
@@ -372,7 +372,7 @@
         }
         standIns.front().ended(name);
         if (life.member != null) {
-            life.loop.execute(() -> life.member.at(Companion.Stage.DRAINING));
+            life.loop.execute(() -> life.member.onStage(AuxiliaryService.Stage.DRAINING));
         }
         life.proxy
                 .drain()
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -69,7 +69,7 @@
         this.discovery = declared.discovery() == null
                 ? null
                 : new Discovery(platform, Discovery.Source.pushed(declared.discovery()), this);
-        events.to(factory.create(
+        events.setModule(factory.create(
                 new Settings(
                         0,
                         1,
@@ -152,7 +152,7 @@
         platform.loop()
                 .schedule(
                         () -> {
-                            events.news((now, module) -> module.onMembers(now, ListKind.FULL, 0, List.of()));
+                            events.backendUpdate((now, module) -> module.onMembers(now, ListKind.FULL, 0, List.of()));
                             backends.leaveAll();
                         },
                         LAST_MS,
@@ -182,7 +182,7 @@
         List<Member> list = members.listed(now).stream()
                 .map(l -> new Member(number(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
                 .toList();
-        events.news((at, module) -> module.onMembers(at, ListKind.FULL, 0, list));
+        events.backendUpdate((at, module) -> module.onMembers(at, ListKind.FULL, 0, list));
         long next = members.changesAt(now);
         if (next < changesAt || changesAt <= now) {
             changesAt = next;
@@ -239,7 +239,7 @@
                 forget(l.member().id());
             }
         }
-        events.news((now, module) -> module.onMembers(
+        events.backendUpdate((now, module) -> module.onMembers(
                 now,
                 news.kind(),
                 news.version(),
@@ -268,14 +268,14 @@
         if (classes.size() > told) {
             told = classes.size();
             List<Profile> all = classes.all();
-            events.news((now, module) -> module.onProfiles(all));
+            events.backendUpdate((now, module) -> module.onProfiles(all));
         }
         return place;
     }
 
     /** Tells the module something of a request; a slip of the module costs that request alone. */
     void tell(Events.Event event, Runnable afterSlip) {
-        events.tell(event, afterSlip);
+        events.enqueue(event, afterSlip);
     }
 
     void forget(Call call, int ticket) {
@@ -322,7 +322,7 @@
                 .schedule(
                         () -> {
                             if (!done()) {
-                                events.tell((now, module) -> module.onTimer(now, token));
+                                events.enqueue((now, module) -> module.onTimer(now, token));
                             }
                         },
                         Math.max(0, at - platform.clock().now()),
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -9,8 +9,8 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
 import gullspar.proxy.io.Signals;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.OperatorPort;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
 import gullspar.toml.ProblemsException;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -33,7 +33,8 @@
      * what is wrong with it: then it is null, and this returns false. An IOException if nobody can listen.
      * companions: makes what takes part in the fleet, where the file says so.
      */
-    public static boolean run(Path file, Supplier<Site> first, Balancer.Factory factory, Companion.Factory companions)
+    public static boolean run(
+            Path file, Supplier<Site> first, Balancer.Factory factory, AuxiliaryService.Factory companions)
             throws IOException {
         return run(
                 file,
@@ -56,7 +57,7 @@
     }
 
     /** The same by another source; file: what companions read. */
-    public static boolean run(Path file, Source source, Balancer.Factory factory, Companion.Factory companions)
+    public static boolean run(Path file, Source source, Balancer.Factory factory, AuxiliaryService.Factory companions)
             throws IOException {
         CompletableFuture<Runnable> started = new CompletableFuture<>();
         ServingLoop serving = ServingLoop.start();
@@ -72,27 +73,27 @@
             return false;
         }
         Platform platform = Platform.of(serving);
-        OperatorPort port = site.operators().operator() == null
+        OperatorEndpoint port = site.operators().operator() == null
                 ? null
                 : listen(site.operators().operator(), platform);
         SiteProxy proxy = SiteProxy.start(site, platform, factory, System.nanoTime());
-        Companion beside = site.operators().fleet() == null
+        AuxiliaryService beside = site.operators().fleet() == null
                 ? null
                 : companions.start(file, System.getenv("NODE_NAME"), platform, proxy::load);
         loop.execute(() -> {
             if (port != null) {
-                port.about(proxy);
-                port.with(beside);
+                port.setStatusSource(proxy);
+                port.setAuxiliaryService(beside);
             }
             if (beside != null) {
-                beside.at(Companion.Stage.SERVING);
+                beside.onStage(AuxiliaryService.Stage.SERVING);
             }
         });
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
                             if (beside != null) {
-                                loop.execute(() -> beside.at(Companion.Stage.DRAINING));
+                                loop.execute(() -> beside.onStage(AuxiliaryService.Stage.DRAINING));
                             }
                             proxy.drain().join();
                             if (beside != null) {
@@ -119,8 +120,8 @@
         throw new IOException("the event loop has ended"); // better gone than deaf
     }
 
-    private static OperatorPort listen(InetSocketAddress address, Platform platform) throws IOException {
-        OperatorPort port = new OperatorPort(platform);
+    private static OperatorEndpoint listen(InetSocketAddress address, Platform platform) throws IOException {
+        OperatorEndpoint port = new OperatorEndpoint(platform);
         ChannelFuture bound = port.listen(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen for operators on " + NetUtil.toSocketAddressString(address)
--- a/src/main/java/gullspar/site/SiteProxy.java
+++ b/src/main/java/gullspar/site/SiteProxy.java
@@ -6,8 +6,8 @@
 import gullspar.proxy.io.AcceptFailures;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Sockets;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.OperatorPort;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
 import gullspar.route.Router;
 import gullspar.site.client.Clients;
 import gullspar.site.client.PlainClient;
@@ -36,7 +36,7 @@
  * The proxy by an operator's file: listeners, routes, and a pool for each name, all on one event loop. A new
  * file replaces listeners, routes and pools in one go; requests in hand end under what they began with.
  */
-public final class SiteProxy implements Clients.Taker, OperatorPort.Subject {
+public final class SiteProxy implements Clients.Taker, OperatorEndpoint.StatusSource {
     private static final long SWEEP_MS = 250;
 
     private final Platform platform;
@@ -283,18 +283,18 @@
     // ---- what operators ask ----
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return !draining;
     }
 
     @Override
-    public String figures() {
+    public String statusJson() {
         return "{\"ended\":" + done + ",\"pending\":" + calls.size() + "}";
     }
 
     /** What it has done so far, for whoever runs beside it; refusals are not counted apart. On the loop. */
-    public Companion.Load load() {
-        return new Companion.Load(done, 0, calls.size());
+    public AuxiliaryService.Load load() {
+        return new AuxiliaryService.Load(done, 0, calls.size());
     }
 
     // ---- the end ----
--- a/src/main/java/gullspar/site/client/Clients.java
+++ b/src/main/java/gullspar/site/client/Clients.java
@@ -76,7 +76,7 @@
     /** Other limits from now on. */
     public void limit(Site.Limits next) {
         limits = next;
-        budget.limit(next.bodyBytes());
+        budget.setLimit(next.bodyBytes());
     }
 
     /** A new connection that came to a listener. */
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -203,8 +203,8 @@
         }
         if (o instanceof HttpContent content && !ending) {
             if (head != null) {
-                Body.Added added = body.add(content.content());
-                if (added != Body.Added.TAKEN) {
+                Body.AddResult added = body.add(content.content());
+                if (added != Body.AddResult.ADDED) {
                     refuseBody(added);
                     return;
                 }
@@ -217,8 +217,8 @@
         }
     }
 
-    private void refuseBody(Body.Added added) {
-        if (added == Body.Added.TOO_LONG) {
+    private void refuseBody(Body.AddResult added) {
+        if (added == Body.AddResult.TOO_LONG) {
             end(413, "the body is too long");
         } else {
             end(503, "too many bodies at once, try again");
--- a/src/main/java/gullspar/site/http/Heads.java
+++ b/src/main/java/gullspar/site/http/Heads.java
@@ -35,7 +35,7 @@
         h.set("Request-Id", r.id());
         forward(r, h, forwarded);
         values.change(h, to.request(), 0);
-        h.set("Request-Timeout", Message.seconds(Math.max(1000, leftNs)));
+        h.set("Request-Timeout", Message.formatSeconds(Math.max(1000, leftNs)));
         if (!r.trailers().isEmpty()) {
             HttpUtil.setTransferEncodingChunked(head, true);
         } else if (r.body().length() > 0 || !bodiless(r)) {
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -47,7 +47,7 @@
 
     @AfterEach
     void nothingIsLeft() throws Exception {
-        String figures = setup.loop.submit(setup.proxy::figures).get();
+        String figures = setup.loop.submit(setup.proxy::statusJson).get();
         assertTrue(figures.contains("\"pending\":0"), figures);
     }
 
@@ -115,7 +115,7 @@
     private void asDeployed() throws Exception {
         setup.close();
         setup = new Setup();
-        setup.unreadNs = Frontend.UNREAD_NS;
+        setup.unreadNs = Frontend.UNREAD_TIMEOUT_NS;
         setup.start(Setup.config(discovery, backend));
         server = setup.backend();
     }
--- a/src/test/java/gullspar/proxy/DrainTest.java
+++ b/src/test/java/gullspar/proxy/DrainTest.java
@@ -44,7 +44,7 @@
             CompletableFuture<String> atTheEnd = new CompletableFuture<>();
             setup.onLog = line -> {
                 if (line.equals("drained")) {
-                    atTheEnd.complete(setup.proxy.figures());
+                    atTheEnd.complete(setup.proxy.statusJson());
                 }
             };
             setup.proxy.drain();
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -125,11 +125,11 @@
     void someAtOnceAreAnsweredOneAfterTheOther() throws Exception {
         try (Peer.Wire client = setup.client()) {
             StringBuilder some = new StringBuilder();
-            for (int i = 0; i < Client.MOST_PIPELINED; i++) {
+            for (int i = 0; i < Client.MAX_PIPELINED; i++) {
                 some.append(Setup.get());
             }
             client.write(some.toString());
-            for (int i = 0; i < Client.MOST_PIPELINED; i++) {
+            for (int i = 0; i < Client.MAX_PIPELINED; i++) {
                 Request r = setup.request();
                 setup.act(() -> setup.actions.refuse(r.ticket(), 0));
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
@@ -140,8 +140,8 @@
     @Test
     void tooManyAtOnceAreTurnedAwayUnsent() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            client.write(Setup.get().repeat(Client.MOST_PIPELINED + 1));
-            for (int i = 0; i <= Client.MOST_PIPELINED; i++) { // each one that has been taken
+            client.write(Setup.get().repeat(Client.MAX_PIPELINED + 1));
+            for (int i = 0; i <= Client.MAX_PIPELINED; i++) { // each one that has been taken
                 assertTrue(client.read().startsWith("HTTP/1.1 429 "));
             }
             assertTrue(client.ended());
--- a/src/test/java/gullspar/proxy/HandOverTest.java
+++ b/src/test/java/gullspar/proxy/HandOverTest.java
@@ -51,10 +51,10 @@
 
     @Test
     void acceptsNobodyBeforeItCanServe() throws Exception {
-        assertFalse(setup.loop.submit(setup.proxy::ready).get(20, TimeUnit.SECONDS));
+        assertFalse(setup.loop.submit(setup.proxy::isReady).get(20, TimeUnit.SECONDS));
         assertThrows(NullPointerException.class, () -> setup.proxy.address(), "it listens nowhere yet");
         list();
-        assertTrue(setup.loop.submit(setup.proxy::ready).get(20, TimeUnit.SECONDS));
+        assertTrue(setup.loop.submit(setup.proxy::isReady).get(20, TimeUnit.SECONDS));
     }
 
     @Test
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -286,7 +286,7 @@
                 assertEquals(
                         1,
                         setup.loop
-                                        .submit(() -> setup.proxy.figures().contains("\"pending\":1"))
+                                        .submit(() -> setup.proxy.statusJson().contains("\"pending\":1"))
                                         .get(20, TimeUnit.SECONDS)
                                 ? 1
                                 : 0,
@@ -307,7 +307,7 @@
                 write(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 200"));
                 assertTrue(setup.loop
-                        .submit(setup.proxy::figures)
+                        .submit(setup.proxy::statusJson)
                         .get(20, TimeUnit.SECONDS)
                         .contains("\"completed\":{\"look\":2,"));
             }
@@ -334,7 +334,7 @@
             }
             assertTrue(got <= 100_000);
             assertTrue(setup.loop
-                    .submit(setup.proxy::figures)
+                    .submit(setup.proxy::statusJson)
                     .get(20, TimeUnit.SECONDS)
                     .contains("\"failed\":{\"look\":1,"));
         }
--- a/src/test/java/gullspar/proxy/OperatorTest.java
+++ b/src/test/java/gullspar/proxy/OperatorTest.java
@@ -14,7 +14,7 @@
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.ConfigException;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.OperatorPort;
+import gullspar.proxy.operator.OperatorEndpoint;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -37,7 +37,7 @@
     private Peer discovery;
     private Peer backend;
     private Setup setup;
-    private OperatorPort port;
+    private OperatorEndpoint port;
     private InetSocketAddress address;
 
     @BeforeEach
@@ -49,7 +49,7 @@
                 .submit(() -> setup.proxy.news(new gullspar.proxy.discovery.ListUpdate(
                         gullspar.decide.Balancer.ListKind.DELTA, 42, List.of())))
                 .get(20, TimeUnit.SECONDS);
-        port = new OperatorPort(Platform.of(setup.loop));
+        port = new OperatorEndpoint(Platform.of(setup.loop));
         address = (InetSocketAddress) port.listen(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
@@ -78,7 +78,7 @@
     }
 
     private void about() throws Exception {
-        setup.act(() -> port.about(setup.proxy));
+        setup.act(() -> port.setStatusSource(setup.proxy));
     }
 
     private JsonNode json() {
@@ -225,7 +225,7 @@
         Files.writeString(file, json().toString());
         Config first = Config.read(environment);
         assertNull(first.operator());
-        Config.reread(environment, first);
+        Config.reload(environment, first);
         List<String> broken = new ArrayList<>(List.of("", "{", json().toString().substring(0, 400)));
         for (String key : List.of(
                 "/seed",
@@ -253,9 +253,9 @@
         }
         for (String text : broken) {
             Files.writeString(file, text);
-            assertThrows(ConfigException.class, () -> Config.reread(environment, first), text);
+            assertThrows(ConfigException.class, () -> Config.reload(environment, first), text);
         }
         Files.writeString(file, json().toString());
-        Config.reread(environment, first);
+        Config.reload(environment, first);
     }
 }
--- a/src/test/java/gullspar/proxy/Peer.java
+++ b/src/test/java/gullspar/proxy/Peer.java
@@ -14,7 +14,7 @@
 
 /** A scripted peer on loopback: every connection that it accepts is handed to the test, in order. */
 public final class Peer implements AutoCloseable {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private final ServerSocket server;
     private final BlockingQueue<Wire> accepted = new LinkedBlockingQueue<>();
     private final Thread acceptor;
@@ -51,7 +51,7 @@
 
     /** The next connection. */
     public Wire accept() throws InterruptedException {
-        Wire w = accepted.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Wire w = accepted.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (w == null) {
             throw new AssertionError("no connection came");
         }
@@ -81,7 +81,7 @@
 
         Wire(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             this.in = socket.getInputStream();
         }
 
--- a/src/test/java/gullspar/proxy/backend/PassedOnTest.java
+++ b/src/test/java/gullspar/proxy/backend/PassedOnTest.java
@@ -29,8 +29,8 @@
     private final List<Answer> answers = new ArrayList<>();
 
     private void attempt() {
-        Message m =
-                Message.whole(HttpMethod.GET, "/look", new DefaultHttpHeaders(), new Body(new BodyBudget(1000), 1000));
+        Message m = Message.withFullBody(
+                HttpMethod.GET, "/look", new DefaultHttpHeaders(), new Body(new BodyBudget(1000), 1000));
         connection.begin(new Attempt(
                 backend,
                 m,
--- a/src/test/java/gullspar/proxy/client/BodiesGivenBackTest.java
+++ b/src/test/java/gullspar/proxy/client/BodyBudgetReleaseTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Whatever becomes of a request, the room that its body took is given back. */
-class BodiesGivenBackTest {
+class BodyBudgetReleaseTest {
     private final List<Message> taken = new ArrayList<>();
-    private final List<Client> gone = new ArrayList<>();
+    private final List<Client> disconnected = new ArrayList<>();
     private Frontend frontend;
     private int ids;
 
@@ -31,7 +31,7 @@
     void start() throws Exception {
         Config config = Config.parse(
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile()), Map.of());
-        Frontend.Taker taker = new Frontend.Taker() {
+        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
             @Override
             public void onRequest(Client client, Message message, RequestParameters asked, long at) {
                 taken.add(message);
@@ -41,9 +41,9 @@
             public void onRequestComplete(Client client, long at) {}
 
             @Override
-            public void onClientLeft(Client client) {
-                gone.add(client);
-                client.taken().release(); // as an exchange does when it ends
+            public void onClientDisconnected(Client client) {
+                disconnected.add(client);
+                client.currentRequest().release(); // as an exchange does when it ends
             }
         };
         frontend = new Frontend(
@@ -79,63 +79,63 @@
     }
 
     @Test
-    void ofARequestThatWasTaken() {
+    void releasedWhenClientDisconnectsAfterFullRequest() {
         EmbeddedChannel c = client(order(5000), "x".repeat(5000));
         assertEquals(1, taken.size());
-        assertTrue(frontend.budget().taken() >= 5000);
+        assertTrue(frontend.budget().reservedBytes() >= 5000);
         leave(c);
-        assertEquals(1, gone.size());
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(1, disconnected.size());
+        assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
-    void ofHalfARequest() {
+    void releasedWhenClientDisconnectsMidBody() {
         EmbeddedChannel c = client(order(5000), "x".repeat(2000));
-        assertTrue(frontend.budget().taken() >= 2000);
+        assertTrue(frontend.budget().reservedBytes() >= 2000);
         leave(c);
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(0, frontend.budget().reservedBytes());
         assertEquals(0, taken.size());
     }
 
     @Test
-    void ofOneThatMakesNoSense() {
+    void releasedWhenRequestIsInvalid() {
         leave(client(order(1000).replace("/order", "/other"), "x".repeat(1000)));
         leave(client(order(1000).replace("Request-Id", "Other-Id"), "x".repeat(1000)));
         leave(client(order(1000).replace("POST", "PUT"), "x".repeat(1000)));
         assertEquals(0, taken.size());
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
-    void ofThoseThatWaitInLineAndOfTooMany() {
+    void releasedForPipelinedRequestsAndWhenTooManyArePipelined() {
         String one = order(1000) + "x".repeat(1000);
         EmbeddedChannel c = client(one, order(1000) + "x".repeat(1000), order(1000) + "x".repeat(1000));
         assertEquals(1, taken.size());
-        assertTrue(frontend.budget().taken() >= 3000);
+        assertTrue(frontend.budget().reservedBytes() >= 3000);
         leave(c);
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(0, frontend.budget().reservedBytes());
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             many.append(order(1000)).append("x".repeat(1000));
         }
         leave(client(many.toString()));
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
-    void ofOneThatIsTooLargeToWaitFor() {
+    void releasedForBodyThatIsStreamed() {
         EmbeddedChannel c = client(order(3 << 20), "x".repeat(2 << 20));
         assertEquals(1, taken.size());
-        assertTrue(frontend.budget().taken() >= 1 << 20);
-        assertTrue(taken.get(0).rest().coming());
+        assertTrue(frontend.budget().reservedBytes() >= 1 << 20);
+        assertTrue(taken.get(0).bodyStream().isReceiving());
         leave(c);
-        assertEquals(1, gone.size());
-        assertEquals(0, frontend.budget().taken());
+        assertEquals(1, disconnected.size());
+        assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
-    void whereTheBudgetIsSpentRequestsStillGoOn() {
-        frontend.budget().limit(2 << 20);
+    void bodiesAreStreamedWhenBudgetIsExhausted() {
+        frontend.budget().setLimit(2 << 20);
         List<EmbeddedChannel> all = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             all.add(client(order(1 << 20), "x".repeat((1 << 20) - 1))); // held: a byte is missing
@@ -144,7 +144,7 @@
         EmbeddedChannel small = client(order(1000), "x".repeat(1000));
         assertEquals(2, taken.size());
         leave(small);
-        all.forEach(BodiesGivenBackTest::leave);
-        assertEquals(0, frontend.budget().taken());
+        all.forEach(BodyBudgetReleaseTest::leave);
+        assertEquals(0, frontend.budget().reservedBytes());
     }
 }
--- a/src/test/java/gullspar/proxy/client/CrossingTest.java
+++ b/src/test/java/gullspar/proxy/client/CloseWithUnreadRequestTest.java
@@ -23,7 +23,7 @@
 
 /** A request that has come, and was not read yet, when its connection would be closed as idle. */
 @Timeout(60)
-class CrossingTest {
+class CloseWithUnreadRequestTest {
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
     @AfterEach
@@ -32,23 +32,23 @@
     }
 
     @Test
-    void isTakenAndItsConnectionCloseComesWithTheAnswer() throws Exception {
+    void unreadRequestIsAnsweredWithConnectionClose() throws Exception {
         ObjectNode root = (ObjectNode)
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile());
         root.put("listen", "127.0.0.1:0");
         Config config = Config.parse(root, Map.of());
-        Frontend.Taker taker = new Frontend.Taker() {
+        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
             @Override
             public void onRequest(Client client, Message message, RequestParameters asked, long at) {
                 message.release();
-                client.answer(503, null, "try again");
+                client.respond(503, null, "try again");
             }
 
             @Override
             public void onRequestComplete(Client client, long at) {}
 
             @Override
-            public void onClientLeft(Client client) {}
+            public void onClientDisconnected(Client client) {}
         };
         Frontend frontend = loop.submit(() -> new Frontend(
                         Platform.of(loop), config, new Classes(config), new Sockets(100).clients, taker, () -> true))
--- a/src/test/java/gullspar/proxy/client/PassingOnTest.java
+++ b/src/test/java/gullspar/proxy/client/ResponseForwardingTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.proxy.http.BodyBudget;
+import gullspar.proxy.http.BodyStream;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.http.Pieces;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An answer of which much waits already when its client has room for it. */
-class PassingOnTest {
+class ResponseForwardingTest {
     private static final class Owner implements Client.Owner {
         @Override
         public void onRequest(Client client, Message message, long at) {}
@@ -42,7 +42,7 @@
         public void onRequestAborted(Client client) {}
 
         @Override
-        public long unreadNs() {
+        public long unreadTimeoutNs() {
             return Long.MAX_VALUE;
         }
 
@@ -52,12 +52,12 @@
         }
 
         @Override
-        public boolean answered(Client client, int status) {
+        public boolean onResponse(Client client, int status) {
             return false;
         }
 
         @Override
-        public void closed(Client client) {}
+        public void onClosed(Client client) {}
 
         @Override
         public long now() {
@@ -68,7 +68,7 @@
     /** The channel takes all at once: a write that fills its buffer makes room again from inside itself. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void nothingComesBetweenThePartsOfAPiece(boolean chunked) throws Exception {
+    void chunkPartsAreNotInterleaved(boolean chunked) throws Exception {
         byte[] all = new byte[700_000];
         new Random(1).nextBytes(all);
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -80,15 +80,15 @@
         EmbeddedChannel c = new EmbeddedChannel(new HttpResponseEncoder());
         Client client = new Client(c, new RequestDecoder(1000, 1000), new Owner());
         c.pipeline().addLast(client);
-        Pieces rest = new Pieces(() -> {}, () -> {});
+        BodyStream rest = new BodyStream(() -> {}, () -> {});
         for (int at = 100_000; at < all.length; at += 100_000) {
             rest.add(Unpooled.copiedBuffer(all, at, 100_000));
         }
-        rest.whole();
+        rest.complete();
         List<Boolean> done = new ArrayList<>();
         byte[] first = new byte[100_000];
         System.arraycopy(all, 0, first, 0, first.length);
-        client.answer(head, first, rest, done::add);
+        client.respond(head, first, rest, done::add);
         c.runPendingTasks();
         assertEquals(List.of(true), done);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/gullspar/proxy/client/TenantLookup.java
+++ b/src/test/java/gullspar/proxy/client/TenantLookup.java
@@ -10,11 +10,11 @@
 /** What a request is found to ask, for those who measure what that costs. */
 public final class TenantLookup {
     private final Config config;
-    private final Classes.Known of;
+    private final Classes.RequestClass of;
 
     public TenantLookup(Config config) {
         this.config = config;
-        this.of = new Classes(config).of(config.classes().get(0));
+        this.of = new Classes(config).find(config.classes().get(0));
     }
 
     /** The place of a tenant, found as for any request. */
--- a/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
+++ b/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
@@ -23,14 +23,14 @@
 /** A loop that stood still finds a body that was left unread too long in the turn that would send it on. */
 class UnreadBodyTest {
     private final List<Client> taken = new ArrayList<>();
-    private final List<Client> gone = new ArrayList<>();
+    private final List<Client> disconnected = new ArrayList<>();
     private long now = 1;
 
     @Test
-    void isTurnedAwayThoughItsTimerIsStillToCome() throws Exception {
+    void rejectedBeforeItsTimerFires() throws Exception {
         Config config = Config.parse(
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile()), Map.of());
-        Frontend.Taker taker = new Frontend.Taker() {
+        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
             @Override
             public void onRequest(Client client, Message message, RequestParameters asked, long at) {
                 taken.add(client);
@@ -40,8 +40,8 @@
             public void onRequestComplete(Client client, long at) {}
 
             @Override
-            public void onClientLeft(Client client) {
-                gone.add(client);
+            public void onClientDisconnected(Client client) {
+                disconnected.add(client);
             }
         };
         EmbeddedChannel c = new EmbeddedChannel();
@@ -61,14 +61,14 @@
             c.writeInbound(Unpooled.buffer().writeZero(10_000));
         }
         Client client = taken.get(0);
-        assertTrue(client.present());
-        now += Frontend.UNREAD_NS - 1;
-        assertTrue(client.present());
-        assertEquals(List.of(), gone);
+        assertTrue(client.readAndCheckConnected());
+        now += Frontend.UNREAD_TIMEOUT_NS - 1;
+        assertTrue(client.readAndCheckConnected());
+        assertEquals(List.of(), disconnected);
         assertNull(c.readOutbound());
         now++;
-        client.present();
-        assertEquals(List.of(client), gone);
+        client.readAndCheckConnected();
+        assertEquals(List.of(client), disconnected);
         c.runPendingTasks();
         ByteBuf answer = c.readOutbound();
         assertTrue(answer.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 503 "));
--- /dev/null
+++ b/src/test/java/gullspar/proxy/http/BodyStreamTest.java
@@ -0,0 +1,90 @@
+package gullspar.proxy.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+
+/** What is on its way from one connection to another. */
+class BodyStreamTest {
+    private final AtomicInteger resumed = new AtomicInteger();
+    private final AtomicInteger dropped = new AtomicInteger();
+    private final AtomicInteger notifications = new AtomicInteger();
+    private final BodyStream stream = new BodyStream(resumed::incrementAndGet, dropped::incrementAndGet);
+
+    private static ByteBuf chunk(int bytes) {
+        return Unpooled.buffer(bytes).writeZero(bytes);
+    }
+
+    @Test
+    void writerPausesWhenBufferIsFullAndResumesAtHalf() {
+        stream.setReader(notifications::incrementAndGet);
+        assertTrue(stream.add(chunk(BodyStream.MAX_BUFFERED_BYTES / 2)));
+        assertFalse(stream.add(chunk(BodyStream.MAX_BUFFERED_BYTES / 2)));
+        assertTrue(stream.paused());
+        assertEquals(0, resumed.get());
+        stream.nextChunk().release();
+        assertEquals(1, resumed.get());
+        assertFalse(stream.paused());
+        stream.nextChunk().release();
+        assertNull(stream.nextChunk());
+        assertEquals(1, resumed.get());
+    }
+
+    @Test
+    void unreadStreamBuffersMoreUpToItsOwnLimit() {
+        int part = BodyStream.MAX_BUFFERED_BYTES / 2;
+        int waiting = part;
+        while (stream.add(chunk(part))) {
+            waiting += part;
+        }
+        assertEquals(BodyStream.MAX_UNREAD_BYTES, waiting);
+        assertTrue(stream.paused());
+        stream.setReader(notifications::incrementAndGet);
+        for (; waiting > BodyStream.MAX_BUFFERED_BYTES / 2; waiting -= part) {
+            assertEquals(0, resumed.get());
+            stream.nextChunk().release();
+        }
+        assertEquals(1, resumed.get());
+        assertTrue(stream.add(chunk(part - 1)));
+        assertFalse(stream.add(chunk(1)), "from the first that is taken the usual bound holds");
+        for (ByteBuf rest = stream.nextChunk(); rest != null; rest = stream.nextChunk()) {
+            rest.release();
+        }
+    }
+
+    @Test
+    void readerIsNotifiedOfEachChunkAndOnceOfTheEnd() {
+        assertTrue(stream.isUnread());
+        stream.setReader(notifications::incrementAndGet);
+        assertFalse(stream.isUnread());
+        stream.add(chunk(1));
+        stream.complete();
+        stream.abort();
+        assertEquals(2, notifications.get());
+        assertFalse(stream.isFullyRead());
+        stream.nextChunk().release();
+        assertTrue(stream.isFullyRead());
+        assertFalse(stream.isAborted(), "what was whole stays whole");
+    }
+
+    @Test
+    void droppedStreamReleasesChunksAndResumesWriter() {
+        ByteBuf waiting = chunk(BodyStream.MAX_UNREAD_BYTES);
+        stream.add(waiting);
+        stream.drop();
+        stream.drop();
+        assertEquals(0, waiting.refCnt());
+        assertEquals(1, resumed.get());
+        assertEquals(1, dropped.get());
+        ByteBuf late = chunk(5);
+        assertTrue(stream.add(late));
+        assertEquals(0, late.refCnt());
+        assertFalse(stream.isUnread(), "no attempt can send it any more");
+    }
+}
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -8,7 +8,7 @@
 import gullspar.proxy.io.Clock;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Transport;
-import gullspar.proxy.operator.Companion;
+import gullspar.proxy.operator.AuxiliaryService;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelDuplexHandler;
@@ -81,10 +81,10 @@
                             new Envelope(List.of(KEY)),
                             life,
                             platform,
-                            () -> Companion.Load.NONE))
+                            () -> AuxiliaryService.Load.NONE))
                     .syncUninterruptibly()
                     .getNow();
-            loop.execute(() -> m.at(Companion.Stage.SERVING));
+            loop.execute(() -> m.onStage(AuxiliaryService.Stage.SERVING));
             members.add(new Member(loop, m));
         }
         return Integer.toString(members.size());
@@ -94,7 +94,7 @@
     private String present() throws IOException {
         StringBuilder all = new StringBuilder();
         for (Member m : members) {
-            String page = m.loop.submit(() -> m.membership.answer("/_fleet"))
+            String page = m.loop.submit(() -> m.membership.query("/_fleet"))
                     .syncUninterruptibly()
                     .getNow();
             JsonNode seen = Json.read((page == null ? "{}" : page).getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/gullspar/scale/Latency.java
+++ b/src/test/java/gullspar/scale/Latency.java
@@ -60,7 +60,7 @@
             throws ScaleException, IOException {
         List<InetSocketAddress> proxies = places.stream().map(Place::listen).toList();
         List<InetSocketAddress> direct = IntStream.range(0, 64)
-                .mapToObj(i -> Config.address(backends.address(i)))
+                .mapToObj(i -> Config.parseAddress(backends.address(i)))
                 .toList();
         try (OpenLoop load = new OpenLoop(urls)) {
             OpenLoop.Side through = load.new Side(proxies);
--- a/src/test/java/gullspar/scale/RealProxy.java
+++ b/src/test/java/gullspar/scale/RealProxy.java
@@ -29,8 +29,8 @@
                 Map.of("NODE_CONFIG", config.toString(), "NODE_NAME", "p" + number));
         return new RealProxy(
                 c,
-                Config.address(json.get("listen").asText()),
-                Config.address(json.get("operator").asText()),
+                Config.parseAddress(json.get("listen").asText()),
+                Config.parseAddress(json.get("operator").asText()),
                 config);
     }
 
--- a/src/test/java/gullspar/scale/Sites.java
+++ b/src/test/java/gullspar/scale/Sites.java
@@ -74,7 +74,7 @@
             throws ScaleException, IOException {
         System.out.println(axis + " " + size + " " + fixed);
         String listen = Ports.free(1).get(0);
-        InetSocketAddress at = Config.address(listen);
+        InetSocketAddress at = Config.parseAddress(listen);
         List<Child> one = new ArrayList<>();
         try (BackendStandIn backends = new BackendStandIn()) {
             Path config = Files.writeString(
