--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -20,7 +20,7 @@
  * end of the client is there to read by then, and in some of the tests the loop has not come round to it.
  */
 class ClientLeavesTest extends LoopbackTest {
-    private interface Leaving {
+    private interface LeaveAction {
         void by(Peer.Wire client) throws IOException;
     }
 
@@ -28,14 +28,14 @@
      * How it leaves. Ending its sending is leaving: the protocol lets an attempt be given up so, and tells of
      * no client that goes on reading.
      */
-    enum Way implements Leaving {
+    enum LeaveMode implements LeaveAction {
         CLOSES(Peer.Wire::close),
         RESETS(Peer.Wire::reset),
         ENDS_SENDING(Peer.Wire::endSending);
 
-        private final Leaving act;
+        private final LeaveAction act;
 
-        Way(Leaving act) {
+        LeaveMode(LeaveAction act) {
             this.act = act;
         }
 
@@ -46,13 +46,13 @@
     }
 
     @AfterEach
-    void nothingIsLeft() throws Exception {
+    void noRequestIsPending() throws Exception {
         String figures = setup.loop.submit(setup.proxy::statusJson).get();
         assertTrue(figures.contains("\"pending\":0"), figures);
     }
 
     /** Whatever the module does with it from now on, nothing goes out. */
-    private void isOver(Request r) throws Exception {
+    private void assertWithdrawnAndNothingSent(Request r) throws Exception {
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
         setup.act(() -> setup.actions.send(r.ticket(), server, 0));
         assertEquals(Status.MOOT, setup.outcome().status());
@@ -61,28 +61,28 @@
 
     @ParameterizedTest
     @EnumSource
-    void whileItWaitsInTheModule(Way leaves) throws Exception {
+    void whileItWaitsInTheModule(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
         leaves.by(client);
-        isOver(r);
+        assertWithdrawnAndNothingSent(r);
     }
 
     @ParameterizedTest
     @EnumSource
-    void behindAnotherOnItsConnection(Way leaves) throws Exception {
+    void withAnotherRequestPipelinedBehind(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get() + Setup.get());
         Request r = setup.request();
         leaves.by(client);
-        isOver(r);
+        assertWithdrawnAndNothingSent(r);
         assertTrue(setup.told.stream().noneMatch(t -> t.what().equals("request")), "the next was taken");
     }
 
     @ParameterizedTest
     @EnumSource
-    void betweenAFailedAttemptAndTheNext(Way leaves) throws Exception {
+    void betweenAFailedAttemptAndTheNext(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
@@ -92,10 +92,10 @@
         wire.reset();
         assertEquals(Status.RESET, setup.outcome().status());
         leaves.by(client);
-        isOver(r);
+        assertWithdrawnAndNothingSent(r);
     }
 
-    private static String large(int bytes) {
+    private static String largeRequest(int bytes) {
         return "POST /pay HTTP/1.1\r\nHost: api\r\nRequest-Id: large\r\nRequest-Timeout: 30\r\n" + "Content-Length: "
                 + (4 << 20) + "\r\n\r\n" + "x".repeat(bytes);
     }
@@ -103,16 +103,16 @@
     /** Some more of a body is read than is passed on at once, to see the end of its client. */
     @ParameterizedTest
     @EnumSource
-    void whileTheRestOfItsBodyWaits(Way leaves) throws Exception {
+    void whileTheRestOfItsBodyIsBuffered(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
-        client.write(large((1 << 20) + (160 << 10)));
+        client.write(largeRequest((1 << 20) + (160 << 10)));
         Request r = setup.request();
         leaves.by(client);
-        isOver(r);
+        assertWithdrawnAndNothingSent(r);
     }
 
     /** The proxy that clients meet, which leaves nothing unread for longer than it may. */
-    private void asDeployed() throws Exception {
+    private void useProductionUnreadTimeout() throws Exception {
         setup.close();
         setup = new Setup();
         setup.unreadNs = Frontend.UNREAD_TIMEOUT_NS;
@@ -126,31 +126,31 @@
      */
     @ParameterizedTest
     @EnumSource
-    void behindMoreOfItsBodyThanIsRead(Way leaves) throws Exception {
-        asDeployed();
+    void whileItsBodyIsPartlyUnread(LeaveMode leaves) throws Exception {
+        useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
-        client.write(large((1 << 20) + 1));
+        client.write(largeRequest((1 << 20) + 1));
         Request r = setup.request();
-        CompletableFuture<Void> left = writes(client, "x".repeat(2 << 20), leaves);
-        isOver(r);
+        CompletableFuture<Void> left = writeThenLeave(client, "x".repeat(2 << 20), leaves);
+        assertWithdrawnAndNothingSent(r);
         left.get(20, TimeUnit.SECONDS);
     }
 
     /** The same, where it is the body of the next request in line. */
     @ParameterizedTest
     @EnumSource
-    void behindMoreOfTheNextBodyThanIsRead(Way leaves) throws Exception {
-        asDeployed();
+    void whileTheNextBodyIsPartlyUnread(LeaveMode leaves) throws Exception {
+        useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
-        CompletableFuture<Void> left = writes(client, large(3 << 20), leaves);
-        isOver(r);
+        CompletableFuture<Void> left = writeThenLeave(client, largeRequest(3 << 20), leaves);
+        assertWithdrawnAndNothingSent(r);
         left.get(20, TimeUnit.SECONDS);
     }
 
     /** Beside the test: the system may not take all of it before the proxy reads on. */
-    private static CompletableFuture<Void> writes(Peer.Wire client, String text, Leaving leaves) {
+    private static CompletableFuture<Void> writeThenLeave(Peer.Wire client, String text, LeaveAction leaves) {
         return CompletableFuture.runAsync(() -> {
             try {
                 client.write(text);
@@ -163,20 +163,20 @@
 
     /** It has not left, which nobody can know: it is told to try again. */
     @Test
-    void whoStaysBehindMoreThanIsReadIsTurnedAway() throws Exception {
-        asDeployed();
+    void connectedClientWithUnreadBodyIsRejected() throws Exception {
+        useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
-        CompletableFuture<Void> written = writes(client, large(3 << 20), w -> {});
+        CompletableFuture<Void> written = writeThenLeave(client, largeRequest(3 << 20), w -> {});
         Request r = setup.request();
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         written.get(20, TimeUnit.SECONDS);
-        isOver(r);
+        assertWithdrawnAndNothingSent(r);
     }
 
     // ---- the loop has not come round to its end ----
 
     /** Nothing has gone out so far: the first that the backend gets is the request of another client. */
-    private void nothingWentOut() throws Exception {
+    private void assertNothingReachedBackend() throws Exception {
         try (Peer.Wire other = setup.client()) {
             setup.onRequest = r -> {};
             String get = Setup.get();
@@ -195,7 +195,7 @@
         }
     }
 
-    private void leave(Way way, Peer.Wire client) {
+    private void leave(LeaveMode way, Peer.Wire client) {
         try {
             way.by(client);
         } catch (IOException e) {
@@ -203,15 +203,15 @@
         }
     }
 
-    private void leftAlone(Request r) throws Exception {
+    private void assertWithdrawnBeforeSending(Request r) throws Exception {
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
         assertEquals(Status.MOOT, setup.outcome().status());
-        nothingWentOut();
+        assertNothingReachedBackend();
     }
 
     @ParameterizedTest
     @EnumSource
-    void justBeforeItsFirstAttempt(Way leaves) throws Exception {
+    void justBeforeItsFirstAttempt(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
@@ -219,13 +219,13 @@
             leave(leaves, client);
             setup.actions.send(r.ticket(), server, 0);
         });
-        leftAlone(r);
+        assertWithdrawnBeforeSending(r);
     }
 
     /** One that would go out over a connection that is there leaves that to others. */
     @ParameterizedTest
     @EnumSource
-    void justBeforeAnAttemptOverAConnectionThatIsThere(Way leaves) throws Exception {
+    void justBeforeAnAttemptOnAnIdleBackendConnection(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request first = setup.request();
@@ -255,7 +255,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void justBeforeAFurtherAttempt(Way leaves) throws Exception {
+    void justBeforeAnotherAttempt(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
@@ -268,13 +268,13 @@
             leave(leaves, client);
             setup.actions.send(r.ticket(), server, 0);
         });
-        leftAlone(r);
+        assertWithdrawnBeforeSending(r);
     }
 
     /** The turn's reading is over by then: its end is found only by looking once more. */
     @ParameterizedTest
     @EnumSource
-    void inTheMomentInWhichItsConnectionComesUp(Way leaves) throws Exception {
+    void whenTheBackendConnectionIsEstablished(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
@@ -284,13 +284,13 @@
         setup.onConnected = () -> {};
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
         assertTrue(setup.outcome().over());
-        nothingWentOut();
+        assertNothingReachedBackend();
     }
 
     /** Its request lies in the system, and its end behind it, while the loop stands still. */
     @ParameterizedTest
     @EnumSource
-    void beforeItsRequestIsRead(Way leaves) throws Exception {
+    void beforeItsRequestIsRead(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write("GET /_health HTTP/1.1\r\n\r\n");
         client.read();
@@ -302,13 +302,13 @@
                     return null;
                 })
                 .get(20, TimeUnit.SECONDS);
-        leftAlone(setup.request());
+        assertWithdrawnBeforeSending(setup.request());
     }
 
     /** The one ahead in line is answered, and the next would be taken and sent at once. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "RESETS") // found as that answer is written
-    void whenItsTurnComesInAPipelinedLine(Way leaves) throws Exception {
+    void whenItsPipelinedRequestIsNext(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get() + Setup.get());
         Request ahead = setup.request();
@@ -317,12 +317,12 @@
             leave(leaves, client);
             setup.actions.fail(ahead.ticket());
         });
-        leftAlone(setup.request());
+        assertWithdrawnBeforeSending(setup.request());
     }
 
     @ParameterizedTest
     @EnumSource
-    void whileItsAttemptIsOut(Way leaves) throws Exception {
+    void whileItsAttemptIsInProgress(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
--- a/src/test/java/gullspar/proxy/ConnectionPressureTest.java
+++ b/src/test/java/gullspar/proxy/ConnectionPressureTest.java
@@ -30,7 +30,7 @@
                 Peer backend = new Peer();
                 Setup setup = new Setup()) {
             System.setErr(new PrintStream(log, true));
-            setup.start(sevenPlaces(discovery, backend));
+            setup.start(sevenConnections(discovery, backend));
             for (int i = 0; i < 9; i++) {
                 clients.add(setup.client());
             }
@@ -47,11 +47,11 @@
     }
 
     @Test
-    void newClientsDoNotPushOutEachOtherWhileOthersStandIdle() throws Exception {
+    void newClientsEvictIdleClientsNotEachOther() throws Exception {
         List<Peer.Wire> clients = new ArrayList<>();
         try (Peer discovery = new Peer();
                 Peer backend = new Peer();
-                Setup setup = new Setup().start(sevenPlaces(discovery, backend))) {
+                Setup setup = new Setup().start(sevenConnections(discovery, backend))) {
             for (int i = 0; i < 7; i++) {
                 clients.add(setup.client().write(Setup.get()));
                 Request r = setup.request();
@@ -82,7 +82,7 @@
     }
 
     /** 16 less a quarter, and three fifths of these. */
-    private static Config sevenPlaces(Peer discovery, Peer backend) throws ConfigException {
+    private static Config sevenConnections(Peer discovery, Peer backend) throws ConfigException {
         return Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 16, 5000), Map.of());
     }
 }
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -46,7 +46,7 @@
         "405, 'GET /order HTTP/1.1|Request-Id: r|Request-Timeout: 1|'",
         "413, 'POST /order HTTP/1.1|Request-Id: r|Request-Timeout: 1|Content-Length: 33554433|'"
     })
-    void whatMakesNoSenseIsTurnedAwayAndNotHandedOn(int status, String request) throws Exception {
+    void invalidRequestsAreRejectedAndNotForwarded(int status, String request) throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(request.replace("|", "\r\n") + "\r\n");
             String answer = client.read();
@@ -70,7 +70,7 @@
         "413, 'POST /order HTTP/1.1|Request-Id: r|Content-Length: 62914560|'",
         "417, 'POST /order HTTP/1.1|Request-Id: r|Expect: miracles|Content-Length: 4|'"
     })
-    void whatCannotBeReadEndsTheConnection(int status, String request) throws Exception {
+    void malformedRequestsCloseTheConnection(int status, String request) throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(request.replace("|", "\r\n") + "\r\n" + Setup.get());
             String answer = client.read();
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aHeadWithoutEndIsTurnedAway() throws Exception {
+    void overlongHeadIsRejected() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write("GET /look HTTP/1.1\r\n" + "X-Pad: ppppppppppppppppppppp\r\n".repeat(400));
             assertTrue(client.read().startsWith("HTTP/1.1 431 "));
@@ -96,7 +96,7 @@
         "'GET /look HTTP/1.1|Request-Id: r|'",
         "'POST /order HTTP/1.1|Request-Id: r|Content-Length: 9||half'"
     })
-    void aClientThatNeverSendsAWholeRequestIsNotWaitedFor(String part) throws Exception {
+    void incompleteRequestsTimeOut(String part) throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(part.replace("|", "\r\n"));
             String answer = client.read();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void anIdThatIsOpenOrWasLatelyIsRefusedAndNothingIsSent() throws Exception {
+    void openOrRecentRequestIdIsRejectedUnsent() throws Exception {
         String request = Setup.get();
         try (Peer.Wire client = setup.client();
                 Peer.Wire other = setup.client()) {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void someAtOnceAreAnsweredOneAfterTheOther() throws Exception {
+    void pipelinedRequestsAreAnsweredInTurn() throws Exception {
         try (Peer.Wire client = setup.client()) {
             StringBuilder some = new StringBuilder();
             for (int i = 0; i < Client.MAX_PIPELINED; i++) {
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void tooManyAtOnceAreTurnedAwayUnsent() throws Exception {
+    void tooManyPipelinedRequestsAreRejectedUnsent() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get().repeat(Client.MAX_PIPELINED + 1));
             for (int i = 0; i <= Client.MAX_PIPELINED; i++) { // each one that has been taken
@@ -151,7 +151,7 @@
 
     /** Connection may name any header as its own: the backend needs these all the same. */
     @Test
-    void whatTheBackendNeedsCannotBeTakenAway() throws Exception {
+    void connectionHeaderCannotRemoveForwardedHeaders() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get(
                     "Request-Timeout: 30\r\nX-Odd: 1\r\n" + "Connection: request-id, cookie\r\nCookie: sid=1\r\n"));
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void theModuleIsToldWhatTheClientSaid() throws Exception {
+    void requestParametersReachTheModule() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write("POST /order/7 HTTP/1.1\r\nRequest-Id: r\r\nRequest-Timeout: 2.5\r\n"
                     + "Idempotency-Key: k\r\nCookie: a=b; sid=7f3a9c21e0b4d655\r\n"
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aClientThatClosesHasGoneAndItsAttemptIsCalledOff() throws Exception {
+    void clientDisconnectCancelsItsAttempt() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
         Request r = setup.request();
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void theBackstopAnswersInTimeAndNothingGoesOutAfterwards() throws Exception {
+    void deadlineBackstopAnswersAndNothingIsSentAfterwards() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get("Request-Timeout: 0.3\r\n"));
             Request r = setup.request();
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void theModuleIsNeverCalledFromInsideItsOwnAction() throws Exception {
+    void moduleIsNotCalledReentrantly() throws Exception {
         setup.onRequest = r -> setup.actions.send(999, server, 0); // ends at once, as moot
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void aModuleThatThrowsCostsOneRequest() throws Exception {
+    void moduleExceptionFailsOnlyOneRequest() throws Exception {
         setup.onRequest = r -> {
             throw new IllegalStateException("a slip");
         };
@@ -269,7 +269,7 @@
     }
 
     @Test
-    void aBurstOfConnectionsTakesThePlacesOfIdleOnesAndNoMore() throws Exception {
+    void connectionBurstEvictsNoMoreIdleConnectionsThanNeeded() throws Exception {
         setup.close();
         setup = new Setup()
                 .start(Config.parse(
@@ -300,7 +300,7 @@
 
     /** All that was sent on a connection that is open belongs to somebody: it is waited for and answered. */
     @Test
-    void aRequestThatIsHalfThereWhenTheListenerClosesIsAwaitedAndAnswered() throws Exception {
+    void partialRequestIsAwaitedAndAnsweredAfterListenerCloses() throws Exception {
         try (Peer.Wire idle = setup.client();
                 Peer.Wire half = setup.client()) {
             String request = Setup.get();
@@ -320,7 +320,7 @@
 
     /** What does not come whole in time is told so, before the process is killed. */
     @Test
-    void aRequestThatStaysHalfThereIsRefusedBeforeTheEnd() throws Exception {
+    void partialRequestIsRejectedBeforeShutdown() throws Exception {
         try (Peer.Wire half = setup.client();
                 Peer.Wire fresh = setup.client()) {
             half.write("GET /look/1 HTTP/1.1\r\nRequest-Id: ");
@@ -333,7 +333,7 @@
 
     /** Names of classes come from the settings: one may be that of a path of ours, or need escapes. */
     @Test
-    void aClassMayBeCalledAnything() throws Exception {
+    void classNamesMayNeedEscapesOrMatchBuiltInPaths() throws Exception {
         setup.close();
         JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
         ((ObjectNode) root.at("/settings/profiles/0")).put("name", "_health");
@@ -358,7 +358,7 @@
     }
 
     @Test
-    void aDrainAnswersWhatCameBeforeAndAfterItAndEnds() throws Exception {
+    void drainAnswersRequestsReceivedBeforeAndAfterItStarts() throws Exception {
         try (Peer.Wire idle = setup.client();
                 Peer.Wire before = setup.client()) {
             before.write(Setup.get());
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -28,13 +28,13 @@
     @TempDir
     Path folder;
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return (InetSocketAddress) s.getLocalSocketAddress();
         }
     }
 
-    private static void said(BufferedReader log, String text) throws IOException {
+    private static void awaitLogLine(BufferedReader log, String text) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
@@ -52,7 +52,7 @@
     }
 
     /** All of them have been accepted: whoever comes last is answered. */
-    private static List<Peer.Wire> crowd(InetSocketAddress door) throws IOException {
+    private static List<Peer.Wire> connectIdleClients(InetSocketAddress door) throws IOException {
         List<Peer.Wire> crowd = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
             crowd.add(Peer.Wire.to(door));
@@ -63,7 +63,7 @@
         return crowd;
     }
 
-    private static void served(InetSocketAddress door, Peer backend) throws Exception {
+    private static void assertServed(InetSocketAddress door, Peer backend) throws Exception {
         try (Peer.Wire client = Peer.Wire.to(door)) {
             client.write(Setup.get());
             try (Peer.Wire wire = backend.accept()) {
@@ -75,7 +75,7 @@
     }
 
     /** For a watch and the one that overtakes it, and as many operators as may call at a time. */
-    private static void leavesRoom(Process p) throws IOException {
+    private static void assertDescriptorsLeft(Process p) throws IOException {
         Path open = Path.of("/proc", String.valueOf(p.pid()), "fd");
         if (Files.exists(open)) {
             try (Stream<Path> all = Files.list(open)) {
@@ -85,7 +85,7 @@
         }
     }
 
-    private static void operatorsAreAnswered(InetSocketAddress at) throws IOException {
+    private static void assertOperatorAnswered(InetSocketAddress at) throws IOException {
         try (Peer.Wire operator = Peer.Wire.to(at)) {
             String answer =
                     operator.write("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").read();
@@ -94,9 +94,9 @@
     }
 
     @Test
-    void discoveryThatWasDownBackendsAndOperatorsGetTheirConnections() throws Exception {
-        InetSocketAddress door = free();
-        InetSocketAddress operators = free();
+    void discoveryBackendsAndOperatorsConnectDespiteIdleClients() throws Exception {
+        InetSocketAddress door = freeAddress();
+        InetSocketAddress operators = freeAddress();
         Peer discovery = new Peer();
         try (Peer backend = new Peer()) {
             ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), DESCRIPTORS, 5000);
@@ -121,21 +121,21 @@
                 Peer.Wire watch = discovery.accept();
                 watch.read();
                 watch.write(list(42, backend, "in_service"));
-                said(log, "ready");
+                awaitLogLine(log, "ready");
                 discovery.close();
                 watch.reset();
-                crowd.addAll(crowd(door));
-                leavesRoom(p);
-                operatorsAreAnswered(operators);
-                served(door, backend);
+                crowd.addAll(connectIdleClients(door));
+                assertDescriptorsLeft(p);
+                assertOperatorAnswered(operators);
+                assertServed(door, backend);
                 try (Peer again = new Peer(discovery.address().getPort())) {
                     Peer.Wire next = again.accept();
                     assertTrue(next.read().contains("index=42 "));
-                    crowd.addAll(crowd(door));
-                    served(door, backend);
+                    crowd.addAll(connectIdleClients(door));
+                    assertServed(door, backend);
                     next.write(list(43, backend, "terminating"));
-                    refused(door);
-                    operatorsAreAnswered(operators);
+                    awaitRefusal(door);
+                    assertOperatorAnswered(operators);
                     assertTrue(p.isAlive());
                     assertFalse(p.waitFor(0, TimeUnit.SECONDS));
                 }
@@ -150,7 +150,7 @@
     }
 
     /** The news of the drain count: in the end nobody is left to send to. */
-    private static void refused(InetSocketAddress door) throws Exception {
+    private static void awaitRefusal(InetSocketAddress door) throws Exception {
         String answer;
         do {
             try (Peer.Wire client = Peer.Wire.to(door)) {
--- a/src/test/java/gullspar/proxy/JsonTest.java
+++ b/src/test/java/gullspar/proxy/JsonTest.java
@@ -30,17 +30,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"a\":", "[1,", "{\"a\":1", "{a:1}", "nonsense"})
-    void whatIsNoJsonIsRefused(String text) {
+    void invalidJsonIsRejected(String text) {
         assertThrows(IOException.class, () -> Json.read(bytes(text)));
     }
 
     @Test
-    void endlessDepthIsRefused() {
+    void excessiveDepthIsRejected() {
         assertThrows(IOException.class, () -> Json.read(bytes("[".repeat(100_000))));
     }
 
     @Test
-    void nothingIsNoObject() throws Exception {
+    void blankInputIsMissingNode() throws Exception {
         assertTrue(Json.read(bytes(" ")).isMissingNode());
     }
 }
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -80,7 +80,7 @@
         s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String order(String framing) {
+    private static String orderRequest(String framing) {
         return Setup.get("Request-Timeout: 1.2\r\nIdempotency-Key: k\r\n" + framing)
                 .replace("GET /look", "POST /order");
     }
@@ -134,7 +134,7 @@
         void run() throws Exception;
     }
 
-    private static CompletableFuture<Void> beside(Work work) {
+    private static CompletableFuture<Void> runAsync(Work work) {
         return CompletableFuture.runAsync(() -> {
             try {
                 work.run();
@@ -146,12 +146,14 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aLargeRequestGoesOnWhileItComesAndItsTimeRunsFromItsLastByte(boolean chunked) throws Exception {
+    void largeRequestIsStreamedAndTimedFromItsLastByte(boolean chunked) throws Exception {
         byte[] body = bytes(LARGE);
         try (Socket client = client()) {
-            write(client, order(chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + LARGE + "\r\n"));
+            write(
+                    client,
+                    orderRequest(chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + LARGE + "\r\n"));
             CompletableFuture<Void> half = new CompletableFuture<>();
-            CompletableFuture<Void> sent = beside(() -> {
+            CompletableFuture<Void> sent = runAsync(() -> {
                 if (chunked) {
                     writeChunks(client, body, 100_000);
                 } else {
@@ -188,10 +190,10 @@
     }
 
     @Test
-    void aRequestThatIsStillComingGoesElsewhereWhileNoneOfItHasGone() throws Exception {
+    void partlyReceivedRequestIsRetriedOnlyIfNothingWasSent() throws Exception {
         byte[] body = bytes(LARGE);
         try (Socket client = client()) {
-            write(client, order("Content-Length: " + LARGE + "\r\n"));
+            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
             // The rest is held back: else the system's buffers may take it all before the backend has gone.
             client.getOutputStream().write(body, 0, LARGE / 2);
             Request r = setup.request();
@@ -211,10 +213,11 @@
     }
 
     @Test
-    void whatStillComesOfARefusedRequestIsLetGoAndTheNextOneIsServed() throws Exception {
+    void restOfARefusedRequestIsDiscardedAndTheNextServed() throws Exception {
         try (Socket client = client()) {
-            write(client, order("Content-Length: " + LARGE + "\r\n"));
-            CompletableFuture<Void> sent = beside(() -> client.getOutputStream().write(bytes(LARGE)));
+            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
+            CompletableFuture<Void> sent =
+                    runAsync(() -> client.getOutputStream().write(bytes(LARGE)));
             Request r = setup.request();
             setup.act(() -> setup.actions.refuse(r.ticket(), 0));
             String refusal = head(client.getInputStream());
@@ -229,10 +232,11 @@
     }
 
     @Test
-    void aBackendThatDoesNotReadARequestIsGivenUpAndHasNotRunIt() throws Exception {
+    void backendThatDoesNotReadIsAbandonedAndHasNotRunTheRequest() throws Exception {
         try (Socket client = client()) {
-            write(client, order("Content-Length: " + LARGE + "\r\n"));
-            CompletableFuture<Void> sent = beside(() -> client.getOutputStream().write(bytes(LARGE)));
+            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
+            CompletableFuture<Void> sent =
+                    runAsync(() -> client.getOutputStream().write(bytes(LARGE)));
             Request r = setup.request();
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             Socket silent = accept();
@@ -245,9 +249,9 @@
     }
 
     @Test
-    void aRequestThatStopsComingIsNoRequest() throws Exception {
+    void stalledUploadIsWithdrawn() throws Exception {
         try (Socket client = client()) {
-            write(client, order("Content-Length: " + LARGE + "\r\n"));
+            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
             client.getOutputStream().write(bytes(LARGE / 2));
             Request r = setup.request();
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
@@ -262,7 +266,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aLargeAnswerIsPassedOnAsFastAsItsClientTakesIt(boolean chunked) throws Exception {
+    void largeResponseIsForwardedAtTheClientsPace(boolean chunked) throws Exception {
         byte[] body = bytes(LARGE);
         try (Socket client = client()) {
             write(client, Setup.get());
@@ -270,7 +274,7 @@
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
                 head(b.getInputStream());
-                CompletableFuture<Void> given = beside(() -> {
+                CompletableFuture<Void> given = runAsync(() -> {
                     write(
                             b,
                             "HTTP/1.1 200 OK\r\n"
@@ -315,7 +319,7 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffEndsItsClientsConnection() throws Exception {
+    void truncatedResponseClosesTheClientConnection() throws Exception {
         try (Socket client = client()) {
             write(client, Setup.get());
             Request r = setup.request();
@@ -341,7 +345,7 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleOfAnAnswerEndsIt() throws Exception {
+    void clientDisconnectAbortsTheResponse() throws Exception {
         Socket client = client();
         write(client, Setup.get());
         Request r = setup.request();
@@ -365,11 +369,11 @@
     }
 
     @Test
-    void aBodyMayBeAskedForBehindAnAnswerThatIsStillDue() throws Exception {
+    void continueIsSentAfterThePreviousResponse() throws Exception {
         try (Socket client = client()) {
             write(client, Setup.get());
             Request r = setup.request();
-            write(client, order("Content-Length: 4\r\nExpect: 100-continue\r\n"));
+            write(client, orderRequest("Content-Length: 4\r\nExpect: 100-continue\r\n"));
             setup.act(() -> setup.actions.fail(r.ticket()));
             String first = head(client.getInputStream());
             assertTrue(first.startsWith("HTTP/1.1 502"), first);
--- a/src/test/java/gullspar/proxy/OperatorTest.java
+++ b/src/test/java/gullspar/proxy/OperatorTest.java
@@ -37,7 +37,7 @@
     private Peer discovery;
     private Peer backend;
     private Setup setup;
-    private OperatorEndpoint port;
+    private OperatorEndpoint endpoint;
     private InetSocketAddress address;
 
     @BeforeEach
@@ -49,8 +49,8 @@
                 .submit(() -> setup.proxy.news(new gullspar.proxy.discovery.ListUpdate(
                         gullspar.decide.Balancer.ListKind.DELTA, 42, List.of())))
                 .get(20, TimeUnit.SECONDS);
-        port = new OperatorEndpoint(Platform.of(setup.loop));
-        address = (InetSocketAddress) port.listen(new InetSocketAddress("127.0.0.1", 0))
+        endpoint = new OperatorEndpoint(Platform.of(setup.loop));
+        address = (InetSocketAddress) endpoint.listen(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
                 .localAddress();
@@ -77,8 +77,8 @@
         return new ObjectMapper().readTree(answer.substring(answer.indexOf("\r\n\r\n")));
     }
 
-    private void about() throws Exception {
-        setup.act(() -> port.setStatusSource(setup.proxy));
+    private void setStatusSource() throws Exception {
+        setup.act(() -> endpoint.setStatusSource(setup.proxy));
     }
 
     private JsonNode json() {
@@ -89,15 +89,15 @@
     void isNotReadyUntilItServes() throws Exception {
         assertTrue(call("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 503"));
         assertTrue(call("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 503"));
-        about();
+        setStatusSource();
         assertTrue(call("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
         setup.proxy.drain();
         assertTrue(call("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 503"));
     }
 
     @Test
-    void whatIsNoCallIsToldSo() throws Exception {
-        about();
+    void invalidCallsAreRejected() throws Exception {
+        setStatusSource();
         assertTrue(call("GET /_other HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 404"));
         assertTrue(call("POST /_ready HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n")
                 .startsWith("HTTP/1.1 405"));
@@ -106,8 +106,8 @@
     }
 
     @Test
-    void callersThatSayNothingOrHalfACallKeepNobodyOut() throws Exception {
-        about();
+    void silentCallersDoNotBlockOthers() throws Exception {
+        setStatusSource();
         List<Peer.Wire> silent = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             silent.add(Peer.Wire.to(address).write(i % 2 == 0 ? "" : "GET /_rea"));
@@ -120,8 +120,8 @@
     }
 
     @Test
-    void countsWhatBecameOfRequestsByTheirClass() throws Exception {
-        about();
+    void requestsAreCountedByClassAndResult() throws Exception {
+        setStatusSource();
         int server = setup.backend();
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
@@ -152,8 +152,8 @@
     }
 
     @Test
-    void classesAppearVanishAndKeepTheirNumbersAndAttemptsBecomeFewer() throws Exception {
-        about();
+    void reloadChangesClassesAndLowersMaxAttempts() throws Exception {
+        setStatusSource();
         int server = setup.backend();
         ObjectNode next = (ObjectNode) json();
         ArrayNode profiles = (ArrayNode) next.at("/settings/profiles");
@@ -206,8 +206,8 @@
     }
 
     @Test
-    void theFiguresTellOfTheEventLoopAndTheClassArchive() throws Exception {
-        about();
+    void varsReportEventLoopAndClassArchive() throws Exception {
+        setStatusSource();
         JsonNode f = figures();
         assertEquals("none", f.path("class_archive").asText(), "this test's own process was started with none");
         assertTrue(f.path("loop").path("turns").asLong() > 0, f.toString());
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void ofABrokenFileNothingIsTaken() throws Exception {
+    void brokenFileIsRejectedOnReload() throws Exception {
         Path file = folder.resolve("config.json");
         Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
         Files.writeString(file, json().toString());
