--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -74,7 +74,7 @@
         this.carrier = new Carrier(platform, envelope, this::say);
     }
 
-    /** Starts it, as {@link Companion.Factory} says; null if the file says nothing of a fleet. */
+    /** Starts it, as {@link AuxiliaryService.Factory} says; null if the file says nothing of a fleet. */
     public static Membership start(Path file, Reader reader, String name, Platform platform, Supplier<Load> load)
             throws IOException {
         Fleet fleet = fleet(file, reader);
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -35,30 +35,34 @@
 import java.util.function.Consumer;
 
 /**
- * A client's connection: one request at a time, a few more wait in line. After a request that cannot be read,
- * or more than that in line, comes an error, the end, and nothing else.
+ * A client's connection. It processes one request at a time and queues a few pipelined ones. After a request
+ * that cannot be parsed, or when the queue is full, it responds with an error, closes, and reads no further
+ * request.
  */
 public final class Client extends SimpleChannelInboundHandler<HttpObject> {
-    /** Who takes whole requests, and hears when a connection changes its place among the others. */
+    /** Receives complete requests and connection state changes. */
     interface Owner {
         void onRequest(Client client, Message message, long at);
 
-        /** All of a request has come that was handed over while it came. */
+        /** The body of a request that was handed over while being received is now complete. */
         void onRequestComplete(Client client, long at);
 
-        /** The rest of such a request will not come, and the client is to be told so: it is no request. */
+        /**
+         * The body of such a request will not be completed: the request is dropped and its client gets an
+         * error.
+         */
         void onRequestAborted(Client client);
 
-        /** What the bodies that are held may take together. */
+        /** The limit shared by all buffered bodies. */
         BodyBudget budget();
 
-        /** For so long a body may be left unread while nothing has gone out for its connection's requests. */
+        /** How long a body may stay unread while nothing has been sent for the requests of its connection. */
         long unreadTimeoutNs();
 
-        /** When what is read now may have come, at the earliest. */
+        /** The earliest time at which the data being read may have arrived. */
         long receivedAt();
 
-        /** An answer is about to be written; true if the connection should end with it. */
+        /** Called before a response is written; returns true if the connection must close after it. */
         boolean onResponse(Client client, int status);
 
         void onClosed(Client client);
@@ -66,21 +70,21 @@
         long now();
     }
 
-    /** Requests that may wait behind one on a connection: enough for clients that await no answer. */
+    /** Pipelined requests queued per connection: enough for clients that do not await responses. */
     public static final int MAX_PIPELINED = 16;
 
-    /** Bodies of up to so many bytes are awaited, if there is room; larger ones go on while they come. */
+    /** Larger bodies, or those that the budget has no room for, are forwarded while they are received. */
     private static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
-    /** A head must come within so long: from connecting for the first, from its first byte for later ones. */
+    /** Time limit for a request head: from connecting for the first, from its first byte for later ones. */
     static final long HEAD_TIMEOUT_NS = 2_500_000_000L;
-    /** A body that comes may pause so long, and needs so many bytes a second after a first while. */
+    /** Limits for a body being received: the longest pause, and the time before the minimum rate applies. */
     private static final long BODY_STALL_TIMEOUT_NS = 2_200_000_000L, BODY_RATE_GRACE_NS = 1_500_000_000L;
 
     private static final long MIN_BODY_BYTES_PER_S = 24 << 10;
-    /** One who takes nothing of an answer, or gives nothing of one, for so long has gone. */
+    /** A response on which neither side makes progress for this long is aborted. */
     private static final long RESPONSE_STALL_TIMEOUT_NS = 10_000_000_000L;
 
-    /** A request, or the error that one ended in; after an error nothing is read. */
+    /** A request, or the error response to one that was rejected. */
     private record QueuedRequest(
             Message message, int status, String error, long receivedAt, boolean keepAlive, HttpVersion version) {}
 
@@ -91,16 +95,16 @@
     private final Deque<QueuedRequest> queue = new ArrayDeque<>();
     private HttpRequest head;
     private Body body;
-    /** What comes of a request that has been handed over; null if none does. */
+    /** The part of the body that is still being received for a request already handed over; null if none. */
     private BodyStream upload;
 
     private long rateWindowBytes;
     private long bodyBytes;
     private long rateWindowStartNs;
     private long lastReceivedNs;
-    /** Since when nothing is read, while the upload is paused. */
+    /** When reading stopped because the upload was paused. */
     private long unreadSinceNs;
-    /** The answer that is being passed on; null if none is. */
+    /** The response that is being forwarded; null if none. */
     private BodyStream responseStream;
 
     private Consumer<Boolean> onResponseSent;
@@ -112,13 +116,13 @@
     private HttpVersion version = HttpVersion.HTTP_1_1;
     private boolean lastResponse;
     private boolean awaitsContinue;
-    /** The connection ends while more may still come of a request. */
+    /** The connection closes while part of a request may still be received. */
     private boolean requestIncomplete;
 
     private boolean used;
-    /** Answers that the system has not taken yet. */
+    /** Responses not yet written to the socket. */
     private int pendingWrites;
-    /** No more is read: an error or the end is on its way, since then. */
+    /** No further request is read: an error or the last response is being sent, or the connection is closed. */
     private boolean closing;
 
     private long partialSinceNs;
@@ -133,29 +137,32 @@
         this.idleSinceNs = connectedAtNs;
     }
 
-    /** Is no request open or begun? */
+    /** True if no request is queued, in progress or partly received. */
     boolean isIdle() {
         return !busy && queue.isEmpty() && !hasPartialRequest();
     }
 
-    /** Is a request open or begun, or an answer still on its way to the system? */
+    /** True if a request is queued, in progress or partly received, or a response is not yet fully written. */
     boolean hasPendingWork() {
         return !isIdle() || responseStream != null || pendingWrites > 0;
     }
 
-    /** Of a request that has come in part the rest is not waited for any more. */
+    /** Rejects a partly received request instead of waiting for the rest. */
     void rejectPartialRequest() {
         if (hasPartialRequest() && !closing) {
-            closeWithError(503, "this proxy ends");
+            closeWithError(503, "proxy is shutting down");
         }
     }
 
-    /** Has a request on it ever been answered? */
+    /** True once an accepted request, or any request with status 200, has been answered. */
     boolean used() {
         return used;
     }
 
-    /** Does it end by itself: an error or the last answer is on its way, or the client's own end awaited? */
+    /**
+     * True if the connection is closing: an error or the last response is being sent, or the client's close
+     * is awaited.
+     */
     boolean closing() {
         return closing;
     }
@@ -164,7 +171,7 @@
         return busy;
     }
 
-    /** The request in hand has been taken on; null from its answer on. */
+    /** Sets the request in progress; it is cleared by its response. */
     void setCurrentRequest(Message message) {
         currentRequest = message;
     }
@@ -174,8 +181,9 @@
     }
 
     /**
-     * Is its client still there? What has come by now is read first, not when the loop comes round to it: a
-     * turn may be long, and a request may have lain in the system together with the end of its client.
+     * Returns whether the client is still connected. Reads pending data first instead of waiting for the
+     * event loop: a loop iteration may be long, and both a request and the client's close may already be in
+     * the socket buffer.
      */
     public boolean readAndCheckConnected() {
         if (upload != null && upload.paused()) {
@@ -197,9 +205,9 @@
     }
 
     /**
-     * Ends it between requests. Not if one has begun to come that the loop has not come round to read: it
-     * would be lost with the connection, and where it may not run twice its client has to know that it never
-     * ran.
+     * Closes the connection unless a request is in progress. Unread data is read first: an unread request
+     * would be lost with the connection, and for a request that must not run twice the client has to know
+     * that it never ran.
      */
     boolean closeBetweenRequests() {
         if (readAndCheckConnected() && (hasPendingWork() || closing)) {
@@ -209,12 +217,12 @@
         return true;
     }
 
-    /** Ends the connection in the middle of an answer, which tells the client that it is not whole. */
+    /** Closes the connection in the middle of a response, so that the client sees it as truncated. */
     public void abort() {
         channel.close();
     }
 
-    /** Ends a connection that has kept the proxy waiting for longer than the limits allow. */
+    /** Closes the connection if it has exceeded a time limit. */
     void enforceTimeouts(long now, long requestTimeoutNs, long idleTimeoutNs) {
         if (responseStream != null) {
             if (now - lastProgressNs > RESPONSE_STALL_TIMEOUT_NS) {
@@ -222,22 +230,22 @@
             }
         } else if (closing) {
             if (now - closingSinceNs > requestTimeoutNs && !busy) {
-                channel.close(); // its client does not read what it is told
+                channel.close(); // the client does not read the error response
             }
         } else if (isRequestTooSlow(now)) {
-            closeWithError(408, "the request did not come in time");
+            closeWithError(408, "request not received in time");
         } else if (isIdle() && now - idleSinceNs > (used ? idleTimeoutNs : requestTimeoutNs)) {
             closeBetweenRequests();
         }
     }
 
-    /** Has what is coming of a request stopped coming, or does it come too slowly? */
+    /** Returns whether a partly received request has stalled or is below the minimum rate. */
     private boolean isRequestTooSlow(long now) {
         if (head == null) {
             return hasPartialRequest() && now - partialSinceNs > HEAD_TIMEOUT_NS;
         }
         if (awaitsContinue || upload != null && upload.paused()) {
-            lastReceivedNs = now; // it is this side that does not read
+            lastReceivedNs = now; // the proxy itself is not reading
             rateWindowStartNs = now;
             rateWindowBytes = 0;
             return false;
@@ -253,7 +261,7 @@
         }
         if (message.decoderResult().isFailure()) {
             boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
-            closeWithError(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
+            closeWithError(tooLong ? 431 : 400, tooLong ? "request head too long" : "malformed request");
             return;
         }
         if (message instanceof HttpRequest r && !begin(r)) {
@@ -285,13 +293,13 @@
         }
     }
 
-    /** Some of a body; false if there is more than there may be. */
+    /** Handles a part of a body; returns false if the request was rejected. */
     private boolean onContent(ByteBuf bytes) {
         rateWindowBytes += bytes.readableBytes();
         bodyBytes += bytes.readableBytes();
         lastReceivedNs = owner.now();
         if (bodyBytes > Message.MAX_BODY_BYTES) {
-            closeWithError(413, "the body is too long");
+            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
             return false;
         }
         if (upload == null && body.add(bytes) != Body.AddResult.ADDED) {
@@ -328,8 +336,7 @@
                         .schedule(
                                 () -> {
                                     if (upload == full) {
-                                        rejectUnreadUpload(); // not by the clock as well: the two may differ by a
-                                        // little
+                                        rejectUnreadUpload(); // no clock check: it may differ from the timer
                                     }
                                 },
                                 owner.unreadTimeoutNs(),
@@ -339,25 +346,26 @@
     }
 
     /**
-     * The end of a client lies behind all that it sent. Where that is more than can be held nobody knows
-     * whether it still waits, so a request that has not begun to go out by then is turned away, and the rest
-     * is read to see its client go.
+     * Rejects an upload that no attempt has started to send. A client's close is only seen after reading all
+     * that it sent; where that exceeds the buffer, the proxy cannot tell whether the client still waits. The
+     * rest is then read and discarded to detect the close.
      */
     private void rejectUnreadUpload() {
         if (!closing && upload.paused() && upload.isUnread()) {
-            closeWithError(503, "its body is too long to be kept waiting, try again");
+            closeWithError(503, "request body too large to hold until it is sent, try again");
         }
     }
 
-    /** The head of a request: false if what follows it is not wanted. */
+    /** Handles a request head; returns false if the request was rejected. */
     private boolean begin(HttpRequest r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            closeWithError(505, "this is HTTP/1.1");
+            closeWithError(505, "only HTTP/1.0 and HTTP/1.1 are supported");
         } else if (HttpUtil.getContentLength(r, 0L) > Message.MAX_BODY_BYTES) {
-            closeWithError(413, "the body is too long"); // not read first: it may be of any length
+            // Rejected before reading: the body may be of any length.
+            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
         } else if (r.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(r)) {
-            closeWithError(417, "nothing to be expected but 100-continue");
+            closeWithError(417, "unsupported Expect header: only 100-continue is supported");
         } else {
             head = r;
             awaitsContinue = HttpUtil.is100ContinueExpected(r);
@@ -372,7 +380,7 @@
         return false;
     }
 
-    /** Tells a client that asked whether it may send its body, once no answer is due ahead of that. */
+    /** Sends 100 Continue if the client awaits it and no earlier response is outstanding. */
     private void sendContinueIfAwaited() {
         if (awaitsContinue && head != null && !busy && queue.isEmpty()) {
             awaitsContinue = false;
@@ -386,9 +394,9 @@
         if (queue.size() < MAX_PIPELINED) {
             queue.add(request);
         } else {
-            // Whoever sends so many at once is no usual client. None of those in line has been sent on, and
-            // their deadlines would run out in it: each is turned away.
-            String reason = "too many requests at once on a connection";
+            // Usual clients do not pipeline this many requests. No queued request has been sent on, and their
+            // deadlines would expire in the queue, so all of them are rejected.
+            String reason = "too many pipelined requests on this connection";
             List<QueuedRequest> rejected = queue.stream()
                     .map(o -> new QueuedRequest(null, 429, reason, o.receivedAt(), true, o.version()))
                     .toList();
@@ -398,7 +406,7 @@
         }
     }
 
-    /** An error behind what is in line, and then the end. */
+    /** Queues an error response behind the queued requests; the connection closes after it. */
     private void closeWithError(int status, String error) {
         closing = true;
         closingSinceNs = owner.now();
@@ -411,7 +419,7 @@
         }
     }
 
-    /** What was coming of a request is no request any more. */
+    /** Discards a request that is not yet complete. */
     private void dropPartialRequest() {
         if (upload != null) {
             BodyStream cut = upload;
@@ -443,11 +451,14 @@
         queue.clear();
     }
 
-    /** All that came is seen: only now is it known how many requests were sent at once. */
+    /**
+     * Processing starts only after all available data is read, when the number of pipelined requests is
+     * known.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!closing && decoder.inRequest()) {
-            // A connection's first request counts from its connecting, however slowly it is sent.
+            // The time limit of a connection's first request starts at connecting, however slowly it is sent.
             partialSinceNs = hasPartialRequest() ? partialSinceNs : used || busy ? owner.now() : connectedAtNs;
         } else {
             partialSinceNs = 0;
@@ -469,7 +480,9 @@
         }
     }
 
-    /** The final answer to the request in hand; of a client that has gone nothing is written. */
+    /**
+     * Sends the final response to the request in progress; nothing is written if the client has disconnected.
+     */
     public void respond(int status, HttpHeaders headers, byte[] bytes) {
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
@@ -482,11 +495,14 @@
         afterResponse(channel.writeAndFlush(r), last);
     }
 
-    /** An answer is about to be written: whatever else is to be said in its head; true if it is the last. */
+    /**
+     * Prepares a response head before it is written; returns true if the connection closes after this
+     * response.
+     */
     private boolean begin(HttpResponse r, int status) {
         used |= currentRequest != null || status == 200;
         idleSinceNs = owner.now();
-        // Where the rest of its request is still to come, that is read and let go.
+        // With keep-alive, the rest of a partly received request is read and discarded.
         boolean last = owner.onResponse(this, status) && queue.isEmpty() || !keepAlive;
         currentRequest = null;
         if (last) {
@@ -512,8 +528,9 @@
     }
 
     /**
-     * The last answer is written. Where more is still to come of a request, closing at once would make the
-     * system reset the connection, and the answer could be lost with it: what comes is dropped for a while.
+     * Closes the connection after its last response. Closing while part of a request is still being received
+     * would make the kernel reset the connection, and the response could be lost: incoming data is discarded
+     * for a while instead.
      */
     private void closeAfterResponse() {
         if (requestIncomplete && channel instanceof DuplexChannel duplex && channel.isActive()) {
@@ -525,8 +542,8 @@
     }
 
     /**
-     * A final answer whose rest is still to come; done hears whether it went out whole. One that breaks off
-     * ends the connection, which tells the client.
+     * Sends a final response whose body is still being received; onSent gets whether all of it was sent. A
+     * body that breaks off closes the connection, so that the client sees it as truncated.
      */
     public void respond(HttpResponse from, byte[] first, BodyStream stream, Consumer<Boolean> onSent) {
         DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -538,7 +555,7 @@
         } else if (chunked) {
             HttpUtil.setTransferEncodingChunked(r, true);
         } else {
-            keepAlive = false; // its end tells where the answer ends
+            keepAlive = false; // the end of the body is marked by closing the connection
         }
         responseStream = stream;
         onResponseSent = onSent;
@@ -552,13 +569,13 @@
         forwardResponse();
     }
 
-    /** Passes on what has come of the answer, as far as the client takes it. */
+    /** Forwards the available part of the response, as far as the client's channel is writable. */
     private void forwardResponse() {
         BodyStream from = responseStream;
         if (from == null
                 || !writer.write(channel, from, () -> responseStream != null, () -> lastProgressNs = owner.now())
                 || responseStream == null) {
-            return; // there is none, it is being written, or the flush found the connection closed
+            return; // no response, a write in progress, or the flush found the connection closed
         }
         if (from.isFullyRead()) {
             responseStream = null;
--- a/src/main/java/gullspar/proxy/client/ConnectionPressure.java
+++ b/src/main/java/gullspar/proxy/client/ConnectionPressure.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts what becomes of clients' connections where there are more than places for them: without it, clients
- * that are turned away before their first byte is read leave no trace.
+ * Counts client connections refused or closed because the connection limit was reached. Without these counts,
+ * clients whose connection is closed before their first byte is read leave no trace in the log.
  */
 final class ConnectionPressure {
     int accepted;
-    /** Closed as they came: all places were busy. */
+    /** Closed on accept: all other connections were busy. */
     int refused;
 
     int requests;
@@ -17,7 +17,7 @@
     private int evictedIdle;
     private long youngestEvictedNs = Long.MAX_VALUE;
 
-    /** One has been closed to make room. */
+    /** Counts a connection closed to make room. */
     void countEvicted(Client c, long now) {
         if (c.used()) {
             evictedIdle++;
@@ -27,15 +27,15 @@
         }
     }
 
-    /** One line, if places ran out since the last, and all begins anew. */
+    /** Logs one line if the limit was reached since the last call, and resets the counts. */
     void logAndReset(Log log) {
         if (refused + evictedUnused + evictedIdle > 0) {
             String youngest = evictedUnused == 0
                     ? ""
                     : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestEvictedNs) + " ms";
-            log.say("too few places for clients: of " + accepted + " accepted " + refused
-                    + " closed at once; closed to make room: " + evictedUnused + " with nothing asked" + youngest
-                    + ", " + evictedIdle + " idle; requests taken: " + requests);
+            log.say("client connection limit reached: of " + accepted + " accepted, " + refused
+                    + " closed at once; closed to make room: " + evictedUnused + " without a request" + youngest
+                    + ", " + evictedIdle + " idle; requests accepted: " + requests);
         }
         accepted = 0;
         refused = 0;
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -29,40 +29,37 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 
-/**
- * The clients' side: keeps their connections within the limits and hands over the requests that make
- * sense.
- */
+/** The client side of the proxy: keeps connections within the limits and hands over valid requests. */
 public final class Frontend implements Client.Owner {
-    /** Who takes the requests. */
+    /** Handles valid requests. */
     public interface RequestHandler {
         void onRequest(Client client, Message message, RequestParameters parameters, long at);
 
-        /** All of a request has come that was taken while it came. */
+        /** The body of a request that was handed over while being received is now complete. */
         void onRequestComplete(Client client, long at);
 
-        /** The client has gone away before its answer. */
+        /** The client has disconnected before its response. */
         void onClientDisconnected(Client client);
     }
 
-    /** Time for a connection's first whole request, and for the rest of any other. */
+    /** Time limit for a connection's first complete request, and for the rest of any other. */
     private static final long REQUEST_TIMEOUT_NS = 1_800_000_000L;
-    /** A new one's first bytes come within so long, if its client means to ask. */
+    /** Clients that mean to send a request send its first bytes within this time of connecting. */
     private static final long NEW_CONNECTION_GRACE_NS = 250_000_000L;
-    /** Idle time of a connection that was used. */
+    /** Idle timeout of a connection that has been used. */
     private static final long IDLE_TIMEOUT_NS = 5_000_000_000L;
 
     private static final int MAX_REQUEST_LINE_BYTES = 4096, MAX_HEAD_BYTES = 8 << 10;
-    /** Of the heap bodies may take one part in so many. */
+    /** Buffered bodies may take up to 1/HEAP_DIVISOR of the heap. */
     private static final int HEAP_DIVISOR = 4;
     /**
-     * Nothing goes out for a client that left 0.1 s ago (the operators' page): while some of what it sent is
-     * not read nobody knows whether it has.
+     * Nothing is sent for a client that left 0.1 s ago (the operators' page): while part of what it sent is
+     * unread, the proxy cannot tell whether it has left.
      */
     public static final long UNREAD_TIMEOUT_NS = 80_000_000L;
     /**
-     * Clients' requests are small, and a look that finds nothing must not make the library read the next one
-     * byte by byte.
+     * Client requests are small. The minimum keeps a read that finds nothing from shrinking the buffer until
+     * the next request is read byte by byte.
      */
     private static final RecvByteBufAllocator READ_ALLOCATOR = new AdaptiveRecvByteBufAllocator(1024, 2048, 64 << 10);
 
@@ -77,11 +74,11 @@
     private final BooleanSupplier ready;
     private final long unreadNs;
     private final RequestIds requestIds = new RequestIds();
-    /** Connections that never brought a request that made sense, the oldest first. */
+    /** Connections without a valid request so far, the oldest first. */
     private final Set<Client> unused = new LinkedHashSet<>();
-    /** The others, the one that was answered longest ago first. */
+    /** The other connections, the least recently used first. */
     private final Set<Client> used = new LinkedHashSet<>();
-    /** Answers to what made no sense, by status: a line of the log for each would be one for the asking. */
+    /** Rejected invalid requests by status: logging each one would let clients flood the log. */
     private final Map<Integer, Integer> rejected = new TreeMap<>();
 
     private final ConnectionPressure pressure = new ConnectionPressure();
@@ -92,7 +89,7 @@
     private long acceptedConnections;
     private boolean draining;
 
-    /** ready: are there backends to serve with? */
+    /** ready: whether there are backends to serve with. */
     public Frontend(
             Platform platform,
             Config config,
@@ -103,7 +100,7 @@
         this(platform, config, classes, sockets, taker, ready, UNREAD_TIMEOUT_NS);
     }
 
-    /** One that leaves bodies unread for so long before their requests are turned away. */
+    /** unreadTimeoutNs: how long a body may stay unread before its request is rejected. */
     public Frontend(
             Platform platform,
             Config config,
@@ -123,7 +120,7 @@
         sockets.whenFull(this::closeIdleConnection);
     }
 
-    /** Listens; again, where that failed before. */
+    /** Starts to listen; may be called again after a failure. */
     public ChannelFuture listen() {
         ChannelFuture bound = platform.transport().listen(config.listen(), new ChannelInitializer<Channel>() {
             @Override
@@ -150,7 +147,7 @@
         loop.scheduleWithFixedDelay(this::logCounts, LOG_INTERVAL_MS, LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A new connection of a client. */
+    /** Adds a client connection. */
     public void accept(Channel c) {
         pressure.accepted++;
         acceptedConnections++;
@@ -174,18 +171,18 @@
 
     private void logCounts() {
         if (!rejected.isEmpty()) {
-            platform.log().say("requests that made no sense, by status: " + rejected);
+            platform.log().say("requests rejected as invalid, by status: " + rejected);
             rejected.clear();
         }
         pressure.logAndReset(platform.log());
     }
 
-    /** Answers from now on end their connections. */
+    /** From now on each response closes its connection. */
     public void drain() {
         draining = true;
     }
 
-    /** Takes no more connections. */
+    /** Stops listening. */
     public void stopAccepting() {
         if (listener != null) {
             listener.close();
@@ -194,12 +191,11 @@
         listener = null;
     }
 
-    /** May connections wait in the system's queue because accepting one has just failed? */
+    /** True if accepting is paused after a failure, so that connections may wait in the kernel's queue. */
     public boolean isAcceptPaused() {
         return acceptFailures != null && acceptFailures.pausing();
     }
 
-    /** Connections that have been accepted so far. */
     public long acceptedConnections() {
         return acceptedConnections;
     }
@@ -208,7 +204,7 @@
         return Stream.concat(unused.stream(), used.stream());
     }
 
-    /** Takes no more connections, and ends those between requests, but for those that have just come. */
+    /** Stops listening and closes connections without a request, except new ones. */
     public void close() {
         stopAccepting();
         allClients()
@@ -217,28 +213,30 @@
                 .forEach(Client::closeBetweenRequests);
     }
 
-    /** Has it come so lately that its request may be on the way? */
+    /** True if the connection is so new that its first request may still be under way. */
     private boolean isNew(Client c) {
         return !c.used() && clock.now() - c.connectedAtNs < NEW_CONNECTION_GRACE_NS;
     }
 
-    /** Is there a client whose request has begun or may, or whose answer is still being written? */
+    /**
+     * True if a request is in progress, queued or partly received, a response is being written, or a new
+     * connection may still send its first request.
+     */
     public boolean hasPendingRequests() {
         return allClients().anyMatch(c -> c.hasPendingWork() || isNew(c));
     }
 
-    /** Of what has come in part the rest is not waited for any more, and nothing new is taken. */
+    /** Rejects partly received requests and accepts no new ones. */
     public void rejectPartialRequests() {
         allClients().toList().forEach(Client::rejectPartialRequest);
     }
 
     /**
-     * Closes a connection with no request open: the oldest of those that were never used, or else the one
-     * that is idle longest. One that has just come is the last choice: its request may be on the way, or
-     * there unread, and is lost with it, while a client whose connection is closed between requests opens
-     * another. Guards against any crowd that asks once and stays, where new clients would push out each
-     * other. It would do harm where a crowd says nothing and clients that stay have far to come back. False
-     * if there is none.
+     * Closes a connection without a request: the oldest unused one, else the one that is idle longest. New
+     * connections are the last choice: a request may be under way or unread and would be lost, while a client
+     * whose connection is closed between requests opens another. This guards against many clients that send
+     * one request and stay, where new clients would evict each other. It does harm where many connections
+     * stay silent and long-lived clients are slow to reconnect. Returns false if there is no such connection.
      */
     private boolean closeIdleConnection() {
         boolean hasOldUnused = !unused.isEmpty() && !isNew(unused.iterator().next());
@@ -249,8 +247,8 @@
         for (Iterator<Client> i = clients.iterator(); i.hasNext(); ) {
             Client c = i.next();
             if (idle ? c.isIdle() : !c.busy()) {
-                // Not left to channelInactive, which comes later: a burst of new connections would all be
-                // given the place of this one, and the process would run out of descriptors.
+                // Removed here because channelInactive is called later: a burst of new connections would all
+                // take this connection's place, and the process would run out of descriptors.
                 i.remove();
                 pressure.countEvicted(c, clock.now());
                 c.close();
@@ -264,7 +262,7 @@
         return unused.size() + used.size();
     }
 
-    // ---- what the connections say ----
+    // ---- callbacks of connections ----
 
     @Override
     public long now() {
@@ -280,9 +278,9 @@
     public void onRequest(Client client, Message m, long at) {
         String path = new QueryStringDecoder(m.uri()).rawPath();
         RequestClass of = classOf(path);
-        // A class may be called like this path; its requests have an id.
+        // A class may have the same name as this path; its requests have an id.
         if (path.equals("/_health") && (of == null || m.id() == null)) {
-            // Whoever holds an inherited listener is one of two that are one proxy: the other goes on.
+            // With an inherited listener two processes act as one proxy: the other one goes on serving.
             boolean up = ready.getAsBoolean() && (!draining || config.inherited());
             int status = up ? 200 : 503;
             client.respond(m.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
@@ -290,7 +288,7 @@
             return;
         }
         if (of == null) {
-            client.respond(404, null, "no such class");
+            client.respond(404, null, "unknown request class");
             m.release();
             return;
         }
@@ -298,11 +296,11 @@
         HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         String error = RequestParameters.validationError(m, p);
         if (!m.method().equals(method)) {
-            client.respond(405, null, "this class takes " + method);
+            client.respond(405, null, "method not allowed: this class takes " + method);
         } else if (error != null) {
             client.respond(400, null, error);
         } else if (!requestIds.open(m.id())) {
-            client.respond(409, null, "this Request-Id is another request's");
+            client.respond(409, null, "Request-Id is already used by another request");
         } else {
             client.setCurrentRequest(m);
             pressure.requests++;
@@ -312,7 +310,7 @@
         m.release();
     }
 
-    /** The class that a path begins with, null if it is none; its name may be escaped. */
+    /** The class named by the first segment of a path, which may be percent-encoded; null if unknown. */
     private RequestClass classOf(String path) {
         if (!path.startsWith("/")) {
             return null;
@@ -324,7 +322,7 @@
             try {
                 of = classes.find(new QueryStringDecoder("/" + name).path().substring(1));
             } catch (IllegalArgumentException e) {
-                return null; // an escape that is none
+                return null; // invalid percent-encoding
             }
         }
         return of;
@@ -359,7 +357,7 @@
             rejected.merge(status, 1, Integer::sum);
         }
         if (unused.remove(client) || used.remove(client)) {
-            (client.used() ? used : unused).add(client); // to the end of the order of use
+            (client.used() ? used : unused).add(client); // moves it to the end of the order of use
         }
         return draining;
     }
--- a/src/main/java/gullspar/proxy/client/RequestDecoder.java
+++ b/src/main/java/gullspar/proxy/client/RequestDecoder.java
@@ -9,15 +9,14 @@
 import java.util.List;
 
 /**
- * Decodes requests, and nothing after one that cannot be read: where that ends, and what hides behind it,
- * only its sender knows. The library itself turns down a request with both Content-Length and
- * Transfer-Encoding.
+ * Decodes requests and stops after one that cannot be parsed: its end is unknown, and the data behind it may
+ * be a smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
  */
 public class RequestDecoder extends HttpRequestDecoder {
     private boolean stopped;
     private boolean inRequest;
 
-    /** The longest first line and the longest head that it reads, in bytes. */
+    /** Limits of the request line and of the head, in bytes. */
     public RequestDecoder(int longestLine, int longestHead) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(longestLine)
@@ -25,17 +24,17 @@
                 .setMaxChunkSize(64 << 10));
     }
 
-    /** Drops what still comes. */
+    /** Discards all further input. */
     public void stop() {
         stopped = true;
     }
 
-    /** Has a request begun that is not whole yet? */
+    /** True while a request is partly received. */
     public boolean inRequest() {
         return inRequest;
     }
 
-    /** The request that had begun is whole. */
+    /** Called when the current request is complete. */
     public void endRequest() {
         inRequest = false;
     }
@@ -45,7 +44,7 @@
         if (stopped) {
             in.skipBytes(in.readableBytes());
         } else {
-            inRequest |= in.getByte(in.readerIndex()) > ' '; // an empty line ahead of a request is none yet
+            inRequest |= in.getByte(in.readerIndex()) > ' '; // an empty line before a request does not start one
             super.decode(ctx, in, out);
         }
     }
--- a/src/main/java/gullspar/proxy/client/RequestIds.java
+++ b/src/main/java/gullspar/proxy/client/RequestIds.java
@@ -4,16 +4,15 @@
 import java.util.Set;
 
 /**
- * The ids of requests that are open, and of those that were until lately. Every request has an id of its
- * own, a client's retry too: one that comes again is another client's, and would be a second copy at the
- * backends.
+ * The ids of open and recently closed requests. Every request has an id of its own, and so has a client's
+ * retry: a repeated id belongs to another client, and would be a second copy at the backends.
  */
 final class RequestIds {
     private final Set<String> open = new HashSet<>();
     private Set<String> recent = new HashSet<>();
     private Set<String> older = new HashSet<>();
 
-    /** False if the id is in use or was lately. */
+    /** Registers an id; returns false if it is in use or was recently. */
     boolean open(String id) {
         return !recent.contains(id) && !older.contains(id) && open.add(id);
     }
@@ -24,7 +23,7 @@
         }
     }
 
-    /** Forgets those that were closed before the last call; called now and then, it keeps them bounded. */
+    /** Forgets the ids closed before the previous call; called periodically to bound memory. */
     void age() {
         older = recent;
         recent = new HashSet<>();
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -12,35 +12,35 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** What a request asks of the module: its class, the tenant by place, the rest as the client said it. */
+/** The parameters of a request for the decision module. tenant: its index in the configuration. */
 public record RequestParameters(RequestClass of, int tenant, long key, long timeoutNs, long hintNs, boolean repeat) {
-    /** No client waits longer; more is a slip of the pen. */
+    /** A longer timeout is taken for a mistake of the client. */
     private static final double MAX_TIMEOUT_S = 3600;
-    /** Ids and keys: what any backend can read, and no longer than makes sense. */
+    /** Ids and keys: visible ASCII that any backend can read, of bounded length. */
     private static final Pattern NAME = Pattern.compile("[!-~]{1,128}");
 
     private static final Pattern TARGET = Pattern.compile("/[!-~]*");
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}(\\.[0-9]{0,12})?");
 
-    /** What is wrong with a request of a class; null if nothing is. */
+    /** Validates a request of a class; returns the error, or null if it is valid. */
     static String validationError(Message m, Profile p) {
         if (!TARGET.matcher(m.uri()).matches()) {
-            return "a target with odd characters";
+            return "request target contains invalid characters";
         }
         if (!hasSingleValue(m, "Request-Id", NAME)) {
-            return "no Request-Id, or an odd one, or several";
+            return "Request-Id missing, invalid or repeated";
         }
         if (parseTimeoutNs(m) <= 0) {
-            return "no sensible Request-Timeout";
+            return "Request-Timeout missing, invalid or repeated";
         }
         boolean keyed = m.headers().contains("Idempotency-Key");
         if (keyed && !hasSingleValue(m, "Idempotency-Key", NAME)) {
-            return "an odd Idempotency-Key, or several";
+            return "Idempotency-Key invalid or repeated";
         }
         if (p.effect() == Effect.DEDUPLICATED && !keyed || p.effect() == Effect.AT_MOST_ONCE && keyed) {
-            return keyed ? "this class takes no Idempotency-Key" : "no Idempotency-Key";
+            return keyed ? "Idempotency-Key not allowed for this class" : "Idempotency-Key missing";
         }
-        return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "a body" : null;
+        return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "body not allowed for this class" : null;
     }
 
     private static boolean hasSingleValue(Message m, String name, Pattern form) {
@@ -48,7 +48,7 @@
         return values.size() == 1 && form.matcher(values.get(0)).matches();
     }
 
-    /** In ns; 0 where it makes no sense. */
+    /** Returns 0 if the timeout is missing or invalid. */
     private static long parseTimeoutNs(Message m) {
         if (!hasSingleValue(m, "Request-Timeout", SECONDS)) {
             return 0;
@@ -67,14 +67,14 @@
                 "1".equals(m.headers().get("Client-Retry")));
     }
 
-    /** A hint is advice: one that cannot be read is none. */
+    /** A hint that is missing or invalid counts as 0. */
     private static long parseHintNs(Message m) {
         return hasSingleValue(m, "Work-Hint", SECONDS)
                 ? (long) (Double.parseDouble(m.headers().get("Work-Hint")) * 1000)
                 : 0;
     }
 
-    /** What a request is about, as a number; 0 is none and no key's. */
+    /** The routing key, a hash of the session cookie; 0 means no key, and no key hashes to it. */
     public static long key(String cookies) {
         if (cookies != null) {
             for (Cookie c : ServerCookieDecoder.LAX.decode(cookies)) {
--- a/src/main/java/gullspar/proxy/config/Classes.java
+++ b/src/main/java/gullspar/proxy/config/Classes.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The classes that requests may be of, as the configuration last named them. A name keeps its number for as
- * long as the proxy lives, also while no configuration names it, so that what is counted and what the module
- * has learnt of it hold; what a class allows may change, for requests that come from then on.
+ * The classes of requests in the current configuration. A name keeps its index for the lifetime of the proxy,
+ * even while no configuration has it, so that counters and the module's statistics stay valid. The settings
+ * of a class may change, for requests received from then on.
  */
 public final class Classes {
-    /** A class: its number, and what the module is told of it. attempts: so many at the most. */
+    /** A class: its index, name and profile for the module, and its maximum number of attempts. */
     public record RequestClass(int index, String name, Profile profile, int maxAttempts) {}
 
     private final List<String> names = new ArrayList<>();
@@ -23,7 +23,9 @@
         update(config);
     }
 
-    /** Takes over the classes of a configuration; returns all there ever were, by number, for the module. */
+    /**
+     * Applies a configuration; returns the profiles of all classes ever configured, by index, for the module.
+     */
     public List<Profile> update(Config config) {
         current.clear();
         int attempts = config.settings().maxAttempts();
@@ -43,12 +45,12 @@
         return List.copyOf(profiles);
     }
 
-    /** The class of a name; null if the configuration has none. */
+    /** The class of a name; null if the current configuration has none. */
     public RequestClass find(String name) {
         return current.get(name);
     }
 
-    /** The names of all there ever were, by number. */
+    /** The names of all classes ever configured, by index. */
     public List<String> names() {
         return names;
     }
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -20,12 +20,12 @@
 import java.util.TreeSet;
 
 /**
- * What a proxy is told: the file at NODE_CONFIG; at the start NODE_LISTEN, NODE_DISCOVERY and NODE_OPERATOR
- * win over it. The places of names in their lists are their numbers for the module. operator: where
- * operators call, null for nowhere; inherited: the platform holds the clients' listener, descriptor 0, and
- * a second process may take over; operatorsFile: what operators have written for this process, null for
- * nothing; name: what the platform calls it, null if it does not; keys: the paths of all keys, but for
- * those in lists.
+ * The configuration of a proxy: the file at NODE_CONFIG; at startup NODE_LISTEN, NODE_DISCOVERY and
+ * NODE_OPERATOR override it. The index of a name in its list identifies it for the module. operator: the
+ * address of the operator endpoint, null for none; inherited: the platform holds the client listener
+ * (descriptor 0), and a second process may take over; operatorsFile: the operators' settings for this
+ * process, null for none; name: the platform's name for this process, null for none; keys: the paths of all
+ * keys, except those inside lists.
  */
 public record Config(
         InetSocketAddress listen,
@@ -53,14 +53,14 @@
         try {
             root = Json.read(Files.readAllBytes(path));
         } catch (IOException e) {
-            // A parser's message runs over several lines; the first says what is wrong.
+            // The parser's message spans several lines; the first one says what is wrong.
             throw new ConfigException("cannot read " + path + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
         return parse(root, environment);
     }
 
-    /** Where the configuration is, if the environment says so. */
+    /** The path of the configuration file, if the environment names one. */
     public static Optional<Path> file(Map<String, String> environment) {
         return Optional.of(environment.getOrDefault("NODE_CONFIG", ""))
                 .filter(p -> !p.isEmpty())
@@ -68,9 +68,9 @@
     }
 
     /**
-     * The configuration as it is now. The environment is that of the start, so for what may change later,
-     * the address of discovery, the file wins. A key that the file had before and lacks now makes it half a
-     * file, which is none.
+     * Reads the configuration again. The environment is that of startup, so the file wins for what may change
+     * later, the discovery address. A key missing that was set before means an incompletely written file,
+     * which is rejected.
      */
     public static Config reload(Map<String, String> environment, Config before) throws ConfigException {
         Map<String, String> lasting = new HashMap<>(environment);
@@ -78,13 +78,13 @@
         Config c = read(lasting);
         for (String key : before.keys) {
             if (!c.keys.contains(key)) {
-                throw new ConfigException(key + " is missing, which was there before");
+                throw new ConfigException(key + " is missing; it was set in the previous configuration");
             }
         }
         return c;
     }
 
-    /** The longest that a client waits for an answer by any class, in ns. */
+    /** The longest deadline of any class. */
     public long maxDeadlineNs() {
         return settings.profiles().stream().mapToLong(Profile::giveUpNs).max().orElse(0);
     }
@@ -100,7 +100,7 @@
         }
         List<String> classes = names(settings.path("profiles"));
         if (classes.contains("") || Set.copyOf(classes).size() < classes.size()) {
-            throw new ConfigException("settings.profiles: a name is missing or there twice: " + classes);
+            throw new ConfigException("settings.profiles: a name is missing or duplicated: " + classes);
         }
         String descriptor = environment.getOrDefault("NODE_SOCKET_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
@@ -113,7 +113,7 @@
                     parseAddress("NODE_LISTEN", environment, root.path("listen")),
                     parseAddress("NODE_DISCOVERY", environment, root.path("discovery")),
                     Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
-                    // Two processes share the limit while one takes over from the other.
+                    // Two processes share the limit during a takeover.
                     (int) requirePositive(root, "/limits/sockets") / (descriptor.isEmpty() ? 1 : 2),
                     root.path("known"),
                     SettingsParser.parse(flat).settings(),
@@ -139,7 +139,7 @@
         }
     }
 
-    /** The settings as the simulator's wire writes them: path to value. */
+    /** Flattens the settings to path and value, the format of the simulator's protocol. */
     private static void flatten(String path, JsonNode node, Map<String, String> flat) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
@@ -156,7 +156,7 @@
         }
     }
 
-    /** What may be known of backends is no setting: it may be there or not. */
+    /** Collects key paths. `known`, data about backends, is optional and so left out. */
     private static void keys(String path, JsonNode node, Set<String> keys) {
         node.properties().forEach(e -> {
             String key = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
@@ -191,12 +191,12 @@
         String text = environment.getOrDefault(variable, named.asText(""));
         InetSocketAddress address = parseAddress(text);
         if (address == null) {
-            throw new ConfigException(variable + " is no address and port: '" + text + "'");
+            throw new ConfigException(variable + " is not an IP address and port: '" + text + "'");
         }
         return address;
     }
 
-    /** An IP address and a port, with no look-up of names (there is no DNS); null if it is none. */
+    /** Parses an IP address and port; null if invalid. No name lookup is made, as there is no DNS. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = NetUtil.createInetAddressFromIpAddressString(text.substring(0, Math.max(0, colon)));
--- a/src/main/java/gullspar/proxy/config/ConfigException.java
+++ b/src/main/java/gullspar/proxy/config/ConfigException.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.config;
 
-/** A configuration that no proxy can start with; the message is one plain line. */
+/** An invalid configuration; the message is a single line. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/proxy/config/Fnv.java
+++ b/src/main/java/gullspar/proxy/config/Fnv.java
@@ -1,10 +1,10 @@
 package gullspar.proxy.config;
 
-/** A hash of names that is the same in every process. */
+/** A string hash that is the same in every process. */
 public final class Fnv {
     private Fnv() {}
 
-    /** FNV-1a, its bits mixed well. */
+    /** FNV-1a with a final mixing step. */
     public static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/gullspar/proxy/config/Json.java
+++ b/src/main/java/gullspar/proxy/config/Json.java
@@ -13,10 +13,9 @@
 import java.util.Deque;
 
 /**
- * Reads JSON into trees, one value after the other, also where it comes in pieces cut at any byte. Jackson's
- * non-blocking parser and its nodes do the work; its ObjectMapper is left out, since making one sets up
- * dates, zones and locales, a fifth of a second of a start on half a core. The parser limits depth and
- * lengths.
+ * Reads a sequence of JSON values into trees, also from input split at any byte. Uses Jackson's non-blocking
+ * parser and nodes without ObjectMapper, whose setup of dates, zones and locales takes a fifth of a second of
+ * startup on half a core. The parser limits depth and lengths.
  */
 public final class Json {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -24,52 +23,52 @@
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    /** The objects and lists that have begun and not ended, the innermost first. */
+    /** The objects and arrays that are not yet complete, the innermost first. */
     private final Deque<JsonNode> open = new ArrayDeque<>();
-    /** The names of the fields that wait for their values, the innermost first. */
+    /** The names of the fields whose values are not yet complete, the innermost first. */
     private final Deque<String> names = new ArrayDeque<>();
 
     private int pendingBytes;
 
-    /** For what comes in pieces. */
+    /** For incremental input. */
     public Json() {
         try {
             parser = JSON_FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // nothing is read here
+            throw new IllegalStateException(e); // cannot happen: nothing is read here
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Reads one value that is there whole; a missing node if there is none. */
+    /** Reads one complete value; a missing node if the input is blank. */
     public static JsonNode read(byte[] bytes) throws IOException {
         Json json = new Json();
         json.add(bytes);
         JsonNode value = json.next();
         if (value == null) {
-            json.feeder.endOfInput(); // what was cut off is an error from now on
+            json.feeder.endOfInput(); // makes truncated input an error
             value = json.next();
         }
         return value == null ? NODE_FACTORY.missingNode() : value;
     }
 
-    /** Adds what has come; all that came before has been asked for by {@link #next}. */
+    /** Adds input; all values of earlier input must have been read with {@link #next}. */
     public void add(byte[] bytes) throws IOException {
         pendingBytes += bytes.length;
         feeder.feedInput(bytes, 0, bytes.length);
     }
 
-    /** Has no object or list begun that has not ended? */
+    /** True if no object or array is incomplete. */
     public boolean isBetweenValues() {
         return open.isEmpty();
     }
 
-    /** So many bytes were added of an object or list that has begun and not ended, or a few more. */
+    /** An upper bound on the input bytes of the current incomplete object or array. */
     public int pendingBytes() {
         return pendingBytes;
     }
 
-    /** The next value that is whole; null if there is none yet. An IOException if this is no JSON. */
+    /** The next complete value; null if there is none yet. Throws an IOException on invalid JSON. */
     public JsonNode next() throws IOException {
         for (JsonToken t = parser.nextToken(); t != null; t = parser.nextToken()) {
             if (t == JsonToken.NOT_AVAILABLE) {
@@ -85,7 +84,7 @@
         return null;
     }
 
-    /** Takes a token in; the value that ends with it, null if none does. */
+    /** Processes a token; returns the value that it completes, null if none. */
     private JsonNode process(JsonToken token) throws IOException {
         switch (token) {
             case FIELD_NAME:
@@ -109,7 +108,7 @@
         return null;
     }
 
-    /** Puts a value into what it is part of. */
+    /** Adds a value to the innermost incomplete object or array. */
     private JsonNode attach(JsonNode value) {
         if (open.peek() instanceof ObjectNode object) {
             object.set(names.pop(), value);
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -6,13 +6,13 @@
 import java.util.Queue;
 
 /**
- * What the module is told. It hears of everything in order, on a clock that stands still for what one wake-up
- * brings, and never from inside one of its own actions. News of the backends come first: a proxy that stood
- * still finds requests and the news of a drain side by side, and which of them was read first is chance, but
- * the time since the drain was told has run on.
+ * Queues events for the decision module. It gets them in order, with the same time for all events of one
+ * batch, and never re-entrantly from one of its own actions. Backend updates are delivered first: after a
+ * stall, requests and a drain update are found together and which was read first is chance, while the time
+ * since the drain began has run on.
  */
 public final class Events {
-    /** One call of the module. */
+    /** A call of the module. */
     public interface Event {
         void apply(long now, Balancer module);
     }
@@ -27,12 +27,12 @@
         this.platform = platform;
     }
 
-    /** The module that hears; before any event is delivered. */
+    /** Sets the module; to be called before any event is delivered. */
     public void setModule(Balancer balancer) {
         module = balancer;
     }
 
-    /** Tells what discovery said. */
+    /** Queues an update from discovery. */
     public void backendUpdate(Event event) {
         add(backendUpdate, event, () -> {});
     }
@@ -41,7 +41,9 @@
         enqueue(event, () -> {});
     }
 
-    /** Tells of one request; a slip of the module costs that request, not all that the proxy holds. */
+    /**
+     * Queues an event of one request. If the module throws, onFailure ends that request and the others go on.
+     */
     public void enqueue(Event event, Runnable onFailure) {
         add(requestEvents, event, onFailure);
     }
@@ -52,7 +54,7 @@
                 event.apply(now, balancer);
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
-                platform.log().say("the module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+                platform.log().say("the decision module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
                 onFailure.run();
             }
         });
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * The body of a request, kept whole so that a further attempt can be made. It grows by pieces, each paid for
- * from the budget before it is there: a client that declares much and sends little holds little.
+ * The body of a request, buffered completely so that a further attempt can be made. It grows in chunks, each
+ * reserved from the budget before it is allocated: a client that declares much and sends little holds little
+ * memory.
  */
 public final class Body {
     private static final int MIN_CHUNK_BYTES = 512, CHUNK_BYTES = 16 << 10;
@@ -19,20 +20,19 @@
     private long length;
     private int lastChunkLength;
 
-    /** Of so many bytes at the most. */
     public Body(BodyBudget budget, long most) {
         this.budget = budget;
         this.maxBytes = most;
     }
 
-    /** What became of adding: it is there, it was more than a body may have, or the budget is spent. */
+    /** The result of adding: added, larger than a body may be, or no room in the budget. */
     public enum AddResult {
         ADDED,
         TOO_LONG,
         BUDGET_EXHAUSTED
     }
 
-    /** Adds all that can be read; the buffer stays its owner's. */
+    /** Copies all readable bytes; the caller keeps ownership of the buffer. */
     public AddResult add(ByteBuf bytes) {
         while (bytes.isReadable()) {
             if (length + bytes.readableBytes() > maxBytes) {
@@ -68,7 +68,7 @@
         return length;
     }
 
-    /** All of it, to be written; may be called again for a further attempt. */
+    /** The whole body, to be written; may be called again for a further attempt. */
     public ByteBuf bytes() {
         if (chunks.isEmpty()) {
             return Unpooled.EMPTY_BUFFER;
@@ -81,7 +81,7 @@
         return Unpooled.wrappedBuffer(all.length, all);
     }
 
-    /** Gives back what it was paid for; the request needs it no more. */
+    /** Returns the reserved bytes to the budget once the request no longer needs its body. */
     public void release() {
         budget.release(reservedBytes);
         reservedBytes = 0;
--- a/src/main/java/gullspar/proxy/http/BodyBudget.java
+++ b/src/main/java/gullspar/proxy/http/BodyBudget.java
@@ -1,16 +1,17 @@
 package gullspar.proxy.http;
 
-/** The bytes that the bodies of all requests in hand may take together. Guards the heap against uploads. */
+/**
+ * The limit on the bytes that all buffered request bodies may take together. Guards the heap against uploads.
+ */
 public final class BodyBudget {
     private long maxBytes;
     private long reservedBytes;
 
-    /** In bytes. */
     public BodyBudget(long most) {
         this.maxBytes = most;
     }
 
-    /** Another limit from now on; what is taken stays taken. */
+    /** Changes the limit; existing reservations stay. */
     public void setLimit(long bytes) {
         maxBytes = bytes;
     }
@@ -23,7 +24,10 @@
         return true;
     }
 
-    /** Could one body take so much, if it were alone? If not, trying again is of no use. */
+    /**
+     * True if a single body could reserve this much with nothing else reserved. If not, retrying is of no
+     * use.
+     */
     boolean canEverReserve(long bytes) {
         return bytes <= maxBytes;
     }
@@ -32,7 +36,6 @@
         reservedBytes -= bytes;
     }
 
-    /** Bytes in use. */
     public long reservedBytes() {
         return reservedBytes;
     }
--- a/src/main/java/gullspar/proxy/http/BodyStream.java
+++ b/src/main/java/gullspar/proxy/http/BodyStream.java
@@ -5,19 +5,21 @@
 import java.util.Deque;
 
 /**
- * What is still to come of a body that is too large to wait for, on its way from one connection to another.
- * Whoever brings it is told to pause while nobody takes. All on one event loop.
+ * The part of a body that is forwarded from one connection to another while being received, for bodies too
+ * large to buffer. The writer pauses while too much is buffered. All calls are on one event loop.
  */
 public final class BodyStream {
-    /** Who takes it. */
+    /** Reads the stream. */
     public interface Reader {
-        /** There is something to take, or it has ended, or it never will. */
+        /** Called when a chunk is available, and when the stream is complete or aborted. */
         void onUpdate();
     }
 
-    /** So many bytes may wait, and its bringer has paused from there on until half of them are taken. */
+    /** The writer pauses at this many buffered bytes, until half of them are read. */
     static final int MAX_BUFFERED_BYTES = 128 << 10;
-    /** While nobody has begun to take it some more may: who brings it is seen to leave only by reading on. */
+    /**
+     * Limit until reading starts. It is larger because a client's disconnect is detected only by reading on.
+     */
     static final int MAX_UNREAD_BYTES = 256 << 10;
 
     private enum State {
@@ -35,15 +37,15 @@
     private State state = State.RECEIVING;
     private Reader reader;
 
-    /** For its bringer: resume says that it may go on, unwanted that nobody wants the rest. */
+    /** Callbacks for the writer: onResume when it may go on, onDropped when the rest is not wanted. */
     public BodyStream(Runnable resume, Runnable unwanted) {
         this.onResume = resume;
         this.onDropped = unwanted;
     }
 
-    // ---- who brings it ----
+    // ---- writer ----
 
-    /** Adds a piece, which is its own from now on; false if its bringer is to pause. */
+    /** Adds a chunk and takes ownership of it; returns false if the writer must pause. */
     public boolean add(ByteBuf chunk) {
         if (dropped) {
             chunk.release();
@@ -56,12 +58,12 @@
         return !paused;
     }
 
-    /** All of it has come. */
+    /** Marks the stream as complete. */
     public void complete() {
         finish(State.COMPLETE);
     }
 
-    /** The rest will never come. */
+    /** Marks the stream as aborted: the rest will not be received. */
     public void abort() {
         finish(State.ABORTED);
     }
@@ -79,24 +81,24 @@
         }
     }
 
-    // ---- who takes it ----
+    // ---- reader ----
 
-    /** Has nobody begun to take it? */
+    /** True if reading has not started and the stream is not dropped. */
     public boolean isUnread() {
         return reader == null && !dropped;
     }
 
-    /** Takes it from now on. */
+    /** Sets the reader and so starts reading. */
     public void setReader(Reader newReader) {
         reader = newReader;
     }
 
-    /** Is there a piece to take now? */
+    /** True if a chunk is available. */
     public boolean hasChunk() {
         return !chunks.isEmpty();
     }
 
-    /** The next piece, which is the caller's; null if there is none now. */
+    /** The next chunk, owned by the caller; null if none is available. */
     public ByteBuf nextChunk() {
         ByteBuf chunk = chunks.poll();
         if (chunk != null) {
@@ -109,27 +111,26 @@
         return chunk;
     }
 
-    /** Is all of it taken, and nothing more to come? */
+    /** True if the stream is complete and all of it has been read. */
     public boolean isFullyRead() {
         return state == State.COMPLETE && chunks.isEmpty();
     }
 
-    /** Will the rest never come? */
     public boolean isAborted() {
         return state == State.ABORTED;
     }
 
-    /** Is some of it still to come from its bringer? */
+    /** True if more is to be received. */
     public boolean isReceiving() {
         return state == State.RECEIVING;
     }
 
-    /** Has its bringer been told to pause? */
+    /** True if the writer has been paused. */
     public boolean paused() {
         return paused;
     }
 
-    /** Nobody wants it any more: what still comes is let go. */
+    /** Releases what is buffered and discards what is still received. */
     public void drop() {
         if (!dropped) {
             dropped = true;
--- a/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
+++ b/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
@@ -5,14 +5,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Writes pieces of a body to a channel, as far as that takes them. A write that fills the channel's buffer
- * calls its handler from inside itself, half way through the encoder: whatever was written there would come
- * between the parts of a piece, so until the write is over nothing else is.
+ * Writes the chunks of a body stream to a channel while that is writable. A write that fills the channel's
+ * buffer calls the channel's handler re-entrantly from within the encoder: a nested write would land between
+ * the parts of a chunk, so nested writes are suppressed.
  */
 public final class BodyStreamWriter {
     private boolean writing;
 
-    /** Writes what comes ahead of the pieces. */
+    /** Writes what precedes the chunks. */
     public void writeFirst(Runnable writes) {
         writing = true;
         writes.run();
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Writes what is there; true if it did, false if a write is under way, which sees to it. wanted: does
-     * anybody still want it? moved: called for each piece.
+     * Writes the available chunks. Returns false if a write is already in progress, which writes them too.
+     * isActive: whether the stream is still wanted; onChunk: called for each chunk.
      */
     public boolean write(Channel channel, BodyStream from, BooleanSupplier isActive, Runnable onChunk) {
         if (writing) {
--- a/src/main/java/gullspar/proxy/http/Message.java
+++ b/src/main/java/gullspar/proxy/http/Message.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * A client's request as it came. rest: what is still to come of its body behind what is there; null if it is
- * whole. length: of all of it, -1 if its client did not say.
+ * A client's request. bodyStream: the part of the body that is still being received after the buffered part;
+ * null if the body is complete. bodyLength: of the whole body, -1 if the client did not declare it.
  */
 public record Message(
         HttpMethod method, String uri, HttpHeaders headers, Body body, BodyStream bodyStream, long bodyLength) {
-    /** The largest body that either side may send, in bytes. */
+    /** The largest body that either side may send. */
     public static final int MAX_BODY_BYTES = 32 << 20;
-    /** An answer of up to so many bytes is served only if it is provably whole; a larger one is passed on. */
+    /** Responses up to this size are served only if provably complete; larger ones are streamed. */
     public static final int MAX_BUFFERED_RESPONSE_BYTES = 64 << 10;
     /**
-     * What goes on to a backend, besides what the proxy itself says. A list of what is known, not of what to
-     * leave out: Connection may name any header as its own, and the backend needs these.
+     * Headers forwarded to backends, besides those that the proxy sets itself. This is an allow list:
+     * Connection may name any header as hop-by-hop, and the backend needs these.
      */
     private static final List<String> REQUEST_HEADERS = List.of(
             "Host",
@@ -35,7 +35,7 @@
             "Accept-Language",
             "Authorization",
             "User-Agent");
-    /** What goes back to a client. */
+    /** Headers forwarded to clients. */
     private static final List<String> RESPONSE_HEADERS = List.of(
             "Content-Type",
             "Content-Encoding",
@@ -49,22 +49,22 @@
             "Vary",
             "Retry-After");
 
-    /** A request that has all its body. */
+    /** A request whose body is complete. */
     public static Message withFullBody(HttpMethod method, String uri, HttpHeaders headers, Body body) {
         return new Message(method, uri, headers, body, null, body.length());
     }
 
-    /** Is there a body, or will there be one? */
+    /** True if the request has a body, received or not. */
     public boolean hasBody() {
         return bodyStream != null || body.length() > 0;
     }
 
-    /** Can it be sent: is all of it there, or still to be taken? */
+    /** True if the body can be sent: it is buffered completely, or no attempt has read its stream. */
     public boolean isSendable() {
         return bodyStream == null || bodyStream.isUnread();
     }
 
-    /** No attempt needs it any more. */
+    /** Releases the body once no attempt needs it. */
     public void release() {
         body.release();
         if (bodyStream != null) {
@@ -84,7 +84,7 @@
         copy(RESPONSE_HEADERS, from, to);
     }
 
-    /** A time as headers give it: seconds, with decimals. */
+    /** A duration in the format of the headers: decimal seconds. */
     public static String formatSeconds(long ns) {
         return BigDecimal.valueOf(ns / 1000, 6).toPlainString();
     }
--- a/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
+++ b/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
@@ -7,45 +7,41 @@
 import java.util.function.Supplier;
 
 /**
- * What runs beside a proxy on its loop where an operators' file asks for it, and answers for itself at the
- * operators' address. Where none does, no class of any is loaded. All but {@link #reload} is called on the
- * loop.
+ * A service that runs beside a proxy on its event loop where an operators' file asks for it, and answers
+ * queries at the operator endpoint. Without such a file none of its classes is loaded. All methods are called on the
+ * event loop, except {@link #reload}.
  */
 public interface AuxiliaryService {
-    /** Makes one of an operators' file. */
+    /** Creates a service from an operators' file. */
     interface Factory {
         /**
-         * Starts it; name: what the platform calls this process, null if it does not; load: what the proxy
-         * has done so far. Called off the loop; an IOException, with what is wrong, if it cannot start.
+         * Starts the service. name: the platform's name for this process, null for none; load: the proxy's
+         * load so far. Called off the event loop; throws an IOException with the reason if it cannot start.
          */
         AuxiliaryService start(Path file, String name, Platform platform, Supplier<Load> load) throws IOException;
     }
 
-    /** From the start: requests that have ended, those of them that were refused, and those in hand now. */
+    /** Since startup: requests ended, those of them refused, and requests in progress now. */
     record Load(long ended, long refused, int pending) {
-        /** Nothing yet. */
         public static final Load NONE = new Load(0, 0, 0);
     }
 
-    /** How far the proxy has come. */
+    /** The lifecycle stage of the proxy. */
     enum Stage {
         WARMING,
         SERVING,
         DRAINING
     }
 
-    /** The proxy has come further. */
+    /** The proxy has entered a stage. */
     void onStage(Stage stage);
 
-    /** What an operator asks for at that path, as JSON; null if it is not its to answer. */
+    /** The JSON for an operator's query of a path; null if the path is not this service's. */
     String query(String path);
 
-    /**
-     * Its file may have changed. Off the loop; what is wrong with it is said in the log, and changes
-     * nothing.
-     */
+    /** Reads its file again. Called off the event loop; an error is logged, and the old settings stay. */
     void reload();
 
-    /** It ends; done when all that it had to say is on its way. */
+    /** Stops the service; completes when its last messages have been handed to the network. */
     CompletableFuture<Void> leave();
 }
--- a/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
@@ -16,47 +16,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The address for operators: HTTP/1.1, one call on a connection. It listens from the process's start, when
- * the answer is still "not yet", and shares the proxy's loop, whose state it tells.
+ * The HTTP/1.1 endpoint for operators, one request per connection. It listens from process startup, answering
+ * "not yet" at first, and shares the event loop of the proxy whose state it reports.
  */
 public final class OperatorEndpoint {
-    /** What is asked about; called on the loop. */
+    /** The source of status data; called on the event loop. */
     public interface StatusSource {
-        /** Can this process serve? */
+        /** True if this process can serve. */
         boolean isReady();
 
-        /** The figures, as JSON. */
+        /** The metrics as JSON. */
         String statusJson();
     }
 
     /**
-     * Callers at one time. Guards against those that stay and say nothing: each holds a descriptor, and
-     * the one that came first goes when another comes.
+     * Connections without a request at one time. Guards against silent ones that each hold a descriptor: the
+     * oldest is closed when another is accepted.
      */
     static final int MAX_CALLERS = 12;
-    /** So long a caller may take for its call, in ms; a person at a terminal takes less. */
+    /** Time limit for a connection; requests typed at a terminal take less. */
     private static final long CALL_TIMEOUT_MS = 5000;
 
     private static final int MAX_REQUEST_LINE_BYTES = 1024, MAX_HEAD_BYTES = 4096;
 
     private final Platform platform;
-    /** Those that have made no call yet, in the order in which they came. */
+    /** Connections without a request so far, the oldest first. */
     private final Set<Channel> callers = new LinkedHashSet<>();
 
     private StatusSource statusSource;
     private AuxiliaryService auxiliaryService;
 
-    /** Until there is something to ask about, the answer is "not yet" to all. */
+    /** Answers "not yet" to all requests until a status source is set. */
     public OperatorEndpoint(Platform platform) {
         this.platform = platform;
     }
 
-    /** What is asked about from now on. To be called on the loop. */
+    /** Sets the source of status data. To be called on the event loop. */
     public void setStatusSource(StatusSource source) {
         statusSource = source;
     }
 
-    /** Who else answers, from now on. To be called on the loop. */
+    /** Sets the service that answers further paths. To be called on the event loop. */
     public void setAuxiliaryService(AuxiliaryService service) {
         auxiliaryService = service;
     }
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Answers a call that nobody made, so that the first one that somebody makes finds all loaded: the loop
-     * that answers it serves clients too.
+     * Answers a synthetic request, so that the classes are loaded before the first real one: the loop that
+     * answers it also serves clients.
      */
     public static void warmUp(StatusSource subject) {
         EmbeddedChannel c =
@@ -83,7 +83,6 @@
                 .setMaxHeaderSize(MAX_HEAD_BYTES));
     }
 
-    /** Listens there. */
     public ChannelFuture listen(InetSocketAddress address) {
         return AcceptFailures.on(platform.transport()
                 .at(address)
--- a/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
-/** One call of an operator: its head is all of it, and its answer ends the connection. */
+/** Handles one operator request: any body is ignored, and the response closes the connection. */
 final class OperatorRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final Supplier<OperatorEndpoint.StatusSource> statusSource;
     private final UnaryOperator<String> queryOther;
@@ -28,8 +28,8 @@
     private boolean answered;
 
     /**
-     * subject: null while there is nothing to ask about; other: what else is answered, by its path, null for
-     * nothing; called: hears of the call.
+     * statusSource: supplies null until the proxy can be queried; other: the JSON for other paths, null for
+     * unknown ones; onCall: called with the channel before the response.
      */
     OperatorRequestHandler(
             Supplier<OperatorEndpoint.StatusSource> subject, UnaryOperator<String> other, Consumer<Channel> called) {
@@ -44,7 +44,7 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            answer(ctx, HttpResponseStatus.BAD_REQUEST, "text/plain", "not a call\n", true);
+            answer(ctx, HttpResponseStatus.BAD_REQUEST, "text/plain", "malformed request\n", true);
         } else if (message instanceof HttpRequest r) {
             handle(ctx, r);
         }
@@ -53,7 +53,7 @@
     private void handle(ChannelHandlerContext ctx, HttpRequest r) {
         boolean body = !r.method().equals(HttpMethod.HEAD);
         if (body && !r.method().equals(HttpMethod.GET)) {
-            answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET\n", true);
+            answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET and HEAD are supported\n", true);
             return;
         }
         OperatorEndpoint.StatusSource source = statusSource.get();
@@ -85,7 +85,7 @@
                     ctx,
                     HttpResponseStatus.NOT_FOUND,
                     "text/plain",
-                    "there are /_ready and /_vars, and /_fleet with [fleet]\n",
+                    "unknown path: expected /_ready or /_vars, or /_fleet with [fleet]\n",
                     body);
         } else {
             answer(ctx, HttpResponseStatus.OK, "application/json", json, body);
--- a/src/main/java/gullspar/proxy/operator/RequestCounters.java
+++ b/src/main/java/gullspar/proxy/operator/RequestCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** What has become of the requests that were taken, by the number of their class; from 0 at each start. */
+/** Counts accepted requests by class index and result, since startup. */
 public final class RequestCounters {
     private long[] completed = {};
     private long[] rejected = {};
@@ -10,7 +10,7 @@
     private int reloads;
     private int reloadErrors;
 
-    /** A request of a class has got its final answer. */
+    /** Counts a request's final response. */
     public void countEnded(int classIndex, int status) {
         if (classIndex >= completed.length) {
             completed = Arrays.copyOf(completed, classIndex + 1);
@@ -20,28 +20,28 @@
         (status == 200 ? completed : status == 503 || status == 429 ? rejected : failed)[classIndex]++;
     }
 
-    /** A configuration was taken over, or turned down. */
+    /** Counts a configuration that was applied or rejected. */
     public void countReload(boolean accepted) {
         reloads += accepted ? 1 : 0;
         reloadErrors += accepted ? 0 : 1;
     }
 
-    /** Requests served. */
+    /** Requests answered with 200. */
     public long completed(int classIndex) {
         return classIndex < completed.length ? completed[classIndex] : 0;
     }
 
-    /** Requests refused: a repeat is harmless. */
+    /** Requests refused with 503 or 429, which are safe to repeat. */
     public long rejected(int classIndex) {
         return classIndex < rejected.length ? rejected[classIndex] : 0;
     }
 
-    /** Requests failed. */
+    /** Requests with any other status. */
     public long failed(int classIndex) {
         return classIndex < failed.length ? failed[classIndex] : 0;
     }
 
-    /** One of the three, over all classes. */
+    /** The sum of one counter over all classes. */
     public long sum(Counter counter) {
         long sum = 0;
         for (int i = 0; i < completed.length; i++) {
@@ -50,17 +50,17 @@
         return sum;
     }
 
-    /** One of the counts by class. */
+    /** A counter by class. */
     public interface Counter {
         long count(RequestCounters counters, int classIndex);
     }
 
-    /** Configurations taken over. */
+    /** Configurations applied. */
     public int reloads() {
         return reloads;
     }
 
-    /** Configurations turned down. */
+    /** Configurations rejected. */
     public int reloadErrors() {
         return reloadErrors;
     }
--- a/src/main/java/gullspar/proxy/operator/StatusReport.java
+++ b/src/main/java/gullspar/proxy/operator/StatusReport.java
@@ -12,9 +12,10 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * The figures at one moment. written: attempts whose last byte went to a backend; pending: requests taken and
- * not yet ended; members and unavailable: backends in the list, and those of them that get nothing new; loop:
- * what the event loop has done, null where nobody counts; descriptors: of connections.
+ * The metrics at one moment. written: attempts whose last byte was sent to a backend; pending: requests
+ * accepted and not yet ended; members and unavailable: backends in the list, and those of them that get no
+ * new requests; loop: statistics of the event loop, null where they are not collected; descriptors: of
+ * connections.
  */
 public record StatusReport(
         List<String> classes,
@@ -25,12 +26,14 @@
         int unavailable,
         LoopFigures loop,
         Descriptors descriptors) {
-    /** Descriptors that are counted as held, by side. */
+    /** Descriptors counted as held, by side. */
     public record Descriptors(int clients, int backends) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** As JSON, one object. Written field by field: a mapper costs a small proxy half a second to load. */
+    /**
+     * As one JSON object. Written field by field: loading an ObjectMapper costs a small proxy half a second.
+     */
     public String json() {
         StringWriter text = new StringWriter();
         try (JsonGenerator to = JSON.createGenerator(text)) {
@@ -53,7 +56,7 @@
             }
             to.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a string does not fail
+            throw new UncheckedIOException(e); // cannot happen with a StringWriter
         }
         return text.toString();
     }
--- a/src/test/java/gullspar/proxy/AnsweringServer.java
+++ b/src/test/java/gullspar/proxy/AnsweringServer.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 
-/** A backend or a discovery on loopback that answers every request alike, each connection on its own thread. */
+/** A backend or discovery on loopback that answers every request alike, each connection on its own thread. */
 final class AnsweringServer implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
@@ -14,7 +14,7 @@
         daemon(() -> acceptAll(answer));
     }
 
-    /** A discovery whose stream begins with a list that changes nothing. */
+    /** A discovery whose stream starts with a list without changes. */
     static AnsweringServer discovery() throws IOException {
         String list = "{\"generation\":42,\"reset\":false,\"instances\":[]}\n";
         return new AnsweringServer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -32,7 +32,7 @@
                 daemon(() -> answerAll(wire, answer));
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // closed at the end of the test
         }
     }
 
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -15,9 +15,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A client that leaves while its request waits, in each place where one can wait: nothing goes out for it any
- * more, the module forgets it, and what it held comes back. The module here sends when the test says so. The
- * end of the client is there to read by then, and in some of the tests the loop has not come round to it.
+ * A client that disconnects while its request waits, in each place where one can wait: nothing more is sent
+ * for it, the module withdraws the request, and its resources are released. The module here sends when the
+ * test says so. The disconnect can be read from the socket by then, and in some of the tests the event loop
+ * has not read it yet.
  */
 class ClientLeavesTest extends LoopbackTest {
     private interface LeaveAction {
@@ -25,8 +26,8 @@
     }
 
     /**
-     * How it leaves. Ending its sending is leaving: the protocol lets an attempt be given up so, and tells of
-     * no client that goes on reading.
+     * How the client disconnects. A client that closes only its sending side counts as disconnected: the
+     * protocol allows giving up an attempt that way and has no clients that go on reading.
      */
     enum LeaveMode implements LeaveAction {
         CLOSES(Peer.Wire::close),
@@ -51,12 +52,12 @@
         assertTrue(figures.contains("\"pending\":0"), figures);
     }
 
-    /** Whatever the module does with it from now on, nothing goes out. */
+    /** The request is withdrawn, and a later attempt for it is not sent. */
     private void assertWithdrawnAndNothingSent(Request r) throws Exception {
         assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
         setup.act(() -> setup.actions.send(r.ticket(), server, 0));
         assertEquals(Status.MOOT, setup.outcome().status());
-        assertTrue(backend.quiet(), "it was sent on");
+        assertTrue(backend.quiet(), "the request was sent to the backend");
     }
 
     @ParameterizedTest
@@ -77,7 +78,7 @@
         Request r = setup.request();
         leaves.by(client);
         assertWithdrawnAndNothingSent(r);
-        assertTrue(setup.told.stream().noneMatch(t -> t.what().equals("request")), "the next was taken");
+        assertTrue(setup.told.stream().noneMatch(t -> t.what().equals("request")), "the next request was accepted");
     }
 
     @ParameterizedTest
@@ -100,7 +101,7 @@
                 + (4 << 20) + "\r\n\r\n" + "x".repeat(bytes);
     }
 
-    /** Some more of a body is read than is passed on at once, to see the end of its client. */
+    /** More of a body is read than is forwarded at once, to detect that its client disconnects. */
     @ParameterizedTest
     @EnumSource
     void whileTheRestOfItsBodyIsBuffered(LeaveMode leaves) throws Exception {
@@ -111,7 +112,7 @@
         assertWithdrawnAndNothingSent(r);
     }
 
-    /** The proxy that clients meet, which leaves nothing unread for longer than it may. */
+    /** Restarts the proxy with the production limit on how long a body may stay unread. */
     private void useProductionUnreadTimeout() throws Exception {
         setup.close();
         setup = new Setup();
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Of a larger body no more is read than may wait, and so the end of its client is not seen: nobody is
-     * sent to for it once it has been left unread for a while.
+     * Reading a larger body stops at the buffer limit, so the client's disconnect is not seen: its request is
+     * no longer sent once the body has been unread for too long.
      */
     @ParameterizedTest
     @EnumSource
@@ -136,7 +137,7 @@
         left.get(20, TimeUnit.SECONDS);
     }
 
-    /** The same, where it is the body of the next request in line. */
+    /** As above, where it is the body of the next pipelined request. */
     @ParameterizedTest
     @EnumSource
     void whileTheNextBodyIsPartlyUnread(LeaveMode leaves) throws Exception {
@@ -149,7 +150,7 @@
         left.get(20, TimeUnit.SECONDS);
     }
 
-    /** Beside the test: the system may not take all of it before the proxy reads on. */
+    /** Runs asynchronously: the kernel may not accept all of it before the proxy reads on. */
     private static CompletableFuture<Void> writeThenLeave(Peer.Wire client, String text, LeaveAction leaves) {
         return CompletableFuture.runAsync(() -> {
             try {
@@ -161,7 +162,7 @@
         });
     }
 
-    /** It has not left, which nobody can know: it is told to try again. */
+    /** The client is still connected, which the proxy cannot tell: it is rejected with 503. */
     @Test
     void connectedClientWithUnreadBodyIsRejected() throws Exception {
         useProductionUnreadTimeout();
@@ -173,9 +174,9 @@
         assertWithdrawnAndNothingSent(r);
     }
 
-    // ---- the loop has not come round to its end ----
+    // ---- the event loop has not read the disconnect yet ----
 
-    /** Nothing has gone out so far: the first that the backend gets is the request of another client. */
+    /** Nothing has been sent so far: the first request that the backend gets is another client's. */
     private void assertNothingReachedBackend() throws Exception {
         try (Peer.Wire other = setup.client()) {
             setup.onRequest = r -> {};
@@ -222,7 +223,7 @@
         assertWithdrawnBeforeSending(r);
     }
 
-    /** One that would go out over a connection that is there leaves that to others. */
+    /** A request to be sent over an idle backend connection leaves that connection to others. */
     @ParameterizedTest
     @EnumSource
     void justBeforeAnAttemptOnAnIdleBackendConnection(LeaveMode leaves) throws Exception {
@@ -271,7 +272,7 @@
         assertWithdrawnBeforeSending(r);
     }
 
-    /** The turn's reading is over by then: its end is found only by looking once more. */
+    /** The loop iteration has done its reads by then: only a further read finds the disconnect. */
     @ParameterizedTest
     @EnumSource
     void whenTheBackendConnectionIsEstablished(LeaveMode leaves) throws Exception {
@@ -287,7 +288,7 @@
         assertNothingReachedBackend();
     }
 
-    /** Its request lies in the system, and its end behind it, while the loop stands still. */
+    /** The request and the disconnect are both in the socket buffer while the event loop is blocked. */
     @ParameterizedTest
     @EnumSource
     void beforeItsRequestIsRead(LeaveMode leaves) throws Exception {
@@ -305,9 +306,9 @@
         assertWithdrawnBeforeSending(setup.request());
     }
 
-    /** The one ahead in line is answered, and the next would be taken and sent at once. */
+    /** The request ahead is answered, and the next would be accepted and sent at once. */
     @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "RESETS") // found as that answer is written
+    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "RESETS") // found as that response is written
     void whenItsPipelinedRequestIsNext(LeaveMode leaves) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get() + Setup.get());
--- a/src/test/java/gullspar/proxy/ConnectionPressureTest.java
+++ b/src/test/java/gullspar/proxy/ConnectionPressureTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** Clients that are turned away before they have said anything must leave a trace. */
+/** Clients whose connections are closed before they have sent anything must be counted in the log. */
 @Timeout(60)
-@Isolated("what others print would come in between")
+@Isolated("output of other tests would be mixed into the captured log")
 class ConnectionPressureTest {
     @Test
     void connectionsClosedToMakeRoomAreCountedInTheLog() throws Exception {
@@ -43,7 +43,8 @@
             }
         }
         assertTrue(
-                log.toString().contains("of 9 accepted 0 closed at once; closed to make room: 2 with"), log.toString());
+                log.toString().contains("of 9 accepted, 0 closed at once; closed to make room: 2 with"),
+                log.toString());
     }
 
     @Test
@@ -59,7 +60,7 @@
                 assertTrue(clients.get(i).read().startsWith("HTTP/1.1 502 "));
             }
             setup.act(
-                    () -> { // while the loop is held up both come, and are accepted in one go
+                    () -> { // both connect while the loop is blocked, and are accepted in one batch
                         try {
                             clients.add(setup.client());
                             clients.add(setup.client());
@@ -81,7 +82,7 @@
         }
     }
 
-    /** 16 less a quarter, and three fifths of these. */
+    /** 16 descriptors less a quarter, and three fifths of the rest. */
     private static Config sevenConnections(Peer discovery, Peer backend) throws ConfigException {
         return Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 16, 5000), Map.of());
     }
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What clients send and get, down to the end of the process. */
+/** Requests of clients and their responses, up to the shutdown of the process. */
 class FrontendTest extends LoopbackTest {
     @ParameterizedTest
     @CsvSource({
@@ -55,7 +55,9 @@
         }
     }
 
-    /** What cannot be read ends the connection; what stands behind it is nobody's request. */
+    /**
+     * A request that cannot be parsed closes the connection; the data behind it is not treated as a request.
+     */
     @ParameterizedTest
     @CsvSource({
         "400, 'POST /order HTTP/1.1|Request-Id: r|Content-Length: 4|Transfer-Encoding: chunked||0||'",
@@ -88,7 +90,7 @@
         }
     }
 
-    /** The proxy's own limits end these; the test only waits for that. */
+    /** The proxy's own timeouts end these connections. */
     @ParameterizedTest
     @CsvSource({
         "''",
@@ -141,7 +143,7 @@
     void tooManyPipelinedRequestsAreRejectedUnsent() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get().repeat(Client.MAX_PIPELINED + 1));
-            for (int i = 0; i <= Client.MAX_PIPELINED; i++) { // each one that has been taken
+            for (int i = 0; i <= Client.MAX_PIPELINED; i++) { // one response for each request
                 assertTrue(client.read().startsWith("HTTP/1.1 429 "));
             }
             assertTrue(client.ended());
@@ -149,7 +151,9 @@
         }
     }
 
-    /** Connection may name any header as its own: the backend needs these all the same. */
+    /**
+     * Connection may name any header as hop-by-hop: those that the backend needs are forwarded all the same.
+     */
     @Test
     void connectionHeaderCannotRemoveForwardedHeaders() throws Exception {
         try (Peer.Wire client = setup.client()) {
@@ -233,7 +237,7 @@
 
     @Test
     void moduleIsNotCalledReentrantly() throws Exception {
-        setup.onRequest = r -> setup.actions.send(999, server, 0); // ends at once, as moot
+        setup.onRequest = r -> setup.actions.send(999, server, 0); // ends at once with MOOT
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             setup.request();
@@ -244,7 +248,7 @@
     @Test
     void moduleExceptionFailsOnlyOneRequest() throws Exception {
         setup.onRequest = r -> {
-            throw new IllegalStateException("a slip");
+            throw new IllegalStateException("module failure");
         };
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
@@ -274,11 +278,11 @@
         setup = new Setup()
                 .start(Config.parse(
                         Setup.json(discovery.hostPort(), backend.hostPort(), 9, 5000),
-                        Map.of())); // four of them for clients
+                        Map.of())); // four of these descriptors are for clients
         CountDownLatch connected = new CountDownLatch(1);
         setup.loop.execute(() -> {
             try {
-                connected.await(20, TimeUnit.SECONDS); // so that all are accepted in one go
+                connected.await(20, TimeUnit.SECONDS); // so that all are accepted in one batch
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -298,7 +302,7 @@
         }
     }
 
-    /** All that was sent on a connection that is open belongs to somebody: it is waited for and answered. */
+    /** A request partly received when the listener closes is awaited and answered. */
     @Test
     void partialRequestIsAwaitedAndAnsweredAfterListenerCloses() throws Exception {
         try (Peer.Wire idle = setup.client();
@@ -307,9 +311,9 @@
             half.write(request.substring(0, 20));
             CompletableFuture<Void> drained = setup.proxy.drain();
             assertTrue(idle.ended());
-            // The loop's own timers: well after that, all that was due by then has been done.
+            // Runs on the loop's timers, well after everything due by then has been done.
             setup.loop.schedule(() -> {}, 300, TimeUnit.MILLISECONDS).sync();
-            assertFalse(drained.isDone(), "it ended with a request half read");
+            assertFalse(drained.isDone(), "the drain ended with a request partly read");
             half.write(request.substring(20));
             Request r = setup.request();
             setup.act(() -> setup.actions.fail(r.ticket()));
@@ -318,7 +322,7 @@
         }
     }
 
-    /** What does not come whole in time is told so, before the process is killed. */
+    /** A request that is not complete in time is rejected before the process is killed. */
     @Test
     void partialRequestIsRejectedBeforeShutdown() throws Exception {
         try (Peer.Wire half = setup.client();
@@ -331,7 +335,7 @@
         }
     }
 
-    /** Names of classes come from the settings: one may be that of a path of ours, or need escapes. */
+    /** Class names come from the settings: one may equal a built-in path, or need percent-encoding. */
     @Test
     void classNamesMayNeedEscapesOrMatchBuiltInPaths() throws Exception {
         setup.close();
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process whose descriptors are as few as its configuration says, and many more clients that only stay. */
+/**
+ * A process limited to the descriptors of its configuration, with many more clients that connect and stay
+ * idle.
+ */
 @Timeout(120)
 class FullOfIdleClientsTest {
     private static final int DESCRIPTORS = 256;
@@ -39,7 +42,7 @@
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "the process ended without saying: " + text);
+        assertTrue(line != null, "the process ended without logging: " + text);
     }
 
     private static String list(int generation, Peer backend, String lifecycle) {
@@ -51,7 +54,7 @@
                 + json + "\r\n";
     }
 
-    /** All of them have been accepted: whoever comes last is answered. */
+    /** Connects idle clients; the last one gets a response, so all have been accepted. */
     private static List<Peer.Wire> connectIdleClients(InetSocketAddress door) throws IOException {
         List<Peer.Wire> crowd = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
@@ -74,7 +77,7 @@
         }
     }
 
-    /** For a watch and the one that overtakes it, and as many operators as may call at a time. */
+    /** Descriptors are left for a watch and its replacement, and for the maximum number of operators. */
     private static void assertDescriptorsLeft(Process p) throws IOException {
         Path open = Path.of("/proc", String.valueOf(p.pid()), "fd");
         if (Files.exists(open)) {
@@ -103,7 +106,7 @@
             config.put("listen", "127.0.0.1:" + door.getPort());
             config.put("operator", "127.0.0.1:" + operators.getPort());
             Path file = Files.writeString(folder.resolve("config.json"), config.toString());
-            // The process may open no more than its configuration says, as on the platform.
+            // The process may open no more descriptors than its configuration says, as on the platform.
             ProcessBuilder java = new ProcessBuilder(
                     "sh",
                     "-c",
@@ -149,7 +152,7 @@
         }
     }
 
-    /** The news of the drain count: in the end nobody is left to send to. */
+    /** The drain update takes effect: in the end there is no backend left to send to. */
     private static void awaitRefusal(InetSocketAddress door) throws Exception {
         String answer;
         do {
--- a/src/test/java/gullspar/proxy/JsonTest.java
+++ b/src/test/java/gullspar/proxy/JsonTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tree that is read is the one that Jackson's own mapper makes. */
+/** The parsed tree equals the one of Jackson's ObjectMapper. */
 class JsonTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests and answers that are too large to wait for. */
+/** Requests and responses that are too large to buffer. */
 @Timeout(60)
 class LargeBodiesTest {
     private static final int LARGE = 6 << 20, SMALL = 16 << 10;
@@ -38,7 +38,7 @@
     @BeforeEach
     void start() throws Exception {
         discovery = new Peer();
-        // Small buffers, so that who sends is often ahead of who takes, and has to wait.
+        // Small buffers, so that the sender is often ahead of the receiver and has to wait.
         backend = new ServerSocket();
         backend.setReceiveBufferSize(SMALL);
         backend.bind(new InetSocketAddress("127.0.0.1", 0));
@@ -55,7 +55,7 @@
         backend.close();
     }
 
-    /** Bytes that differ everywhere: what is lost, doubled or in another place shows. */
+    /** Random bytes, so that lost, duplicated or misplaced data is detected. */
     private static byte[] bytes(int length) {
         byte[] b = new byte[length];
         new Random(length).nextBytes(b);
@@ -97,14 +97,14 @@
         return s.toString();
     }
 
-    /** The body of a message with chunks. */
+    /** The body of a chunked message. */
     private static byte[] chunks(InputStream in) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (true) {
             StringBuilder line = new StringBuilder();
             for (int b = in.read(); b != '\n'; b = in.read()) {
                 if (b < 0) {
-                    throw new IOException("the end, in a chunk's size");
+                    throw new IOException("end of stream in a chunk size");
                 }
                 line.append((char) b);
             }
@@ -113,7 +113,7 @@
             assertEquals(
                     "\r\n",
                     new String(in.readNBytes(2), StandardCharsets.ISO_8859_1),
-                    "a chunk ends where its size says");
+                    "the chunk does not end where its size says");
             if (size == 0) {
                 return all.toByteArray();
             }
@@ -194,10 +194,10 @@
         byte[] body = bytes(LARGE);
         try (Socket client = client()) {
             write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
-            // The rest is held back: else the system's buffers may take it all before the backend has gone.
+            // The rest is held back, as the kernel's buffers could take it all before the backend has closed.
             client.getOutputStream().write(body, 0, LARGE / 2);
             Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), 12345, 0)); // none is known by that number
+            setup.act(() -> setup.actions.send(r.ticket(), 12345, 0)); // no backend has this number
             assertEquals(Status.MOOT, setup.outcome().status());
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             try (Socket b = accept()) {
@@ -206,7 +206,7 @@
             }
             assertEquals(Status.CONNECT_FAILED, setup.outcome().status(), "its last byte was never written");
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
-            assertEquals(Status.MOOT, setup.outcome().status(), "a part of it is gone");
+            assertEquals(Status.MOOT, setup.outcome().status(), "part of the body is no longer available");
             setup.act(() -> setup.actions.refuse(r.ticket(), 0));
             assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 503"));
         }
@@ -286,7 +286,7 @@
                         b.getOutputStream().write(body);
                     }
                 });
-                assertEquals(Status.OK, setup.outcome().status(), "served with its first bytes");
+                assertEquals(Status.OK, setup.outcome().status(), "counted as OK with its first bytes");
                 assertEquals(
                         1,
                         setup.loop
@@ -294,7 +294,7 @@
                                         .get(20, TimeUnit.SECONDS)
                                 ? 1
                                 : 0,
-                        "and still under way");
+                        "the request is still in progress");
                 String head = head(client.getInputStream());
                 assertTrue(head.startsWith("HTTP/1.1 200"), head);
                 byte[] got = chunked
@@ -302,7 +302,7 @@
                         : client.getInputStream().readNBytes(LARGE);
                 assertArrayEquals(body, got);
                 given.get(20, TimeUnit.SECONDS);
-                // Both connections are of use again.
+                // Both connections can be reused.
                 setup.passes(20);
                 write(client, Setup.get());
                 Request next = setup.request();
@@ -334,7 +334,7 @@
             try {
                 got = client.getInputStream().readAllBytes().length;
             } catch (IOException e) {
-                // a reset tells as well
+                // a reset is valid too
             }
             assertTrue(got <= 100_000);
             assertTrue(setup.loop
@@ -356,7 +356,7 @@
             b.getOutputStream().write(bytes(100_000));
             head(client.getInputStream());
             client.close();
-            assertEquals(-1, ended(b), "the backend need not go on");
+            assertEquals(-1, ended(b), "the backend connection is closed");
         }
     }
 
--- a/src/test/java/gullspar/proxy/OperatorTest.java
+++ b/src/test/java/gullspar/proxy/OperatorTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators ask, and what they change while a proxy serves. */
+/** The operator endpoint, and configuration changes while a proxy serves. */
 @Timeout(60)
 class OperatorTest {
     @TempDir
@@ -66,7 +66,7 @@
     private String call(String text) throws Exception {
         try (Peer.Wire w = Peer.Wire.to(address)) {
             String answer = w.write(text).read();
-            assertTrue(w.ended(), "one call on a connection");
+            assertTrue(w.ended(), "the connection closes after one request");
             return answer;
         }
     }
@@ -113,7 +113,7 @@
             silent.add(Peer.Wire.to(address).write(i % 2 == 0 ? "" : "GET /_rea"));
         }
         assertTrue(call("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
-        assertTrue(silent.get(0).ended(), "the first of them made room");
+        assertTrue(silent.get(0).ended(), "the oldest silent connection is closed");
         for (Peer.Wire w : silent) {
             w.close();
         }
@@ -168,7 +168,7 @@
             client.write(Setup.get());
             Request under = setup.request();
             setup.act(() -> setup.proxy.reload(config));
-            // What is under way keeps its class and its attempts.
+            // A request in progress keeps its class and its attempts.
             setup.act(() -> setup.actions.send(under.ticket(), server, 0));
             Peer.Wire broken = backend.accept();
             broken.read();
@@ -180,20 +180,20 @@
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
             other.write(Setup.get());
-            assertTrue(other.read().startsWith("HTTP/1.1 404"), "the class is gone");
+            assertTrue(other.read().startsWith("HTTP/1.1 404"), "the class was removed");
             other.write(Setup.get()
                     .replace("GET /look", "POST /gift")
                     .replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"));
             setup.outcome();
             Request r = setup.request();
-            assertEquals(3, r.profile(), "behind the three that there were");
-            setup.passes(20); // the connection is used again
+            assertEquals(3, r.profile(), "the index follows those of the first three classes");
+            setup.passes(20); // the connection is reused
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
             b.read();
             b.reset();
             assertEquals(Status.RESET, setup.outcome().status());
             setup.act(() -> setup.actions.send(r.ticket(), server, 0));
-            assertEquals(Status.MOOT, setup.outcome().status(), "one attempt is all there is");
+            assertEquals(Status.MOOT, setup.outcome().status(), "only one attempt is allowed");
             setup.act(() -> setup.actions.fail(r.ticket()));
             other.read();
         }
@@ -209,7 +209,7 @@
     void varsReportEventLoopAndClassArchive() throws Exception {
         setStatusSource();
         JsonNode f = figures();
-        assertEquals("none", f.path("class_archive").asText(), "this test's own process was started with none");
+        assertEquals("none", f.path("class_archive").asText(), "this test's process was started without an archive");
         assertTrue(f.path("loop").path("turns").asLong() > 0, f.toString());
         assertTrue(
                 f.path("loop").path("turns").asLong()
--- a/src/test/java/gullspar/proxy/Peer.java
+++ b/src/test/java/gullspar/proxy/Peer.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted peer on loopback: every connection that it accepts is handed to the test, in order. */
+/** A scripted server on loopback: every connection that it accepts is handed to the test, in order. */
 public final class Peer implements AutoCloseable {
     private static final int TIMEOUT_S = 20;
     private final ServerSocket server;
@@ -23,7 +23,7 @@
         this(0);
     }
 
-    /** One at a port that another has left. */
+    /** Listens on a port that another server has released. */
     public Peer(int port) throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
@@ -34,7 +34,7 @@
                     accepted.add(new Wire(server.accept()));
                 }
             } catch (IOException e) {
-                // closed: the test is over
+                // closed at the end of the test
             }
         });
         acceptor.setDaemon(true);
@@ -53,7 +53,7 @@
     public Wire accept() throws InterruptedException {
         Wire w = accepted.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (w == null) {
-            throw new AssertionError("no connection came");
+            throw new AssertionError("no connection within " + TIMEOUT_S + " s");
         }
         return w;
     }
@@ -63,7 +63,7 @@
         return accepted.isEmpty();
     }
 
-    /** Connections are refused from then on: until its thread has left, the socket goes on taking them. */
+    /** Stops listening. Waits for the accepting thread: until it ends, the socket goes on accepting. */
     @Override
     public void close() throws IOException {
         server.close();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** One end of a connection, with plain blocking reads and writes. */
+    /** One end of a connection, with blocking reads and writes. */
     public static final class Wire implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
@@ -114,12 +114,12 @@
             return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
         }
 
-        /** So many bytes, or fewer at the end. */
+        /** Reads count bytes, or fewer at the end. */
         public String bytes(int count) throws IOException {
             return new String(in.readNBytes(count), StandardCharsets.ISO_8859_1);
         }
 
-        /** All up to that text and with it, or up to the end. */
+        /** Reads up to and including the text, or up to the end. */
         public String until(String end) throws IOException {
             StringBuilder s = new StringBuilder();
             for (int b = in.read(); b >= 0; b = in.read()) {
@@ -131,7 +131,7 @@
             return s.toString();
         }
 
-        /** True once the other side has closed; a reset is an end as well. */
+        /** True once the other side has closed or reset the connection. */
         public boolean ended() {
             try {
                 return in.read() < 0;
@@ -140,12 +140,12 @@
             }
         }
 
-        /** Ends its sending and goes on reading. */
+        /** Closes the sending side only. */
         public void endSending() throws IOException {
             socket.shutdownOutput();
         }
 
-        /** Ends the connection with a reset, as a process that dies does. */
+        /** Resets the connection, as a crashing process does. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
--- a/src/test/java/gullspar/proxy/client/BodyBudgetReleaseTest.java
+++ b/src/test/java/gullspar/proxy/client/BodyBudgetReleaseTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whatever becomes of a request, the room that its body took is given back. */
+/** The budget reserved for a request's body is released however the request ends. */
 class BodyBudgetReleaseTest {
     private final List<Message> taken = new ArrayList<>();
     private final List<Client> disconnected = new ArrayList<>();
@@ -138,9 +138,9 @@
         frontend.budget().setLimit(2 << 20);
         List<EmbeddedChannel> all = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            all.add(client(order(1 << 20), "x".repeat((1 << 20) - 1))); // held: a byte is missing
+            all.add(client(order(1 << 20), "x".repeat((1 << 20) - 1))); // buffered: one byte is missing
         }
-        assertEquals(1, taken.size(), "the first that finds no room goes on while it comes");
+        assertEquals(1, taken.size(), "the first one without room in the budget is forwarded while it is received");
         EmbeddedChannel small = client(order(1000), "x".repeat(1000));
         assertEquals(2, taken.size());
         leave(small);
--- a/src/test/java/gullspar/proxy/client/CloseWithUnreadRequestTest.java
+++ b/src/test/java/gullspar/proxy/client/CloseWithUnreadRequestTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request that has come, and was not read yet, when its connection would be closed as idle. */
+/** A request that has arrived but is still unread when its connection would be closed as idle. */
 @Timeout(60)
 class CloseWithUnreadRequestTest {
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
--- a/src/test/java/gullspar/proxy/client/ResponseForwardingTest.java
+++ b/src/test/java/gullspar/proxy/client/ResponseForwardingTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An answer of which much waits already when its client has room for it. */
+/** A response with much data already buffered when the client's channel is writable. */
 class ResponseForwardingTest {
     private static final class Owner implements Client.Owner {
         @Override
@@ -65,7 +65,10 @@
         }
     }
 
-    /** The channel takes all at once: a write that fills its buffer makes room again from inside itself. */
+    /**
+     * The channel accepts everything at once: a write that fills its buffer makes it writable again
+     * re-entrantly.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void chunkPartsAreNotInterleaved(boolean chunked) throws Exception {
--- a/src/test/java/gullspar/proxy/client/TenantLookup.java
+++ b/src/test/java/gullspar/proxy/client/TenantLookup.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 
-/** What a request is found to ask, for those who measure what that costs. */
+/** Gives benchmarks access to the lookup of a request's tenant. */
 public final class TenantLookup {
     private final Config config;
     private final Classes.RequestClass of;
@@ -17,7 +17,7 @@
         this.of = new Classes(config).find(config.classes().get(0));
     }
 
-    /** The place of a tenant, found as for any request. */
+    /** The index of a tenant, looked up as for any request. */
     public int place(String tenant) {
         HttpHeaders h = new DefaultHttpHeaders();
         h.add("Tenant", tenant);
--- a/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
+++ b/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
@@ -20,7 +20,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A loop that stood still finds a body that was left unread too long in the turn that would send it on. */
+/**
+ * After a stall of the event loop, a body that stayed unread for too long is found in the same iteration that
+ * would send it on: its request must be rejected although the timer has not fired yet.
+ */
 class UnreadBodyTest {
     private final List<Client> taken = new ArrayList<>();
     private final List<Client> disconnected = new ArrayList<>();
@@ -73,7 +76,7 @@
         ByteBuf answer = c.readOutbound();
         assertTrue(answer.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 503 "));
         answer.release();
-        assertTrue(c.config().isAutoRead(), "the rest is read, to see its client go");
+        assertTrue(c.config().isAutoRead(), "the rest is read to detect that the client disconnects");
         c.close();
         c.runPendingTasks();
     }
--- a/src/test/java/gullspar/proxy/http/BodyStreamTest.java
+++ b/src/test/java/gullspar/proxy/http/BodyStreamTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What is on its way from one connection to another. */
+/** A body stream between two connections. */
 class BodyStreamTest {
     private final AtomicInteger resumed = new AtomicInteger();
     private final AtomicInteger dropped = new AtomicInteger();
@@ -52,7 +52,7 @@
         }
         assertEquals(1, resumed.get());
         assertTrue(stream.add(chunk(part - 1)));
-        assertFalse(stream.add(chunk(1)), "from the first that is taken the usual bound holds");
+        assertFalse(stream.add(chunk(1)), "once reading has started the usual limit applies");
         for (ByteBuf rest = stream.nextChunk(); rest != null; rest = stream.nextChunk()) {
             rest.release();
         }
@@ -70,7 +70,7 @@
         assertFalse(stream.isFullyRead());
         stream.nextChunk().release();
         assertTrue(stream.isFullyRead());
-        assertFalse(stream.isAborted(), "what was whole stays whole");
+        assertFalse(stream.isAborted(), "a complete stream cannot be aborted");
     }
 
     @Test
@@ -85,6 +85,6 @@
         ByteBuf late = chunk(5);
         assertTrue(stream.add(late));
         assertEquals(0, late.refCnt());
-        assertFalse(stream.isUnread(), "no attempt can send it any more");
+        assertFalse(stream.isUnread(), "a dropped stream cannot be sent");
     }
 }
