--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -302,7 +302,7 @@
             closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
             return false;
         }
-        if (upload == null && body.add(bytes) != Body.AddResult.ADDED) {
+        if (upload == null && body.add(bytes) != Body.AddResult.TAKEN) {
             upload = new BodyStream(() -> channel.config().setAutoRead(true), () -> {});
             enqueue(new QueuedRequest(
                     new Message(
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -27,9 +27,9 @@
 
     /** The result of adding: added, larger than a body may be, or no room in the budget. */
     public enum AddResult {
-        ADDED,
+        TAKEN,
         TOO_LONG,
-        BUDGET_EXHAUSTED
+        NO_ROOM
     }
 
     /** Copies all readable bytes; the caller keeps ownership of the buffer. */
@@ -43,9 +43,7 @@
                         ? Math.max(MIN_CHUNK_BYTES, Math.min(CHUNK_BYTES, bytes.readableBytes()))
                         : CHUNK_BYTES;
                 if (!budget.tryReserve(size)) {
-                    return budget.canEverReserve(reservedBytes + size)
-                            ? AddResult.BUDGET_EXHAUSTED
-                            : AddResult.TOO_LONG;
+                    return budget.canEverReserve(reservedBytes + size) ? AddResult.NO_ROOM : AddResult.TOO_LONG;
                 }
                 reservedBytes += size;
                 chunks.add(new byte[size]);
@@ -56,7 +54,7 @@
             lastChunkLength += n;
             length += n;
         }
-        return AddResult.ADDED;
+        return AddResult.TAKEN;
     }
 
     private byte[] lastChunk() {
--- a/src/main/java/gullspar/proxy/http/BodyStream.java
+++ b/src/main/java/gullspar/proxy/http/BodyStream.java
@@ -23,9 +23,9 @@
     static final int MAX_UNREAD_BYTES = 256 << 10;
 
     private enum State {
-        RECEIVING,
-        COMPLETE,
-        ABORTED
+        COMING,
+        WHOLE,
+        BROKEN
     }
 
     private final Deque<ByteBuf> chunks = new ArrayDeque<>();
@@ -34,7 +34,7 @@
     private int bufferedBytes;
     private boolean paused;
     private boolean dropped;
-    private State state = State.RECEIVING;
+    private State state = State.COMING;
     private Reader reader;
 
     /** Callbacks for the writer: onResume when it may go on, onDropped when the rest is not wanted. */
@@ -60,16 +60,16 @@
 
     /** Marks the stream as complete. */
     public void complete() {
-        finish(State.COMPLETE);
+        finish(State.WHOLE);
     }
 
     /** Marks the stream as aborted: the rest will not be received. */
     public void abort() {
-        finish(State.ABORTED);
+        finish(State.BROKEN);
     }
 
     private void finish(State finalState) {
-        if (state == State.RECEIVING) {
+        if (state == State.COMING) {
             state = finalState;
             notifyReader();
         }
@@ -113,16 +113,16 @@
 
     /** True if the stream is complete and all of it has been read. */
     public boolean isFullyRead() {
-        return state == State.COMPLETE && chunks.isEmpty();
+        return state == State.WHOLE && chunks.isEmpty();
     }
 
     public boolean isAborted() {
-        return state == State.ABORTED;
+        return state == State.BROKEN;
     }
 
     /** True if more is to be received. */
     public boolean isReceiving() {
-        return state == State.RECEIVING;
+        return state == State.COMING;
     }
 
     /** True if the writer has been paused. */
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -204,7 +204,7 @@
         if (o instanceof HttpContent content && !ending) {
             if (head != null) {
                 Body.AddResult added = body.add(content.content());
-                if (added != Body.AddResult.ADDED) {
+                if (added != Body.AddResult.TAKEN) {
                     refuseBody(added);
                     return;
                 }
