--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -223,9 +223,10 @@
             @Override
             Message out(Message m) {
                 boolean knock = m instanceof Message.Ping p
-                        && (p.target() == 0
+                        && (p.targetLife() == 0
                                 || m.rumors().stream()
-                                        .anyMatch(r -> r.id().life() == p.target() && r.status() == MemberStatus.GONE));
+                                        .anyMatch(r ->
+                                                r.id().life() == p.targetLife() && r.status() == MemberStatus.GONE));
                 return knock ? null : m;
             }
         }));
@@ -243,19 +244,19 @@
                 starved(s -> new Settings(
                         s.intervalNs(),
                         s.timeoutNs(),
-                        s.indirect(),
-                        s.suspicion(),
-                        s.stretch(),
+                        s.indirectProbes(),
+                        s.suspicionMultiplier(),
+                        s.maxSuspicionFactor(),
                         s.confirmations(),
                         0,
-                        s.retell(),
+                        s.retransmitMultiplier(),
                         s.fanout(),
                         s.syncNs(),
-                        s.figuresNs(),
-                        s.reconnectMost(),
+                        s.statsIntervalNs(),
+                        s.maxReconnectIntervals(),
                         s.forgetNs(),
                         s.windowNs(),
-                        s.members(),
+                        s.maxMembers(),
                         s.bytesPerSecond())));
     }
 
@@ -279,7 +280,7 @@
 
             @Override
             Message answerTo(Message m) {
-                Message.Header h = m instanceof Message.Ping p ? heard.get(p.target()) : null;
+                Message.Header h = m instanceof Message.Ping p ? heard.get(p.targetLife()) : null;
                 if (h == null) {
                     return null;
                 }
@@ -305,10 +306,10 @@
                                                 r.id(),
                                                 r.incarnation(),
                                                 r.status(),
-                                                r.by(),
-                                                r.sinceMs(),
+                                                r.accuser(),
+                                                r.statusAgeMs(),
                                                 unnamed(r.statement()),
-                                                r.statedMs()))
+                                                r.statementAgeMs()))
                                 .toList());
             }
 
@@ -323,8 +324,8 @@
                         s.phase(),
                         s.upMs(),
                         0,
-                        s.view(),
-                        s.figures(),
+                        s.viewDigest(),
+                        s.stats(),
                         s.facts());
             }
         }));
@@ -347,7 +348,7 @@
 
             @Override
             Message answerTo(Message m) {
-                Rumor r = m instanceof Message.Ping p ? addUnconfirmed.get(p.target()) : null;
+                Rumor r = m instanceof Message.Ping p ? addUnconfirmed.get(p.targetLife()) : null;
                 return r == null
                         ? null
                         : new Message.Ack(
@@ -368,7 +369,7 @@
 
     /** Changes what goes through a proxy's socket. */
     abstract static class Filter extends ChannelDuplexHandler {
-        private final Envelope envelope = new Envelope(List.of(new byte[Envelope.LEAST_KEY_BYTES]));
+        private final Envelope envelope = new Envelope(List.of(new byte[Envelope.MIN_KEY_BYTES]));
 
         Message in(Message m) {
             return m;
@@ -386,7 +387,7 @@
         private Message read(DatagramPacket p) {
             byte[] d = ByteBufUtil.getBytes(p.content());
             try {
-                return Codec.decode(d, Envelope.front(), d.length - Envelope.front());
+                return Codec.decode(d, Envelope.messageOffset(), d.length - Envelope.messageOffset());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -28,7 +28,7 @@
 
 /** Members of the view of the fleet, over UDP, with nothing to serve. Each is on a loop of its own. */
 final class HollowMembers implements Hollow.Part {
-    private static final byte[] KEY = new byte[Envelope.LEAST_KEY_BYTES];
+    private static final byte[] KEY = new byte[Envelope.MIN_KEY_BYTES];
 
     private record Member(EventLoop loop, Membership membership) {}
 
