--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -46,12 +46,12 @@
         private long requesterNonce;
         private boolean direct = true;
 
-        Probe(Kind kind, Peer target, String address, long othersAt, long endsAt) {
+        Probe(Kind kind, Peer target, String address, long indirectAt, long expiresAt) {
             this.kind = kind;
             this.target = target;
             this.address = address;
-            this.indirectAt = othersAt;
-            this.expiresAt = endsAt;
+            this.indirectAt = indirectAt;
+            this.expiresAt = expiresAt;
         }
     }
 
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -24,9 +24,9 @@
         private boolean statsOnly;
         private int transmissions;
 
-        Entry(Identity id, long number) {
+        Entry(Identity id, long sequence) {
             this.id = id;
-            this.sequence = number;
+            this.sequence = sequence;
         }
     }
 
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -47,10 +47,10 @@
         this.counters = counters;
     }
 
-    private void recordChange(long now, Change.Kind kind, Identity about, String why) {
+    private void recordChange(long now, Change.Kind kind, Identity about, String reason) {
         changedAt = now;
         settled = false;
-        out.onChange(new Change(kind, about, why, roster.size()));
+        out.onChange(new Change(kind, about, reason, roster.size()));
     }
 
     /** Says once, when nothing has changed for so long and nobody is suspected. */
@@ -103,10 +103,10 @@
         }
     }
 
-    private void updateStatement(long now, Peer p, Statement s, long at) {
+    private void updateStatement(long now, Peer p, Statement s, long statedAt) {
         Statement old = p.statement;
         p.statement = s;
-        p.statedAt = Math.min(now, at);
+        p.statedAt = Math.min(now, statedAt);
         if (onlyStatsDiffer(old, s)) {
             gossip.enqueueStats(p.id);
         } else {
@@ -183,10 +183,10 @@
     }
 
     /** Adds a new member; null if the roster is full. */
-    Peer admit(long now, Identity id, Statement s, long statedAt, MemberState state, long since, String why) {
+    Peer admit(long now, Identity id, Statement s, long statedAt, MemberState state, long since, String reason) {
         Peer p = new Peer(id, s, Math.min(now, statedAt), state, state.status() == MemberStatus.ALIVE ? now : since);
         if (state.accuses()) {
-            p.reason = why;
+            p.reason = reason;
         }
         boolean suspect = state.status() == MemberStatus.SUSPECTED;
         p.status = suspect ? MemberStatus.ALIVE : state.status();
@@ -214,7 +214,7 @@
             reportTwin(now, p);
         }
         if (suspect) {
-            suspect(now, p, state.incarnation(), why);
+            suspect(now, p, state.incarnation(), reason);
         }
         return p;
     }
@@ -255,13 +255,13 @@
     }
 
     /** A member, or this process itself, gets no answer from it. */
-    void suspect(long now, Peer p, int incarnation, String by) {
+    void suspect(long now, Peer p, int incarnation, String accuser) {
         MemberState reported = new MemberState(incarnation, MemberStatus.SUSPECTED);
         if (reported.compareTo(p.state) < 0 || p.status == MemberStatus.GONE || p.status == MemberStatus.LEFT) {
             return;
         }
         if (p.suspicion != null && p.suspicion.incarnation() == incarnation) {
-            if (p.suspicion.confirm(by)) {
+            if (p.suspicion.confirm(accuser)) {
                 gossip.enqueue(p.id, false);
             }
             return;
@@ -270,20 +270,20 @@
         long minNs = settings.suspicionNs(roster.size());
         boolean wasAlive = p.status == MemberStatus.ALIVE;
         if (wasAlive) {
-            setStatus(now, p, MemberStatus.SUSPECTED, by);
+            setStatus(now, p, MemberStatus.SUSPECTED, accuser);
         }
         setSuspicion(
                 p,
                 new Suspicion(
                         incarnation,
-                        by,
+                        accuser,
                         Math.min(settings.confirmations(), Math.max(0, roster.size() - 2)),
                         minNs,
                         minNs * settings.maxSuspicionFactor(),
                         now));
         gossip.enqueue(p.id, false);
         if (wasAlive) {
-            recordChange(now, Change.Kind.SUSPECTED, p.id, "by " + by);
+            recordChange(now, Change.Kind.SUSPECTED, p.id, "by " + accuser);
         }
     }
 
@@ -296,36 +296,39 @@
         }
     }
 
-    private void onReportedGone(long now, Peer p, int incarnation, String by) {
+    private void onReportedGone(long now, Peer p, int incarnation, String accuser) {
         MemberState reported = new MemberState(incarnation, MemberStatus.GONE);
         if (reported.compareTo(p.state) <= 0) {
             return;
         }
         p.state = reported;
         if (p.status == MemberStatus.SUSPECTED && p.suspicion.incarnation() <= incarnation) {
-            markGone(now, p, by);
+            markGone(now, p, accuser);
         } else if (p.status == MemberStatus.ALIVE) {
             // Two halves that find each other again say this of one another: whoever lives objects in a
             // moment.
-            setStatus(now, p, MemberStatus.SUSPECTED, by);
+            setStatus(now, p, MemberStatus.SUSPECTED, accuser);
             setSuspicion(
-                    p, new Suspicion(incarnation, by, 0, health.scale(REFUTE_TIMEOUTS * settings.timeoutNs()), 0, now));
-            recordChange(now, Change.Kind.SUSPECTED, p.id, "said to be gone" + (by.isEmpty() ? "" : ", by " + by));
+                    p,
+                    new Suspicion(
+                            incarnation, accuser, 0, health.scale(REFUTE_TIMEOUTS * settings.timeoutNs()), 0, now));
+            recordChange(
+                    now, Change.Kind.SUSPECTED, p.id, "said to be gone" + (accuser.isEmpty() ? "" : ", by " + accuser));
             toProbe.add(p);
         }
     }
 
     /** The member is gone; gossips that. */
-    void markGone(long now, Peer p, String why) {
+    void markGone(long now, Peer p, String reason) {
         if (!p.present()) {
             return;
         }
         p.state = p.state.merge(new MemberState(p.state.incarnation(), MemberStatus.GONE));
-        setStatus(now, p, MemberStatus.GONE, why);
+        setStatus(now, p, MemberStatus.GONE, reason);
         p.reconnectPauseNs = 2 * settings.intervalNs();
         p.reconnectAt = now + p.reconnectPauseNs;
         gossip.enqueue(p.id, false);
-        recordChange(now, Change.Kind.GONE, p.id, why);
+        recordChange(now, Change.Kind.GONE, p.id, reason);
     }
 
     private void markLeft(long now, Peer p, int incarnation) {
@@ -341,11 +344,11 @@
         }
     }
 
-    private void setStatus(long now, Peer p, MemberStatus v, String why) {
+    private void setStatus(long now, Peer p, MemberStatus v, String reason) {
         p.lastPresentAt = p.present() ? now : p.lastPresentAt;
         p.status = v;
         p.statusSince = now;
-        p.reason = why;
+        p.reason = reason;
         if (v != MemberStatus.SUSPECTED) {
             setSuspicion(p, null);
         }
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -377,17 +377,17 @@
     /** Checksum of the lives that are alive in this view, itself included. */
     private int digest() {
         CRC32 sum = new CRC32();
-        boolean own = false;
+        boolean ownAdded = false;
         for (Peer p : roster.all()) {
-            if (!own && p.id.compareTo(self.id) > 0) {
-                own = true;
+            if (!ownAdded && p.id.compareTo(self.id) > 0) {
+                ownAdded = true;
                 add(sum, self.id.life());
             }
             if (p.status == MemberStatus.ALIVE) {
                 add(sum, p.id.life());
             }
         }
-        if (!own) {
+        if (!ownAdded) {
             add(sum, self.id.life());
         }
         return (int) sum.getValue();
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -25,11 +25,11 @@
         int probes;
         long nextProbeAt;
 
-        Unconfirmed(Rumor rumor, long by, long at) {
+        Unconfirmed(Rumor rumor, long reporterLife, long receivedAt) {
             this.rumor = rumor;
-            this.reporterLife = by;
-            this.receivedAt = at;
-            this.nextProbeAt = at;
+            this.reporterLife = reporterLife;
+            this.receivedAt = receivedAt;
+            this.nextProbeAt = receivedAt;
         }
     }
 
@@ -40,8 +40,8 @@
 
     private final Map<Identity, Unconfirmed> unconfirmed = new LinkedHashMap<>();
 
-    Roster(int most) {
-        this.maxMembers = most;
+    Roster(int maxMembers) {
+        this.maxMembers = maxMembers;
     }
 
     Peer get(Identity id) {
--- a/src/main/java/gullspar/peers/Rumor.java
+++ b/src/main/java/gullspar/peers/Rumor.java
@@ -38,7 +38,7 @@
         return maxBytes(id, accuser, statement);
     }
 
-    static int maxBytes(Identity id, String by, Statement statement) {
-        return FIXED_BYTES + id.name().length() + by.length() + (statement == null ? 0 : statement.maxBytes());
+    static int maxBytes(Identity id, String accuser, Statement statement) {
+        return FIXED_BYTES + id.name().length() + accuser.length() + (statement == null ? 0 : statement.maxBytes());
     }
 }
--- a/src/main/java/gullspar/peers/SelfHealth.java
+++ b/src/main/java/gullspar/peers/SelfHealth.java
@@ -9,8 +9,8 @@
     private final int maxScore;
     private int score;
 
-    SelfHealth(int most) {
-        this.maxScore = most;
+    SelfHealth(int maxScore) {
+        this.maxScore = maxScore;
     }
 
     /** For the worse (more than 0) or the better. */
--- a/src/main/java/gullspar/peers/Suspicion.java
+++ b/src/main/java/gullspar/peers/Suspicion.java
@@ -16,13 +16,13 @@
     private final long maxNs;
     private long startedAt;
 
-    Suspicion(int incarnation, String by, int wanted, long least, long most, long now) {
+    Suspicion(int incarnation, String accuser, int maxConfirmations, long minNs, long maxNs, long now) {
         this.incarnation = incarnation;
-        this.maxConfirmations = wanted;
-        this.minNs = least;
-        this.maxNs = wanted == 0 ? least : most;
+        this.maxConfirmations = maxConfirmations;
+        this.minNs = minNs;
+        this.maxNs = maxConfirmations == 0 ? minNs : maxNs;
         this.startedAt = now;
-        accusers.add(by);
+        accusers.add(accuser);
     }
 
     int incarnation() {
@@ -30,8 +30,8 @@
     }
 
     /** Somebody accuses as well; true if that is news, and still wanted. */
-    boolean confirm(String by) {
-        return accusers.size() <= maxConfirmations && accusers.add(by);
+    boolean confirm(String accuser) {
+        return accusers.size() <= maxConfirmations && accusers.add(accuser);
     }
 
     /** When it is believed, in ns. */
--- a/src/main/java/gullspar/peers/net/KeyFile.java
+++ b/src/main/java/gullspar/peers/net/KeyFile.java
@@ -63,7 +63,7 @@
         return keys;
     }
 
-    private static IOException syntaxError(Path file, int line, int column, String what) {
-        return new IOException(file + ":" + (line + 1) + ":" + column + ": " + what);
+    private static IOException syntaxError(Path file, int line, int column, String problem) {
+        return new IOException(file + ":" + (line + 1) + ":" + column + ": " + problem);
     }
 }
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -60,10 +60,10 @@
     private long unsent;
 
     /** changes: hears what changes in the view. */
-    public UdpTransport(Platform platform, Envelope envelope, Consumer<Change> changes) {
+    public UdpTransport(Platform platform, Envelope envelope, Consumer<Change> changeListener) {
         this.platform = platform;
         this.envelope = envelope;
-        this.changeListener = changes;
+        this.changeListener = changeListener;
     }
 
     /** Binds a socket there; {@link #begin} is to follow once that is done. */
--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -81,8 +81,8 @@
                 long[] after = cost(t);
                 datagrams += (after[0] - before[0]) / 60.0 / size / fleets;
                 bytes += (after[1] - before[1]) / 60.0 / size / fleets;
-                int most = size == 3 ? 1 : size == 10 ? 4 : 10;
-                for (int d = 0; d < most; d++, deaths++) {
+                int kills = size == 3 ? 1 : size == 10 ? 4 : 10;
+                for (int d = 0; d < kills; d++, deaths++) {
                     List<Node> living = t.living();
                     Node victim = living.get(t.random.nextInt(living.size()));
                     long startedAt = t.now;
--- a/src/test/java/gullspar/peers/PeersTest.java
+++ b/src/test/java/gullspar/peers/PeersTest.java
@@ -269,9 +269,9 @@
         SimulatedFleet t = settledFleet(14, 10);
         Node dead = t.get(6);
         dead.kill();
-        Node heir = t.start("p11", dead.address, "a1:1");
+        Node newOwner = t.start("p11", dead.address, "a1:1");
         assertTrue(t.runUntil(30, t::hasConverged) >= 0);
-        t.living().stream().filter(l -> l != heir).forEach(l -> assertEquals(View.Status.GONE, l.statusOf(dead)));
+        t.living().stream().filter(l -> l != newOwner).forEach(l -> assertEquals(View.Status.GONE, l.statusOf(dead)));
     }
 
     @Test
