--- a/src/main/java/gullspar/peers/Change.java
+++ b/src/main/java/gullspar/peers/Change.java
@@ -1,38 +1,38 @@
 package gullspar.peers;
 
 /**
- * A change of the view, for the log and for whoever acts on the view.
+ * A change of the view, for the log and for code that acts on the view.
  *
- * @param about the life that it is about; this process's own for what it says of itself
- * @param why who accuses, or another reason, as text for people; may be empty
- * @param present how many are present after it, this process included
+ * @param subject the life concerned; this process's own for changes of its own state
+ * @param reason the accuser or another reason, as text for operators; may be empty
+ * @param present the number of members present after it, this process included
  */
 public record Change(Kind kind, Identity subject, String reason, int present) {
-    /** What has changed. */
+    /** The kind of change. */
     public enum Kind {
-        /** A life that was not known is there. */
+        /** An unknown life joined. */
         JOINED,
-        /** It may be gone. */
+        /** It did not answer, and may be gone. */
         SUSPECTED,
         /** The suspicion was refuted. */
         CLEARED,
-        /** It is gone, as far as can be told. */
+        /** A suspicion timed out, or another process answers at its address. */
         GONE,
-        /** It was held for gone, and is there. */
+        /** It was marked as gone, and is alive. */
         BACK,
-        /** It said goodbye. */
+        /** It announced that it leaves. */
         LEFT,
-        /** Another process lives under the same name. */
+        /** Another process runs under the same name. */
         TWIN,
-        /** This process sees fewer than half of those that it saw lately. */
+        /** Fewer than half of the recently present members are alive in the view of this process. */
         CUT_OFF,
-        /** It sees half of them or more again, or they are too long ago. */
+        /** At least half of them are alive again, or the others dropped out of the window. */
         REJOINED,
-        /** This process was accused, and objected. */
+        /** This process was accused, and refuted it. */
         OBJECTED,
-        /** This process stood still, and blames nobody for that time. */
+        /** This process was paused, and suspects no member for that time. */
         STOOD_STILL,
-        /** Nothing has changed for a while, and nobody is suspected. */
+        /** Nothing has changed for a while, and no member is suspected. */
         SETTLED
     }
 }
--- a/src/main/java/gullspar/peers/Counters.java
+++ b/src/main/java/gullspar/peers/Counters.java
@@ -1,6 +1,6 @@
 package gullspar.peers;
 
-/** What has gone through this process, from its start. */
+/** Counters of this process since its start. */
 public final class Counters {
     long sent;
     long sentBytes;
@@ -17,42 +17,42 @@
         return sent;
     }
 
-    /** Their bytes, at most. */
+    /** Upper bound of the bytes sent. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Datagrams that this process looked at. */
+    /** Authenticated datagrams received. */
     public long received() {
         return received;
     }
 
-    /** Datagrams that had come before, or were too old. */
+    /** Datagrams dropped as duplicates or too old. */
     public long duplicates() {
         return duplicates;
     }
 
-    /** Datagrams from lives that had not proved that they live. */
+    /** Datagrams of senders that are not members. */
     public long unknownSenders() {
         return unknownSenders;
     }
 
-    /** Datagrams that were not sent, so as not to send too much. */
+    /** Datagrams not sent because the byte budget was exhausted. */
     public long withheld() {
         return withheld;
     }
 
-    /** Members that were not taken in since there are too many. */
+    /** Members not admitted because the roster was full. */
     public long refusedMembers() {
         return refusedMembers;
     }
 
-    /** How often this process objected to an accusation. */
+    /** Accusations that this process refuted. */
     public long refutations() {
         return refutations;
     }
 
-    /** How often it found that it had stood still. */
+    /** Pauses of this process that it detected. */
     public long stalls() {
         return stalls;
     }
--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -27,7 +27,7 @@
         this.sendBudget = new TokenBucket(settings.bytesPerSecond(), now);
     }
 
-    /** Does the budget hold so many optional datagrams, and a reserve for answers? */
+    /** Whether the budget allows that many optional datagrams and keeps a reserve of two for answers. */
     boolean canSend(int datagrams, long now) {
         return sendBudget.canTake((datagrams + 2.0) * Message.MAX_DATAGRAM_BYTES, now);
     }
@@ -59,7 +59,7 @@
         send(now, to.address(), to.id, false, Message.News::new);
     }
 
-    /** Sends these rumors, in as many datagrams as needed. */
+    /** Sends the given rumors, in as many datagrams as needed. */
     void sendRumors(long now, Peer to, List<Rumor> rumors) {
         List<Rumor> page = new ArrayList<>();
         int left = 0;
@@ -86,7 +86,7 @@
         transmit(now, to.address(), make.apply(self.header()));
     }
 
-    /** Bytes that fit into one message besides its header. */
+    /** Bytes of a message that remain beside its header. */
     int maxPayloadBytes() {
         return MAX_MESSAGE_BYTES - Message.FRAMING_BYTES - self.headerBytes();
     }
@@ -102,7 +102,7 @@
         if (withOwnStatement) {
             left = addIfFits(rumors, self.rumor(now, true), left);
         }
-        // A suspected member has to be told first, so that it can refute the suspicion.
+        // The suspected member itself receives the accusation first, so that it can refute it.
         Peer p = to == null ? null : roster.get(to);
         if (p != null && p.state.accuses()) {
             left = addIfFits(rumors, new Rumor(p.id, p.state.incarnation(), p.state.status(), "", 0, null, 0), left);
--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -9,25 +9,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Asks the members, one after the other in an order drawn anew each round, whether they are there. Who does
- * not answer is asked for through others; who answers none of them is suspected. Only an answer to a
- * question counts: that somebody is heard says nothing of whether he hears.
+ * SWIM failure detector: probes the members one after the other, in an order shuffled for each round. A member that
+ * does not answer is probed indirectly through others, and suspected if that fails too. Only the answer to a probe
+ * counts as a sign of life: a member that still sends may not receive.
  */
 final class Detector {
-    /** Questions that are open at one time, at most. */
+    /** Limit on probes that are open at one time. */
     private static final int MAX_OPEN_PROBES = 512;
-    /** So many intervals somebody may take to prove that he lives. */
+    /** Time that an unknown process has to answer a verification, in intervals. */
     private static final int VERIFICATION_INTERVALS = 8;
-    /** The part of a time-out after which whoever looks for another says that he had no answer either. */
+    /** Fraction of the time-out after which a relaying member sends a nack. */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
-    /** Why somebody is asked. */
+    /** The purpose of a probe. */
     private enum Kind {
-        /** In his turn: no answer has consequences. */
+        /** Of a member: without an answer the member is suspected. */
         TURN,
-        /** A life that is to prove itself, or an address where somebody may be: no answer is none. */
+        /** Of an unconfirmed life or of an address: a missing answer has no consequence. */
         PROOF,
-        /** For another. */
+        /** On behalf of another member. */
         FOR_ANOTHER
     }
 
@@ -40,7 +40,7 @@
         private long sentAt;
         private int expectedNacks;
         private int nacks;
-        /** Who is told, with which nonce, where one asks for another. */
+        /** For a relayed probe: the member that asked for it, and the nonce of its request. */
         private Peer requester;
 
         private long requesterNonce;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Each member asks, or is asked, once in a round over all; so many intervals more are no silence. */
+    /** A member is silent if nothing arrives from it for a whole probe round and this many intervals more. */
     private static final int RECENT_SLACK_INTERVALS = 6;
 
     private final Settings settings;
@@ -86,7 +86,7 @@
         this.random = random;
     }
 
-    /** Asks whoever's turn it is. */
+    /** Probes the next member of the round. */
     void probeNext(long now) {
         for (int passed = 0; passed <= roster.present().size(); passed++) {
             if (roundIndex >= round.size()) {
@@ -108,12 +108,12 @@
         }
     }
 
-    /** Somebody new takes part in this round already, at a place drawn at random among those to come. */
+    /** Inserts a new member at a random place in the rest of this round. */
     void addToRound(Peer p) {
         round.add(roundIndex + random.nextInt(round.size() - roundIndex + 1), p);
     }
 
-    /** Asks one member, in its turn or out of it. */
+    /** Probes one member, in its turn or out of turn. */
     void probe(long now, Peer p) {
         Probe q = new Probe(
                 Kind.TURN,
@@ -128,23 +128,18 @@
     }
 
     /**
-     * Asks whoever is at an address to prove that he lives; target may be null where nobody knows who it
-     * is.
+     * Probes the process at an address to verify that it lives; target is null where its identity is not
+     * known.
      */
     void verify(long now, String address, Identity target) {
         if (open.values().stream()
-                .anyMatch(q -> q.kind == Kind.PROOF
-                        && q.address.equals(address)
-                        && now - q.sentAt < settings.intervalNs())) {
+                .anyMatch(q ->
+                        q.kind == Kind.PROOF && q.address.equals(address) && now - q.sentAt < settings.intervalNs())) {
             return;
         }
-        // No answer has no consequence, so there is time for one from whoever is far away or slow.
+        // A missing answer has no consequence, so the time-out is long enough for distant and slow processes.
         long nonce = open(new Probe(
-                Kind.PROOF,
-                null,
-                address,
-                Long.MAX_VALUE,
-                now + VERIFICATION_INTERVALS * settings.intervalNs()));
+                Kind.PROOF, null, address, Long.MAX_VALUE, now + VERIFICATION_INTERVALS * settings.intervalNs()));
         if (nonce != 0) {
             open.get(nonce).sentAt = now;
         }
@@ -165,7 +160,7 @@
         return nonce;
     }
 
-    /** Another asks this process to look for somebody. */
+    /** Probes a member on behalf of another. */
     void relayProbe(long now, Peer requester, Message.PingReq r) {
         Probe q = new Probe(
                 Kind.FOR_ANOTHER,
@@ -181,19 +176,17 @@
         }
     }
 
-    /**
-     * What an answer says of a life that was not proved yet: true if it answers a question of this process.
-     */
+    /** Whether the ack of a life that is not a member yet answers an open probe, and thereby proves that it lives. */
     boolean answersOpenProbe(Message.Ack a) {
         Probe q = open.get(a.nonce());
         return q != null && a.subject().equals(a.header().from());
     }
 
-    /** An answer came. */
+    /** Handles an ack. */
     void onAck(long now, Message.Ack a) {
         Probe q = open.get(a.nonce());
         if (q == null) {
-            return; // too late, or never asked
+            return; // too late, or no probe of this process
         }
         boolean fromSubject = a.subject().equals(a.header().from());
         switch (q.kind) {
@@ -230,11 +223,11 @@
             }
         } else if (fromSubject && q.address.equals(p.address())) {
             open.remove(a.nonce());
-            members.markGone(now, p, "at " + q.address + " answers " + a.subject());
+            members.markGone(now, p, "another process answers at " + q.address + ": " + a.subject());
         }
     }
 
-    /** One of those that were asked to look hears this process, and had no answer either. */
+    /** Handles a nack: a helper received the request, and got no answer from the target either. */
     void onNack(Message.Nack n) {
         Probe q = open.get(n.nonce());
         if (q != null && q.kind == Kind.TURN) {
@@ -242,7 +235,7 @@
         }
     }
 
-    /** Asks others, and draws conclusions, where the time is over. */
+    /** Starts indirect probes and expires probes whose time-out has passed. */
     void expire(long now) {
         for (Iterator<Map.Entry<Long, Probe>> i = open.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Long, Probe> e = i.next();
@@ -268,7 +261,7 @@
         q.direct = false;
         for (Peer helper : roster.sample(settings.indirectProbes(), random, q.target, null)) {
             if (helper.status == MemberStatus.ALIVE) {
-                // One that is silent itself tells nothing of how well this process hears.
+                // A missing nack of a helper that is silent itself says nothing of the health of this process.
                 q.expectedNacks += now - helper.lastReceivedAt <= recentNs() ? 1 : 0;
                 sender.pingReq(now, helper, nonce, q.target);
             }
@@ -280,7 +273,7 @@
     }
 
     private void onProbeFailed(long now, Probe q) {
-        // If those who were asked to help are not heard either, it is likely this process that hears badly.
+        // If nacks of the helpers are missing too, it is likely this process that loses datagrams.
         health.adjust(q.expectedNacks > 0 ? Math.max(0, q.expectedNacks - q.nacks) : 1);
         Peer p = q.target;
         if (p.present() && roster.get(p.id) == p) {
@@ -288,12 +281,12 @@
         }
     }
 
-    /** This process stood still: answers may have come and gone, so no question counts. */
+    /** Drops regular probes after a pause of this process, as their answers may have been lost. */
     void abandonProbes() {
         open.values().removeIf(q -> q.kind == Kind.TURN);
     }
 
-    /** When the next time is over; MAX_VALUE if nothing is open. */
+    /** The time of the next time-out, in ns; MAX_VALUE if no probe is open. */
     long expiresAt() {
         long next = Long.MAX_VALUE;
         for (Probe q : open.values()) {
--- a/src/main/java/gullspar/peers/Facts.java
+++ b/src/main/java/gullspar/peers/Facts.java
@@ -8,20 +8,19 @@
 import java.util.TreeMap;
 
 /**
- * What further subsystems tell of a member, by name. Each fact has a version and bytes that only its
- * subsystem reads: whoever does not know a name, or knows a lower version, passes it on unread, so members
- * of several versions of the program do not lose each other's facts. All facts of a member fit into a
- * budget.
+ * Data that other subsystems attach to a member, by name. Each fact has a version and bytes that only its subsystem
+ * interprets: a member that does not know the name or the version passes it on unchanged, so that members of several
+ * program versions do not lose each other's facts. The size of all facts of a member is bounded.
  */
 public final class Facts {
-    /** Names, versions and values of all facts together, in bytes. */
+    /** Limit on the names, versions and values of all facts of a member together. */
     public static final int MAX_BYTES = 256;
-    /** For what stands round a fact on the wire. */
+    /** Upper bound of the encoding around the name and value of a fact. */
     private static final int FACT_OVERHEAD_BYTES = 8;
-    /** Nothing told. */
+    /** No facts. */
     public static final Facts NONE = new Facts(Map.of());
 
-    /** One fact; the version says how its bytes are to be read. */
+    /** One fact; the version determines the encoding of its bytes. */
     public record Fact(int version, byte[] value) {
         public Fact {
             value = value.clone();
@@ -53,39 +52,39 @@
                 .sum();
     }
 
-    /** An IllegalArgumentException if they do not fit, or a name cannot be one. */
+    /** Throws an IllegalArgumentException if they exceed the limit, or a name or version is invalid. */
     public static Facts of(Map<String, Fact> facts) {
         Facts f = new Facts(facts);
         if (f.maxBytes > MAX_BYTES
                 || !facts.keySet().stream().allMatch(Identity::isValidName)
                 || facts.values().stream().anyMatch(v -> v.version < 0)) {
             throw new IllegalArgumentException(
-                    "facts of " + f.maxBytes + " bytes, of at most " + MAX_BYTES + ", or a name that cannot be");
+                    "facts of " + f.maxBytes + " bytes, maximum " + MAX_BYTES + ", or an invalid name or version");
         }
         return f;
     }
 
-    /** The same with one more, or with another value of it. */
+    /** Returns a copy with that fact added or replaced. */
     public Facts with(String name, int version, byte[] value) {
         Map<String, Fact> more = new TreeMap<>(facts);
         more.put(name, new Fact(version, value));
         return of(more);
     }
 
-    /** The same with a number. */
+    /** Returns a copy with a number added or replaced. */
     public Facts with(String name, int version, long value) {
         return with(
                 name, version, ByteBuffer.allocate(Long.BYTES).putLong(value).array());
     }
 
-    /** The same without one. */
+    /** Returns a copy without that fact. */
     public Facts without(String name) {
         Map<String, Fact> less = new TreeMap<>(facts);
         less.remove(name);
         return of(less);
     }
 
-    /** A number of that version or a lower one; empty if it is not told, newer, or not a number. */
+    /** Returns a number of that version or a lower one; empty if it is absent, newer, or not a number. */
     public OptionalLong number(String name, int version) {
         Fact f = facts.get(name);
         return f == null || f.version > version || f.value.length != Long.BYTES
@@ -93,12 +92,12 @@
                 : OptionalLong.of(ByteBuffer.wrap(f.value).getLong());
     }
 
-    /** All, by name. */
+    /** All facts, by name. */
     public Map<String, Fact> all() {
         return facts;
     }
 
-    /** At most this many on the wire. */
+    /** Upper bound of the encoded facts, in bytes. */
     int maxBytes() {
         return maxBytes;
     }
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * What is to be told along with other datagrams: what was told least often goes first, among these the
- * newest, and nothing more often than a fleet of that size needs for all to hear it (SWIM, section 4.1).
+ * Queue of rumors to piggyback on datagrams: those sent least often first, among these the newest, and each only as
+ * often as it takes to reach the whole fleet (SWIM, section 4.1).
  */
 final class Gossip {
-    /** Makes a rumor of a life as it is at that moment; null if it is not known any more. */
+    /** Makes a rumor of the current state of a life; null if it is no longer known. */
     interface Source {
         Rumor rumor(Identity id, boolean withStatement);
     }
@@ -40,12 +40,12 @@
         this.source = source;
     }
 
-    /** There is something new to tell of a life; with its statement, or only how it stands. */
+    /** Queues a rumor of a life, with its statement or only its status. */
     void enqueue(Identity id, boolean withStatement) {
         enqueue(id, withStatement, false);
     }
 
-    /** Only its figures are new: told less often, since what is missed comes with the next comparison. */
+    /** Queues a rumor of changed traffic statistics: sent less often, as comparisons of views repair misses. */
     void enqueueStats(Identity id) {
         enqueue(id, true, true);
     }
@@ -68,7 +68,7 @@
         return entries.isEmpty();
     }
 
-    /** Fills so many bytes for one receiver, who needs not be told of himself. */
+    /** Adds rumors for one receiver, up to maxBytes; none about the receiver itself. */
     void fill(List<Rumor> into, int maxBytes, Identity to, int maxTransmissions, int maxStatsTransmissions) {
         int left = maxBytes;
         int misses = 0;
@@ -85,7 +85,7 @@
                     into.add(r);
                 }
             } else if (++misses > 3) {
-                break; // a smaller one may still fit, but not for the price of a walk through all
+                break; // a smaller one may still fit, but walking through all entries costs too much
             }
             if (left < Rumor.maxBytes(i.id, "", null)) {
                 break;
--- a/src/main/java/gullspar/peers/Identity.java
+++ b/src/main/java/gullspar/peers/Identity.java
@@ -1,26 +1,26 @@
 package gullspar.peers;
 
 /**
- * One process of a member: the name stays over restarts, the life is drawn anew at each start (64 random
- * bits). So a process that comes back is another one, whatever became of its disk and its clock, and no
- * rumor of its former life can be taken for one of this.
+ * One process of a member: the name is kept over restarts, the life is 64 random bits drawn at each start. A
+ * restarted process is therefore a different one, whatever happened to its disk and clock, and no rumor of its former
+ * life applies to it.
  */
 public record Identity(String name, long life) implements Comparable<Identity> {
-    /** Names, zones and versions: this much at the most, of letters, digits and a few signs. */
+    /** The maximum length of names, zones and versions, in characters. */
     public static final int MAX_LENGTH = 32;
 
     public Identity {
         if (!isValidName(name)) {
-            throw new IllegalArgumentException("not a name: " + name);
+            throw new IllegalArgumentException("invalid member name: " + name);
         }
     }
 
-    /** May this be a name? 1 to 32 of letters, digits and . _ - : all of one byte, so sizes are known. */
+    /** Whether text is 1 to 32 letters, digits or . _ - + characters: each takes one byte, so sizes are known. */
     public static boolean isValidName(String text) {
         return !text.isEmpty() && isValidText(text);
     }
 
-    /** As a name, and may be empty. */
+    /** As {@link #isValidName}, but text may be empty. */
     static boolean isValidText(String text) {
         if (text.length() > MAX_LENGTH) {
             return false;
@@ -41,7 +41,7 @@
         return true;
     }
 
-    /** By life, as an unsigned number: lives are spread evenly, so ranges of them hold about as many. */
+    /** By life, unsigned: lives are random, so equal ranges of them hold about equally many members. */
     @Override
     public int compareTo(Identity o) {
         int order = Long.compareUnsigned(life, o.life);
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * The state machine of each member. Rumors are merged into {@link MemberState}, the same at all members; the verdict of
- * this process follows, at once or when a suspicion times out.
+ * The state machine of each member. Rumors are merged into {@link MemberState}, the same at all members; the status
+ * in the view of this process follows, at once or when a suspicion times out.
  */
 final class MemberStates {
-    /** A member that is alive here and reported as gone has so many probe timeouts to refute that. */
+    /** Time that a member that is alive here and reported as gone has to refute that, in probe timeouts. */
     private static final int REFUTE_TIMEOUTS = 3;
 
     private static final long MS = 1_000_000L;
@@ -53,7 +53,7 @@
         out.onChange(new Change(kind, about, reason, roster.size()));
     }
 
-    /** Says once, when nothing has changed for so long and nobody is suspected. */
+    /** Reports once when nothing has changed for that long and no member is suspected. */
     void checkSettled(long now, long quietNs) {
         if (!settled && suspected.isEmpty() && now - changedAt >= quietNs) {
             settled = true;
@@ -113,7 +113,7 @@
             gossip.enqueue(p.id, true);
         }
         if (s.twinLife() != old.twinLife() && s.twinLife() != 0) {
-            recordChange(now, Change.Kind.TWIN, p.id, "it says that another process lives under its name");
+            recordChange(now, Change.Kind.TWIN, p.id, "it states that another process runs under its name");
         }
         if (s.twinLife() == self.id.life() && p.id.name().equals(self.id.name())) {
             reportTwin(now, p);
@@ -129,21 +129,21 @@
     }
 
     /**
-     * Another life under this name is proved to live now: said aloud on both sides; none of them gives way.
+     * Another life under this name is confirmed to be alive: both sides report it, and neither stops.
      */
     void reportTwin(long now, Peer p) {
         if (self.statement().twinLife() != p.id.life()) {
             Statement s = self.statement();
             self.update(now, s.config(), s.phase(), p.id.life(), s.viewDigest(), s.stats(), s.facts());
             gossip.enqueue(self.id, true);
-            recordChange(now, Change.Kind.TWIN, p.id, "another process lives under this name, at " + p.address());
+            recordChange(now, Change.Kind.TWIN, p.id, "another process runs under this name, at " + p.address());
         }
     }
 
     private void onRumorOfSelf(long now, Rumor r) {
         boolean accused = r.state().accuses() && r.incarnation() >= self.incarnation();
-        // A higher incarnation than this process ever had: it was another's mistake, and is overridden as
-        // well.
+        // An incarnation above its own, which it never had, is an error of another member, and is overridden
+        // as well.
         if (!self.left() && (accused || r.incarnation() > self.incarnation())) {
             self.refute(r.incarnation());
             counters.refutations++;
@@ -155,7 +155,7 @@
 
     private void onUnconfirmedRumor(long now, Rumor r, Peer from) {
         if (r.statement() == null || isExpired(now, r)) {
-            return; // without an address nobody can look; who is long gone is as good as forgotten
+            return; // no address to probe, or gone for so long that it would be removed at once
         }
         Roster.Unconfirmed known = roster.unconfirmed(r.id());
         if (known == null) {
@@ -219,7 +219,7 @@
         return p;
     }
 
-    /** Two lives of one name: the later one has taken the address, or both are looked at. */
+    /** Two lives of one name: at the same address the later one replaces the older, otherwise the older is probed. */
     private void resolveSameName(long now, Peer p, Peer other) {
         Peer older = p.startedAt() >= other.startedAt() ? other : p;
         Peer newer = older == p ? other : p;
@@ -227,13 +227,13 @@
             return;
         }
         if (older.address().equals(newer.address())) {
-            markGone(now, older, "it came back as " + newer.id);
+            markGone(now, older, "restarted as " + newer.id);
         } else {
             toProbe.add(older);
         }
     }
 
-    // ---- verdicts ----
+    // ---- status changes ----
 
     /** The member is alive at that incarnation. */
     void markAlive(long now, Peer p, int incarnation) {
@@ -254,7 +254,7 @@
         }
     }
 
-    /** A member, or this process itself, gets no answer from it. */
+    /** A member, or this process itself, got no answer from it. */
     void suspect(long now, Peer p, int incarnation, String accuser) {
         MemberState reported = new MemberState(incarnation, MemberStatus.SUSPECTED);
         if (reported.compareTo(p.state) < 0 || p.status == MemberStatus.GONE || p.status == MemberStatus.LEFT) {
@@ -305,20 +305,23 @@
         if (p.status == MemberStatus.SUSPECTED && p.suspicion.incarnation() <= incarnation) {
             markGone(now, p, accuser);
         } else if (p.status == MemberStatus.ALIVE) {
-            // Two halves that find each other again say this of one another: whoever lives objects in a
-            // moment.
+            // The halves of a healed partition report this of one another: members that are alive refute it
+            // shortly.
             setStatus(now, p, MemberStatus.SUSPECTED, accuser);
             setSuspicion(
                     p,
                     new Suspicion(
                             incarnation, accuser, 0, health.scale(REFUTE_TIMEOUTS * settings.timeoutNs()), 0, now));
             recordChange(
-                    now, Change.Kind.SUSPECTED, p.id, "said to be gone" + (accuser.isEmpty() ? "" : ", by " + accuser));
+                    now,
+                    Change.Kind.SUSPECTED,
+                    p.id,
+                    "reported as gone" + (accuser.isEmpty() ? "" : ", by " + accuser));
             toProbe.add(p);
         }
     }
 
-    /** The member is gone; gossips that. */
+    /** Marks the member as gone and gossips that. */
     void markGone(long now, Peer p, String reason) {
         if (!p.present()) {
             return;
@@ -355,7 +358,7 @@
         roster.updatePresence(p);
     }
 
-    /** Declares members gone whose suspicion has timed out. */
+    /** Marks members as gone whose suspicion has timed out. */
     void expireSuspicions(long now) {
         for (Peer p : List.copyOf(suspected)) {
             if (now >= p.suspicion.expiresAt()) {
@@ -373,12 +376,12 @@
         return next;
     }
 
-    /** This process was paused for so long: suspicions are extended by it. */
+    /** Extends suspicions by a pause of this process. */
     void extendSuspicions(long ns) {
         suspected.forEach(p -> p.suspicion.extend(ns));
     }
 
-    /** Removes members that have been gone for long. */
+    /** Removes members that have been gone for longer than the retention period. */
     void forget(long now) {
         List<Peer> old = new ArrayList<>();
         for (Peer p : roster.all()) {
--- a/src/main/java/gullspar/peers/Message.java
+++ b/src/main/java/gullspar/peers/Message.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** What goes from one process to another in one datagram. */
+/** The content of one datagram between two processes. */
 public sealed interface Message {
-    /** A datagram's bytes at the most, envelope and all: under the least MTU of IPv6 with its headers. */
+    /** Maximum size of a datagram with its envelope: with IP headers it stays below the minimum MTU of IPv6. */
     int MAX_DATAGRAM_BYTES = 1200;
-    /** The envelope: version, key, and the message authentication code. */
+    /** Upper bound of the envelope: version, key id and message authentication code. */
     int MAX_ENVELOPE_BYTES = 24;
-    /** Kind, lengths of arrays. */
+    /** Upper bound of the kind and of the lengths of arrays. */
     int FRAMING_BYTES = 16;
 
     /**
-     * Who speaks.
+     * The sender.
      *
-     * @param incarnation that of the speaker
-     * @param address where it is answered; never the datagram's own source, which anybody may forge
-     * @param number of this datagram among all of the speaker's life, from 1
+     * @param incarnation the sender's incarnation
+     * @param address where answers go; not the datagram's source address, which can be forged
+     * @param number sequence number of this datagram in the sender's life, from 1
      */
     record Header(Identity from, int incarnation, String address, long number) {
-        /** Numbers, lengths and types, at most. */
+        /** Upper bound of numbers, lengths and types. */
         private static final int FIXED_BYTES = 40;
 
         public Header {
@@ -27,7 +27,7 @@
                     || number < 1
                     || address.isEmpty()
                     || address.length() > Statement.MAX_ADDRESS_LENGTH) {
-                throw new IllegalArgumentException("not a speaker: " + from);
+                throw new IllegalArgumentException("invalid header of sender " + from);
             }
         }
 
@@ -42,13 +42,13 @@
 
     Header header();
 
-    /** What else is told along the way. */
+    /** Rumors piggybacked on the message. */
     List<Rumor> rumors();
 
-    /** Its own fields, on the wire, at most: neither header nor rumors. */
+    /** Upper bound of its encoded fields, in bytes, without header and rumors. */
     int maxBodyBytes();
 
-    /** On the wire, at most, without the envelope. */
+    /** Upper bound of the encoded message, in bytes, without the envelope. */
     default int maxBytes() {
         int size = FRAMING_BYTES + header().maxBytes() + maxBodyBytes();
         for (Rumor r : rumors()) {
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Are you there? An Ack with the same nonce is the answer.
+     * A direct probe, answered by an Ack with the same nonce.
      *
-     * @param target the life that is meant, 0 if the asker does not know who is at that address
-     * @param hello the asker has not heard the asked one's statement, and asks for it
+     * @param targetLife the life that is probed, 0 if the sender does not know which one is at that address
+     * @param requestsStatement the sender does not have the receiver's statement, and asks for it
      */
     record Ping(Header header, long nonce, long targetLife, boolean requestsStatement, List<Rumor> rumors)
             implements Message {
@@ -72,9 +72,9 @@
     }
 
     /**
-     * I am, or: the one whom you asked me to look for is.
+     * Answers a probe, directly or on behalf of the target of an indirect probe.
      *
-     * @param of who is alive, of that incarnation: the speaker, but where another was asked for
+     * @param subject the process that is alive at that incarnation: the sender, or the target of an indirect probe
      */
     record Ack(Header header, long nonce, Identity subject, int incarnation, List<Rumor> rumors) implements Message {
         @Override
@@ -83,7 +83,7 @@
         }
     }
 
-    /** I get no answer from that one: do you? */
+    /** Asks the receiver to probe a target that does not answer the sender. */
     record PingReq(Header header, long nonce, Identity target, String address, List<Rumor> rumors) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** I hear you, and have no answer from the one whom you asked me to look for either. */
+    /** Answers a PingReq whose target has not answered in time. */
     record Nack(Header header, long nonce, List<Rumor> rumors) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Nothing but rumors. */
+    /** A gossip message: rumors only. */
     record News(Header header, List<Rumor> rumors) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** My view, as one digest for each range of lives (see {@link Reconciler}). */
+    /** The sender's view, as one digest for each range of lives (see {@link Reconciler}). */
     record Digest(Header header, List<Long> ranges) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** All that I know of lives from one to another, both included. */
+    /** All that the sender knows of the lives in a range, both bounds included. */
     record Listing(Header header, long from, long to, List<Known> known) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -133,21 +133,21 @@
         }
     }
 
-    /** What is known of a life: enough to tell who knows more. */
+    /** State and statement revision of a life, enough to decide which side has the newer information. */
     record Known(long life, int incarnation, MemberStatus status, int revision) {
-        /** On the wire, at most. */
+        /** Upper bound of its encoding. */
         static final int MAX_BYTES = 22;
 
         public Known {
             if (!MemberState.incarnation(incarnation)) {
-                throw new IllegalArgumentException("not known of a life");
+                throw new IllegalArgumentException("invalid incarnation in a listing");
             }
         }
     }
 
-    /** Tell me of these lives. */
+    /** Requests rumors with statements of these lives. */
     record Want(Header header, List<Long> lives) implements Message {
-        /** A life on the wire, at most. */
+        /** Upper bound of an encoded life. */
         static final int MAX_LIFE_BYTES = 9;
 
         @Override
--- a/src/main/java/gullspar/peers/Outbox.java
+++ b/src/main/java/gullspar/peers/Outbox.java
@@ -1,10 +1,10 @@
 package gullspar.peers;
 
-/** Where a process's datagrams and the changes of its view go. Neither calls back into the machine. */
+/** Receives the datagrams and view changes of {@link Peers}. Implementations must not call back into it. */
 public interface Outbox {
-    /** To an address as its owner told it; a datagram may get lost. */
+    /** Sends to an address as its owner stated it; datagrams may be lost. */
     void send(String address, Message message);
 
-    /** Something in the view is other than before. */
+    /** The view changed. */
     void onChange(Change change);
 }
--- a/src/main/java/gullspar/peers/Peer.java
+++ b/src/main/java/gullspar/peers/Peer.java
@@ -1,38 +1,38 @@
 package gullspar.peers;
 
-/** One life of another process, as it is held here. */
+/** What this process knows of one life of another process. */
 final class Peer {
     final Identity id;
     final ReplayGuard guard = new ReplayGuard();
-    /** What it last said of itself, and when, by the clock of this process. */
+    /** Its latest statement, and when it was made, by this process's clock. */
     Statement statement;
 
     long statedAt;
-    /** The most that was heard of it. */
+    /** The merge of all reported states. */
     MemberState state;
     /**
-     * What this process holds it for. It may lag behind what was heard: that somebody is gone who was alive
-     * here a moment ago is believed a little later, so that it can object.
+     * Its status in this view. It may lag behind {@link #state}: a member that is alive here and reported as gone
+     * is only suspected at first, so that it can refute the report.
      */
     MemberStatus status;
 
     long statusSince;
-    /** Who accused it, or why it went; empty if nobody did. */
+    /** The accuser, or another reason of its status; may be empty. */
     String reason = "";
 
     Suspicion suspicion;
-    /** When a datagram of it came last, or, before any has, when it was taken in. */
+    /** When its last datagram arrived, or, before any has, when it was added. */
     long lastReceivedAt;
-    /** When it last answered this process itself; MIN_VALUE if never. */
+    /** When it last answered this process directly; MIN_VALUE if never. */
     long lastAckAt = Long.MIN_VALUE;
-    /** Asked directly it did not answer the last time, though others reached it. */
+    /** It last answered only an indirect probe, not the direct one. */
     boolean indirectOnly;
-    /** The last time at which it was held for alive or suspected. */
+    /** The last time at which it was alive or suspected. */
     long lastPresentAt;
 
     long reconnectAt;
     long reconnectPauseNs;
-    /** Its place among those that are present, -1 if it is not. */
+    /** Its index in the list of present members, -1 if it is not present. */
     int presentIndex = -1;
 
     Peer(Identity id, Statement statement, long statedAt, MemberState state, long since) {
@@ -44,7 +44,7 @@
         this.statusSince = since;
     }
 
-    /** Alive, or not yet given up. */
+    /** Whether it is alive or suspected. */
     boolean present() {
         return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECTED;
     }
@@ -53,12 +53,12 @@
         return statement.address();
     }
 
-    /** When its process started, by the clock of this one. */
+    /** When its process started, by this process's clock. */
     long startedAt() {
         return statedAt - statement.upMs() * 1_000_000L;
     }
 
-    /** What this process tells of it. */
+    /** Returns the rumor that this process spreads about it. */
     Rumor rumor(long now, boolean withStatement) {
         MemberStatus reported = status == MemberStatus.SUSPECTED && state.status() == MemberStatus.GONE
                 ? MemberStatus.SUSPECTED
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -8,19 +8,19 @@
 
 /**
  * Membership and failure detection of one process (SWIM with suspicion, anti-entropy and reconnects). Driven from
- * outside: messages by {@link #receive}, time by {@link #tick}, at the latest at {@link #wakeAt}; outgoing messages and
- * changes go to its {@link Outbox}. Deterministic: the same inputs bring the same outputs. Not thread-safe.
+ * outside: messages by {@link #receive}, time by {@link #tick}, no later than {@link #wakeAt}; outgoing messages and
+ * changes go to its {@link Outbox}. Deterministic: the same inputs give the same outputs. Not thread-safe.
  */
 public final class Peers {
-    /** Datagrams of unknown senders that are answered, a second. */
+    /** Limit on datagrams of unknown senders that are answered, per second. */
     private static final double UNKNOWN_SENDERS_PER_SECOND = 32;
-    /** Unconfirmed processes that are probed in an interval, and how often each. */
+    /** Limits on unconfirmed processes probed per interval, and on probes of each. */
     private static final int MAX_VERIFICATIONS_PER_INTERVAL = 4, MAX_VERIFICATIONS_PER_PROCESS = 3;
-    /** Gossip rounds in an interval, while there are rumors to spread. */
+    /** Gossip rounds per interval while there are rumors to spread. */
     private static final int GOSSIP_ROUNDS_PER_INTERVAL = 5;
-    /** The view is stable if nothing changes for so many intervals. */
+    /** The view is settled after this many intervals without a change. */
     private static final int SETTLED_AFTER_INTERVALS = 5;
-    /** After so many intervals without any datagram this process takes itself for isolated. */
+    /** After this many intervals without any datagram this process considers itself isolated. */
     private static final int ISOLATED_AFTER_INTERVALS = 6;
 
     private static final long MS = 1_000_000L;
@@ -60,8 +60,10 @@
     private int seen = 1;
 
     /**
-     * Begins at that time. first: what this process says of itself, with its name and a life that no other
-     * has; seeds: addresses where others may be found.
+     * Starts at that time.
+     *
+     * @param first the first statement of this process, with its name and a unique life
+     * @param seeds addresses where other members may be found
      */
     public Peers(Settings settings, Statement first, List<String> seeds, RandomGenerator random, Outbox out, long now) {
         this.settings = settings;
@@ -77,7 +79,7 @@
         this.reconciler = new Reconciler(self, roster, members, sender, random);
         this.reconnects = new ReconnectBackoff(settings, self, roster, detector, random, seeds);
         this.unknownSenderLimit = new TokenBucket(UNKNOWN_SENDERS_PER_SECOND, now);
-        // Processes that start together must not ask together.
+        // Random offsets, so that processes started together do not probe at the same moments.
         this.nextProbe = now + random.nextLong(settings.intervalNs());
         this.nextGossip = now;
         this.nextSync = now + random.nextLong(settings.syncNs());
@@ -138,7 +140,7 @@
             reconciler.onWant(now, p, w);
         }
         if (p.status == MemberStatus.GONE && p.reconnectAt > now + settings.intervalNs()) {
-            p.reconnectAt = now + settings.intervalNs(); // it speaks: it is to hear soon that it is held for gone
+            p.reconnectAt = now + settings.intervalNs(); // still sending: probe it soon, so that it can refute GONE
         }
     }
 
@@ -188,7 +190,7 @@
         detector.verify(now, h.address(), h.from());
     }
 
-    /** Advances the time; does what is due. */
+    /** Advances the time and performs what is due. */
     public void tick(long now) {
         advanceClock(now);
         if (self.left()) {
@@ -225,7 +227,7 @@
         return Math.min(next, Math.min(detector.expiresAt(), members.nextSuspicionExpiry()));
     }
 
-    /** Sets this process's own state and figures; gossips the state if it changed. */
+    /** Sets this process's own state and traffic statistics; gossips the state if it changed. */
     public void updateSelf(long now, Phase phase, String config, TrafficStats figures, Facts facts) {
         advanceClock(now);
         Statement s = self.statement();
@@ -244,7 +246,7 @@
         reconnects.seeds(addresses);
     }
 
-    /** Announces that this process leaves; nothing is sent after that. */
+    /** Announces that this process leaves; sends nothing afterwards. */
     public void leave(long now) {
         advanceClock(now);
         self.leave(now);
@@ -253,9 +255,9 @@
         nextTickAt = Long.MAX_VALUE;
     }
 
-    // ---- what it does of itself ----
+    // ---- periodic work ----
 
-    /** After a pause longer than the probe timeout open probes tell nothing: they are abandoned. */
+    /** Detects pauses longer than the probe timeout: answers may have been missed, so open probes are abandoned. */
     private void advanceClock(long now) {
         currentTime = now;
         long late = now - nextTickAt;
@@ -308,7 +310,7 @@
         nextSync = now + health.scale((long) (settings.syncNs() * (0.75 + random.nextDouble() / 2)));
     }
 
-    /** Housekeeping, once an interval. */
+    /** Maintenance, once per interval. */
     private void maintain(long now) {
         updateVisibility(now);
         reconnects.reconnect(now, cutOff);
@@ -323,7 +325,7 @@
         }
     }
 
-    /** The life of the twin if that is still present, else 0. */
+    /** Returns the life of the twin if it is still present, else 0. */
     private long twin(long life) {
         return life != 0 && roster.present().stream().anyMatch(p -> p.id.life() == life) ? life : 0;
     }
@@ -343,7 +345,7 @@
             }
         }
         known = recentlyPresent;
-        // Isolated: no member counts as seen, though each suspicion still takes its time.
+        // Isolated: no member counts as seen, before the suspicion of each has timed out.
         seen = now - lastReceivedAt > ISOLATED_AFTER_INTERVALS * settings.intervalNs() ? 1 : alive;
         boolean minority = 2 * seen < known;
         if (minority != cutOff) {
@@ -361,7 +363,7 @@
         for (Roster.Unconfirmed h : List.copyOf(roster.unconfirmed())) {
             if (h.rumor.state().accuses() || h.rumor.status() == MemberStatus.LEFT) {
                 if (now - h.receivedAt > settings.syncNs() * 3) {
-                    roster.forget(h); // nobody else knows of it
+                    roster.forget(h); // no second member confirmed it
                 }
             } else if (h.probes >= MAX_VERIFICATIONS_PER_PROCESS) {
                 roster.forget(h);
@@ -374,7 +376,7 @@
         }
     }
 
-    /** Checksum of the lives that are alive in this view, itself included. */
+    /** Returns a checksum of the lives that are alive in this view, its own included. */
     private int digest() {
         CRC32 sum = new CRC32();
         boolean ownAdded = false;
@@ -401,12 +403,12 @@
 
     // ---- the view ----
 
-    /** How many are present, this process included. */
+    /** Number of members present (alive or suspected), this process included. */
     public int size() {
         return roster.size();
     }
 
-    /** How many are alive, and not suspected, this process included. */
+    /** Number of members that are alive and not suspected, this process included. */
     public int alive() {
         int alive = 1;
         for (Peer p : roster.present()) {
@@ -415,7 +417,7 @@
         return alive;
     }
 
-    /** Does it see fewer than half of those that it saw lately? */
+    /** Whether fewer than half of the recently present members are alive in this view. */
     public boolean cutOff() {
         return cutOff;
     }
@@ -424,7 +426,7 @@
         return counters;
     }
 
-    /** The whole view, with its ages as of that time. */
+    /** Returns the whole view, with ages as of that time. */
     public View view(long now) {
         int digest = digest();
         List<View.Member> members = new ArrayList<>();
--- a/src/main/java/gullspar/peers/Phase.java
+++ b/src/main/java/gullspar/peers/Phase.java
@@ -1,14 +1,14 @@
 package gullspar.peers;
 
-/** How far a process has come in its life, as it says itself. */
+/** The lifecycle phase of a process, as it states it itself. */
 public enum Phase {
-    /** It has found nobody yet. */
+    /** It has found no other member yet. */
     JOINING,
-    /** It is there, and does not take clients yet. */
+    /** It has joined, and does not accept clients yet. */
     WARMING,
     SERVING,
-    /** It ends what it has and takes nothing new. */
+    /** It finishes open requests and accepts no new ones. */
     DRAINING,
-    /** It is about to end. */
+    /** It is about to exit. */
     LEAVING
 }
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -12,14 +12,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * Compares views with one member at a time, so that what rumors missed comes right all the same: a digest
- * for each of 32 ranges of lives, and where one differs, what is known of each life in it, in pages; then
- * both sides tell what the other lacks.
+ * Anti-entropy: compares views with one member at a time, to repair what rumors missed. A digest for each of 32 ranges
+ * of lives is sent; where one differs, the state of each life in the range follows in pages, and then both sides send
+ * what the other lacks.
  */
 final class Reconciler {
     static final int RANGES = 32;
     private static final int SHIFT = 64 - 5;
-    /** Datagrams that one step of a comparison may take; what is left over comes at the next. */
+    /** Limit on datagrams per step of a comparison; the rest follows in the next comparison. */
     private static final int MAX_PAGES = 8;
 
     private final Self self;
@@ -36,7 +36,7 @@
         this.random = random;
     }
 
-    /** Begins a comparison. */
+    /** Starts a comparison. */
     void compare(long now, Peer with) {
         if (sender.canSend(1, now)) {
             List<Long> ranges = digests();
@@ -61,7 +61,7 @@
         return known;
     }
 
-    /** Two sums of 32 bits for each range, of what is known in the order of lives. */
+    /** Two 32-bit checksums for each range, over the known states in the order of lives. */
     private List<Long> digests() {
         List<Long> digests = new ArrayList<>(RANGES);
         NavigableMap<Long, Message.Known> known = known();
@@ -91,10 +91,10 @@
         return first(range) | -1L >>> 64 - SHIFT;
     }
 
-    /** The other's digests: what is known here of the ranges that differ goes back. */
+    /** Handles digests: answers with the states known here in the ranges that differ. */
     void onDigest(long now, Peer from, Message.Digest d) {
         if (d.ranges().size() != RANGES) {
-            return; // another version's; rumors go on
+            return; // another version with other ranges; rumors are still exchanged
         }
         List<Long> mine = digests();
         NavigableMap<Long, Message.Known> known = known();
@@ -136,7 +136,7 @@
         return left - 1;
     }
 
-    /** What the other knows of some lives. */
+    /** Handles the states that the other side knows: requests what is newer there and sends what is newer here. */
     void listing(long now, Peer from, Message.Listing l) {
         NavigableMap<Long, Message.Known> mine = known();
         Map<Long, Identity> names = names();
@@ -172,7 +172,7 @@
         });
     }
 
-    /** The other wants to hear of these lives. */
+    /** Handles a request for rumors of these lives. */
     void onWant(long now, Peer from, Message.Want w) {
         Map<Long, Identity> names = names();
         sendRumors(
--- a/src/main/java/gullspar/peers/ReconnectBackoff.java
+++ b/src/main/java/gullspar/peers/ReconnectBackoff.java
@@ -8,9 +8,9 @@
  * fleet that were partitioned find each other again without an operator.
  */
 final class ReconnectBackoff {
-    /** A seed is probed once in so many protocol intervals while other members are present. */
+    /** Protocol intervals between two probes of seeds while other members are present. */
     private static final int SEED_PROBE_INTERVALS = 30;
-    /** Probes in a protocol interval while this process is alone or partitioned. */
+    /** Probes per protocol interval while this process is alone or partitioned. */
     private static final int PROBES_WHEN_ISOLATED = 3;
 
     private final Settings settings;
@@ -43,7 +43,7 @@
         nextSeedProbeAt = Long.MIN_VALUE;
     }
 
-    /** To be called once a protocol interval; cutOff: this process sees fewer than half of the members. */
+    /** Must be called once per protocol interval; cutOff: fewer than half of the members are alive in this view. */
     void reconnect(long now, boolean cutOff) {
         boolean alone = roster.present().isEmpty();
         for (int i = 0; i < (alone || cutOff ? PROBES_WHEN_ISOLATED : 1); i++) {
--- a/src/main/java/gullspar/peers/ReplayGuard.java
+++ b/src/main/java/gullspar/peers/ReplayGuard.java
@@ -1,17 +1,17 @@
 package gullspar.peers;
 
 /**
- * The numbers of the datagrams that a life has sent, as heard here: each counts once, and one that lies far
- * behind the newest not at all (the sliding window of RFC 4303, section 3.4.3).
+ * Rejects replayed datagrams of one life: each sequence number is accepted once, and none that lies 64 or more
+ * behind the highest one (the sliding window of RFC 4303, section 3.4.3).
  */
 final class ReplayGuard {
     private static final int WINDOW = 64;
 
     private long highestNumber;
-    /** Bit i: newest - i was heard. */
+    /** Bit i: highestNumber - i was received. */
     private long seenBits;
 
-    /** True for a number that was not heard yet and is not too old. */
+    /** Records a number; returns false if it was received before or is too old. */
     boolean accept(long number) {
         if (number > highestNumber) {
             long ahead = number - highestNumber;
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -10,14 +10,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All known processes: members, confirmed by an answer or by the rumors of two others, and apart from them a bounded
- * number of processes that only one member has told of.
+ * All known processes: members, confirmed by an answer or by the rumors of two others, and separately a bounded
+ * number of processes that only one member has reported.
  */
 final class Roster {
-    /** Bound on the processes that only one member has told of; the oldest is dropped first. */
+    /** Bound on the processes that only one member has reported; the oldest is dropped first. */
     private static final int MAX_UNCONFIRMED = 2048;
 
-    /** A process that one member has told of. */
+    /** A process that only one member has reported. */
     static final class Unconfirmed {
         final Rumor rumor;
         final long receivedAt;
@@ -35,7 +35,7 @@
 
     private final int maxMembers;
     private final TreeMap<Identity, Peer> peers = new TreeMap<>();
-    /** Unordered, so that a random one is drawn in constant time. */
+    /** Unordered, so that a random member is sampled in constant time. */
     private final List<Peer> present = new ArrayList<>();
 
     private final Map<Identity, Unconfirmed> unconfirmed = new LinkedHashMap<>();
@@ -48,22 +48,22 @@
         return peers.get(id);
     }
 
-    /** All that are known, by life. */
+    /** All known processes that are not unconfirmed, ordered by life. */
     Collection<Peer> all() {
         return peers.values();
     }
 
-    /** Those present; not to be changed. */
+    /** Members present (alive or suspected); callers must not modify the list. */
     List<Peer> present() {
         return present;
     }
 
-    /** How many are present, this process included. */
+    /** Number of members present, this process included. */
     int size() {
         return present.size() + 1;
     }
 
-    /** Takes one in; false if there are too many. Who is gone for the longest makes room. */
+    /** Adds a member, if need be in place of the one not present for longest; false if all are present. */
     boolean add(Peer p) {
         if (peers.size() >= maxMembers - 1) {
             Peer oldest = peers.values().stream()
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** To be called after each change of a verdict. */
+    /** Updates the list of present members; must be called after each change of a status. */
     void updatePresence(Peer p) {
         if (p.present() && p.presentIndex < 0) {
             p.presentIndex = present.size();
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Others that live under the same name, or did. */
+    /** Returns the other lives of the same name, present or not. */
     List<Peer> sameName(Identity id) {
         List<Peer> same = new ArrayList<>();
         for (Peer p : peers.values()) {
@@ -115,7 +115,7 @@
         return same;
     }
 
-    /** Up to so many of those present, drawn at random, without those two. */
+    /** Returns up to count random members that are present, without the two excluded. */
     List<Peer> sample(int count, RandomGenerator random, Peer excluded, Identity excludedId) {
         List<Peer> sampled = new ArrayList<>(count);
         int tries = Math.min(present.size(), 3 * count + 3);
@@ -128,7 +128,7 @@
         return sampled;
     }
 
-    // ---- who is only spoken of ----
+    // ---- unconfirmed processes ----
 
     Unconfirmed unconfirmed(Identity id) {
         return unconfirmed.get(id);
--- a/src/main/java/gullspar/peers/Rumor.java
+++ b/src/main/java/gullspar/peers/Rumor.java
@@ -1,12 +1,12 @@
 package gullspar.peers;
 
 /**
- * What one member tells another of a third.
+ * Information about a member that is passed on by another.
  *
- * @param by who accuses it, where somebody does, else empty
- * @param sinceMs for how long its standing has been as it is, in ms
- * @param statement what it said of itself, or null where only the standing is told
- * @param statedMs how long ago it said that, in ms
+ * @param accuser the name of the accusing member, else empty
+ * @param statusAgeMs the time since its last change of status, in ms
+ * @param statement its own statement, or null where only the status is passed on
+ * @param statementAgeMs the age of that statement, in ms
  */
 public record Rumor(
         Identity id,
@@ -16,7 +16,7 @@
         long statusAgeMs,
         Statement statement,
         long statementAgeMs) {
-    /** Numbers, lengths and types, at most. */
+    /** Upper bound of numbers, lengths and types. */
     private static final int FIXED_BYTES = 48;
 
     public Rumor {
@@ -25,7 +25,7 @@
                 || statusAgeMs < 0
                 || statementAgeMs < 0
                 || statement != null && !statement.id().equals(id)) {
-            throw new IllegalArgumentException("not a rumor of " + id);
+            throw new IllegalArgumentException("invalid rumor of " + id);
         }
     }
 
@@ -33,7 +33,7 @@
         return new MemberState(incarnation, status);
     }
 
-    /** At most this many on the wire. */
+    /** Upper bound of the encoded rumor, in bytes. */
     int maxBytes() {
         return maxBytes(id, accuser, statement);
     }
--- a/src/main/java/gullspar/peers/Self.java
+++ b/src/main/java/gullspar/peers/Self.java
@@ -1,6 +1,6 @@
 package gullspar.peers;
 
-/** What this process says of itself, and the numbers of its datagrams. */
+/** This process's own statement and incarnation, and the sequence numbers of its datagrams. */
 final class Self {
     final Identity id;
     private final long startedAt;
@@ -37,7 +37,7 @@
         return new MemberState(incarnation, left ? MemberStatus.LEFT : MemberStatus.ALIVE);
     }
 
-    /** Overrides an accusation of that incarnation. */
+    /** Refutes an accusation of that incarnation by a higher one. */
     void refute(int accusedIncarnation) {
         incarnation = Math.min(MemberState.MAX_INCARNATION, Math.max(incarnation, accusedIncarnation) + 1);
     }
@@ -54,7 +54,7 @@
                 statement.facts());
     }
 
-    /** The next revision of what it says. */
+    /** Makes the next revision of its statement. */
     void update(long now, String config, Phase phase, long twin, int view, TrafficStats figures, Facts facts) {
         statement = new Statement(
                 id,
@@ -72,7 +72,7 @@
         statedAt = now;
     }
 
-    /** The header of its next datagram. */
+    /** Returns the header of its next datagram. */
     Message.Header header() {
         return new Message.Header(id, incarnation, statement.address(), ++lastNumber);
     }
--- a/src/main/java/gullspar/peers/SelfHealth.java
+++ b/src/main/java/gullspar/peers/SelfHealth.java
@@ -1,9 +1,8 @@
 package gullspar.peers;
 
 /**
- * How far this process may trust its own hearing (Lifeguard's local health multiplier): who stood still, or
- * has no CPU, misses answers that came in time. The worse it is, the longer it waits and the seldomer it
- * asks.
+ * Lifeguard's local health multiplier: a process that was paused or lacks CPU misses answers that arrived in time. The
+ * higher its score, the longer it waits for answers and the less often it probes.
  */
 final class SelfHealth {
     private final int maxScore;
@@ -13,17 +12,17 @@
         this.maxScore = maxScore;
     }
 
-    /** For the worse (more than 0) or the better. */
+    /** Changes the score: a positive delta makes the health worse. */
     void adjust(int delta) {
         score = Math.max(0, Math.min(maxScore, score + delta));
     }
 
-    /** 0 is well. */
+    /** The score; 0 is healthy. */
     int score() {
         return score;
     }
 
-    /** A time as it is now, in ns. */
+    /** Scales a time by the current score, in ns. */
     long scale(long ns) {
         return ns * (score + 1);
     }
--- a/src/main/java/gullspar/peers/Settings.java
+++ b/src/main/java/gullspar/peers/Settings.java
@@ -1,27 +1,27 @@
 package gullspar.peers;
 
 /**
- * How the fleet is watched. Times in ns.
+ * Parameters of failure detection and gossip. Times in ns.
  *
- * @param intervalNs one member is asked whether it is there every so often, while this process is well itself
- * @param timeoutNs an answer is waited for so long before others are asked to look
- * @param indirect how many others are asked
- * @param suspicion a member is suspected for at least so many intervals, times the decimal logarithm of the
+ * @param intervalNs the time between two probes of this process while its own health score is 0
+ * @param timeoutNs the time to wait for an answer before indirect probes are sent
+ * @param indirectProbes the number of members asked to probe indirectly
+ * @param suspicionMultiplier the minimum duration of a suspicion, in intervals times the decimal logarithm of the
  *        fleet's size
- * @param stretch a suspicion that nobody confirms lasts so many times as long
- * @param confirmations as many confirmations bring it to the least
- * @param healthMost the worst own health: intervals and time-outs grow by one more for each step down to it;
+ * @param maxSuspicionFactor the duration of an unconfirmed suspicion, as a multiple of the minimum
+ * @param confirmations the number of confirmations that reduce a suspicion to its minimum duration
+ * @param maxHealthScore the worst health score of this process: each point adds one interval or time-out to its own;
  *        0 turns that off
- * @param retell a rumor is told so many times, times the decimal logarithm of the fleet's size
- * @param fanout to how many news are sent at once
- * @param syncNs views are compared with one other member every so often
- * @param figuresNs figures are told anew every so often; less often in a large fleet, so that the traffic of
- *        one member stays the same
- * @param reconnectMost the longest pause between two knocks at a member that is gone, in intervals
- * @param forgetNs members that are gone or have left are forgotten so long after
- * @param windowNs whoever was alive within it counts when this process asks itself whether it is cut off
- * @param members how many are kept at the most
- * @param bytesPerSecond what this process sends at the most, answers included
+ * @param retransmitMultiplier how often a rumor is sent, times the decimal logarithm of the fleet's size
+ * @param fanout the number of members that a gossip round sends to
+ * @param syncNs the mean time between two comparisons of views with another member
+ * @param statsIntervalNs the minimum time between two updates of the traffic statistics; longer in a large fleet, so
+ *        that the traffic of one member stays the same
+ * @param maxReconnectIntervals the longest pause between two probes of a member that is gone, in intervals
+ * @param forgetNs the time after which members that are gone or have left are removed
+ * @param windowNs members present within it count when this process determines whether it is cut off
+ * @param maxMembers the maximum number of members kept, this process included
+ * @param bytesPerSecond the maximum that this process sends, answers included
  */
 public record Settings(
         long intervalNs,
@@ -48,11 +48,12 @@
                 || timeoutNs * 2 > intervalNs
                 || maxMembers < 2
                 || bytesPerSecond < 4 * Message.MAX_DATAGRAM_BYTES) {
-            throw new IllegalArgumentException("settings that cannot be: " + intervalNs + ", " + timeoutNs);
+            throw new IllegalArgumentException(
+                    "invalid settings, interval and time-out in ns: " + intervalNs + ", " + timeoutNs);
         }
     }
 
-    /** The usual ones, all in proportion to the interval. */
+    /** Default settings, in proportion to the interval. */
     public static Settings withInterval(long intervalNs) {
         return new Settings(
                 intervalNs,
@@ -73,7 +74,7 @@
                 (int) Math.min(1 << 20, 64_000_000_000_000L / intervalNs));
     }
 
-    /** The same with another window in which members count as seen lately. */
+    /** Returns a copy with another {@link #windowNs}. */
     public Settings withWindow(long ns) {
         return new Settings(
                 intervalNs,
@@ -94,7 +95,7 @@
                 bytesPerSecond);
     }
 
-    /** The same with another bound on what is sent. */
+    /** Returns a copy with another {@link #bytesPerSecond}. */
     public Settings withBytesPerSecond(int bytes) {
         return new Settings(
                 intervalNs,
@@ -115,22 +116,22 @@
                 bytes);
     }
 
-    /** The least time under suspicion in a fleet of that size, in ns. */
+    /** The minimum duration of a suspicion in a fleet of that size, in ns. */
     long suspicionNs(int size) {
         return (long) (suspicionMultiplier * Math.max(1, Math.log10(Math.max(1, size))) * intervalNs);
     }
 
-    /** How often a rumor is told in a fleet of that size. */
+    /** How often a rumor is sent in a fleet of that size. */
     int transmissions(int size) {
         return retransmitMultiplier * (int) Math.ceil(Math.log10(size + 1.0));
     }
 
-    /** How often new figures are told in a fleet of that size. */
+    /** How often a rumor that only updates traffic statistics is sent in a fleet of that size. */
     static int statsTransmissions(int size) {
         return (int) Math.ceil(Math.log10(size + 1.0));
     }
 
-    /** How often a member tells its figures in a fleet of that size, in ns: two a second in all, or fewer. */
+    /** The time between two updates of a member's statistics, in ns: at most two per interval in the whole fleet. */
     long statsIntervalNs(int size) {
         return Math.max(statsIntervalNs, size * intervalNs / 2);
     }
--- a/src/main/java/gullspar/peers/Statement.java
+++ b/src/main/java/gullspar/peers/Statement.java
@@ -1,13 +1,13 @@
 package gullspar.peers;
 
 /**
- * What a life says of itself; only it makes them, each with the next revision.
+ * A self-description of a life; only the process itself makes them, each with the next revision.
  *
- * @param address where it hears the others, host:port
- * @param config digest of its configuration, empty if it tells none
- * @param upMs how long it had lived when it said so, in ms
- * @param twin the life of another process that lives under the same name, 0 if it knows of none
- * @param view digest of whom it held for alive then
+ * @param address where it receives datagrams, host:port
+ * @param config digest of its configuration, may be empty
+ * @param upMs its uptime when the statement was made, in ms
+ * @param twinLife the life of another process under the same name, 0 if it knows of none
+ * @param viewDigest digest of the members that were alive in its view
  */
 public record Statement(
         Identity id,
@@ -24,7 +24,7 @@
         Facts facts) {
     /** An address of IPv6 with its brackets and port has 47 characters. */
     public static final int MAX_ADDRESS_LENGTH = 48;
-    /** What stands round the texts, at most: numbers, lengths, types. */
+    /** Upper bound of numbers, lengths and types. */
     private static final int FIXED_BYTES = 80;
 
     public Statement {
@@ -35,16 +35,16 @@
                 || !Identity.isValidText(config)
                 || revision < 1
                 || upMs < 0) {
-            throw new IllegalArgumentException("not a statement: " + id + " at " + address);
+            throw new IllegalArgumentException("invalid statement: " + id + " at " + address);
         }
         for (int i = 0; i < address.length(); i++) {
             if (address.charAt(i) <= ' ' || address.charAt(i) > '~') {
-                throw new IllegalArgumentException("not an address of " + id);
+                throw new IllegalArgumentException("invalid character in the address of " + id);
             }
         }
     }
 
-    /** At most this many on the wire. */
+    /** Upper bound of the encoded statement, in bytes. */
     int maxBytes() {
         return FIXED_BYTES
                 + id.name().length()
--- a/src/main/java/gullspar/peers/Suspicion.java
+++ b/src/main/java/gullspar/peers/Suspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * A suspicion and the time until it is believed. With each confirmation by somebody else it shrinks, from
- * the most to the least: least &lt;= most - (most - least) log(c + 1) / log(k + 1) (Lifeguard, section
- * IV.B). So one process with bad hearing needs long to convict, and many that agree do not.
+ * A suspicion and its time-out. With c of at most k confirmations by other members the time-out shrinks from the
+ * maximum to the minimum: max(min, max - (max - min) log(c + 1) / log(k + 1)) (Lifeguard, section IV.B). So a single
+ * process that loses datagrams takes long to get a member marked as gone, and several that agree do not.
  */
 final class Suspicion {
     private final int incarnation;
@@ -29,12 +29,12 @@
         return incarnation;
     }
 
-    /** Somebody accuses as well; true if that is news, and still wanted. */
+    /** Records another accuser; true if it is a new one, and a further confirmation still counts. */
     boolean confirm(String accuser) {
         return accusers.size() <= maxConfirmations && accusers.add(accuser);
     }
 
-    /** When it is believed, in ns. */
+    /** When it times out, in ns. */
     long expiresAt() {
         if (maxConfirmations == 0) {
             return startedAt + minNs;
@@ -43,7 +43,7 @@
         return startedAt + Math.max(minNs, maxNs - (long) ((maxNs - minNs) * fraction));
     }
 
-    /** This process stood still meanwhile: the accused had no chance to be heard. */
+    /** Extends the time-out by a pause of this process, during which a refutation could not be received. */
     void extend(long ns) {
         startedAt += ns;
     }
--- a/src/main/java/gullspar/peers/TokenBucket.java
+++ b/src/main/java/gullspar/peers/TokenBucket.java
@@ -1,6 +1,6 @@
 package gullspar.peers;
 
-/** So much a second, and a second's worth at once: a token bucket. */
+/** A token bucket that holds the tokens of one second. */
 final class TokenBucket {
     private static final double SECOND_NS = 1e9;
 
@@ -14,7 +14,7 @@
         this.updatedAt = now;
     }
 
-    /** Takes as much if it is there; false, and nothing taken, if not. */
+    /** Takes that many tokens; returns false, and takes none, if there are fewer. */
     boolean tryTake(double amount, long now) {
         tokens = Math.min(perSecond, tokens + Math.max(0, now - updatedAt) / SECOND_NS * perSecond);
         updatedAt = Math.max(updatedAt, now);
@@ -25,7 +25,7 @@
         return true;
     }
 
-    /** Is there at least that much? */
+    /** Whether that many tokens are available. */
     boolean canTake(double amount, long now) {
         return tokens + Math.max(0, now - updatedAt) / SECOND_NS * perSecond >= amount;
     }
--- a/src/main/java/gullspar/peers/TrafficStats.java
+++ b/src/main/java/gullspar/peers/TrafficStats.java
@@ -1,7 +1,7 @@
 package gullspar.peers;
 
-/** What a member tells of its work: requests a second, those refused a second, and those in hand. */
+/** Traffic of a member: requests and refused requests per second, and requests in progress. */
 public record TrafficStats(float requestsPerSecond, float refusedPerSecond, int pending) {
-    /** Of one that serves nothing. */
+    /** Of a member without traffic. */
     public static final TrafficStats NONE = new TrafficStats(0, 0, 0);
 }
--- a/src/main/java/gullspar/peers/View.java
+++ b/src/main/java/gullspar/peers/View.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The fleet as one process sees it at one moment.
+ * A snapshot of the fleet as one process sees it.
  *
  * @param self the process itself
- * @param cutOff it sees fewer than half of those that it saw lately
- * @param known how many it saw lately, itself included
- * @param seen how many of these it sees now, itself included
- * @param settled nothing has changed for a while and nobody is suspected
- * @param health 0 is well; above, this process hears badly and waits longer
- * @param members all others, by name and then the latest first
+ * @param cutOff fewer than half of the recently present members are alive in this view
+ * @param known the number of recently present members, itself included
+ * @param seen how many of these are alive, itself included
+ * @param settled nothing has changed for a while and no member is suspected
+ * @param health the health score of this process: 0 is healthy, a higher one lengthens its intervals and time-outs
+ * @param members all others, by name, then the most recently started first
  */
 public record View(
         Member self, boolean cutOff, int known, int seen, boolean settled, int health, List<Member> members) {
-    /** What a member is held for. */
+    /** Status of a member in this view. */
     public enum Status {
         ALIVE,
         SUSPECTED,
         GONE,
-        /** It is not heard, and neither are most: it may be this process that is cut off. */
+        /** It does not answer, but this process may itself be cut off from the fleet. */
         UNKNOWN,
         LEFT
     }
@@ -28,15 +28,15 @@
     /**
      * One life of a member. Ages in ms.
      *
-     * @param sinceMs how long it has that status
-     * @param why who accuses it, or why it went; may be empty
-     * @param statedMs how old its statement is
-     * @param upMs how long its process has lived
-     * @param incarnation how often it has objected to an accusation
-     * @param twin another process lives under its name
-     * @param onlyByOthers it answers others, and did not answer this process the last time
-     * @param answeredMs when it last answered this process itself; -1 if never
-     * @param agrees false if it sees others than this process does, as far as its last statement tells
+     * @param statusAgeMs the time since its last change of status
+     * @param reason the accuser, or another reason of its status; may be empty
+     * @param statementAgeMs the age of its statement
+     * @param upMs the uptime of its process
+     * @param incarnation its incarnation, raised by each refutation
+     * @param twin another process runs under its name
+     * @param indirectOnly it last answered only indirect probes, not this process
+     * @param lastAckAgeMs the time since it last answered this process directly; -1 if never
+     * @param agrees false if, by its last statement, its view has other members alive than this one
      */
     public record Member(
             Identity id,
@@ -52,7 +52,7 @@
             long lastAckAgeMs,
             boolean agrees) {}
 
-    /** The latest life under that name; null if there is none. */
+    /** Returns the most recently started life of that name; null if there is none. */
     public Member findByName(String name) {
         if (self.id().name().equals(name)) {
             return self;
--- a/src/main/java/gullspar/peers/net/FleetPage.java
+++ b/src/main/java/gullspar/peers/net/FleetPage.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The fleet as one process sees it, as JSON for operators (docs/fleet.md says what each field means). */
+/** Renders the view of the fleet as JSON for operators (docs/fleet.md describes the fields). */
 final class FleetPage {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -55,7 +55,7 @@
             g.writeNumberField("members_refused", c.refusedMembers());
             g.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a string does not fail
+            throw new UncheckedIOException(e); // a StringWriter does not fail
         }
         return text.toString();
     }
--- a/src/main/java/gullspar/peers/net/KeyFile.java
+++ b/src/main/java/gullspar/peers/net/KeyFile.java
@@ -11,26 +11,26 @@
 import java.util.List;
 
 /**
- * The keys that all members of a fleet share: a line each, in hexadecimal, 32 bytes or more; lines that
- * begin with # are remarks. What this process sends is made with the first, what comes is taken by either.
+ * The keys that all members of a fleet share: one per line, in hexadecimal, 32 bytes or more; lines that start with #
+ * are comments. Datagrams are sent with the first key, and accepted with either.
  */
 public final class KeyFile {
     private static final int MAX_BYTES = 4096;
 
     private KeyFile() {}
 
-    /** Reads one; an IOException that says what is wrong, and where. */
+    /** Reads a key file; an IOException gives the error with line and column. */
     public static List<byte[]> read(Path file) throws IOException {
         List<String> lines;
         try {
             if (Files.size(file) > MAX_BYTES) {
-                throw new IOException(file + ": has more than " + MAX_BYTES + " bytes, and is no key file");
+                throw new IOException(file + ": larger than " + MAX_BYTES + " bytes, not a key file");
             }
             lines = Files.readAllLines(file);
         } catch (NoSuchFileException e) {
             throw new IOException(file + ": there is no such file", e);
         } catch (CharacterCodingException e) {
-            throw new IOException(file + ": is not UTF-8 text", e);
+            throw new IOException(file + ": not UTF-8 text", e);
         }
         List<byte[]> keys = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
@@ -41,7 +41,7 @@
             int column = lines.get(i).indexOf(line) + 1;
             for (int c = 0; c < line.length(); c++) {
                 if (!HexFormat.isHexDigit(line.charAt(c))) {
-                    throw syntaxError(file, i, column + c, "is no hexadecimal digit");
+                    throw syntaxError(file, i, column + c, "not a hexadecimal digit");
                 }
             }
             if (line.length() % 2 != 0 || line.length() / 2 < Envelope.MIN_KEY_BYTES) {
@@ -49,16 +49,16 @@
                         file,
                         i,
                         column,
-                        "a key of " + line.length() + " digits, not " + 2 * Envelope.MIN_KEY_BYTES
-                                + " or more, in pairs");
+                        "key has " + line.length() + " hexadecimal digits, expected at least "
+                                + 2 * Envelope.MIN_KEY_BYTES + ", an even number");
             }
             if (keys.size() == Envelope.MAX_KEYS) {
-                throw syntaxError(file, i, column, "a third key: two at one time are enough to replace one");
+                throw syntaxError(file, i, column, "too many keys, at most 2 are allowed (the new and the old one)");
             }
             keys.add(HexFormat.of().parseHex(line));
         }
         if (keys.isEmpty()) {
-            throw new IOException(file + ": holds no key");
+            throw new IOException(file + ": contains no key");
         }
         return keys;
     }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -33,13 +33,13 @@
 import java.util.function.Supplier;
 
 /**
- * A proxy's part in the fleet, as its operators' file says: it tells how the proxy does, and logs what it
- * hears.
+ * Membership of a proxy in the fleet, configured by its operators' file: publishes the proxy's state and traffic, and
+ * logs changes of the view.
  */
 public final class Membership implements Companion {
     private static final int DIGEST_BYTES = 4;
 
-    /** Reads what operators have written, of whatever kind their file is. */
+    /** Reads the operators' file, whatever its format. */
     public interface Reader {
         OperatorsFile read(Path file) throws IOException, ProblemsException;
     }
@@ -74,7 +74,7 @@
         this.transport = new UdpTransport(platform, envelope, this::logChange);
     }
 
-    /** Starts it, as {@link Companion.Factory} says; null if the file says nothing of a fleet. */
+    /** Starts it, see {@link Companion.Factory}; null if the file has no [fleet] section. */
     public static Membership start(Path file, Reader reader, String name, Platform platform, Supplier<Load> load)
             throws IOException {
         Fleet fleet = fleet(file, reader);
@@ -84,7 +84,7 @@
         String memberName = fleet.name() != null ? fleet.name() : name;
         if (memberName == null || !Identity.isValidName(memberName)) {
             throw new IOException(
-                    file + ": [fleet] has no name, and the platform gives none that could be one: " + memberName);
+                    file + ": [fleet] has no name, and the one of the platform is not valid: " + memberName);
         }
         Membership m = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
         try {
@@ -92,7 +92,7 @@
                     platform.loop().submit(() -> m.transport.bind(fleet.bind())).get();
             if (!bound.awaitUninterruptibly().isSuccess()) {
                 throw new IOException(
-                        "cannot hear the fleet at "
+                        "cannot bind the UDP socket of the fleet at "
                                 + NetUtil.toSocketAddressString(fleet.bind())
                                 + ": " + bound.cause().getMessage(),
                         bound.cause());
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Takes part from when its socket is bound, without files: for rehearsals. On the loop.
+     * Joins as soon as its socket is bound, without files: for rehearsals. On the loop.
      *
-     * @param life a number that no other process has, nor had
+     * @param life a number unique to this process
      */
     public static Membership join(
             Fleet fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
@@ -121,7 +121,8 @@
             if (f.isSuccess()) {
                 m.startPeers(fleet.name(), life, settings);
             } else {
-                platform.log().say("fleet: cannot hear the others: " + f.cause().getMessage());
+                platform.log()
+                        .say("fleet: cannot bind the UDP socket: " + f.cause().getMessage());
             }
         });
         return m;
@@ -148,7 +149,7 @@
         }
     }
 
-    /** How the fleet is watched, as the file says. */
+    /** Returns the settings that the operators' file configures. */
     public static Settings settings(Fleet fleet) {
         Settings s = Settings.withInterval(fleet.intervalNs()).withWindow(fleet.windowNs());
         return fleet.bytesPerSecond() > 0 ? s.withBytesPerSecond(fleet.bytesPerSecond()) : s;
@@ -184,7 +185,7 @@
                         this::publishStats, fleet.intervalNs(), fleet.intervalNs(), TimeUnit.NANOSECONDS);
     }
 
-    /** Once an interval: what the proxy did since the last time. */
+    /** Publishes state and traffic since the last call, once per interval. */
     private void publishStats() {
         if (left || !transport.isStarted()) {
             return;
@@ -199,7 +200,7 @@
         last = l;
         lastAt = now;
         transport.withPeers(p -> {
-            // Alone for good is a fleet as well: a proxy that serves is not joining.
+            // A proxy may be the only member for good: once it serves, it is not joining any more.
             phase = stage == Stage.SERVING
                     ? Phase.SERVING
                     : stage == Stage.DRAINING ? Phase.DRAINING : p.size() == 1 ? Phase.JOINING : Phase.WARMING;
@@ -214,7 +215,7 @@
                 switch (c.kind()) {
                     case JOINED -> who + " joined, " + c.reason();
                     case SUSPECTED -> who + " is suspected, " + c.reason();
-                    case CLEARED -> who + " is there after all";
+                    case CLEARED -> who + " is alive, suspicion refuted";
                     case GONE -> who + " is gone"
                             + (c.reason().isEmpty()
                                     ? ""
@@ -254,7 +255,7 @@
         try {
             Fleet now = fleet(file, reader);
             if (now == null || !now.bind().equals(fleet.bind()) || now.intervalNs() != fleet.intervalNs()) {
-                platform.log().say("fleet: only keys and seeds are read again; the rest wants a restart");
+                platform.log().say("fleet: only keys and seeds are reloaded; other changes of [fleet] need a restart");
             }
             Envelope keys = envelope(now == null ? fleet : now);
             String digest = digest(file);
@@ -265,11 +266,12 @@
                 publishStats();
             });
         } catch (IOException e) {
-            e.getMessage().lines().forEach(line -> platform.log().say("fleet: nothing is read again: " + line));
+            e.getMessage().lines().forEach(line -> platform.log()
+                    .say("fleet: reload failed, nothing was changed: " + line));
         }
     }
 
-    /** Looks for others there from now on. On the loop. */
+    /** Replaces the seeds. On the loop. */
     public void setSeeds(List<InetSocketAddress> seeds) {
         if (transport.isStarted()) {
             transport.withPeers(p -> {
@@ -283,7 +285,7 @@
         return addresses.stream().map(NetUtil::toSocketAddressString).toList();
     }
 
-    /** Takes other keys from now on. On the loop. */
+    /** Replaces the keys. On the loop. */
     public void setKeys(Envelope keys) {
         transport.setKeys(keys);
     }
@@ -300,7 +302,7 @@
         }
         platform.loop()
                 .execute(
-                        () -> { // what was written goes out first
+                        () -> { // pending writes are sent first
                             transport.close();
                             closed.complete(null);
                         });
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -33,11 +33,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Carries a process's part in the fleet over UDP, on the proxy's loop. What is not ours, is damaged or was
- * made without the key is counted and dropped, never answered. All but the making is on the loop.
+ * UDP transport of a member, on the proxy's loop. Datagrams that are foreign, damaged or not authenticated by a key
+ * are counted and dropped, never answered. All methods but the constructor are called on the loop.
  */
 public final class UdpTransport implements Outbox {
-    /** Addresses that are kept read, so that each is not read for each datagram. */
+    /** Bound of the cache of parsed addresses. */
     private static final int MAX_CACHED_ADDRESSES = 4096;
 
     private final Platform platform;
@@ -59,18 +59,18 @@
     private long malformed;
     private long unsent;
 
-    /** changes: hears what changes in the view. */
+    /** The listener receives the changes of the view. */
     public UdpTransport(Platform platform, Envelope envelope, Consumer<Change> changeListener) {
         this.platform = platform;
         this.envelope = envelope;
         this.changeListener = changeListener;
     }
 
-    /** Binds a socket there; {@link #begin} is to follow once that is done. */
+    /** Binds the socket; {@link #start} must be called once that is done. */
     public ChannelFuture bind(InetSocketAddress address) {
         ChannelFuture bound = platform.transport()
                 .datagrams(address)
-                // One byte more than may come, so that what is too long is seen to be.
+                // One byte above the maximum, so that datagrams that are too long are detected.
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Message.MAX_DATAGRAM_BYTES + 1))
                 .handler(new InboundHandler())
                 .bind();
@@ -78,13 +78,13 @@
         return bound;
     }
 
-    /** Where it is bound. */
+    /** The address it is bound to. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
     /**
-     * Takes part from now on; first: what this process says of itself, made of the address that it is
+     * Starts to participate; first is the first statement of this process, with the address it is
      * reached at.
      */
     public void start(Settings settings, Statement first, List<String> seeds, RandomGenerator random) {
@@ -93,24 +93,24 @@
         scheduleWake();
     }
 
-    /** Takes other keys from now on. */
+    /** Replaces the keys. */
     public void setKeys(Envelope keys) {
         envelope = keys;
     }
 
-    /** Does it take part yet? */
+    /** Whether {@link #start} was called. */
     public boolean isStarted() {
         return peers != null;
     }
 
-    /** Asks the machine something, or tells it something, at the present time. */
+    /** Calls the state machine, and schedules its next tick. */
     public <T> T withPeers(Function<Peers, T> operation) {
         T t = operation.apply(peers);
         scheduleWake();
         return t;
     }
 
-    /** Ends it. */
+    /** Cancels the timer and closes the socket. */
     public void close() {
         if (wakeTimer != null) {
             wakeTimer.cancel(false);
@@ -118,17 +118,17 @@
         channel.close();
     }
 
-    /** Datagrams that were dropped since they were not ours, by why. */
+    /** Datagrams dropped by the envelope check, by reason. */
     public Map<Envelope.Refusal, Long> refused() {
         return refused;
     }
 
-    /** Datagrams of a key holder that made no sense all the same. */
+    /** Authenticated datagrams that could not be decoded. */
     public long malformed() {
         return malformed;
     }
 
-    /** Datagrams that could not be handed to the socket. */
+    /** Datagrams that could not be sent. */
     public long unsent() {
         return unsent;
     }
@@ -172,7 +172,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
             if (peers == null) {
-                return; // not begun yet
+                return; // not started yet
             }
             byte[] datagram = new byte[p.content().readableBytes()];
             p.content().readBytes(datagram);
@@ -196,7 +196,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            unsent++; // what a socket says of a datagram that nobody took; the next one is another
+            unsent++; // an error of one datagram, such as port unreachable; others are not affected
         }
     }
 
@@ -205,7 +205,7 @@
     private void scheduleWake() {
         long next = peers.wakeAt();
         if (next >= wakeTimerAt) {
-            return; // woken earlier, it looks again
+            return; // the earlier timer reschedules
         }
         if (wakeTimer != null) {
             wakeTimer.cancel(false);
--- a/src/main/java/gullspar/peers/wire/Codec.java
+++ b/src/main/java/gullspar/peers/wire/Codec.java
@@ -21,10 +21,9 @@
 import java.util.TreeMap;
 
 /**
- * Messages as CBOR (RFC 8949): arrays, their fields by place. Whoever reads passes over fields that come
- * after those that it knows, and kinds of messages that it does not know; what a newer version has to say
- * of a member goes into its facts, which all pass on as they came. {@code docs/fleet-design.md} has the
- * table.
+ * Messages as CBOR (RFC 8949): arrays with positional fields. Readers skip fields after those that they know, and
+ * messages of unknown kinds; data that newer versions add to a member goes into its facts, which are passed on
+ * unchanged. {@code docs/fleet-design.md} has the table.
  */
 public final class Codec {
     private static final int PING = 1, ACK = 2, PING_REQ = 3, NACK = 4, NEWS = 5, DIGEST = 6, LISTING = 7, WANT = 8;
@@ -34,13 +33,13 @@
 
     // ---- writing ----
 
-    /** A message as bytes. */
+    /** Encodes a message. */
     public static byte[] encode(Message m) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(Message.MAX_DATAGRAM_BYTES);
         try (JsonGenerator g = CBOR.createGenerator(bytes)) {
             write(g, m);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // an in-memory stream does not fail
         }
         return bytes.toByteArray();
     }
@@ -166,9 +165,7 @@
 
     // ---- reading ----
 
-    /**
-     * The message in these bytes; null if it is of a kind that is not known. An IOException if it is none.
-     */
+    /** Decodes a message; null if its kind is unknown. Throws an IOException if it is malformed. */
     public static Message decode(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes, from, length)) {
             expectArray(p.nextToken());
@@ -202,15 +199,15 @@
 
     private static void expectArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
-            throw new IOException("no array where one must be");
+            throw new IOException("expected an array");
         }
     }
 
-    /** Passes over what a newer version has put behind. */
+    /** Skips fields that a newer version appended. */
     private static void skipToEnd(JsonParser p) throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t == null) {
-                throw new IOException("the message ends in the middle");
+                throw new IOException("unexpected end of the message");
             }
             p.skipChildren();
         }
@@ -218,7 +215,7 @@
 
     private static long number(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IOException("no number where one must be");
+            throw new IOException("expected an integer");
         }
         return p.getLongValue();
     }
@@ -226,7 +223,7 @@
     private static int number(JsonParser p, int min, int max) throws IOException {
         long n = number(p);
         if (n < min || n > max) {
-            throw new IOException("a number out of its bounds");
+            throw new IOException("number out of range");
         }
         return (int) n;
     }
@@ -234,14 +231,14 @@
     private static long age(JsonParser p) throws IOException {
         long n = number(p);
         if (n < 0 || n > Long.MAX_VALUE / 4_000_000) {
-            throw new IOException("an age out of its bounds");
+            throw new IOException("age out of range");
         }
         return n;
     }
 
     private static float finiteFloat(JsonParser p) throws IOException {
         if (!p.nextToken().isNumeric() || !Float.isFinite(p.getFloatValue())) {
-            throw new IOException("no figure where one must be");
+            throw new IOException("expected a finite number");
         }
         return p.getFloatValue();
     }
@@ -249,14 +246,14 @@
     private static boolean bool(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
-            throw new IOException("no flag where one must be");
+            throw new IOException("expected a boolean");
         }
         return t == JsonToken.VALUE_TRUE;
     }
 
     private static String text(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
-            throw new IOException("no text where one must be");
+            throw new IOException("expected a string");
         }
         return p.getText();
     }
@@ -264,7 +261,7 @@
     private static String address(JsonParser p) throws IOException {
         String a = text(p);
         if (a.isEmpty() || a.length() > Statement.MAX_ADDRESS_LENGTH) {
-            throw new IOException("no address where one must be");
+            throw new IOException("expected an address");
         }
         return a;
     }
@@ -285,7 +282,7 @@
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_NUMBER_INT) {
-                throw new IOException("no number where one must be");
+                throw new IOException("expected an integer");
             }
             all.add(p.getLongValue());
         }
@@ -347,12 +344,12 @@
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
-                throw new IOException("no name of a fact where one must be");
+                throw new IOException("expected the name of a fact");
             }
             String name = p.getText();
             int version = number(p, 0, Integer.MAX_VALUE);
             if (p.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-                throw new IOException("no bytes where they must be");
+                throw new IOException("expected a byte string");
             }
             facts.put(name, new Facts.Fact(version, p.getBinaryValue()));
         }
--- a/src/main/java/gullspar/peers/wire/Envelope.java
+++ b/src/main/java/gullspar/peers/wire/Envelope.java
@@ -11,12 +11,12 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What stands round a message in a datagram: a version, which key it was made with, and HMAC-SHA256 (RFC
- * 2104) of the whole, cut to 128 bits. The first key makes; all are taken, so that a key can be replaced in
- * three steps. Not for several threads at once.
+ * The envelope of a message in a datagram: version, key id, and HMAC-SHA256 (RFC 2104) of the whole, truncated to 128
+ * bits. Datagrams are sealed with the first key and accepted with any, so that a key can be replaced in three steps.
+ * Not thread-safe.
  */
 public final class Envelope {
-    /** Only this version is read. */
+    /** The only version that is accepted. */
     public static final byte VERSION = 1;
 
     private static final String HMAC = "HmacSHA256";
@@ -24,20 +24,20 @@
             MAC_BYTES = 16,
             HEADER_BYTES = 1 + KEY_BYTES,
             PREFIX_BYTES = HEADER_BYTES + MAC_BYTES;
-    /** Shorter keys are no protection (RFC 2104, section 3, asks for the length of the hash). */
+    /** Shorter keys weaken the HMAC: RFC 2104, section 3, requires the length of the hash. */
     public static final int MIN_KEY_BYTES = 32;
-    /** Keys at one time. */
+    /** The maximum number of keys: the new and the old one during a replacement. */
     public static final int MAX_KEYS = 2;
 
-    /** Why a datagram is not looked at. */
+    /** Why a datagram is dropped. */
     public enum Refusal {
-        /** Too short or too long for one of ours. */
+        /** Shorter than the envelope, or longer than the maximum. */
         SIZE,
-        /** Of another version of the envelope. */
+        /** Another version of the envelope. */
         VERSION,
-        /** Of a key that is not known here. */
+        /** Sealed with an unknown key. */
         KEY,
-        /** Changed on its way, or made by somebody without the key. */
+        /** Wrong authentication code: modified, or forged without the key. */
         CODE
     }
 
@@ -45,14 +45,15 @@
 
     private final List<Key> keys = new ArrayList<>();
 
-    /** With one key or two, of 32 bytes or more each. */
+    /** Takes one or two keys of 32 bytes or more each. */
     public Envelope(List<byte[]> secrets) {
         if (secrets.isEmpty() || secrets.size() > MAX_KEYS) {
-            throw new IllegalArgumentException(secrets.size() + " keys, not one or two");
+            throw new IllegalArgumentException(secrets.size() + " keys, expected one or two");
         }
         for (byte[] secret : secrets) {
             if (secret.length < MIN_KEY_BYTES) {
-                throw new IllegalArgumentException("a key of " + secret.length + " bytes, not " + MIN_KEY_BYTES);
+                throw new IllegalArgumentException(
+                        "key has " + secret.length + " bytes, expected at least " + MIN_KEY_BYTES);
             }
             keys.add(key(secret));
         }
@@ -63,7 +64,7 @@
             Mac mac = Mac.getInstance(HMAC);
             mac.init(new SecretKeySpec(secret, HMAC));
             byte[] id = new byte[KEY_BYTES];
-            // Which key it is may be known to all: a digest under another use of the key tells nothing of it.
+            // The key id is sent in clear: an HMAC of a fixed text does not reveal the key.
             System.arraycopy(mac.doFinal("which key".getBytes(StandardCharsets.US_ASCII)), 0, id, 0, KEY_BYTES);
             return new Key(id, mac);
         } catch (GeneralSecurityException e) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /** A datagram of a message. */
+    /** Wraps a message into a datagram. */
     public byte[] seal(byte[] message) {
         Key k = keys.get(0);
         byte[] out = new byte[PREFIX_BYTES + message.length];
@@ -88,7 +89,7 @@
         return k.mac.doFinal();
     }
 
-    /** Why it is not to be looked at; null if it is one of ours, whose message begins at {@link #front}. */
+    /** Returns why a datagram is to be dropped; null if it is valid: its message starts at {@link #messageOffset}. */
     public Refusal open(byte[] datagram) {
         if (datagram.length <= PREFIX_BYTES || datagram.length > Message.MAX_DATAGRAM_BYTES) {
             return Refusal.SIZE;
@@ -106,7 +107,7 @@
         return Refusal.KEY;
     }
 
-    /** Where the message begins in a datagram. */
+    /** Offset of the message in a datagram. */
     public static int messageOffset() {
         return PREFIX_BYTES;
     }
--- a/src/test/java/gullspar/config/OperatorsFileTest.java
+++ b/src/test/java/gullspar/config/OperatorsFileTest.java
@@ -100,11 +100,14 @@
         String good = "ab".repeat(32);
         Path f = Files.writeString(folder.resolve("good"), "# new\n" + good + "\n\n  " + "cd".repeat(40) + "\n");
         assertEquals(2, KeyFile.read(f).size());
-        assertEquals("k: holds no key", key("# nothing\n"));
-        assertEquals("k:2:3: is no hexadecimal digit", key("# a\nabx"));
-        assertEquals("k:1:1: a key of 10 digits, not 64 or more, in pairs", key("abababababab".substring(2)));
+        assertEquals("k: contains no key", key("# nothing\n"));
+        assertEquals("k:2:3: not a hexadecimal digit", key("# a\nabx"));
         assertEquals(
-                "k:3:1: a third key: two at one time are enough to replace one", key(good + "\n" + good + "\n" + good));
+                "k:1:1: key has 10 hexadecimal digits, expected at least 64, an even number",
+                key("abababababab".substring(2)));
+        assertEquals(
+                "k:3:1: too many keys, at most 2 are allowed (the new and the old one)",
+                key(good + "\n" + good + "\n" + good));
         assertTrue(assertThrows(IOException.class, () -> KeyFile.read(folder.resolve("none")))
                 .getMessage()
                 .endsWith("there is no such file"));
--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -11,8 +11,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the view of the fleet in virtual time: how long a death takes to be noticed and known, how long
- * a healed partition takes to settle, what it costs, and how often somebody is accused in error. Run by
+ * Measures the view of the fleet in virtual time: the time until a death is detected and known to all, the time until
+ * a healed partition converges, the traffic, and the rate of false accusations. Run by
  * {@code bench/fleet/figures.sh}; not a test.
  */
 public final class FleetFigures {
@@ -40,7 +40,7 @@
 
     private static SimulatedFleet settledFleet(long seed, int size, Settings s) {
         SimulatedFleet t = new SimulatedFleet(seed, s).start(size);
-        // A large fleet's first statements go round for some minutes.
+        // The first statements take some minutes to spread in a large fleet.
         t.run(size >= 1000 ? 600 : 40);
         return t;
     }
@@ -59,7 +59,7 @@
                 h.getMaxValue() / 1e3);
     }
 
-    /** One after the other dies; what it costs is counted while nobody does. */
+    /** Kills members one after the other; the traffic is measured before, while none fails. */
     private static void deaths() {
         print("| size | noticed by one, s: median | p99 | most | known to all, s: median | p99 | most | deaths "
                 + "| datagrams/s a member | bytes/s a member |");
@@ -121,7 +121,7 @@
         return c;
     }
 
-    /** Cut 50:50 for a while, then whole again. */
+    /** Partitions the fleet 50:50 for a while, then heals it. */
     private static void partitions() {
         print("| size | cut for, s | all see all again after, s: median | p99 | most | cuts |");
         print("| --- | --- | --- | --- | --- | --- |");
@@ -147,7 +147,7 @@
         }
     }
 
-    /** An hour with loss and jitter, all alive: who is accused, who is convicted. */
+    /** Runs with loss and jitter and no failure: counts false suspicions, and members falsely marked as gone. */
     private static void accusations() {
         print("| size | loss | Lifeguard | suspected, an hour a member | called gone, an hour a member |");
         print("| --- | --- | --- | --- | --- |");
--- a/src/test/java/gullspar/peers/PeersPropertiesTest.java
+++ b/src/test/java/gullspar/peers/PeersPropertiesTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Merging, and a machine that is told anything at all. */
+/** Properties of merging, and of the state machine under arbitrary authenticated messages. */
 class PeersPropertiesTest {
     @Provide
     Arbitrary<MemberState> states() {
@@ -45,7 +45,7 @@
         merge(a, b).forEach((life, h) -> assertTrue(h.compareTo(a.getOrDefault(life, h)) >= 0));
     }
 
-    /** Whoever left stays so, and only a higher incarnation clears an accusation. */
+    /** LEFT is final, and only a higher incarnation clears an accusation. */
     @Property(tries = 2000, seed = "112")
     void mergeNeverRegresses(@ForAll("states") MemberState a, @ForAll("states") MemberState b) {
         MemberState m = a.merge(b);
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Three that know each other, and a key holder that says anything: nothing is thrown, what is kept and
-     * what is sent stays within bounds, and the three still agree in the end.
+     * Three members, one of which receives arbitrary messages of a key holder: no exception is thrown, and the members
+     * kept and datagrams sent stay within bounds.
      */
     @Property(tries = 60, seed = "113")
     void arbitraryAuthenticatedMessagesAreHandledWithinBounds(@ForAll long seed) {
--- a/src/test/java/gullspar/peers/PeersTest.java
+++ b/src/test/java/gullspar/peers/PeersTest.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A fleet through joins, deaths, cuts and worse, in virtual time. */
+/** Joins, crashes, partitions and network faults of a fleet, in virtual time. */
 class PeersTest {
     private static SimulatedFleet settledFleet(long seed, int count) {
         SimulatedFleet t = new SimulatedFleet(seed).start(count);
-        assertTrue(t.runUntil(30, t::hasConverged) >= 0, "did not agree");
+        assertTrue(t.runUntil(30, t::hasConverged) >= 0, "did not converge");
         return t.run(15);
     }
 
@@ -60,7 +60,7 @@
                 t.living().stream().flatMap(o -> o.changes.stream()).noneMatch(c -> c.kind() == Change.Kind.SUSPECTED));
     }
 
-    /** Its state is lost: life and revision begin anew, and no rumor of the former life holds it down. */
+    /** Life and revision start anew after a restart, and rumors of the former life must not affect the new one. */
     @Test
     void restartedProcessSupersedesItsFormerLife() {
         SimulatedFleet t = settledFleet(3, 10);
@@ -129,10 +129,10 @@
         t.partition(a, b, true);
         t.run(120);
         a.forEach(l -> assertEquals(10, l.names(View.Status.GONE).size(), l.name));
-        a.forEach(l -> assertFalse(l.peers.cutOff(), "half is no minority"));
+        a.forEach(l -> assertFalse(l.peers.cutOff(), "half of the fleet is no minority"));
         t.partition(a, b, false);
         double took = t.runUntil(60, t::hasConverged);
-        assertTrue(took >= 0, "never");
+        assertTrue(took >= 0, "did not converge");
         t.run(30);
         assertTrue(t.hasConverged());
     }
@@ -172,7 +172,7 @@
         assertTrue(l.changes.stream().anyMatch(c -> c.kind() == Change.Kind.OBJECTED));
     }
 
-    /** A hears B, B does not hear A, round a ring: everybody is reached by others. */
+    /** Each member receives nothing from its predecessor in a ring, but is reachable through others. */
     @Test
     void oneWayLinksInARingMarkNoMemberGone() {
         SimulatedFleet t = settledFleet(9, 10);
@@ -184,7 +184,7 @@
         assertTrue(t.get(1).view().members().stream().anyMatch(View.Member::indirectOnly));
     }
 
-    /** It is heard by all and hears nobody: to be heard is no proof of health. */
+    /** Its datagrams reach all others and none reach it: sending is no proof of health. */
     @Test
     void memberThatOnlySendsIsMarkedGone() {
         SimulatedFleet t = settledFleet(10, 10);
@@ -222,7 +222,7 @@
             t.start("p" + i, i % 3 == 0 ? "b" + i + ":1" : "a" + i + ":1", "a1:1", "a2:1", "a4:1");
         }
         double took = t.runUntil(60, t::hasConverged);
-        assertTrue(took >= 0, "never");
+        assertTrue(took >= 0, "did not converge");
         assertEquals(0, t.falseReports(Change.Kind.GONE));
     }
 
@@ -233,11 +233,11 @@
             t.get(i).kill();
         }
         assertTrue(t.runUntil(60, t::hasConverged) >= 0);
-        t.start("p1", "a1:1", "a2:1", "a3:1"); // knows nobody who lives: it is found
+        t.start("p1", "a1:1", "a2:1", "a3:1"); // its seeds are all dead: the others find it through theirs
         assertTrue(t.runUntil(120, t::hasConverged) >= 0);
     }
 
-    /** Half of whom it asks say nothing, nor do helpers that are dead as well: its own hearing is good. */
+    /** Dead helpers send no nacks either, which must not lower the health of the prober for good. */
     @Test
     void pausedSurvivorRemovesDeadMembersWithinBound() {
         SimulatedFleet t = settledFleet(19, 10);
@@ -247,7 +247,7 @@
         List<Node> dead = t.living().stream().filter(l -> l != survivor).toList();
         dead.forEach(Node::kill);
         for (int i = 1; i <= 9; i++) {
-            t.start("q" + i, "b" + i + ":1", survivor.address); // knows nothing of the dead
+            t.start("q" + i, "b" + i + ":1", survivor.address); // does not know the dead members
         }
         survivor.pause(false);
         double took = t.runUntil(600, () -> survivor.peers.size() == 10 && t.hasConverged());
@@ -257,7 +257,7 @@
     @Test
     void seedsAddedLaterAreProbedAtOnce() {
         SimulatedFleet t = settledFleet(18, 4);
-        Node far = t.start("p5", "b5:1"); // neither knows of the other
+        Node far = t.start("p5", "b5:1"); // neither side knows the other
         assertTrue(t.runUntil(40, t::hasConverged) < 0);
         t.get(2).input(() -> t.get(2).peers.seeds(t.now, List.of("b5:1")));
         assertTrue(t.runUntil(10, t::hasConverged) >= 0);
@@ -292,7 +292,7 @@
         assertTrue(t.runUntil(60, t::hasConverged) >= 0);
     }
 
-    /** A member that has gone mad speaks of ten thousand that do not exist. */
+    /** A faulty member spreads rumors of 10,000 processes that do not exist. */
     @Test
     void processesReportedByOneMemberAreNotAdmitted() {
         SimulatedFleet t = settledFleet(16, 5);
@@ -333,7 +333,7 @@
         t.living().forEach(o -> assertEquals(4, o.view().members().size(), o.name));
     }
 
-    /** What a life said counts once; what a dead one said is no sign of life. */
+    /** Each datagram counts once, and datagrams of an unknown life that answers no probe do not admit it. */
     @Test
     void replayedDatagramsAreIgnored() {
         SimulatedFleet t = settledFleet(17, 5);
--- a/src/test/java/gullspar/peers/SimulatedFleet.java
+++ b/src/test/java/gullspar/peers/SimulatedFleet.java
@@ -13,8 +13,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Many processes' parts in one fleet, in one thread and in a time of their own, over a network that may
- * fail.
+ * Simulates the members of a fleet in one thread and in virtual time, over a network with injected faults.
  */
 final class SimulatedFleet {
     static final long MS = 1_000_000L, S = 1_000_000_000L;
@@ -28,7 +27,7 @@
         final long life;
         final Peers peers;
         final List<Change> changes = new ArrayList<>();
-        /** The last datagram from each life. */
+        /** The last datagram received from each life. */
         final Map<Long, Message> lastReceived = new LinkedHashMap<>();
 
         boolean dead;
@@ -103,7 +102,7 @@
             }
         }
 
-        /** Stands still, or goes on with all that came meanwhile. */
+        /** Pauses the process, or resumes it with the inputs queued meanwhile. */
         void pause(boolean pause) {
             paused = pause;
             if (!pause) {
@@ -148,19 +147,19 @@
     private long nextNumber;
     long now = 1_000 * S;
     long sent;
-    /** The network. */
+    /** Faults and delays of the network. */
     double lossRate;
 
     long delayNs = MS;
     long jitterNs = MS;
     double duplicateRate;
-    /** Pairs "from>to" of names that hear nothing. */
+    /** Pairs "from>to" of names whose datagrams are dropped. */
     final Set<String> blockedLinks = new HashSet<>();
-    /** What everybody's changes are told to. */
+    /** Receives the view changes of all nodes. */
     BiConsumer<Node, Change> changeListener = (l, c) -> {};
-    /** What each datagram is told to as it is sent, and as it comes to somebody. */
+    /** Receive each datagram as it is sent, and as it is delivered. */
     BiConsumer<Node, Message> sendListener = (l, m) -> {}, deliveryListener = (l, m) -> {};
-    /** Is what came last kept, and what changed? Large towns that are only counted forget it. */
+    /** Whether the last datagrams and the changes are kept; off in large fleets, to save memory. */
     boolean recordsHistory = true;
 
     SimulatedFleet(long seed, Settings settings) {
@@ -176,7 +175,7 @@
         events.add(new Event(Math.max(time, now), nextNumber++, action));
     }
 
-    /** Lets so much time pass. */
+    /** Advances the virtual time. */
     SimulatedFleet run(double seconds) {
         long end = now + (long) (seconds * S);
         while (!events.isEmpty() && events.peek().at() <= end) {
@@ -188,7 +187,7 @@
         return this;
     }
 
-    /** Runs until that holds, for so long at most; returns the seconds that it took, or -1. */
+    /** Runs until the condition holds or the time is up; returns the seconds that it took, or -1. */
     double runUntil(double seconds, java.util.function.BooleanSupplier holds) {
         long startedAt = now;
         while (now - startedAt < seconds * S) {
@@ -219,7 +218,7 @@
         }
     }
 
-    /** Hands in a datagram from nowhere. */
+    /** Delivers a forged datagram. */
     void inject(Node to, Message m) {
         to.input(() -> to.peers.receive(now, m));
     }
@@ -236,7 +235,7 @@
         return l;
     }
 
-    /** Starts p1 to pN, the first three being everybody's seeds. */
+    /** Starts p1 to pN, with the first three as seeds. */
     SimulatedFleet start(int count) {
         for (int i = 1; i <= count; i++) {
             start("p" + i, "a" + i + ":1", "a1:1", "a2:1", "a3:1");
@@ -252,7 +251,7 @@
         return nodes.values().stream().filter(l -> !l.dead).toList();
     }
 
-    /** Cuts two sets of members from each other, or lets them hear each other again. */
+    /** Blocks or unblocks all links between two sets of nodes. */
     void partition(List<Node> a, List<Node> b, boolean blocked) {
         for (Node x : a) {
             for (Node y : b) {
@@ -267,7 +266,7 @@
         }
     }
 
-    /** Does each that lives see just those that live as alive? */
+    /** Whether each living node sees exactly the living nodes as alive. */
     boolean hasConverged() {
         List<Node> living = living();
         Set<String> names = living.stream().map(l -> l.name).collect(Collectors.toSet());
@@ -278,7 +277,7 @@
         });
     }
 
-    /** How often somebody who lives was accused or called gone. */
+    /** Number of changes of that kind reported about living nodes. */
     long falseReports(Change.Kind kind) {
         Set<Long> alive = living().stream().map(l -> l.life).collect(Collectors.toSet());
         return nodes.values().stream()
--- a/src/test/java/gullspar/peers/ViewCost.java
+++ b/src/test/java/gullspar/peers/ViewCost.java
@@ -16,10 +16,9 @@
 import java.util.stream.Stream;
 
 /**
- * Counts what the view of the fleet costs a member, in virtual time: bytes sent and received a second in the
- * minutes from the start of all on, by kind of message, with an eighth dead, and the table's memory. Bytes
- * are
- * those of the encoded datagrams with their envelope, without the headers of UDP and IP. Run by
+ * Measures the cost of the view of the fleet per member, in virtual time: bytes sent and received per second in the
+ * minutes after a simultaneous start, by kind of message, and after the death of an eighth, and the memory of the
+ * roster. Bytes are those of the encoded datagrams with their envelope, without the headers of UDP and IP. Run by
  * {@code bench/scale/view.sh}; not a test.
  */
 public final class ViewCost {
@@ -28,7 +27,7 @@
     private static final List<String> KINDS =
             List.of("ping", "ack", "pingreq", "nack", "news", "digest", "listing", "want", "statements told");
 
-    /** What went through all members in some span of time. */
+    /** Traffic of all members in a span of time. */
     private static final class Count {
         private final Map<String, Long> bytes = new TreeMap<>();
         private long sent, received, datagrams;
@@ -90,12 +89,12 @@
         results.point(id, what, unit, "proxies", Map.of(), heldOut, size, value);
     }
 
-    /** As long as real ones are. */
+    /** An address of realistic length. */
     private static String address(int i) {
         return "10.20." + i / 250 + "." + (1 + i % 250) + ":7946";
     }
 
-    /** So many seconds; the worst ten of them, in bytes a second and member sent. */
+    /** Runs for that time; returns the highest rate over 10 s, in bytes sent per second and member. */
     private double run(int seconds) {
         double worstRate = 0;
         for (int s = 0; s < seconds; s += 10) {
--- a/src/test/java/gullspar/peers/wire/WireTest.java
+++ b/src/test/java/gullspar/peers/wire/WireTest.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Messages and datagrams: what was written is read, and nothing that comes can do harm. */
+/** Encoding of messages and datagrams, and handling of malformed ones. */
 class WireTest {
     private static final byte[] ONE = new byte[32], OTHER = new byte[40];
 
@@ -117,7 +117,7 @@
         assertEquals(m, Codec.decode(bytes, 0, bytes.length));
     }
 
-    /** Any bytes, and any message cut or flipped anywhere: an error or another message, nothing else. */
+    /** Arbitrary, truncated or modified bytes give an IOException or another message, nothing else. */
     @Property(tries = 1000, seed = "103")
     void corruptBytesFailWithIOExceptionOnly(
             @ForAll("messages") Message m, @ForAll byte[] noise, @ForAll int at, @ForAll byte b) {
@@ -170,7 +170,7 @@
         assertThrows(IllegalArgumentException.class, () -> new Envelope(List.of()));
     }
 
-    /** A newer version puts more behind each array, and has kinds that this one does not know. */
+    /** A newer version appends fields to arrays, and sends unknown kinds of messages. */
     @Test
     void fieldsAndKindsOfNewerVersionsAreSkipped() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -206,7 +206,7 @@
         assertNull(Codec.decode(unknown.toByteArray(), 0, unknown.size()));
     }
 
-    /** What the state machine reckons with is no less than what goes out. */
+    /** The size that the state machine assumes is never below the encoded size. */
     @Property(tries = 500, seed = "105")
     void estimatedSizesAreUpperBounds(@ForAll("messages") Message m) {
         int estimated = Message.MAX_ENVELOPE_BYTES + m.maxBytes();
