--- a/src/main/java/gullspar/site/Source.java
+++ b/src/main/java/gullspar/site/ConfigSource.java
@@ -4,19 +4,19 @@
 import java.util.function.Consumer;
 
 /** Where a proxy's configuration comes from. Called off the proxy's loop. */
-public interface Source {
+public interface ConfigSource {
     /** Who uses a configuration. */
-    interface Taker {
+    interface ConfigReceiver {
         /** done is told, on the proxy's loop, why nothing has changed, or null once it holds. */
-        void take(Site site, Consumer<String> done);
+        void accept(Site site, Consumer<String> onResult);
     }
 
     /** The one to start with, which may take its time; null if there is none, which was said. */
-    Site first();
+    Site initial();
 
     /** The proxy serves by the first one; from now on others go there. */
-    void serve(Taker to);
+    void start(ConfigReceiver receiver);
 
     /** The operators ask for it (SIGHUP). */
-    void reload(Taker to);
+    void reload(ConfigReceiver receiver);
 }
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -28,30 +28,30 @@
  * A pool: its own instance of the decision module, who is listed to that, and the connections to the servers.
  * It outlives configurations: what the module has learnt stays as long as the pool keeps its name.
  */
-final class Pool implements Balancer.Actions, Discovery.Listener, PlainBackends.Places {
+final class Pool implements Balancer.Actions, Discovery.Listener, PlainBackends.CapacityListener {
     private static final long MS = 1_000_000L;
     /** The figures of the module that only servers which start cold or several proxies need. */
-    private static final double START_CAPACITY = 0.3, TIP_MULTIPLE = 3;
+    private static final double START_CAPACITY = 0.3, OVERLOAD_MULTIPLE = 3;
 
-    private static final long COLD_NS = 10_000 * MS, FALL_NS = 2000 * MS, STEP_NS = 5 * MS;
-    private static final int MOST_ATTEMPTS = 100;
-    private static final long LAST_MS = 300;
+    private static final long COLD_START_NS = 10_000 * MS, FALL_NS = 2000 * MS, STEP_NS = 5 * MS;
+    private static final int MAX_ATTEMPTS = 100;
+    private static final long CLOSE_DELAY_MS = 300;
 
     final Platform platform;
     final PlainBackends backends;
     private final Events events;
-    private final Classes classes = new Classes();
-    private final Map<Integer, Call> calls = new HashMap<>();
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
+    private final PoolClasses classes = new PoolClasses();
+    private final Map<Integer, PoolExchange> exchanges = new HashMap<>();
+    private final Map<String, Integer> idsByServer = new HashMap<>();
+    private final Map<Integer, String> namesById = new HashMap<>();
     private final Members members = new Members(List.of());
     private final Discovery discovery;
     private Site.Pool declared;
     private long retryAfterNs;
-    private int tickets;
-    private int told;
+    private int lastTicket;
+    private int announcedClasses;
     private boolean closed;
-    private long changesAt = Long.MAX_VALUE;
+    private long nextListAt = Long.MAX_VALUE;
 
     Pool(
             Platform platform,
@@ -65,7 +65,7 @@
         this.backends = new PlainBackends(platform, sockets, declared.connections(), this);
         this.retryAfterNs = retryAfterNs;
         this.declared = declared;
-        this.told = classes.size();
+        this.announcedClasses = classes.size();
         this.discovery = declared.discovery() == null
                 ? null
                 : new Discovery(platform, Discovery.Source.pushed(declared.discovery()), this);
@@ -77,11 +77,11 @@
                         classes.all(),
                         false,
                         true,
-                        MOST_ATTEMPTS,
+                        MAX_ATTEMPTS,
                         Math.max(1, retryAfterNs),
                         START_CAPACITY,
-                        COLD_NS,
-                        TIP_MULTIPLE,
+                        COLD_START_NS,
+                        OVERLOAD_MULTIPLE,
                         FALL_NS,
                         0,
                         STEP_NS,
@@ -93,7 +93,7 @@
                 platform.clock().now(),
                 this));
         if (discovery == null) {
-            serve();
+            applyServers();
         } else {
             discovery.watch(true);
         }
@@ -103,41 +103,43 @@
      * Takes over another declaration of the same name, and keeps all that it knows of what has not changed.
      * False if it cannot: another way to choose, or to find servers, takes another pool.
      */
-    boolean declare(Site.Pool next, long retryNs) {
+    boolean reconfigure(Site.Pool next, long newRetryAfterNs) {
         if (declared.balance() != next.balance() || !Objects.equals(declared.discovery(), next.discovery())) {
             return false;
         }
         boolean same =
                 declared.servers().equals(next.servers()) && declared.places().equals(next.places());
-        retryAfterNs = retryNs;
+        retryAfterNs = newRetryAfterNs;
         declared = next;
-        backends.limit(next.connections());
+        backends.setLimits(next.connections());
         if (!same) {
-            serve();
+            applyServers();
         }
         return true;
     }
 
     /** Takes in the servers as they are declared now. */
-    private void serve() {
+    private void applyServers() {
         members.declare(declared.servers());
-        Set<Integer> now = declared.places().keySet().stream().map(this::number).collect(Collectors.toSet());
-        names.keySet().stream().filter(id -> !now.contains(id)).toList().forEach(this::forget);
+        Set<Integer> now =
+                declared.places().keySet().stream().map(this::serverId).collect(Collectors.toSet());
+        namesById.keySet().stream().filter(id -> !now.contains(id)).toList().forEach(this::forget);
         declared.places().forEach((name, place) -> {
-            names.put(number(name), name);
-            backends.ready(number(name), place.address(), place.maxConnections());
+            namesById.put(serverId(name), name);
+            backends.addServer(serverId(name), place.address(), place.maxConnections());
         });
-        list();
+        publishList();
     }
 
     /** By which the module knows a server: another address is another server. */
-    private int number(String name) {
-        return numbers.computeIfAbsent(name + " " + declared.places().get(name).address(), n -> numbers.size() + 1);
+    private int serverId(String name) {
+        return idsByServer.computeIfAbsent(
+                name + " " + declared.places().get(name).address(), n -> idsByServer.size() + 1);
     }
 
     private void forget(int id) {
-        names.remove(id);
-        backends.leave(id);
+        namesById.remove(id);
+        backends.removeServer(id);
     }
 
     /**
@@ -153,9 +155,9 @@
                 .schedule(
                         () -> {
                             events.news((now, module) -> module.onMembers(now, ListKind.FULL, 0, List.of()));
-                            backends.leaveAll();
+                            backends.removeAllServers();
                         },
-                        LAST_MS,
+                        CLOSE_DELAY_MS,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -163,52 +165,52 @@
         backends.sweep();
     }
 
-    boolean closeOneIdle() {
-        return backends.closeOneIdle();
+    boolean closeIdleConnection() {
+        return backends.closeIdleConnection();
     }
 
-    boolean done() {
-        return closed && calls.isEmpty();
+    boolean isDone() {
+        return closed && exchanges.isEmpty();
     }
 
     // ---- who is listed ----
 
     /** Tells the module who is listed now, and comes again when time alone changes that. */
-    private void list() {
+    private void publishList() {
         if (discovery != null) {
             return;
         }
         long now = platform.clock().now();
         List<Member> list = members.listed(now).stream()
-                .map(l -> new Member(number(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
+                .map(l -> new Member(serverId(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
                 .toList();
         events.news((at, module) -> module.onMembers(at, ListKind.FULL, 0, list));
         long next = members.changesAt(now);
-        if (next < changesAt || changesAt <= now) {
-            changesAt = next;
+        if (next < nextListAt || nextListAt <= now) {
+            nextListAt = next;
             if (next != Long.MAX_VALUE) {
-                platform.loop().schedule(this::timePassed, Math.max(MS, next - now), TimeUnit.NANOSECONDS);
+                platform.loop().schedule(this::onListTimer, Math.max(MS, next - now), TimeUnit.NANOSECONDS);
             }
         }
     }
 
-    private void timePassed() {
+    private void onListTimer() {
         if (!closed) {
-            changesAt = Long.MAX_VALUE;
-            list();
+            nextListAt = Long.MAX_VALUE;
+            publishList();
         }
     }
 
     @Override
-    public void full(int server, boolean full) {
-        if (names.containsKey(server) && members.full(names.get(server), full)) {
-            list();
+    public void onFullChanged(int server, boolean full) {
+        if (namesById.containsKey(server) && members.full(namesById.get(server), full)) {
+            publishList();
         }
     }
 
     /** An attempt at a server has ended so. */
-    void ended(int server, Status status) {
-        String name = names.get(server);
+    void onAttemptEnded(int server, Status status) {
+        String name = namesById.get(server);
         if (name == null) {
             return;
         }
@@ -218,7 +220,7 @@
             default -> {
                 if (members.failed(name, platform.clock().now())) {
                     platform.log().say("pool " + declared.name() + ": " + name + " is out for its failures");
-                    list();
+                    publishList();
                 }
             }
         }
@@ -229,12 +231,15 @@
         if (news.kind() != ListKind.DELTA) {
             List<Integer> listed =
                     news.list().stream().map(l -> l.member().id()).toList();
-            names.keySet().stream().filter(id -> !listed.contains(id)).toList().forEach(this::forget);
+            namesById.keySet().stream()
+                    .filter(id -> !listed.contains(id))
+                    .toList()
+                    .forEach(this::forget);
         }
         for (ListedBackend l : news.list()) {
             if (l.member().state() == State.READY) {
-                names.put(l.member().id(), l.address().toString());
-                backends.ready(l.member().id(), l.address(), 0);
+                namesById.put(l.member().id(), l.address().toString());
+                backends.addServer(l.member().id(), l.address(), 0);
             } else {
                 forget(l.member().id());
             }
@@ -254,39 +259,39 @@
     // ---- requests ----
 
     /** A request of a class is to be told to the module; returns its ticket. */
-    int take(Call call) {
+    int register(PoolExchange call) {
         do {
-            tickets++;
-        } while (tickets == 0 || calls.containsKey(tickets));
-        calls.put(tickets, call);
-        return tickets;
+            lastTicket++;
+        } while (lastTicket == 0 || exchanges.containsKey(lastTicket));
+        exchanges.put(lastTicket, call);
+        return lastTicket;
     }
 
     /** The module's number for a class. */
-    int profile(Profile p) {
-        int place = classes.place(p);
-        if (classes.size() > told) {
-            told = classes.size();
+    int classId(Profile p) {
+        int id = classes.indexOf(p);
+        if (classes.size() > announcedClasses) {
+            announcedClasses = classes.size();
             List<Profile> all = classes.all();
             events.news((now, module) -> module.onProfiles(all));
         }
-        return place;
+        return id;
     }
 
     /** Tells the module something of a request; a slip of the module costs that request alone. */
-    void tell(Events.Event event, Runnable afterSlip) {
-        events.tell(event, afterSlip);
+    void tell(Events.Event event, Runnable onFailure) {
+        events.tell(event, onFailure);
     }
 
-    void forget(Call call, int ticket) {
-        calls.remove(ticket, call);
+    void forget(PoolExchange call, int ticket) {
+        exchanges.remove(ticket, call);
     }
 
     // ---- the module's actions ----
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        Call c = calls.get(ticket);
+        PoolExchange c = exchanges.get(ticket);
         if (c != null) {
             c.send(server, timeoutNs);
         }
@@ -294,7 +299,7 @@
 
     @Override
     public void refuse(int ticket, long retryInNs) {
-        Call c = calls.get(ticket);
+        PoolExchange c = exchanges.get(ticket);
         if (c != null) {
             c.refuse(retryAfterNs > 0 ? retryInNs : 0);
         }
@@ -302,7 +307,7 @@
 
     @Override
     public void fail(int ticket) {
-        Call c = calls.get(ticket);
+        PoolExchange c = exchanges.get(ticket);
         if (c != null) {
             c.fail();
         }
@@ -310,7 +315,7 @@
 
     @Override
     public void cancel(int ticket, int attempt) {
-        Call c = calls.get(ticket);
+        PoolExchange c = exchanges.get(ticket);
         if (c != null) {
             c.cancel(attempt);
         }
@@ -321,7 +326,7 @@
         platform.loop()
                 .schedule(
                         () -> {
-                            if (!done()) {
+                            if (!isDone()) {
                                 events.tell((now, module) -> module.onTimer(now, token));
                             }
                         },
@@ -331,7 +336,7 @@
 
     @Override
     public void closeIdle(int server) {
-        backends.closeIdle(server);
+        backends.closeIdleConnections(server);
     }
 
     @Override
--- a/src/main/java/gullspar/site/Classes.java
+++ b/src/main/java/gullspar/site/PoolClasses.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 
 /** The classes of requests that a pool's module knows: one for each way in which routes lead to the pool. */
-final class Classes {
-    private final Map<Profile, Integer> places = new HashMap<>();
+final class PoolClasses {
+    private final Map<Profile, Integer> indexes = new HashMap<>();
     private final List<Profile> all = new ArrayList<>();
 
-    Classes() {
-        place(profile(Route.Kind.SAFE, false, new Route.Limits(60_000_000_000L, 3, 0, 0, Set.of(), 0)));
+    PoolClasses() {
+        indexOf(profile(Route.Kind.SAFE, false, new Route.Limits(60_000_000_000L, 3, 0, 0, Set.of(), 0)));
     }
 
     List<Profile> all() {
@@ -24,8 +24,8 @@
     }
 
     /** The place of a class in the list; a new one if it is not there. */
-    int place(Profile p) {
-        return places.computeIfAbsent(p, n -> {
+    int indexOf(Profile p) {
+        return indexes.computeIfAbsent(p, n -> {
             all.add(n);
             return all.size() - 1;
         });
@@ -39,10 +39,10 @@
      * What the module is to know of requests of a kind; keyed: it has an Idempotency-Key. Without one a
      * request of a keyed route may not run twice.
      */
-    static Profile profile(Route.Kind kind, boolean keyed, Route.Limits limits) {
+    static Profile profile(Route.Kind kind, boolean hasKey, Route.Limits limits) {
         Effect effect = kind == Route.Kind.SAFE
                 ? Effect.IDEMPOTENT
-                : kind == Route.Kind.KEYED && keyed ? Effect.DEDUPLICATED : Effect.AT_MOST_ONCE;
+                : kind == Route.Kind.KEYED && hasKey ? Effect.DEDUPLICATED : Effect.AT_MOST_ONCE;
         return new Profile(
                 effect,
                 Scope.ALL,
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -33,30 +33,31 @@
      * what is wrong with it: then it is null, and this returns false. An IOException if nobody can listen.
      * companions: makes what takes part in the fleet, where the file says so.
      */
-    public static boolean run(Path file, Supplier<Site> first, Balancer.Factory factory, Companion.Factory companions)
+    public static boolean run(
+            Path file, Supplier<Site> initial, Balancer.Factory factory, Companion.Factory fleetMembers)
             throws IOException {
         return run(
                 file,
-                new Source() {
+                new ConfigSource() {
                     @Override
-                    public Site first() {
-                        return first.get();
+                    public Site initial() {
+                        return initial.get();
                     }
 
                     @Override
-                    public void serve(Taker to) {}
+                    public void start(ConfigReceiver to) {}
 
                     @Override
-                    public void reload(Taker to) {
-                        read(file, to);
+                    public void reload(ConfigReceiver to) {
+                        readAgain(file, to);
                     }
                 },
                 factory,
-                companions);
+                fleetMembers);
     }
 
     /** The same by another source; file: what companions read. */
-    public static boolean run(Path file, Source source, Balancer.Factory factory, Companion.Factory companions)
+    public static boolean run(Path file, ConfigSource source, Balancer.Factory factory, Companion.Factory fleetMembers)
             throws IOException {
         CompletableFuture<Runnable> started = new CompletableFuture<>();
         ServingLoop serving = ServingLoop.start();
@@ -67,7 +68,7 @@
             FileChanges.on(file, reload);
         }
         LibraryLog.install();
-        Site site = source.first();
+        Site site = source.initial();
         if (site == null) {
             return false;
         }
@@ -76,27 +77,27 @@
                 ? null
                 : listen(site.operators().operator(), platform);
         SiteProxy proxy = SiteProxy.start(site, platform, factory, System.nanoTime());
-        Companion beside = site.operators().fleet() == null
+        Companion fleetMember = site.operators().fleet() == null
                 ? null
-                : companions.start(file, System.getenv("NODE_NAME"), platform, proxy::load);
+                : fleetMembers.start(file, System.getenv("NODE_NAME"), platform, proxy::load);
         loop.execute(() -> {
             if (port != null) {
                 port.about(proxy);
-                port.with(beside);
+                port.with(fleetMember);
             }
-            if (beside != null) {
-                beside.at(Companion.Stage.SERVING);
+            if (fleetMember != null) {
+                fleetMember.at(Companion.Stage.SERVING);
             }
         });
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            if (beside != null) {
-                                loop.execute(() -> beside.at(Companion.Stage.DRAINING));
+                            if (fleetMember != null) {
+                                loop.execute(() -> fleetMember.at(Companion.Stage.DRAINING));
                             }
                             proxy.drain().join();
-                            if (beside != null) {
-                                loop.submit(beside::leave)
+                            if (fleetMember != null) {
+                                loop.submit(fleetMember::leave)
                                         .syncUninterruptibly()
                                         .getNow()
                                         .join();
@@ -107,12 +108,12 @@
                         "drain"));
         site.listeners()
                 .forEach(l -> LOG.say("listening on " + NetUtil.toSocketAddressString(proxy.address(l.address()))));
-        Source.Taker taker = (s, done) -> loop.execute(() -> proxy.reload(s, done));
-        source.serve(taker);
+        ConfigSource.ConfigReceiver receiver = (s, done) -> loop.execute(() -> proxy.reload(s, done));
+        source.start(receiver);
         started.complete(() -> {
-            source.reload(taker);
-            if (beside != null) {
-                beside.reload();
+            source.reload(receiver);
+            if (fleetMember != null) {
+                fleetMember.reload();
             }
         });
         loop.terminationFuture().awaitUninterruptibly();
@@ -131,9 +132,9 @@
     }
 
     /** Reads the file again, off the loop, and hands it over. */
-    private static void read(Path file, Source.Taker to) {
+    private static void readAgain(Path file, ConfigSource.ConfigReceiver receiver) {
         try {
-            to.take(SiteReader.read(file), why -> {});
+            receiver.accept(SiteReader.read(file), why -> {});
         } catch (ProblemsException e) {
             e.getMessage().lines().forEach(line -> LOG.say("the new configuration is not used: " + line));
         } catch (IOException e) {
--- a/src/main/java/gullspar/site/SiteProxy.java
+++ b/src/main/java/gullspar/site/SiteProxy.java
@@ -36,7 +36,7 @@
  * The proxy by an operator's file: listeners, routes, and a pool for each name, all on one event loop. A new
  * file replaces listeners, routes and pools in one go; requests in hand end under what they began with.
  */
-public final class SiteProxy implements Clients.Taker, OperatorPort.Subject {
+public final class SiteProxy implements Clients.RequestHandler, OperatorPort.Subject {
     private static final long SWEEP_MS = 250;
 
     private final Platform platform;
@@ -47,10 +47,10 @@
     private final Map<InetSocketAddress, Router> routers = new HashMap<>();
     private final Map<String, Pool> pools = new HashMap<>();
     /** Pools that no configuration names any more, until nothing of theirs is in hand. */
-    private final List<Pool> leaving = new ArrayList<>();
+    private final List<Pool> closingPools = new ArrayList<>();
 
-    private final Set<Call> calls = new LinkedHashSet<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final Set<PoolExchange> exchanges = new LinkedHashSet<>();
+    private final CompletableFuture<Void> drained = new CompletableFuture<>();
     private long seed;
     private Site site;
     /** A new one is being taken over; the newest that came meanwhile follows. */
@@ -58,10 +58,10 @@
 
     private boolean draining;
     /** Requests that have ended. */
-    private long done;
+    private long endedRequests;
 
-    private Site next;
-    private Consumer<String> nextDone;
+    private Site pending;
+    private Consumer<String> onPendingResult;
 
     private SiteProxy(Site site, Platform platform, Balancer.Factory factory, long seed) {
         this.platform = platform;
@@ -75,8 +75,8 @@
                 new BodyBudget(site.limits().bodyBytes()),
                 seed,
                 this);
-        sockets.backends.whenFull(() -> pools.values().stream().anyMatch(Pool::closeOneIdle)
-                || leaving.stream().anyMatch(Pool::closeOneIdle));
+        sockets.backends.whenFull(() -> pools.values().stream().anyMatch(Pool::closeIdleConnection)
+                || closingPools.stream().anyMatch(Pool::closeIdleConnection));
     }
 
     /** Starts one and waits until it listens; an IOException if it cannot. */
@@ -108,43 +108,43 @@
     // ---- listeners ----
 
     /** Who hears that all listeners are there, with null, or why not. */
-    private interface Listening {
-        void done(IOException cause);
+    private interface BindCallback {
+        void onBound(IOException cause);
     }
 
     /** Listens where nobody does yet; if one cannot, none of the new ones stays. */
-    private void listen(Site s, Listening then) {
+    private void listen(Site s, BindCallback then) {
         Map<InetSocketAddress, ChannelFuture> binding = new LinkedHashMap<>();
         for (Site.Listener l : s.listeners()) {
             if (!listening.containsKey(l.address())) {
                 binding.put(l.address(), bind(l.address()));
             }
         }
-        int[] left = {binding.size()};
+        int[] remaining = {binding.size()};
         if (binding.isEmpty()) {
-            then.done(null);
+            then.onBound(null);
             return;
         }
         binding.values()
                 .forEach(f -> f.addListener(done -> {
-                    if (--left[0] == 0) {
-                        bound(binding, then);
+                    if (--remaining[0] == 0) {
+                        onAllBound(binding, then);
                     }
                 }));
     }
 
-    private void bound(Map<InetSocketAddress, ChannelFuture> binding, Listening then) {
+    private void onAllBound(Map<InetSocketAddress, ChannelFuture> binding, BindCallback then) {
         for (Map.Entry<InetSocketAddress, ChannelFuture> b : binding.entrySet()) {
             if (!b.getValue().isSuccess()) {
                 binding.values().forEach(f -> f.channel().close());
-                then.done(new IOException("cannot listen on "
+                then.onBound(new IOException("cannot listen on "
                         + NetUtil.toSocketAddressString(b.getKey()) + ": "
                         + b.getValue().cause().getMessage()));
                 return;
             }
         }
         binding.forEach((address, f) -> listening.put(address, f.channel()));
-        then.done(null);
+        then.onBound(null);
     }
 
     private ChannelFuture bind(InetSocketAddress address) {
@@ -173,13 +173,13 @@
     }
 
     /** The same; done is told, on the loop, why nothing has changed, or null once the new one holds. */
-    public void reload(Site s, Consumer<String> done) {
+    public void reload(Site s, Consumer<String> onResult) {
         if (replacing) {
-            if (next != null) {
-                nextDone.accept("a newer one came before it was used");
+            if (pending != null) {
+                onPendingResult.accept("a newer one came before it was used");
             }
-            next = s;
-            nextDone = done;
+            pending = s;
+            onPendingResult = onResult;
             return;
         }
         replacing = true;
@@ -193,41 +193,41 @@
                 platform.log().say("the new configuration is not used: " + cause.getMessage());
             }
             replacing = false;
-            done.accept(cause == null ? null : cause.getMessage());
-            if (next != null) {
-                Site newest = next;
-                next = null;
-                reload(newest, nextDone);
+            onResult.accept(cause == null ? null : cause.getMessage());
+            if (pending != null) {
+                Site newest = pending;
+                pending = null;
+                reload(newest, onPendingResult);
             }
         });
     }
 
     private void apply(Site s) {
         site = s;
-        clients.limit(s.limits());
-        Map<InetSocketAddress, Router> now = new HashMap<>();
-        s.listeners().forEach(l -> now.put(l.address(), l.router()));
+        clients.setLimits(s.limits());
+        Map<InetSocketAddress, Router> newRouters = new HashMap<>();
+        s.listeners().forEach(l -> newRouters.put(l.address(), l.router()));
         listening.entrySet().removeIf(e -> {
-            boolean gone = !now.containsKey(e.getKey());
-            if (gone) {
+            boolean removed = !newRouters.containsKey(e.getKey());
+            if (removed) {
                 e.getValue().close();
                 clients.drain(e.getKey());
             }
-            return gone;
+            return removed;
         });
-        routers.putAll(now); // what has begun at a listener that is gone ends by its old routes
+        routers.putAll(newRouters); // what has begun at a listener that is gone ends by its old routes
         pools.entrySet().removeIf(e -> {
-            boolean gone = !s.pools().containsKey(e.getKey());
-            if (gone) {
-                leave(e.getValue());
+            boolean removed = !s.pools().containsKey(e.getKey());
+            if (removed) {
+                retire(e.getValue());
             }
-            return gone;
+            return removed;
         });
         s.pools().forEach((name, declared) -> {
             Pool p = pools.get(name);
-            if (p == null || !p.declare(declared, s.limits().retryAfterNs())) {
+            if (p == null || !p.reconfigure(declared, s.limits().retryAfterNs())) {
                 if (p != null) {
-                    leave(p);
+                    retire(p);
                 }
                 pools.put(
                         name,
@@ -242,17 +242,17 @@
         });
     }
 
-    private void leave(Pool p) {
+    private void retire(Pool p) {
         p.close();
-        leaving.add(p);
+        closingPools.add(p);
     }
 
     private void sweep() {
         clients.sweep();
         pools.values().forEach(Pool::sweep);
-        leaving.removeIf(Pool::done);
+        closingPools.removeIf(Pool::isDone);
         long now = platform.clock().now();
-        List.copyOf(calls).forEach(c -> c.check(now, site.limits().stallNs()));
+        List.copyOf(exchanges).forEach(c -> c.abortIfStalled(now, site.limits().stallNs()));
     }
 
     // ---- requests ----
@@ -263,21 +263,21 @@
     }
 
     @Override
-    public Clients.Taken taken(PlainClient client, PlainRequest request, Router.Found found) {
+    public Clients.PendingRequest onRequest(PlainClient client, PlainRequest request, Router.Found found) {
         Pool p = pools.get(found.route().pool().pool());
         if (p == null) { // the route was found before a reload took its pool away; nothing has gone out
             HttpHeaders headers = new DefaultHttpHeaders();
-            clients.retryAfter(headers);
-            client.answer(503, headers, "refused, try again");
+            clients.setRetryAfter(headers);
+            client.respond(503, headers, "refused, try again");
             request.body().release();
             return null;
         }
-        Call c = new Call(p, client, request, found, site.forwarded(), over -> {
-            calls.remove(over);
-            done++;
+        PoolExchange exchange = new PoolExchange(p, client, request, found, site.forwarded(), ended -> {
+            exchanges.remove(ended);
+            endedRequests++;
         });
-        calls.add(c);
-        return c;
+        exchanges.add(exchange);
+        return exchange;
     }
 
     // ---- what operators ask ----
@@ -289,12 +289,12 @@
 
     @Override
     public String figures() {
-        return "{\"ended\":" + done + ",\"pending\":" + calls.size() + "}";
+        return "{\"ended\":" + endedRequests + ",\"pending\":" + exchanges.size() + "}";
     }
 
     /** What it has done so far, for whoever runs beside it; refusals are not counted apart. On the loop. */
     public Companion.Load load() {
-        return new Companion.Load(done, 0, calls.size());
+        return new Companion.Load(endedRequests, 0, exchanges.size());
     }
 
     // ---- the end ----
@@ -307,22 +307,23 @@
             listening.values().forEach(Channel::close);
             clients.drain();
             long until = platform.clock().now() + site.limits().drainNs();
-            whenEmpty(until);
+            awaitEmpty(until);
         });
-        return ended;
+        return drained;
     }
 
-    private void whenEmpty(long until) {
-        if (clients.open() == 0 || platform.clock().now() >= until) {
+    private void awaitEmpty(long until) {
+        if (clients.openConnections() == 0 || platform.clock().now() >= until) {
             platform.log()
                     .say(
-                            clients.open() == 0
+                            clients.openConnections() == 0
                                     ? "drained"
-                                    : "drained, but for " + clients.open() + " connections that are cut off");
+                                    : "drained, but for " + clients.openConnections()
+                                            + " connections that are cut off");
             clients.closeAll();
-            ended.complete(null);
+            drained.complete(null);
         } else {
-            platform.loop().schedule(() -> whenEmpty(until), 10, TimeUnit.MILLISECONDS);
+            platform.loop().schedule(() -> awaitEmpty(until), 10, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/gullspar/site/backend/PlainAttempt.java
+++ b/src/main/java/gullspar/site/backend/PlainAttempt.java
@@ -18,29 +18,30 @@
     /** Who hears what becomes of it, on the event loop, never from inside a call of its own. */
     public interface Listener {
         /** The head of an answer has come: true to take it on, false to decline it. The attempt is over. */
-        boolean head(PlainAttempt a, HttpResponse head);
+        boolean onHead(PlainAttempt a, HttpResponse head);
 
         /** A piece of the answer, which is the listener's now. */
-        void piece(ByteBuf bytes);
+        void onContent(ByteBuf bytes);
 
         /** All that came in one go has been passed on; true if more may come at once. */
-        boolean wantsMore();
+        boolean onReadComplete();
 
         /** The answer is whole. */
-        void whole(HttpHeaders trailers);
+        void onEnd(HttpHeaders trailers);
 
         /** The answer that was taken on broke off. */
-        void cutOff();
+        void onTruncated();
 
         /** It ended without any answer. */
-        void lost(PlainAttempt a, Status status);
+        void onFailed(PlainAttempt a, Status status);
     }
 
     /** What is written. head: of the request, for what is left of its time in ns. */
-    public record Sending(LongFunction<HttpRequest> head, ByteBuf body, HttpHeaders trailers, boolean headOnly) {}
+    public record OutgoingRequest(
+            LongFunction<HttpRequest> head, ByteBuf body, HttpHeaders trailers, boolean headOnly) {}
 
     final PlainBackend backend;
-    final Sending sending;
+    final OutgoingRequest request;
     final Listener listener;
     private final EventLoop loop;
     private PlainConnection connection;
@@ -48,11 +49,11 @@
     private boolean mayHaveRun;
     private boolean ended;
     private boolean streaming;
-    private boolean holds;
+    private boolean occupiesServer;
 
-    PlainAttempt(PlainBackend backend, Sending sending, Listener listener, EventLoop loop) {
+    PlainAttempt(PlainBackend backend, OutgoingRequest sending, Listener listener, EventLoop loop) {
         this.backend = backend;
-        this.sending = sending;
+        this.request = sending;
         this.listener = listener;
         this.loop = loop;
     }
@@ -63,24 +64,24 @@
     }
 
     void startTimer(long timeoutNs) {
-        timer = loop.schedule(this::timeOut, timeoutNs, TimeUnit.NANOSECONDS);
+        timer = loop.schedule(this::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
     /** It counts among what its server has in hand. */
-    void holds() {
-        holds = true;
-        backend.busy++;
+    void occupiesServer() {
+        occupiesServer = true;
+        backend.openAttempts++;
     }
 
     /** It no longer does; false if it did not. */
-    boolean letGo() {
-        boolean held = holds;
-        holds = false;
-        backend.busy -= held ? 1 : 0;
-        return held;
+    boolean releaseServer() {
+        boolean occupied = occupiesServer;
+        occupiesServer = false;
+        backend.openAttempts -= occupied ? 1 : 0;
+        return occupied;
     }
 
-    void over(PlainConnection c) {
+    void useConnection(PlainConnection c) {
         connection = c;
     }
 
@@ -99,38 +100,38 @@
             streaming = false;
             connection.close();
         } else if (!ended) {
-            loop.execute(() -> giveUp(Status.CANCELLED));
+            loop.execute(() -> abort(Status.CANCELLED));
         }
     }
 
     /** There is room again for what the answer brings. */
     public void resume() {
         if (streaming) {
-            connection.more();
+            connection.read();
         }
     }
 
-    private void timeOut() {
-        giveUp(mayHaveRun ? Status.TIMEOUT : Status.CONNECT_FAILED);
+    private void onTimeout() {
+        abort(mayHaveRun ? Status.TIMEOUT : Status.CONNECT_FAILED);
     }
 
-    private void giveUp(Status status) {
+    private void abort(Status status) {
         if (!ended) {
-            lost(status);
+            endFailed(status);
             if (connection != null) {
                 connection.close();
             }
         }
     }
 
-    void lost(Status status) {
+    void endFailed(Status status) {
         if (!ended) {
-            end();
-            listener.lost(this, status);
+            markEnded();
+            listener.onFailed(this, status);
         }
     }
 
-    private void end() {
+    private void markEnded() {
         ended = true;
         if (timer != null) {
             timer.cancel(false);
@@ -138,28 +139,28 @@
     }
 
     /** The connection broke, or brought what is no answer. */
-    void broken() {
+    void connectionFailed() {
         if (streaming) {
             streaming = false;
-            listener.cutOff();
+            listener.onTruncated();
         } else {
-            lost(mayHaveRun ? Status.RESET : Status.CONNECT_FAILED);
+            endFailed(mayHaveRun ? Status.RESET : Status.CONNECT_FAILED);
         }
     }
 
-    boolean head(HttpResponse head) {
+    boolean onHead(HttpResponse head) {
         if (ended) {
             return false;
         }
-        end();
-        streaming = listener.head(this, head);
+        markEnded();
+        streaming = listener.onHead(this, head);
         return streaming;
     }
 
-    void whole(HttpHeaders trailers) {
+    void onEnd(HttpHeaders trailers) {
         if (streaming) {
             streaming = false;
-            listener.whole(trailers);
+            listener.onEnd(trailers);
         }
     }
 }
--- a/src/main/java/gullspar/site/backend/PlainBackend.java
+++ b/src/main/java/gullspar/site/backend/PlainBackend.java
@@ -10,9 +10,9 @@
     final InetSocketAddress address;
     final int maxConnections;
     /** When it was heard that it drains or is gone; 0 while it is in service. */
-    long leftAt;
+    long removedAt;
     /** Requests that it has in hand, answers under way included. */
-    int busy;
+    int openAttempts;
     /** The most recently used last. */
     final Deque<PlainConnection> idle = new ArrayDeque<>();
 
@@ -22,16 +22,16 @@
         this.maxConnections = maxConnections;
     }
 
-    boolean full() {
-        return maxConnections > 0 && busy >= maxConnections;
+    boolean isFull() {
+        return maxConnections > 0 && openAttempts >= maxConnections;
     }
 
-    void leave(long now) {
-        leftAt = leftAt == 0 ? now : leftAt;
-        closeIdle();
+    void remove(long now) {
+        removedAt = removedAt == 0 ? now : removedAt;
+        closeIdleConnections();
     }
 
-    void closeIdle() {
+    void closeIdleConnections() {
         while (!idle.isEmpty()) {
             idle.poll().close();
         }
--- a/src/main/java/gullspar/site/backend/PlainBackends.java
+++ b/src/main/java/gullspar/site/backend/PlainBackends.java
@@ -17,67 +17,68 @@
 /**
  * The servers of a pool and the connections to them. Every attempt ends exactly once, nothing is repeated.
  */
-public final class PlainBackends implements PlainConnection.Keeper {
+public final class PlainBackends implements PlainConnection.Owner {
     /** Hears when a server comes to its limit of connections, or has a place again. */
-    public interface Places {
-        void full(int server, boolean full);
+    public interface CapacityListener {
+        void onFullChanged(int server, boolean full);
     }
 
     /** No more is read at once than this: with many slow clients it is all held in memory. */
-    private static final int MOST_READ = 32 << 10;
+    private static final int MAX_READ_BYTES = 32 << 10;
 
     private final Platform platform;
     private final Sockets.Share sockets;
-    private final Places places;
+    private final CapacityListener capacityListener;
     private final Map<Integer, PlainBackend> backends = new HashMap<>();
     private Site.Connections connections;
 
-    public PlainBackends(Platform platform, Sockets.Share sockets, Site.Connections connections, Places places) {
+    public PlainBackends(
+            Platform platform, Sockets.Share sockets, Site.Connections connections, CapacityListener places) {
         this.platform = platform;
         this.sockets = sockets;
         this.connections = connections;
-        this.places = places;
+        this.capacityListener = places;
     }
 
     /** Other limits from now on. */
-    public void limit(Site.Connections limits) {
+    public void setLimits(Site.Connections limits) {
         connections = limits;
     }
 
     /** A server is in service, at that address; 0 connections for no limit. */
-    public void ready(int id, InetSocketAddress address, int maxConnections) {
+    public void addServer(int id, InetSocketAddress address, int maxConnections) {
         PlainBackend b = backends.get(id);
-        if (b != null && b.leftAt == 0 && b.address.equals(address) && b.maxConnections == maxConnections) {
+        if (b != null && b.removedAt == 0 && b.address.equals(address) && b.maxConnections == maxConnections) {
             return;
         }
         if (b != null) {
-            b.leave(platform.clock().now());
+            b.remove(platform.clock().now());
         }
         backends.put(id, new PlainBackend(id, address, maxConnections));
     }
 
     /** A server drains or is gone: nothing new goes there. */
-    public void leave(int id) {
+    public void removeServer(int id) {
         PlainBackend b = backends.remove(id);
         if (b != null) {
-            b.leave(platform.clock().now());
+            b.remove(platform.clock().now());
         }
     }
 
     /** All that are in service leave. */
-    public void leaveAll() {
-        backends.keySet().stream().toList().forEach(this::leave);
+    public void removeAllServers() {
+        backends.keySet().stream().toList().forEach(this::removeServer);
     }
 
-    public void closeIdle(int id) {
+    public void closeIdleConnections(int id) {
         PlainBackend b = backends.get(id);
         if (b != null) {
-            b.closeIdle();
+            b.closeIdleConnections();
         }
     }
 
     /** Closes the connection that has been idle longest; false if there is none. */
-    public boolean closeOneIdle() {
+    public boolean closeIdleConnection() {
         PlainBackend oldest = null;
         for (PlainBackend b : backends.values()) {
             if (!b.idle.isEmpty()
@@ -97,36 +98,37 @@
     /** Closes what has been idle for too long; to be called now and then. */
     public void sweep() {
         for (PlainBackend b : backends.values()) {
-            while (!b.idle.isEmpty() && !fresh(b.idle.peekFirst())) {
+            while (!b.idle.isEmpty() && !isReusable(b.idle.peekFirst())) {
                 b.idle.pollFirst().close();
             }
         }
     }
 
-    private boolean fresh(PlainConnection c) {
+    private boolean isReusable(PlainConnection c) {
         return platform.clock().now() - c.idleSince() < connections.keepAliveNs();
     }
 
     // ---- attempts ----
 
     /** Starts an attempt; it ends later, never within this call. */
-    public PlainAttempt send(int server, PlainAttempt.Sending sending, long timeoutNs, PlainAttempt.Listener listener) {
+    public PlainAttempt send(
+            int server, PlainAttempt.OutgoingRequest sending, long timeoutNs, PlainAttempt.Listener listener) {
         PlainBackend b = backends.get(server);
         PlainAttempt a = new PlainAttempt(b, sending, listener, platform.loop());
-        if (b == null || b.full()) {
-            moot(a); // gone since, or it has no place any more
+        if (b == null || b.isFull()) {
+            endUnsent(a); // gone since, or it has no place any more
             return a;
         }
         long deadline = platform.clock().now() + timeoutNs;
         a.startTimer(timeoutNs);
-        PlainConnection c = reuse(b);
+        PlainConnection c = takeIdleConnection(b);
         if (c == null && !sockets.take()) {
-            moot(a); // no fault of the server's
+            endUnsent(a); // no fault of the server's
             return a;
         }
-        a.holds();
-        if (b.full()) {
-            places.full(b.id, true);
+        a.occupiesServer();
+        if (b.isFull()) {
+            capacityListener.onFullChanged(b.id, true);
         }
         if (c != null) {
             c.begin(a, deadline);
@@ -136,14 +138,14 @@
         return a;
     }
 
-    private void moot(PlainAttempt a) {
-        a.sending.body().release();
-        platform.loop().execute(() -> a.lost(Status.MOOT));
+    private void endUnsent(PlainAttempt a) {
+        a.request.body().release();
+        platform.loop().execute(() -> a.endFailed(Status.MOOT));
     }
 
-    private PlainConnection reuse(PlainBackend b) {
+    private PlainConnection takeIdleConnection(PlainBackend b) {
         PlainConnection c = b.idle.pollLast();
-        while (c != null && !(fresh(c) && c.active())) {
+        while (c != null && !(isReusable(c) && c.isActive())) {
             c.close();
             c = b.idle.pollLast();
         }
@@ -155,11 +157,11 @@
         Bootstrap bootstrap = platform.transport()
                 .to(a.backend.address)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connections.connectNs() / 1_000_000))
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 4096, MOST_READ))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 4096, MAX_READ_BYTES))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        c.openOn(channel);
+                        c.initChannel(channel);
                     }
                 });
         Dial dial = Dial.start(bootstrap, platform.loop(), new Dial.Listener() {
@@ -184,20 +186,20 @@
                 sockets.release();
             }
         });
-        c.opening(dial.channel());
-        a.over(c);
+        c.setChannel(dial.channel());
+        a.useConnection(c);
     }
 
     private void notConnected(PlainAttempt a, Status status) {
-        a.sending.body().release();
-        done(a);
-        a.lost(status);
+        a.request.body().release();
+        onAttemptEnded(a);
+        a.endFailed(status);
     }
 
     @Override
-    public boolean keep(PlainConnection c) {
+    public boolean keepIdle(PlainConnection c) {
         PlainBackend b = c.backend();
-        if (b.leftAt != 0 || connections.keepAlive() == 0) {
+        if (b.removedAt != 0 || connections.keepAlive() == 0) {
             return false;
         }
         if (b.idle.size() >= connections.keepAlive()) {
@@ -208,10 +210,10 @@
     }
 
     @Override
-    public void done(PlainAttempt a) {
-        boolean full = a.backend.full();
-        if (a.letGo() && full && !a.backend.full()) {
-            places.full(a.backend.id, false);
+    public void onAttemptEnded(PlainAttempt a) {
+        boolean full = a.backend.isFull();
+        if (a.releaseServer() && full && !a.backend.isFull()) {
+            capacityListener.onFullChanged(a.backend.id, false);
         }
     }
 }
--- a/src/main/java/gullspar/site/backend/PlainConnection.java
+++ b/src/main/java/gullspar/site/backend/PlainConnection.java
@@ -25,46 +25,46 @@
  * channel reads only when told to.
  */
 final class PlainConnection extends ChannelInboundHandlerAdapter implements AnswerDecoder.Listener {
-    private static final int LONGEST_LINE = 8 << 10, LONGEST_HEAD = 64 << 10, MOST_INTERIM = 8;
+    private static final int MAX_LINE_BYTES = 8 << 10, MAX_HEAD_BYTES = 64 << 10, MAX_INTERIM_RESPONSES = 8;
     /** A server that drains or is gone gets nothing new later than so long after it was told. */
     private static final long DRAIN_GRACE_NS = 500_000_000L;
 
     /** Who keeps connections that can be used again. */
-    interface Keeper {
+    interface Owner {
         /** False if it is not kept. */
-        boolean keep(PlainConnection c);
+        boolean keepIdle(PlainConnection c);
 
         /** An attempt has ended on it, in whatever way. */
-        void done(PlainAttempt a);
+        void onAttemptEnded(PlainAttempt a);
     }
 
     private final PlainBackend backend;
     private final Clock clock;
-    private final Keeper keeper;
-    private final AnswerDecoder decoder = new AnswerDecoder(this, LONGEST_LINE, LONGEST_HEAD);
+    private final Owner owner;
+    private final AnswerDecoder decoder = new AnswerDecoder(this, MAX_LINE_BYTES, MAX_HEAD_BYTES);
     private Channel channel;
     private long idleSince;
     private PlainAttempt attempt;
     private HttpResponse head;
     private LastHttpContent last;
-    private int interim;
-    private boolean written;
-    private boolean trailed;
+    private int interimResponses;
+    private boolean requestWritten;
+    private boolean hasTrailingBytes;
     private boolean streaming;
 
-    PlainConnection(PlainBackend backend, Clock clock, Keeper keeper) {
+    PlainConnection(PlainBackend backend, Clock clock, Owner keeper) {
         this.backend = backend;
         this.clock = clock;
-        this.keeper = keeper;
+        this.owner = keeper;
     }
 
-    void openOn(Channel c) {
+    void initChannel(Channel c) {
         channel = c;
         c.config().setAutoRead(false);
         c.pipeline().addLast(decoder, new HttpRequestEncoder(), this);
     }
 
-    void opening(Channel c) {
+    void setChannel(Channel c) {
         channel = c;
     }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    boolean active() {
+    boolean isActive() {
         return channel.isActive();
     }
 
@@ -86,38 +86,38 @@
         return idleSince;
     }
 
-    void more() {
+    void read() {
         channel.read();
     }
 
     void begin(PlainAttempt a, long deadline) {
-        a.over(this);
+        a.useConnection(this);
         attempt = a;
         head = null;
         last = null;
-        interim = 0;
-        written = false;
-        trailed = false;
+        interimResponses = 0;
+        requestWritten = false;
+        hasTrailingBytes = false;
         streaming = false;
         // Connecting takes time: the news that the server drains or is gone may have come meanwhile.
-        if (backend.leftAt != 0 && clock.now() - backend.leftAt > DRAIN_GRACE_NS) {
-            refuse(Status.MOOT);
+        if (backend.removedAt != 0 && clock.now() - backend.removedAt > DRAIN_GRACE_NS) {
+            endUnsent(Status.MOOT);
             return;
         }
         if (!channel.isActive()) {
-            refuse(Status.CONNECT_FAILED);
+            endUnsent(Status.CONNECT_FAILED);
             return;
         }
-        decoder.expect(a.sending.headOnly());
-        ByteBuf body = a.sending.body();
+        decoder.expect(a.request.headOnly());
+        ByteBuf body = a.request.body();
         if (body.isReadable()) {
             a.mayHaveRun(); // a server may act on a request before all of its body is there
         }
-        channel.write(a.sending.head().apply(deadline - clock.now()));
+        channel.write(a.request.head().apply(deadline - clock.now()));
         LastHttpContent end = LastHttpContent.EMPTY_LAST_CONTENT;
-        if (!a.sending.trailers().isEmpty()) {
+        if (!a.request.trailers().isEmpty()) {
             end = new DefaultLastHttpContent();
-            end.trailingHeaders().add(a.sending.trailers());
+            end.trailingHeaders().add(a.request.trailers());
         }
         if (body.isReadable()) {
             channel.write(new DefaultHttpContent(body));
@@ -127,7 +127,7 @@
         channel.writeAndFlush(end).addListener(f -> {
             if (f.isSuccess()) {
                 a.mayHaveRun();
-                written = attempt == a || written;
+                requestWritten = attempt == a || requestWritten;
             } else {
                 channel.close();
             }
@@ -135,14 +135,14 @@
         channel.read();
     }
 
-    private void refuse(Status status) {
+    private void endUnsent(Status status) {
         PlainAttempt a = attempt;
         attempt = null;
-        a.sending.body().release();
+        a.request.body().release();
         channel.close();
         channel.eventLoop().execute(() -> {
-            keeper.done(a);
-            a.lost(status);
+            owner.onAttemptEnded(a);
+            a.endFailed(status);
         });
     }
 
@@ -150,47 +150,47 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (attempt == null || ((HttpObject) message).decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            broken();
+            fail();
             return;
         }
-        if (message instanceof HttpResponse r && !begins(r)) {
+        if (message instanceof HttpResponse r && !startResponse(r)) {
             ReferenceCountUtil.release(message);
             return;
         }
         if (message instanceof HttpContent content) {
-            content(content);
+            onContent(content);
         }
     }
 
     /** False if this is not the head of an answer that is taken on. */
-    private boolean begins(HttpResponse r) {
+    private boolean startResponse(HttpResponse r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                         && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)
                 || r.status().code() == 101) {
-            broken();
+            fail();
             return false;
         }
         head = r;
         if (r.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (++interim > MOST_INTERIM) {
-                broken();
+            if (++interimResponses > MAX_INTERIM_RESPONSES) {
+                fail();
             }
             return true;
         }
         PlainAttempt a = attempt;
-        streaming = a.head(r);
+        streaming = a.onHead(r);
         if (!streaming) {
             attempt = null;
             channel.close();
-            keeper.done(a);
+            owner.onAttemptEnded(a);
         }
         return streaming;
     }
 
-    private void content(HttpContent content) {
+    private void onContent(HttpContent content) {
         boolean interimEnd = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         if (content.content().isReadable() && streaming && !interimEnd) {
-            attempt.listener.piece(content.content());
+            attempt.listener.onContent(content.content());
         } else {
             content.release();
         }
@@ -206,7 +206,7 @@
 
     @Override
     public void noise() {
-        broken();
+        fail();
     }
 
     /**
@@ -215,10 +215,10 @@
      */
     @Override
     public void trailing(boolean again) {
-        if (!trailed && !again) {
-            broken();
+        if (!hasTrailingBytes && !again) {
+            fail();
         }
-        trailed = true;
+        hasTrailingBytes = true;
     }
 
     /** Only now is all seen that came with the answer: a connection that holds more is not used again. */
@@ -228,52 +228,56 @@
             return;
         }
         if (last != null) {
-            whole();
-        } else if (!streaming || attempt.listener.wantsMore()) {
+            endResponse();
+        } else if (!streaming || attempt.listener.onReadComplete()) {
             channel.read();
         }
     }
 
-    private void whole() {
+    private void endResponse() {
         PlainAttempt a = attempt;
         HttpHeaders trailers = last.trailingHeaders();
         attempt = null;
         decoder.quiet();
         // An answer before the whole request was written: the rest of that is still to go out on this one.
-        boolean again = written && !trailed && HttpUtil.isKeepAlive(head) && backend.leftAt == 0 && channel.isActive();
+        boolean reusable = requestWritten
+                && !hasTrailingBytes
+                && HttpUtil.isKeepAlive(head)
+                && backend.removedAt == 0
+                && channel.isActive();
         idleSince = clock.now();
-        keeper.done(a);
-        if (again && keeper.keep(this)) {
+        owner.onAttemptEnded(a);
+        if (reusable && owner.keepIdle(this)) {
             channel.read(); // hears of its end, and of noise
         } else {
             channel.close();
         }
-        a.whole(trailers);
+        a.onEnd(trailers);
     }
 
     /** Ends the attempt before the connection: what the decoder still holds must not make it whole. */
-    private void broken() {
+    private void fail() {
         PlainAttempt a = attempt;
         attempt = null;
         decoder.quiet();
         backend.idle.remove(this);
         channel.close();
         if (a != null) {
-            keeper.done(a);
-            a.broken();
+            owner.onAttemptEnded(a);
+            a.connectionFailed();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (last != null && attempt != null) {
-            whole(); // the end came in the same go
+            endResponse(); // the end came in the same go
         }
-        broken();
+        fail();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        broken();
+        fail();
     }
 }
--- a/src/main/java/gullspar/site/client/Clients.java
+++ b/src/main/java/gullspar/site/client/Clients.java
@@ -25,20 +25,20 @@
 /** The clients' connections: within the limits, each with its routes. */
 public final class Clients {
     /** Who takes the requests that have a route to a pool. */
-    public interface Taker {
-        Taken taken(PlainClient client, PlainRequest request, Router.Found found);
+    public interface RequestHandler {
+        PendingRequest onRequest(PlainClient client, PlainRequest request, Router.Found found);
 
         /** The routes of what comes to a listener. */
         Router router(InetSocketAddress listener);
     }
 
     /** A request that was taken, as its connection sees it. */
-    public interface Taken {
+    public interface PendingRequest {
         /** The client has gone away. */
-        void abandoned();
+        void onClientDisconnected();
 
         /** There is room again for more of the answer. */
-        void writable();
+        void onWritable();
     }
 
     /** A name or address, and a port (RFC 9110, section 7.2); empty for what has none. */
@@ -46,35 +46,40 @@
 
     private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
     /** A slow client holds so much of its answer at the most, and what is read in one go. */
-    private static final WriteBufferWaterMark HELD = new WriteBufferWaterMark(16 << 10, 64 << 10);
+    private static final WriteBufferWaterMark WRITE_BUFFER_BYTES = new WriteBufferWaterMark(16 << 10, 64 << 10);
 
-    private static final int MOST_READ = 32 << 10;
+    private static final int MAX_READ_BYTES = 32 << 10;
 
     private final Platform platform;
     private final Sockets.Share sockets;
-    private final Taker taker;
+    private final RequestHandler handler;
     private final BodyBudget budget;
     /** Ids need be no secret, only different. */
     private final Random ids;
     /** The one that was used longest ago first. */
-    private final Set<PlainClient> open = new LinkedHashSet<>();
+    private final Set<PlainClient> openConnections = new LinkedHashSet<>();
 
     private Site.Limits limits;
     private boolean draining;
 
     public Clients(
-            Platform platform, Sockets.Share sockets, Site.Limits limits, BodyBudget budget, long seed, Taker taker) {
+            Platform platform,
+            Sockets.Share sockets,
+            Site.Limits limits,
+            BodyBudget budget,
+            long seed,
+            RequestHandler taker) {
         this.platform = platform;
         this.sockets = sockets;
         this.limits = limits;
         this.budget = budget;
         this.ids = new Random(seed);
-        this.taker = taker;
-        sockets.whenFull(this::closeOneIdle);
+        this.handler = taker;
+        sockets.whenFull(this::closeIdleConnection);
     }
 
     /** Other limits from now on. */
-    public void limit(Site.Limits next) {
+    public void setLimits(Site.Limits next) {
         limits = next;
         budget.limit(next.bodyBytes());
     }
@@ -87,20 +92,22 @@
         }
         c.closeFuture().addListener(f -> sockets.release());
         c.config().setAutoRead(false);
-        c.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, HELD);
-        c.config().setOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2048, MOST_READ));
+        c.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_BYTES);
+        c.config()
+                .setOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2048, MAX_READ_BYTES));
         PlainDecoder decoder = new PlainDecoder();
-        AnswerEncoder encoder = new AnswerEncoder();
+        ResponseEncoder encoder = new ResponseEncoder();
         PlainClient client = new PlainClient(c, decoder, encoder, listener, this);
         c.pipeline().addLast(decoder, encoder, client);
-        open.add(client);
+        openConnections.add(client);
         c.eventLoop().execute(client::read);
     }
 
-    private boolean closeOneIdle() {
-        for (Iterator<PlainClient> i = open.iterator(); i.hasNext(); ) {
+    private boolean closeIdleConnection() {
+        for (Iterator<PlainClient> i = openConnections.iterator(); i.hasNext(); ) {
             PlainClient c = i.next();
-            if (c.idle()) {
+            if (c.isIdle()) {
                 i.remove();
                 c.close();
                 return true;
@@ -112,28 +119,28 @@
     /** Ends connections that keep the proxy waiting; to be called now and then. */
     public void sweep() {
         long now = platform.clock().now();
-        List.copyOf(open).forEach(c -> c.check(now, limits.requestNs(), limits.idleNs()));
+        List.copyOf(openConnections).forEach(c -> c.closeIfTimedOut(now, limits.requestNs(), limits.idleNs()));
     }
 
     /** Answers from now on end their connections, idle ones end now. */
     public void drain() {
         draining = true;
-        List.copyOf(open).forEach(PlainClient::drain);
+        List.copyOf(openConnections).forEach(PlainClient::drain);
     }
 
     /** The same for those that came to a listener. */
     public void drain(InetSocketAddress listener) {
-        List.copyOf(open).stream().filter(c -> c.came(listener)).forEach(PlainClient::drain);
+        List.copyOf(openConnections).stream().filter(c -> c.isFrom(listener)).forEach(PlainClient::drain);
     }
 
     /** Connections that are open. */
-    public int open() {
-        return open.size();
+    public int openConnections() {
+        return openConnections.size();
     }
 
     /** Ends all that are left. */
     public void closeAll() {
-        List.copyOf(open).forEach(PlainClient::close);
+        List.copyOf(openConnections).forEach(PlainClient::close);
     }
 
     // ---- what the connections say ----
@@ -151,15 +158,15 @@
     }
 
     Router.Found find(InetSocketAddress listener, Request r) {
-        return taker.router(listener).find(r);
+        return handler.router(listener).find(r);
     }
 
-    Taken taken(PlainClient client, PlainRequest request, Router.Found found) {
-        return taker.taken(client, request, found);
+    PendingRequest onRequest(PlainClient client, PlainRequest request, Router.Found found) {
+        return handler.onRequest(client, request, found);
     }
 
     /** The client's own id, if it is one; else a new one. */
-    String id(List<String> given) {
+    String requestId(List<String> given) {
         if (given.size() == 1 && ID.matcher(given.get(0)).matches()) {
             return given.get(0);
         }
@@ -169,24 +176,24 @@
     }
 
     /** Says when to come again, where settings allow. */
-    public void retryAfter(HttpHeaders h) {
+    public void setRetryAfter(HttpHeaders h) {
         if (limits.retryAfterNs() > 0) {
-            h.set(HttpHeaderNames.RETRY_AFTER, seconds(limits.retryAfterNs()));
+            h.set(HttpHeaderNames.RETRY_AFTER, ceilSeconds(limits.retryAfterNs()));
         }
     }
 
     /** Whole seconds, one at the least (RFC 9110, section 10.2.3). */
-    public static long seconds(long ns) {
+    public static long ceilSeconds(long ns) {
         return Math.max(1, (ns + 999_999_999L) / 1_000_000_000L);
     }
 
-    void answered(PlainClient c) {
-        if (open.remove(c)) {
-            open.add(c); // to the end of the order of use
+    void onResponseSent(PlainClient c) {
+        if (openConnections.remove(c)) {
+            openConnections.add(c); // to the end of the order of use
         }
     }
 
-    void closed(PlainClient c) {
-        open.remove(c);
+    void onClosed(PlainClient c) {
+        openConnections.remove(c);
     }
 }
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -4,10 +4,10 @@
 import gullspar.route.Request;
 import gullspar.route.Route;
 import gullspar.route.Router;
-import gullspar.site.http.Hops;
+import gullspar.site.http.HopByHop;
 import gullspar.site.http.PlainRequest;
 import gullspar.site.http.Target;
-import gullspar.site.http.Values;
+import gullspar.site.http.TemplateValues;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -46,18 +46,18 @@
  */
 public final class PlainClient extends ChannelInboundHandlerAdapter {
     /** So many bytes of later requests are read while one is in hand: enough to hear the client leave. */
-    private static final int MOST_AHEAD = 64 << 10;
+    private static final int MAX_PIPELINED_BYTES = 64 << 10;
 
-    private static final int MOST_OBJECTS_AHEAD = 1024;
+    private static final int MAX_PIPELINED_OBJECTS = 1024;
     private static final long LINGER_NS = 2_000_000_000L;
 
     private final Channel channel;
     private final PlainDecoder decoder;
-    private final AnswerEncoder encoder;
+    private final ResponseEncoder encoder;
     private final Clients owner;
     private final InetSocketAddress listener;
-    private final Deque<HttpObject> ahead = new ArrayDeque<>();
-    private int aheadBytes;
+    private final Deque<HttpObject> pipelined = new ArrayDeque<>();
+    private int pipelinedBytes;
     private HttpRequest head;
     private Target target;
     private String host;
@@ -67,27 +67,27 @@
     /** The request in hand; null while none is. */
     private PlainRequest request;
 
-    private Clients.Taken taken;
+    private Clients.PendingRequest pendingRequest;
     private ChannelFuture lastWritten;
     private boolean busy;
     private boolean keepAlive;
     /** Its listener takes no more requests than the one in hand. */
-    private boolean unwanted;
+    private boolean listenerClosed;
 
     private boolean ending;
-    private boolean answering;
+    private boolean responding;
     private boolean reading;
-    private boolean used;
-    private long partSince;
+    private boolean hasServedRequest;
+    private long partialSince;
     private long idleSince;
     private long endingSince;
     /** The connection ends while more may still come of a request; until when that is dropped. */
-    private boolean cutShort;
+    private boolean inputIncomplete;
 
     private long lingerUntil;
 
     PlainClient(
-            Channel channel, PlainDecoder decoder, AnswerEncoder encoder, InetSocketAddress listener, Clients owner) {
+            Channel channel, PlainDecoder decoder, ResponseEncoder encoder, InetSocketAddress listener, Clients owner) {
         this.channel = channel;
         this.decoder = decoder;
         this.encoder = encoder;
@@ -97,16 +97,16 @@
     }
 
     /** Is no request open or begun, and all written that was to be? */
-    boolean idle() {
-        return quiet() && (lastWritten == null || lastWritten.isDone());
+    boolean isIdle() {
+        return hasNoRequest() && (lastWritten == null || lastWritten.isDone());
     }
 
-    private boolean quiet() {
-        return !busy && head == null && !decoder.partial() && ahead.isEmpty() && !ending;
+    private boolean hasNoRequest() {
+        return !busy && head == null && !decoder.hasPartialRequest() && pipelined.isEmpty() && !ending;
     }
 
-    boolean came(InetSocketAddress to) {
-        return listener.equals(to);
+    boolean isFrom(InetSocketAddress otherListener) {
+        return listener.equals(otherListener);
     }
 
     void close() {
@@ -114,28 +114,28 @@
     }
 
     /** Ends a connection that has kept the proxy waiting for longer than the limits allow. */
-    void check(long now, long requestNs, long idleNs) {
+    void closeIfTimedOut(long now, long requestNs, long idleNs) {
         if (lingerUntil != 0 && now > lingerUntil) {
             channel.close();
         } else if (ending) {
             if (!busy && now - endingSince > requestNs) {
                 channel.close(); // its client does not read what it is told
             }
-        } else if (partSince != 0 && now - partSince > requestNs) {
-            end(408, "the request did not come in time");
-        } else if (quiet() && now - idleSince > (used ? idleNs : Math.min(idleNs, requestNs))) {
+        } else if (partialSince != 0 && now - partialSince > requestNs) {
+            rejectAndClose(408, "the request did not come in time");
+        } else if (hasNoRequest() && now - idleSince > (hasServedRequest ? idleNs : Math.min(idleNs, requestNs))) {
             channel.close();
         }
     }
 
     /** No more requests are wanted: the connection ends with the answer in hand, or now if there is none. */
     void drain() {
-        if (idle()) {
+        if (isIdle()) {
             channel.close();
-        } else if (quiet()) {
+        } else if (hasNoRequest()) {
             lastWritten.addListener(ChannelFutureListener.CLOSE);
         } else {
-            unwanted = true;
+            listenerClosed = true;
         }
     }
 
@@ -148,52 +148,52 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        ahead.add((HttpObject) message);
-        aheadBytes += message instanceof HttpContent c ? c.content().readableBytes() : 0;
-        next();
+        pipelined.add((HttpObject) message);
+        pipelinedBytes += message instanceof HttpContent c ? c.content().readableBytes() : 0;
+        processPipelined();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         reading = false;
-        watchPart();
+        trackPartialRequest();
         read();
     }
 
     /** A request that has begun to come must come whole within a time. */
-    private void watchPart() {
-        boolean part = !ending && !busy && (decoder.partial() || head != null);
-        partSince = !part ? 0 : partSince == 0 ? owner.now() : partSince;
+    private void trackPartialRequest() {
+        boolean part = !ending && !busy && (decoder.hasPartialRequest() || head != null);
+        partialSince = !part ? 0 : partialSince == 0 ? owner.now() : partialSince;
     }
 
     void read() {
-        if (!reading && aheadBytes < MOST_AHEAD && ahead.size() < MOST_OBJECTS_AHEAD) {
+        if (!reading && pipelinedBytes < MAX_PIPELINED_BYTES && pipelined.size() < MAX_PIPELINED_OBJECTS) {
             reading = true;
             channel.read();
         }
     }
 
-    private void next() {
-        while (!busy && !ending && !ahead.isEmpty()) {
-            HttpObject o = ahead.poll();
+    private void processPipelined() {
+        while (!busy && !ending && !pipelined.isEmpty()) {
+            HttpObject o = pipelined.poll();
             try {
-                aheadBytes -= o instanceof HttpContent c ? c.content().readableBytes() : 0;
-                take(o);
+                pipelinedBytes -= o instanceof HttpContent c ? c.content().readableBytes() : 0;
+                process(o);
             } finally {
                 ReferenceCountUtil.release(o);
             }
         }
         if (ending) {
-            forgetAhead();
+            releasePipelined();
         }
     }
 
-    private void take(HttpObject o) {
+    private void process(HttpObject o) {
         if (o.decoderResult().isFailure()) {
             Throwable cause = o.decoderResult().cause();
             boolean line = cause instanceof TooLongHttpLineException;
             boolean tooLong = cause instanceof TooLongFrameException;
-            end(
+            rejectAndClose(
                     line ? 414 : tooLong ? 431 : 400,
                     line ? "the target is too long" : tooLong ? "the head is too long" : "malformed request");
             return;
@@ -219,9 +219,9 @@
 
     private void refuseBody(Body.Added added) {
         if (added == Body.Added.TOO_LONG) {
-            end(413, "the body is too long");
+            rejectAndClose(413, "the body is too long");
         } else {
-            end(503, "too many bodies at once, try again");
+            rejectAndClose(503, "too many bodies at once, try again");
         }
     }
 
@@ -234,26 +234,26 @@
         List<String> coding = r.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         target = Target.of(r.uri(), r.method().name());
         if (!v.equals(HttpVersion.HTTP_1_1) && !v.equals(HttpVersion.HTTP_1_0)) {
-            end(505, "this is HTTP/1.1");
+            rejectAndClose(505, "this is HTTP/1.1");
         } else if (hosts.size() > 1
                 || hosts.isEmpty() && v.equals(HttpVersion.HTTP_1_1)
                 || !hosts.isEmpty() && !Clients.HOST.matcher(hosts.get(0)).matches()) {
-            end(400, "no Host, or an odd one, or several");
+            rejectAndClose(400, "no Host, or an odd one, or several");
         } else if (!coding.isEmpty()
                 && (v.equals(HttpVersion.HTTP_1_0)
                         || coding.size() > 1
                         || !coding.get(0).equalsIgnoreCase("chunked"))) {
-            end(v.equals(HttpVersion.HTTP_1_0) ? 400 : 501, "a transfer coding other than chunked");
+            rejectAndClose(v.equals(HttpVersion.HTTP_1_0) ? 400 : 501, "a transfer coding other than chunked");
         } else if (r.method().equals(HttpMethod.CONNECT)) {
-            end(501, "this is no tunnel");
+            rejectAndClose(501, "this is no tunnel");
         } else if (target == null
                 || target.authority() != null
                         && !Clients.HOST.matcher(target.authority()).matches()) {
-            end(400, "an odd target");
+            rejectAndClose(400, "an odd target");
         } else if (r.headers().contains(HttpHeaderNames.EXPECT)
                 && !HttpUtil.is100ContinueExpected(r)
                 && v.equals(HttpVersion.HTTP_1_1)) {
-            end(417, "nothing to be expected but 100-continue");
+            rejectAndClose(417, "nothing to be expected but 100-continue");
         } else {
             host = target.authority() != null ? target.authority() : hosts.isEmpty() ? "" : hosts.get(0);
             route(r);
@@ -271,24 +271,24 @@
                 target.raw(),
                 from.getAddress().getHostAddress(),
                 local().getPort(),
-                owner.id(r.headers().getAll("Request-Id")),
+                owner.requestId(r.headers().getAll("Request-Id")),
                 r.headers()::getAll);
         found = owner.find(listener, routed);
         Route.ToPool to = found.route() == null ? null : found.route().pool();
-        long most = to == null ? 0 : to.limits().bodyBytes();
-        boolean comes = HttpUtil.isTransferEncodingChunked(r) || HttpUtil.getContentLength(r, 0L) > 0;
-        if (to != null && HttpUtil.getContentLength(r, 0L) > most) {
-            end(413, "the body is too long"); // not read first: it may be of any length
+        long maxBodyBytes = to == null ? 0 : to.limits().bodyBytes();
+        boolean hasBody = HttpUtil.isTransferEncodingChunked(r) || HttpUtil.getContentLength(r, 0L) > 0;
+        if (to != null && HttpUtil.getContentLength(r, 0L) > maxBodyBytes) {
+            rejectAndClose(413, "the body is too long"); // not read first: it may be of any length
             return;
         }
-        body = new Body(owner.budget(), most);
+        body = new Body(owner.budget(), maxBodyBytes);
         head = r;
         if (to == null) {
             // Answered by the head alone. Where a body comes that nobody asked for the connection ends.
-            keepAlive &= !comes;
-            cutShort = comes;
+            keepAlive &= !hasBody;
+            inputIncomplete = hasBody;
             whole(new DefaultHttpHeaders());
-        } else if (comes && HttpUtil.is100ContinueExpected(r) && ahead.isEmpty()) {
+        } else if (hasBody && HttpUtil.is100ContinueExpected(r) && pipelined.isEmpty()) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
@@ -303,44 +303,44 @@
                 new PlainRequest(head.method(), head.protocolVersion(), target, routed, head.headers(), body, trailers);
         head = null;
         body = null;
-        partSince = 0;
+        partialSince = 0;
         busy = true;
-        used = true;
+        hasServedRequest = true;
         Route route = found.route();
         if (route == null) {
             HttpHeaders h = new DefaultHttpHeaders();
             if (!found.allowed().isEmpty()) {
                 h.set(HttpHeaderNames.ALLOW, String.join(", ", found.allowed()));
             }
-            answer(found.status(), h, found.status() == 405 ? "this method is not allowed here" : "nothing is here");
+            respond(found.status(), h, found.status() == 405 ? "this method is not allowed here" : "nothing is here");
         } else if (route.answer() != null) {
-            fixed(route);
+            respondFixed(route);
         } else {
-            taken = owner.taken(this, request, found);
+            pendingRequest = owner.onRequest(this, request, found);
         }
     }
 
-    private void fixed(Route route) {
+    private void respondFixed(Route route) {
         Route.Answer a = route.answer();
-        Values values = new Values(request, found.groups(), route.name(), null);
+        TemplateValues values = new TemplateValues(request, found.groups(), route.name(), null);
         HttpHeaders h = new DefaultHttpHeaders();
         if (a.location() != null) {
-            h.set(HttpHeaderNames.LOCATION, Values.clean(a.location().fill(values)));
+            h.set(HttpHeaderNames.LOCATION, TemplateValues.sanitize(a.location().fill(values)));
         }
         String text = a.body().fill(values);
         if (!text.isEmpty()) {
             h.set(HttpHeaderNames.CONTENT_TYPE, a.type());
         }
         values.change(h, a.headers(), a.status());
-        answer(a.status(), h, text.getBytes(StandardCharsets.UTF_8));
+        respond(a.status(), h, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** An error behind what is in hand, and then the end. */
-    private void end(int status, String error) {
+    private void rejectAndClose(int status, String error) {
         ending = true;
-        cutShort = true;
+        inputIncomplete = true;
         endingSince = owner.now();
-        partSince = 0;
+        partialSince = 0;
         keepAlive = false;
         decoder.stop();
         if (body != null) {
@@ -351,45 +351,45 @@
         busy = true;
         HttpHeaders h = new DefaultHttpHeaders();
         if (status == 503) {
-            owner.retryAfter(h);
+            owner.setRetryAfter(h);
         }
-        answer(status, h, error);
+        respond(status, h, error);
     }
 
     // ---- what goes out ----
 
     /** A final answer made here, of a line of text. */
-    public void answer(int status, HttpHeaders headers, String text) {
+    public void respond(int status, HttpHeaders headers, String text) {
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
-        answer(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
+        respond(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private void answer(int status, HttpHeaders headers, byte[] bytes) {
+    private void respond(int status, HttpHeaders headers, byte[] bytes) {
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
         r.headers().add(headers);
         if (status != 204 && status != 304) {
             HttpUtil.setContentLength(r, bytes.length);
         }
-        connection(r);
-        answered(channel.writeAndFlush(r));
+        setConnectionHeader(r);
+        onResponseWritten(channel.writeAndFlush(r));
     }
 
     /** An answer begins that comes piece by piece. */
     public void begin(HttpResponse r) {
-        answering = true;
+        responding = true;
         boolean framed = HttpUtil.isContentLengthSet(r)
                 || HttpUtil.isTransferEncodingChunked(r)
-                || request.head()
+                || request.isHead()
                 || r.status().code() == 204
                 || r.status().code() == 304;
         keepAlive &= framed;
-        connection(r);
+        setConnectionHeader(r);
         channel.write(r);
     }
 
-    private void connection(HttpResponse r) {
-        keepAlive &= !owner.draining() && !unwanted;
+    private void setConnectionHeader(HttpResponse r) {
+        keepAlive &= !owner.draining() && !listenerClosed;
         if (!keepAlive) {
             r.headers().set(HttpHeaderNames.CONNECTION, "close");
         } else if (request != null && request.version().equals(HttpVersion.HTTP_1_0)) {
@@ -398,7 +398,7 @@
     }
 
     /** A piece of it, which is the connection's from now on. */
-    public void piece(ByteBuf bytes) {
+    public void writeContent(ByteBuf bytes) {
         channel.write(new DefaultHttpContent(bytes));
     }
 
@@ -407,7 +407,7 @@
     }
 
     /** May more be written at once? */
-    public boolean writable() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -416,9 +416,9 @@
         LastHttpContent last = LastHttpContent.EMPTY_LAST_CONTENT;
         if (chunked && !trailers.isEmpty()) {
             last = new DefaultLastHttpContent();
-            Hops.copyTrailers(trailers, last.trailingHeaders());
+            HopByHop.copyTrailers(trailers, last.trailingHeaders());
         }
-        answered(channel.writeAndFlush(last));
+        onResponseWritten(channel.writeAndFlush(last));
     }
 
     /** It broke off: the client must see that. */
@@ -426,11 +426,11 @@
         channel.close();
     }
 
-    private void answered(ChannelFuture last) {
+    private void onResponseWritten(ChannelFuture last) {
         lastWritten = last;
-        answering = false;
+        responding = false;
         busy = false;
-        taken = null;
+        pendingRequest = null;
         request = null;
         idleSince = owner.now();
         if (!keepAlive) {
@@ -439,12 +439,12 @@
                 endingSince = idleSince;
                 decoder.stop();
             }
-            last.addListener(f -> finish());
+            last.addListener(f -> closeAfterResponse());
         }
-        owner.answered(this);
+        owner.onResponseSent(this);
         channel.eventLoop().execute(() -> {
-            next();
-            watchPart();
+            processPipelined();
+            trackPartialRequest();
             read();
         });
     }
@@ -453,8 +453,8 @@
      * The last answer is written. Where more is still to come of a request, closing at once would make the
      * system reset the connection, and the answer could be lost with it: what comes is dropped for a while.
      */
-    private void finish() {
-        if (cutShort && channel instanceof DuplexChannel duplex && channel.isActive()) {
+    private void closeAfterResponse() {
+        if (inputIncomplete && channel instanceof DuplexChannel duplex && channel.isActive()) {
             lingerUntil = owner.now() + LINGER_NS;
             duplex.shutdownOutput();
         } else {
@@ -464,33 +464,33 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (taken != null && answering && channel.isWritable()) {
-            taken.writable();
+        if (pendingRequest != null && responding && channel.isWritable()) {
+            pendingRequest.onWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         ending = true;
-        forgetAhead();
+        releasePipelined();
         if (body != null) {
             body.release();
             body = null;
             head = null;
         }
-        owner.closed(this);
-        Clients.Taken t = taken;
-        taken = null;
+        owner.onClosed(this);
+        Clients.PendingRequest t = pendingRequest;
+        pendingRequest = null;
         busy = false;
         if (t != null) {
-            t.abandoned();
+            t.onClientDisconnected();
         }
     }
 
-    private void forgetAhead() {
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
-        aheadBytes = 0;
+    private void releasePipelined() {
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
+        pipelinedBytes = 0;
     }
 
     @Override
--- a/src/main/java/gullspar/site/client/PlainDecoder.java
+++ b/src/main/java/gullspar/site/client/PlainDecoder.java
@@ -16,27 +16,27 @@
  * section 5.2): the library joins such lines, and a server behind may not.
  */
 final class PlainDecoder extends RequestDecoder {
-    private static final int LONGEST_LINE = 16 << 10, LONGEST_HEAD = 64 << 10;
+    private static final int MAX_LINE_BYTES = 16 << 10, MAX_HEAD_BYTES = 64 << 10;
 
     private boolean inHead = true;
-    private boolean partial;
+    private boolean hasPartialRequest;
 
     PlainDecoder() {
-        super(LONGEST_LINE, LONGEST_HEAD);
+        super(MAX_LINE_BYTES, MAX_HEAD_BYTES);
     }
 
     /** Has a request begun to come that has not come whole? */
-    boolean partial() {
-        return partial;
+    boolean hasPartialRequest() {
+        return hasPartialRequest;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-        if (inHead && folded(in)) {
+        if (inHead && hasFoldedLine(in)) {
             in.skipBytes(in.readableBytes());
-            DefaultFullHttpRequest odd = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-            odd.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("a folded line")));
-            out.add(odd);
+            DefaultFullHttpRequest malformed = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
+            malformed.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("a folded line")));
+            out.add(malformed);
             return;
         }
         int known = out.size();
@@ -44,27 +44,27 @@
         for (int i = known; i < out.size(); i++) {
             boolean last = out.get(i) instanceof LastHttpContent;
             inHead = last || inHead && !(out.get(i) instanceof HttpRequest);
-            partial &= !last;
+            hasPartialRequest &= !last;
         }
     }
 
     /** Does a line of the head that is there so far begin with a space? What is unread begins with a line. */
-    private boolean folded(ByteBuf in) {
+    private boolean hasFoldedLine(ByteBuf in) {
         int i = in.readerIndex();
-        while (!partial && i < in.writerIndex() && (in.getByte(i) == '\r' || in.getByte(i) == '\n')) {
+        while (!hasPartialRequest && i < in.writerIndex() && (in.getByte(i) == '\r' || in.getByte(i) == '\n')) {
             i++;
         }
-        partial |= i < in.writerIndex();
-        boolean fresh = true;
+        hasPartialRequest |= i < in.writerIndex();
+        boolean atLineStart = true;
         for (; i < in.writerIndex(); i++) {
             byte b = in.getByte(i);
-            if (fresh && (b == ' ' || b == '\t')) {
+            if (atLineStart && (b == ' ' || b == '\t')) {
                 return true;
             }
-            if (fresh && (b == '\r' || b == '\n')) {
+            if (atLineStart && (b == '\r' || b == '\n')) {
                 return false; // the end of the head
             }
-            fresh = b == '\n';
+            atLineStart = b == '\n';
         }
         return false;
     }
--- a/src/main/java/gullspar/site/client/AnswerEncoder.java
+++ b/src/main/java/gullspar/site/client/ResponseEncoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 
 /** Encodes answers; those to HEAD say how long they would be and have no body. */
-final class AnswerEncoder extends HttpResponseEncoder {
+final class ResponseEncoder extends HttpResponseEncoder {
     private boolean headOnly;
 
     /** Is the answer that comes next one to HEAD? */
--- a/src/main/java/gullspar/site/http/Heads.java
+++ b/src/main/java/gullspar/site/http/Heads.java
@@ -17,20 +17,20 @@
 
 /** The heads that a proxy writes: of a request to a server, and of its answer to the client. */
 public final class Heads {
-    private static final List<String> SAID_BY_PROXIES = List.of(
+    private static final List<String> FORWARDING_HEADERS = List.of(
             "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "X-Forwarded-Port", "X-Real-IP", "Forwarded");
 
     private Heads() {}
 
     /** The head of an attempt; leftNs is what is left of the request's time. */
     public static HttpRequest request(
-            PlainRequest r, Route.ToPool to, Values values, Forwarded forwarded, long leftNs) {
+            PlainRequest r, Route.ToPool to, TemplateValues values, Forwarded forwarded, long leftNs) {
         String uri = to.rewrite() == Rewrite.NONE
                 ? r.target().raw()
-                : r.target().with(to.rewrite().of(r.target().path()));
+                : r.target().withPath(to.rewrite().of(r.target().path()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, r.method(), uri);
         HttpHeaders h = head.headers();
-        Hops.copy(r.headers(), r.version(), h);
+        HopByHop.copy(r.headers(), r.version(), h);
         h.set(HttpHeaderNames.HOST, r.host());
         h.set("Request-Id", r.id());
         forward(r, h, forwarded);
@@ -38,38 +38,39 @@
         h.set("Request-Timeout", Message.seconds(Math.max(1000, leftNs)));
         if (!r.trailers().isEmpty()) {
             HttpUtil.setTransferEncodingChunked(head, true);
-        } else if (r.body().length() > 0 || !bodiless(r)) {
+        } else if (r.body().length() > 0 || !hasNoBody(r)) {
             HttpUtil.setContentLength(head, r.body().length());
         }
         return head;
     }
 
     /** A request that says nothing of a body had none (RFC 9110, section 8.6). */
-    private static boolean bodiless(PlainRequest r) {
+    private static boolean hasNoBody(PlainRequest r) {
         return !r.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 && !r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    private static void forward(PlainRequest r, HttpHeaders h, Forwarded how) {
-        if (how == Forwarded.PASS) {
+    private static void forward(PlainRequest r, HttpHeaders h, Forwarded mode) {
+        if (mode == Forwarded.PASS) {
             return;
         }
-        String all = r.routed().forwardedFor();
-        String here = "for=" + node(r.client()) + ";host=\"" + r.host().replace("\"", "") + "\";proto=http";
-        List<String> before = h.getAll("Forwarded");
-        if (how == Forwarded.REPLACE) {
-            SAID_BY_PROXIES.forEach(h::remove);
-            all = r.client();
-            before = List.of();
+        String forwardedFor = r.routed().forwardedFor();
+        String thisHop =
+                "for=" + forwardedNode(r.client()) + ";host=\"" + r.host().replace("\"", "") + "\";proto=http";
+        List<String> previousHops = h.getAll("Forwarded");
+        if (mode == Forwarded.REPLACE) {
+            FORWARDING_HEADERS.forEach(h::remove);
+            forwardedFor = r.client();
+            previousHops = List.of();
         }
-        h.set("X-Forwarded-For", all);
-        h.set("Forwarded", before.isEmpty() ? here : String.join(", ", before) + ", " + here);
+        h.set("X-Forwarded-For", forwardedFor);
+        h.set("Forwarded", previousHops.isEmpty() ? thisHop : String.join(", ", previousHops) + ", " + thisHop);
         setIfAbsent(h, "X-Forwarded-Proto", "http");
         setIfAbsent(h, "X-Forwarded-Host", r.host());
     }
 
     /** An address as Forwarded wants it (RFC 7239, section 6). */
-    private static String node(String address) {
+    private static String forwardedNode(String address) {
         return address.contains(":") ? "\"[" + address + "]\"" : address;
     }
 
@@ -83,18 +84,18 @@
      * The head of an answer that goes on: with a length where its server gave one, in chunks where the client
      * reads those, and else up to the end of the connection.
      */
-    public static HttpResponse answer(HttpResponse from, PlainRequest r, Route.ToPool to, Values values) {
+    public static HttpResponse response(HttpResponse from, PlainRequest r, Route.ToPool to, TemplateValues values) {
         HttpResponse head = new DefaultHttpResponse(
                 HttpVersion.HTTP_1_1,
                 from.status(),
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false));
         int code = from.status().code();
-        Hops.copy(from.headers(), from.protocolVersion(), head.headers());
+        HopByHop.copy(from.headers(), from.protocolVersion(), head.headers());
         values.change(head.headers(), to.answer(), code);
         String length = from.headers().get(HttpHeaderNames.CONTENT_LENGTH);
         if (length != null && code != 204) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-        } else if (code != 204 && code != 304 && !r.head() && r.version().equals(HttpVersion.HTTP_1_1)) {
+        } else if (code != 204 && code != 304 && !r.isHead() && r.version().equals(HttpVersion.HTTP_1_1)) {
             HttpUtil.setTransferEncodingChunked(head, true);
         }
         return head;
--- a/src/main/java/gullspar/site/http/Hops.java
+++ b/src/main/java/gullspar/site/http/HopByHop.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /** What of a head is meant for the next hop alone, and does not go on (RFC 9110, section 7.6.1). */
-public final class Hops {
-    private static final Set<String> ALWAYS = Set.of(
+public final class HopByHop {
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -26,34 +26,34 @@
             "expect",
             "http2-settings");
     /** Connection cannot take these away: without them a request means something else. */
-    private static final Set<String> NEVER_NAMED = Set.of(
+    private static final Set<String> END_TO_END = Set.of(
             "host", "cookie", "authorization", "idempotency-key", "content-type", "content-encoding", "cache-control");
 
     private static final AsciiString VIA = AsciiString.cached("Via");
 
-    private Hops() {}
+    private HopByHop() {}
 
     /** Copies what goes on from one head to another, and says in Via that it came through here. */
     public static void copy(HttpHeaders from, HttpVersion received, HttpHeaders to) {
-        Set<String> named = named(from);
+        Set<String> named = connectionOptions(from);
         for (Map.Entry<String, String> h : from) {
             String name = h.getKey().toLowerCase(Locale.ROOT);
-            if (!ALWAYS.contains(name) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !named.contains(name)) {
                 to.add(h.getKey(), h.getValue());
             }
         }
         List<String> via = to.getAll(VIA);
-        String here = received.majorVersion() + "." + received.minorVersion() + " gullspar";
-        to.set(VIA, via.isEmpty() ? here : String.join(", ", via) + ", " + here);
+        String thisHop = received.majorVersion() + "." + received.minorVersion() + " gullspar";
+        to.set(VIA, via.isEmpty() ? thisHop : String.join(", ", via) + ", " + thisHop);
     }
 
-    private static Set<String> named(HttpHeaders from) {
+    private static Set<String> connectionOptions(HttpHeaders from) {
         Set<String> named = Set.of();
         for (String v : from.getAll(HttpHeaderNames.CONNECTION)) {
             named = named.isEmpty() ? new HashSet<>() : named;
             for (String name : v.split(",")) {
                 String n = name.trim().toLowerCase(Locale.ROOT);
-                if (!NEVER_NAMED.contains(n)) {
+                if (!END_TO_END.contains(n)) {
                     named.add(n);
                 }
             }
@@ -65,7 +65,7 @@
     public static void copyTrailers(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> h : from) {
             String name = h.getKey().toLowerCase(Locale.ROOT);
-            if (!ALWAYS.contains(name) && !NEVER_NAMED.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !END_TO_END.contains(name)) {
                 to.add(h.getKey(), h.getValue());
             }
         }
--- a/src/main/java/gullspar/site/http/PlainRequest.java
+++ b/src/main/java/gullspar/site/http/PlainRequest.java
@@ -30,7 +30,7 @@
         return routed.id();
     }
 
-    public boolean head() {
+    public boolean isHead() {
         return method.equals(HttpMethod.HEAD);
     }
 }
--- a/src/main/java/gullspar/site/http/Target.java
+++ b/src/main/java/gullspar/site/http/Target.java
@@ -15,12 +15,12 @@
  * else null; query is null where there is none.
  */
 public record Target(String raw, String authority, String path, String query, Charset charset) {
-    private static final Pattern FORM = Pattern.compile("[!-~&&[^#\"<>\\\\^`{|}]]+|[!-~&&[^#]]+");
-    private static final String KEPT = "-._~!$&'()*+,;=:@/";
+    private static final Pattern VALID = Pattern.compile("[!-~&&[^#\"<>\\\\^`{|}]]+|[!-~&&[^#]]+");
+    private static final String UNESCAPED = "-._~!$&'()*+,;=:@/";
 
     /** Reads one; null if it is none that a server can be asked for. */
     public static Target of(String uri, String method) {
-        if (!FORM.matcher(uri).matches()) {
+        if (!VALID.matcher(uri).matches()) {
             return null;
         }
         if (uri.equals("*")) {
@@ -45,7 +45,7 @@
             return null;
         }
         Charset charset = charset(decoded);
-        String path = normal(new String(decoded, charset));
+        String path = normalize(new String(decoded, charset));
         return path == null
                 ? null
                 : new Target(origin, authority, path, question < 0 ? null : origin.substring(question + 1), charset);
@@ -82,32 +82,32 @@
     }
 
     /** Without empty, . and .. segments; null if it leads above the root. */
-    private static String normal(String path) {
+    private static String normalize(String path) {
         if (!path.contains("//") && !path.contains("/.")) {
             return path;
         }
         List<String> segments = new ArrayList<>();
-        boolean folder = true;
+        boolean trailingSlash = true;
         for (String s : path.substring(1).split("/", -1)) {
-            folder = s.isEmpty() || s.equals(".") || s.equals("..");
+            trailingSlash = s.isEmpty() || s.equals(".") || s.equals("..");
             if (s.equals("..")) {
                 if (segments.isEmpty()) {
                     return null;
                 }
                 segments.remove(segments.size() - 1);
-            } else if (!folder) {
+            } else if (!trailingSlash) {
                 segments.add(s);
             }
         }
         String joined = "/" + String.join("/", segments);
-        return folder && !segments.isEmpty() ? joined + "/" : joined;
+        return trailingSlash && !segments.isEmpty() ? joined + "/" : joined;
     }
 
     /** A path, and the query of this target, as they are written in a request. */
-    public String with(String otherPath) {
+    public String withPath(String otherPath) {
         StringBuilder s = new StringBuilder(otherPath.length() + 16);
         for (byte b : otherPath.getBytes(charset)) {
-            if (b > 0 && (Character.isLetterOrDigit(b) || KEPT.indexOf(b) >= 0)) {
+            if (b > 0 && (Character.isLetterOrDigit(b) || UNESCAPED.indexOf(b) >= 0)) {
                 s.append((char) b);
             } else {
                 s.append('%').append(hex(b >> 4)).append(hex(b));
--- a/src/main/java/gullspar/site/http/Values.java
+++ b/src/main/java/gullspar/site/http/TemplateValues.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /** What the names in templates stand for, with one request. */
-public final class Values implements Template.Values {
+public final class TemplateValues implements Template.Values {
     private final PlainRequest request;
     private final List<String> groups;
     private final String route;
     private final String pool;
 
     /** groups: what the place's regular expression caught; pool may be null. */
-    public Values(PlainRequest request, List<String> groups, String route, String pool) {
+    public TemplateValues(PlainRequest request, List<String> groups, String route, String pool) {
         this.request = request;
         this.groups = groups;
         this.route = route;
@@ -41,7 +41,7 @@
     public void change(HttpHeaders headers, HeaderChanges changes, int status) {
         changes.remove().forEach(headers::remove);
         changes.set().forEach((name, template) -> {
-            String v = clean(template.fill(this));
+            String v = sanitize(template.fill(this));
             if (v.isEmpty()) {
                 headers.remove(name);
             } else {
@@ -56,7 +56,7 @@
 
     private void add(HttpHeaders headers, Map<String, Template> more) {
         more.forEach((name, template) -> {
-            String v = clean(template.fill(this));
+            String v = sanitize(template.fill(this));
             if (!v.isEmpty()) {
                 headers.add(name, v);
             }
@@ -64,14 +64,14 @@
     }
 
     /** A value that a head can hold. */
-    public static String clean(String value) {
+    public static String sanitize(String value) {
         StringBuilder s = null;
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
-            boolean odd = c < ' ' && c != '\t' || c == 127 || c > 255;
-            if (odd && s == null) {
+            boolean invalid = c < ' ' && c != '\t' || c == 127 || c > 255;
+            if (invalid && s == null) {
                 s = new StringBuilder(value.substring(0, i));
-            } else if (!odd && s != null) {
+            } else if (!invalid && s != null) {
                 s.append(c);
             }
         }
--- a/src/main/java/gullspar/versions/net/Following.java
+++ b/src/main/java/gullspar/versions/net/Following.java
@@ -6,7 +6,7 @@
 import gullspar.proxy.io.Log;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
-import gullspar.site.Source;
+import gullspar.site.ConfigSource;
 import gullspar.toml.Blocks;
 import gullspar.toml.ProblemsException;
 import gullspar.versions.Delta;
@@ -35,7 +35,7 @@
  * A proxy's configuration by its control processes. It has a loop and a worker of its own: reading a large
  * document must not hold up requests.
  */
-public final class Following implements Source {
+public final class Following implements ConfigSource {
     private static final Log LOG = Log.standardError();
 
     private final FollowFile file;
@@ -49,7 +49,7 @@
     private final Store.Found found;
     private final CompletableFuture<Site> first = new CompletableFuture<>();
     /** Completed when the proxy serves. */
-    private final CompletableFuture<Taker> proxy = new CompletableFuture<>();
+    private final CompletableFuture<ConfigReceiver> proxy = new CompletableFuture<>();
 
     private Following(FollowFile file, Folder folder) throws IOException {
         this.file = file;
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public Site first() {
+    public Site initial() {
         found.damage().forEach(line -> LOG.say("versions: " + line));
         Document stored = found.kept() == null ? null : found.kept().document();
         LOG.say("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
@@ -128,7 +128,7 @@
                     done.accept(null);
                 });
             } else {
-                proxy.thenAccept(p -> p.take(site, why -> {
+                proxy.thenAccept(p -> p.accept(site, why -> {
                     if (why == null) {
                         LOG.say("versions: " + d.version() + " is in force");
                     }
@@ -139,12 +139,12 @@
     }
 
     @Override
-    public void serve(Taker to) {
+    public void start(ConfigReceiver to) {
         proxy.complete(to);
     }
 
     @Override
-    public void reload(Taker to) {
+    public void reload(ConfigReceiver to) {
         LOG.say("versions: the configuration comes from control; SIGHUP reads nothing of it");
     }
 }
--- a/src/test/java/gullspar/importer/ReplayTest.java
+++ b/src/test/java/gullspar/importer/ReplayTest.java
@@ -5,7 +5,7 @@
 
 import gullspar.nginx.Problem;
 import gullspar.proxy.Peer.Wire;
-import gullspar.site.Served;
+import gullspar.site.ProxyFixture;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -44,7 +44,7 @@
         final StandIns standIns = new StandIns();
         final NginxModel model;
         final Map<Integer, InetSocketAddress> listeners = new HashMap<>();
-        final Served served;
+        final ProxyFixture served;
 
         Setting(Path conf) throws Exception {
             model = new NginxModel(conf);
@@ -69,7 +69,7 @@
                     .toList()) {
                 toml = toml.replace("address = \"" + address + "\"", "address = \"" + standIns.at(address) + "\"");
             }
-            served = new Served(toml);
+            served = new ProxyFixture(toml);
         }
 
         Wire connect(int port) throws IOException {
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -5,7 +5,7 @@
 import gullspar.proxy.io.Clock;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Transport;
-import gullspar.site.Served;
+import gullspar.site.ProxyFixture;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -54,8 +54,8 @@
                 Config.parse(Setup.json("127.0.0.1:1", at, 1024, 1000), Map.of()),
                 new Platform(loop, Clock.system(), Transport.tcp(loop), l -> {}),
                 Policy::new);
-        Served one = new Served(site(at, 1));
-        Served many = new Served(site(at, 1000));
+        ProxyFixture one = new ProxyFixture(site(at, 1));
+        ProxyFixture many = new ProxyFixture(site(at, 1000));
         Text look = () -> "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet()
                 + "\r\nRequest-Timeout: 30\r\n\r\n";
         Text plain = () -> "GET /r500/1?x=2 HTTP/1.1\r\nHost: api\r\n\r\n";
--- a/src/test/java/gullspar/site/FailuresTest.java
+++ b/src/test/java/gullspar/site/FailuresTest.java
@@ -1,8 +1,8 @@
 package gullspar.site;
 
-import static gullspar.site.Served.GET;
-import static gullspar.site.Served.OK;
-import static gullspar.site.Served.status;
+import static gullspar.site.ProxyFixture.GET;
+import static gullspar.site.ProxyFixture.OK;
+import static gullspar.site.ProxyFixture.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,7 +19,7 @@
     private static final String POST = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
 
     /** Of two servers the one that was asked; the other one is asked for nothing. */
-    private static Wire first(Peer a, Peer b) throws Exception {
+    private static Wire acceptFirst(Peer a, Peer b) throws Exception {
         while (a.quiet() && b.quiet()) {
             Thread.onSpinWait();
         }
@@ -27,16 +27,16 @@
     }
 
     @Test
-    void aSafeRequestGoesToAnotherServerAfterAReset() throws Exception {
+    void safeRequestIsRetriedOnAnotherServerAfterAReset() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("", a, b);
+                ProxyFixture s = ProxyFixture.withPool("", a, b);
                 Wire c = s.connect()) {
             c.write(GET);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
             w.reset();
-            Wire other = first(a, b);
+            Wire other = acceptFirst(a, b);
             other.read();
             other.write(OK);
             assertEquals("200", status(c.read()));
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void anUnsafeOneThatMayHaveRunFailsAndGoesNowhereElse() throws Exception {
+    void unsafeRequestThatMayHaveRunIsNotRetried() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("", a, b);
+                ProxyFixture s = ProxyFixture.withPool("", a, b);
                 Wire c = s.connect()) {
             c.write(POST);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
             w.reset();
             assertEquals("502", status(c.read()));
@@ -59,21 +59,21 @@
     }
 
     @Test
-    void aKeyedOneMayGoOnOnlyWithItsKey() throws Exception {
+    void keyedRouteRetriesOnlyWithAnIdempotencyKey() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("class = \"keyed\"", a, b);
+                ProxyFixture s = ProxyFixture.withPool("class = \"keyed\"", a, b);
                 Wire c = s.connect()) {
             c.write(POST);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
             w.reset();
             assertEquals("502", status(c.read()), "no key: nobody drops its repeat");
             c.write("POST / HTTP/1.1\r\nHost: a\r\nIdempotency-Key: 7\r\nContent-Length: 1\r\n\r\nx");
-            w = first(a, b);
+            w = acceptFirst(a, b);
             w.read();
             w.reset();
-            Wire other = first(a, b);
+            Wire other = acceptFirst(a, b);
             assertTrue(other.read().contains("7"));
             other.write(OK);
             assertEquals("200", status(c.read()));
@@ -81,13 +81,13 @@
     }
 
     @Test
-    void aServerThatCannotBeReachedIsLeftOutForATime() throws Exception {
+    void unreachableServerIsEjectedForATime() throws Exception {
         Peer dead = new Peer();
         String gone = dead.hostPort();
         dead.close();
         try (Peer a = new Peer();
-                Served s = new Served(Served.LISTENER
-                        + Served.one("", a)
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a)
                                 .replace("[[host]]", "[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]"));
                 Wire c = s.connect()) {
             for (int i = 0; i < 4; i++) {
@@ -98,7 +98,7 @@
                 }
                 assertEquals("200", status(c.read()), "unsafe, but the first try is known not to have run");
             }
-            s.said("is out for its failures");
+            s.awaitLogLine("is out for its failures");
         }
     }
 
@@ -119,16 +119,16 @@
     }
 
     @Test
-    void aStatusOfTheRoutesListCountsAsAFailure() throws Exception {
+    void statusInRetryOnCountsAsAFailure() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("retry_on = [\"500\"]", a, b);
+                ProxyFixture s = ProxyFixture.withPool("retry_on = [\"500\"]", a, b);
                 Wire c = s.connect()) {
             c.write(GET);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
             w.write("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-            Wire other = first(a, b);
+            Wire other = acceptFirst(a, b);
             other.read();
             other.write("HTTP/1.1 503 Not me\r\nContent-Length: 0\r\n\r\n");
             assertEquals("503", status(c.read()), "not of the list: passed on");
@@ -136,13 +136,13 @@
     }
 
     @Test
-    void onceTheFirstByteIsOutThereIsNoFurtherAttempt() throws Exception {
+    void noRetryOnceTheResponseHasStarted() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("", a, b);
+                ProxyFixture s = ProxyFixture.withPool("", a, b);
                 Wire c = s.connect()) {
             c.write(GET);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
             w.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
             assertTrue(c.until("abc").endsWith("abc"));
@@ -153,9 +153,9 @@
     }
 
     @Test
-    void aServerThatSaysNothingCostsNoMoreThanTheDeadline() throws Exception {
+    void silentServerIsAbandonedAtTheDeadline() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("deadline_ms = 200\nclass = \"unsafe\"", a);
+                ProxyFixture s = ProxyFixture.withPool("deadline_ms = 200\nclass = \"unsafe\"", a);
                 Wire c = s.connect()) {
             c.write(GET);
             Wire w = a.accept();
@@ -167,15 +167,15 @@
     }
 
     @Test
-    void anAttemptThatTakesTooLongMakesRoomForAnother() throws Exception {
+    void attemptTimeoutLeadsToARetry() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("deadline_ms = 20000\nattempt_ms = 100", a, b);
+                ProxyFixture s = ProxyFixture.withPool("deadline_ms = 20000\nattempt_ms = 100", a, b);
                 Wire c = s.connect()) {
             c.write(GET);
-            Wire w = first(a, b);
+            Wire w = acceptFirst(a, b);
             w.read();
-            Wire other = first(a, b);
+            Wire other = acceptFirst(a, b);
             other.read();
             other.write(OK);
             assertEquals("200", status(c.read()));
@@ -183,11 +183,12 @@
     }
 
     @Test
-    void aRefusedRequestIsToldWhenToComeAgain() throws Exception {
+    void refusalCarriesRetryAfter() throws Exception {
         Peer dead = new Peer();
         String gone = dead.hostPort();
         dead.close();
-        try (Served s = new Served(Served.LISTENER + "[limits]\nretry_after_s = 2.5\n[[pool]]\nname = \"p\"\n"
+        try (ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + "[limits]\nretry_after_s = 2.5\n[[pool]]\nname = \"p\"\n"
                         + "[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]\ndefault = true\n[[host.route]]\n"
                         + "path = \"/\"\npool = \"p\"\n");
                 Wire c = s.connect()) {
@@ -199,9 +200,9 @@
     }
 
     @Test
-    void aClientThatLeavesTakesItsAttemptAlong() throws Exception {
+    void clientDisconnectCancelsTheAttempt() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a)) {
+                ProxyFixture s = ProxyFixture.withPool("", a)) {
             Wire c = s.connect();
             c.write(GET);
             Wire w = a.accept();
@@ -220,9 +221,9 @@
     }
 
     @Test
-    void oneThatDoesNotReadHoldsUpItsServerAndNothingElse() throws Exception {
+    void slowReaderDelaysOnlyItsOwnServerConnection() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire slow = s.connect()) {
             slow.write(GET);
             Wire w = a.accept();
@@ -258,10 +259,10 @@
     }
 
     @Test
-    void noMoreConnectionsThanAServerMayHave() throws Exception {
+    void maxConnectionsOfAServerIsKept() throws Exception {
         try (Peer a = new Peer();
-                Served s = new Served(
-                        Served.LISTENER + Served.one("", a).replace("[[host]]", "max_connections = 2\n[[host]]"));
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a).replace("[[host]]", "max_connections = 2\n[[host]]"));
                 Wire c1 = s.connect();
                 Wire c2 = s.connect();
                 Wire c3 = s.connect()) {
@@ -284,13 +285,13 @@
     }
 
     @Test
-    void backupsServeWhileNoPrimaryCan() throws Exception {
+    void backupsServeWhileNoPrimaryIsAvailable() throws Exception {
         Peer dead = new Peer();
         String gone = dead.hostPort();
         dead.close();
         try (Peer a = new Peer();
-                Served s = new Served(Served.LISTENER
-                        + Served.one("", a)
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a)
                                 .replace(
                                         "[[host]]",
                                         "backup = true\n[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]"));
@@ -307,13 +308,13 @@
     void sharesFollowTheWeights() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = new Served(Served.LISTENER
-                        + Served.one("", a, b)
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a, b)
                                 .replace("\"" + b.hostPort() + "\"", "\"" + b.hostPort() + "\"\nweight = 3"));
                 Wire c = s.connect()) {
             AtomicIntegerArray got = new AtomicIntegerArray(2);
-            answering(a, 0, got);
-            answering(b, 1, got);
+            serveAndCount(a, 0, got);
+            serveAndCount(b, 1, got);
             for (int i = 0; i < 400; i++) {
                 c.write(GET);
                 assertEquals("200", status(c.read()));
@@ -323,7 +324,7 @@
         }
     }
 
-    private static void answering(Peer p, int which, AtomicIntegerArray got) {
+    private static void serveAndCount(Peer p, int which, AtomicIntegerArray got) {
         Thread t = new Thread(() -> {
             try {
                 Wire w = p.accept();
--- a/src/test/java/gullspar/site/OddServersTest.java
+++ b/src/test/java/gullspar/site/MisbehavingPeersTest.java
@@ -1,8 +1,8 @@
 package gullspar.site;
 
-import static gullspar.site.Served.GET;
-import static gullspar.site.Served.OK;
-import static gullspar.site.Served.status;
+import static gullspar.site.ProxyFixture.GET;
+import static gullspar.site.ProxyFixture.OK;
+import static gullspar.site.ProxyFixture.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Servers and clients that do what nobody should: one answer for each request, and nothing mixed up. */
-class OddServersTest {
+class MisbehavingPeersTest {
     private static final String POST = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
 
     @ParameterizedTest
@@ -35,10 +35,10 @@
                         + "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
                         + "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
             })
-    void whatIsNoAnswerIsAFailureAndAnUnsafeRequestGoesNowhereElse(String text) throws Exception {
+    void malformedResponseFailsAnUnsafeRequestWithoutRetry(String text) throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("", a, b);
+                ProxyFixture s = ProxyFixture.withPool("", a, b);
                 Wire c = s.connect()) {
             c.write(POST);
             while (a.quiet() && b.quiet()) {
@@ -54,9 +54,9 @@
     }
 
     @Test
-    void headsWithoutEndAreCutOff() throws Exception {
+    void endlessResponseHeadsAreAborted() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire c = s.connect()) {
             c.write(POST);
             Wire w = a.accept();
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNobodysAnswer() throws Exception {
+    void bytesAfterAResponseAreNotTheNextResponse() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire c = s.connect()) {
             c.write(GET);
             Wire w = a.accept();
@@ -93,9 +93,9 @@
     }
 
     @Test
-    void noiseOnAnIdleConnectionEndsIt() throws Exception {
+    void unexpectedBytesOnAnIdleConnectionCloseIt() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire c = s.connect()) {
             c.write(GET);
             Wire w = a.accept();
@@ -113,9 +113,9 @@
     }
 
     @Test
-    void anAnswerAheadOfTheWholeRequestIsPassedOnAndTheConnectionIsNotUsedAgain() throws Exception {
+    void responseBeforeTheRequestEndIsForwardedAndTheConnectionNotReused() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("body_kb = 8192", a);
+                ProxyFixture s = ProxyFixture.withPool("body_kb = 8192", a);
                 Wire c = s.connect()) {
             int size = 6 << 20;
             c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + size + "\r\n\r\n" + "x".repeat(size));
@@ -132,12 +132,12 @@
     }
 
     @Test
-    void valuesCannotEndALineOfAHead() throws Exception {
+    void headerValuesCannotInjectLines() throws Exception {
         String route = "[[host.route]]\npath = \"/to\"\nanswer = { status = 302, location = \"/x${arg.a}\" }\n"
                 + "[[host.route]]\nmatch = \"regex\"\npath = \"^/r/(.*)$\"\npool = \"p\"\n"
                 + "request_headers = { set = { X-Path = \"${1}\" } }\n";
         try (Peer a = new Peer();
-                Served s = Served.by(route, a);
+                ProxyFixture s = ProxyFixture.withPool(route, a);
                 Wire c = s.connect()) {
             c.write("GET /to?a=%0d%0aSet-Cookie:x HTTP/1.1\r\nHost: a\r\n\r\n");
             assertFalse(c.read().contains("\nSet-Cookie"));
@@ -149,10 +149,11 @@
 
     /** Bytes drawn at random: every connection is answered or ended, and the next client is served. */
     @Test
-    void oddBytesEndTheirConnectionAndNothingElse() throws Exception {
+    void randomBytesCloseOnlyTheirOwnConnection() throws Exception {
         Random random = new Random(23);
         try (Peer a = new Peer();
-                Served s = new Served("[limits]\nrequest_s = 0.2\n" + Served.LISTENER + Served.one("", a))) {
+                ProxyFixture s = new ProxyFixture(
+                        "[limits]\nrequest_s = 0.2\n" + ProxyFixture.LISTENER + ProxyFixture.poolConfig("", a))) {
             for (int i = 0; i < 150; i++) {
                 byte[] bytes = new byte[random.nextInt(400)];
                 random.nextBytes(bytes);
@@ -176,10 +177,10 @@
     }
 
     @Test
-    void clientsThatStopInTheMidstOfARequestAreEnded() throws Exception {
+    void incompleteRequestsTimeOut() throws Exception {
         try (Peer a = new Peer();
-                Served s =
-                        new Served("[limits]\nrequest_s = 0.2\nidle_s = 0.2\n" + Served.LISTENER + Served.one("", a));
+                ProxyFixture s = new ProxyFixture("[limits]\nrequest_s = 0.2\nidle_s = 0.2\n" + ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a));
                 Wire half = s.connect();
                 Wire silent = s.connect();
                 Wire body = s.connect()) {
@@ -193,10 +194,10 @@
     }
 
     @Test
-    void aPoolCanWatchDiscovery() throws Exception {
+    void poolFollowsDiscovery() throws Exception {
         try (Peer discovery = new Peer();
                 Peer a = new Peer();
-                Served s = new Served(Served.LISTENER
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
                         + "[[pool]]\nname = \"p\"\ndiscovery = \"" + discovery.hostPort() + "\"\n[[host]]\n"
                         + "default = true\n[[host.route]]\npath = \"/\"\npool = \"p\"\n");
                 Wire c = s.connect()) {
@@ -229,10 +230,10 @@
     }
 
     @Test
-    void noMoreIdleConnectionsAreKeptThanThePoolMayHave() throws Exception {
+    void idleConnectionsAreLimitedToKeepAlive() throws Exception {
         try (Peer a = new Peer();
-                Served s = new Served(Served.LISTENER
-                        + Served.one("", a)
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
+                        + ProxyFixture.poolConfig("", a)
                                 .replace("[[host]]", "")
                                 .replace("name = \"p\"", "name = \"p\"\nkeep_alive = 0")
                                 .replace("default = true", "[[host]]\ndefault = true"));
--- a/src/test/java/gullspar/site/PlainHttpTest.java
+++ b/src/test/java/gullspar/site/PlainHttpTest.java
@@ -1,7 +1,7 @@
 package gullspar.site;
 
-import static gullspar.site.Served.OK;
-import static gullspar.site.Served.status;
+import static gullspar.site.ProxyFixture.OK;
+import static gullspar.site.ProxyFixture.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void aBareRequestGoesOnAndItsAnswerComesBack() throws Exception {
+    void minimalRequestAndResponseAreForwarded() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET /a%20b?x=1 HTTP/1.1\r\nHost: shop\r\n\r\n");
             Wire w = server.accept();
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void whatIsMeantForTheNextHopStaysHere() throws Exception {
+    void hopByHopHeadersAreNotForwarded() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-Mine, Cookie\r\nX-Mine: 1\r\nCookie: k=v\r\n"
                     + "TE: trailers\r\nUpgrade: h2c\r\nKeep-Alive: 5\r\nX-Stays: 1\r\n"
@@ -71,9 +71,10 @@
     }
 
     @Test
-    void whatOtherProxiesSaidIsCarriedOnWhereTheOperatorSaysSo() throws Exception {
+    void forwardingHeadersAreAppendedToWhenConfigured() throws Exception {
         try (Peer server = new Peer();
-                Served s = new Served("forwarded = \"append\"\n" + Served.LISTENER + Served.one("", server));
+                ProxyFixture s = new ProxyFixture(
+                        "forwarded = \"append\"\n" + ProxyFixture.LISTENER + ProxyFixture.poolConfig("", server));
                 Wire c = s.connect()) {
             c.write("GET / HTTP/1.1\r\nHost: a\r\nX-Forwarded-For: 6.6.6.6\r\nX-Forwarded-Proto: https\r\n"
                     + "Via: 1.0 other\r\n\r\n");
@@ -85,9 +86,9 @@
     }
 
     @Test
-    void chunksBecomeALengthAndTrailersStay() throws Exception {
+    void chunkedRequestGetsALengthAndKeepsTrailers() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
                     + "0\r\n\r\n");
@@ -104,9 +105,9 @@
     }
 
     @Test
-    void whoAsksBeforeSendingABodyIsToldToGoOn() throws Exception {
+    void expectContinueIsAnsweredWithContinue() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
             assertEquals("100", status(c.read()));
@@ -120,9 +121,9 @@
     }
 
     @Test
-    void headHasALengthAndNoBody() throws Exception {
+    void responseToHeadHasALengthAndNoBody() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n");
             Wire w = server.accept();
@@ -139,9 +140,9 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 100; i++) {
@@ -165,7 +166,7 @@
     @Test
     void clientsOfHttp10GetNoChunks() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET / HTTP/1.0\r\n\r\n");
             Wire w = server.accept();
@@ -180,9 +181,9 @@
     }
 
     @Test
-    void anAnswerThatEndsWithItsConnectionIsPassedOnInChunks() throws Exception {
+    void responseDelimitedByCloseIsForwardedChunked() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
             Wire w = server.accept();
@@ -195,9 +196,9 @@
     }
 
     @Test
-    void trailersOfAnAnswerComeAlong() throws Exception {
+    void responseTrailersAreForwarded() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
             Wire w = server.accept();
@@ -209,9 +210,9 @@
     }
 
     @Test
-    void bodiesBeyondTheRoutesLimitAreTurnedDown() throws Exception {
+    void bodiesBeyondTheRouteLimitAreRejected() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("body_kb = 1", server)) {
+                ProxyFixture s = ProxyFixture.withPool("body_kb = 1", server)) {
             try (Wire c = s.connect()) {
                 c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1025\r\n\r\n");
                 assertEquals("413", status(c.read()));
@@ -230,7 +231,8 @@
     @Test
     void bodiesShareOneBudget() throws Exception {
         try (Peer server = new Peer();
-                Served s = new Served(Served.LISTENER + "[limits]\nbodies_mb = 0.0625\n" + Served.one("", server));
+                ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER + "[limits]\nbodies_mb = 0.0625\n"
+                        + ProxyFixture.poolConfig("", server));
                 Wire first = s.connect();
                 Wire second = s.connect();
                 Wire third = s.connect()) {
@@ -286,9 +288,9 @@
                 "GET / HTTP/1.2\r\nHost: a\r\n\r\n",
                 "GET / HTTP/1.1\r\nHost: a\r\nExpect: magic\r\n\r\n"
             })
-    void whatServersMayReadOtherwiseIsTurnedDownAndEndsTheConnection(String text) throws Exception {
+    void ambiguousRequestsAreRejectedAndClosed(String text) throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write(text);
             assertTrue(List.of("400", "501", "505", "417").contains(status(c.read())));
@@ -298,9 +300,9 @@
     }
 
     @Test
-    void theTargetMayNameTheHost() throws Exception {
+    void absoluteTargetDeterminesTheHost() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             c.write("GET http://other:81/x?y HTTP/1.1\r\nHost: a\r\n\r\n");
             String got = server.accept().read();
@@ -310,9 +312,9 @@
     }
 
     @Test
-    void aHeadThatComesByteByByteIsWholeInTheEnd() throws Exception {
+    void headSentByteByByteIsParsed() throws Exception {
         try (Peer server = new Peer();
-                Served s = Served.by("", server);
+                ProxyFixture s = ProxyFixture.withPool("", server);
                 Wire c = s.connect()) {
             String text = "\r\nPOST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n\r\n odd\r\n\r\n";
             for (int i = 0; i < text.length(); i++) {
@@ -326,14 +328,14 @@
     }
 
     @Test
-    void routesAnswerByThemselves() throws Exception {
+    void routesWithFixedAnswers() throws Exception {
         String answers = "[[host.route]]\npath = \"/old\"\nanswer = { status = 301, "
                 + "location = \"https://${host}${uri}\" }\n[[host.route]]\npath = \"/gone\"\n"
                 + "answer = { status = 410, body = \"no ${arg.x}\", headers = { set = { X-A = \"1\" } } }\n"
                 + "[[host.route]]\nmatch = \"exact\"\npath = \"/post\"\nmethods = [\"POST\", \"PUT\"]\n"
                 + "pool = \"p\"\n";
         try (Peer server = new Peer();
-                Served s = Served.by(answers, server);
+                ProxyFixture s = ProxyFixture.withPool(answers, server);
                 Wire c = s.connect()) {
             c.write("GET /old/a?b HTTP/1.1\r\nHost: Shop:80\r\n\r\n");
             assertEquals("https://shop/old/a?b", header(c.read(), "Location"));
@@ -352,12 +354,12 @@
     }
 
     @Test
-    void headersAndPathsChangeAsTheRouteSays() throws Exception {
+    void routeRewritesHeadersAndPaths() throws Exception {
         String route = "rewrite = { to = \"/v1 \u00e9/\" }\nrequest_headers = { set = { X-Client = \"${client}\", "
                 + "X-Empty = \"${arg.none}\", Host = \"inside\" }, remove = [\"X-Out\"] }\n"
                 + "answer_headers = { set = { X-Route = \"${route}\" }, remove = [\"X-Powered-By\"] }\n";
         try (Peer server = new Peer();
-                Served s = Served.by(route, server);
+                ProxyFixture s = ProxyFixture.withPool(route, server);
                 Wire c = s.connect()) {
             c.write("GET /a%2Fb?q HTTP/1.1\r\nHost: a\r\nX-Out: 1\r\nX-Empty: 1\r\n\r\n");
             Wire w = server.accept();
--- a/src/test/java/gullspar/site/Served.java
+++ b/src/test/java/gullspar/site/ProxyFixture.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A proxy that serves by a configuration, for a test. */
-public final class Served implements AutoCloseable {
+public final class ProxyFixture implements AutoCloseable {
     static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     static final String GET = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -26,13 +26,13 @@
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
     final SiteProxy proxy;
 
-    public Served(String toml) throws Exception {
+    public ProxyFixture(String toml) throws Exception {
         Platform platform = Platform.of(serving, Transport.tcp(loop), log::add);
         proxy = SiteProxy.start(SiteReader.parse(toml, "test"), platform, Policy::new, 7);
     }
 
     /** A pool of those servers, each line of extras behind its address; and a default host with one route. */
-    static String one(String route, Peer... peers) {
+    static String poolConfig(String route, Peer... peers) {
         StringBuilder s = new StringBuilder("[[pool]]\nname = \"p\"\n");
         for (Peer p : peers) {
             s.append("[[pool.server]]\naddress = \"").append(p.hostPort()).append("\"\n");
@@ -46,8 +46,8 @@
     }
 
     /** One that serves as one() says. */
-    static Served by(String route, Peer... peers) throws Exception {
-        return new Served(LISTENER + one(route, peers));
+    static ProxyFixture withPool(String route, Peer... peers) throws Exception {
+        return new ProxyFixture(LISTENER + poolConfig(route, peers));
     }
 
     /** Where the listener of LISTENER listens. */
@@ -60,7 +60,7 @@
     }
 
     /** Waits for a line of the log. */
-    String said(String part) throws InterruptedException {
+    String awaitLogLine(String part) throws InterruptedException {
         String line = log.poll(20, TimeUnit.SECONDS);
         while (line != null && !line.contains(part)) {
             line = log.poll(20, TimeUnit.SECONDS);
--- a/src/test/java/gullspar/site/ReloadTest.java
+++ b/src/test/java/gullspar/site/ReloadTest.java
@@ -1,8 +1,8 @@
 package gullspar.site;
 
-import static gullspar.site.Served.GET;
-import static gullspar.site.Served.OK;
-import static gullspar.site.Served.status;
+import static gullspar.site.ProxyFixture.GET;
+import static gullspar.site.ProxyFixture.OK;
+import static gullspar.site.ProxyFixture.status;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -23,16 +23,16 @@
 /** New configurations while requests are in hand, and the end. */
 class ReloadTest {
     @Test
-    void aRequestInHandEndsUnderWhatItBeganWith() throws Exception {
+    void openRequestEndsUnderItsOldConfiguration() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire c = s.connect()) {
             c.write(GET);
             Wire w = a.accept();
             w.read();
-            s.reload(Served.LISTENER + Served.one("", b).replace("\"p\"", "\"q\""));
-            s.said("a new configuration");
+            s.reload(ProxyFixture.LISTENER + ProxyFixture.poolConfig("", b).replace("\"p\"", "\"q\""));
+            s.awaitLogLine("a new configuration");
             w.write(OK);
             assertEquals("200", status(c.read()));
             c.write(GET);
@@ -45,15 +45,15 @@
     }
 
     @Test
-    void aListenerThatCannotBeHadChangesNothing() throws Exception {
+    void failedListenerKeepsTheOldConfiguration() throws Exception {
         try (Peer a = new Peer();
                 Peer b = new Peer();
                 ServerSocket taken = new ServerSocket(0);
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire c = s.connect()) {
-            s.reload(Served.LISTENER + "[[listener]]\naddress = \"0.0.0.0:" + taken.getLocalPort() + "\"\n"
-                    + Served.one("", b));
-            s.said("cannot listen on");
+            s.reload(ProxyFixture.LISTENER + "[[listener]]\naddress = \"0.0.0.0:" + taken.getLocalPort() + "\"\n"
+                    + ProxyFixture.poolConfig("", b));
+            s.awaitLogLine("cannot listen on");
             c.write(GET);
             Wire w = a.accept();
             w.read();
@@ -63,9 +63,9 @@
     }
 
     @Test
-    void listenersComeAndGo() throws Exception {
+    void listenersAreAddedAndRemoved() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire idle = s.connect();
                 Wire half = s.connect()) {
             half.write(GET);
@@ -79,8 +79,8 @@
                     idle.write(GET);
                 }
             }
-            s.reload(Served.LISTENER.replace(".1:0", ".2:0") + Served.one("", a));
-            s.said("a new configuration");
+            s.reload(ProxyFixture.LISTENER.replace(".1:0", ".2:0") + ProxyFixture.poolConfig("", a));
+            s.awaitLogLine("a new configuration");
             assertTrue(idle.ended());
             assertEquals(null, s.address());
             half.write("st: a\r\n\r\n");
@@ -92,16 +92,16 @@
     }
 
     @Test
-    void whatAPoolHasLearntStays() throws Exception {
+    void poolKeepsItsStateAcrossReloads() throws Exception {
         Peer dead = new Peer();
         String gone = dead.hostPort();
         dead.close();
         try (Peer a = new Peer()) {
-            String toml = Served.LISTENER
-                    + Served.one("", a)
+            String toml = ProxyFixture.LISTENER
+                    + ProxyFixture.poolConfig("", a)
                             .replace(
                                     "[[host]]", "[[pool.server]]\naddress = \"" + gone + "\"\nfail_s = 3600\n[[host]]");
-            try (Served s = new Served(toml);
+            try (ProxyFixture s = new ProxyFixture(toml);
                     Wire c = s.connect()) {
                 c.write(GET);
                 Wire w = a.accept();
@@ -110,7 +110,7 @@
                     w.write(OK);
                     assertEquals("200", status(c.read()));
                     s.reload(toml.replace("path = \"/\"", "path = \"/\"\ndeadline_ms = " + (1000 + i)));
-                    s.said("a new configuration");
+                    s.awaitLogLine("a new configuration");
                     c.write(GET);
                 }
                 w.read();
@@ -121,7 +121,7 @@
 
     /** Every request is unsafe and gets one answer, each reaches a server once, whatever is replaced. */
     @Test
-    void twoHundredReloadsUnderLoadLoseNothingAndRepeatNothing() throws Exception {
+    void twoHundredReloadsUnderLoadLoseAndRepeatNoRequest() throws Exception {
         Map<String, Integer> ran = new ConcurrentHashMap<>();
         AtomicBoolean stop = new AtomicBoolean();
         AtomicInteger served = new AtomicInteger();
@@ -129,27 +129,27 @@
         try (Peer a = new Peer();
                 Peer b = new Peer();
                 Peer d = new Peer();
-                Served s = Served.by("", a, b)) {
+                ProxyFixture s = ProxyFixture.withPool("", a, b)) {
             for (Peer p : List.of(a, b, d)) {
-                answer(p, ran);
+                answerConnections(p, ran);
             }
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 int me = i;
-                Thread t = new Thread(() -> ask(s, me, stop, served, wrong));
+                Thread t = new Thread(() -> sendRequests(s, me, stop, served, wrong));
                 t.start();
                 clients.add(t);
             }
             String[] sites = {
-                Served.one("", a, b),
-                Served.one("deadline_ms = 5000", b, d),
-                Served.one("", a, d).replace("\"p\"", "\"q\""),
-                Served.one("", a, b, d).replace("name = \"p\"", "name = \"p\"\nbalance = \"learnt\"")
+                ProxyFixture.poolConfig("", a, b),
+                ProxyFixture.poolConfig("deadline_ms = 5000", b, d),
+                ProxyFixture.poolConfig("", a, d).replace("\"p\"", "\"q\""),
+                ProxyFixture.poolConfig("", a, b, d).replace("name = \"p\"", "name = \"p\"\nbalance = \"learnt\"")
             };
             for (int i = 0; i < 200; i++) {
                 int before = served.get();
-                s.reload(Served.LISTENER + sites[i % sites.length]);
-                s.said("a new configuration");
+                s.reload(ProxyFixture.LISTENER + sites[i % sites.length]);
+                s.awaitLogLine("a new configuration");
                 while (served.get() < before + 5 && wrong.isEmpty()) {
                     Thread.onSpinWait();
                 }
@@ -165,24 +165,26 @@
         }
     }
 
-    private static void ask(Served s, int me, AtomicBoolean stop, AtomicInteger served, List<String> wrong) {
+    private static void sendRequests(
+            ProxyFixture s, int clientId, AtomicBoolean stop, AtomicInteger served, List<String> unexpected) {
         try (Wire c = s.connect()) {
             for (int i = 0; !stop.get(); i++) {
-                c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nRequest-Id: " + me + "-" + i + "\r\n\r\nx");
+                c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nRequest-Id: " + clientId + "-" + i
+                        + "\r\n\r\nx");
                 String answer = c.read();
                 if (!status(answer).equals("200")) {
-                    wrong.add(me + "-" + i + ": " + answer);
+                    unexpected.add(clientId + "-" + i + ": " + answer);
                     return;
                 }
                 served.incrementAndGet();
             }
         } catch (IOException e) {
-            wrong.add(e.toString());
+            unexpected.add(e.toString());
         }
     }
 
     /** Answers on every connection that comes, on threads of their own. */
-    private static void answer(Peer p, Map<String, Integer> ran) {
+    private static void answerConnections(Peer p, Map<String, Integer> ran) {
         start(() -> {
             while (true) {
                 Wire w = p.accept();
@@ -219,9 +221,9 @@
     }
 
     @Test
-    void atTheEndWhatIsInHandIsAnsweredAndIdleConnectionsClose() throws Exception {
+    void drainAnswersOpenRequestsAndClosesIdleConnections() throws Exception {
         try (Peer a = new Peer();
-                Served s = Served.by("", a);
+                ProxyFixture s = ProxyFixture.withPool("", a);
                 Wire idle = s.connect();
                 Wire busy = s.connect()) {
             busy.write(GET);
@@ -238,9 +240,10 @@
     }
 
     @Test
-    void theEndComesEvenIfAServerNeverAnswers() throws Exception {
+    void drainEndsThoughAServerNeverAnswers() throws Exception {
         try (Peer a = new Peer();
-                Served s = new Served("[limits]\ndrain_s = 0.1\n" + Served.LISTENER + Served.one("", a));
+                ProxyFixture s = new ProxyFixture(
+                        "[limits]\ndrain_s = 0.1\n" + ProxyFixture.LISTENER + ProxyFixture.poolConfig("", a));
                 Wire busy = s.connect()) {
             busy.write(GET);
             a.accept().read();
--- a/src/test/java/gullspar/site/SiteServeTest.java
+++ b/src/test/java/gullspar/site/SiteServeTest.java
@@ -51,7 +51,7 @@
                         .waitFor());
     }
 
-    private static String said(BufferedReader log, String text) throws Exception {
+    private static String awaitLogLine(BufferedReader log, String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
@@ -60,7 +60,7 @@
         return line;
     }
 
-    private static void served(int port, Peer by) throws Exception {
+    private static void assertServedBy(int port, Peer by) throws Exception {
         try (Wire c = Wire.to(new InetSocketAddress("127.0.0.1", port)).write(GET)) {
             Wire w = by.accept();
             w.read();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void signalsReplaceTheFileOrChangeNothingAndEndItWell() throws Exception {
+    void sighupReloadsOrKeepsTheConfigurationAndSigtermDrains() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
@@ -78,23 +78,23 @@
         String listener = "[[listener]]\naddress = \"127.0.0.1:" + port + "\"\n";
         try (Peer a = new Peer();
                 Peer b = new Peer()) {
-            write(listener + Served.one("", a));
+            write(listener + ProxyFixture.poolConfig("", a));
             Process p = serve();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "listening on");
-                served(port, a);
+                awaitLogLine(log, "listening on");
+                assertServedBy(port, a);
                 write(listener + "[[pool]]\nname = \"p\"\n[[host]]\nodd = 1\n");
                 signal(p, "HUP");
-                assertTrue(said(log, "is not used").contains("site.toml:3:1: a pool with no"));
-                assertTrue(said(log, "is not used").contains("site.toml:5:1: a host with no names"));
-                assertTrue(said(log, "is not used").contains("site.toml:6:1: host: unknown key 'odd'"));
-                served(port, a);
-                write(listener + Served.one("", b));
+                assertTrue(awaitLogLine(log, "is not used").contains("site.toml:3:1: a pool with no"));
+                assertTrue(awaitLogLine(log, "is not used").contains("site.toml:5:1: a host with no names"));
+                assertTrue(awaitLogLine(log, "is not used").contains("site.toml:6:1: host: unknown key 'odd'"));
+                assertServedBy(port, a);
+                write(listener + ProxyFixture.poolConfig("", b));
                 signal(p, "HUP");
-                said(log, "a new configuration");
-                served(port, b);
+                awaitLogLine(log, "a new configuration");
+                assertServedBy(port, b);
                 signal(p, "TERM");
-                said(log, "drained");
+                awaitLogLine(log, "drained");
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, p.exitValue());
             } finally {
@@ -104,11 +104,11 @@
     }
 
     @Test
-    void aFileWithErrorsIsSaidAtTheStart() throws Exception {
+    void fileWithErrorsIsReportedAtStartup() throws Exception {
         write("odd = 1\n");
         Process p = serve();
         try (BufferedReader log = p.errorReader()) {
-            assertTrue(said(log, "unknown key 'odd'").contains("site.toml:1:1"));
+            assertTrue(awaitLogLine(log, "unknown key 'odd'").contains("site.toml:1:1"));
             assertTrue(p.waitFor(20, TimeUnit.SECONDS));
             assertEquals(2, p.exitValue());
         } finally {
@@ -117,12 +117,12 @@
     }
 
     @Test
-    void anAddressThatIsTakenEndsItWithOne() throws Exception {
+    void addressInUseExitsWithOne() throws Exception {
         try (Peer taken = new Peer()) {
-            write("[[listener]]\naddress = \"" + taken.hostPort() + "\"\n" + Served.one("", taken));
+            write("[[listener]]\naddress = \"" + taken.hostPort() + "\"\n" + ProxyFixture.poolConfig("", taken));
             Process p = serve();
             try (BufferedReader log = p.errorReader()) {
-                said(log, "cannot listen on");
+                awaitLogLine(log, "cannot listen on");
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(1, p.exitValue());
             } finally {
--- a/src/test/java/gullspar/site/SlowReaders.java
+++ b/src/test/java/gullspar/site/SlowReaders.java
@@ -35,7 +35,8 @@
             port = free.getLocalPort();
         }
         Path file = Files.createTempFile("slow", ".toml");
-        Files.writeString(file, "[[listener]]\naddress = \"127.0.0.1:" + port + "\"\n" + Served.one("", server));
+        Files.writeString(
+                file, "[[listener]]\naddress = \"127.0.0.1:" + port + "\"\n" + ProxyFixture.poolConfig("", server));
         List<String> command = new ArrayList<>(List.of(
                 "java",
                 "-XX:+UseSerialGC",
--- a/src/test/java/gullspar/site/client/OddBytesTest.java
+++ b/src/test/java/gullspar/site/client/RandomBytesTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.Provide;
 
 /** Bytes that nobody would send: nothing is thrown, nothing is kept beyond what a head may have. */
-class OddBytesTest {
+class RandomBytesTest {
     @Provide
-    Arbitrary<String> odd() {
+    Arbitrary<String> fragments() {
         Arbitrary<String> known = Arbitraries.of(
                 "GET ",
                 "POST ",
@@ -44,7 +44,7 @@
     }
 
     @Property(tries = 3000, seed = "815")
-    void decodingEnds(@ForAll("odd") String text) {
+    void decodingEnds(@ForAll("fragments") String text) {
         EmbeddedChannel c = new EmbeddedChannel(new PlainDecoder());
         int size = 7;
         for (int at = 0; at < text.length(); at += size) {
