--- a/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
@@ -1,8 +1,8 @@
 package gullspar.benchmarks;
 
 import gullspar.route.HeaderChanges;
-import gullspar.route.Hosts;
-import gullspar.route.Paths;
+import gullspar.route.HostTable;
+import gullspar.route.PathTable;
 import gullspar.route.Request;
 import gullspar.route.Rewrite;
 import gullspar.route.Route;
@@ -44,15 +44,15 @@
     /** Builds the router and draws the requests, from a fixed seed. */
     @Setup
     public void build() {
-        Hosts<Router.Host> hosts = new Hosts<>();
+        HostTable<Router.Host> hosts = new HostTable<>();
         int perHost = Math.min(100, routes);
         for (int h = 0; h < routes / perHost; h++) {
-            Paths<List<Route>> paths = new Paths<>();
+            PathTable<List<Route>> paths = new PathTable<>();
             for (int i = 0; i < perHost; i++) {
-                Route r = new Route("r" + i, Set.of(), List.of(), new Route.ToPool("p", Route.Kind.BY_METHOD,
+                Route r = new Route("r" + i, Set.of(), List.of(), new Route.PoolTarget("p", Route.RequestClass.BY_METHOD,
                         new Route.Limits(1_000_000_000L, 3, 0, 1 << 20, Set.of(), 0), Rewrite.NONE,
                         HeaderChanges.NONE, HeaderChanges.NONE), null);
-                paths.add(i % 2 == 0 ? Paths.Kind.EXACT : Paths.Kind.PREFIX, "/shop/part" + i + "/list",
+                paths.add(i % 2 == 0 ? PathTable.Kind.EXACT : PathTable.Kind.PREFIX, "/shop/part" + i + "/list",
                         List.of(r), null);
             }
             hosts.add("host" + h + ".example.org", new Router.Host("host" + h, List.of(), paths));
@@ -68,7 +68,7 @@
 
     /** One request after another, each of another host and place. */
     @Benchmark
-    public Router.Found find() {
+    public Router.Result find() {
         next = next + 1 & REQUESTS - 1;
         return router.find(requests[next]);
     }
--- a/src/main/java/gullspar/cli/Routes.java
+++ b/src/main/java/gullspar/cli/Routes.java
@@ -44,7 +44,7 @@
         public Integer call() {
             return Written.read(file, f -> {
                                 String text = Files.readString(f);
-                                return OperatorsFile.only(text)
+                                return OperatorsFile.hasOnlyProcessTables(text)
                                         ? OperatorsFile.parse(text, f.toString())
                                         : SiteReader.parse(text, f.toString());
                             })
@@ -87,7 +87,7 @@
             Request r = request();
             Router router = site.router(port());
             router.explain(r).forEach(System.out::println);
-            Router.Found found = router.find(r);
+            Router.Result found = router.find(r);
             if (found.route() == null) {
                 System.out.println("answer " + found.status());
                 return 1;
@@ -119,7 +119,7 @@
         }
 
         /** What stands for a name with this request: the groups of the place, or what is known of it. */
-        private static String value(Router.Found found, Request r, String name) {
+        private static String value(Router.Result found, Request r, String name) {
             if (name.equals("route")) {
                 return found.route().name();
             }
@@ -128,29 +128,32 @@
             }
             int group = Character.digit(name.charAt(0), 10);
             return group < 0
-                    ? r.value(name)
+                    ? r.resolve(name)
                     : group < found.groups().size() ? found.groups().get(group) : "";
         }
 
-        private static void say(Router.Found found, Request r, Site site) {
+        private static void say(Router.Result found, Request r, Site site) {
             Route route = found.route();
-            Template.Values values = name -> value(found, r, name);
-            if (route.answer() != null) {
-                System.out.println("answer " + route.answer().status()
-                        + (route.answer().location() == null
+            Template.VariableResolver values = name -> value(found, r, name);
+            if (route.fixedResponse() != null) {
+                System.out.println("answer " + route.fixedResponse().status()
+                        + (route.fixedResponse().location() == null
                                 ? ""
-                                : ", Location: " + route.answer().location().fill(values)));
+                                : ", Location: "
+                                        + route.fixedResponse().location().expand(values)));
                 return;
             }
-            Route.ToPool to = route.pool();
+            Route.PoolTarget to = route.pool();
             System.out.println("pool " + to.pool() + ", class "
-                    + Route.kind(to.kind(), r.method()).name().toLowerCase(Locale.ROOT) + ", within "
+                    + Route.resolveClass(to.requestClass(), r.method()).name().toLowerCase(Locale.ROOT) + ", within "
                     + to.limits().deadlineNs() / 1_000_000 + " ms, at most "
-                    + to.limits().attempts() + " attempts");
-            System.out.println("sends " + r.method() + " " + to.rewrite().of(r.path())
+                    + to.limits().maxAttempts() + " attempts");
+            System.out.println("sends " + r.method() + " " + to.rewrite().apply(r.path())
                     + (r.query() == null ? "" : "?" + r.query()));
-            to.request().set().forEach((name, value) -> System.out.println("  " + name + ": " + value.fill(values)));
-            to.request().remove().forEach(name -> System.out.println("  without " + name));
+            to.requestHeaders()
+                    .set()
+                    .forEach((name, value) -> System.out.println("  " + name + ": " + value.expand(values)));
+            to.requestHeaders().remove().forEach(name -> System.out.println("  without " + name));
             Site.Pool pool = site.pools().get(to.pool());
             if (pool.discovery() != null) {
                 System.out.println("  servers from " + pool.discovery());
--- a/src/main/java/gullspar/cli/Versions.java
+++ b/src/main/java/gullspar/cli/Versions.java
@@ -82,7 +82,7 @@
     }
 
     private static OperatorsFile own(Path file) throws IOException, ProblemsException {
-        return FollowFile.read(file).own();
+        return FollowFile.read(file).operators();
     }
 
     /** The daemon. */
--- a/src/main/java/gullspar/config/ControlFile.java
+++ b/src/main/java/gullspar/config/ControlFile.java
@@ -1,8 +1,8 @@
 package gullspar.config;
 
-import gullspar.toml.Fields;
 import gullspar.toml.Problem;
 import gullspar.toml.ProblemsException;
+import gullspar.toml.TableReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -33,13 +33,13 @@
         String primary,
         long epoch,
         Map<String, InetSocketAddress> controls,
-        Path folder,
-        int bytesPerSecond,
-        int firstBytesPerSecond,
-        int snapshots,
-        long forgetNs) {
-    private static final String NAME = "[A-Za-z0-9._+-]{1,64}";
-    private static final int LEAST_BYTES = 2000;
+        Path directory,
+        int maxBytesPerSecond,
+        int maxInitialBytesPerSecond,
+        int maxSnapshots,
+        long forgetAfterNs) {
+    private static final String NAME_PATTERN = "[A-Za-z0-9._+-]{1,64}";
+    private static final int MIN_BYTES_PER_SECOND = 2000;
 
     /** Reads a file; an IOException if that is not possible at all. */
     public static ControlFile read(Path file) throws IOException, ProblemsException {
@@ -55,8 +55,9 @@
                         e.position().line(),
                         e.position().column(),
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
-        ControlFile c =
-                problems.isEmpty() ? control(new Fields(toml, "", TomlPosition.positionAt(1, 1), problems)) : null;
+        ControlFile c = problems.isEmpty()
+                ? readControl(new TableReader(toml, "", TomlPosition.positionAt(1, 1), problems))
+                : null;
         if (!problems.isEmpty()) {
             throw new ProblemsException(file, problems);
         }
@@ -64,50 +65,50 @@
     }
 
     /** A name that a follower or a control process may have; null, and a problem, if it is none. */
-    static String name(Fields f, String key) {
-        String name = f.text(key);
-        if (!name.isEmpty() && !name.matches(NAME)) {
-            f.wrong(key, "must be 1 to 64 of letters, digits and . _ + -");
+    static String name(TableReader f, String key) {
+        String name = f.string(key);
+        if (!name.isEmpty() && !name.matches(NAME_PATTERN)) {
+            f.addProblem(key, "must be 1 to 64 of letters, digits and . _ + -");
         }
         return name;
     }
 
-    private static ControlFile control(Fields f) {
+    private static ControlFile readControl(TableReader f) {
         Map<String, InetSocketAddress> controls = new LinkedHashMap<>();
-        for (Fields c : f.tables("control")) {
+        for (TableReader c : f.tables("control")) {
             String name = name(c, "name");
-            InetSocketAddress at = Values.address(c, "address");
-            if (at != null && at.getAddress().isAnyLocalAddress()) {
-                c.wrong("address", "is every address of a machine: followers need one");
+            InetSocketAddress address = FieldParsers.address(c, "address");
+            if (address != null && address.getAddress().isAnyLocalAddress()) {
+                c.addProblem("address", "is every address of a machine: followers need one");
             }
-            if (at != null && controls.putIfAbsent(name, at) != null) {
-                c.wrong("name", "is that of another control process");
+            if (address != null && controls.putIfAbsent(name, address) != null) {
+                c.addProblem("name", "is that of another control process");
             }
-            c.noOthers();
+            c.rejectUnknownKeys();
         }
         String name = name(f, "name");
         String primary = name(f, "primary");
         if (!f.has("control")) {
-            f.wrong("there is no [[control]]");
+            f.addProblem("there is no [[control]]");
         } else {
             for (String key : List.of("name", "primary")) {
-                String who = f.text(key, "");
-                if (!who.isEmpty() && !controls.containsKey(who)) {
-                    f.wrong(key, "is '" + who + "', which no [[control]] has");
+                String value = f.string(key, "");
+                if (!value.isEmpty() && !controls.containsKey(value)) {
+                    f.addProblem(key, "is '" + value + "', which no [[control]] has");
                 }
             }
         }
         ControlFile c = new ControlFile(
                 name,
                 primary,
-                f.whole("epoch", 1, 1, Integer.MAX_VALUE),
+                f.integer("epoch", 1, 1, Integer.MAX_VALUE),
                 Map.copyOf(controls),
-                Path.of(f.text("folder")),
-                f.whole("bytes_per_second", 10_000, LEAST_BYTES, 1 << 28),
-                f.whole("first_bytes_per_second", 200_000, LEAST_BYTES, 1 << 28),
-                f.whole("snapshots", 8, 1, 10_000),
-                Values.seconds(f, "forget_s", 3600, 1));
-        f.noOthers();
+                Path.of(f.string("folder")),
+                f.integer("bytes_per_second", 10_000, MIN_BYTES_PER_SECOND, 1 << 28),
+                f.integer("first_bytes_per_second", 200_000, MIN_BYTES_PER_SECOND, 1 << 28),
+                f.integer("snapshots", 8, 1, 10_000),
+                FieldParsers.secondsAsNs(f, "forget_s", 3600, 1));
+        f.rejectUnknownKeys();
         return c;
     }
 }
--- a/src/main/java/gullspar/config/Fleet.java
+++ b/src/main/java/gullspar/config/FleetSettings.java
@@ -17,13 +17,13 @@
  * @param windowNs whoever was there within it counts when it asks itself whether it is cut off
  * @param bytesPerSecond what it sends at the most
  */
-public record Fleet(
+public record FleetSettings(
         String name,
         InetSocketAddress bind,
         InetSocketAddress advertise,
         List<InetSocketAddress> seeds,
         Path keyFile,
         String zone,
-        long intervalNs,
-        long windowNs,
-        int bytesPerSecond) {}
+        long probeIntervalNs,
+        long isolationWindowNs,
+        int maxBytesPerSecond) {}
--- a/src/main/java/gullspar/config/FollowFile.java
+++ b/src/main/java/gullspar/config/FollowFile.java
@@ -1,8 +1,8 @@
 package gullspar.config;
 
-import gullspar.toml.Fields;
 import gullspar.toml.Problem;
 import gullspar.toml.ProblemsException;
+import gullspar.toml.TableReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -23,7 +23,8 @@
  * @param waitNs so long it asks control at the start before it serves by its disk
  * @param own [operator] and [fleet]
  */
-public record FollowFile(String name, List<InetSocketAddress> addresses, Path folder, long waitNs, OperatorsFile own) {
+public record FollowFile(
+        String name, List<InetSocketAddress> addresses, Path directory, long startupWaitNs, OperatorsFile operators) {
     /** Reads a file; an IOException if that is not possible at all. */
     public static FollowFile read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
@@ -38,39 +39,40 @@
                         e.position().line(),
                         e.position().column(),
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
-        FollowFile c =
-                problems.isEmpty() ? follow(new Fields(toml, "", TomlPosition.positionAt(1, 1), problems)) : null;
+        FollowFile c = problems.isEmpty()
+                ? readFollow(new TableReader(toml, "", TomlPosition.positionAt(1, 1), problems))
+                : null;
         if (!problems.isEmpty()) {
             throw new ProblemsException(file, problems);
         }
         return c;
     }
 
-    private static FollowFile follow(Fields f) {
+    private static FollowFile readFollow(TableReader f) {
         if (!f.has("control")) {
-            f.wrong("there is no [control]");
+            f.addProblem("there is no [control]");
         }
-        Fields c = f.table("control");
+        TableReader c = f.table("control");
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String a : c.texts("addresses", List.of())) {
-            InetSocketAddress at = OperatorsFile.address(a);
-            if (at == null) {
-                c.wrong("addresses", "holds '" + a + "', not an IP address and a port");
+        for (String a : c.stringList("addresses", List.of())) {
+            InetSocketAddress address = OperatorsFile.address(a);
+            if (address == null) {
+                c.addProblem("addresses", "holds '" + a + "', not an IP address and a port");
             } else {
-                addresses.add(at);
+                addresses.add(address);
             }
         }
         if (f.has("control") && !c.has("addresses")) {
-            c.wrong("control: addresses is missing");
+            c.addProblem("control: addresses is missing");
         }
         FollowFile file = new FollowFile(
                 ControlFile.name(c, "name"),
                 List.copyOf(addresses),
-                Path.of(c.text("folder")),
-                Values.seconds(c, "wait_s", 3, 0),
+                Path.of(c.string("folder")),
+                FieldParsers.secondsAsNs(c, "wait_s", 3, 0),
                 OperatorsFile.read(f));
-        c.noOthers();
-        f.noOthers();
+        c.rejectUnknownKeys();
+        f.rejectUnknownKeys();
         return file;
     }
 }
--- a/src/main/java/gullspar/config/OperatorsFile.java
+++ b/src/main/java/gullspar/config/OperatorsFile.java
@@ -1,8 +1,8 @@
 package gullspar.config;
 
-import gullspar.toml.Fields;
 import gullspar.toml.Problem;
 import gullspar.toml.ProblemsException;
+import gullspar.toml.TableReader;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -24,11 +24,11 @@
  * @param operator where operators call; null for nowhere
  * @param fleet null for none
  */
-public record OperatorsFile(InetSocketAddress operator, Fleet fleet) {
+public record OperatorsFile(InetSocketAddress operatorAddress, FleetSettings fleet) {
     /** As a name in a fleet may be: see docs/fleet.md. */
-    private static final Set<String> TABLES = Set.of("operator", "fleet");
+    private static final Set<String> PROCESS_TABLES = Set.of("operator", "fleet");
 
-    private static final String NAME = "[A-Za-z0-9._+-]{1,32}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9._+-]{1,32}";
 
     /** Reads a file that holds nothing else; an IOException if that is not possible at all. */
     public static OperatorsFile read(Path file) throws IOException, ProblemsException {
@@ -36,9 +36,9 @@
     }
 
     /** Does a text hold only what any process of theirs may have, and none of the routes of plain HTTP? */
-    public static boolean only(String text) {
+    public static boolean hasOnlyProcessTables(String text) {
         TomlParseResult toml = Toml.parse(text);
-        return !toml.hasErrors() && !toml.isEmpty() && toml.keySet().stream().allMatch(TABLES::contains);
+        return !toml.hasErrors() && !toml.isEmpty() && toml.keySet().stream().allMatch(PROCESS_TABLES::contains);
     }
 
     /** Reads a text; the name stands before each problem. */
@@ -52,9 +52,9 @@
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
         OperatorsFile file = null;
         if (problems.isEmpty()) {
-            Fields f = new Fields(toml, "", TomlPosition.positionAt(1, 1), problems);
+            TableReader f = new TableReader(toml, "", TomlPosition.positionAt(1, 1), problems);
             file = read(f);
-            f.noOthers();
+            f.rejectUnknownKeys();
         }
         if (!problems.isEmpty()) {
             throw new ProblemsException(name, problems);
@@ -63,54 +63,54 @@
     }
 
     /** Reads the two tables among others. */
-    static OperatorsFile read(Fields f) {
+    static OperatorsFile read(TableReader f) {
         InetSocketAddress operator = null;
         if (f.has("operator")) {
-            Fields o = f.table("operator");
-            operator = Values.address(o, "address");
-            o.noOthers();
+            TableReader o = f.table("operator");
+            operator = FieldParsers.address(o, "address");
+            o.rejectUnknownKeys();
         }
         return new OperatorsFile(operator, f.has("fleet") ? fleet(f.table("fleet")) : null);
     }
 
-    private static Fleet fleet(Fields f) {
-        String name = f.text("name", null);
-        if (name != null && !name.matches(NAME)) {
-            f.wrong("name", "must be 1 to 32 of letters, digits and . _ + -");
+    private static FleetSettings fleet(TableReader f) {
+        String name = f.string("name", null);
+        if (name != null && !name.matches(NAME_PATTERN)) {
+            f.addProblem("name", "must be 1 to 32 of letters, digits and . _ + -");
         }
-        InetSocketAddress bind = Values.address(f, "bind");
-        InetSocketAddress advertise = f.has("advertise") ? Values.address(f, "advertise") : null;
+        InetSocketAddress bind = FieldParsers.address(f, "bind");
+        InetSocketAddress advertise = f.has("advertise") ? FieldParsers.address(f, "advertise") : null;
         if (bind != null && bind.getAddress().isAnyLocalAddress() && !f.has("advertise")) {
-            f.wrong("bind", "is every address of this machine: the others need one, by advertise");
+            f.addProblem("bind", "is every address of this machine: the others need one, by advertise");
         }
         if (advertise != null
                 && (advertise.getPort() == 0 || advertise.getAddress().isAnyLocalAddress())) {
-            f.wrong("advertise", "is no address that others could reach");
+            f.addProblem("advertise", "is no address that others could reach");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
-        for (String s : f.texts("seeds", List.of())) {
-            InetSocketAddress a = address(s);
-            if (a == null) {
-                f.wrong("seeds", "holds '" + s + "', not an IP address and a port");
+        for (String s : f.stringList("seeds", List.of())) {
+            InetSocketAddress address = address(s);
+            if (address == null) {
+                f.addProblem("seeds", "holds '" + s + "', not an IP address and a port");
             } else {
-                seeds.add(a);
+                seeds.add(address);
             }
         }
-        String zone = f.text("zone", "");
-        if (!zone.isEmpty() && !zone.matches(NAME)) {
-            f.wrong("zone", "must be up to 32 of letters, digits and . _ + -");
+        String zone = f.string("zone", "");
+        if (!zone.isEmpty() && !zone.matches(NAME_PATTERN)) {
+            f.addProblem("zone", "must be up to 32 of letters, digits and . _ + -");
         }
-        Fleet fleet = new Fleet(
+        FleetSettings fleet = new FleetSettings(
                 name,
                 bind,
                 advertise,
                 List.copyOf(seeds),
-                Path.of(f.text("key_file")),
+                Path.of(f.string("key_file")),
                 zone,
-                Values.millis(f, "interval_ms", 1000, 50),
-                Values.seconds(f, "window_s", 60, 1),
-                f.whole("bytes_per_second", 0, 0, 1 << 24));
-        f.noOthers();
+                FieldParsers.millisAsNs(f, "interval_ms", 1000, 50),
+                FieldParsers.secondsAsNs(f, "window_s", 60, 1),
+                f.integer("bytes_per_second", 0, 0, 1 << 24));
+        f.rejectUnknownKeys();
         return fleet;
     }
 
--- a/src/main/java/gullspar/config/PoolReader.java
+++ b/src/main/java/gullspar/config/PoolReader.java
@@ -1,7 +1,7 @@
 package gullspar.config;
 
-import gullspar.route.Members;
-import gullspar.toml.Fields;
+import gullspar.route.ServerRotation;
+import gullspar.toml.TableReader;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -17,52 +17,53 @@
         return pools;
     }
 
-    void read(Fields f) {
-        String name = f.text("name");
-        List<Members.Declared> servers = new ArrayList<>();
-        Map<String, Site.Place> places = new LinkedHashMap<>();
-        for (Fields s : f.tables("server")) {
-            server(s, servers, places);
+    void read(TableReader f) {
+        String name = f.string("name");
+        List<ServerRotation.ServerSpec> servers = new ArrayList<>();
+        Map<String, Site.Endpoint> endpoints = new LinkedHashMap<>();
+        for (TableReader s : f.tables("server")) {
+            readServer(s, servers, endpoints);
         }
-        InetSocketAddress discovery = f.has("discovery") ? Values.address(f, "discovery") : null;
+        InetSocketAddress discovery = f.has("discovery") ? FieldParsers.address(f, "discovery") : null;
         if (servers.isEmpty() != f.has("discovery")) {
-            f.wrong(
+            f.addProblem(
                     servers.isEmpty()
                             ? "a pool with no [[pool.server]] and no discovery"
                             : "a pool has servers or discovery, not both");
         }
-        Site.Pool p = new Site.Pool(
+        Site.Pool pool = new Site.Pool(
                 name,
                 List.copyOf(servers),
-                Map.copyOf(places),
+                Map.copyOf(endpoints),
                 discovery,
                 f.choice("balance", Site.Balance.class, Site.Balance.WEIGHTS),
                 new Site.Connections(
-                        Values.millis(f, "connect_ms", 1000, 1),
-                        f.whole("keep_alive", 32, 0, 65_535),
-                        Values.seconds(f, "keep_alive_s", 60, 0.001)));
-        f.noOthers();
-        if (!name.isEmpty() && pools.putIfAbsent(name, p) != null) {
-            f.wrong("name", "is that of another pool: '" + name + "'");
+                        FieldParsers.millisAsNs(f, "connect_ms", 1000, 1),
+                        f.integer("keep_alive", 32, 0, 65_535),
+                        FieldParsers.secondsAsNs(f, "keep_alive_s", 60, 0.001)));
+        f.rejectUnknownKeys();
+        if (!name.isEmpty() && pools.putIfAbsent(name, pool) != null) {
+            f.addProblem("name", "is that of another pool: '" + name + "'");
         }
     }
 
-    private static void server(Fields s, List<Members.Declared> servers, Map<String, Site.Place> places) {
-        InetSocketAddress at = Values.address(s, "address");
-        String name = s.text("name", s.text("address", ""));
-        servers.add(new Members.Declared(
+    private static void readServer(
+            TableReader s, List<ServerRotation.ServerSpec> servers, Map<String, Site.Endpoint> endpoints) {
+        InetSocketAddress address = FieldParsers.address(s, "address");
+        String name = s.string("name", s.string("address", ""));
+        servers.add(new ServerRotation.ServerSpec(
                 name,
                 s.number("weight", 1, 0.001, 1e6),
-                s.flag("backup", false),
-                s.flag("down", false),
-                s.whole("max_failures", 1, 0, 1_000_000),
-                Values.seconds(s, "fail_s", 10, 0),
-                Values.seconds(s, "slow_start_s", 0, 0)));
-        Site.Place place =
-                new Site.Place(at == null ? new InetSocketAddress(0) : at, s.whole("max_connections", 0, 0, 1_000_000));
-        s.noOthers();
-        if (places.putIfAbsent(name, place) != null) {
-            s.wrong("a second server '" + name + "' in this pool");
+                s.bool("backup", false),
+                s.bool("down", false),
+                s.integer("max_failures", 1, 0, 1_000_000),
+                FieldParsers.secondsAsNs(s, "fail_s", 10, 0),
+                FieldParsers.secondsAsNs(s, "slow_start_s", 0, 0)));
+        Site.Endpoint endpoint = new Site.Endpoint(
+                address == null ? new InetSocketAddress(0) : address, s.integer("max_connections", 0, 0, 1_000_000));
+        s.rejectUnknownKeys();
+        if (endpoints.putIfAbsent(name, endpoint) != null) {
+            s.addProblem("a second server '" + name + "' in this pool");
         }
     }
 }
--- a/src/main/java/gullspar/config/RouteReader.java
+++ b/src/main/java/gullspar/config/RouteReader.java
@@ -5,8 +5,8 @@
 import gullspar.route.Rewrite;
 import gullspar.route.Route;
 import gullspar.route.Template;
-import gullspar.toml.Fields;
 import gullspar.toml.Range;
+import gullspar.toml.TableReader;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
 final class RouteReader {
     private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
     /** Framing and the next hop are the proxy's own affair. */
-    private static final Set<String> NOT_TO_SET =
+    private static final Set<String> CONNECTION_HEADERS =
             Set.of("connection", "content-length", "transfer-encoding", "keep-alive", "te", "trailer", "upgrade");
 
     private final Set<String> pools;
@@ -31,156 +31,160 @@
     }
 
     /** prefix: the path, where it is one that a request's path begins with; else null. */
-    Route read(Fields r, String path, String prefix) {
-        String name = r.text("name", path);
-        Set<String> methods = new HashSet<>(r.texts("methods", List.of()));
+    Route read(TableReader r, String path, String prefix) {
+        String name = r.string("name", path);
+        Set<String> methods = new HashSet<>(r.stringList("methods", List.of()));
         List<Condition> conditions = new ArrayList<>();
-        for (Fields c : r.tables("header")) {
-            conditions.add(condition(c));
+        for (TableReader c : r.tables("header")) {
+            conditions.add(headerCondition(c));
         }
-        for (Fields w : r.tables("when")) {
-            conditions.add(when(w));
+        for (TableReader w : r.tables("when")) {
+            conditions.add(textCondition(w));
         }
-        boolean toPool = r.has("pool");
-        boolean answered = r.has("answer");
-        if (toPool == answered) {
-            r.wrong(
-                    toPool
+        boolean hasPool = r.has("pool");
+        boolean hasAnswer = r.has("answer");
+        if (hasPool == hasAnswer) {
+            r.addProblem(
+                    hasPool
                             ? "a route goes to a pool or is answered, not both"
                             : "a route needs a pool to go to, or an answer");
         }
-        Route.ToPool pool = toPool ? toPool(r, prefix) : null;
-        Route.Answer answer = answered ? answer(r) : null;
-        if (pool == null && answer == null) {
-            answer = new Route.Answer(500, Template.plain(""), null, null, HeaderChanges.NONE);
+        Route.PoolTarget poolTarget = hasPool ? poolTarget(r, prefix) : null;
+        Route.FixedResponse fixedResponse = hasAnswer ? fixedResponse(r) : null;
+        if (poolTarget == null && fixedResponse == null) {
+            fixedResponse = new Route.FixedResponse(500, Template.literal(""), null, null, HeaderChanges.NONE);
         }
-        return new Route(name, methods, conditions, answer == null ? pool : null, answer);
+        return new Route(name, methods, conditions, fixedResponse == null ? poolTarget : null, fixedResponse);
     }
 
-    private static Condition condition(Fields c) {
-        String header = c.text("name");
-        Condition made;
+    private static Condition headerCondition(TableReader c) {
+        String header = c.string("name");
+        Condition condition;
         if (c.has("pattern")) {
-            Pattern p = Values.pattern(c, "pattern", c.text("pattern"), 0);
-            made = new Condition.Header(header, null, p == null ? Pattern.compile("") : p);
+            Pattern p = FieldParsers.pattern(c, "pattern", c.string("pattern"), 0);
+            condition = new Condition.Header(header, null, p == null ? Pattern.compile("") : p);
         } else {
-            made = new Condition.Header(header, c.has("value") ? c.text("value") : null, null);
+            condition = new Condition.Header(header, c.has("value") ? c.string("value") : null, null);
         }
-        c.noOthers();
-        return made;
+        c.rejectUnknownKeys();
+        return condition;
     }
 
     /** A condition on a text made of the request. */
-    private static Condition when(Fields w) {
-        Template of = Values.template(w, "of", w.text("of"));
-        Condition made = new Condition.Is(of, "");
+    private static Condition textCondition(TableReader w) {
+        Template template = FieldParsers.template(w, "of", w.string("of"));
+        Condition condition = new Condition.TextEquals(template, "");
         if (Stream.of("is", "matches", "share").filter(w::has).count() != 1) {
-            w.wrong("a condition has one of is, matches and share");
+            w.addProblem("a condition has one of is, matches and share");
         } else if (w.has("is")) {
-            made = new Condition.Is(of, w.text("is"));
+            condition = new Condition.TextEquals(template, w.string("is"));
         } else if (w.has("matches")) {
-            Pattern p = Values.pattern(w, "matches", w.text("matches"), 0);
-            made = p == null ? made : new Condition.Matches(of, p);
+            Pattern p = FieldParsers.pattern(w, "matches", w.string("matches"), 0);
+            condition = p == null ? condition : new Condition.TextMatches(template, p);
         } else {
             Range share = w.range("share", 0, 100);
-            made = new Condition.Share(of, (int) Math.round(share.from() * 100), (int) Math.round(share.to() * 100));
+            condition = new Condition.HashShare(
+                    template, (int) Math.round(share.from() * 100), (int) Math.round(share.to() * 100));
         }
-        w.noOthers();
-        return made;
+        w.rejectUnknownKeys();
+        return condition;
     }
 
-    private Route.ToPool toPool(Fields r, String prefix) {
-        String pool = r.text("pool");
+    private Route.PoolTarget poolTarget(TableReader r, String prefix) {
+        String pool = r.string("pool");
         if (!pool.isEmpty() && !pools.contains(pool)) {
-            r.wrong("pool", "is '" + pool + "', and there is no such pool");
+            r.addProblem("pool", "is '" + pool + "', and there is no such pool");
         }
-        return new Route.ToPool(
+        return new Route.PoolTarget(
                 pool,
-                r.choice("class", Route.Kind.class, Route.Kind.BY_METHOD),
+                r.choice("class", Route.RequestClass.class, Route.RequestClass.BY_METHOD),
                 limits(r),
                 rewrite(r, prefix),
-                changes(r, "request_headers"),
-                changes(r, "answer_headers"));
+                headerChanges(r, "request_headers"),
+                headerChanges(r, "answer_headers"));
     }
 
-    private static Route.Limits limits(Fields r) {
+    private static Route.Limits limits(TableReader r) {
         Set<Integer> retryOn = new HashSet<>();
-        for (String s : r.texts("retry_on", List.of("502", "503", "504"))) {
+        for (String s : r.stringList("retry_on", List.of("502", "503", "504"))) {
             if (s.matches("[45][0-9][0-9]")) {
                 retryOn.add(Integer.parseInt(s));
             } else {
-                r.wrong("retry_on", "holds '" + s + "', not a status from \"400\" to \"599\"");
+                r.addProblem("retry_on", "holds '" + s + "', not a status from \"400\" to \"599\"");
             }
         }
         return new Route.Limits(
-                Values.millis(r, "deadline_ms", 60_000, 1),
-                r.whole("attempts", 3, 1, 100),
-                Values.millis(r, "attempt_ms", 0, 0),
+                FieldParsers.millisAsNs(r, "deadline_ms", 60_000, 1),
+                r.integer("attempts", 3, 1, 100),
+                FieldParsers.millisAsNs(r, "attempt_ms", 0, 0),
                 (long) (r.number("body_kb", 1024, 0, 1e9) * 1024),
                 retryOn,
-                Values.seconds(r, "remembered_s", 60, 0));
+                FieldParsers.secondsAsNs(r, "remembered_s", 60, 0));
     }
 
-    private static Rewrite rewrite(Fields r, String prefix) {
+    private static Rewrite rewrite(TableReader r, String prefix) {
         if (!r.has("rewrite")) {
             return Rewrite.NONE;
         }
-        Fields w = r.table("rewrite");
+        TableReader w = r.table("rewrite");
         Rewrite rewrite = Rewrite.NONE;
         if (w.has("pattern")) {
-            Pattern p = Values.pattern(w, "pattern", w.text("pattern"), 0);
-            rewrite = p == null ? rewrite : Rewrite.pattern(p, w.text("to"));
+            Pattern p = FieldParsers.pattern(w, "pattern", w.string("pattern"), 0);
+            rewrite = p == null ? rewrite : Rewrite.pattern(p, w.string("to"));
         } else if (prefix != null) {
-            rewrite = Rewrite.prefix(prefix, w.text("to"));
+            rewrite = Rewrite.prefix(prefix, w.string("to"));
         } else {
-            w.wrong("a route with a regular expression is rewritten by a pattern");
+            w.addProblem("a route with a regular expression is rewritten by a pattern");
         }
-        w.noOthers();
+        w.rejectUnknownKeys();
         return rewrite;
     }
 
-    private static HeaderChanges changes(Fields r, String key) {
+    private static HeaderChanges headerChanges(TableReader r, String key) {
         if (!r.has(key)) {
             return HeaderChanges.NONE;
         }
-        Fields f = r.table(key);
+        TableReader f = r.table(key);
         HeaderChanges changes = new HeaderChanges(
-                values(f, "set"), values(f, "add"), values(f, "add_ok"), f.texts("remove", List.of()));
-        changes.remove().forEach(name -> header(f, "remove", name));
-        f.noOthers();
+                headerTemplates(f, "set"),
+                headerTemplates(f, "add"),
+                headerTemplates(f, "add_ok"),
+                f.stringList("remove", List.of()));
+        changes.remove().forEach(name -> checkHeaderName(f, "remove", name));
+        f.rejectUnknownKeys();
         return changes;
     }
 
-    private static Map<String, Template> values(Fields f, String key) {
+    private static Map<String, Template> headerTemplates(TableReader f, String key) {
         Map<String, Template> values = new LinkedHashMap<>();
-        f.strings(key).forEach((name, value) -> {
-            header(f, key, name);
+        f.stringTable(key).forEach((name, value) -> {
+            checkHeaderName(f, key, name);
             if (value.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-                f.wrong(key, "gives " + name + " a value with control characters");
+                f.addProblem(key, "gives " + name + " a value with control characters");
             }
-            values.put(name, Values.template(f, key, value));
+            values.put(name, FieldParsers.template(f, key, value));
         });
         return values;
     }
 
-    private static void header(Fields f, String key, String name) {
+    private static void checkHeaderName(TableReader f, String key, String name) {
         if (!TOKEN.matcher(name).matches()) {
-            f.wrong(key, "holds '" + name + "', which no header is called");
-        } else if (NOT_TO_SET.contains(name.toLowerCase())) {
-            f.wrong(key, "holds " + name + ", which belongs to each connection");
+            f.addProblem(key, "holds '" + name + "', which no header is called");
+        } else if (CONNECTION_HEADERS.contains(name.toLowerCase())) {
+            f.addProblem(key, "holds " + name + ", which belongs to each connection");
         }
     }
 
-    private static Route.Answer answer(Fields r) {
-        Fields a = r.table("answer");
-        Template location = a.has("location") ? Values.template(a, "location", a.text("location")) : null;
-        Route.Answer answer = new Route.Answer(
-                a.whole("status", 200, 599),
-                Values.template(a, "body", a.text("body", "")),
-                a.text("type", "text/plain; charset=utf-8"),
+    private static Route.FixedResponse fixedResponse(TableReader r) {
+        TableReader a = r.table("answer");
+        Template location = a.has("location") ? FieldParsers.template(a, "location", a.string("location")) : null;
+        Route.FixedResponse answer = new Route.FixedResponse(
+                a.integer("status", 200, 599),
+                FieldParsers.template(a, "body", a.string("body", "")),
+                a.string("type", "text/plain; charset=utf-8"),
                 location,
-                changes(a, "headers"));
-        a.noOthers();
+                headerChanges(a, "headers"));
+        a.rejectUnknownKeys();
         return answer;
     }
 }
--- a/src/main/java/gullspar/config/Site.java
+++ b/src/main/java/gullspar/config/Site.java
@@ -1,7 +1,7 @@
 package gullspar.config;
 
-import gullspar.route.Members;
 import gullspar.route.Router;
+import gullspar.route.ServerRotation;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
@@ -31,20 +31,20 @@
      */
     public record Pool(
             String name,
-            List<Members.Declared> servers,
-            Map<String, Place> places,
+            List<ServerRotation.ServerSpec> servers,
+            Map<String, Endpoint> endpoints,
             InetSocketAddress discovery,
             Balance balance,
             Connections connections) {}
 
     /** Where a server is, and how many requests it may have in hand at once; 0 for no limit. */
-    public record Place(InetSocketAddress address, int maxConnections) {}
+    public record Endpoint(InetSocketAddress address, int maxConnections) {}
 
     /**
      * How a pool's connections are made and kept: so many idle ones at each server at the most, for so long;
      * the time to connect. Times in ns.
      */
-    public record Connections(long connectNs, int keepAlive, long keepAliveNs) {}
+    public record Connections(long connectTimeoutNs, int maxIdle, long idleTimeoutNs) {}
 
     /**
      * Limits of the process: descriptors; bytes of request bodies held in all; and in ns the time for a
@@ -52,7 +52,13 @@
      * requests in hand at the end; and what a refused client is told to wait, 0 for nothing.
      */
     public record Limits(
-            int sockets, long bodyBytes, long requestNs, long idleNs, long stallNs, long drainNs, long retryAfterNs) {}
+            int maxSockets,
+            long maxBodyBytes,
+            long requestTimeoutNs,
+            long idleTimeoutNs,
+            long stallTimeoutNs,
+            long drainTimeoutNs,
+            long retryAfterNs) {}
 
     /** What becomes of X-Forwarded-* and Forwarded: made anew, carried on, or passed as they came. */
     public enum Forwarded {
--- a/src/main/java/gullspar/config/SiteReader.java
+++ b/src/main/java/gullspar/config/SiteReader.java
@@ -1,13 +1,13 @@
 package gullspar.config;
 
-import gullspar.route.Hosts;
-import gullspar.route.Paths;
+import gullspar.route.HostTable;
+import gullspar.route.PathTable;
 import gullspar.route.Route;
 import gullspar.route.Router;
-import gullspar.toml.Blocks;
-import gullspar.toml.Fields;
+import gullspar.toml.BlockParser;
 import gullspar.toml.Problem;
 import gullspar.toml.ProblemsException;
+import gullspar.toml.TableReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
  */
 public final class SiteReader {
     /** How the path of a route is meant. */
-    private enum Match {
+    private enum PathKind {
         PREFIX,
         PREFIX_ENDS,
         EXACT,
@@ -35,22 +35,22 @@
     }
 
     /** What is known of a listener while the hosts are read. */
-    private static final class Listening {
+    private static final class ListenerBuilder {
         private final InetSocketAddress address;
-        private final Hosts<Router.Host> hosts = new Hosts<>();
-        private boolean otherwise;
+        private final HostTable<Router.Host> hosts = new HostTable<>();
+        private boolean hasDefault;
 
-        Listening(InetSocketAddress address) {
+        ListenerBuilder(InetSocketAddress address) {
             this.address = address;
         }
     }
 
-    private static final int DEEPEST = 20;
+    private static final int MAX_ROUTE_DEPTH = 20;
 
     private final List<Problem> problems = new ArrayList<>();
-    private final Map<String, Listening> listeners = new LinkedHashMap<>();
+    private final Map<String, ListenerBuilder> listeners = new LinkedHashMap<>();
     /** Where no listener can be read, hosts are still looked at. */
-    private final Listening nowhere = new Listening(null);
+    private final ListenerBuilder placeholderListener = new ListenerBuilder(null);
 
     private final PoolReader pools = new PoolReader();
     private RouteReader routes;
@@ -63,13 +63,13 @@
     }
 
     /** The same, of a text that is mostly as the one that these blocks have read before. */
-    public static Site parse(String text, String name, Blocks blocks) throws ProblemsException {
+    public static Site parse(String text, String name, BlockParser blocks) throws ProblemsException {
         SiteReader r = new SiteReader();
-        Fields f = blocks.read(text, r.problems);
+        TableReader f = blocks.read(text, r.problems);
         if (f == null) {
             return parse(text, name);
         }
-        Site s = r.site(f);
+        Site s = r.readSite(f);
         if (!r.problems.isEmpty()) {
             throw new ProblemsException(name, r.problems);
         }
@@ -85,35 +85,37 @@
                         e.position().line(),
                         e.position().column(),
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
-        Site s = r.problems.isEmpty() ? r.site(new Fields(toml, "", TomlPosition.positionAt(1, 1), r.problems)) : null;
+        Site s = r.problems.isEmpty()
+                ? r.readSite(new TableReader(toml, "", TomlPosition.positionAt(1, 1), r.problems))
+                : null;
         if (!r.problems.isEmpty()) {
             throw new ProblemsException(name, r.problems);
         }
         return s;
     }
 
-    private Site site(Fields f) {
-        for (Fields l : f.tables("listener")) {
-            InetSocketAddress at = Values.address(l, "address");
-            if (at != null && listeners.putIfAbsent(l.text("address"), new Listening(at)) != null) {
-                l.wrong("address", "is that of another listener");
+    private Site readSite(TableReader f) {
+        for (TableReader l : f.tables("listener")) {
+            InetSocketAddress address = FieldParsers.address(l, "address");
+            if (address != null && listeners.putIfAbsent(l.string("address"), new ListenerBuilder(address)) != null) {
+                l.addProblem("address", "is that of another listener");
             }
-            l.noOthers();
+            l.rejectUnknownKeys();
         }
         if (!f.has("listener")) {
-            f.wrong("there is no [[listener]]");
+            f.addProblem("there is no [[listener]]");
         }
         f.tables("pool").forEach(pools::read);
         routes = new RouteReader(pools.pools().keySet());
-        List<Fields> hosts = f.tables("host");
-        hosts.forEach(this::host);
+        List<TableReader> hosts = f.tables("host");
+        hosts.forEach(this::readHost);
         if (hosts.isEmpty()) {
-            f.wrong("there is no [[host]]");
+            f.addProblem("there is no [[host]]");
         }
-        Site.Limits limits = limits(f.table("limits"));
+        Site.Limits limits = readLimits(f.table("limits"));
         Site.Forwarded forwarded = f.choice("forwarded", Site.Forwarded.class, Site.Forwarded.REPLACE);
         OperatorsFile operators = OperatorsFile.read(f);
-        f.noOthers();
+        f.rejectUnknownKeys();
         return new Site(
                 listeners.values().stream()
                         .map(l -> new Site.Listener(l.address, new Router(l.hosts)))
@@ -124,121 +126,122 @@
                 operators);
     }
 
-    private static Site.Limits limits(Fields f) {
+    private static Site.Limits readLimits(TableReader f) {
         Site.Limits limits = new Site.Limits(
-                f.whole("sockets", 1024, 16, 1 << 20),
+                f.integer("sockets", 1024, 16, 1 << 20),
                 (long) (f.number("bodies_mb", 16, 0, 1e6) * (1 << 20)),
-                Values.seconds(f, "request_s", 60, 0.001),
-                Values.seconds(f, "idle_s", 75, 0.001),
-                Values.seconds(f, "stall_s", 60, 0.001),
-                Values.seconds(f, "drain_s", 30, 0),
-                Values.seconds(f, "retry_after_s", 1, 0));
-        f.noOthers();
+                FieldParsers.secondsAsNs(f, "request_s", 60, 0.001),
+                FieldParsers.secondsAsNs(f, "idle_s", 75, 0.001),
+                FieldParsers.secondsAsNs(f, "stall_s", 60, 0.001),
+                FieldParsers.secondsAsNs(f, "drain_s", 30, 0),
+                FieldParsers.secondsAsNs(f, "retry_after_s", 1, 0));
+        f.rejectUnknownKeys();
         return limits;
     }
 
     // ---- hosts and routes ----
 
-    private void host(Fields f) {
-        List<String> names = f.texts("names", List.of());
-        boolean isDefault = f.flag("default", false);
-        List<Route> first = new ArrayList<>();
-        for (Fields r : f.tables("first")) {
-            first.add(routes.read(r, "(first)", null));
-            r.noOthers();
-        }
-        Router.Host host = new Router.Host(names.isEmpty() ? "(default)" : names.get(0), first, routes(f, 0));
-        List<Listening> at = new ArrayList<>();
-        for (String l : f.texts("listeners", List.copyOf(listeners.keySet()))) {
+    private void readHost(TableReader f) {
+        List<String> names = f.stringList("names", List.of());
+        boolean isDefault = f.bool("default", false);
+        List<Route> priorityRoutes = new ArrayList<>();
+        for (TableReader r : f.tables("first")) {
+            priorityRoutes.add(routes.read(r, "(first)", null));
+            r.rejectUnknownKeys();
+        }
+        Router.Host host = new Router.Host(names.isEmpty() ? "(default)" : names.get(0), priorityRoutes, routes(f, 0));
+        List<ListenerBuilder> targets = new ArrayList<>();
+        for (String l : f.stringList("listeners", List.copyOf(listeners.keySet()))) {
             if (listeners.containsKey(l)) {
-                at.add(listeners.get(l));
+                targets.add(listeners.get(l));
             } else {
-                f.wrong("listeners", "holds '" + l + "', where nobody listens");
+                f.addProblem("listeners", "holds '" + l + "', where nobody listens");
             }
         }
         if (listeners.isEmpty()) {
-            at.add(nowhere);
+            targets.add(placeholderListener);
         }
-        names.forEach(name -> name(f, name, host, at));
+        names.forEach(name -> addName(f, name, host, targets));
         if (names.isEmpty() && !isDefault) {
-            f.wrong("a host with no names that is not the default");
+            f.addProblem("a host with no names that is not the default");
         }
-        if (isDefault && at.stream().anyMatch(l -> l.otherwise)) {
-            f.wrong("default", "is said of another host already");
+        if (isDefault && targets.stream().anyMatch(l -> l.hasDefault)) {
+            f.addProblem("default", "is said of another host already");
         } else if (isDefault) {
-            at.forEach(l -> {
-                l.otherwise = true;
-                l.hosts.otherwise(host);
+            targets.forEach(l -> {
+                l.hasDefault = true;
+                l.hosts.defaultHost(host);
             });
         }
-        f.noOthers();
+        f.rejectUnknownKeys();
     }
 
-    private static void name(Fields f, String name, Router.Host host, List<Listening> at) {
+    private static void addName(TableReader f, String name, Router.Host host, List<ListenerBuilder> targets) {
         if (name.startsWith("~")) {
-            Pattern p = Values.pattern(f, "names", name.substring(1), 0);
+            Pattern p = FieldParsers.pattern(f, "names", name.substring(1), 0);
             if (p != null) {
-                at.forEach(l -> l.hosts.add(p, host));
+                targets.forEach(l -> l.hosts.add(p, host));
             }
             return;
         }
         try {
-            boolean fresh = true;
-            for (Listening l : at) {
-                fresh &= l.hosts.add(name, host);
+            boolean isNew = true;
+            for (ListenerBuilder l : targets) {
+                isNew &= l.hosts.add(name, host);
             }
-            if (!fresh) {
-                f.wrong("names", "holds '" + name + "', which another host has");
+            if (!isNew) {
+                f.addProblem("names", "holds '" + name + "', which another host has");
             }
         } catch (IllegalArgumentException e) {
-            f.wrong("names", "holds a name that cannot be: " + e.getMessage());
+            f.addProblem("names", "holds a name that cannot be: " + e.getMessage());
         }
     }
 
     /** The places of a host or of a route: routes of one place stand together, in their order. */
-    private Paths<List<Route>> routes(Fields f, int depth) {
-        Paths<List<Route>> paths = new Paths<>();
-        Map<String, List<Route>> byPlace = new LinkedHashMap<>();
-        for (Fields r : f.tables("route")) {
-            String path = r.text("path");
-            Match match = r.choice("match", Match.class, Match.PREFIX);
-            Paths<List<Route>> nested = null;
-            if (r.has("route") && depth >= DEEPEST) {
-                r.wrong("route", "is nested more than " + DEEPEST + " deep");
+    private PathTable<List<Route>> routes(TableReader f, int depth) {
+        PathTable<List<Route>> paths = new PathTable<>();
+        Map<String, List<Route>> byLocation = new LinkedHashMap<>();
+        for (TableReader r : f.tables("route")) {
+            String path = r.string("path");
+            PathKind match = r.choice("match", PathKind.class, PathKind.PREFIX);
+            PathTable<List<Route>> nested = null;
+            if (r.has("route") && depth >= MAX_ROUTE_DEPTH) {
+                r.addProblem("route", "is nested more than " + MAX_ROUTE_DEPTH + " deep");
             } else if (r.has("route")) {
                 nested = routes(r, depth + 1);
             }
-            boolean regex = match == Match.REGEX || match == Match.REGEX_ANY_CASE;
+            boolean regex = match == PathKind.REGEX || match == PathKind.REGEX_ANY_CASE;
             Route route = routes.read(r, path, regex ? null : path);
-            r.noOthers();
+            r.rejectUnknownKeys();
             // A prefix is one place, whether it ends the search or not.
-            String place = (match == Match.PREFIX_ENDS ? Match.PREFIX : match) + " " + path;
-            List<Route> there = byPlace.get(place);
-            if (there == null) {
-                there = new ArrayList<>();
-                byPlace.put(place, there);
-                add(paths, r, match, path, there, nested);
+            String locationKey = (match == PathKind.PREFIX_ENDS ? PathKind.PREFIX : match) + " " + path;
+            List<Route> locationRoutes = byLocation.get(locationKey);
+            if (locationRoutes == null) {
+                locationRoutes = new ArrayList<>();
+                byLocation.put(locationKey, locationRoutes);
+                addLocation(paths, r, match, path, locationRoutes, nested);
             } else if (nested != null) {
-                r.wrong("route", "belongs to the first route of this path");
+                r.addProblem("route", "belongs to the first route of this path");
             }
-            there.add(route);
+            locationRoutes.add(route);
         }
         return paths;
     }
 
-    private void add(
-            Paths<List<Route>> paths,
-            Fields r,
-            Match match,
+    private void addLocation(
+            PathTable<List<Route>> paths,
+            TableReader r,
+            PathKind match,
             String path,
             List<Route> routes,
-            Paths<List<Route>> nested) {
+            PathTable<List<Route>> nested) {
         switch (match) {
-            case EXACT -> paths.add(Paths.Kind.EXACT, path, routes, nested);
-            case PREFIX -> paths.add(Paths.Kind.PREFIX, path, routes, nested);
-            case PREFIX_ENDS -> paths.add(Paths.Kind.PREFIX_ENDS, path, routes, nested);
+            case EXACT -> paths.add(PathTable.Kind.EXACT, path, routes, nested);
+            case PREFIX -> paths.add(PathTable.Kind.PREFIX, path, routes, nested);
+            case PREFIX_ENDS -> paths.add(PathTable.Kind.PREFIX_ENDS, path, routes, nested);
             default -> {
-                Pattern p = Values.pattern(r, "path", path, match == Match.REGEX ? 0 : Pattern.CASE_INSENSITIVE);
+                Pattern p =
+                        FieldParsers.pattern(r, "path", path, match == PathKind.REGEX ? 0 : Pattern.CASE_INSENSITIVE);
                 if (p != null) {
                     paths.add(p, routes, nested);
                 }
@@ -246,7 +249,7 @@
             }
         }
         if (!path.startsWith("/")) {
-            r.wrong("path", "does not begin with /");
+            r.addProblem("path", "does not begin with /");
         }
     }
 }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -1,6 +1,6 @@
 package gullspar.peers.net;
 
-import gullspar.config.Fleet;
+import gullspar.config.FleetSettings;
 import gullspar.config.OperatorsFile;
 import gullspar.peers.Change;
 import gullspar.peers.Facts;
@@ -48,7 +48,7 @@
     private final Reader reader;
     private final Platform platform;
     private final Supplier<Load> load;
-    private final Fleet fleet;
+    private final FleetSettings fleet;
     private final Carrier carrier;
     private String config;
     private Phase phase = Phase.JOINING;
@@ -62,7 +62,7 @@
             Reader reader,
             Platform platform,
             Supplier<Load> load,
-            Fleet fleet,
+            FleetSettings fleet,
             Envelope envelope,
             String config) {
         this.file = file;
@@ -77,7 +77,7 @@
     /** Starts it, as {@link Companion.Factory} says; null if the file says nothing of a fleet. */
     public static Membership start(Path file, Reader reader, String name, Platform platform, Supplier<Load> load)
             throws IOException {
-        Fleet fleet = fleet(file, reader);
+        FleetSettings fleet = fleet(file, reader);
         if (fleet == null) {
             return null;
         }
@@ -115,7 +115,7 @@
      * @param life a number that no other process has, nor had
      */
     public static Membership join(
-            Fleet fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
+            FleetSettings fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
         Membership m = new Membership(null, null, platform, load, fleet, keys, "");
         m.carrier.bind(fleet.bind()).addListener(f -> {
             if (f.isSuccess()) {
@@ -127,7 +127,7 @@
         return m;
     }
 
-    private static Fleet fleet(Path file, Reader reader) throws IOException {
+    private static FleetSettings fleet(Path file, Reader reader) throws IOException {
         try {
             return reader.read(file).fleet();
         } catch (ProblemsException e) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private static Envelope envelope(Fleet fleet) throws IOException {
+    private static Envelope envelope(FleetSettings fleet) throws IOException {
         return new Envelope(KeyFile.read(fleet.keyFile()));
     }
 
@@ -149,9 +149,9 @@
     }
 
     /** How the fleet is watched, as the file says. */
-    public static Settings settings(Fleet fleet) {
-        Settings s = Settings.every(fleet.intervalNs()).within(fleet.windowNs());
-        return fleet.bytesPerSecond() > 0 ? s.atMost(fleet.bytesPerSecond()) : s;
+    public static Settings settings(FleetSettings fleet) {
+        Settings s = Settings.every(fleet.probeIntervalNs()).within(fleet.isolationWindowNs());
+        return fleet.maxBytesPerSecond() > 0 ? s.atMost(fleet.maxBytesPerSecond()) : s;
     }
 
     private void begin(String name, long life, Settings settings) {
@@ -180,7 +180,8 @@
                         + NetUtil.toSocketAddressString(at) + ", "
                         + fleet.seeds().size() + " seeds");
         platform.loop()
-                .scheduleWithFixedDelay(this::tell, fleet.intervalNs(), fleet.intervalNs(), TimeUnit.NANOSECONDS);
+                .scheduleWithFixedDelay(
+                        this::tell, fleet.probeIntervalNs(), fleet.probeIntervalNs(), TimeUnit.NANOSECONDS);
     }
 
     /** Once an interval: what the proxy did since the last time. */
@@ -248,8 +249,8 @@
     @Override
     public void reload() {
         try {
-            Fleet now = fleet(file, reader);
-            if (now == null || !now.bind().equals(fleet.bind()) || now.intervalNs() != fleet.intervalNs()) {
+            FleetSettings now = fleet(file, reader);
+            if (now == null || !now.bind().equals(fleet.bind()) || now.probeIntervalNs() != fleet.probeIntervalNs()) {
                 platform.log().say("fleet: only keys and seeds are read again; the rest wants a restart");
             }
             Envelope keys = envelope(now == null ? fleet : now);
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.play;
 
-import gullspar.config.Fleet;
+import gullspar.config.FleetSettings;
 import gullspar.peers.net.Membership;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
@@ -57,7 +57,7 @@
 
     /** A process begins to take part; who: its name, and which process of that name it is. On its loop. */
     Membership join(String process, String who, Platform platform, Supplier<Companion.Load> load) {
-        Fleet fleet = fleet(process);
+        FleetSettings fleet = fleet(process);
         return Membership.join(
                 fleet,
                 peering.settings().apply(Membership.settings(fleet)),
@@ -67,10 +67,10 @@
                 load);
     }
 
-    private Fleet fleet(String process) {
+    private FleetSettings fleet(String process) {
         Script.Peers p = script.peers();
         String name = EventLog.named(process);
-        return new Fleet(
+        return new FleetSettings(
                 name,
                 home(process),
                 null,
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -183,7 +183,7 @@
         // Clients come from the proxy's own site, discovery has an agent there.
         boolean near = a == null || b == null || a.equals(b);
         if (near) {
-            return (long) (script.localDelayMs().middle() * 1e6);
+            return (long) (script.localDelayMs().midpoint() * 1e6);
         }
         // One draw for each pair of sites, the same both ways.
         String pair = a.compareTo(b) < 0 ? a + ' ' + b : b + ' ' + a;
--- a/src/main/java/gullspar/rehearse/script/Fault.java
+++ b/src/main/java/gullspar/rehearse/script/Fault.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.script;
 
-import gullspar.toml.Fields;
+import gullspar.toml.TableReader;
 import java.util.List;
 import java.util.Map;
 
@@ -24,7 +24,7 @@
                 ? count == 1 ? some : some.replace("proxy", "proxie") + "s"
                 : String.join(way ? " to " : ", ", names);
         s.append(kind.target() == FaultKind.Target.FLEET ? "" : " " + what);
-        figures.forEach((k, v) -> s.append(' ').append(k).append('=').append(Fields.plain(v)));
+        figures.forEach((k, v) -> s.append(' ').append(k).append('=').append(TableReader.formatNumber(v)));
         return s.toString();
     }
 }
--- a/src/main/java/gullspar/rehearse/script/FaultKind.java
+++ b/src/main/java/gullspar/rehearse/script/FaultKind.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.script;
 
-import gullspar.toml.Fields;
+import gullspar.toml.TableReader;
 import java.util.List;
 
 /** What can go wrong in a rehearsal, what it strikes and the figures that it takes. */
@@ -146,6 +146,6 @@
 
     /** The name in scripts. */
     public String named() {
-        return Fields.named(this);
+        return TableReader.tomlName(this);
     }
 }
--- a/src/main/java/gullspar/rehearse/script/ScriptReader.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptReader.java
@@ -2,10 +2,10 @@
 
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.Scope;
-import gullspar.toml.Fields;
 import gullspar.toml.Problem;
 import gullspar.toml.ProblemsException;
 import gullspar.toml.Range;
+import gullspar.toml.TableReader;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -48,21 +48,22 @@
                         e.position().line(),
                         e.position().column(),
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
-        Script s =
-                r.problems.isEmpty() ? r.script(new Fields(toml, "", TomlPosition.positionAt(1, 1), r.problems)) : null;
+        Script s = r.problems.isEmpty()
+                ? r.script(new TableReader(toml, "", TomlPosition.positionAt(1, 1), r.problems))
+                : null;
         if (!r.problems.isEmpty()) {
             throw new ProblemsException(name, r.problems);
         }
         return s;
     }
 
-    private Script script(Fields f) {
-        String title = f.text("title", "untitled");
+    private Script script(TableReader f) {
+        String title = f.string("title", "untitled");
         double seconds = f.number("seconds", 1, LONGEST_S);
-        long seed = f.whole("seed", 1, 0, Integer.MAX_VALUE);
-        List<String> sites = f.texts("sites", List.of("here"));
+        long seed = f.integer("seed", 1, 0, Integer.MAX_VALUE);
+        List<String> sites = f.stringList("sites", List.of("here"));
         if (sites.isEmpty() || sites.size() > 250) {
-            f.wrong("sites", "must name 1 to 250 sites");
+            f.addProblem("sites", "must name 1 to 250 sites");
         }
         Range siteDelay = f.range("site_delay_ms", new Range(0.6, 0.6), 0, 10_000);
         Range localDelay = f.range("local_delay_ms", new Range(0.1, 0.1), 0, 10_000);
@@ -72,10 +73,10 @@
         List<Script.RequestClass> classes =
                 f.tables("class").stream().map(this::requestClass).toList();
         if (nodes.isEmpty()) {
-            f.wrong("there are no [[nodes]]");
+            f.addProblem("there are no [[nodes]]");
         }
         if (classes.isEmpty()) {
-            f.wrong("there is no [[class]]");
+            f.addProblem("there is no [[class]]");
         }
         distinct(f, "nodes", nodes.stream().map(Script.NodeKind::kind).toList());
         distinct(f, "class", classes.stream().map(Script.RequestClass::name).toList());
@@ -94,7 +95,7 @@
                 .toList();
         Map<String, Double> expect = expect(f.table("expect"));
         Script.Search search = search(f.table("search"), peers != null);
-        f.noOthers();
+        f.rejectUnknownKeys();
         return new Script(
                 title,
                 seconds,
@@ -114,9 +115,9 @@
                 peers);
     }
 
-    private static void distinct(Fields f, String key, List<String> names) {
+    private static void distinct(TableReader f, String key, List<String> names) {
         if (new LinkedHashSet<>(names).size() < names.size()) {
-            f.wrong(key, "are not all of different names");
+            f.addProblem(key, "are not all of different names");
         }
     }
 
@@ -128,43 +129,43 @@
         return names;
     }
 
-    private Script.Proxies proxies(Fields f) {
+    private Script.Proxies proxies(TableReader f) {
         Script.Proxies p = new Script.Proxies(
-                f.whole("count", 2, 1, 100),
+                f.integer("count", 2, 1, 100),
                 f.number("cores", 1, 0.05, 64),
-                f.whole("memory_mb", 128, 96, 65_536),
-                f.whole("sockets", 1024, 64, 1 << 20),
-                f.whole("attempts", 5, 1, 100),
-                f.flag("cancelling", true),
+                f.integer("memory_mb", 128, 96, 65_536),
+                f.integer("sockets", 1024, 64, 1 << 20),
+                f.integer("attempts", 5, 1, 100),
+                f.bool("cancelling", true),
                 f.number("retry_after_ms", 1000, 0, 60_000),
                 f.number("connect_timeout_ms", 200, 1, 60_000),
                 f.number("start_s", 2, 0, 60));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return p;
     }
 
-    private Script.NodeKind nodes(Fields f) {
-        String kind = f.text("kind");
-        int count = f.whole("count", 1, 10_000);
-        int cores = f.whole("cores", 1, 1, 1024);
+    private Script.NodeKind nodes(TableReader f) {
+        String kind = f.string("kind");
+        int count = f.integer("count", 1, 10_000);
+        int cores = f.integer("cores", 1, 1, 1024);
         Range speed = f.range("speed", new Range(1, 1), 0.001, 1000);
-        int slots = f.whole("slots", 4 * cores, 1, 100_000);
-        int queue = f.whole("queue", 50, 0, 1_000_000);
+        int slots = f.integer("slots", 4 * cores, 1, 100_000);
+        int queue = f.integer("queue", 50, 0, 1_000_000);
         Script.Cancelled cancelled = f.choice("cancelled", Script.Cancelled.class, Script.Cancelled.STOPS);
-        int connections = f.whole("connections", 500, 1, 1_000_000);
+        int connections = f.integer("connections", 500, 1, 1_000_000);
         Range connect = f.range("connect_ms", new Range(1, 1), 0, 10_000);
-        Fields keys = f.table("keys");
+        TableReader keys = f.table("keys");
         Range memory = keys.range("memory_s", new Range(0, 0), 0, 86_400);
         Range saves = keys.range("saves", new Range(0, 0), 0, 0.99);
-        int most = keys.whole("most", 1000, 1, 10_000_000);
-        keys.noOthers();
-        Fields report = f.table("report");
+        int most = keys.integer("most", 1000, 1, 10_000_000);
+        keys.rejectUnknownKeys();
+        TableReader report = f.table("report");
         Range period = report.range("period_ms", new Range(1000, 1000), 1, 60_000);
         Range delay = report.range("delay_ms", new Range(0, 0), 0, 60_000);
         double noise = report.number("noise", 0, 0, 1);
-        report.noOthers();
-        int bytes = f.whole("answer_bytes", 200, 0, 65_000);
-        f.noOthers();
+        report.rejectUnknownKeys();
+        int bytes = f.integer("answer_bytes", 200, 0, 65_000);
+        f.rejectUnknownKeys();
         return new Script.NodeKind(
                 kind,
                 count,
@@ -184,94 +185,94 @@
                 bytes);
     }
 
-    private Script.RequestClass requestClass(Fields f) {
-        String name = f.text("name");
+    private Script.RequestClass requestClass(TableReader f) {
+        String name = f.string("name");
         if (!name.matches("[a-z0-9-]{1,40}")) {
-            f.wrong("name", "must be 1 to 40 of a to z, 0 to 9 and -");
+            f.addProblem("name", "must be 1 to 40 of a to z, 0 to 9 and -");
         }
         Effect effect = f.choice("effect", Effect.class, null);
         Scope scope = f.choice("scope", Scope.class, Scope.ZONE);
         double window = f.number("window_ms", 0, 0, 86_400_000);
         if (effect == Effect.DEDUPLICATED && window <= 0) {
-            f.wrong("a deduplicated class needs window_ms, how long repeats are dropped");
+            f.addProblem("a deduplicated class needs window_ms, how long repeats are dropped");
         }
         double share = f.number("share", 0, 1);
         Range work = f.range("work_ms", 0.001, 60_000);
         double promise = f.number("promise_ms", 1, 600_000);
         double giveUp = f.number("give_up_ms", 1, 600_000);
         if (giveUp < promise) {
-            f.wrong("give_up_ms", "is under promise_ms");
+            f.addProblem("give_up_ms", "is under promise_ms");
         }
         double worth = f.number("worth", 1, 0.001, 1e6);
-        int body = f.whole("body_bytes", effect == Effect.IDEMPOTENT ? 0 : 200, 0, 65_000);
+        int body = f.integer("body_bytes", effect == Effect.IDEMPOTENT ? 0 : 200, 0, 65_000);
         if (effect == Effect.IDEMPOTENT && body > 0) {
-            f.wrong("body_bytes", "is for classes that are sent by POST");
+            f.addProblem("body_bytes", "is for classes that are sent by POST");
         }
-        f.noOthers();
+        f.rejectUnknownKeys();
         return new Script.RequestClass(name, effect, scope, window, share, work, promise, giveUp, worth, body);
     }
 
-    private Script.Clients clients(Fields f) {
+    private Script.Clients clients(TableReader f) {
         Script.Clients c = new Script.Clients(
                 f.number("rate", 0.01, 100_000),
                 f.range("patience", new Range(0.7, 1), 0.05, 1),
-                f.whole("retries", 0, 0, 10),
+                f.integer("retries", 0, 0, 10),
                 f.range("retry_wait_ms", new Range(50, 500), 0, 60_000),
-                f.whole("keys", 1000, 0, 10_000_000),
+                f.integer("keys", 1000, 0, 10_000_000),
                 f.number("key_skew", 0.8, 0, 5),
                 f.range("notice_s", new Range(1, 3), 0.05, 60));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return c;
     }
 
-    private Script.Discovery discovery(Fields f) {
+    private Script.Discovery discovery(TableReader f) {
         Script.Discovery d = new Script.Discovery(
                 f.range("delay_ms", new Range(100, 1000), 0, 60_000),
                 f.range("weight_period_ms", new Range(1000, 1000), 10, 600_000),
                 f.range("notice_s", new Range(0.5, 2), 0, 60),
                 f.number("answer_ms", 0, 0, 60_000));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return d;
     }
 
-    private Script.Rules rules(Fields f) {
+    private Script.Rules rules(TableReader f) {
         Script.Rules r = new Script.Rules(
                 f.number("drain_grace_ms", 500, 1, 60_000),
                 f.number("start_capacity", 0.3, 0.01, 1),
                 f.number("cold_s", 9, 0.1, 600),
                 f.number("tip_multiple", 3, 1, 100),
                 f.number("fall_s", 1.5, 0.1, 60));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return r;
     }
 
-    private Map<String, Double> expect(Fields f) {
+    private Map<String, Double> expect(TableReader f) {
         Map<String, Double> expect = new LinkedHashMap<>();
         for (String name : EXPECTATIONS) {
             if (f.has(name)) {
                 expect.put(name, f.number(name, 0, 1));
             }
         }
-        f.noOthers();
+        f.rejectUnknownKeys();
         return expect;
     }
 
-    private static Script.Peers peers(Fields f) {
+    private static Script.Peers peers(TableReader f) {
         Script.Peers p = new Script.Peers(
                 f.number("interval_ms", 1000, 50, 60_000),
                 f.number("window_s", 60, 1, 3600),
                 f.number("quiet_s", 5, 0, 600),
                 f.number("gone_s", 90, 0.1, 3600),
                 f.number("agree_s", 60, 0.1, 3600),
-                f.whole("bytes_per_s", 20_000, 100, 1 << 24),
+                f.integer("bytes_per_s", 20_000, 100, 1 << 24),
                 f.number("accusations_per_min", 6, 0, 1e6));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return p;
     }
 
-    private Script.Search search(Fields f, boolean peers) {
+    private Script.Search search(TableReader f, boolean peers) {
         List<FaultKind> kinds = new ArrayList<>();
-        for (String name : f.texts(
+        for (String name : f.stringList(
                 "kinds",
                 Stream.of(FaultKind.values())
                         .filter(k -> peers || !k.betweenProxies())
@@ -281,17 +282,17 @@
                     .filter(k -> k.named().equals(name))
                     .findFirst()
                     .ifPresentOrElse(
-                            kinds::add, () -> f.wrong("kinds", "names '" + name + "', which is no kind of fault"));
+                            kinds::add, () -> f.addProblem("kinds", "names '" + name + "', which is no kind of fault"));
         }
         if (kinds.isEmpty()) {
-            f.wrong("kinds", "names nothing that could be searched");
+            f.addProblem("kinds", "names nothing that could be searched");
         }
         Script.Search s = new Script.Search(
                 List.copyOf(kinds),
-                f.whole("most", 5, 1, 50),
+                f.integer("most", 5, 1, 50),
                 f.number("calm_s", 0, 0, LONGEST_S),
                 f.number("below", 0, 0, 1));
-        f.noOthers();
+        f.rejectUnknownKeys();
         return s;
     }
 
@@ -300,22 +301,26 @@
     /** Who can be struck by name. */
     private record Names(Set<String> nodes, Set<String> proxies, Set<String> classes) {}
 
-    private Fault fault(Fields f, double seconds, Names names, boolean peers) {
+    private Fault fault(TableReader f, double seconds, Names names, boolean peers) {
         FaultKind kind = f.choice("kind", FaultKind.class, null);
         if (kind.betweenProxies() && !peers) {
-            f.wrong("kind", "strikes what proxies tell each other, and there is no [peers]");
+            f.addProblem("kind", "strikes what proxies tell each other, and there is no [peers]");
         }
         double at = f.number("at", 0, LONGEST_S);
         if (at >= seconds) {
-            f.wrong("at", "is " + Fields.plain(at) + ", but the day ends at " + Fields.plain(seconds));
+            f.addProblem(
+                    "at",
+                    "is " + TableReader.formatNumber(at) + ", but the day ends at "
+                            + TableReader.formatNumber(seconds));
         }
         double lasts = 0;
         if (!kind.momentary()) {
             lasts = f.number("for", 0.001, LONGEST_S);
             if (at < seconds && at + lasts > seconds) {
-                f.wrong(
+                f.addProblem(
                         "for",
-                        "runs to " + Fields.plain(at + lasts) + ", but the day ends at " + Fields.plain(seconds));
+                        "runs to " + TableReader.formatNumber(at + lasts) + ", but the day ends at "
+                                + TableReader.formatNumber(seconds));
             }
         }
         Map<String, Double> figures = new LinkedHashMap<>();
@@ -327,20 +332,20 @@
                     case NODES -> struck(f, "nodes", names.nodes(), kind, at, lasts, figures);
                     case PROXIES -> struck(f, "proxies", names.proxies(), kind, at, lasts, figures);
                     case CLASS -> new Fault(
-                            kind, at, lasts, 1, known(f, "class", f.text("class"), names.classes()), figures);
+                            kind, at, lasts, 1, known(f, "class", f.string("class"), names.classes()), figures);
                     case LINK -> new Fault(
                             kind, at, lasts, 1, List.of(end(f, "from", names), end(f, "to", names)), figures);
                     case DATAGRAMS -> new Fault(
                             kind, at, lasts, 1, List.of(proxyEnd(f, "from", names), proxyEnd(f, "to", names)), figures);
                     case FLEET -> new Fault(kind, at, lasts, 0, List.of(), figures);
                 };
-        f.noOthers();
+        f.rejectUnknownKeys();
         return fault;
     }
 
     /** A number to be drawn, or names. */
     private Fault struck(
-            Fields f,
+            TableReader f,
             String key,
             Set<String> known,
             FaultKind kind,
@@ -348,22 +353,22 @@
             double lasts,
             Map<String, Double> figures) {
         if (f.isNumber(key) || !f.has(key)) {
-            int count = f.whole(key, kind.least(), kind.least(), Math.max(kind.least(), known.size()));
+            int count = f.integer(key, kind.least(), kind.least(), Math.max(kind.least(), known.size()));
             return new Fault(kind, at, lasts, count, List.of(), figures);
         }
-        List<String> named = f.texts(key, List.of());
+        List<String> named = f.stringList(key, List.of());
         named.forEach(n -> known(f, key, n, known));
         if (named.isEmpty()) {
-            f.wrong(key, "names nobody");
+            f.addProblem(key, "names nobody");
         } else if (named.size() < kind.least()) {
-            f.wrong(key, "names one, and this needs two or more");
+            f.addProblem(key, "names one, and this needs two or more");
         }
         return new Fault(kind, at, lasts, named.size(), named, figures);
     }
 
-    private static List<String> known(Fields f, String key, String name, Set<String> known) {
+    private static List<String> known(TableReader f, String key, String name, Set<String> known) {
         if (!name.isEmpty() && !known.contains(name)) {
-            f.wrong(key, "names '" + name + "', and there is only " + some(known));
+            f.addProblem(key, "names '" + name + "', and there is only " + some(known));
         }
         return List.of(name);
     }
@@ -374,22 +379,22 @@
     }
 
     /** One end of a way between proxies: one, or all. */
-    private static String proxyEnd(Fields f, String key, Names names) {
-        String end = f.text(key);
+    private static String proxyEnd(TableReader f, String key, Names names) {
+        String end = f.string(key);
         if (!end.isEmpty() && !end.equals("proxies") && !names.proxies().contains(end)) {
-            f.wrong(key, "is '" + end + "', not a proxy or proxies");
+            f.addProblem(key, "is '" + end + "', not a proxy or proxies");
         }
         return end;
     }
 
     /** One end of a way: a machine, or all of a sort. */
-    private static String end(Fields f, String key, Names names) {
-        String end = f.text(key);
+    private static String end(TableReader f, String key, Names names) {
+        String end = f.string(key);
         if (!end.isEmpty()
                 && !List.of("nodes", "proxies", "clients", "discovery").contains(end)
                 && !names.nodes().contains(end)
                 && !names.proxies().contains(end)) {
-            f.wrong(key, "is '" + end + "', not a node, a proxy, nodes, proxies, clients or discovery");
+            f.addProblem(key, "is '" + end + "', not a node, a proxy, nodes, proxies, clients or discovery");
         }
         return end;
     }
--- a/src/main/java/gullspar/rehearse/script/ScriptWriter.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptWriter.java
@@ -1,8 +1,8 @@
 package gullspar.rehearse.script;
 
 import gullspar.rehearse.script.FaultKind.Target;
-import gullspar.toml.Fields;
 import gullspar.toml.Range;
+import gullspar.toml.TableReader;
 import java.util.List;
 import java.util.stream.Collectors;
 
@@ -41,11 +41,11 @@
     }
 
     private static String range(Range r) {
-        return "[" + Fields.plain(r.from()) + ", " + Fields.plain(r.to()) + "]";
+        return "[" + TableReader.formatNumber(r.from()) + ", " + TableReader.formatNumber(r.to()) + "]";
     }
 
     private static String plain(double d) {
-        return Fields.plain(d);
+        return TableReader.formatNumber(d);
     }
 
     private void script(Script s) {
@@ -120,7 +120,7 @@
                 .line("speed", range(n.speed()))
                 .line("slots", n.slots())
                 .line("queue", n.queue())
-                .line("cancelled", text(Fields.named(n.cancelled())))
+                .line("cancelled", text(TableReader.tomlName(n.cancelled())))
                 .line("connections", n.connections())
                 .line("connect_ms", range(n.connectMs()))
                 .line(
@@ -137,8 +137,8 @@
     private void requestClass(Script.RequestClass c) {
         table("[[class]]");
         line("name", text(c.name()))
-                .line("effect", text(Fields.named(c.effect())))
-                .line("scope", text(Fields.named(c.scope())))
+                .line("effect", text(TableReader.tomlName(c.effect())))
+                .line("scope", text(TableReader.tomlName(c.scope())))
                 .line("window_ms", plain(c.windowMs()))
                 .line("share", plain(c.share()))
                 .line("work_ms", range(c.workMs()))
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -25,7 +25,7 @@
                         --served,
                         c,
                         0,
-                        c.workMs().middle() * 1e6,
+                        c.workMs().midpoint() * 1e6,
                         script.sites().get(0),
                         now);
                 Try t = new Try(o, id, now + (long) (c.giveUpMs() * 1e6));
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -295,7 +295,7 @@
 
     /** Size as listed: its power, lowered the more it holds. */
     double weight() {
-        return kind.cores() * kind.speed().middle() / (1 + cpu.held() / (double) Math.max(1, kind.slots()));
+        return kind.cores() * kind.speed().midpoint() / (1 + cpu.held() / (double) Math.max(1, kind.slots()));
     }
 
     // ---- connections ----
@@ -313,7 +313,7 @@
 
     /** A request has come whole: so much work, by its class, was sent to this node. */
     void wasSent(Order o) {
-        sent(o.kind.workMs().middle() * 1e6, fleet.stage().now());
+        sent(o.kind.workMs().midpoint() * 1e6, fleet.stage().now());
     }
 
     boolean hung() {
--- a/src/main/java/gullspar/route/Condition.java
+++ b/src/main/java/gullspar/route/Condition.java
@@ -12,17 +12,17 @@
      * What a regular expression caught, group 0 first, an empty list where there is none; null if the request
      * does not fit.
      */
-    List<String> fits(Request r);
+    List<String> match(Request r);
 
     /** A header: there, of a value, or with a regular expression found in one of its values. */
     record Header(String name, String value, Pattern pattern) implements Condition {
         @Override
-        public List<String> fits(Request r) {
+        public List<String> match(Request r) {
             List<String> values = r.headers().all(name);
-            boolean fits = pattern != null
+            boolean matched = pattern != null
                     ? values.stream().anyMatch(v -> pattern.matcher(v).find())
                     : value == null ? !values.isEmpty() : values.contains(value);
-            return fits ? List.of() : null;
+            return matched ? List.of() : null;
         }
 
         @Override
@@ -32,23 +32,23 @@
     }
 
     /** A text made of the request is of a value, or empty where that is empty. */
-    record Is(Template of, String value) implements Condition {
+    record TextEquals(Template template, String value) implements Condition {
         @Override
-        public List<String> fits(Request r) {
-            return of.fill(r).equals(value) ? List.of() : null;
+        public List<String> match(Request r) {
+            return template.expand(r).equals(value) ? List.of() : null;
         }
 
         @Override
         public String toString() {
-            return of + " = '" + value + "'";
+            return template + " = '" + value + "'";
         }
     }
 
     /** A regular expression is found in a text made of the request. */
-    record Matches(Template of, Pattern pattern) implements Condition {
+    record TextMatches(Template template, Pattern pattern) implements Condition {
         @Override
-        public List<String> fits(Request r) {
-            Matcher m = pattern.matcher(of.fill(r));
+        public List<String> match(Request r) {
+            Matcher m = pattern.matcher(template.expand(r));
             if (!m.find()) {
                 return null;
             }
@@ -61,7 +61,7 @@
 
         @Override
         public String toString() {
-            return of + " ~ " + pattern;
+            return template + " ~ " + pattern;
         }
     }
 
@@ -70,20 +70,23 @@
      * a percent of all. The hash is MurmurHash2 (A. Appleby, 2008, 32 bits, seed 0), as split_clients of
      * nginx has it, so that a client stays where it was.
      */
-    record Share(Template of, int from, int to) implements Condition {
+    record HashShare(Template template, int fromBasisPoints, int toBasisPoints) implements Condition {
         @Override
-        public List<String> fits(Request r) {
-            long hash = murmur2(of.fill(r).getBytes(StandardCharsets.UTF_8)) & 0xffffffffL;
-            return (from == 0 || hash >= part(from)) && (to == 10_000 || hash < part(to)) ? List.of() : null;
+        public List<String> match(Request r) {
+            long hash = murmur2(template.expand(r).getBytes(StandardCharsets.UTF_8)) & 0xffffffffL;
+            return (fromBasisPoints == 0 || hash >= hashBound(fromBasisPoints))
+                            && (toBasisPoints == 10_000 || hash < hashBound(toBasisPoints))
+                    ? List.of()
+                    : null;
         }
 
-        private static long part(int hundredths) {
-            return hundredths * 0xffffffffL / 10_000;
+        private static long hashBound(int basisPoints) {
+            return basisPoints * 0xffffffffL / 10_000;
         }
 
         @Override
         public String toString() {
-            return of + " is of " + from / 100.0 + " to " + to / 100.0 + " %";
+            return template + " is of " + fromBasisPoints / 100.0 + " to " + toBasisPoints / 100.0 + " %";
         }
 
         /** MurmurHash2 of 32 bits with seed 0. */
@@ -101,8 +104,8 @@
                 k *= m;
                 h = h * m ^ k;
             }
-            for (int rest = data.length - i - 1; rest >= 0; rest--) {
-                h ^= (data[i + rest] & 255) << 8 * rest;
+            for (int remaining = data.length - i - 1; remaining >= 0; remaining--) {
+                h ^= (data[i + remaining] & 255) << 8 * remaining;
             }
             if (i < data.length) {
                 h *= m;
--- a/src/main/java/gullspar/route/HeaderChanges.java
+++ b/src/main/java/gullspar/route/HeaderChanges.java
@@ -16,7 +16,7 @@
     /** Leaves all as it is. */
     public static final HeaderChanges NONE = new HeaderChanges(Map.of(), Map.of(), Map.of(), List.of());
 
-    private static final Set<Integer> OK = Set.of(200, 201, 204, 206, 301, 302, 303, 304, 307, 308);
+    private static final Set<Integer> ADD_OK_STATUSES = Set.of(200, 201, 204, 206, 301, 302, 303, 304, 307, 308);
 
     public HeaderChanges {
         set = new LinkedHashMap<>(set); // in the order in which they were written
@@ -26,7 +26,7 @@
     }
 
     /** Does what is in addOk come with that status? */
-    public static boolean ok(int status) {
-        return OK.contains(status);
+    public static boolean isAddOkStatus(int status) {
+        return ADD_OK_STATUSES.contains(status);
     }
 }
--- a/src/main/java/gullspar/route/Hosts.java
+++ b/src/main/java/gullspar/route/HostTable.java
@@ -12,9 +12,9 @@
  * the beginning (*.example.org); the longest at the end (shop.*); the first regular expression that is found
  * in it; the default. Names are compared without regard to case; a port and a dot at the end do not count.
  */
-public final class Hosts<T> {
+public final class HostTable<T> {
     /** By what a host was found. */
-    public enum By {
+    public enum MatchKind {
         NAME,
         LEADING,
         TRAILING,
@@ -23,10 +23,10 @@
     }
 
     /** What was found, by what, and the text that did it. */
-    public record Found<T>(T host, By by, String text) {
+    public record Match<T>(T host, MatchKind kind, String text) {
         /** In words. */
-        public String why() {
-            return switch (by) {
+        public String reason() {
+            return switch (kind) {
                 case NAME -> "its name is " + text;
                 case LEADING -> "*." + text + " fits it";
                 case TRAILING -> text + ".* fits it";
@@ -42,28 +42,30 @@
     private final Map<String, T> leading = new HashMap<>();
     private final Map<String, T> trailing = new HashMap<>();
     private final List<Regex<T>> regexes = new ArrayList<>();
-    private T otherwise;
+    private T defaultHost;
 
     /**
      * Adds a name: exact, *.suffix, .suffix (the name itself and all below it) or prefix.*. False if the same
      * is there already; an IllegalArgumentException for a star elsewhere.
      */
     public boolean add(String name, T host) {
-        String n = name.toLowerCase(Locale.ROOT);
-        if (n.startsWith("*.")) {
-            return leading.putIfAbsent(plain(n, n.substring(2)), host) == null;
+        String normalized = name.toLowerCase(Locale.ROOT);
+        if (normalized.startsWith("*.")) {
+            return leading.putIfAbsent(requireNoWildcard(normalized, normalized.substring(2)), host) == null;
         }
-        if (n.startsWith(".")) {
-            boolean fresh = exact.putIfAbsent(plain(n, n.substring(1)), host) == null;
-            return leading.putIfAbsent(n.substring(1), host) == null && fresh;
+        if (normalized.startsWith(".")) {
+            boolean isNew = exact.putIfAbsent(requireNoWildcard(normalized, normalized.substring(1)), host) == null;
+            return leading.putIfAbsent(normalized.substring(1), host) == null && isNew;
         }
-        if (n.endsWith(".*")) {
-            return trailing.putIfAbsent(plain(n, n.substring(0, n.length() - 2)), host) == null;
+        if (normalized.endsWith(".*")) {
+            return trailing.putIfAbsent(
+                            requireNoWildcard(normalized, normalized.substring(0, normalized.length() - 2)), host)
+                    == null;
         }
-        return exact.putIfAbsent(plain(n, n), host) == null;
+        return exact.putIfAbsent(requireNoWildcard(normalized, normalized), host) == null;
     }
 
-    private static String plain(String name, String part) {
+    private static String requireNoWildcard(String name, String part) {
         if (part.isEmpty() || part.contains("*")) {
             throw new IllegalArgumentException("'" + name + "' has a wildcard where none can be");
         }
@@ -76,15 +78,15 @@
     }
 
     /** For whatever no name fits. */
-    public void otherwise(T host) {
-        otherwise = host;
+    public void defaultHost(T host) {
+        defaultHost = host;
     }
 
     /**
      * The host without its port, in small letters, with no dot at the end; an IPv6 address keeps its
      * brackets.
      */
-    public static String name(String host) {
+    public static String normalize(String host) {
         int from = host.startsWith("[") ? host.indexOf(']') : 0;
         int colon = host.indexOf(':', Math.max(0, from));
         String name = colon < 0 ? host : host.substring(0, colon);
@@ -93,29 +95,29 @@
     }
 
     /** Null only where there is no default. */
-    public Found<T> find(String host) {
-        String name = host == null ? "" : name(host);
+    public Match<T> find(String host) {
+        String name = host == null ? "" : normalize(host);
         T found = exact.get(name);
         if (found != null) {
-            return new Found<>(found, By.NAME, name);
+            return new Match<>(found, MatchKind.NAME, name);
         }
         for (int dot = name.indexOf('.'); dot >= 0 && !leading.isEmpty(); dot = name.indexOf('.', dot + 1)) {
             found = leading.get(name.substring(dot + 1));
             if (found != null && dot > 0) {
-                return new Found<>(found, By.LEADING, name.substring(dot + 1));
+                return new Match<>(found, MatchKind.LEADING, name.substring(dot + 1));
             }
         }
         for (int dot = name.lastIndexOf('.'); dot > 0 && !trailing.isEmpty(); dot = name.lastIndexOf('.', dot - 1)) {
             found = trailing.get(name.substring(0, dot));
             if (found != null) {
-                return new Found<>(found, By.TRAILING, name.substring(0, dot));
+                return new Match<>(found, MatchKind.TRAILING, name.substring(0, dot));
             }
         }
         for (Regex<T> r : regexes) {
             if (r.pattern.matcher(name).find()) {
-                return new Found<>(r.host, By.REGEX, r.pattern.pattern());
+                return new Match<>(r.host, MatchKind.REGEX, r.pattern.pattern());
             }
         }
-        return otherwise == null ? null : new Found<>(otherwise, By.DEFAULT, "");
+        return defaultHost == null ? null : new Match<>(defaultHost, MatchKind.DEFAULT, "");
     }
 }
--- a/src/main/java/gullspar/route/Paths.java
+++ b/src/main/java/gullspar/route/PathTable.java
@@ -14,7 +14,7 @@
  * expressions nested in a place come before those beside it. Cost: the length of the path, and one try for
  * each regular expression.
  */
-public final class Paths<T> {
+public final class PathTable<T> {
     /** How a place is written down. */
     public enum Kind {
         EXACT,
@@ -27,16 +27,16 @@
      * What was found, by which text, and what a regular expression caught: group 0 first, none for the
      * others.
      */
-    public record Found<T>(T target, Kind kind, String text, List<String> groups) {}
+    public record Match<T>(T target, Kind kind, String text, List<String> groups) {}
 
-    private static final class Place<T> {
+    private static final class Location<T> {
         private final Kind kind;
         private final String text;
         private final Pattern pattern;
         private final T target;
-        private final Paths<T> nested;
+        private final PathTable<T> nested;
 
-        Place(Kind kind, String text, Pattern pattern, T target, Paths<T> nested) {
+        Location(Kind kind, String text, Pattern pattern, T target, PathTable<T> nested) {
             this.kind = kind;
             this.text = text;
             this.pattern = pattern;
@@ -45,59 +45,59 @@
         }
     }
 
-    private final Map<String, Place<T>> exact = new HashMap<>();
-    private final PrefixTree<Place<T>> prefixes = new PrefixTree<>();
-    private final List<Place<T>> regexes = new ArrayList<>();
+    private final Map<String, Location<T>> exact = new HashMap<>();
+    private final PrefixTree<Location<T>> prefixes = new PrefixTree<>();
+    private final List<Location<T>> regexes = new ArrayList<>();
 
     /** Adds a place with what is nested in it, or null; false if the same is there already. */
-    public boolean add(Kind kind, String text, T target, Paths<T> nested) {
-        Place<T> place = new Place<>(kind, text, null, target, nested);
-        return kind == Kind.EXACT ? exact.putIfAbsent(text, place) == null : prefixes.add(text, place);
+    public boolean add(Kind kind, String text, T target, PathTable<T> nested) {
+        Location<T> location = new Location<>(kind, text, null, target, nested);
+        return kind == Kind.EXACT ? exact.putIfAbsent(text, location) == null : prefixes.add(text, location);
     }
 
     /** Adds a regular expression, behind those that are there. */
-    public void add(Pattern pattern, T target, Paths<T> nested) {
-        regexes.add(new Place<>(Kind.REGEX, pattern.pattern(), pattern, target, nested));
+    public void add(Pattern pattern, T target, PathTable<T> nested) {
+        regexes.add(new Location<>(Kind.REGEX, pattern.pattern(), pattern, target, nested));
     }
 
     /** Null if no place fits the path. */
-    public Found<T> find(String path) {
+    public Match<T> find(String path) {
         return find(path, null);
     }
 
     /** As find, below a place that has been found so far. */
-    private Found<T> find(String path, Found<T> soFar) {
-        Place<T> place = exact.get(path);
-        if (place != null) {
-            return found(place, List.of());
+    private Match<T> find(String path, Match<T> parentMatch) {
+        Location<T> location = exact.get(path);
+        if (location != null) {
+            return toMatch(location, List.of());
         }
-        Found<T> best = soFar;
-        place = prefixes.longest(path);
-        if (place != null) {
-            best = found(place, List.of());
-            Found<T> below = place.nested == null ? best : place.nested.find(path, best);
+        Match<T> best = parentMatch;
+        location = prefixes.findLongest(path);
+        if (location != null) {
+            best = toMatch(location, List.of());
+            Match<T> nestedMatch = location.nested == null ? best : location.nested.find(path, best);
             // What an exact path or a regular expression found down there ends the search up here.
-            if (below.kind == Kind.EXACT || below.kind == Kind.REGEX || place.kind == Kind.PREFIX_ENDS) {
-                return below;
+            if (nestedMatch.kind == Kind.EXACT || nestedMatch.kind == Kind.REGEX || location.kind == Kind.PREFIX_ENDS) {
+                return nestedMatch;
             }
-            best = below;
+            best = nestedMatch;
         }
-        for (Place<T> r : regexes) {
+        for (Location<T> r : regexes) {
             Matcher m = r.pattern.matcher(path);
             if (m.find()) {
-                Found<T> here = found(r, groups(m));
-                Found<T> below = r.nested == null ? here : r.nested.find(path, here);
+                Match<T> regexMatch = toMatch(r, groups(m));
+                Match<T> nestedMatch = r.nested == null ? regexMatch : r.nested.find(path, regexMatch);
                 // Within a regular expression the search is over, whatever kind is nested.
-                return below.kind == Kind.PREFIX || below.kind == Kind.PREFIX_ENDS
-                        ? new Found<>(below.target, Kind.REGEX, below.text, here.groups)
-                        : below;
+                return nestedMatch.kind == Kind.PREFIX || nestedMatch.kind == Kind.PREFIX_ENDS
+                        ? new Match<>(nestedMatch.target, Kind.REGEX, nestedMatch.text, regexMatch.groups)
+                        : nestedMatch;
             }
         }
         return best;
     }
 
-    private static <T> Found<T> found(Place<T> p, List<String> groups) {
-        return new Found<>(p.target, p.kind, p.text, groups);
+    private static <T> Match<T> toMatch(Location<T> p, List<String> groups) {
+        return new Match<>(p.target, p.kind, p.text, groups);
     }
 
     private static List<String> groups(Matcher m) {
--- a/src/main/java/gullspar/route/PrefixTree.java
+++ b/src/main/java/gullspar/route/PrefixTree.java
@@ -15,8 +15,8 @@
     private static final class Node<T> {
         private String label;
         private T value;
-        private char[] firsts = {};
-        private List<Node<T>> below = new ArrayList<>(0);
+        private char[] firstChars = {};
+        private List<Node<T>> children = new ArrayList<>(0);
 
         Node(String label, T value) {
             this.label = label;
@@ -24,18 +24,18 @@
         }
 
         private void add(Node<T> n) {
-            int at = -Arrays.binarySearch(firsts, n.label.charAt(0)) - 1;
-            char[] more = new char[firsts.length + 1];
-            System.arraycopy(firsts, 0, more, 0, at);
-            more[at] = n.label.charAt(0);
-            System.arraycopy(firsts, at, more, at + 1, firsts.length - at);
-            firsts = more;
-            below.add(at, n);
+            int at = -Arrays.binarySearch(firstChars, n.label.charAt(0)) - 1;
+            char[] grown = new char[firstChars.length + 1];
+            System.arraycopy(firstChars, 0, grown, 0, at);
+            grown[at] = n.label.charAt(0);
+            System.arraycopy(firstChars, at, grown, at + 1, firstChars.length - at);
+            firstChars = grown;
+            children.add(at, n);
         }
 
-        private Node<T> below(char first) {
-            int at = Arrays.binarySearch(firsts, first);
-            return at < 0 ? null : below.get(at);
+        private Node<T> children(char first) {
+            int at = Arrays.binarySearch(firstChars, first);
+            return at < 0 ? null : children.get(at);
         }
     }
 
@@ -46,17 +46,17 @@
         Node<T> n = root;
         int at = 0;
         while (at < prefix.length()) {
-            Node<T> next = n.below(prefix.charAt(at));
+            Node<T> next = n.children(prefix.charAt(at));
             if (next == null) {
                 n.add(new Node<>(prefix.substring(at), value));
                 return true;
             }
-            int same = same(next.label, prefix, at);
-            if (same < next.label.length()) {
-                split(next, same);
+            int common = commonLength(next.label, prefix, at);
+            if (common < next.label.length()) {
+                split(next, common);
             }
             n = next;
-            at += same;
+            at += common;
         }
         if (n.value != null) {
             return false;
@@ -65,7 +65,7 @@
         return true;
     }
 
-    private static int same(String label, String text, int from) {
+    private static int commonLength(String label, String text, int from) {
         int n = Math.min(label.length(), text.length() - from);
         int i = 0;
         while (i < n && label.charAt(i) == text.charAt(from + i)) {
@@ -76,23 +76,23 @@
 
     /** Puts a node in the midst of the way to this one. */
     private static <T> void split(Node<T> n, int at) {
-        Node<T> rest = new Node<>(n.label.substring(at), n.value);
-        rest.firsts = n.firsts;
-        rest.below = n.below;
+        Node<T> tail = new Node<>(n.label.substring(at), n.value);
+        tail.firstChars = n.firstChars;
+        tail.children = n.children;
         n.label = n.label.substring(0, at);
         n.value = null;
-        n.firsts = new char[0];
-        n.below = new ArrayList<>(2);
-        n.add(rest);
+        n.firstChars = new char[0];
+        n.children = new ArrayList<>(2);
+        n.add(tail);
     }
 
     /** What the longest prefix of the text stands for; null if no prefix fits. */
-    T longest(String text) {
+    T findLongest(String text) {
         Node<T> n = root;
         T best = root.value;
         int at = 0;
         while (at < text.length()) {
-            n = n.below(text.charAt(at));
+            n = n.children(text.charAt(at));
             if (n == null || !text.startsWith(n.label, at)) {
                 return best;
             }
--- a/src/main/java/gullspar/route/Request.java
+++ b/src/main/java/gullspar/route/Request.java
@@ -12,12 +12,12 @@
         String host,
         String path,
         String query,
-        String raw,
+        String rawTarget,
         String client,
         int port,
-        String id,
+        String requestId,
         Headers headers)
-        implements Template.Values {
+        implements Template.VariableResolver {
     /** The values of a header, none if it is not there; names are compared without regard to case. */
     public interface Headers {
         List<String> all(String name);
@@ -29,32 +29,32 @@
     }
 
     @Override
-    public String value(String name) {
+    public String resolve(String name) {
         int dot = name.indexOf('.');
-        String of = name.substring(dot + 1);
+        String parameter = name.substring(dot + 1);
         return switch (dot < 0 ? name : name.substring(0, dot)) {
             case "client" -> client;
-            case "host" -> host == null ? "" : Hosts.name(host);
+            case "host" -> host == null ? "" : HostTable.normalize(host);
             case "host_header" -> host;
             case "scheme" -> "http";
             case "port" -> Integer.toString(port);
             case "path" -> path;
-            case "uri" -> raw;
+            case "uri" -> rawTarget;
             case "query" -> query;
             case "args" -> query == null || query.isEmpty() ? "" : "?" + query;
             case "method" -> method;
-            case "request_id" -> id;
+            case "request_id" -> requestId;
             case "forwarded_for" -> forwardedFor();
-            case "header" -> String.join(", ", headers.all(of));
-            case "cookie" -> Template.cookie(headers.all("Cookie"), of);
-            case "arg" -> Template.argument(query, of);
+            case "header" -> String.join(", ", headers.all(parameter));
+            case "cookie" -> Template.cookie(headers.all("Cookie"), parameter);
+            case "arg" -> Template.queryArgument(query, parameter);
             default -> "";
         };
     }
 
     /** The clients so far as the request says, and the one that it came from. */
     public String forwardedFor() {
-        List<String> before = headers.all("X-Forwarded-For");
-        return before.isEmpty() ? client : String.join(", ", before) + ", " + client;
+        List<String> previous = headers.all("X-Forwarded-For");
+        return previous.isEmpty() ? client : String.join(", ", previous) + ", " + client;
     }
 }
--- a/src/main/java/gullspar/route/Router.java
+++ b/src/main/java/gullspar/route/Router.java
@@ -16,22 +16,22 @@
      * A virtual host: its name for people; routes that are looked at first, whatever the path; its places,
      * and of each place the routes in order.
      */
-    public record Host(String name, List<Route> first, Paths<List<Route>> paths) {}
+    public record Host(String name, List<Route> priorityRoutes, PathTable<List<Route>> paths) {}
 
     /**
      * What was found: the route, or null and the status that says why there is none (404 or 405); what the
      * place's regular expression caught, group 0 first; and with 405 the methods that are allowed.
      */
-    public record Found(Route route, int status, List<String> groups, Set<String> allowed) {}
+    public record Result(Route route, int status, List<String> groups, Set<String> allowedMethods) {}
 
-    private final Hosts<Host> hosts;
+    private final HostTable<Host> hosts;
 
-    public Router(Hosts<Host> hosts) {
+    public Router(HostTable<Host> hosts) {
         this.hosts = hosts;
     }
 
     /** The route of a request. */
-    public Found find(Request r) {
+    public Result find(Request r) {
         return find(r, null);
     }
 
@@ -39,52 +39,55 @@
      * The same with the way to it, a line each, for people: what was looked at, and why it fits or does not.
      */
     public List<String> explain(Request r) {
-        List<String> why = new ArrayList<>();
-        find(r, why);
-        return why;
+        List<String> explanation = new ArrayList<>();
+        find(r, explanation);
+        return explanation;
     }
 
-    private Found find(Request r, List<String> why) {
-        Hosts.Found<Host> host = hosts.find(r.host());
+    private Result find(Request r, List<String> explanation) {
+        HostTable.Match<Host> host = hosts.find(r.host());
         if (host == null) {
-            say(why, () -> "no host fits '" + r.host() + "', and there is no default");
-            return new Found(null, 404, List.of(), Set.of());
+            addLine(explanation, () -> "no host fits '" + r.host() + "', and there is no default");
+            return new Result(null, 404, List.of(), Set.of());
         }
-        say(why, () -> "host " + host.host().name() + ": " + host.why());
-        for (Route route : host.host().first()) {
-            String unfit = route.unfit(r);
-            if (unfit == null) {
-                say(why, () -> "route " + route.name() + ", looked at first");
-                return new Found(route, 200, route.caught(r, List.of()), Set.of());
+        addLine(explanation, () -> "host " + host.host().name() + ": " + host.reason());
+        for (Route route : host.host().priorityRoutes()) {
+            String mismatch = route.mismatch(r);
+            if (mismatch == null) {
+                addLine(explanation, () -> "route " + route.name() + ", looked at first");
+                return new Result(route, 200, route.capturedGroups(r, List.of()), Set.of());
             }
-            say(why, () -> "not route " + route.name() + ": " + unfit);
+            addLine(explanation, () -> "not route " + route.name() + ": " + mismatch);
         }
-        Paths.Found<List<Route>> place = host.host().paths().find(r.path());
-        if (place == null) {
-            say(why, () -> "no place fits " + r.path());
-            return new Found(null, 404, List.of(), Set.of());
+        PathTable.Match<List<Route>> location = host.host().paths().find(r.path());
+        if (location == null) {
+            addLine(explanation, () -> "no place fits " + r.path());
+            return new Result(null, 404, List.of(), Set.of());
         }
-        say(why, () -> "place " + place.kind().name().toLowerCase(Locale.ROOT).replace('_', '-') + " " + place.text());
-        boolean method = false;
-        for (Route route : place.target()) {
-            String unfit = route.unfit(r);
-            if (unfit == null) {
-                say(why, () -> "route " + route.name());
-                return new Found(route, 200, route.caught(r, place.groups()), Set.of());
+        addLine(
+                explanation,
+                () -> "place " + location.kind().name().toLowerCase(Locale.ROOT).replace('_', '-') + " "
+                        + location.text());
+        boolean methodAccepted = false;
+        for (Route route : location.target()) {
+            String mismatch = route.mismatch(r);
+            if (mismatch == null) {
+                addLine(explanation, () -> "route " + route.name());
+                return new Result(route, 200, route.capturedGroups(r, location.groups()), Set.of());
             }
-            say(why, () -> "not route " + route.name() + ": " + unfit);
-            method |= route.takesMethod(r.method());
+            addLine(explanation, () -> "not route " + route.name() + ": " + mismatch);
+            methodAccepted |= route.acceptsMethod(r.method());
         }
         Set<String> allowed = new TreeSet<>();
-        if (!method) {
-            place.target().forEach(route -> allowed.addAll(route.methods()));
+        if (!methodAccepted) {
+            location.target().forEach(route -> allowed.addAll(route.methods()));
         }
-        return new Found(null, method ? 404 : 405, place.groups(), allowed);
+        return new Result(null, methodAccepted ? 404 : 405, location.groups(), allowed);
     }
 
-    private static void say(List<String> why, Supplier<String> line) {
-        if (why != null) {
-            why.add(line.get());
+    private static void addLine(List<String> explanation, Supplier<String> line) {
+        if (explanation != null) {
+            explanation.add(line.get());
         }
     }
 }
--- a/src/main/java/gullspar/route/Template.java
+++ b/src/main/java/gullspar/route/Template.java
@@ -12,13 +12,13 @@
  */
 public final class Template {
     /** Who knows what a name stands for; null or empty for what is not there. */
-    public interface Values {
-        String value(String name);
+    public interface VariableResolver {
+        String resolve(String name);
     }
 
-    private record Part(String text, boolean named) {}
+    private record Part(String text, boolean isVariable) {}
 
-    private static final Set<String> NAMES = Set.of(
+    private static final Set<String> VARIABLES = Set.of(
             "client",
             "host",
             "host_header",
@@ -33,65 +33,65 @@
             "route",
             "pool",
             "forwarded_for");
-    private static final Pattern OF_REQUEST = Pattern.compile("(header|cookie|arg)\\.[!-~&&[^{}]]+|[0-9]");
+    private static final Pattern VARIABLE_PATTERN = Pattern.compile("(header|cookie|arg)\\.[!-~&&[^{}]]+|[0-9]");
 
-    private final String written;
+    private final String source;
     private final List<Part> parts;
 
     private Template(String written, List<Part> parts) {
-        this.written = written;
+        this.source = written;
         this.parts = List.copyOf(parts);
     }
 
     /** Reads one; an IllegalArgumentException for a name that stands for nothing, or a brace left open. */
     public static Template parse(String text) {
         List<Part> parts = new ArrayList<>();
-        StringBuilder plain = new StringBuilder();
+        StringBuilder literal = new StringBuilder();
         int at = 0;
         while (at < text.length()) {
             if (text.startsWith("$${", at)) {
-                plain.append("${");
+                literal.append("${");
                 at += 3;
             } else if (text.startsWith("${", at)) {
                 int end = text.indexOf('}', at);
                 if (end < 0) {
                     throw new IllegalArgumentException("'${' with no '}' in '" + text + "'");
                 }
-                parts.add(new Part(plain.toString(), false));
-                plain.setLength(0);
-                parts.add(new Part(known(text.substring(at + 2, end)), true));
+                parts.add(new Part(literal.toString(), false));
+                literal.setLength(0);
+                parts.add(new Part(requireKnown(text.substring(at + 2, end)), true));
                 at = end + 1;
             } else {
-                plain.append(text.charAt(at++));
+                literal.append(text.charAt(at++));
             }
         }
-        parts.add(new Part(plain.toString(), false));
+        parts.add(new Part(literal.toString(), false));
         parts.removeIf(p -> p.text().isEmpty());
         return new Template(text, parts);
     }
 
-    private static String known(String name) {
-        if (!NAMES.contains(name) && !OF_REQUEST.matcher(name).matches()) {
+    private static String requireKnown(String name) {
+        if (!VARIABLES.contains(name) && !VARIABLE_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException("'${" + name + "}' stands for nothing; there are "
-                    + String.join(", ", NAMES.stream().sorted().toList())
+                    + String.join(", ", VARIABLES.stream().sorted().toList())
                     + ", header.NAME, cookie.NAME, arg.NAME and 0 to 9");
         }
         return name;
     }
 
     /** A text that is as it stands, whatever it holds. */
-    public static Template plain(String text) {
+    public static Template literal(String text) {
         return new Template(text.replace("${", "$${"), text.isEmpty() ? List.of() : List.of(new Part(text, false)));
     }
 
     /** The text with all places filled. */
-    public String fill(Values values) {
-        if (parts.size() == 1 && !parts.get(0).named()) {
+    public String expand(VariableResolver resolver) {
+        if (parts.size() == 1 && !parts.get(0).isVariable()) {
             return parts.get(0).text();
         }
         StringBuilder s = new StringBuilder();
         for (Part p : parts) {
-            String v = p.named() ? values.value(p.text()) : p.text();
+            String v = p.isVariable() ? resolver.resolve(p.text()) : p.text();
             s.append(v == null ? "" : v);
         }
         return s.toString();
@@ -100,17 +100,17 @@
     /** As it was written. */
     @Override
     public String toString() {
-        return written;
+        return source;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Template t && t.written.equals(written);
+        return other instanceof Template t && t.source.equals(source);
     }
 
     @Override
     public int hashCode() {
-        return written.hashCode();
+        return source.hashCode();
     }
 
     /** The value of a cookie among the values of Cookie headers; empty if it is not there. */
@@ -127,7 +127,7 @@
     }
 
     /** The value of an argument in a query, as it came; empty if it is not there. */
-    public static String argument(String query, String name) {
+    public static String queryArgument(String query, String name) {
         if (query != null) {
             for (String pair : query.split("&")) {
                 int eq = pair.indexOf('=');
--- a/src/main/java/gullspar/site/Call.java
+++ b/src/main/java/gullspar/site/Call.java
@@ -41,7 +41,7 @@
     private final Pool pool;
     private final PlainClient client;
     private final PlainRequest request;
-    private final Route.ToPool to;
+    private final Route.PoolTarget to;
     private final Values values;
     private final Site.Forwarded forwarded;
     private final Consumer<Call> ended;
@@ -64,7 +64,7 @@
             Pool pool,
             PlainClient client,
             PlainRequest request,
-            Router.Found found,
+            Router.Result found,
             Site.Forwarded forwarded,
             Consumer<Call> ended) {
         this.pool = pool;
@@ -83,7 +83,7 @@
                 .loop()
                 .schedule(this::overdue, time - Math.min(BACKSTOP_NS, margin / 2), TimeUnit.NANOSECONDS);
         int profile = pool.profile(Classes.profile(
-                Route.kind(to.kind(), request.method().name()),
+                Route.resolveClass(to.requestClass(), request.method().name()),
                 request.headers().contains("Idempotency-Key"),
                 to.limits()));
         tell((at, module) ->
@@ -206,7 +206,7 @@
      */
     private Status status(HttpResponse head) {
         int code = head.status().code();
-        if (to.limits().retryOn().contains(code)) {
+        if (to.limits().retryStatuses().contains(code)) {
             return (code == 503 || code == 504) && "1".equals(head.headers().get("Not-Started"))
                     ? Status.FULL
                     : Status.ERROR;
--- a/src/main/java/gullspar/site/Classes.java
+++ b/src/main/java/gullspar/site/Classes.java
@@ -16,7 +16,7 @@
     private final List<Profile> all = new ArrayList<>();
 
     Classes() {
-        place(profile(Route.Kind.SAFE, false, new Route.Limits(60_000_000_000L, 3, 0, 0, Set.of(), 0)));
+        place(profile(Route.RequestClass.SAFE, false, new Route.Limits(60_000_000_000L, 3, 0, 0, Set.of(), 0)));
     }
 
     List<Profile> all() {
@@ -39,21 +39,21 @@
      * What the module is to know of requests of a kind; keyed: it has an Idempotency-Key. Without one a
      * request of a keyed route may not run twice.
      */
-    static Profile profile(Route.Kind kind, boolean keyed, Route.Limits limits) {
-        Effect effect = kind == Route.Kind.SAFE
+    static Profile profile(Route.RequestClass kind, boolean keyed, Route.Limits limits) {
+        Effect effect = kind == Route.RequestClass.SAFE
                 ? Effect.IDEMPOTENT
-                : kind == Route.Kind.KEYED && keyed ? Effect.DEDUPLICATED : Effect.AT_MOST_ONCE;
+                : kind == Route.RequestClass.KEYED && keyed ? Effect.DEDUPLICATED : Effect.AT_MOST_ONCE;
         return new Profile(
                 effect,
                 Scope.ALL,
-                effect == Effect.DEDUPLICATED ? limits.rememberedNs() : 0,
+                effect == Effect.DEDUPLICATED ? limits.keyRetentionNs() : 0,
                 limits.deadlineNs(),
                 limits.deadlineNs(),
                 1,
                 1,
                 true,
                 false,
-                limits.attempts(),
-                limits.attemptNs());
+                limits.maxAttempts(),
+                limits.attemptTimeoutNs());
     }
 }
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -14,7 +14,7 @@
 import gullspar.proxy.events.Events;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Sockets;
-import gullspar.route.Members;
+import gullspar.route.ServerRotation;
 import gullspar.site.backend.PlainBackends;
 import java.util.HashMap;
 import java.util.List;
@@ -44,7 +44,7 @@
     private final Map<Integer, Call> calls = new HashMap<>();
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Map<Integer, String> names = new HashMap<>();
-    private final Members members = new Members(List.of());
+    private final ServerRotation members = new ServerRotation(List.of());
     private final Discovery discovery;
     private Site.Pool declared;
     private long retryAfterNs;
@@ -107,8 +107,8 @@
         if (declared.balance() != next.balance() || !Objects.equals(declared.discovery(), next.discovery())) {
             return false;
         }
-        boolean same =
-                declared.servers().equals(next.servers()) && declared.places().equals(next.places());
+        boolean same = declared.servers().equals(next.servers())
+                && declared.endpoints().equals(next.endpoints());
         retryAfterNs = retryNs;
         declared = next;
         backends.limit(next.connections());
@@ -120,10 +120,11 @@
 
     /** Takes in the servers as they are declared now. */
     private void serve() {
-        members.declare(declared.servers());
-        Set<Integer> now = declared.places().keySet().stream().map(this::number).collect(Collectors.toSet());
+        members.reconfigure(declared.servers());
+        Set<Integer> now =
+                declared.endpoints().keySet().stream().map(this::number).collect(Collectors.toSet());
         names.keySet().stream().filter(id -> !now.contains(id)).toList().forEach(this::forget);
-        declared.places().forEach((name, place) -> {
+        declared.endpoints().forEach((name, place) -> {
             names.put(number(name), name);
             backends.ready(number(name), place.address(), place.maxConnections());
         });
@@ -132,7 +133,8 @@
 
     /** By which the module knows a server: another address is another server. */
     private int number(String name) {
-        return numbers.computeIfAbsent(name + " " + declared.places().get(name).address(), n -> numbers.size() + 1);
+        return numbers.computeIfAbsent(
+                name + " " + declared.endpoints().get(name).address(), n -> numbers.size() + 1);
     }
 
     private void forget(int id) {
@@ -179,11 +181,11 @@
             return;
         }
         long now = platform.clock().now();
-        List<Member> list = members.listed(now).stream()
+        List<Member> list = members.listedServers(now).stream()
                 .map(l -> new Member(number(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
                 .toList();
         events.news((at, module) -> module.onMembers(at, ListKind.FULL, 0, list));
-        long next = members.changesAt(now);
+        long next = members.nextChangeAtNs(now);
         if (next < changesAt || changesAt <= now) {
             changesAt = next;
             if (next != Long.MAX_VALUE) {
@@ -201,7 +203,7 @@
 
     @Override
     public void full(int server, boolean full) {
-        if (names.containsKey(server) && members.full(names.get(server), full)) {
+        if (names.containsKey(server) && members.setFull(names.get(server), full)) {
             list();
         }
     }
@@ -213,10 +215,10 @@
             return;
         }
         switch (status) {
-            case OK, MOOT -> members.answered(name);
+            case OK, MOOT -> members.onResponse(name);
             case FULL, CANCELLED -> {}
             default -> {
-                if (members.failed(name, platform.clock().now())) {
+                if (members.onFailure(name, platform.clock().now())) {
                     platform.log().say("pool " + declared.name() + ": " + name + " is out for its failures");
                     list();
                 }
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -72,9 +72,9 @@
             return false;
         }
         Platform platform = Platform.of(serving);
-        OperatorPort port = site.operators().operator() == null
+        OperatorPort port = site.operators().operatorAddress() == null
                 ? null
-                : listen(site.operators().operator(), platform);
+                : listen(site.operators().operatorAddress(), platform);
         SiteProxy proxy = SiteProxy.start(site, platform, factory, System.nanoTime());
         Companion beside = site.operators().fleet() == null
                 ? null
--- a/src/main/java/gullspar/site/SiteProxy.java
+++ b/src/main/java/gullspar/site/SiteProxy.java
@@ -67,12 +67,12 @@
         this.platform = platform;
         this.factory = factory;
         this.seed = seed;
-        this.sockets = new Sockets(site.limits().sockets());
+        this.sockets = new Sockets(site.limits().maxSockets());
         this.clients = new Clients(
                 platform,
                 sockets.clients,
                 site.limits(),
-                new BodyBudget(site.limits().bodyBytes()),
+                new BodyBudget(site.limits().maxBodyBytes()),
                 seed,
                 this);
         sockets.backends.whenFull(() -> pools.values().stream().anyMatch(Pool::closeOneIdle)
@@ -252,7 +252,7 @@
         pools.values().forEach(Pool::sweep);
         leaving.removeIf(Pool::done);
         long now = platform.clock().now();
-        List.copyOf(calls).forEach(c -> c.check(now, site.limits().stallNs()));
+        List.copyOf(calls).forEach(c -> c.check(now, site.limits().stallTimeoutNs()));
     }
 
     // ---- requests ----
@@ -263,7 +263,7 @@
     }
 
     @Override
-    public Clients.Taken taken(PlainClient client, PlainRequest request, Router.Found found) {
+    public Clients.Taken taken(PlainClient client, PlainRequest request, Router.Result found) {
         Pool p = pools.get(found.route().pool().pool());
         if (p == null) { // the route was found before a reload took its pool away; nothing has gone out
             HttpHeaders headers = new DefaultHttpHeaders();
@@ -306,7 +306,7 @@
             draining = true;
             listening.values().forEach(Channel::close);
             clients.drain();
-            long until = platform.clock().now() + site.limits().drainNs();
+            long until = platform.clock().now() + site.limits().drainTimeoutNs();
             whenEmpty(until);
         });
         return ended;
--- a/src/main/java/gullspar/site/backend/PlainBackends.java
+++ b/src/main/java/gullspar/site/backend/PlainBackends.java
@@ -104,7 +104,7 @@
     }
 
     private boolean fresh(PlainConnection c) {
-        return platform.clock().now() - c.idleSince() < connections.keepAliveNs();
+        return platform.clock().now() - c.idleSince() < connections.idleTimeoutNs();
     }
 
     // ---- attempts ----
@@ -154,7 +154,8 @@
         PlainConnection c = new PlainConnection(a.backend, platform.clock(), this);
         Bootstrap bootstrap = platform.transport()
                 .to(a.backend.address)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connections.connectNs() / 1_000_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        Math.max(1, connections.connectTimeoutNs() / 1_000_000))
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 4096, MOST_READ))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -197,10 +198,10 @@
     @Override
     public boolean keep(PlainConnection c) {
         PlainBackend b = c.backend();
-        if (b.leftAt != 0 || connections.keepAlive() == 0) {
+        if (b.leftAt != 0 || connections.maxIdle() == 0) {
             return false;
         }
-        if (b.idle.size() >= connections.keepAlive()) {
+        if (b.idle.size() >= connections.maxIdle()) {
             b.idle.pollFirst().close();
         }
         b.idle.addLast(c);
--- a/src/main/java/gullspar/site/client/Clients.java
+++ b/src/main/java/gullspar/site/client/Clients.java
@@ -26,7 +26,7 @@
 public final class Clients {
     /** Who takes the requests that have a route to a pool. */
     public interface Taker {
-        Taken taken(PlainClient client, PlainRequest request, Router.Found found);
+        Taken taken(PlainClient client, PlainRequest request, Router.Result found);
 
         /** The routes of what comes to a listener. */
         Router router(InetSocketAddress listener);
@@ -76,7 +76,7 @@
     /** Other limits from now on. */
     public void limit(Site.Limits next) {
         limits = next;
-        budget.limit(next.bodyBytes());
+        budget.limit(next.maxBodyBytes());
     }
 
     /** A new connection that came to a listener. */
@@ -112,7 +112,7 @@
     /** Ends connections that keep the proxy waiting; to be called now and then. */
     public void sweep() {
         long now = platform.clock().now();
-        List.copyOf(open).forEach(c -> c.check(now, limits.requestNs(), limits.idleNs()));
+        List.copyOf(open).forEach(c -> c.check(now, limits.requestTimeoutNs(), limits.idleTimeoutNs()));
     }
 
     /** Answers from now on end their connections, idle ones end now. */
@@ -150,11 +150,11 @@
         return budget;
     }
 
-    Router.Found find(InetSocketAddress listener, Request r) {
+    Router.Result find(InetSocketAddress listener, Request r) {
         return taker.router(listener).find(r);
     }
 
-    Taken taken(PlainClient client, PlainRequest request, Router.Found found) {
+    Taken taken(PlainClient client, PlainRequest request, Router.Result found) {
         return taker.taken(client, request, found);
     }
 
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -62,7 +62,7 @@
     private Target target;
     private String host;
     private Request routed;
-    private Router.Found found;
+    private Router.Result found;
     private Body body;
     /** The request in hand; null while none is. */
     private PlainRequest request;
@@ -274,8 +274,8 @@
                 owner.id(r.headers().getAll("Request-Id")),
                 r.headers()::getAll);
         found = owner.find(listener, routed);
-        Route.ToPool to = found.route() == null ? null : found.route().pool();
-        long most = to == null ? 0 : to.limits().bodyBytes();
+        Route.PoolTarget to = found.route() == null ? null : found.route().pool();
+        long most = to == null ? 0 : to.limits().maxBodyBytes();
         boolean comes = HttpUtil.isTransferEncodingChunked(r) || HttpUtil.getContentLength(r, 0L) > 0;
         if (to != null && HttpUtil.getContentLength(r, 0L) > most) {
             end(413, "the body is too long"); // not read first: it may be of any length
@@ -309,11 +309,11 @@
         Route route = found.route();
         if (route == null) {
             HttpHeaders h = new DefaultHttpHeaders();
-            if (!found.allowed().isEmpty()) {
-                h.set(HttpHeaderNames.ALLOW, String.join(", ", found.allowed()));
+            if (!found.allowedMethods().isEmpty()) {
+                h.set(HttpHeaderNames.ALLOW, String.join(", ", found.allowedMethods()));
             }
             answer(found.status(), h, found.status() == 405 ? "this method is not allowed here" : "nothing is here");
-        } else if (route.answer() != null) {
+        } else if (route.fixedResponse() != null) {
             fixed(route);
         } else {
             taken = owner.taken(this, request, found);
@@ -321,13 +321,13 @@
     }
 
     private void fixed(Route route) {
-        Route.Answer a = route.answer();
+        Route.FixedResponse a = route.fixedResponse();
         Values values = new Values(request, found.groups(), route.name(), null);
         HttpHeaders h = new DefaultHttpHeaders();
         if (a.location() != null) {
-            h.set(HttpHeaderNames.LOCATION, Values.clean(a.location().fill(values)));
+            h.set(HttpHeaderNames.LOCATION, Values.clean(a.location().expand(values)));
         }
-        String text = a.body().fill(values);
+        String text = a.body().expand(values);
         if (!text.isEmpty()) {
             h.set(HttpHeaderNames.CONTENT_TYPE, a.type());
         }
--- a/src/main/java/gullspar/site/http/Heads.java
+++ b/src/main/java/gullspar/site/http/Heads.java
@@ -24,17 +24,17 @@
 
     /** The head of an attempt; leftNs is what is left of the request's time. */
     public static HttpRequest request(
-            PlainRequest r, Route.ToPool to, Values values, Forwarded forwarded, long leftNs) {
+            PlainRequest r, Route.PoolTarget to, Values values, Forwarded forwarded, long leftNs) {
         String uri = to.rewrite() == Rewrite.NONE
                 ? r.target().raw()
-                : r.target().with(to.rewrite().of(r.target().path()));
+                : r.target().with(to.rewrite().apply(r.target().path()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, r.method(), uri);
         HttpHeaders h = head.headers();
         Hops.copy(r.headers(), r.version(), h);
         h.set(HttpHeaderNames.HOST, r.host());
         h.set("Request-Id", r.id());
         forward(r, h, forwarded);
-        values.change(h, to.request(), 0);
+        values.change(h, to.requestHeaders(), 0);
         h.set("Request-Timeout", Message.seconds(Math.max(1000, leftNs)));
         if (!r.trailers().isEmpty()) {
             HttpUtil.setTransferEncodingChunked(head, true);
@@ -83,14 +83,14 @@
      * The head of an answer that goes on: with a length where its server gave one, in chunks where the client
      * reads those, and else up to the end of the connection.
      */
-    public static HttpResponse answer(HttpResponse from, PlainRequest r, Route.ToPool to, Values values) {
+    public static HttpResponse answer(HttpResponse from, PlainRequest r, Route.PoolTarget to, Values values) {
         HttpResponse head = new DefaultHttpResponse(
                 HttpVersion.HTTP_1_1,
                 from.status(),
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false));
         int code = from.status().code();
         Hops.copy(from.headers(), from.protocolVersion(), head.headers());
-        values.change(head.headers(), to.answer(), code);
+        values.change(head.headers(), to.responseHeaders(), code);
         String length = from.headers().get(HttpHeaderNames.CONTENT_LENGTH);
         if (length != null && code != 204) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
--- a/src/main/java/gullspar/site/http/PlainRequest.java
+++ b/src/main/java/gullspar/site/http/PlainRequest.java
@@ -27,7 +27,7 @@
 
     /** Its Request-Id, or one made here. */
     public String id() {
-        return routed.id();
+        return routed.requestId();
     }
 
     public boolean head() {
--- a/src/main/java/gullspar/site/http/Values.java
+++ b/src/main/java/gullspar/site/http/Values.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** What the names in templates stand for, with one request. */
-public final class Values implements Template.Values {
+public final class Values implements Template.VariableResolver {
     private final PlainRequest request;
     private final List<String> groups;
     private final String route;
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public String value(String name) {
+    public String resolve(String name) {
         if (Character.isDigit(name.charAt(0))) {
             int group = name.charAt(0) - '0';
             return group < groups.size() ? groups.get(group) : "";
@@ -30,7 +30,7 @@
         return switch (name) {
             case "route" -> route;
             case "pool" -> pool;
-            default -> request.routed().value(name);
+            default -> request.routed().resolve(name);
         };
     }
 
@@ -41,7 +41,7 @@
     public void change(HttpHeaders headers, HeaderChanges changes, int status) {
         changes.remove().forEach(headers::remove);
         changes.set().forEach((name, template) -> {
-            String v = clean(template.fill(this));
+            String v = clean(template.expand(this));
             if (v.isEmpty()) {
                 headers.remove(name);
             } else {
@@ -49,14 +49,14 @@
             }
         });
         add(headers, changes.add());
-        if (HeaderChanges.ok(status)) {
+        if (HeaderChanges.isAddOkStatus(status)) {
             add(headers, changes.addOk());
         }
     }
 
     private void add(HttpHeaders headers, Map<String, Template> more) {
         more.forEach((name, template) -> {
-            String v = clean(template.fill(this));
+            String v = clean(template.expand(this));
             if (!v.isEmpty()) {
                 headers.add(name, v);
             }
--- a/src/main/java/gullspar/toml/Blocks.java
+++ b/src/main/java/gullspar/toml/BlockParser.java
@@ -18,50 +18,50 @@
  * the beginning of a line), and a block that was there before is not parsed again. Where a text has errors,
  * or might mean something else in blocks than as a whole, it is not read so. Not for several threads.
  */
-public final class Blocks {
+public final class BlockParser {
     private static final Pattern HEADER = Pattern.compile("(?m)^\\[\\[([A-Za-z0-9_-]+)]][ \\t]*(?:#.*)?\r?$");
 
-    private Map<String, TomlParseResult> parsed = new HashMap<>();
+    private Map<String, TomlParseResult> cachedBlocks = new HashMap<>();
 
     /** The text's fields; null if it has to be parsed as a whole. */
-    public Fields read(String text, List<Problem> problems) {
+    public TableReader read(String text, List<Problem> problems) {
         if (text.contains("\"\"\"") || text.contains("'''")) {
             return null; // a header in a string of several lines is none
         }
-        Map<String, TomlParseResult> now = new HashMap<>();
-        List<Fields.Part> parts = new ArrayList<>();
+        Map<String, TomlParseResult> currentBlocks = new HashMap<>();
+        List<TableReader.Part> parts = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         Matcher m = HEADER.matcher(text);
         int start = 0;
         int line = 0;
         String header = null;
-        boolean more = true;
-        while (more) {
-            more = m.find();
-            int end = more ? m.start() : text.length();
+        boolean hasMore = true;
+        while (hasMore) {
+            hasMore = m.find();
+            int end = hasMore ? m.start() : text.length();
             String block = text.substring(start, end);
-            TomlParseResult t = now.get(block);
+            TomlParseResult t = currentBlocks.get(block);
             if (t == null) {
-                t = parsed.get(block);
+                t = cachedBlocks.get(block);
             }
             if (t == null) {
                 t = Toml.parse(block);
             }
-            if (t.hasErrors() || !alone(t, header, seen)) {
+            if (t.hasErrors() || !isIndependent(t, header, seen)) {
                 return null;
             }
-            now.put(block, t);
-            parts.add(new Fields.Part(t, line));
+            currentBlocks.put(block, t);
+            parts.add(new TableReader.Part(t, line));
             line += (int) block.chars().filter(c -> c == '\n').count();
             start = end;
-            header = more ? m.group(1) : null;
+            header = hasMore ? m.group(1) : null;
         }
-        parsed = now;
-        return new Fields(parts, "", TomlPosition.positionAt(1, 1), problems);
+        cachedBlocks = currentBlocks;
+        return new TableReader(parts, "", TomlPosition.positionAt(1, 1), problems);
     }
 
     /** Does it hold nothing that another block holds too, but for elements of the array it begins with? */
-    private static boolean alone(TomlTable t, String header, Set<String> seen) {
+    private static boolean isIndependent(TomlTable t, String header, Set<String> seen) {
         for (String key : t.keySet()) {
             if (key.equals(header)) {
                 if (seen.contains(key)) {
--- a/src/main/java/gullspar/toml/ProblemsException.java
+++ b/src/main/java/gullspar/toml/ProblemsException.java
@@ -25,7 +25,7 @@
                         .append(':')
                         .append(p.column())
                         .append(": ")
-                        .append(p.what()));
+                        .append(p.message()));
         return text.toString();
     }
 
--- a/src/main/java/gullspar/toml/Range.java
+++ b/src/main/java/gullspar/toml/Range.java
@@ -9,7 +9,7 @@
         return from + (to - from) * at;
     }
 
-    public double middle() {
+    public double midpoint() {
         return (from + to) / 2;
     }
 }
--- /dev/null
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -0,0 +1,350 @@
+package gullspar.toml;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import org.tomlj.Toml;
+import org.tomlj.TomlArray;
+import org.tomlj.TomlPosition;
+import org.tomlj.TomlTable;
+
+/**
+ * One table of a TOML text, read strictly: every key that is not asked for, every value of a wrong type or
+ * out of its bounds becomes a problem at its place, and reading goes on, so that all problems come at once.
+ */
+public final class TableReader {
+    /** A value in place of one that is missing or wrong, so that reading can go on. */
+    private static final double MISSING = Double.NaN;
+
+    /** A table as it was parsed, and how many lines stand ahead of the text that it was parsed from. */
+    record Part(TomlTable table, int lineOffset) {}
+
+    private static final TomlTable EMPTY = Toml.parse("");
+
+    /** One, but for a text that was parsed in blocks: each key but arrays of tables is in one of them. */
+    private final List<Part> parts;
+
+    private final String name;
+    private final TomlPosition position;
+    private final List<Problem> problems;
+    private final Set<String> readKeys = new HashSet<>();
+
+    public TableReader(TomlTable table, String name, TomlPosition place, List<Problem> problems) {
+        this(List.of(new Part(table, 0)), name, place, problems);
+    }
+
+    TableReader(List<Part> parts, String name, TomlPosition place, List<Problem> problems) {
+        this.parts = parts;
+        this.name = name;
+        this.position = place;
+        this.problems = problems;
+    }
+
+    public TomlPosition position() {
+        return position;
+    }
+
+    /** The part that holds the key; the first one if none does. */
+    private Part part(String key) {
+        for (Part p : parts) {
+            if (p.table.contains(List.of(key))) {
+                return p;
+            }
+        }
+        return parts.get(0);
+    }
+
+    private static TomlPosition shift(TomlPosition p, int lineOffset) {
+        return lineOffset == 0 ? p : TomlPosition.positionAt(p.line() + lineOffset, p.column());
+    }
+
+    private TomlPosition positionOf(String key) {
+        Part in = part(key);
+        TomlPosition p = in.table.inputPositionOf(List.of(key));
+        return p == null ? position : shift(p, in.lineOffset);
+    }
+
+    private void addProblemAt(TomlPosition at, String what) {
+        problems.add(new Problem(at.line(), at.column(), what));
+    }
+
+    /** Something is wrong with the value of a key. */
+    public void addProblem(String key, String what) {
+        addProblemAt(positionOf(key), key + " " + what);
+    }
+
+    /** Something is wrong with the table as a whole. */
+    public void addProblem(String what) {
+        addProblemAt(position, what);
+    }
+
+    private Object value(String key) {
+        readKeys.add(key);
+        return part(key).table.get(List.of(key));
+    }
+
+    public boolean has(String key) {
+        readKeys.add(key);
+        return part(key).table.contains(List.of(key));
+    }
+
+    public boolean isNumber(String key) {
+        return part(key).table.get(List.of(key)) instanceof Number;
+    }
+
+    private void addMissing(String key) {
+        addProblemAt(position, (name.isEmpty() ? "" : name + ": ") + key + " is missing");
+    }
+
+    private static String typeName(Object value) {
+        if (value instanceof String) {
+            return "a string";
+        } else if (value instanceof Long || value instanceof Double) {
+            return "a number";
+        } else if (value instanceof Boolean) {
+            return "true or false";
+        } else if (value instanceof TomlArray) {
+            return "an array";
+        }
+        return value instanceof TomlTable ? "a table" : "a date or time";
+    }
+
+    private boolean checkRange(String key, double v, double min, double max) {
+        if (v >= min && v <= max) {
+            return true;
+        }
+        addProblem(
+                key,
+                "is " + formatNumber(v) + ", not " + formatNumber(min)
+                        + (max < 1e300 ? " to " + formatNumber(max) : " or more"));
+        return false;
+    }
+
+    public static String formatNumber(double v) {
+        return v == Math.rint(v) && Math.abs(v) < 1e15 ? Long.toString((long) v) : String.valueOf(v);
+    }
+
+    /** A number that must be there. */
+    public double number(String key, double min, double max) {
+        if (!has(key)) {
+            addMissing(key);
+            return min;
+        }
+        return number(key, MISSING, min, max);
+    }
+
+    public double number(String key, double defaultValue, double min, double max) {
+        Object v = value(key);
+        if (v == null) {
+            return defaultValue;
+        }
+        if (!(v instanceof Number n)) {
+            addProblem(key, "must be a number, not " + typeName(v));
+            return min;
+        }
+        return checkRange(key, n.doubleValue(), min, max) ? n.doubleValue() : min;
+    }
+
+    /** A whole number that must be there. */
+    public int integer(String key, int min, int max) {
+        if (!has(key)) {
+            addMissing(key);
+            return min;
+        }
+        return integer(key, min, min, max);
+    }
+
+    public int integer(String key, int defaultValue, int min, int max) {
+        Object v = value(key);
+        if (v == null) {
+            return defaultValue;
+        }
+        if (!(v instanceof Long n)) {
+            addProblem(key, "must be a whole number, not " + (v instanceof Double ? String.valueOf(v) : typeName(v)));
+            return min;
+        }
+        return checkRange(key, n, min, max) ? (int) (long) n : min;
+    }
+
+    public boolean bool(String key, boolean defaultValue) {
+        Object v = value(key);
+        if (v == null || v instanceof Boolean) {
+            return v == null ? defaultValue : (Boolean) v;
+        }
+        addProblem(key, "must be true or false, not " + typeName(v));
+        return defaultValue;
+    }
+
+    public String string(String key) {
+        if (!has(key)) {
+            addMissing(key);
+            return "";
+        }
+        return string(key, "");
+    }
+
+    public String string(String key, String defaultValue) {
+        Object v = value(key);
+        if (v == null || v instanceof String) {
+            return v == null ? defaultValue : (String) v;
+        }
+        addProblem(key, "must be a string, not " + typeName(v));
+        return defaultValue;
+    }
+
+    /** One of the names of an enumeration, in small letters with hyphens. */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+        if (defaultValue == null && !has(key)) {
+            addMissing(key);
+            return type.getEnumConstants()[0];
+        }
+        String text = string(key, null);
+        if (text == null) {
+            return defaultValue == null ? type.getEnumConstants()[0] : defaultValue;
+        }
+        List<String> names = new ArrayList<>();
+        for (E e : type.getEnumConstants()) {
+            names.add(tomlName(e));
+            if (tomlName(e).equals(text)) {
+                return e;
+            }
+        }
+        addProblem(key, "is '" + text + "', not one of " + String.join(", ", names));
+        return type.getEnumConstants()[0];
+    }
+
+    public static String tomlName(Enum<?> e) {
+        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    }
+
+    /** A number, or a range of two to draw from. */
+    public Range range(String key, double min, double max) {
+        if (!has(key)) {
+            addMissing(key);
+            return new Range(min, min);
+        }
+        return range(key, new Range(min, min), min, max);
+    }
+
+    public Range range(String key, Range defaultValue, double min, double max) {
+        Object v = value(key);
+        if (v == null) {
+            return defaultValue;
+        }
+        if (v instanceof Number) {
+            double n = number(key, min, max);
+            return new Range(n, n);
+        }
+        if (!(v instanceof TomlArray a)
+                || a.size() != 2
+                || !(a.get(0) instanceof Number)
+                || !(a.get(1) instanceof Number)) {
+            addProblem(
+                    key,
+                    "must be a number or an array of two, not "
+                            + (v instanceof TomlArray ? "another array" : typeName(v)));
+            return defaultValue;
+        }
+        Range r = new Range(((Number) a.get(0)).doubleValue(), ((Number) a.get(1)).doubleValue());
+        if (r.from() > r.to()) {
+            addProblem(key, "runs from the larger to the smaller");
+        } else {
+            checkRange(key, r.from(), min, max);
+            checkRange(key, r.to(), min, max);
+        }
+        return r;
+    }
+
+    /** Strings, none twice. */
+    public List<String> stringList(String key, List<String> defaultValue) {
+        Object v = value(key);
+        if (v == null) {
+            return defaultValue;
+        }
+        if (v instanceof String s) {
+            return List.of(s);
+        }
+        List<String> texts = new ArrayList<>();
+        if (v instanceof TomlArray a) {
+            for (int i = 0; i < a.size(); i++) {
+                if (!(a.get(i) instanceof String s)) {
+                    addProblemAt(
+                            shift(a.inputPositionOf(i), part(key).lineOffset),
+                            key + " must hold strings, not " + typeName(a.get(i)));
+                } else if (texts.contains(s)) {
+                    addProblemAt(shift(a.inputPositionOf(i), part(key).lineOffset), key + " holds '" + s + "' twice");
+                } else {
+                    texts.add(s);
+                }
+            }
+            return texts;
+        }
+        addProblem(key, "must be an array of strings, not " + typeName(v));
+        return defaultValue;
+    }
+
+    /** A table whose keys are free and whose values are strings, in their order; empty if it is not there. */
+    public Map<String, String> stringTable(String key) {
+        TableReader f = table(key);
+        Map<String, String> values = new LinkedHashMap<>();
+        f.parts.get(0).table.keySet().forEach(k -> values.put(k, f.string(k, "")));
+        return values;
+    }
+
+    /** The table of that name; an empty one if it is not there. */
+    public TableReader table(String key) {
+        Object v = value(key);
+        if (v != null && !(v instanceof TomlTable)) {
+            addProblem(key, "must be a table, not " + typeName(v));
+        }
+        TomlTable t = v instanceof TomlTable there ? there : EMPTY;
+        return new TableReader(
+                List.of(new Part(t, part(key).lineOffset)),
+                name.isEmpty() ? key : name + "." + key,
+                positionOf(key),
+                problems);
+    }
+
+    /** The tables of an array of tables. */
+    public List<TableReader> tables(String key) {
+        Object first = value(key);
+        List<TableReader> list = new ArrayList<>();
+        if (first != null && !(first instanceof TomlArray)) {
+            addProblem(key, "must be an array of tables ([[" + key + "]]), not " + typeName(first));
+            return list;
+        }
+        for (Part p : parts) {
+            if (p.table.get(List.of(key)) instanceof TomlArray a) {
+                tables(key, a, p.lineOffset, list);
+            }
+        }
+        return list;
+    }
+
+    private void tables(String key, TomlArray a, int lineOffset, List<TableReader> list) {
+        for (int i = 0; i < a.size(); i++) {
+            TomlPosition position = shift(a.inputPositionOf(i), lineOffset);
+            if (a.get(i) instanceof TomlTable t) {
+                list.add(new TableReader(List.of(new Part(t, lineOffset)), key, position, problems));
+            } else {
+                addProblemAt(position, key + " must hold tables, not " + typeName(a.get(i)));
+            }
+        }
+    }
+
+    /** To be called last: what has not been asked for is not known. */
+    public void rejectUnknownKeys() {
+        Set<String> reported = new HashSet<>();
+        for (Part p : parts) {
+            for (String key : p.table.keySet()) {
+                if (!readKeys.contains(key) && reported.add(key)) {
+                    addProblemAt(positionOf(key), (name.isEmpty() ? "" : name + ": ") + "unknown key '" + key + "'");
+                }
+            }
+        }
+    }
+}
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -99,10 +99,10 @@
         this.audience = new Audience(
                 platform.loop(),
                 platform.clock()::now,
-                new Audience.Paces(file.bytesPerSecond(), file.firstBytesPerSecond(), CONTROL_PACE),
-                file.snapshots(),
+                new Audience.Paces(file.maxBytesPerSecond(), file.maxInitialBytesPerSecond(), CONTROL_PACE),
+                file.maxSnapshots(),
                 history);
-        this.registry = new Registry(file.forgetNs(), MOST_FOLLOWERS);
+        this.registry = new Registry(file.forgetAfterNs(), MOST_FOLLOWERS);
         Set<String> others = new HashSet<>(file.controls().keySet());
         others.remove(file.name());
         this.publisher = file.name().equals(file.primary()) ? new Publisher(file.epoch(), others) : null;
--- a/src/main/java/gullspar/versions/net/Following.java
+++ b/src/main/java/gullspar/versions/net/Following.java
@@ -7,7 +7,7 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
 import gullspar.site.Source;
-import gullspar.toml.Blocks;
+import gullspar.toml.BlockParser;
 import gullspar.toml.ProblemsException;
 import gullspar.versions.Delta;
 import gullspar.versions.Document;
@@ -41,7 +41,7 @@
     private final FollowFile file;
     private final Store store;
     /** Read on the worker only. */
-    private final Blocks blocks = new Blocks();
+    private final BlockParser blocks = new BlockParser();
 
     private final ExecutorService worker;
     private final FollowerNode node;
@@ -67,7 +67,7 @@
                 file.name(),
                 Message.Role.PROXY,
                 new Follower.Settings(
-                        file.waitNs(), usual.silenceNs(), usual.leastNs(), usual.mostNs(), usual.retryNs()),
+                        file.startupWaitNs(), usual.silenceNs(), usual.leastNs(), usual.mostNs(), usual.retryNs()),
                 inOrder(file.name(), file.addresses()),
                 Platform.of(serving),
                 new SplittableRandom(System.nanoTime()),
@@ -78,7 +78,7 @@
 
     /** Takes the folder and looks what is there; an IOException if that cannot be. */
     public static Following of(FollowFile file) throws IOException {
-        return new Following(file, DiskFolder.hold(file.folder()));
+        return new Following(file, DiskFolder.hold(file.directory()));
     }
 
     /** The addresses in the order in which a follower of that name tries them. */
@@ -107,7 +107,8 @@
             try {
                 Site shared =
                         SiteReader.parse(d.text(), "version " + d.version().number(), blocks);
-                site = new Site(shared.listeners(), shared.pools(), shared.limits(), shared.forwarded(), file.own());
+                site = new Site(
+                        shared.listeners(), shared.pools(), shared.limits(), shared.forwarded(), file.operators());
                 if (!kept) {
                     store.keep(new Codec.Kept(d, null, List.of()));
                 }
--- a/src/main/java/gullspar/versions/net/SharedDocument.java
+++ b/src/main/java/gullspar/versions/net/SharedDocument.java
@@ -3,14 +3,14 @@
 import gullspar.config.OperatorsFile;
 import gullspar.config.Site;
 import gullspar.config.SiteReader;
-import gullspar.toml.Blocks;
+import gullspar.toml.BlockParser;
 import gullspar.toml.ProblemsException;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Looks at a change before anybody runs it. Not for several threads. */
 public final class SharedDocument {
-    private final Blocks blocks = new Blocks();
+    private final BlockParser blocks = new BlockParser();
 
     /** All that is wrong with it, a line each: what SiteReader finds, and what is one process's own. */
     public List<String> problems(String file, String text) {
@@ -22,7 +22,7 @@
         }
         List<String> problems = new ArrayList<>();
         OperatorsFile own = site.operators();
-        if (own.operator() != null) {
+        if (own.operatorAddress() != null) {
             problems.add(place(file, text, "operator"));
         }
         if (own.fleet() != null) {
--- a/src/test/java/gullspar/config/BlocksTest.java
+++ b/src/test/java/gullspar/config/BlockParserTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.route.Request;
-import gullspar.toml.Blocks;
+import gullspar.toml.BlockParser;
 import gullspar.toml.ProblemsException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,8 +18,8 @@
 
 /** A text that is read in blocks says what it says as a whole. */
 @Execution(ExecutionMode.CONCURRENT)
-class BlocksTest {
-    private static final List<String> ODD = List.of(
+class BlockParserTest {
+    private static final List<String> MUTATION_LINES = List.of(
             "[[host]]",
             " [[host]]",
             "[[host]] # one more",
@@ -48,13 +48,13 @@
             "path = 7",
             "\r");
 
-    private static String of(Site s) {
+    private static String describe(Site s) {
         StringBuilder all =
                 new StringBuilder().append(s.limits()).append(s.forwarded()).append(s.operators());
         s.pools().keySet().stream().sorted().forEach(p -> all.append(s.pools().get(p).servers().stream()
                         .map(d -> d.name() + d.weight())
                         .toList())
-                .append(s.pools().get(p).places()));
+                .append(s.pools().get(p).endpoints()));
         for (Site.Listener l : s.listeners()) {
             all.append(l.address());
             for (String host : List.of("shop.example.org", "a.shop.example.org", "elsewhere")) {
@@ -73,18 +73,18 @@
 
     private static String outcome(Reader r) {
         try {
-            return of(r.read());
+            return describe(r.read());
         } catch (ProblemsException e) {
             return e.getMessage();
         }
     }
 
     @Test
-    void whateverIsChangedItSaysTheSameAsTheWhole() throws Exception {
+    void blockwiseAndWholeParsingAgreeOnMutatedFiles() throws Exception {
         String example = Files.readString(Path.of("deploy/routes.example.toml"));
         SplittableRandom r = new SplittableRandom(11);
-        Blocks blocks = new Blocks();
-        int well = 0;
+        BlockParser blocks = new BlockParser();
+        int valid = 0;
         for (int i = 0; i < 400; i++) {
             List<String> lines = new ArrayList<>(Arrays.asList(example.split("\n", -1)));
             for (int k = r.nextInt(4); k > 0; k--) {
@@ -94,14 +94,14 @@
                     case 1 -> lines.add(at, lines.get(r.nextInt(lines.size())));
                     case 2 -> lines.set(at, lines.get(at).replaceFirst("[0-9]", "x"));
                     case 3 -> lines.set(at, lines.get(at).replaceFirst("[0-9]", "7"));
-                    default -> lines.add(at, ODD.get(r.nextInt(ODD.size())));
+                    default -> lines.add(at, MUTATION_LINES.get(r.nextInt(MUTATION_LINES.size())));
                 }
             }
             String text = String.join("\n", lines);
             String whole = outcome(() -> SiteReader.parse(text, "f"));
             assertEquals(whole, outcome(() -> SiteReader.parse(text, "f", blocks)), text);
-            well += whole.startsWith("f:") ? 0 : 1;
+            valid += whole.startsWith("f:") ? 0 : 1;
         }
-        assertTrue(well > 80 && well < 320, well + " were right");
+        assertTrue(valid > 80 && valid < 320, valid + " were right");
     }
 }
--- a/src/test/java/gullspar/config/OperatorsFileTest.java
+++ b/src/test/java/gullspar/config/OperatorsFileTest.java
@@ -19,13 +19,13 @@
     @TempDir
     Path folder;
 
-    private static String wrong(String text) {
+    private static String problemsOf(String text) {
         return assertThrows(ProblemsException.class, () -> OperatorsFile.parse(text, "o.toml"))
                 .getMessage();
     }
 
     @Test
-    void aFileWithAllOfItIsRead() throws Exception {
+    void readsEverySetting() throws Exception {
         OperatorsFile f = OperatorsFile.parse(
                 """
                 [operator]
@@ -42,16 +42,16 @@
                 bytes_per_second = 9000
                 """,
                 "o.toml");
-        assertEquals(9901, f.operator().getPort());
+        assertEquals(9901, f.operatorAddress().getPort());
         assertEquals("p7", f.fleet().name());
         assertEquals(2, f.fleet().seeds().size());
-        assertEquals(200_000_000L, f.fleet().intervalNs());
-        assertEquals(9000, f.fleet().bytesPerSecond());
+        assertEquals(200_000_000L, f.fleet().probeIntervalNs());
+        assertEquals(9000, f.fleet().maxBytesPerSecond());
         assertNull(OperatorsFile.parse("", "o.toml").fleet());
     }
 
     @Test
-    void allThatIsWrongIsSaidAtOnceAndWhere() {
+    void reportsAllProblemsWithTheirPositions() {
         assertEquals(
                 """
                 o.toml:2:1: name must be 1 to 32 of letters, digits and . _ + -
@@ -63,7 +63,7 @@
                         .lines()
                         .sorted()
                         .toList(),
-                wrong(
+                problemsOf(
                                 """
                 [fleet]
                 name = "p 7"
@@ -75,20 +75,20 @@
                         .lines()
                         .sorted()
                         .toList());
-        assertTrue(wrong("[fleet]\nbind = \"127.0.0.1:1\"\nadvertise = \"127.0.0.1:0\"\nkey_file = \"k\"")
+        assertTrue(problemsOf("[fleet]\nbind = \"127.0.0.1:1\"\nadvertise = \"127.0.0.1:0\"\nkey_file = \"k\"")
                 .contains("advertise is no address that others could reach"));
-        assertTrue(wrong("[operatr]").contains("o.toml:1:2: unknown key 'operatr'")
-                || wrong("[operatr]").contains("unknown key 'operatr'"));
+        assertTrue(problemsOf("[operatr]").contains("o.toml:1:2: unknown key 'operatr'")
+                || problemsOf("[operatr]").contains("unknown key 'operatr'"));
     }
 
     @Test
-    void aFileIsKnownByItsTables() {
-        assertTrue(OperatorsFile.only("[fleet]\nbind = \"x\""));
-        assertFalse(OperatorsFile.only("[fleet]\n[[listener]]"));
-        assertFalse(OperatorsFile.only("[fleet"));
+    void detectsFilesThatHoldOnlyProcessTables() {
+        assertTrue(OperatorsFile.hasOnlyProcessTables("[fleet]\nbind = \"x\""));
+        assertFalse(OperatorsFile.hasOnlyProcessTables("[fleet]\n[[listener]]"));
+        assertFalse(OperatorsFile.hasOnlyProcessTables("[fleet"));
     }
 
-    private String key(String text) throws IOException {
+    private String keyFileError(String text) throws IOException {
         Path f = Files.writeString(folder.resolve("k"), text);
         return assertThrows(IOException.class, () -> KeyFile.read(f))
                 .getMessage()
@@ -96,15 +96,16 @@
     }
 
     @Test
-    void keysAreReadAndWhatIsNoneIsSaid() throws IOException {
+    void readsKeyFilesAndReportsInvalidKeys() throws IOException {
         String good = "ab".repeat(32);
         Path f = Files.writeString(folder.resolve("good"), "# new\n" + good + "\n\n  " + "cd".repeat(40) + "\n");
         assertEquals(2, KeyFile.read(f).size());
-        assertEquals("k: holds no key", key("# nothing\n"));
-        assertEquals("k:2:3: is no hexadecimal digit", key("# a\nabx"));
-        assertEquals("k:1:1: a key of 10 digits, not 64 or more, in pairs", key("abababababab".substring(2)));
+        assertEquals("k: holds no key", keyFileError("# nothing\n"));
+        assertEquals("k:2:3: is no hexadecimal digit", keyFileError("# a\nabx"));
+        assertEquals("k:1:1: a key of 10 digits, not 64 or more, in pairs", keyFileError("abababababab".substring(2)));
         assertEquals(
-                "k:3:1: a third key: two at one time are enough to replace one", key(good + "\n" + good + "\n" + good));
+                "k:3:1: a third key: two at one time are enough to replace one",
+                keyFileError(good + "\n" + good + "\n" + good));
         assertTrue(assertThrows(IOException.class, () -> KeyFile.read(folder.resolve("none")))
                 .getMessage()
                 .endsWith("there is no such file"));
--- a/src/test/java/gullspar/config/SiteReaderTest.java
+++ b/src/test/java/gullspar/config/SiteReaderTest.java
@@ -40,9 +40,9 @@
         "GET, shop.example.org, /static/a.png, '', static",
         "GET, other.org, /a.png, '', elsewhere"
     })
-    void theExample(String method, String host, String path, String header, String route) {
+    void routesRequestsByTheExampleFile(String method, String host, String path, String header, String route) {
         Request r = request(method, host, path, header);
-        Router.Found found = example.router(0).find(r);
+        Router.Result found = example.router(0).find(r);
         assertEquals(route, found.route().name(), example.router(0).explain(r).toString());
         assertEquals(
                 "route " + route,
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void wherethereIsNoRouteTheStatusSaysWhy() {
-        Router.Found method = example.router(0).find(request("GET", "shop.example.org", "/api/orders", ""));
+    void reports404Or405WhenNoRouteMatches() {
+        Router.Result method = example.router(0).find(request("GET", "shop.example.org", "/api/orders", ""));
         assertNull(method.route());
         assertEquals(405, method.status());
         assertEquals(
@@ -64,29 +64,29 @@
     }
 
     @Test
-    void poolsAndWhatGoesOn() {
+    void readsPoolsLimitsRewriteAndRequestClass() {
         assertEquals(3, example.pools().get("api").servers().size());
         assertEquals(5, example.pools().get("api").servers().get(0).weight());
         assertTrue(example.pools().get("api").servers().get(2).backup());
         Route api = example.router(0)
                 .find(request("GET", "shop.example.org", "/api/stock", ""))
                 .route();
-        assertEquals("/v1/stock", api.pool().rewrite().of("/api/stock"));
+        assertEquals("/v1/stock", api.pool().rewrite().apply("/api/stock"));
         assertEquals(600_000_000L, api.pool().limits().deadlineNs());
-        assertEquals(Route.Kind.SAFE, Route.kind(api.pool().kind(), "HEAD"));
-        assertEquals(Route.Kind.UNSAFE, Route.kind(api.pool().kind(), "PUT"));
-        assertEquals(Route.Kind.KEYED, Route.kind(Route.Kind.KEYED, "GET"));
+        assertEquals(Route.RequestClass.SAFE, Route.resolveClass(api.pool().requestClass(), "HEAD"));
+        assertEquals(Route.RequestClass.UNSAFE, Route.resolveClass(api.pool().requestClass(), "PUT"));
+        assertEquals(Route.RequestClass.KEYED, Route.resolveClass(Route.RequestClass.KEYED, "GET"));
     }
 
     @Test
-    void rewritingByAPattern() throws Exception {
+    void rewritesThePathByARegularExpression() throws Exception {
         Site s = SiteReader.parse(
                 SMALL + "[[host.route]]\npath = \"/\"\npool = \"a\"\n"
                         + "rewrite = { pattern = \"^/u/([^/]+)/(.*)$\", to = \"/users/$2$9?u=$1\" }\n",
                 "f.toml");
         Route r = s.router(0).find(request("GET", "x", "/u/anna/x", "")).route();
-        assertEquals("/users/x?u=anna", r.pool().rewrite().of("/u/anna/x"));
-        assertEquals("/else", r.pool().rewrite().of("/else"));
+        assertEquals("/users/x?u=anna", r.pool().rewrite().apply("/u/anna/x"));
+        assertEquals("/else", r.pool().rewrite().apply("/else"));
     }
 
     @ParameterizedTest
@@ -104,7 +104,7 @@
         path = "/"|pool = "a"|deadline = 3               ~ 12:1: route: unknown key 'deadline'
         path = "/"|pool = "a"|class = "idempotent"       ~ 12:1: class is 'idempotent', not one of by-method
         """)
-    void whatIsWrongIsSaidWithItsPlace(String lines, String expected) {
+    void reportsARouteProblemWithItsPosition(String lines, String expected) {
         String message = assertThrows(
                         ProblemsException.class,
                         () -> SiteReader.parse(SMALL + "[[host.route]]\n" + lines.replace('|', '\n') + "\n", "f.toml"))
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void allComesAtOnce() {
+    void reportsAllProblemsInOneReading() {
         String message = assertThrows(
                         ProblemsException.class,
                         () -> SiteReader.parse(
--- a/src/test/java/gullspar/importer/PropertiesTest.java
+++ b/src/test/java/gullspar/importer/PropertiesTest.java
@@ -105,7 +105,7 @@
             Files.writeString(file, conf);
             NginxModel.Done want = new NginxModel(file).done(new NginxModel.Asked("GET", "h", 80, path, Map.of()));
             String clean = path.replaceAll("/+", "/");
-            Router.Found got = site.router(80).find(new Request("GET", "h", clean, null, n -> List.of()));
+            Router.Result got = site.router(80).find(new Request("GET", "h", clean, null, n -> List.of()));
             String pool = got.route() == null || got.route().pool() == null
                     ? null
                     : got.route().pool().pool();
@@ -116,7 +116,7 @@
                             ? 200
                             : got.route() == null
                                     ? got.status()
-                                    : got.route().answer().status(),
+                                    : got.route().fixedResponse().status(),
                     path + " in\n" + conf);
         } finally {
             Files.delete(file);
--- a/src/test/java/gullspar/route/HostsTest.java
+++ b/src/test/java/gullspar/route/HostTableTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Which virtual host a name belongs to. */
-class HostsTest {
-    private final Hosts<String> hosts = new Hosts<>();
+class HostTableTest {
+    private final HostTable<String> hosts = new HostTable<>();
 
     @BeforeEach
-    void names() {
+    void addHosts() {
         for (String name : new String[] {
             "shop.example.org", "*.example.org", "*.b.example.org", ".both.net", "shop.*", "shop.example.*", "localhost"
         }) {
@@ -26,7 +26,7 @@
         }
         hosts.add(Pattern.compile("^node\\d+\\."), "numbered");
         hosts.add(Pattern.compile("\\.com$"), "com");
-        hosts.otherwise("default");
+        hosts.defaultHost("default");
     }
 
     @ParameterizedTest
@@ -51,18 +51,18 @@
         "localhost, localhost",
         "'', default"
     })
-    void thePlaceOfAName(String name, String expected) {
-        assertEquals(expected, hosts.find(name).host(), hosts.find(name).why());
+    void findsTheHostOfAName(String name, String expected) {
+        assertEquals(expected, hosts.find(name).host(), hosts.find(name).reason());
     }
 
     @Test
-    void aRequestWithNoHostGetsTheDefaultAndWithNoneThereIsNothing() {
+    void fallsBackToTheDefaultHostIfThereIsOne() {
         assertEquals("default", hosts.find(null).host());
-        assertNull(new Hosts<String>().find("x"));
+        assertNull(new HostTable<String>().find("x"));
     }
 
     @Test
-    void theSameNameTwiceIsSaid() {
+    void addReturnsFalseForADuplicateName() {
         assertFalse(hosts.add("SHOP.example.org", "again"));
         assertFalse(hosts.add("*.example.org", "again"));
         assertFalse(hosts.add(".both.net", "again"));
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a.*.org", "*", "*.", "a*.org", "*.*", ".*"})
-    void starsElsewhereAreRefused(String name) {
+    void rejectsMisplacedWildcards(String name) {
         assertThrows(IllegalArgumentException.class, () -> hosts.add(name, "x"));
     }
 }
--- a/src/test/java/gullspar/route/PathsTest.java
+++ b/src/test/java/gullspar/route/PathTableTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.route.Paths.Kind;
+import gullspar.route.PathTable.Kind;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Which place a path belongs to. */
-class PathsTest {
-    private final Paths<String> paths = new Paths<>();
+class PathTableTest {
+    private final PathTable<String> paths = new PathTable<>();
 
     private String find(String path) {
-        Paths.Found<String> f = paths.find(path);
+        PathTable.Match<String> f = paths.find(path);
         return f == null ? null : f.target();
     }
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void exactBeforePrefixBeforeRegex() {
+    void matchesExactBeforePrefixAndRegexBeforePlainPrefix() {
         paths.add(Kind.EXACT, "/", "the root", null);
         prefix("/");
         prefix("/documents/");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void thePrefixNeedNotEndAtASlash() {
+    void matchesPrefixesThatDoNotEndAtASlash() {
         prefix("/a");
         prefix("/ab");
         prefix("/abc/d");
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void theFirstRegularExpressionThatIsFoundCounts() {
+    void usesTheFirstMatchingRegularExpression() {
         paths.add(Pattern.compile("^/b"), "first", null);
         paths.add(Pattern.compile("^/bc"), "second", null);
         assertEquals("first", find("/bcd"));
     }
 
     @Test
-    void whatIsNestedInAPrefix() {
-        Paths<String> nested = new Paths<>();
+    void searchesLocationsNestedInAPrefix() {
+        PathTable<String> nested = new PathTable<>();
         nested.add(Kind.PREFIX_ENDS, "/app/static/", "static", null);
         nested.add(Kind.EXACT, "/app/login", "login", null);
         nested.add(Pattern.compile("\\.do$"), "action", null);
@@ -80,11 +80,11 @@
     }
 
     @Test
-    void whatIsNestedInOneThatEndsTheSearchAndInARegularExpression() {
-        Paths<String> nested = new Paths<>();
+    void searchesLocationsNestedInAFinalPrefixOrARegex() {
+        PathTable<String> nested = new PathTable<>();
         nested.add(Kind.PREFIX, "/keep/deep/", "deep", null);
         paths.add(Kind.PREFIX_ENDS, "/keep/", "keep", nested);
-        Paths<String> inRegex = new Paths<>();
+        PathTable<String> inRegex = new PathTable<>();
         inRegex.add(Pattern.compile("\\.php$"), "php", null);
         inRegex.add(Kind.PREFIX, "/u/admin", "admin", null);
         paths.add(Pattern.compile("^/u/"), "users", inRegex);
@@ -99,29 +99,29 @@
 
     /** Against the obvious way to do it, over random prefixes and paths of few letters. */
     @Test
-    void theTreeFindsTheLongestPrefix() {
+    void prefixTreeFindsTheLongestPrefix() {
         SplittableRandom random = new SplittableRandom(1);
         for (int round = 0; round < 200; round++) {
             PrefixTree<String> tree = new PrefixTree<>();
             Map<String, String> all = new HashMap<>();
             for (int i = 0; i < 40; i++) {
-                String prefix = word(random, 6);
+                String prefix = randomWord(random, 6);
                 assertEquals(all.putIfAbsent(prefix, prefix) == null, tree.add(prefix, prefix));
             }
             for (int i = 0; i < 200; i++) {
-                String path = word(random, 9);
+                String path = randomWord(random, 9);
                 String longest = all.keySet().stream()
                         .filter(path::startsWith)
                         .max((a, b) -> Integer.compare(a.length(), b.length()))
                         .orElse(null);
-                assertEquals(longest, tree.longest(path), path);
+                assertEquals(longest, tree.findLongest(path), path);
             }
         }
     }
 
-    private static String word(SplittableRandom random, int most) {
+    private static String randomWord(SplittableRandom random, int maxLength) {
         StringBuilder s = new StringBuilder();
-        for (int n = random.nextInt(most); n > 0; n--) {
+        for (int n = random.nextInt(maxLength); n > 0; n--) {
             s.append("ab/".charAt(random.nextInt(3)));
         }
         return s.toString();
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -1,7 +1,7 @@
 package gullspar.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gullspar.config.Fleet;
+import gullspar.config.FleetSettings;
 import gullspar.peers.net.Membership;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.config.Json;
@@ -64,7 +64,7 @@
         for (int i = first; i < first + count; i++) {
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
             Platform platform = new Platform(loop, Clock.system(), counting(loop), line -> {});
-            Fleet of = new Fleet(
+            FleetSettings of = new FleetSettings(
                     "p" + i,
                     at(fleet, i),
                     null,
