--- a/src/main/java/gullspar/config/ControlFile.java
+++ b/src/main/java/gullspar/config/ControlFile.java
@@ -16,17 +16,17 @@
 import org.tomlj.TomlPosition;
 
 /**
- * What a control process is, as its file says (docs/versions.md).
+ * The settings of a control process, from its file (docs/versions.md).
  *
- * @param name its own, one of the control processes
- * @param primary the name of the one that takes changes
- * @param epoch raised whenever another becomes the primary
- * @param controls all control processes, by name, where each listens
- * @param folder where it keeps what it has
- * @param bytesPerSecond to a proxy at the most
- * @param firstBytesPerSecond to a proxy that has nothing yet
- * @param snapshots how many followers get the whole document at once
- * @param forgetNs a follower that has been away for longer is forgotten
+ * @param name its own name, one of those in controls
+ * @param primary the name of the control process that accepts changes
+ * @param epoch raised whenever another process becomes the primary
+ * @param controls the listen addresses of all control processes, by name
+ * @param directory where it stores its data
+ * @param maxBytesPerSecond the sending limit for a follower
+ * @param maxInitialBytesPerSecond the sending limit for a follower that has no version yet
+ * @param maxSnapshots how many followers may receive the whole document at the same time
+ * @param forgetAfterNs a follower that has been away for longer is removed
  */
 public record ControlFile(
         String name,
@@ -41,12 +41,12 @@
     private static final String NAME_PATTERN = "[A-Za-z0-9._+-]{1,64}";
     private static final int MIN_BYTES_PER_SECOND = 2000;
 
-    /** Reads a file; an IOException if that is not possible at all. */
+    /** Throws IOException if the file cannot be read. */
     public static ControlFile read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** Reads a text; the name stands before each problem. */
+    /** Parses a text; each problem is prefixed with the name of the file. */
     public static ControlFile parse(String text, String file) throws ProblemsException {
         List<Problem> problems = new ArrayList<>();
         TomlParseResult toml = Toml.parse(text);
@@ -64,11 +64,11 @@
         return c;
     }
 
-    /** A name that a follower or a control process may have; null, and a problem, if it is none. */
+    /** Reads the name of a follower or control process; records a problem if it is invalid. */
     static String name(TableReader f, String key) {
         String name = f.string(key);
         if (!name.isEmpty() && !name.matches(NAME_PATTERN)) {
-            f.addProblem(key, "must be 1 to 64 of letters, digits and . _ + -");
+            f.addProblem(key, "must be 1 to 64 characters: letters, digits and . _ + -");
         }
         return name;
     }
@@ -79,10 +79,10 @@
             String name = name(c, "name");
             InetSocketAddress address = FieldParsers.address(c, "address");
             if (address != null && address.getAddress().isAnyLocalAddress()) {
-                c.addProblem("address", "is every address of a machine: followers need one");
+                c.addProblem("address", "is the wildcard address: followers need a specific one");
             }
             if (address != null && controls.putIfAbsent(name, address) != null) {
-                c.addProblem("name", "is that of another control process");
+                c.addProblem("name", "is already used by another control process");
             }
             c.rejectUnknownKeys();
         }
@@ -94,7 +94,7 @@
             for (String key : List.of("name", "primary")) {
                 String value = f.string(key, "");
                 if (!value.isEmpty() && !controls.containsKey(value)) {
-                    f.addProblem(key, "is '" + value + "', which no [[control]] has");
+                    f.addProblem(key, "is '" + value + "', but no [[control]] has that name");
                 }
             }
         }
--- a/src/main/java/gullspar/config/FieldParsers.java
+++ b/src/main/java/gullspar/config/FieldParsers.java
@@ -8,13 +8,13 @@
 import java.util.regex.Pattern;
 import java.util.regex.PatternSyntaxException;
 
-/** Values of an operator's file that are more than strings and numbers. */
+/** Parses values of the operators' file that are not plain strings and numbers. */
 final class FieldParsers {
     static final double MAX_TIME_S = 24 * 3600;
 
     private FieldParsers() {}
 
-    /** An IP address and a port, no names are looked up; null, and a problem, if it is none. */
+    /** Reads an IP address and a port, without name lookup; null, and a problem, if it is invalid. */
     static InetSocketAddress address(TableReader f, String key) {
         String text = f.string(key);
         int colon = text.lastIndexOf(':');
@@ -29,17 +29,17 @@
         return null;
     }
 
-    /** A regular expression; null, and a problem, if it is none. */
+    /** Compiles a regular expression; null, and a problem, if it is invalid. */
     static Pattern pattern(TableReader f, String key, String text, int flags) {
         try {
             return Pattern.compile(text, flags);
         } catch (PatternSyntaxException e) {
-            f.addProblem(key, "holds no regular expression: " + e.getDescription() + " in '" + text + "'");
+            f.addProblem(key, "holds an invalid regular expression: " + e.getDescription() + " in '" + text + "'");
             return null;
         }
     }
 
-    /** A text with places for what is known of a request; a plain one, and a problem, if it is none. */
+    /** Parses a template; an empty one, and a problem, if it is invalid. */
     static Template template(TableReader f, String key, String text) {
         try {
             return Template.parse(text);
@@ -49,12 +49,12 @@
         }
     }
 
-    /** A time in seconds, as ns. */
+    /** Reads a time in seconds and returns ns. */
     static long secondsAsNs(TableReader f, String key, double defaultS, double minS) {
         return (long) (f.number(key, defaultS, minS, MAX_TIME_S) * 1e9);
     }
 
-    /** A time in milliseconds, as ns. */
+    /** Reads a time in milliseconds and returns ns. */
     static long millisAsNs(TableReader f, String key, double defaultMs, double minMs) {
         return (long) (f.number(key, defaultMs, minMs, MAX_TIME_S * 1e3) * 1e6);
     }
--- a/src/main/java/gullspar/config/FleetSettings.java
+++ b/src/main/java/gullspar/config/FleetSettings.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * How a process takes part in the fleet, as the operator's file says in [fleet].
+ * The settings of a process as a member of the fleet, from [fleet] in the operators' file.
  *
- * @param name what it is called, the same after a restart; null for what the platform calls it
- * @param bind where it hears the others
- * @param advertise where the others reach it; null for where it is bound
- * @param seeds where others may be found
- * @param keyFile the keys that all share
- * @param zone where it runs, may be empty
- * @param intervalNs how often it asks one of the others whether he is there
- * @param windowNs whoever was there within it counts when it asks itself whether it is cut off
- * @param bytesPerSecond what it sends at the most
+ * @param name the member's name, the same after a restart; null for the name that the platform gives it
+ * @param bind the local address for messages of other members
+ * @param advertise the address at which other members reach it; null for the bound address
+ * @param seeds addresses of members to contact first
+ * @param keyFile the keys that all members share
+ * @param zone the zone in which it runs, may be empty
+ * @param probeIntervalNs the time between probes of other members
+ * @param isolationWindowNs members seen within it count when the process checks whether it is cut off
+ * @param maxBytesPerSecond the limit of what it sends; 0 for the default
  */
 public record FleetSettings(
         String name,
--- a/src/main/java/gullspar/config/FollowFile.java
+++ b/src/main/java/gullspar/config/FollowFile.java
@@ -14,23 +14,23 @@
 import org.tomlj.TomlPosition;
 
 /**
- * How a proxy follows the document of its control processes: [control], beside what belongs to this process
- * alone (docs/versions.md).
+ * The settings with which a proxy follows the versions of its control processes: [control], and the settings of
+ * this process alone (docs/versions.md).
  *
- * @param name what it is called there, the same after a restart, and nobody else's
- * @param addresses of the control processes
- * @param folder where it keeps the version that it runs
- * @param waitNs so long it asks control at the start before it serves by its disk
- * @param own [operator] and [fleet]
+ * @param name the unique name of the follower, the same after a restart
+ * @param addresses the addresses of the control processes
+ * @param directory where it stores the version that it runs
+ * @param startupWaitNs how long it waits for a control process at startup before it uses the stored version
+ * @param operators [operator] and [fleet]
  */
 public record FollowFile(
         String name, List<InetSocketAddress> addresses, Path directory, long startupWaitNs, OperatorsFile operators) {
-    /** Reads a file; an IOException if that is not possible at all. */
+    /** Throws IOException if the file cannot be read. */
     public static FollowFile read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** Reads a text; the name stands before each problem. */
+    /** Parses a text; each problem is prefixed with the name of the file. */
     public static FollowFile parse(String text, String file) throws ProblemsException {
         List<Problem> problems = new ArrayList<>();
         TomlParseResult toml = Toml.parse(text);
--- a/src/main/java/gullspar/config/OperatorsFile.java
+++ b/src/main/java/gullspar/config/OperatorsFile.java
@@ -17,31 +17,31 @@
 import org.tomlj.TomlPosition;
 
 /**
- * What operators have written for one process, whatever it serves: [operator], where they call, and
- * [fleet], how it takes part in the fleet. The platform's proxy reads a file that holds only these; that of
- * routes and pools may hold them too.
+ * The settings that any process may have: [operator], the address for operators' requests, and [fleet], its
+ * membership in the fleet. The platform's proxy reads a file with only these tables; a file of routes and pools
+ * may have them too.
  *
- * @param operator where operators call; null for nowhere
- * @param fleet null for none
+ * @param operatorAddress the address for operators' requests; null for none
+ * @param fleet null if the process is not a member of a fleet
  */
 public record OperatorsFile(InetSocketAddress operatorAddress, FleetSettings fleet) {
-    /** As a name in a fleet may be: see docs/fleet.md. */
     private static final Set<String> PROCESS_TABLES = Set.of("operator", "fleet");
 
+    /** Valid names of members and zones, see docs/fleet.md. */
     private static final String NAME_PATTERN = "[A-Za-z0-9._+-]{1,32}";
 
-    /** Reads a file that holds nothing else; an IOException if that is not possible at all. */
+    /** Reads a file with no other tables; throws IOException if it cannot be read. */
     public static OperatorsFile read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** Does a text hold only what any process of theirs may have, and none of the routes of plain HTTP? */
+    /** Returns whether a text is valid TOML with only these tables, and so has no routes or pools. */
     public static boolean hasOnlyProcessTables(String text) {
         TomlParseResult toml = Toml.parse(text);
         return !toml.hasErrors() && !toml.isEmpty() && toml.keySet().stream().allMatch(PROCESS_TABLES::contains);
     }
 
-    /** Reads a text; the name stands before each problem. */
+    /** Parses a text; each problem is prefixed with the name of the file. */
     public static OperatorsFile parse(String text, String name) throws ProblemsException {
         TomlParseResult toml = Toml.parse(text);
         List<Problem> problems = new ArrayList<>();
@@ -62,7 +62,7 @@
         return file;
     }
 
-    /** Reads the two tables among others. */
+    /** Reads the two tables from a file that may have others. */
     static OperatorsFile read(TableReader f) {
         InetSocketAddress operator = null;
         if (f.has("operator")) {
@@ -76,16 +76,17 @@
     private static FleetSettings fleet(TableReader f) {
         String name = f.string("name", null);
         if (name != null && !name.matches(NAME_PATTERN)) {
-            f.addProblem("name", "must be 1 to 32 of letters, digits and . _ + -");
+            f.addProblem("name", "must be 1 to 32 characters: letters, digits and . _ + -");
         }
         InetSocketAddress bind = FieldParsers.address(f, "bind");
         InetSocketAddress advertise = f.has("advertise") ? FieldParsers.address(f, "advertise") : null;
         if (bind != null && bind.getAddress().isAnyLocalAddress() && !f.has("advertise")) {
-            f.addProblem("bind", "is every address of this machine: the others need one, by advertise");
+            f.addProblem(
+                    "bind", "is the wildcard address: advertise must give an address that other members can reach");
         }
         if (advertise != null
                 && (advertise.getPort() == 0 || advertise.getAddress().isAnyLocalAddress())) {
-            f.addProblem("advertise", "is no address that others could reach");
+            f.addProblem("advertise", "is not an address that other members can reach");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         for (String s : f.stringList("seeds", List.of())) {
@@ -98,7 +99,7 @@
         }
         String zone = f.string("zone", "");
         if (!zone.isEmpty() && !zone.matches(NAME_PATTERN)) {
-            f.addProblem("zone", "must be up to 32 of letters, digits and . _ + -");
+            f.addProblem("zone", "must be up to 32 characters: letters, digits and . _ + -");
         }
         FleetSettings fleet = new FleetSettings(
                 name,
@@ -114,7 +115,7 @@
         return fleet;
     }
 
-    /** An IP address and a port other than 0; null if it is none. */
+    /** Parses an IP address and a port other than 0; null if it is invalid. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/gullspar/config/PoolReader.java
+++ b/src/main/java/gullspar/config/PoolReader.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the pools of an operator's file. */
+/** Reads the pools of the operators' file. */
 final class PoolReader {
     private final Map<String, Site.Pool> pools = new LinkedHashMap<>();
 
-    /** By name, in their order. */
+    /** Returns the pools by name, in the order of the file. */
     Map<String, Site.Pool> pools() {
         return pools;
     }
@@ -29,7 +29,7 @@
             f.addProblem(
                     servers.isEmpty()
                             ? "a pool with no [[pool.server]] and no discovery"
-                            : "a pool has servers or discovery, not both");
+                            : "a pool has either [[pool.server]] or discovery, not both");
         }
         Site.Pool pool = new Site.Pool(
                 name,
@@ -43,7 +43,7 @@
                         FieldParsers.secondsAsNs(f, "keep_alive_s", 60, 0.001)));
         f.rejectUnknownKeys();
         if (!name.isEmpty() && pools.putIfAbsent(name, pool) != null) {
-            f.addProblem("name", "is that of another pool: '" + name + "'");
+            f.addProblem("name", "is already used by another pool: '" + name + "'");
         }
     }
 
--- a/src/main/java/gullspar/config/RouteReader.java
+++ b/src/main/java/gullspar/config/RouteReader.java
@@ -16,21 +16,21 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Reads one route: what fits it, and what becomes of what does. */
+/** Reads one route: its conditions, and the pool or the fixed response for matching requests. */
 final class RouteReader {
     private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
-    /** Framing and the next hop are the proxy's own affair. */
+    /** Fields of message framing and of one hop, which the proxy sets itself. */
     private static final Set<String> CONNECTION_HEADERS =
             Set.of("connection", "content-length", "transfer-encoding", "keep-alive", "te", "trailer", "upgrade");
 
     private final Set<String> pools;
 
-    /** The names of the pools that there are. */
+    /** Takes the names of the defined pools. */
     RouteReader(Set<String> pools) {
         this.pools = pools;
     }
 
-    /** prefix: the path, where it is one that a request's path begins with; else null. */
+    /** prefix is the path if it is matched literally; null for a regular expression. */
     Route read(TableReader r, String path, String prefix) {
         String name = r.string("name", path);
         Set<String> methods = new HashSet<>(r.stringList("methods", List.of()));
@@ -45,9 +45,7 @@
         boolean hasAnswer = r.has("answer");
         if (hasPool == hasAnswer) {
             r.addProblem(
-                    hasPool
-                            ? "a route goes to a pool or is answered, not both"
-                            : "a route needs a pool to go to, or an answer");
+                    hasPool ? "a route has either pool or answer, not both" : "a route needs either pool or answer");
         }
         Route.PoolTarget poolTarget = hasPool ? poolTarget(r, prefix) : null;
         Route.FixedResponse fixedResponse = hasAnswer ? fixedResponse(r) : null;
@@ -70,12 +68,12 @@
         return condition;
     }
 
-    /** A condition on a text made of the request. */
+    /** Reads a condition on an expanded template. */
     private static Condition textCondition(TableReader w) {
         Template template = FieldParsers.template(w, "of", w.string("of"));
         Condition condition = new Condition.TextEquals(template, "");
         if (Stream.of("is", "matches", "share").filter(w::has).count() != 1) {
-            w.addProblem("a condition has one of is, matches and share");
+            w.addProblem("a condition needs exactly one of is, matches and share");
         } else if (w.has("is")) {
             condition = new Condition.TextEquals(template, w.string("is"));
         } else if (w.has("matches")) {
@@ -93,7 +91,7 @@
     private Route.PoolTarget poolTarget(TableReader r, String prefix) {
         String pool = r.string("pool");
         if (!pool.isEmpty() && !pools.contains(pool)) {
-            r.addProblem("pool", "is '" + pool + "', and there is no such pool");
+            r.addProblem("pool", "is '" + pool + "', but no [[pool]] has that name");
         }
         return new Route.PoolTarget(
                 pool,
@@ -134,7 +132,7 @@
         } else if (prefix != null) {
             rewrite = Rewrite.prefix(prefix, w.string("to"));
         } else {
-            w.addProblem("a route with a regular expression is rewritten by a pattern");
+            w.addProblem("rewrite needs pattern, as the path of the route is a regular expression");
         }
         w.rejectUnknownKeys();
         return rewrite;
@@ -160,7 +158,7 @@
         f.stringTable(key).forEach((name, value) -> {
             checkHeaderName(f, key, name);
             if (value.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-                f.addProblem(key, "gives " + name + " a value with control characters");
+                f.addProblem(key, "sets " + name + " to a value with control characters");
             }
             values.put(name, FieldParsers.template(f, key, value));
         });
@@ -169,9 +167,9 @@
 
     private static void checkHeaderName(TableReader f, String key, String name) {
         if (!TOKEN.matcher(name).matches()) {
-            f.addProblem(key, "holds '" + name + "', which no header is called");
+            f.addProblem(key, "holds '" + name + "', which is not a valid header name");
         } else if (CONNECTION_HEADERS.contains(name.toLowerCase())) {
-            f.addProblem(key, "holds " + name + ", which belongs to each connection");
+            f.addProblem(key, "holds " + name + ", which the proxy sets itself for each connection");
         }
     }
 
--- a/src/main/java/gullspar/config/Site.java
+++ b/src/main/java/gullspar/config/Site.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What an operator's file says: where to listen, each listener's routes, the pools by name, limits, and
- * what holds for any process of theirs.
+ * The content of the operators' file: the listeners with their routes, the pools by name, the limits, and the
+ * settings that any process may have.
  */
 public record Site(
         List<Listener> listeners,
@@ -16,18 +16,17 @@
         Limits limits,
         Forwarded forwarded,
         OperatorsFile operators) {
-    /** Where to listen, and the routes of what comes there. */
+    /** An address to listen on, and the routes of its requests. */
     public record Listener(InetSocketAddress address, Router router) {}
 
-    /** How a pool chooses: by the declared weights until its servers report their load, or as it learns. */
+    /** How a pool balances: by the configured weights until its servers report load, or by measured capacity. */
     public enum Balance {
         WEIGHTS,
         LEARNT
     }
 
     /**
-     * A pool: its servers as declared, and where each is, by the server's name; or where discovery is, then
-     * there are none declared.
+     * A pool: its servers and their endpoints by server name, or the address of its discovery and no servers.
      */
     public record Pool(
             String name,
@@ -37,19 +36,19 @@
             Balance balance,
             Connections connections) {}
 
-    /** Where a server is, and how many requests it may have in hand at once; 0 for no limit. */
+    /** The address of a server, and its limit of concurrent requests; 0 for no limit. */
     public record Endpoint(InetSocketAddress address, int maxConnections) {}
 
     /**
-     * How a pool's connections are made and kept: so many idle ones at each server at the most, for so long;
-     * the time to connect. Times in ns.
+     * The connections of a pool: the connect timeout, how many idle ones are kept for each server at most, and
+     * for how long.
      */
     public record Connections(long connectTimeoutNs, int maxIdle, long idleTimeoutNs) {}
 
     /**
-     * Limits of the process: descriptors; bytes of request bodies held in all; and in ns the time for a
-     * request to come whole, for an idle connection to stay, for an answer under way to make no headway, for
-     * requests in hand at the end; and what a refused client is told to wait, 0 for nothing.
+     * Limits of the process: sockets; bytes of request bodies held in total; the time to receive a whole request;
+     * the time for which an idle connection is kept; the time without progress after which a response is
+     * aborted; the time for open requests at shutdown; and the Retry-After of refused requests, 0 for none.
      */
     public record Limits(
             int maxSockets,
@@ -60,14 +59,14 @@
             long drainTimeoutNs,
             long retryAfterNs) {}
 
-    /** What becomes of X-Forwarded-* and Forwarded: made anew, carried on, or passed as they came. */
+    /** How X-Forwarded-* and Forwarded are forwarded: replaced, appended to, or passed unchanged. */
     public enum Forwarded {
         REPLACE,
         APPEND,
         PASS
     }
 
-    /** The routes of the listener with that port; of the first one if none has it. */
+    /** Returns the router of the listener with that port, else of the first listener. */
     public Router router(int port) {
         return listeners.stream()
                 .filter(l -> l.address().getPort() == port)
--- a/src/main/java/gullspar/config/SiteReader.java
+++ b/src/main/java/gullspar/config/SiteReader.java
@@ -21,11 +21,9 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 
-/**
- * Reads an operator's file (TOML 1.0, docs/routing.md) and finds all that is wrong with it in one reading.
- */
+/** Reads the operators' file (TOML 1.0, docs/routing.md) and reports all its problems at once. */
 public final class SiteReader {
-    /** How the path of a route is meant. */
+    /** How the path of a route is matched. */
     private enum PathKind {
         PREFIX,
         PREFIX_ENDS,
@@ -34,7 +32,7 @@
         REGEX_ANY_CASE
     }
 
-    /** What is known of a listener while the hosts are read. */
+    /** A listener while its hosts are read. */
     private static final class ListenerBuilder {
         private final InetSocketAddress address;
         private final HostTable<Router.Host> hosts = new HostTable<>();
@@ -49,7 +47,7 @@
 
     private final List<Problem> problems = new ArrayList<>();
     private final Map<String, ListenerBuilder> listeners = new LinkedHashMap<>();
-    /** Where no listener can be read, hosts are still looked at. */
+    /** Takes the hosts if no listener could be read, so that their problems are still reported. */
     private final ListenerBuilder placeholderListener = new ListenerBuilder(null);
 
     private final PoolReader pools = new PoolReader();
@@ -57,12 +55,12 @@
 
     private SiteReader() {}
 
-    /** Reads a file; an IOException if that is not possible at all. */
+    /** Throws IOException if the file cannot be read. */
     public static Site read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** The same, of a text that is mostly as the one that these blocks have read before. */
+    /** Parses a new version of a text, reusing the unchanged blocks that the parser has cached. */
     public static Site parse(String text, String name, BlockParser blocks) throws ProblemsException {
         SiteReader r = new SiteReader();
         TableReader f = blocks.read(text, r.problems);
@@ -76,7 +74,7 @@
         return s;
     }
 
-    /** Reads a text; the name stands before each problem. */
+    /** Parses a text; each problem is prefixed with the name. */
     public static Site parse(String text, String name) throws ProblemsException {
         TomlParseResult toml = Toml.parse(text);
         SiteReader r = new SiteReader();
@@ -98,7 +96,7 @@
         for (TableReader l : f.tables("listener")) {
             InetSocketAddress address = FieldParsers.address(l, "address");
             if (address != null && listeners.putIfAbsent(l.string("address"), new ListenerBuilder(address)) != null) {
-                l.addProblem("address", "is that of another listener");
+                l.addProblem("address", "is already used by another listener");
             }
             l.rejectUnknownKeys();
         }
@@ -155,7 +153,7 @@
             if (listeners.containsKey(l)) {
                 targets.add(listeners.get(l));
             } else {
-                f.addProblem("listeners", "holds '" + l + "', where nobody listens");
+                f.addProblem("listeners", "holds '" + l + "', which is not the address of a [[listener]]");
             }
         }
         if (listeners.isEmpty()) {
@@ -163,10 +161,10 @@
         }
         names.forEach(name -> addName(f, name, host, targets));
         if (names.isEmpty() && !isDefault) {
-            f.addProblem("a host with no names that is not the default");
+            f.addProblem("a host with no names must have default = true");
         }
         if (isDefault && targets.stream().anyMatch(l -> l.hasDefault)) {
-            f.addProblem("default", "is said of another host already");
+            f.addProblem("default", "is already set for another host of the same listener");
         } else if (isDefault) {
             targets.forEach(l -> {
                 l.hasDefault = true;
@@ -190,14 +188,14 @@
                 isNew &= l.hosts.add(name, host);
             }
             if (!isNew) {
-                f.addProblem("names", "holds '" + name + "', which another host has");
+                f.addProblem("names", "holds '" + name + "', which another host already has");
             }
         } catch (IllegalArgumentException e) {
-            f.addProblem("names", "holds a name that cannot be: " + e.getMessage());
+            f.addProblem("names", "holds an invalid name: " + e.getMessage());
         }
     }
 
-    /** The places of a host or of a route: routes of one place stand together, in their order. */
+    /** Reads the locations of a host or of a route; routes of one location are grouped, in their order. */
     private PathTable<List<Route>> routes(TableReader f, int depth) {
         PathTable<List<Route>> paths = new PathTable<>();
         Map<String, List<Route>> byLocation = new LinkedHashMap<>();
@@ -206,14 +204,14 @@
             PathKind match = r.choice("match", PathKind.class, PathKind.PREFIX);
             PathTable<List<Route>> nested = null;
             if (r.has("route") && depth >= MAX_ROUTE_DEPTH) {
-                r.addProblem("route", "is nested more than " + MAX_ROUTE_DEPTH + " deep");
+                r.addProblem("route", "is nested more than " + MAX_ROUTE_DEPTH + " levels deep");
             } else if (r.has("route")) {
                 nested = routes(r, depth + 1);
             }
             boolean regex = match == PathKind.REGEX || match == PathKind.REGEX_ANY_CASE;
             Route route = routes.read(r, path, regex ? null : path);
             r.rejectUnknownKeys();
-            // A prefix is one place, whether it ends the search or not.
+            // A prefix is one location, whether it ends the search or not.
             String locationKey = (match == PathKind.PREFIX_ENDS ? PathKind.PREFIX : match) + " " + path;
             List<Route> locationRoutes = byLocation.get(locationKey);
             if (locationRoutes == null) {
@@ -221,7 +219,7 @@
                 byLocation.put(locationKey, locationRoutes);
                 addLocation(paths, r, match, path, locationRoutes, nested);
             } else if (nested != null) {
-                r.addProblem("route", "belongs to the first route of this path");
+                r.addProblem("route", "must be nested in the first route of this path");
             }
             locationRoutes.add(route);
         }
--- a/src/main/java/gullspar/route/Condition.java
+++ b/src/main/java/gullspar/route/Condition.java
@@ -6,15 +6,15 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What a request must be like for a route, besides its host and place. */
+/** A condition of a route on a request, besides its host and path. */
 public interface Condition {
     /**
-     * What a regular expression caught, group 0 first, an empty list where there is none; null if the request
-     * does not fit.
+     * Returns the groups of the regular expression, group 0 first, or an empty list if the condition has none;
+     * null if the request does not match.
      */
     List<String> match(Request r);
 
-    /** A header: there, of a value, or with a regular expression found in one of its values. */
+    /** A header that is present, has a given value, or has a value in which a regular expression is found. */
     record Header(String name, String value, Pattern pattern) implements Condition {
         @Override
         public List<String> match(Request r) {
@@ -27,11 +27,11 @@
 
         @Override
         public String toString() {
-            return name + (pattern != null ? " ~ " + pattern : value != null ? " = " + value : " is there");
+            return name + (pattern != null ? " ~ " + pattern : value != null ? " = " + value : " is present");
         }
     }
 
-    /** A text made of the request is of a value, or empty where that is empty. */
+    /** The expanded template equals a value; an empty value requires an empty text. */
     record TextEquals(Template template, String value) implements Condition {
         @Override
         public List<String> match(Request r) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** A regular expression is found in a text made of the request. */
+    /** A regular expression is found in the expanded template. */
     record TextMatches(Template template, Pattern pattern) implements Condition {
         @Override
         public List<String> match(Request r) {
@@ -66,9 +66,9 @@
     }
 
     /**
-     * A text made of the request is one of a share: its hash lies from one part to another, in hundredths of
-     * a percent of all. The hash is MurmurHash2 (A. Appleby, 2008, 32 bits, seed 0), as split_clients of
-     * nginx has it, so that a client stays where it was.
+     * The hash of the expanded template lies between two bounds, in basis points of the hash range. The hash is
+     * MurmurHash2 (A. Appleby, 2008, 32 bits, seed 0), as in split_clients of nginx, so that a client that
+     * moves over from nginx keeps its share.
      */
     record HashShare(Template template, int fromBasisPoints, int toBasisPoints) implements Condition {
         @Override
@@ -86,10 +86,9 @@
 
         @Override
         public String toString() {
-            return template + " is of " + fromBasisPoints / 100.0 + " to " + toBasisPoints / 100.0 + " %";
+            return template + " is in the share " + fromBasisPoints / 100.0 + " to " + toBasisPoints / 100.0 + " %";
         }
 
-        /** MurmurHash2 of 32 bits with seed 0. */
         static int murmur2(byte[] data) {
             int m = 0x5bd1e995;
             int h = data.length;
--- a/src/main/java/gullspar/route/HeaderChanges.java
+++ b/src/main/java/gullspar/route/HeaderChanges.java
@@ -6,26 +6,25 @@
 import java.util.Set;
 
 /**
- * What a route does to the headers of a head: those in remove leave, whatever their case; those in set have
- * that value alone, and are left out where it is empty; those in add come beside others of the name, and
- * those
- * in addOk too, but only with the statuses 200, 201, 204, 206, 301 to 304, 307 and 308.
+ * The changes of a route to header fields. Fields in remove are removed, whatever their case. Fields in set get
+ * that value only, and are omitted if it is empty. Fields in add are added to others of the same name, as are
+ * those in addOk, but only with the statuses 200, 201, 204, 206, 301 to 304, 307 and 308.
  */
 public record HeaderChanges(
         Map<String, Template> set, Map<String, Template> add, Map<String, Template> addOk, List<String> remove) {
-    /** Leaves all as it is. */
+    /** No changes. */
     public static final HeaderChanges NONE = new HeaderChanges(Map.of(), Map.of(), Map.of(), List.of());
 
     private static final Set<Integer> ADD_OK_STATUSES = Set.of(200, 201, 204, 206, 301, 302, 303, 304, 307, 308);
 
     public HeaderChanges {
-        set = new LinkedHashMap<>(set); // in the order in which they were written
+        set = new LinkedHashMap<>(set); // keeps the order of the file
         add = new LinkedHashMap<>(add);
         addOk = new LinkedHashMap<>(addOk);
         remove = List.copyOf(remove);
     }
 
-    /** Does what is in addOk come with that status? */
+    /** Returns whether the fields in addOk are added to a response with that status. */
     public static boolean isAddOkStatus(int status) {
         return ADD_OK_STATUSES.contains(status);
     }
--- a/src/main/java/gullspar/route/HostTable.java
+++ b/src/main/java/gullspar/route/HostTable.java
@@ -8,12 +8,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Which virtual host a request is for, by its Host. In this order: the name itself; the longest wildcard at
- * the beginning (*.example.org); the longest at the end (shop.*); the first regular expression that is found
- * in it; the default. Names are compared without regard to case; a port and a dot at the end do not count.
+ * Finds the virtual host of a request by its Host header. In this order: the exact name; the longest leading
+ * wildcard (*.example.org); the longest trailing one (shop.*); the first regular expression that is found in
+ * it; the default. Names are case-insensitive; a port and a trailing dot are ignored.
  */
 public final class HostTable<T> {
-    /** By what a host was found. */
+    /** The kind of name that matched. */
     public enum MatchKind {
         NAME,
         LEADING,
@@ -22,16 +22,16 @@
         DEFAULT
     }
 
-    /** What was found, by what, and the text that did it. */
+    /** The host found, the kind of name that matched, and its text. */
     public record Match<T>(T host, MatchKind kind, String text) {
-        /** In words. */
+        /** Returns the reason of the match, as routes explain it. */
         public String reason() {
             return switch (kind) {
                 case NAME -> "its name is " + text;
-                case LEADING -> "*." + text + " fits it";
-                case TRAILING -> text + ".* fits it";
+                case LEADING -> "*." + text + " matches it";
+                case TRAILING -> text + ".* matches it";
                 case REGEX -> "~" + text + " is found in it";
-                default -> "no name fits it: the default";
+                default -> "no name matches it: the default";
             };
         }
     }
@@ -45,8 +45,8 @@
     private T defaultHost;
 
     /**
-     * Adds a name: exact, *.suffix, .suffix (the name itself and all below it) or prefix.*. False if the same
-     * is there already; an IllegalArgumentException for a star elsewhere.
+     * Adds a name: exact, *.suffix, .suffix (the name itself and all its subdomains) or prefix.*. Returns false
+     * if the name exists already; throws IllegalArgumentException for a wildcard elsewhere.
      */
     public boolean add(String name, T host) {
         String normalized = name.toLowerCase(Locale.ROOT);
@@ -67,25 +67,22 @@
 
     private static String requireNoWildcard(String name, String part) {
         if (part.isEmpty() || part.contains("*")) {
-            throw new IllegalArgumentException("'" + name + "' has a wildcard where none can be");
+            throw new IllegalArgumentException("'" + name + "' has a wildcard in a position where none is allowed");
         }
         return part;
     }
 
-    /** Adds a regular expression; they are tried in the order in which they were added. */
+    /** Adds a regular expression; expressions are tried in the order in which they were added. */
     public void add(Pattern pattern, T host) {
         regexes.add(new Regex<>(pattern, host));
     }
 
-    /** For whatever no name fits. */
+    /** Sets the host for requests that no name matches. */
     public void defaultHost(T host) {
         defaultHost = host;
     }
 
-    /**
-     * The host without its port, in small letters, with no dot at the end; an IPv6 address keeps its
-     * brackets.
-     */
+    /** Returns the host in lower case, without port and trailing dot; an IPv6 address keeps its brackets. */
     public static String normalize(String host) {
         int from = host.startsWith("[") ? host.indexOf(']') : 0;
         int colon = host.indexOf(':', Math.max(0, from));
@@ -94,7 +91,7 @@
         return name.toLowerCase(Locale.ROOT);
     }
 
-    /** Null only where there is no default. */
+    /** Returns null only if no name matches and there is no default. */
     public Match<T> find(String host) {
         String name = host == null ? "" : normalize(host);
         T found = exact.get(name);
--- a/src/main/java/gullspar/route/PathTable.java
+++ b/src/main/java/gullspar/route/PathTable.java
@@ -8,14 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Which of a virtual host's places a path belongs to. Looked for at one level: the exact path, which ends the
- * search; else the longest prefix, and below it what is nested there; then, unless that prefix ends the
- * search, the first regular expression that is found in the path, and what is nested below that. Regular
- * expressions nested in a place come before those beside it. Cost: the length of the path, and one try for
- * each regular expression.
+ * Finds the location of a path in a virtual host. Search order at one level: the exact path, which ends the
+ * search; else the longest prefix and the locations nested in it; then, unless that prefix ends the search, the
+ * first regular expression that is found in the path, and the locations nested in it. Regular expressions
+ * nested in a location take precedence over those at its own level. Cost: linear in the length of the path,
+ * plus one match for each regular expression.
  */
 public final class PathTable<T> {
-    /** How a place is written down. */
+    /** How the text of a location is matched; PREFIX_ENDS is a prefix that ends the search. */
     public enum Kind {
         EXACT,
         PREFIX,
@@ -24,8 +24,8 @@
     }
 
     /**
-     * What was found, by which text, and what a regular expression caught: group 0 first, none for the
-     * others.
+     * The target of the location found, its kind and text, and the groups of a regular expression: group 0
+     * first, empty for other kinds.
      */
     public record Match<T>(T target, Kind kind, String text, List<String> groups) {}
 
@@ -49,23 +49,23 @@
     private final PrefixTree<Location<T>> prefixes = new PrefixTree<>();
     private final List<Location<T>> regexes = new ArrayList<>();
 
-    /** Adds a place with what is nested in it, or null; false if the same is there already. */
+    /** Adds a location with its nested ones, or null for none; returns false if it exists already. */
     public boolean add(Kind kind, String text, T target, PathTable<T> nested) {
         Location<T> location = new Location<>(kind, text, null, target, nested);
         return kind == Kind.EXACT ? exact.putIfAbsent(text, location) == null : prefixes.add(text, location);
     }
 
-    /** Adds a regular expression, behind those that are there. */
+    /** Adds a regular expression after the existing ones. */
     public void add(Pattern pattern, T target, PathTable<T> nested) {
         regexes.add(new Location<>(Kind.REGEX, pattern.pattern(), pattern, target, nested));
     }
 
-    /** Null if no place fits the path. */
+    /** Returns null if no location matches the path. */
     public Match<T> find(String path) {
         return find(path, null);
     }
 
-    /** As find, below a place that has been found so far. */
+    /** Searches one level; parentMatch is the result if nothing here matches. */
     private Match<T> find(String path, Match<T> parentMatch) {
         Location<T> location = exact.get(path);
         if (location != null) {
@@ -76,7 +76,7 @@
         if (location != null) {
             best = toMatch(location, List.of());
             Match<T> nestedMatch = location.nested == null ? best : location.nested.find(path, best);
-            // What an exact path or a regular expression found down there ends the search up here.
+            // A nested exact path or regular expression also ends the search at this level.
             if (nestedMatch.kind == Kind.EXACT || nestedMatch.kind == Kind.REGEX || location.kind == Kind.PREFIX_ENDS) {
                 return nestedMatch;
             }
@@ -87,7 +87,7 @@
             if (m.find()) {
                 Match<T> regexMatch = toMatch(r, groups(m));
                 Match<T> nestedMatch = r.nested == null ? regexMatch : r.nested.find(path, regexMatch);
-                // Within a regular expression the search is over, whatever kind is nested.
+                // A match within a regular expression ends the search, whatever the nested kind.
                 return nestedMatch.kind == Kind.PREFIX || nestedMatch.kind == Kind.PREFIX_ENDS
                         ? new Match<>(nestedMatch.target, Kind.REGEX, nestedMatch.text, regexMatch.groups)
                         : nestedMatch;
--- a/src/main/java/gullspar/route/PrefixTree.java
+++ b/src/main/java/gullspar/route/PrefixTree.java
@@ -5,13 +5,11 @@
 import java.util.List;
 
 /**
- * The longest of many prefixes that a text begins with: a radix tree, read only once it is built. Finding
- * costs as much as the text is long, however many prefixes there are.
+ * A radix tree that finds the longest prefix of a text. It is read-only once built; a lookup is linear in the
+ * length of the text, independent of the number of prefixes.
  */
 final class PrefixTree<T> {
-    /**
-     * A node: the characters that lead to it from its parent, what ends there, and those below by first one.
-     */
+    /** A node: the characters on the edge from its parent, its value, and its children by first character. */
     private static final class Node<T> {
         private String label;
         private T value;
@@ -41,7 +39,7 @@
 
     private final Node<T> root = new Node<>("", null);
 
-    /** Adds a prefix; false if it is there already. */
+    /** Adds a prefix; returns false if it exists already. */
     boolean add(String prefix, T value) {
         Node<T> n = root;
         int at = 0;
@@ -74,7 +72,7 @@
         return i;
     }
 
-    /** Puts a node in the midst of the way to this one. */
+    /** Splits the edge to a node: its first characters stay, the others move to a new child. */
     private static <T> void split(Node<T> n, int at) {
         Node<T> tail = new Node<>(n.label.substring(at), n.value);
         tail.firstChars = n.firstChars;
@@ -86,7 +84,7 @@
         n.add(tail);
     }
 
-    /** What the longest prefix of the text stands for; null if no prefix fits. */
+    /** Returns the value of the longest prefix of the text; null if no prefix matches. */
     T findLongest(String text) {
         Node<T> n = root;
         T best = root.value;
--- a/src/main/java/gullspar/route/Request.java
+++ b/src/main/java/gullspar/route/Request.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What routing looks at of a request. host is as the client wrote it; the path is decoded and normalised; the
- * query is as it came, without ?, null where there is none; raw is the target as it came; client is the
- * address that it came from and port the one that it came to; id is its Request-Id.
+ * The parts of a request that routing uses. host is as sent by the client; the path is decoded and normalised;
+ * the query is as received, without ?, or null; rawTarget is the target as received; client is the address of
+ * the client and port the local port; requestId is the Request-Id header.
  */
 public record Request(
         String method,
@@ -18,12 +18,12 @@
         String requestId,
         Headers headers)
         implements Template.VariableResolver {
-    /** The values of a header, none if it is not there; names are compared without regard to case. */
+    /** Returns the values of a header, empty if it is absent; names are case-insensitive. */
     public interface Headers {
         List<String> all(String name);
     }
 
-    /** One of which nothing else is known. */
+    /** A request whose client, port and Request-Id are unknown. */
     public Request(String method, String host, String path, String query, Headers headers) {
         this(method, host, path, query, query == null ? path : path + "?" + query, "", 80, "", headers);
     }
@@ -52,7 +52,7 @@
         };
     }
 
-    /** The clients so far as the request says, and the one that it came from. */
+    /** Returns X-Forwarded-For as received, with the client's address appended. */
     public String forwardedFor() {
         List<String> previous = headers.all("X-Forwarded-For");
         return previous.isEmpty() ? client : String.join(", ", previous) + ", " + client;
--- a/src/main/java/gullspar/route/Rewrite.java
+++ b/src/main/java/gullspar/route/Rewrite.java
@@ -3,24 +3,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * How the path changes on the way to a pool: not at all, its prefix for another, or by a regular expression.
- */
+/** How the path is rewritten for a pool: not at all, by prefix, or by a regular expression. */
 public record Rewrite(String prefix, Pattern pattern, String replacement) {
-    /** The path goes on as it came. */
+    /** Forwards the path unchanged. */
     public static final Rewrite NONE = new Rewrite(null, null, null);
 
-    /** What fits the place's prefix is replaced by that. */
+    /** Replaces the prefix of the location. */
     public static Rewrite prefix(String prefix, String replacement) {
         return new Rewrite(prefix, null, replacement);
     }
 
-    /** What the expression finds first is replaced; $1 to $9 in the replacement stand for its groups. */
+    /** Replaces the first match of the expression; $0 to $9 in the replacement stand for its groups. */
     public static Rewrite pattern(Pattern pattern, String replacement) {
         return new Rewrite(null, pattern, replacement);
     }
 
-    /** The path that goes on; never empty. */
+    /** Returns the path to forward; it always begins with /. */
     public String apply(String path) {
         String rewritten = path;
         if (prefix != null && path.startsWith(prefix)) {
--- a/src/main/java/gullspar/route/Route.java
+++ b/src/main/java/gullspar/route/Route.java
@@ -4,13 +4,14 @@
 import java.util.Set;
 
 /**
- * What becomes of a request that belongs to a place and fits the conditions. Times in ns, sizes in bytes;
- * methods empty: any. Either it goes to a pool, or it is answered here.
+ * A route: requests of its location that match its methods (empty for any) and conditions are forwarded to a
+ * pool or get a fixed response; exactly one of the two is set.
  */
 public record Route(
         String name, Set<String> methods, List<Condition> conditions, PoolTarget pool, FixedResponse fixedResponse) {
     /**
-     * May a request run twice? BY_METHOD: GET, HEAD and OPTIONS may, nothing else (RFC 9110, section 9.2.1).
+     * Whether a request may be repeated. BY_METHOD: GET, HEAD and OPTIONS are safe, all others are not (RFC
+     * 9110, section 9.2.1).
      */
     public enum RequestClass {
         BY_METHOD,
@@ -19,9 +20,7 @@
         UNSAFE
     }
 
-    /**
-     * To a pool: what kind of requests, how they change on the way there and their answers on the way back.
-     */
+    /** Forwarding to a pool: the class of the requests, their limits, and the changes to both heads. */
     public record PoolTarget(
             String pool,
             RequestClass requestClass,
@@ -31,9 +30,9 @@
             HeaderChanges responseHeaders) {}
 
     /**
-     * A final answer begins within the deadline; in so many attempts at the most, each of at most attemptNs
-     * (0: as long as the deadline leaves); with a body of at most so much. An answer with a status of retryOn
-     * counts as a failed attempt. A keyed request's repeats are dropped for rememberedNs.
+     * Limits of one request. The final response must begin within the deadline, in at most maxAttempts attempts
+     * of at most attemptTimeoutNs each (0: the rest of the deadline). A response with a status of retryStatuses
+     * counts as a failed attempt. Repeats of a keyed request are dropped for keyRetentionNs.
      */
     public record Limits(
             long deadlineNs,
@@ -47,18 +46,18 @@
         }
     }
 
-    /** A fixed answer: a status, and a body or a place to go to, or neither. */
+    /** A fixed response: a status, and a body, a Location or neither. */
     public record FixedResponse(int status, Template body, String type, Template location, HeaderChanges headers) {}
 
     public Route {
         methods = Set.copyOf(methods);
         conditions = List.copyOf(conditions);
         if ((pool == null) == (fixedResponse == null)) {
-            throw new IllegalArgumentException("a route goes to a pool or is answered: " + name);
+            throw new IllegalArgumentException("a route needs either a pool or a fixed response: " + name);
         }
     }
 
-    /** Why a request does not fit; null if it does. */
+    /** Returns why a request does not match; null if it does. */
     String mismatch(Request r) {
         if (!methods.isEmpty() && !methods.contains(r.method())) {
             return "its method is not "
@@ -66,13 +65,13 @@
         }
         for (Condition c : conditions) {
             if (c.match(r) == null) {
-                return "not so: " + c;
+                return "condition not met: " + c;
             }
         }
         return null;
     }
 
-    /** What regular expressions caught of a request that fits: the last condition's, else the place's. */
+    /** Returns the groups of the last condition that has any, else those of the location. */
     List<String> capturedGroups(Request r, List<String> locationGroups) {
         List<String> groups = locationGroups;
         for (Condition c : conditions) {
@@ -86,7 +85,7 @@
         return methods.isEmpty() || methods.contains(method);
     }
 
-    /** The kind of a request of that method on this route. */
+    /** Returns the class of a request with that method, BY_METHOD resolved. */
     public static RequestClass resolveClass(RequestClass declared, String method) {
         if (declared != RequestClass.BY_METHOD) {
             return declared;
--- a/src/main/java/gullspar/route/Router.java
+++ b/src/main/java/gullspar/route/Router.java
@@ -8,19 +8,19 @@
 import java.util.function.Supplier;
 
 /**
- * Finds the route of a request: its host, its place by the path, and of the place's routes the first whose
- * method and conditions fit. Read only once it is built, and free of any state.
+ * Finds the route of a request: its host, its location by the path, and the first route of the location whose
+ * methods and conditions match. Immutable once built.
  */
 public final class Router {
     /**
-     * A virtual host: its name for people; routes that are looked at first, whatever the path; its places,
-     * and of each place the routes in order.
+     * A virtual host: its display name; the routes that are checked before all others, whatever the path; and
+     * its locations, each with its routes in order.
      */
     public record Host(String name, List<Route> priorityRoutes, PathTable<List<Route>> paths) {}
 
     /**
-     * What was found: the route, or null and the status that says why there is none (404 or 405); what the
-     * place's regular expression caught, group 0 first; and with 405 the methods that are allowed.
+     * The route with status 200, or null with the reason as status (404 or 405); the groups of the regular
+     * expression that matched, group 0 first; and with 405 the allowed methods.
      */
     public record Result(Route route, int status, List<String> groups, Set<String> allowedMethods) {}
 
@@ -30,14 +30,11 @@
         this.hosts = hosts;
     }
 
-    /** The route of a request. */
     public Result find(Request r) {
         return find(r, null);
     }
 
-    /**
-     * The same with the way to it, a line each, for people: what was looked at, and why it fits or does not.
-     */
+    /** Explains the search, one line for each step: what was checked, and why it matches or does not. */
     public List<String> explain(Request r) {
         List<String> explanation = new ArrayList<>();
         find(r, explanation);
@@ -47,21 +44,21 @@
     private Result find(Request r, List<String> explanation) {
         HostTable.Match<Host> host = hosts.find(r.host());
         if (host == null) {
-            addLine(explanation, () -> "no host fits '" + r.host() + "', and there is no default");
+            addLine(explanation, () -> "no host matches '" + r.host() + "', and there is no default");
             return new Result(null, 404, List.of(), Set.of());
         }
         addLine(explanation, () -> "host " + host.host().name() + ": " + host.reason());
         for (Route route : host.host().priorityRoutes()) {
             String mismatch = route.mismatch(r);
             if (mismatch == null) {
-                addLine(explanation, () -> "route " + route.name() + ", looked at first");
+                addLine(explanation, () -> "route " + route.name() + ", checked before all paths");
                 return new Result(route, 200, route.capturedGroups(r, List.of()), Set.of());
             }
             addLine(explanation, () -> "not route " + route.name() + ": " + mismatch);
         }
         PathTable.Match<List<Route>> location = host.host().paths().find(r.path());
         if (location == null) {
-            addLine(explanation, () -> "no place fits " + r.path());
+            addLine(explanation, () -> "no place matches " + r.path());
             return new Result(null, 404, List.of(), Set.of());
         }
         addLine(
--- a/src/main/java/gullspar/route/ServerRotation.java
+++ b/src/main/java/gullspar/route/ServerRotation.java
@@ -4,33 +4,33 @@
 import java.util.List;
 
 /**
- * Who of a pool is listed to its decision module at all: the primaries that are not out for their failures
- * and have a connection left; the backups where no primary is left; and if everyone is out then, every
- * primary, since a pool that lists nobody cannot find out that one is back. Where somebody is only at the
- * limit of connections nobody else is listed: requests wait for a place. A server is out for a time once it
- * has failed so often in such a time. No clock: callers give the time, in ns from any origin, never going
- * back.
+ * Selects the servers of a pool that are listed to its decision module: the primaries that are neither ejected
+ * nor at their connection limit; without any, such backups; and if all servers are ejected, every primary,
+ * since a pool with an empty list could not notice that a server has recovered. If a server that is not ejected
+ * is at its connection limit, ejected primaries stay unlisted and requests wait for a connection.
+ * A server is ejected for failNs after maxFailures failures within failNs. The class reads no clock: callers
+ * pass the time in ns from any origin, and it must not go back.
  */
 public final class ServerRotation {
     /**
-     * A server as declared. weight: its share against the others' weights; maxFailures: so many within failNs
-     * put it out for failNs, 0 for never; slowStartNs: its weight rises over that time after it was out, 0
-     * for at once.
+     * The settings of a server. weight: relative to those of the other servers; maxFailures: this many failures
+     * within failNs eject it for failNs, 0 for never; slowStartNs: the time over which its weight rises after
+     * an ejection, 0 for full weight at once.
      */
     public record ServerSpec(
             String name, double weight, boolean backup, boolean down, int maxFailures, long failNs, long slowStartNs) {
         public ServerSpec {
             if (!(weight > 0) || maxFailures < 0 || failNs < 0 || slowStartNs < 0) {
                 throw new IllegalArgumentException(
-                        "a server's figures cannot be negative, its weight not " + "0: " + name);
+                        "a server needs a weight above 0 and cannot have " + "negative settings: " + name);
             }
         }
     }
 
-    /** A server that is listed now, with the weight that it has now. */
+    /** A listed server with its current weight. */
     public record WeightedServer(ServerSpec server, double weight) {}
 
-    /** A weight that rises is told in so many steps. */
+    /** The number of list updates in which a weight rises during slow start. */
     private static final int SLOW_START_STEPS = 50;
 
     private static final long MIN_STEP_NS = 50_000_000L;
@@ -56,7 +56,7 @@
         reconfigure(declared);
     }
 
-    /** Other servers from now on; those declared as before keep what is known of them. */
+    /** Replaces the servers; those with unchanged settings keep their state. */
     public void reconfigure(List<ServerSpec> specs) {
         List<ServerState> states = new ArrayList<>();
         for (ServerSpec d : specs) {
@@ -64,11 +64,11 @@
             states.add(existing != null && existing.spec.equals(d) ? existing : new ServerState(d));
         }
         servers = states;
-        // With one server there is nobody to go to instead: its failures put nobody out.
+        // The only server that is not down is never ejected: no other could take its requests.
         this.hasSingleServer = specs.stream().filter(d -> !d.down()).count() <= 1;
     }
 
-    /** An attempt at a server failed; true if that changes who is listed. */
+    /** Records a failed attempt; returns true if that changes the list. */
     public boolean onFailure(String name, long nowNs) {
         ServerState s = server(name);
         if (s == null || hasSingleServer || s.spec.maxFailures() == 0) {
@@ -89,7 +89,7 @@
         return changed;
     }
 
-    /** An attempt at a server was answered; what it failed before no longer counts. */
+    /** Records a response from a server, which resets its failure count. */
     public void onResponse(String name) {
         ServerState s = server(name);
         if (s != null) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Is a server at its limit of connections? True if that changes who is listed. */
+    /** Sets whether a server is at its connection limit; returns true if that has changed. */
     public boolean setFull(String name, boolean full) {
         ServerState s = server(name);
         if (s == null || s.full == full) {
@@ -116,7 +116,7 @@
         return null;
     }
 
-    /** When the list changes next by time alone; Long.MAX_VALUE if it does not. */
+    /** Returns when the list next changes by time alone; Long.MAX_VALUE if it does not. */
     public long nextChangeAtNs(long nowNs) {
         long nextNs = Long.MAX_VALUE;
         for (ServerState s : servers) {
@@ -129,7 +129,7 @@
         return Math.max(nextNs, nowNs);
     }
 
-    /** Those that the decision module may choose from, in the order in which they were declared. */
+    /** Returns the servers that the decision module may choose from, in the order of the settings. */
     public List<WeightedServer> listedServers(long nowNs) {
         for (ServerState s : servers) {
             if (s.ejected && nowNs >= s.ejectedUntilNs) {
@@ -160,7 +160,7 @@
         return s.returnedAtNs != Long.MIN_VALUE && nowNs - s.returnedAtNs < s.spec.slowStartNs();
     }
 
-    /** From a hundredth of the declared weight up to all of it, in a line. */
+    /** Rises linearly from a hundredth of the configured weight to all of it during slow start. */
     private static double currentWeight(ServerState s, long nowNs) {
         return !isInSlowStart(s, nowNs)
                 ? s.spec.weight()
--- a/src/main/java/gullspar/route/Template.java
+++ b/src/main/java/gullspar/route/Template.java
@@ -7,11 +7,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A text with places for what is known of a request: ${client}, ${header.X-Name} and so on; $${ stands for
- * ${ itself. What is not there is empty.
+ * A text with variables of a request: ${client}, ${header.X-Name} and so on; $${ stands for a literal ${. A
+ * variable without a value expands to an empty string.
  */
 public final class Template {
-    /** Who knows what a name stands for; null or empty for what is not there. */
+    /** Resolves the name of a variable; null or empty if it has no value. */
     public interface VariableResolver {
         String resolve(String name);
     }
@@ -43,7 +43,7 @@
         this.parts = List.copyOf(parts);
     }
 
-    /** Reads one; an IllegalArgumentException for a name that stands for nothing, or a brace left open. */
+    /** Throws IllegalArgumentException for an unknown variable or an unclosed brace. */
     public static Template parse(String text) {
         List<Part> parts = new ArrayList<>();
         StringBuilder literal = new StringBuilder();
@@ -55,7 +55,7 @@
             } else if (text.startsWith("${", at)) {
                 int end = text.indexOf('}', at);
                 if (end < 0) {
-                    throw new IllegalArgumentException("'${' with no '}' in '" + text + "'");
+                    throw new IllegalArgumentException("'${' without a closing '}' in '" + text + "'");
                 }
                 parts.add(new Part(literal.toString(), false));
                 literal.setLength(0);
@@ -72,19 +72,19 @@
 
     private static String requireKnown(String name) {
         if (!VARIABLES.contains(name) && !VARIABLE_PATTERN.matcher(name).matches()) {
-            throw new IllegalArgumentException("'${" + name + "}' stands for nothing; there are "
+            throw new IllegalArgumentException("unknown variable '${" + name + "}'; the variables are "
                     + String.join(", ", VARIABLES.stream().sorted().toList())
                     + ", header.NAME, cookie.NAME, arg.NAME and 0 to 9");
         }
         return name;
     }
 
-    /** A text that is as it stands, whatever it holds. */
+    /** Creates a template without variables from a literal text. */
     public static Template literal(String text) {
         return new Template(text.replace("${", "$${"), text.isEmpty() ? List.of() : List.of(new Part(text, false)));
     }
 
-    /** The text with all places filled. */
+    /** Returns the text with all variables replaced by their values. */
     public String expand(VariableResolver resolver) {
         if (parts.size() == 1 && !parts.get(0).isVariable()) {
             return parts.get(0).text();
@@ -97,7 +97,7 @@
         return s.toString();
     }
 
-    /** As it was written. */
+    /** Returns the text from which the template was parsed. */
     @Override
     public String toString() {
         return source;
@@ -113,7 +113,7 @@
         return source.hashCode();
     }
 
-    /** The value of a cookie among the values of Cookie headers; empty if it is not there. */
+    /** Returns the value of a cookie from the values of Cookie headers; empty if it is absent. */
     public static String cookie(List<String> headers, String name) {
         for (String h : headers) {
             for (String pair : h.split(";")) {
@@ -126,7 +126,7 @@
         return "";
     }
 
-    /** The value of an argument in a query, as it came; empty if it is not there. */
+    /** Returns the value of a query argument, not decoded; empty if it is absent. */
     public static String queryArgument(String query, String name) {
         if (query != null) {
             for (String pair : query.split("&")) {
--- a/src/main/java/gullspar/toml/BlockParser.java
+++ b/src/main/java/gullspar/toml/BlockParser.java
@@ -14,19 +14,19 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads a text that is mostly as the one before: it is cut at the headers of arrays of tables ([[host]] at
- * the beginning of a line), and a block that was there before is not parsed again. Where a text has errors,
- * or might mean something else in blocks than as a whole, it is not read so. Not for several threads.
+ * Parses successive versions of a text incrementally: the text is split at the headers of arrays of tables
+ * ([[host]] at the beginning of a line), and a block that the previous text had is not parsed again. A text
+ * that has errors, or could have another meaning in blocks than as a whole, is refused. Not thread-safe.
  */
 public final class BlockParser {
     private static final Pattern HEADER = Pattern.compile("(?m)^\\[\\[([A-Za-z0-9_-]+)]][ \\t]*(?:#.*)?\r?$");
 
     private Map<String, TomlParseResult> cachedBlocks = new HashMap<>();
 
-    /** The text's fields; null if it has to be parsed as a whole. */
+    /** Returns the root table; null if the text must be parsed as a whole. */
     public TableReader read(String text, List<Problem> problems) {
         if (text.contains("\"\"\"") || text.contains("'''")) {
-            return null; // a header in a string of several lines is none
+            return null; // a header within a multi-line string is not a header
         }
         Map<String, TomlParseResult> currentBlocks = new HashMap<>();
         List<TableReader.Part> parts = new ArrayList<>();
@@ -60,7 +60,7 @@
         return new TableReader(parts, "", TomlPosition.positionAt(1, 1), problems);
     }
 
-    /** Does it hold nothing that another block holds too, but for elements of the array it begins with? */
+    /** Returns whether the block shares no key with others, except elements of the array that it begins with. */
     private static boolean isIndependent(TomlTable t, String header, Set<String> seen) {
         for (String key : t.keySet()) {
             if (key.equals(header)) {
--- a/src/main/java/gullspar/toml/Problem.java
+++ b/src/main/java/gullspar/toml/Problem.java
@@ -1,4 +1,4 @@
 package gullspar.toml;
 
-/** What is wrong with a script, and where: line and column count from 1. */
+/** A problem in a TOML text and its position; line and column count from 1. */
 public record Problem(int line, int column, String message) {}
--- a/src/main/java/gullspar/toml/Range.java
+++ b/src/main/java/gullspar/toml/Range.java
@@ -2,10 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** From where to where a value is drawn; both ends the same: no draw. */
+/** A range from which a value is drawn; equal bounds make it a fixed value. */
 public record Range(double from, double to) {
     public double draw(SplittableRandom random) {
-        double at = random.nextDouble(); // drawn in any case: a fixed value must not shift what others draw
+        double at = random.nextDouble(); // always drawn, so that a fixed value does not shift later draws
         return from + (to - from) * at;
     }
 
--- a/src/main/java/gullspar/toml/TableReader.java
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -13,19 +13,20 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML text, read strictly: every key that is not asked for, every value of a wrong type or
- * out of its bounds becomes a problem at its place, and reading goes on, so that all problems come at once.
+ * Reads one table of a TOML text strictly: every key that is not read, and every value of a wrong type or out
+ * of range, is recorded as a problem at its position. Reading continues, so that all problems are reported at
+ * once.
  */
 public final class TableReader {
-    /** A value in place of one that is missing or wrong, so that reading can go on. */
+    /** Stands in for a missing number, so that reading can continue. */
     private static final double MISSING = Double.NaN;
 
-    /** A table as it was parsed, and how many lines stand ahead of the text that it was parsed from. */
+    /** A parsed table, and the number of lines ahead of the text from which it was parsed. */
     record Part(TomlTable table, int lineOffset) {}
 
     private static final TomlTable EMPTY = Toml.parse("");
 
-    /** One, but for a text that was parsed in blocks: each key but arrays of tables is in one of them. */
+    /** A single part unless the text was parsed in blocks; only arrays of tables span several parts. */
     private final List<Part> parts;
 
     private final String name;
@@ -48,7 +49,7 @@
         return position;
     }
 
-    /** The part that holds the key; the first one if none does. */
+    /** Returns the part that has the key; the first one if none has. */
     private Part part(String key) {
         for (Part p : parts) {
             if (p.table.contains(List.of(key))) {
@@ -72,12 +73,12 @@
         problems.add(new Problem(at.line(), at.column(), what));
     }
 
-    /** Something is wrong with the value of a key. */
+    /** Records a problem with the value of a key. */
     public void addProblem(String key, String what) {
         addProblemAt(positionOf(key), key + " " + what);
     }
 
-    /** Something is wrong with the table as a whole. */
+    /** Records a problem with the table as a whole. */
     public void addProblem(String what) {
         addProblemAt(position, what);
     }
@@ -128,7 +129,7 @@
         return v == Math.rint(v) && Math.abs(v) < 1e15 ? Long.toString((long) v) : String.valueOf(v);
     }
 
-    /** A number that must be there. */
+    /** Reads a required number. */
     public double number(String key, double min, double max) {
         if (!has(key)) {
             addMissing(key);
@@ -149,7 +150,7 @@
         return checkRange(key, n.doubleValue(), min, max) ? n.doubleValue() : min;
     }
 
-    /** A whole number that must be there. */
+    /** Reads a required integer. */
     public int integer(String key, int min, int max) {
         if (!has(key)) {
             addMissing(key);
@@ -196,7 +197,7 @@
         return defaultValue;
     }
 
-    /** One of the names of an enumeration, in small letters with hyphens. */
+    /** Reads the name of an enum constant, in lower case with hyphens; required if the default is null. */
     public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
         if (defaultValue == null && !has(key)) {
             addMissing(key);
@@ -221,7 +222,7 @@
         return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A number, or a range of two to draw from. */
+    /** Reads a required number, or an array of two as the bounds of a range. */
     public Range range(String key, double min, double max) {
         if (!has(key)) {
             addMissing(key);
@@ -245,7 +246,7 @@
                 || !(a.get(1) instanceof Number)) {
             addProblem(
                     key,
-                    "must be a number or an array of two, not "
+                    "must be a number or an array of two numbers, not "
                             + (v instanceof TomlArray ? "another array" : typeName(v)));
             return defaultValue;
         }
@@ -259,7 +260,7 @@
         return r;
     }
 
-    /** Strings, none twice. */
+    /** Reads a string or an array of distinct strings. */
     public List<String> stringList(String key, List<String> defaultValue) {
         Object v = value(key);
         if (v == null) {
@@ -287,7 +288,7 @@
         return defaultValue;
     }
 
-    /** A table whose keys are free and whose values are strings, in their order; empty if it is not there. */
+    /** Reads a table with arbitrary keys and string values, in order; empty if it is absent. */
     public Map<String, String> stringTable(String key) {
         TableReader f = table(key);
         Map<String, String> values = new LinkedHashMap<>();
@@ -295,7 +296,7 @@
         return values;
     }
 
-    /** The table of that name; an empty one if it is not there. */
+    /** Reads a nested table; empty if it is absent. */
     public TableReader table(String key) {
         Object v = value(key);
         if (v != null && !(v instanceof TomlTable)) {
@@ -309,7 +310,7 @@
                 problems);
     }
 
-    /** The tables of an array of tables. */
+    /** Reads an array of tables. */
     public List<TableReader> tables(String key) {
         Object first = value(key);
         List<TableReader> list = new ArrayList<>();
@@ -336,7 +337,7 @@
         }
     }
 
-    /** To be called last: what has not been asked for is not known. */
+    /** Records a problem for each key that has not been read; must be called last. */
     public void rejectUnknownKeys() {
         Set<String> reported = new HashSet<>();
         for (Part p : parts) {
--- a/src/test/java/gullspar/config/BlockParserTest.java
+++ b/src/test/java/gullspar/config/BlockParserTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** A text that is read in blocks says what it says as a whole. */
+/** Parsing a file in blocks yields the same configuration or problems as parsing it as a whole. */
 @Execution(ExecutionMode.CONCURRENT)
 class BlockParserTest {
     private static final List<String> MUTATION_LINES = List.of(
@@ -102,6 +102,6 @@
             assertEquals(whole, outcome(() -> SiteReader.parse(text, "f", blocks)), text);
             valid += whole.startsWith("f:") ? 0 : 1;
         }
-        assertTrue(valid > 80 && valid < 320, valid + " were right");
+        assertTrue(valid > 80 && valid < 320, valid + " of 400 were valid");
     }
 }
--- a/src/test/java/gullspar/config/OperatorsFileTest.java
+++ b/src/test/java/gullspar/config/OperatorsFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators write for any process, and the keys that it names. */
+/** The operators' file of any process, and the key file that it names. */
 class OperatorsFileTest {
     @TempDir
     Path folder;
@@ -54,8 +54,8 @@
     void reportsAllProblemsWithTheirPositions() {
         assertEquals(
                 """
-                o.toml:2:1: name must be 1 to 32 of letters, digits and . _ + -
-                o.toml:3:1: bind is every address of this machine: the others need one, by advertise
+                o.toml:2:1: name must be 1 to 32 characters: letters, digits and . _ + -
+                o.toml:3:1: bind is the wildcard address: advertise must give an address that other members can reach
                 o.toml:4:1: seeds holds 'there:1', not an IP address and a port
                 o.toml:5:1: interval_ms is 3, not 50 to 86400000
                 o.toml:6:1: fleet: unknown key 'intervall'
@@ -76,7 +76,7 @@
                         .sorted()
                         .toList());
         assertTrue(problemsOf("[fleet]\nbind = \"127.0.0.1:1\"\nadvertise = \"127.0.0.1:0\"\nkey_file = \"k\"")
-                .contains("advertise is no address that others could reach"));
+                .contains("advertise is not an address that other members can reach"));
         assertTrue(problemsOf("[operatr]").contains("o.toml:1:2: unknown key 'operatr'")
                 || problemsOf("[operatr]").contains("unknown key 'operatr'"));
     }
--- a/src/test/java/gullspar/config/SiteReaderTest.java
+++ b/src/test/java/gullspar/config/SiteReaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' file, and where requests go by it. */
+/** Reading the operators' file, and the routes of requests by it. */
 class SiteReaderTest {
     private static final String SMALL = "[[listener]]\naddress = \"127.0.0.1:80\"\n[[pool]]\nname = \"a\"\n"
             + "[[pool.server]]\naddress = \"127.0.0.1:81\"\n[[host]]\ndefault = true\n";
@@ -95,11 +95,11 @@
             quoteCharacter = '`',
             textBlock =
                     """
-        path = "/"                                       ~ 9:1: a route needs a pool to go to, or an answer
-        path = "/"|pool = "b"                            ~ 11:1: pool is 'b', and there is no such pool
+        path = "/"                                       ~ 9:1: a route needs either pool or answer
+        path = "/"|pool = "b"                            ~ 11:1: pool is 'b', but no [[pool]] has that name
         path = "x"|pool = "a"                            ~ 10:1: path does not begin with /
-        path = "("|match = "regex"|pool = "a"            ~ 10:1: path holds no regular expression: Unclosed
-        path = "/"|pool = "a"|answer = {status = 200}    ~ 9:1: a route goes to a pool or is answered, not
+        path = "("|match = "regex"|pool = "a"            ~ 10:1: path holds an invalid regular expression: Unclosed
+        path = "/"|pool = "a"|answer = {status = 200}    ~ 9:1: a route has either pool or answer, not both
         path = "/"|answer = { status = 99 }              ~ 11:12: status is 99, not 200 to 599
         path = "/"|pool = "a"|deadline = 3               ~ 12:1: route: unknown key 'deadline'
         path = "/"|pool = "a"|class = "idempotent"       ~ 12:1: class is 'idempotent', not one of by-method
@@ -139,12 +139,12 @@
         for (String part : List.of(
                 ":2:1: address is 'localhost:80', not an IP",
                 ":3:1: a pool with no [[pool.server]]",
-                ":6:1: name is that of another pool: 'a'",
+                ":6:1: name is already used by another pool: 'a'",
                 ":9:1: a second server '127.0.0.1:1' in this pool",
-                ":12:1: names holds a name that cannot be: 'a.*.b'",
-                ":12:1: names holds no regular expression",
-                ":14:1: names holds 'X', which another host has",
-                ":15:1: a host with no names")) {
+                ":12:1: names holds an invalid name: 'a.*.b'",
+                ":12:1: names holds an invalid regular expression",
+                ":14:1: names holds 'X', which another host already has",
+                ":15:1: a host with no names must have default = true")) {
             assertTrue(message.contains("f.toml" + part), part + " in\n" + message);
         }
         assertEquals(8, message.lines().count(), message);
--- a/src/test/java/gullspar/route/HostTableTest.java
+++ b/src/test/java/gullspar/route/HostTableTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which virtual host a name belongs to. */
+/** Finding the virtual host of a name. */
 class HostTableTest {
     private final HostTable<String> hosts = new HostTable<>();
 
--- a/src/test/java/gullspar/route/PathTableTest.java
+++ b/src/test/java/gullspar/route/PathTableTest.java
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Which place a path belongs to. */
+/** Finding the location of a path. */
 class PathTableTest {
     private final PathTable<String> paths = new PathTable<>();
 
@@ -74,7 +74,7 @@
         assertEquals("login", find("/app/login"));
         assertEquals("action", find("/app/x.do"));
         assertEquals("static", find("/app/static/x.js"));
-        assertEquals("static", find("/app/static/x.do"), "the nested place ends the search at its level");
+        assertEquals("static", find("/app/static/x.do"), "the nested location ends the search at its level");
         assertEquals("css", find("/app/static/x.css"), "but not at the level above");
         assertEquals("css", find("/app/x.css"));
     }
@@ -97,7 +97,7 @@
         assertEquals("any", find("/else"));
     }
 
-    /** Against the obvious way to do it, over random prefixes and paths of few letters. */
+    /** Compares the tree with a linear search, over random prefixes and paths of few letters. */
     @Test
     void prefixTreeFindsTheLongestPrefix() {
         SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/gullspar/route/ServerRotationTest.java
+++ b/src/test/java/gullspar/route/ServerRotationTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who of a pool is listed. */
+/** Selecting the servers of a pool that are listed. */
 class ServerRotationTest {
     private static ServerSpec server(String name, double weight, boolean backup) {
         return new ServerSpec(name, weight, backup, false, 2, 100, 0);
@@ -34,7 +34,7 @@
     @Test
     void ejectsAServerAfterMaxFailuresWithinTheWindow() {
         assertFalse(pool.onFailure("a", 0));
-        assertFalse(pool.onFailure("a", 101), "the first no longer counts");
+        assertFalse(pool.onFailure("a", 101), "the first failure is outside the window");
         assertTrue(pool.onFailure("a", 150));
         assertEquals(List.of("b"), names(pool, 249));
         assertEquals(250, pool.nextChangeAtNs(200));
@@ -60,7 +60,7 @@
         pool.onFailure("spare", 2);
         assertTrue(pool.onFailure("spare", 2));
         assertEquals(List.of("a", "b"), names(pool, 3));
-        assertEquals(List.of("a", "b"), names(pool, 100), "they are back");
+        assertEquals(List.of("a", "b"), names(pool, 100), "the ejection has ended");
     }
 
     @Test
@@ -78,7 +78,7 @@
                 new ServerRotation(List.of(new ServerSpec("a", 1, false, false, 0, 100, 0), server("b", 1, false)));
         assertFalse(m.onFailure("a", 0));
         assertFalse(m.onFailure("a", 0));
-        assertFalse(m.onFailure("nobody", 0));
+        assertFalse(m.onFailure("unknown", 0));
         assertEquals(List.of("a", "b"), names(m, 0));
     }
 
@@ -86,7 +86,7 @@
     void slowStartRaisesTheWeightAfterAnEjection() {
         ServerRotation m =
                 new ServerRotation(List.of(new ServerSpec("a", 10, false, false, 1, 100, 1000), server("b", 1, false)));
-        assertEquals(10, m.listedServers(0).get(0).weight(), "it has not been out");
+        assertEquals(10, m.listedServers(0).get(0).weight(), "it has not been ejected");
         m.onFailure("a", 0);
         assertEquals(0.1, m.listedServers(100).get(0).weight(), 1e-9);
         assertEquals(5, m.listedServers(600).get(0).weight(), 1e-9);
@@ -106,15 +106,15 @@
     @Test
     void omitsFullServersWithoutListingEjectedOnes() {
         assertTrue(pool.setFull("a", true));
-        assertFalse(pool.setFull("a", true), "nothing new");
+        assertFalse(pool.setFull("a", true), "no change");
         assertEquals(List.of("b"), names(pool, 0));
         pool.setFull("b", true);
         assertEquals(List.of("spare"), names(pool, 0));
         pool.setFull("spare", true);
-        assertEquals(List.of(), names(pool, 0), "a place will be free again");
+        assertEquals(List.of(), names(pool, 0), "requests wait for a connection");
         assertTrue(pool.setFull("b", false));
         assertEquals(List.of("b"), names(pool, 0));
-        assertFalse(pool.setFull("nobody", true));
+        assertFalse(pool.setFull("unknown", true));
     }
 
     @Test
@@ -124,7 +124,7 @@
         pool.reconfigure(List.of(server("a", 3, false), server("c", 1, false)));
         assertEquals(List.of("c"), names(pool, 1));
         pool.reconfigure(List.of(server("a", 4, false), server("c", 1, false)));
-        assertEquals(List.of("a", "c"), names(pool, 1), "another weight is another server");
+        assertEquals(List.of("a", "c"), names(pool, 1), "a server with another weight starts without state");
     }
 
     @Test
