--- a/src/main/java/gullspar/config/RouteReader.java
+++ b/src/main/java/gullspar/config/RouteReader.java
@@ -158,7 +158,7 @@
         f.stringTable(key).forEach((name, value) -> {
             checkHeaderName(f, key, name);
             if (value.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-                f.addProblem(key, "sets " + name + " to a value with control characters");
+                f.addProblem(key, "gives " + name + " a value with control characters");
             }
             values.put(name, FieldParsers.template(f, key, value));
         });
--- a/src/main/java/gullspar/config/Site.java
+++ b/src/main/java/gullspar/config/Site.java
@@ -19,7 +19,7 @@
     /** An address to listen on, and the routes of its requests. */
     public record Listener(InetSocketAddress address, Router router) {}
 
-    /** How a pool balances: by the configured weights until its servers report load, or by measured capacity. */
+    /** How a pool balances: by the configured weights until its servers report load, or by learnt weights. */
     public enum Balance {
         WEIGHTS,
         LEARNT
