--- a/src/main/java/gullspar/Main.java
+++ b/src/main/java/gullspar/Main.java
@@ -1,7 +1,7 @@
 package gullspar;
 
-import gullspar.cli.Direct;
-import gullspar.cli.Tool;
+import gullspar.cli.PlatformCommands;
+import gullspar.cli.RootCommand;
 
 /**
  * Entry point. The commands that a platform runs are dispatched directly; all others go to the command line
@@ -16,10 +16,10 @@
 
     static int run(String[] args) {
         return switch (args.length == 1 ? args[0] : "") {
-            case "serve" -> Direct.serve();
-            case "warm" -> Direct.warm();
-            case "drill" -> Direct.drill();
-            default -> Tool.run(args);
+            case "serve" -> PlatformCommands.serve();
+            case "warm" -> PlatformCommands.warm();
+            case "drill" -> PlatformCommands.drill();
+            default -> RootCommand.run(args);
         };
     }
 }
--- a/src/main/java/gullspar/cli/Routes.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine.Spec;
 
 /** The commands that look at an operator's file with no daemon. */
-final class Routes {
-    private Routes() {}
+final class ConfigCommands {
+    private ConfigCommands() {}
 
     /** Is a file right? */
     @Command(
@@ -42,7 +42,7 @@
 
         @Override
         public Integer call() {
-            return Written.read(file, f -> {
+            return InputFiles.read(file, f -> {
                                 String text = Files.readString(f);
                                 return OperatorsFile.only(text)
                                         ? OperatorsFile.parse(text, f.toString())
@@ -62,7 +62,7 @@
                     "Says which route of a configuration a request takes, why, and what would be " + "sent where.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {"0:there is a route", "1:there is none", "2:wrong usage, or a file with errors"})
-    static final class Which implements Callable<Integer> {
+    static final class ExplainRoute implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -80,7 +80,7 @@
 
         @Override
         public Integer call() {
-            Site site = Written.read(file, SiteReader::read);
+            Site site = InputFiles.read(file, SiteReader::read);
             if (site == null) {
                 return 2;
             }
@@ -92,7 +92,7 @@
                 System.out.println("answer " + found.status());
                 return 1;
             }
-            say(found, r, site);
+            printTarget(found, r, site);
             return 0;
         }
 
@@ -119,7 +119,7 @@
         }
 
         /** What stands for a name with this request: the groups of the place, or what is known of it. */
-        private static String value(Router.Found found, Request r, String name) {
+        private static String templateValue(Router.Found found, Request r, String name) {
             if (name.equals("route")) {
                 return found.route().name();
             }
@@ -132,9 +132,9 @@
                     : group < found.groups().size() ? found.groups().get(group) : "";
         }
 
-        private static void say(Router.Found found, Request r, Site site) {
+        private static void printTarget(Router.Found found, Request r, Site site) {
             Route route = found.route();
-            Template.Values values = name -> value(found, r, name);
+            Template.Values values = name -> templateValue(found, r, name);
             if (route.answer() != null) {
                 System.out.println("answer " + route.answer().status()
                         + (route.answer().location() == null
--- a/src/main/java/gullspar/cli/FleetView.java
+++ b/src/main/java/gullspar/cli/FleetCommand.java
@@ -28,7 +28,7 @@
             "Prints who is there as one member sees it, by its operators' address (docs/fleet.md).",
             "A line each: name, status and for how long, phase, version, how old its word is, who disagrees."
         },
-        subcommands = FleetView.NewKey.class,
+        subcommands = FleetCommand.NewKey.class,
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:it answered, and is not cut off",
@@ -36,9 +36,9 @@
             "2:wrong usage",
             "3:it answered, and says that it is cut off"
         })
-final class FleetView implements Callable<Integer> {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private static final int CUT_OFF = 3;
+final class FleetCommand implements Callable<Integer> {
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+    private static final int EXIT_CUT_OFF = 3;
 
     @Spec
     private CommandSpec spec;
@@ -57,7 +57,7 @@
     private boolean watch;
 
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(PATIENCE).build();
+            HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
 
     @Override
     public Integer call() throws InterruptedException {
@@ -70,19 +70,19 @@
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), "--at is '" + at + "', not HOST:PORT");
         }
-        int code = look(uri);
+        int code = fetchAndPrint(uri);
         while (watch && code != 1) {
             Thread.sleep(1000);
             System.out.println();
-            code = look(uri);
+            code = fetchAndPrint(uri);
         }
         return code;
     }
 
-    private int look(URI uri) throws InterruptedException {
+    private int fetchAndPrint(URI uri) throws InterruptedException {
         try {
             HttpResponse<String> r = client.send(
-                    HttpRequest.newBuilder(uri).timeout(PATIENCE).build(), HttpResponse.BodyHandlers.ofString());
+                    HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
             if (r.statusCode() != 200) {
                 System.err.println(at + " answers " + r.statusCode()
                         + (r.statusCode() == 404 ? ": it takes part in no fleet" : ""));
@@ -92,9 +92,9 @@
             if (json) {
                 System.out.println(r.body());
             } else {
-                lines(view).forEach(System.out::println);
+                formatLines(view).forEach(System.out::println);
             }
-            return view.path("cut_off").asBoolean() ? CUT_OFF : 0;
+            return view.path("cut_off").asBoolean() ? EXIT_CUT_OFF : 0;
         } catch (IOException e) {
             System.err.println(at + " does not answer: " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
@@ -102,7 +102,7 @@
     }
 
     /** For people. */
-    static List<String> lines(JsonNode view) {
+    static List<String> formatLines(JsonNode view) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
                 Locale.ROOT,
@@ -151,11 +151,11 @@
                             "  %-16s %-9s %8s %-9s %-12s %-8s %8s %7.1f  %s",
                             m.path("name").asText(),
                             m.path("status").asText(),
-                            time(m.path("since_s").asDouble()),
+                            formatDuration(m.path("since_s").asDouble()),
                             m.path("phase").asText(),
                             m.path("version").asText(),
                             m.path("zone").asText(),
-                            time(m.path("told_s").asDouble()),
+                            formatDuration(m.path("told_s").asDouble()),
                             m.path("requests_per_s").asDouble(),
                             String.join("; ", notes))
                     .stripTrailing());
@@ -163,7 +163,7 @@
         return lines;
     }
 
-    private static String time(double s) {
+    private static String formatDuration(double s) {
         return s < 120
                 ? String.format(Locale.ROOT, "%.0fs", s)
                 : s < 7200
@@ -177,11 +177,11 @@
             mixinStandardHelpOptions = true,
             description = "Prints a new key for a key file: 32 random bytes, in hexadecimal.")
     static final class NewKey implements Callable<Integer> {
-        private static final int BYTES = 32;
+        private static final int KEY_BYTES = 32;
 
         @Override
         public Integer call() {
-            byte[] key = new byte[BYTES];
+            byte[] key = new byte[KEY_BYTES];
             new SecureRandom().nextBytes(key);
             System.out.println(HexFormat.of().formatHex(key));
             return 0;
--- a/src/main/java/gullspar/cli/Import.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -30,8 +30,8 @@
         name = "import",
         mixinStandardHelpOptions = true,
         description = "Makes an operator's file of another proxy's configuration.",
-        subcommands = Import.Nginx.class)
-final class Import implements Runnable {
+        subcommands = ImportCommand.Nginx.class)
+final class ImportCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -55,7 +55,7 @@
             })
     static final class Nginx implements Callable<Integer> {
         /** How the report is written. */
-        enum Form {
+        enum ReportFormat {
             text,
             json
         }
@@ -71,7 +71,7 @@
                 paramLabel = "FORM",
                 description = "text, on standard error: what could "
                         + "not be translated and all remarks; json: every directive, on standard output with -o.")
-        private Form form = Form.text;
+        private ReportFormat reportFormat = ReportFormat.text;
 
         @Option(names = "--partial", description = "Writes what could be translated all the same.")
         private boolean partial;
@@ -85,22 +85,22 @@
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            Importer.Imported made = Importer.read(files, hosts, problems);
-            if (made == null) {
+            Importer.Imported imported = Importer.read(files, hosts, problems);
+            if (imported == null) {
                 problems.forEach(System.err::println);
                 return 2;
             }
-            List<Entry> entries = made.report().entries(made.directives());
-            if (form == Form.json) {
+            List<Entry> entries = imported.report().entries(imported.directives());
+            if (reportFormat == ReportFormat.json) {
                 (out == null ? System.err : System.out).println(json(entries));
             } else {
-                say(entries);
+                printReport(entries);
             }
-            if (!made.report().complete() && !partial) {
+            if (!imported.report().complete() && !partial) {
                 System.err.println("nothing is written: see above, or use --partial");
                 return 3;
             }
-            return write(made.toml());
+            return write(imported.toml());
         }
 
         private int write(String toml) {
@@ -126,17 +126,17 @@
             }
         }
 
-        private static String words(Verdict v) {
+        private static String verdictText(Verdict v) {
             return v.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
         /** What could not be translated, and remarks; then how many of each. */
-        private static void say(List<Entry> entries) {
+        private static void printReport(List<Entry> entries) {
             int[] counts = new int[Verdict.values().length];
             for (Entry e : entries) {
                 counts[e.verdict().ordinal()]++;
                 if (!e.why().isEmpty()) {
-                    System.err.println(e.directive().place() + ": " + words(e.verdict()) + ": "
+                    System.err.println(e.directive().place() + ": " + verdictText(e.verdict()) + ": "
                             + e.directive().name().text() + ": " + e.why());
                 }
             }
@@ -155,7 +155,7 @@
                     g.writeNumberField("line", e.directive().place().line());
                     g.writeNumberField("column", e.directive().place().column());
                     g.writeStringField("directive", e.directive().name().text());
-                    g.writeStringField("verdict", words(e.verdict()));
+                    g.writeStringField("verdict", verdictText(e.verdict()));
                     g.writeStringField("why", e.why());
                     g.writeEndObject();
                 }
--- a/src/main/java/gullspar/cli/Written.java
+++ b/src/main/java/gullspar/cli/InputFiles.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /** Files that somebody has written, read for a command. */
-final class Written {
-    private Written() {}
+final class InputFiles {
+    private InputFiles() {}
 
     /** Makes something of a file. */
     interface Reader<T> {
--- a/src/main/java/gullspar/cli/Direct.java
+++ b/src/main/java/gullspar/cli/PlatformCommands.java
@@ -17,12 +17,12 @@
 import java.nio.file.Path;
 
 /** The commands that a platform starts. They load nothing that they do not run on, and return exit codes. */
-public final class Direct {
-    private Direct() {}
+public final class PlatformCommands {
+    private PlatformCommands() {}
 
     /** One real proxy, by the environment; returns only if it cannot go on. */
     public static int serve() {
-        return daemon(log -> Daemon.run(
+        return runDaemon(log -> Daemon.run(
                 System.getenv(),
                 log::drainAtEnd,
                 Policy::new,
@@ -31,24 +31,24 @@
 
     /** One proxy for plain HTTP, by an operator's file; returns only if it cannot go on. */
     static int serve(Path config) {
-        quicker();
+        configureNetty();
         try {
             return SiteDaemon.run(
                             config,
-                            () -> Written.read(config, SiteReader::read),
+                            () -> InputFiles.read(config, SiteReader::read),
                             Policy::new,
                             (file, name, platform, load) -> Membership.start(
                                     file, f -> SiteReader.read(f).operators(), name, platform, load))
                     ? 1
                     : 2;
         } catch (IOException e) {
-            return failed(e.getMessage());
+            return reportFailure(e.getMessage());
         }
     }
 
     /** Goes through all that serving needs and ends: the build records the classes that it loads. */
     public static int warm() {
-        return daemon(log -> Daemon.warm(System.getenv(), Policy::new));
+        return runDaemon(log -> Daemon.warm(System.getenv(), Policy::new));
     }
 
     /** The module on the simulator's wire, on standard input and output. */
@@ -57,37 +57,37 @@
             new Host(Policy::new).serve(System.in, System.out);
             return 0;
         } catch (WireException e) {
-            return failed(e.getMessage());
+            return reportFailure(e.getMessage());
         } catch (IOException e) {
-            return failed("cannot read or write the wire: " + e.getMessage());
+            return reportFailure("cannot read or write the wire: " + e.getMessage());
         }
     }
 
-    private interface Work {
+    private interface DaemonTask {
         void run(NonBlockingStream log) throws ConfigException, IOException;
     }
 
-    static void quicker() {
+    static void configureNetty() {
         // Nobody records a flight here, and Netty's events for it cost a start 0.3 s on half a core.
         System.setProperty("io.netty.jfr.enabled", "false");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // it would look for others first
     }
 
-    private static int daemon(Work work) {
-        quicker();
+    private static int runDaemon(DaemonTask work) {
+        configureNetty();
         NonBlockingStream log = Log.neverBlocking();
         try {
             work.run(log);
             return 0;
         } catch (ConfigException | IOException e) {
-            return failed(e.getMessage());
+            return reportFailure(e.getMessage());
         } finally {
             log.drainAtEnd();
         }
     }
 
-    private static int failed(String why) {
-        System.err.println("gullspar: " + why);
+    private static int reportFailure(String reason) {
+        System.err.println("gullspar: " + reason);
         return 1;
     }
 }
--- a/src/main/java/gullspar/cli/Rehearse.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -45,10 +45,10 @@
             "1:a rule was broken, or the day could not be played",
             "2:wrong usage, or a script with errors (nothing is played)"
         },
-        subcommands = {SearchDays.class, Rehearse.Diff.class, Rehearse.Faults.class})
-final class Rehearse implements Callable<Integer> {
-    static final int BROKEN = 1;
-    static final int WRONG = 2;
+        subcommands = {SearchCommand.class, RehearseCommand.Diff.class, RehearseCommand.Faults.class})
+final class RehearseCommand implements Callable<Integer> {
+    static final int EXIT_FAILED = 1;
+    static final int EXIT_USAGE = 2;
 
     @Spec
     private CommandSpec spec;
@@ -76,9 +76,9 @@
         if (script == null) {
             throw new ParameterException(spec.commandLine(), "which script?");
         }
-        Script s = Written.read(script, ScriptReader::read);
+        Script s = InputFiles.read(script, ScriptReader::read);
         if (s == null) {
-            return WRONG;
+            return EXIT_USAGE;
         }
         s = seed == null ? s : s.with((long) seed);
         for (Path p : Stream.of(log, report).filter(Objects::nonNull).toList()) {
@@ -93,13 +93,13 @@
             throw new ParameterException(spec.commandLine(), "--log is for virtual time, not for --live");
         }
         try {
-            played = live ? LivePlay.play(s, terminal) : virtual(s, terminal);
+            played = live ? LivePlay.play(s, terminal) : playVirtual(s, terminal);
             if (report != null) {
                 Files.writeString(report, HtmlReport.of(played));
             }
         } catch (IOException e) {
             System.err.println("it cannot be played: " + e.getMessage());
-            return BROKEN;
+            return EXIT_FAILED;
         } finally {
             terminal.clear();
         }
@@ -107,23 +107,23 @@
         if (json) {
             System.out.println(JsonReport.of(played));
         } else {
-            if (terminal.person()) {
-                table(played).forEach(System.out::println);
+            if (terminal.isInteractive()) {
+                summaryLines(played).forEach(System.out::println);
             }
             if (!live) {
                 System.out.println("decisions " + played.decisions() + " sha256 " + played.hash());
             }
         }
-        return played.verdict().kept() ? 0 : broken(played);
+        return played.verdict().kept() ? 0 : reportBroken(played);
     }
 
-    private Played virtual(Script s, Terminal terminal) throws IOException {
+    private Played playVirtual(Script s, Terminal terminal) throws IOException {
         try (Writer decisions = log == null ? null : Files.newBufferedWriter(log)) {
             return VirtualPlay.play(s, VirtualPlay.Options.logged(decisions, terminal));
         }
     }
 
-    private int broken(Played p) {
+    private int reportBroken(Played p) {
         Broken first = p.verdict().broken().get(0);
         System.err.println("BROKEN: " + first.rule().words()
                 + (p.verdict().broken().size() > 1
@@ -136,10 +136,10 @@
         }
         System.err.println("play it again: ./gullspar rehearse " + script + " --seed "
                 + p.script().seed() + (live ? " --live" : ""));
-        return BROKEN;
+        return EXIT_FAILED;
     }
 
-    private static List<String> table(Played p) {
+    private static List<String> summaryLines(Played p) {
         Verdict v = p.verdict();
         return List.of(
                 String.format(
@@ -184,7 +184,7 @@
             try {
                 List<String> lines = LogDiff.of(a, b);
                 lines.forEach(System.out::println);
-                return lines.isEmpty() ? 0 : BROKEN;
+                return lines.isEmpty() ? 0 : EXIT_FAILED;
             } catch (LogDiff.NoLogException e) {
                 System.err.println(e.getMessage());
             } catch (NoSuchFileException e) {
@@ -194,7 +194,7 @@
             } catch (IOException e) {
                 System.err.println("cannot be read: " + e.getMessage());
             }
-            return WRONG;
+            return EXIT_USAGE;
         }
     }
 
--- a/src/main/java/gullspar/cli/Tool.java
+++ b/src/main/java/gullspar/cli/RootCommand.java
@@ -14,35 +14,35 @@
 @Command(
         name = "gullspar",
         mixinStandardHelpOptions = true,
-        versionProvider = Tool.Version.class,
+        versionProvider = RootCommand.Version.class,
         description = "A load-balancing proxy for HTTP/1.1, with a kit to rehearse it.",
         synopsisSubcommandLabel = "COMMAND",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:done", "1:it could not be done, or a rehearsal broke a rule", "2:wrong usage"},
         subcommands = {
-            Tool.Serve.class,
-            Tool.Drill.class,
-            Tool.Warm.class,
-            Rehearse.class,
-            TryOut.class,
-            Routes.Check.class,
-            Routes.Which.class,
-            Import.class,
-            FleetView.class,
-            Versions.Control.class,
-            Versions.Publish.class,
-            Versions.Look.class,
-            Tool.Completion.class
+            RootCommand.Serve.class,
+            RootCommand.Drill.class,
+            RootCommand.Warm.class,
+            RehearseCommand.class,
+            TryCommand.class,
+            ConfigCommands.Check.class,
+            ConfigCommands.ExplainRoute.class,
+            ImportCommand.class,
+            FleetCommand.class,
+            VersionCommands.Control.class,
+            VersionCommands.Publish.class,
+            VersionCommands.ListVersions.class,
+            RootCommand.Completion.class
         })
-public final class Tool implements Runnable {
+public final class RootCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
-    private Tool() {}
+    private RootCommand() {}
 
     /** Runs a command line and returns its exit code. */
     public static int run(String[] args) {
-        return new CommandLine(new Tool()).execute(args);
+        return new CommandLine(new RootCommand()).execute(args);
     }
 
     @Override
@@ -54,7 +54,7 @@
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            String version = Tool.class.getPackage().getImplementationVersion();
+            String version = RootCommand.class.getPackage().getImplementationVersion();
             return new String[] {"gullspar " + (version == null ? "(not from a jar)" : version)};
         }
     }
@@ -95,10 +95,10 @@
                 throw new ParameterException(spec.commandLine(), "--config and --follow exclude each other");
             }
             if (follow != null) {
-                Direct.quicker();
-                return Versions.serve(follow);
+                PlatformCommands.configureNetty();
+                return VersionCommands.serve(follow);
             }
-            return config == null ? Direct.serve() : Direct.serve(config);
+            return config == null ? PlatformCommands.serve() : PlatformCommands.serve(config);
         }
     }
 
@@ -110,7 +110,7 @@
     static final class Drill implements Callable<Integer> {
         @Override
         public Integer call() {
-            return Direct.drill();
+            return PlatformCommands.drill();
         }
     }
 
@@ -122,7 +122,7 @@
     static final class Warm implements Callable<Integer> {
         @Override
         public Integer call() {
-            return Direct.warm();
+            return PlatformCommands.warm();
         }
     }
 
--- a/src/main/java/gullspar/cli/SearchDays.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -32,7 +32,7 @@
             "1:something was found, or it could not be searched",
             "2:wrong usage, or a script with errors"
         })
-final class SearchDays implements Callable<Integer> {
+final class SearchCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
@@ -61,9 +61,9 @@
         if (seeds < 1 || jobs != null && jobs < 1) {
             throw new ParameterException(spec.commandLine(), "--seeds and --jobs are 1 or more");
         }
-        Script s = Written.read(script, ScriptReader::read);
+        Script s = InputFiles.read(script, ScriptReader::read);
         if (s == null) {
-            return Rehearse.WRONG;
+            return RehearseCommand.EXIT_USAGE;
         }
         Terminal terminal = new Terminal();
         Search search =
@@ -84,11 +84,11 @@
             int found = search.run(jobs == null ? Runtime.getRuntime().availableProcessors() : jobs);
             terminal.clear();
             System.out.println(found + " found in " + seeds + " days");
-            return found == 0 ? 0 : Rehearse.BROKEN;
+            return found == 0 ? 0 : RehearseCommand.EXIT_FAILED;
         } catch (IOException e) {
             terminal.clear();
             System.err.println("it cannot be searched: " + e.getMessage());
-            return Rehearse.BROKEN;
+            return RehearseCommand.EXIT_FAILED;
         }
     }
 }
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -6,18 +6,18 @@
 
 /** Words for people at a terminal; without one, only what was asked for. */
 final class Terminal implements Progress {
-    private final boolean person = System.console() != null;
+    private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
     private boolean lineOpen;
 
     /** Is somebody there to read a table or a progress line? */
-    boolean person() {
-        return person;
+    boolean isInteractive() {
+        return isInteractive;
     }
 
     /** A line that the next one of its kind writes over. */
     void status(String text) {
-        if (person) {
+        if (isInteractive) {
             err.print("\r\u001b[K" + text);
             err.flush();
             lineOpen = true;
@@ -35,8 +35,8 @@
 
     @Override
     public void at(double second, double of) {
-        int done = (int) (30 * second / of);
+        int filled = (int) (30 * second / of);
         status(String.format(
-                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(done), ".".repeat(30 - done), second, of));
+                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(filled), ".".repeat(30 - filled), second, of));
     }
 }
--- a/src/main/java/gullspar/cli/TryOut.java
+++ b/src/main/java/gullspar/cli/TryCommand.java
@@ -31,36 +31,36 @@
             "2:wrong usage",
             "130:it was ended by Ctrl-C"
         })
-final class TryOut implements Callable<Integer> {
-    private static final long END_S = 10;
+final class TryCommand implements Callable<Integer> {
+    private static final long SHUTDOWN_TIMEOUT_S = 10;
 
     @Option(names = "--seconds", paramLabel = "N", description = "Ends by itself after so many seconds.")
     private Integer seconds;
 
-    private boolean told;
+    private boolean hasPrintedInstructions;
 
     @Override
     public Integer call() {
         Terminal terminal = new Terminal();
-        CountDownLatch end = new CountDownLatch(1);
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch stop = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            end.countDown();
+                            stop.countDown();
                             try {
-                                ended.await(END_S, TimeUnit.SECONDS);
+                                stopped.await(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         },
                         "end"));
         if (seconds != null) {
-            CompletableFuture.delayedExecutor(seconds, TimeUnit.SECONDS).execute(end::countDown);
+            CompletableFuture.delayedExecutor(seconds, TimeUnit.SECONDS).execute(stop::countDown);
         }
         System.out.println("starting three nodes, discovery and one proxy on loopback ...");
         try {
-            LivePlay.playOn(script(), now -> say(terminal, now), end);
+            LivePlay.playOn(script(), now -> printStatus(terminal, now), stop);
             terminal.clear();
             return 0;
         } catch (IOException e) {
@@ -68,21 +68,21 @@
             System.err.println("it cannot be started: " + e.getMessage());
             return 1;
         } finally {
-            ended.countDown();
+            stopped.countDown();
         }
     }
 
     private static Script script() throws IOException {
-        try (InputStream in = TryOut.class.getResourceAsStream("/gullspar/rehearse/try.toml")) {
+        try (InputStream in = TryCommand.class.getResourceAsStream("/gullspar/rehearse/try.toml")) {
             return ScriptReader.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "try.toml");
         } catch (ProblemsException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private void say(Terminal terminal, LivePlay.Now now) {
-        if (!told) {
-            told = true;
+    private void printStatus(Terminal terminal, LivePlay.Now now) {
+        if (!hasPrintedInstructions) {
+            hasPrintedInstructions = true;
             String at = "http://" + now.proxy().getAddress().getHostAddress() + ":"
                     + now.proxy().getPort();
             System.out.println("ready. A request to paste into another terminal (each needs an id of its " + "own):");
--- a/src/main/java/gullspar/cli/Versions.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -27,12 +27,12 @@
 import picocli.CommandLine.Spec;
 
 /** Configuration that travels as versions (docs/versions.md): control processes, changes, who runs what. */
-final class Versions {
-    private static final int PATIENCE_MS = 10_000;
+final class VersionCommands {
+    private static final int CONTROL_TIMEOUT_MS = 10_000;
 
-    private Versions() {}
+    private VersionCommands() {}
 
-    private static InetSocketAddress address(CommandSpec spec, String option, String text) {
+    private static InetSocketAddress parseAddress(CommandSpec spec, String option, String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
         if (colon < 1 || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
@@ -41,29 +41,29 @@
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(port));
     }
 
-    private static String why(Exception e) {
+    private static String reason(Exception e) {
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
-    private static boolean below(Message.Running r, Version v) {
+    private static boolean isOlder(Message.Running r, Version v) {
         return r.epoch() < v.epoch() || r.epoch() == v.epoch() && r.number() < v.number();
     }
 
-    private static String line(Message.Running r) {
-        String away = r.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", r.awayMs() / 1e3);
+    private static String formatLine(Message.Running r) {
+        String disconnected = r.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", r.awayMs() / 1e3);
         return String.format(
                 Locale.ROOT,
                 "  %-24s %-10s by %s%s%s",
                 r.name(),
                 r.number() == 0 ? "nothing" : r.epoch() + "." + r.number(),
                 r.via(),
-                away,
+                disconnected,
                 r.trouble().isEmpty() ? "" : "; " + r.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
     /** A proxy by the document that its control processes have; returns an exit code if it cannot go on. */
     static int serve(Path follow) {
-        FollowFile file = Written.read(follow, FollowFile::read);
+        FollowFile file = InputFiles.read(follow, FollowFile::read);
         if (file == null) {
             return 2;
         }
@@ -72,16 +72,17 @@
                             follow,
                             Following.of(file),
                             Policy::new,
-                            (f, name, platform, load) -> Membership.start(f, Versions::own, name, platform, load))
+                            (f, name, platform, load) ->
+                                    Membership.start(f, VersionCommands::readOwnSettings, name, platform, load))
                     ? 1
                     : 2;
         } catch (IOException e) {
-            System.err.println("gullspar: " + why(e));
+            System.err.println("gullspar: " + reason(e));
             return 1;
         }
     }
 
-    private static OperatorsFile own(Path file) throws IOException, ProblemsException {
+    private static OperatorsFile readOwnSettings(Path file) throws IOException, ProblemsException {
         return FollowFile.read(file).own();
     }
 
@@ -102,16 +103,16 @@
 
         @Override
         public Integer call() {
-            ControlFile file = Written.read(config, ControlFile::read);
+            ControlFile file = InputFiles.read(config, ControlFile::read);
             if (file == null) {
                 return 2;
             }
             try {
-                Direct.quicker();
+                PlatformCommands.configureNetty();
                 ControlDaemon.run(file);
                 return 0;
             } catch (IOException e) {
-                System.err.println("gullspar: " + why(e));
+                System.err.println("gullspar: " + reason(e));
                 return 1;
             }
         }
@@ -134,9 +135,9 @@
                 "4:it is a version now, but not in force everywhere in time"
             })
     static final class Publish implements Callable<Integer> {
-        private static final int LATER = 3;
-        private static final int MISSING = 4;
-        private static final int SHOWN = 20;
+        private static final int EXIT_SUPERSEDED = 3;
+        private static final int EXIT_NOT_IN_FORCE = 4;
+        private static final int MAX_LISTED = 20;
 
         @Spec
         private CommandSpec spec;
@@ -161,29 +162,29 @@
                 paramLabel = "S",
                 defaultValue = "10",
                 description = "Seconds to wait until it is in force everywhere (${DEFAULT-VALUE}).")
-        private double wait;
+        private double waitSeconds;
 
         @Override
         public Integer call() throws InterruptedException {
-            InetSocketAddress at = address(spec, "--to", to);
-            String text = Written.read(file, Files::readString);
+            InetSocketAddress address = parseAddress(spec, "--to", to);
+            String text = InputFiles.read(file, Files::readString);
             if (text == null) {
                 return 2;
             }
             boolean sent = false;
-            try (ControlClient control = new ControlClient(at, PATIENCE_MS)) {
+            try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 long number = after != null
                         ? after
-                        : number(control.ask(new Message.Look(false), Message.Looked.class)
+                        : numberOf(control.ask(new Message.Look(false), Message.Looked.class)
                                 .head());
                 sent = true;
-                Message.Published p =
+                Message.Published published =
                         control.ask(new Message.Publish(number, file.toString(), text), Message.Published.class);
-                p.lines().forEach(System.err::println);
-                return switch (p.outcome()) {
-                    case ACCEPTED, SAME -> until(control, p.head());
+                published.lines().forEach(System.err::println);
+                return switch (published.outcome()) {
+                    case ACCEPTED, SAME -> awaitInForce(control, published.head());
                     case WRONG -> 2;
-                    case OLDER -> LATER;
+                    case OLDER -> EXIT_SUPERSEDED;
                     default -> 1;
                 };
             } catch (IOException e) {
@@ -191,30 +192,33 @@
                         + (sent
                                 ? " was told and did not answer, see 'gullspar versions' for " + "what holds: "
                                 : " does not answer: ")
-                        + why(e));
+                        + reason(e));
                 return 1;
             }
         }
 
-        private static long number(Version v) {
+        private static long numberOf(Version v) {
             return v == null ? 0 : v.number();
         }
 
-        private int until(ControlClient control, Version v) throws IOException, InterruptedException {
-            long end = System.nanoTime() + (long) (wait * 1e9);
+        private int awaitInForce(ControlClient control, Version v) throws IOException, InterruptedException {
+            long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
-                Message.Looked l = control.ask(new Message.Look(false), Message.Looked.class);
+                Message.Looked looked = control.ask(new Message.Look(false), Message.Looked.class);
                 List<Message.Running> missing =
-                        l.all().stream().filter(r -> below(r, v)).toList();
+                        looked.all().stream().filter(r -> isOlder(r, v)).toList();
                 if (missing.isEmpty()) {
-                    System.out.println("version " + v + " is in force at all " + l.followers());
+                    System.out.println("version " + v + " is in force at all " + looked.followers());
                     return 0;
                 }
-                if (System.nanoTime() > end) {
-                    System.out.println(
-                            "version " + v + " is not in force at " + missing.size() + " of " + l.followers() + ":");
-                    missing.stream().limit(SHOWN).map(Versions::line).forEach(System.out::println);
-                    return MISSING;
+                if (System.nanoTime() > deadlineNs) {
+                    System.out.println("version " + v + " is not in force at " + missing.size() + " of "
+                            + looked.followers() + ":");
+                    missing.stream()
+                            .limit(MAX_LISTED)
+                            .map(VersionCommands::formatLine)
+                            .forEach(System.out::println);
+                    return EXIT_NOT_IN_FORCE;
                 }
                 Thread.sleep(50);
             }
@@ -231,8 +235,8 @@
             },
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {"0:all run the newest one", "1:it does not answer", "2:wrong usage", "4:some do not"})
-    static final class Look implements Callable<Integer> {
-        private static final int MISSING = 4;
+    static final class ListVersions implements Callable<Integer> {
+        private static final int EXIT_NOT_IN_FORCE = 4;
 
         @Spec
         private CommandSpec spec;
@@ -242,17 +246,17 @@
 
         @Override
         public Integer call() {
-            InetSocketAddress where = address(spec, "--at", at);
-            try (ControlClient control = new ControlClient(where, PATIENCE_MS)) {
-                Message.Looked l = control.ask(new Message.Look(true), Message.Looked.class);
-                System.out.println(l.control() + (l.primary() ? ", the primary" : "")
-                        + (l.inStep() ? "" : ", which may not know the newest") + ": version "
-                        + (l.head() == null ? "none" : l.head()) + " in force at " + l.inForce() + " of "
-                        + l.followers());
-                l.all().stream().map(Versions::line).forEach(System.out::println);
-                return l.inForce() == l.followers() ? 0 : MISSING;
+            InetSocketAddress address = parseAddress(spec, "--at", at);
+            try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
+                Message.Looked looked = control.ask(new Message.Look(true), Message.Looked.class);
+                System.out.println(looked.control() + (looked.primary() ? ", the primary" : "")
+                        + (looked.inStep() ? "" : ", which may not know the newest") + ": version "
+                        + (looked.head() == null ? "none" : looked.head()) + " in force at " + looked.inForce() + " of "
+                        + looked.followers());
+                looked.all().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                return looked.inForce() == looked.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
-                System.err.println(at + " does not answer: " + why(e));
+                System.err.println(at + " does not answer: " + reason(e));
                 return 1;
             }
         }
--- a/src/main/java/gullspar/journal/Entry.java
+++ b/src/main/java/gullspar/journal/Entry.java
@@ -15,14 +15,14 @@
     }
 
     /** How an attempt ended. LOST: nobody knows whether it ran. NEVER_RAN: it is proven that it did not. */
-    enum Outcome {
+    enum AttemptOutcome {
         SERVED,
         NEVER_RAN,
         LOST
     }
 
     /** The final answer. ABANDONED: the client left before there was one. */
-    enum Answer {
+    enum RequestOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -37,7 +37,7 @@
      * It was taken. key is empty where there is none; hashed: it is a hash of the key and not the key itself;
      * windowMs: so long repeats of it are discarded at its site.
      */
-    record Taken(
+    record Accepted(
             Request request,
             long atMs,
             Kind kind,
@@ -52,8 +52,8 @@
     record Intent(Request request, long atMs, int attempt, String node, String site) implements Entry {}
 
     /** An attempt has ended. */
-    record Ended(Request request, long atMs, int attempt, Outcome outcome) implements Entry {}
+    record AttemptEnded(Request request, long atMs, int attempt, AttemptOutcome outcome) implements Entry {}
 
     /** The final answer is given. */
-    record Answered(Request request, long atMs, Answer answer) implements Entry {}
+    record Completed(Request request, long atMs, RequestOutcome outcome) implements Entry {}
 }
--- a/src/main/java/gullspar/journal/EntryCodec.java
+++ b/src/main/java/gullspar/journal/EntryCodec.java
@@ -1,31 +1,31 @@
 package gullspar.journal;
 
-import gullspar.journal.Entry.Answer;
+import gullspar.journal.Entry.AttemptOutcome;
 import gullspar.journal.Entry.Kind;
-import gullspar.journal.Entry.Outcome;
 import gullspar.journal.Entry.Request;
+import gullspar.journal.Entry.RequestOutcome;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
 /** Entries as bytes, by docs/journal-format.md. Numbers are big-endian, texts UTF-8 behind their length. */
 final class EntryCodec {
-    static final byte TAKEN = 1, INTENT = 2, ENDED = 3, ANSWERED = 4;
+    static final byte ACCEPTED = 1, INTENT = 2, ATTEMPT_ENDED = 3, COMPLETED = 4;
     /** A longer text is cut: ids and keys have 128 characters at the most where they come in. */
-    private static final int LONGEST_TEXT = 1024;
+    private static final int MAX_TEXT_BYTES = 1024;
 
     private EntryCodec() {}
 
     static byte type(Entry e) {
-        return e instanceof Entry.Taken
-                ? TAKEN
-                : e instanceof Entry.Intent ? INTENT : e instanceof Entry.Ended ? ENDED : ANSWERED;
+        return e instanceof Entry.Accepted
+                ? ACCEPTED
+                : e instanceof Entry.Intent ? INTENT : e instanceof Entry.AttemptEnded ? ATTEMPT_ENDED : COMPLETED;
     }
 
     static byte[] encode(Entry e) {
-        ByteBuffer b = ByteBuffer.allocate(64 + 5 * (LONGEST_TEXT + 2));
+        ByteBuffer b = ByteBuffer.allocate(64 + 5 * (MAX_TEXT_BYTES + 2));
         b.putLong(e.request().run()).putLong(e.request().number()).putLong(e.atMs());
-        if (e instanceof Entry.Taken t) {
+        if (e instanceof Entry.Accepted t) {
             b.put((byte) t.kind().ordinal()).put((byte) (t.hashed() ? 1 : 0)).putLong(t.windowMs());
             text(b, t.key());
             text(b, t.clientId());
@@ -34,10 +34,10 @@
             b.putShort((short) i.attempt());
             text(b, i.node());
             text(b, i.site());
-        } else if (e instanceof Entry.Ended d) {
+        } else if (e instanceof Entry.AttemptEnded d) {
             b.putShort((short) d.attempt()).put((byte) d.outcome().ordinal());
-        } else if (e instanceof Entry.Answered a) {
-            b.put((byte) a.answer().ordinal());
+        } else if (e instanceof Entry.Completed a) {
+            b.put((byte) a.outcome().ordinal());
         }
         byte[] bytes = new byte[b.position()];
         b.flip().get(bytes);
@@ -46,7 +46,7 @@
 
     private static void text(ByteBuffer b, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(LONGEST_TEXT, bytes.length);
+        int length = Math.min(MAX_TEXT_BYTES, bytes.length);
         b.putShort((short) length).put(bytes, 0, length);
     }
 
@@ -58,32 +58,33 @@
     static Entry decode(byte type, byte[] payload) {
         ByteBuffer b = ByteBuffer.wrap(payload);
         try {
-            if (type < TAKEN || type > ANSWERED) {
+            if (type < ACCEPTED || type > COMPLETED) {
                 return null;
             }
             Request r = new Request(b.getLong(), b.getLong());
             long at = b.getLong();
             return switch (type) {
-                case TAKEN -> {
-                    Kind kind = one(Kind.values(), b.get());
+                case ACCEPTED -> {
+                    Kind kind = enumValue(Kind.values(), b.get());
                     boolean hashed = b.get() != 0;
                     long window = b.getLong();
-                    yield new Entry.Taken(r, at, kind, text(b), hashed, text(b), text(b), window);
+                    yield new Entry.Accepted(r, at, kind, text(b), hashed, text(b), text(b), window);
                 }
                 case INTENT -> new Entry.Intent(r, at, b.getShort() & 0xffff, text(b), text(b));
-                case ENDED -> new Entry.Ended(r, at, b.getShort() & 0xffff, one(Outcome.values(), b.get()));
-                default -> new Entry.Answered(r, at, one(Answer.values(), b.get()));
+                case ATTEMPT_ENDED -> new Entry.AttemptEnded(
+                        r, at, b.getShort() & 0xffff, enumValue(AttemptOutcome.values(), b.get()));
+                default -> new Entry.Completed(r, at, enumValue(RequestOutcome.values(), b.get()));
             };
         } catch (BufferUnderflowException e) {
             throw new IllegalArgumentException("an entry that ends too early", e);
         }
     }
 
-    private static <T> T one(T[] values, byte place) {
-        if (place < 0 || place >= values.length) {
-            throw new IllegalArgumentException("an entry with a value that there is not: " + place);
+    private static <T> T enumValue(T[] values, byte ordinal) {
+        if (ordinal < 0 || ordinal >= values.length) {
+            throw new IllegalArgumentException("an entry with a value that there is not: " + ordinal);
         }
-        return values[place];
+        return values[ordinal];
     }
 
     private static String text(ByteBuffer b) {
--- a/src/main/java/gullspar/journal/RequestHistories.java
+++ b/src/main/java/gullspar/journal/RequestHistories.java
@@ -13,18 +13,18 @@
     private final Map<Entry.Request, RequestHistory> open = new LinkedHashMap<>();
 
     public void add(Entry e) {
-        RequestHistory s = all.computeIfAbsent(e.request(), RequestHistory::new);
-        s.add(e);
-        if (s.closed()) {
+        RequestHistory history = all.computeIfAbsent(e.request(), RequestHistory::new);
+        history.add(e);
+        if (history.isClosed()) {
             open.remove(e.request());
         } else {
-            open.put(e.request(), s);
+            open.put(e.request(), history);
         }
     }
 
     /** Records were lost at this point. */
-    public void lost() {
-        open.values().forEach(RequestHistory::doubt);
+    public void markRecordsLost() {
+        open.values().forEach(RequestHistory::markRecordsLost);
     }
 
     public Collection<RequestHistory> all() {
@@ -32,7 +32,7 @@
     }
 
     /** Null if nothing is known of it. */
-    public RequestHistory of(Entry.Request request) {
+    public RequestHistory find(Entry.Request request) {
         return all.get(request);
     }
 }
--- a/src/main/java/gullspar/journal/RequestHistory.java
+++ b/src/main/java/gullspar/journal/RequestHistory.java
@@ -1,7 +1,7 @@
 package gullspar.journal;
 
-import gullspar.journal.Entry.Answer;
-import gullspar.journal.Entry.Outcome;
+import gullspar.journal.Entry.AttemptOutcome;
+import gullspar.journal.Entry.RequestOutcome;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -22,42 +22,42 @@
     }
 
     /** An attempt; the outcome is null while nobody knows it, the node empty where its intent was lost. */
-    public record Attempt(int number, String node, String site, long atMs, Outcome outcome) {
+    public record Attempt(int number, String node, String site, long atMs, AttemptOutcome outcome) {
         /** Nobody has proven that it did not run. */
         public boolean mayHaveRun() {
-            return outcome != Outcome.NEVER_RAN;
+            return outcome != AttemptOutcome.NEVER_RAN;
         }
     }
 
     private final Entry.Request request;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private Entry.Taken taken;
-    private Answer answer;
-    private long answeredAtMs;
-    private boolean doubtful;
+    private Entry.Accepted accepted;
+    private RequestOutcome outcome;
+    private long completedAtMs;
+    private boolean hasLostRecords;
 
     RequestHistory(Entry.Request request) {
         this.request = request;
     }
 
     void add(Entry e) {
-        if (e instanceof Entry.Taken t) {
-            taken = t;
+        if (e instanceof Entry.Accepted t) {
+            accepted = t;
         } else if (e instanceof Entry.Intent i) {
-            put(new Attempt(i.attempt(), i.node(), i.site(), i.atMs(), known(i.attempt())));
-        } else if (e instanceof Entry.Ended d) {
+            putAttempt(new Attempt(i.attempt(), i.node(), i.site(), i.atMs(), outcomeOf(i.attempt())));
+        } else if (e instanceof Entry.AttemptEnded d) {
             Attempt a = attempts.stream()
                     .filter(x -> x.number() == d.attempt())
                     .findFirst()
                     .orElse(new Attempt(d.attempt(), "", "", d.atMs(), null));
-            put(new Attempt(a.number(), a.node(), a.site(), a.atMs(), d.outcome()));
-        } else if (e instanceof Entry.Answered a) {
-            answer = a.answer();
-            answeredAtMs = a.atMs();
+            putAttempt(new Attempt(a.number(), a.node(), a.site(), a.atMs(), d.outcome()));
+        } else if (e instanceof Entry.Completed a) {
+            outcome = a.outcome();
+            completedAtMs = a.atMs();
         }
     }
 
-    private Outcome known(int number) {
+    private AttemptOutcome outcomeOf(int number) {
         return attempts.stream()
                 .filter(a -> a.number() == number)
                 .map(Attempt::outcome)
@@ -65,19 +65,19 @@
                 .orElse(null);
     }
 
-    private void put(Attempt a) {
+    private void putAttempt(Attempt a) {
         attempts.removeIf(x -> x.number() == a.number());
         attempts.add(a);
     }
 
     /** Records are lost that may have been its own. */
-    void doubt() {
-        doubtful = true;
+    void markRecordsLost() {
+        hasLostRecords = true;
     }
 
     /** Its final answer is known: what comes later cannot be of it. */
-    boolean closed() {
-        return answer != null;
+    boolean isClosed() {
+        return outcome != null;
     }
 
     public Entry.Request request() {
@@ -85,8 +85,8 @@
     }
 
     /** Null where that record is lost. */
-    public Entry.Taken taken() {
-        return taken;
+    public Entry.Accepted accepted() {
+        return accepted;
     }
 
     /** In the order in which they were last heard of. */
@@ -95,34 +95,34 @@
     }
 
     /** Null while there is none. */
-    public Answer answer() {
-        return answer;
+    public RequestOutcome outcome() {
+        return outcome;
     }
 
     /** When it was answered, Unix time in ms; 0 while it is not. */
-    public long answeredAtMs() {
-        return answeredAtMs;
+    public long completedAtMs() {
+        return completedAtMs;
     }
 
     /** Records are lost that may have been its own. */
-    public boolean doubtful() {
-        return doubtful;
+    public boolean hasLostRecords() {
+        return hasLostRecords;
     }
 
     /** May it have run? Also where records are lost that could tell. */
     public boolean mayHaveRun() {
-        return answer != Answer.REFUSED
-                && (doubtful || taken == null || attempts.stream().anyMatch(Attempt::mayHaveRun));
+        return outcome != RequestOutcome.REFUSED
+                && (hasLostRecords || accepted == null || attempts.stream().anyMatch(Attempt::mayHaveRun));
     }
 
     public State state() {
-        if (answer == Answer.SERVED || attempts.stream().anyMatch(a -> a.outcome() == Outcome.SERVED)) {
+        if (outcome == RequestOutcome.SERVED || attempts.stream().anyMatch(a -> a.outcome() == AttemptOutcome.SERVED)) {
             return State.SERVED;
         }
-        if (answer == Answer.REFUSED) {
+        if (outcome == RequestOutcome.REFUSED) {
             return State.REFUSED;
         }
-        if (answer == Answer.FAILED) {
+        if (outcome == RequestOutcome.FAILED) {
             return State.FAILED;
         }
         return mayHaveRun() ? State.UNCERTAIN : State.NEVER_SENT;
--- a/src/main/java/gullspar/journal/file/Appender.java
+++ b/src/main/java/gullspar/journal/file/Appender.java
@@ -28,31 +28,31 @@
     }
 
     /** Who hears, on the writer's thread, whether an entry is recorded. */
-    public interface Done {
-        void done(boolean recorded);
+    public interface Callback {
+        void onCompleted(boolean recorded);
     }
 
-    private record Waiting(Entry entry, Done done) {}
+    private record Pending(Entry entry, Callback callback) {}
 
     /** So many entries may wait; more are not recorded. */
-    private static final int MOST_WAITING = 100_000;
+    private static final int MAX_PENDING = 100_000;
 
-    private static final int BATCH_BYTES = 1 << 20;
+    private static final int MAX_BATCH_BYTES = 1 << 20;
 
     private final Disk disk;
     private final Durability durability;
     private final long segmentBytes;
     private final LongSupplier clockMs;
-    private final Queue<Waiting> queue = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final Queue<Pending> queue = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger pendingCount = new AtomicInteger();
     /** Entries but intents that a failed write may have lost, in their order; ahead of the queue. */
-    private final List<Waiting> again = new ArrayList<>();
+    private final List<Pending> retained = new ArrayList<>();
 
     private Disk.File segment;
-    private long number;
-    private long records;
-    private long length;
-    private volatile String failure;
+    private long nextSegment;
+    private long recordCount;
+    private long segmentLength;
+    private volatile String lastFailure;
 
     /** number: of the first segment that it begins; records: those in the journal so far. */
     public Appender(
@@ -60,62 +60,62 @@
         this.disk = disk;
         this.durability = durability;
         this.segmentBytes = segmentBytes;
-        this.number = number;
-        this.records = records;
+        this.nextSegment = number;
+        this.recordCount = records;
         this.clockMs = clockMs;
     }
 
     /** Adds an entry; false, and nothing is heard of it, if too many wait already. */
-    public boolean add(Entry e, Done done) {
-        if (waiting.incrementAndGet() > MOST_WAITING) {
-            waiting.decrementAndGet();
+    public boolean add(Entry e, Callback callback) {
+        if (pendingCount.incrementAndGet() > MAX_PENDING) {
+            pendingCount.decrementAndGet();
             return false;
         }
-        queue.add(new Waiting(e, done));
+        queue.add(new Pending(e, callback));
         return true;
     }
 
     /** Entries that wait. */
-    public int waiting() {
-        return waiting.get();
+    public int pendingCount() {
+        return pendingCount.get();
     }
 
     /** Why the disk last failed; null while it works. */
-    public String failure() {
-        return failure;
+    public String lastFailure() {
+        return lastFailure;
     }
 
     /** Writes what waits, a batch; false if there was nothing to do. */
-    public boolean step() {
-        List<Waiting> batch = new ArrayList<>(again);
-        again.clear();
+    public boolean writeBatch() {
+        List<Pending> batch = new ArrayList<>(retained);
+        retained.clear();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        for (Waiting w : batch) {
-            bytes.writeBytes(Segment.record(w.entry()));
+        for (Pending w : batch) {
+            bytes.writeBytes(Segment.encodeRecord(w.entry()));
         }
-        for (Waiting w = queue.peek(); w != null && bytes.size() < BATCH_BYTES; w = queue.peek()) {
+        for (Pending w = queue.peek(); w != null && bytes.size() < MAX_BATCH_BYTES; w = queue.peek()) {
             queue.remove();
             batch.add(w);
-            bytes.writeBytes(Segment.record(w.entry()));
+            bytes.writeBytes(Segment.encodeRecord(w.entry()));
         }
         if (batch.isEmpty()) {
             return false;
         }
         try {
             write(bytes.toByteArray());
-            records += batch.size();
-            failure = null;
-            waiting.addAndGet(-batch.size());
-            batch.forEach(w -> w.done().done(true));
+            recordCount += batch.size();
+            lastFailure = null;
+            pendingCount.addAndGet(-batch.size());
+            batch.forEach(w -> w.callback().onCompleted(true));
         } catch (IOException e) {
-            failure = e.getMessage() == null ? e.toString() : e.getMessage();
-            end();
-            for (Waiting w : batch) {
+            lastFailure = e.getMessage() == null ? e.toString() : e.getMessage();
+            closeSegment();
+            for (Pending w : batch) {
                 if (w.entry() instanceof Entry.Intent) {
-                    waiting.decrementAndGet();
-                    w.done().done(false);
+                    pendingCount.decrementAndGet();
+                    w.callback().onCompleted(false);
                 } else {
-                    again.add(w);
+                    retained.add(w);
                 }
             }
         }
@@ -123,23 +123,23 @@
     }
 
     private void write(byte[] bytes) throws IOException {
-        if (segment != null && length + bytes.length > segmentBytes) {
-            end();
+        if (segment != null && segmentLength + bytes.length > segmentBytes) {
+            closeSegment();
         }
         if (segment == null) {
-            segment = disk.create(number++);
-            byte[] head = Segment.head(number - 1, records, clockMs.getAsLong());
+            segment = disk.create(nextSegment++);
+            byte[] head = Segment.header(nextSegment - 1, recordCount, clockMs.getAsLong());
             segment.append(head, head.length);
-            length = head.length;
+            segmentLength = head.length;
         }
         segment.append(bytes, bytes.length);
-        length += bytes.length;
+        segmentLength += bytes.length;
         if (durability == Durability.MACHINE) {
             segment.sync();
         }
     }
 
-    private void end() {
+    private void closeSegment() {
         Disk.File old = segment;
         segment = null;
         if (old != null) {
@@ -153,9 +153,9 @@
 
     /** Writes what still waits and closes the segment. */
     public void close() {
-        while (failure == null && step()) {
+        while (lastFailure == null && writeBatch()) {
             continue;
         }
-        end();
+        closeSegment();
     }
 }
--- a/src/main/java/gullspar/journal/file/Disk.java
+++ b/src/main/java/gullspar/journal/file/Disk.java
@@ -22,7 +22,7 @@
     File create(long number) throws IOException;
 
     /** Reads from a place of a segment on, up to the array's length; 0 at the end. */
-    int read(long number, long at, byte[] into) throws IOException;
+    int read(long number, long offset, byte[] buffer) throws IOException;
 
     void delete(long number) throws IOException;
 }
--- a/src/main/java/gullspar/journal/file/FolderDisk.java
+++ b/src/main/java/gullspar/journal/file/FolderDisk.java
@@ -25,7 +25,7 @@
     }
 
     /** Takes a folder, which is made if need be; an IOException if another process has it. */
-    public static FolderDisk hold(Path folder) throws IOException {
+    public static FolderDisk open(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel c = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
@@ -45,7 +45,7 @@
     }
 
     /** Reads a folder, also while a daemon holds it; what would change it fails. */
-    public static Disk look(Path folder) {
+    public static Disk openReadOnly(Path folder) {
         return new FolderDisk(folder, null);
     }
 
@@ -98,10 +98,10 @@
     }
 
     @Override
-    public int read(long number, long at, byte[] into) throws IOException {
+    public int read(long number, long offset, byte[] buffer) throws IOException {
         try (FileChannel c = FileChannel.open(path(number), StandardOpenOption.READ)) {
-            ByteBuffer b = ByteBuffer.wrap(into);
-            while (b.hasRemaining() && c.read(b, at + b.position()) > 0) {
+            ByteBuffer b = ByteBuffer.wrap(buffer);
+            while (b.hasRemaining() && c.read(b, offset + b.position()) > 0) {
                 continue;
             }
             return b.position();
--- a/src/main/java/gullspar/journal/file/Recovery.java
+++ b/src/main/java/gullspar/journal/file/Recovery.java
@@ -1,8 +1,8 @@
 package gullspar.journal.file;
 
 import gullspar.journal.Entry;
-import gullspar.journal.Scan;
 import gullspar.journal.Segment;
+import gullspar.journal.SegmentScanner;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
      * some
      * are lost.
      */
-    public record Found(long nextNumber, long records, List<String> damage) {}
+    public record Result(long nextSegment, long records, List<String> damage) {}
 
     private Recovery() {}
 
@@ -24,49 +24,52 @@
      * Tells a visitor of all entries and of each loss at its place among them. An IOException where a segment
      * is of a newer version, or cannot be read at all.
      */
-    public static Found read(Disk disk, Scan.Visitor visitor) throws IOException {
+    public static Result read(Disk disk, SegmentScanner.Visitor visitor) throws IOException {
         List<Long> numbers = disk.segments();
         List<String> damage = new ArrayList<>();
         long records = 0;
         boolean first = true;
-        for (long n : numbers) {
-            byte[] bytes = new byte[Segment.HEAD];
-            if (disk.read(n, 0, bytes) < Segment.HEAD) {
+        for (long segment : numbers) {
+            byte[] bytes = new byte[Segment.HEADER_BYTES];
+            if (disk.read(segment, 0, bytes) < Segment.HEADER_BYTES) {
                 continue; // begun and never written: nothing was promised of it
             }
-            Segment.Head head = head(n, bytes, damage);
+            Segment.Header head = readHeader(segment, bytes, damage);
             if (head == null) {
-                visitor.lost(0, Segment.HEAD);
+                visitor.lost(0, Segment.HEADER_BYTES);
             } else if (first) {
-                records = head.before(); // those ahead of it were let go when their time was over
-            } else if (head.before() > records) {
-                damage.add("segment " + n + ": " + (head.before() - records) + " records are missing before it");
+                records = head.recordsBefore(); // those ahead of it were let go when their time was over
+            } else if (head.recordsBefore() > records) {
+                damage.add("segment " + segment + ": " + (head.recordsBefore() - records)
+                        + " records are missing before it");
                 visitor.lost(0, 0);
-                records = head.before();
+                records = head.recordsBefore();
             }
-            Scan.End end = Scan.records((at, into) -> disk.read(n, at, into), new Scan.Visitor() {
-                @Override
-                public void entry(long at, Entry e) {
-                    visitor.entry(at, e);
-                }
+            SegmentScanner.Result end =
+                    SegmentScanner.scan((at, into) -> disk.read(segment, at, into), new SegmentScanner.Visitor() {
+                        @Override
+                        public void entry(long at, Entry e) {
+                            visitor.entry(at, e);
+                        }
 
-                @Override
-                public void lost(long from, long to) {
-                    damage.add("segment " + n + ": " + (to - from) + " bytes from " + from + " cannot be read");
-                    visitor.lost(from, to);
-                }
-            });
+                        @Override
+                        public void lost(long from, long to) {
+                            damage.add("segment " + segment + ": " + (to - from) + " bytes from " + from
+                                    + " cannot be read");
+                            visitor.lost(from, to);
+                        }
+                    });
             records += end.records();
             first = false;
         }
-        return new Found(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1, records, damage);
+        return new Result(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1, records, damage);
     }
 
     /** Null for a damaged one, behind which records may be read all the same. */
-    private static Segment.Head head(long number, byte[] bytes, List<String> damage) throws IOException {
+    private static Segment.Header readHeader(long number, byte[] bytes, List<String> damage) throws IOException {
         try {
-            return Segment.head(bytes);
-        } catch (Segment.NewerVersionException e) {
+            return Segment.header(bytes);
+        } catch (Segment.UnsupportedVersionException e) {
             throw new IOException("segment " + number + ": " + e.getMessage(), e);
         } catch (IllegalArgumentException e) {
             damage.add("segment " + number + ": " + e.getMessage());
--- a/src/test/java/gullspar/cli/RoutesTest.java
+++ b/src/test/java/gullspar/cli/ConfigCommandsTest.java
@@ -11,7 +11,7 @@
 
 /** The commands that look at an operator's file. */
 @Isolated("what others print would come in between")
-class RoutesTest {
+class ConfigCommandsTest {
     private static final String FILE = "deploy/routes.example.toml";
 
     private static String out(int code, String... args) {
@@ -19,7 +19,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-            assertEquals(code, Tool.run(args));
+            assertEquals(code, RootCommand.run(args));
         } finally {
             System.setOut(real);
         }
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whichRouteWhyAndWhatIsSentWhere() {
+    void explainsRouteAndTarget() {
         assertEquals(
                 """
                 host shop.example.org: its name is shop.example.org
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aFileIsChecked() {
+    void checksFile() {
         assertEquals("", out(0, "check", FILE));
         out(2, "check", "pom.xml");
         out(2, "check", "none.toml");
--- a/src/test/java/gullspar/cli/ImportTest.java
+++ b/src/test/java/gullspar/cli/ImportTest.java
@@ -21,16 +21,16 @@
 /** The command that imports: what it writes where, and its exit codes. */
 @Isolated("what others print would come in between")
 class ImportTest {
-    private static final String GOOD = "server { listen 80; location / { proxy_pass http://10.0.0.1; } }\n";
-    private static final String LOST =
+    private static final String TRANSLATABLE = "server { listen 80; location / { proxy_pass http://10.0.0.1; } }\n";
+    private static final String UNTRANSLATABLE =
             "server {\n  listen 80;\n  location / { proxy_pass http://10.0.0.1;\n" + "    deny all; }\n}\n";
 
     @TempDir
     private Path folder;
 
-    private record Ran(int code, String out, String err) {}
+    private record RunResult(int code, String out, String err) {}
 
-    private Ran run(String conf, String... more) throws IOException {
+    private RunResult run(String conf, String... more) throws IOException {
         Path file = Files.writeString(folder.resolve("nginx.conf"), conf);
         List<String> args = new ArrayList<>(List.of("import", "nginx", file.toString()));
         args.addAll(List.of(more));
@@ -41,8 +41,8 @@
         try {
             System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
-            int code = Tool.run(args.toArray(new String[0]));
-            return new Ran(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
+            int code = RootCommand.run(args.toArray(new String[0]));
+            return new RunResult(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -50,29 +50,29 @@
     }
 
     @Test
-    void whatIsWholeIsWritten() throws IOException {
-        Ran r = run(GOOD);
+    void writesCompleteTranslation() throws IOException {
+        RunResult r = run(TRANSLATABLE);
         assertEquals(0, r.code());
         assertTrue(r.out().contains("[[host.route]]"), r.out());
         Path out = folder.resolve("out.toml");
-        assertEquals(0, run(GOOD, "-o", out.toString()).code());
+        assertEquals(0, run(TRANSLATABLE, "-o", out.toString()).code());
         assertEquals(r.out(), Files.readString(out));
     }
 
     @Test
-    void whatIsNotIsSaidAndNothingIsWritten() throws IOException {
+    void untranslatableDirectiveIsReportedAndNothingWritten() throws IOException {
         Path out = folder.resolve("out.toml");
-        Ran r = run(LOST, "-o", out.toString());
+        RunResult r = run(UNTRANSLATABLE, "-o", out.toString());
         assertEquals(3, r.code());
         assertTrue(r.err().contains("nginx.conf:4:5: not translatable: deny: "), r.err());
         assertFalse(Files.exists(out));
-        assertEquals(0, run(LOST, "--partial", "-o", out.toString()).code());
+        assertEquals(0, run(UNTRANSLATABLE, "--partial", "-o", out.toString()).code());
         assertTrue(Files.exists(out));
     }
 
     @Test
-    void errorsComeAllAtOnceWithTheirLineAndACaret() throws IOException {
-        Ran r = run("a b\nc }\nserver { \"x\n");
+    void reportsAllErrorsWithPositionAndCaret() throws IOException {
+        RunResult r = run("a b\nc }\nserver { \"x\n");
         assertEquals(2, r.code());
         assertTrue(r.err().contains("nginx.conf:1:1: directive \"a\" is not terminated"), r.err());
         assertTrue(r.err().contains("\na b\n^"), r.err());
@@ -81,9 +81,9 @@
     }
 
     @Test
-    void theReportCanBeReadByPrograms() throws IOException {
+    void writesReportAsJson() throws IOException {
         Path out = folder.resolve("out.toml");
-        Ran r = run(LOST, "--report", "json", "-o", out.toString());
+        RunResult r = run(UNTRANSLATABLE, "--report", "json", "-o", out.toString());
         JsonNode report = new ObjectMapper().readTree(r.out());
         assertEquals(5, report.size());
         assertEquals("deny", report.get(4).path("directive").asText());
@@ -93,15 +93,15 @@
     }
 
     @Test
-    void aPlaceThatCannotBeWrittenIsAnError() throws IOException {
-        Ran r = run(GOOD, "-o", folder.resolve("none/out.toml").toString());
+    void unwritableOutputIsAnError() throws IOException {
+        RunResult r = run(TRANSLATABLE, "-o", folder.resolve("none/out.toml").toString());
         assertEquals(1, r.code());
         assertTrue(r.err().contains("cannot be written"), r.err());
     }
 
     @Test
-    void aFileThatIsNotThereIsAnError() {
-        assertEquals(2, Tool.run(new String[] {
+    void missingFileIsAnError() {
+        assertEquals(2, RootCommand.run(new String[] {
             "import", "nginx", folder.resolve("no.conf").toString()
         }));
     }
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -35,7 +35,7 @@
 
     /** Else the library looks for loggers first, and says on standard error what it missed. */
     @BeforeAll
-    static void loggers() {
+    static void useJdkLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
@@ -47,7 +47,7 @@
         try {
             System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
-            return Tool.run(args);
+            return RootCommand.run(args);
         } finally {
             System.setOut(realOut);
             System.setErr(realErr);
@@ -56,28 +56,28 @@
         }
     }
 
-    private String day(String name, String more) throws Exception {
+    private String writeScript(String name, String more) throws Exception {
         return Files.writeString(folder.resolve(name), Days.text(3, more)).toString();
     }
 
     @Test
-    void aDayThatKeepsAllRulesIsQuietWithNobodyThere() throws Exception {
-        assertEquals(0, run("rehearse", day("day.toml", "")));
+    void passingDayPrintsOneLineWithoutTerminal() throws Exception {
+        assertEquals(0, run("rehearse", writeScript("day.toml", "")));
         assertTrue(out.matches("decisions \\d+ sha256 [0-9a-f]{64}\\R"), out);
         assertEquals("", err);
     }
 
     @Test
-    void aBrokenRuleIsToldWithTheCommandThatPlaysItAgain() throws Exception {
-        String day = day("day.toml", Days.fault("hang", 0.5, "for = 2\nnodes = 6") + "[expect]\nservice = 1\n");
+    void brokenRuleIsReportedWithReplayCommand() throws Exception {
+        String day = writeScript("day.toml", Days.fault("hang", 0.5, "for = 2\nnodes = 6") + "[expect]\nservice = 1\n");
         assertEquals(1, run("rehearse", day, "--seed", "5"));
         assertTrue(err.startsWith("BROKEN: the script expects it"), err);
         assertTrue(err.contains("play it again: ./gullspar rehearse " + day + " --seed 5"), err);
     }
 
     @Test
-    void aScriptWithErrorsIsNotPlayed() throws Exception {
-        assertEquals(2, run("rehearse", day("day.toml", "[rules]\ndrain_grace_s = 1\n")));
+    void scriptWithErrorsIsNotPlayed() throws Exception {
+        assertEquals(2, run("rehearse", writeScript("day.toml", "[rules]\ndrain_grace_s = 1\n")));
         assertTrue(err.matches("\\S+day\\.toml:\\d+:1: rules: unknown key 'drain_grace_s'\\R"), err);
         assertEquals("", out);
         assertEquals(2, run("rehearse", folder.resolve("none.toml").toString()));
@@ -94,17 +94,17 @@
                 2,
                 run(
                         "rehearse",
-                        day("day.toml", ""),
+                        writeScript("day.toml", ""),
                         "--report",
                         folder.resolve("none/x").toString()));
         assertTrue(err.contains("cannot be written"), err);
-        assertEquals(2, run("rehearse", "search", day("day.toml", ""), "--seeds", "0"));
-        assertEquals(2, run("rehearse", day("day.toml", ""), "--live", "--log", "x"));
+        assertEquals(2, run("rehearse", "search", writeScript("day.toml", ""), "--seeds", "0"));
+        assertEquals(2, run("rehearse", writeScript("day.toml", ""), "--live", "--log", "x"));
     }
 
     @Test
-    void logReportAndJsonAreWritten() throws Exception {
-        String day = day("day.toml", "");
+    void writesLogReportAndJson() throws Exception {
+        String day = writeScript("day.toml", "");
         String log = folder.resolve("a.log").toString();
         String page = folder.resolve("a.html").toString();
         assertEquals(0, run("rehearse", day, "--log", log, "--report", page, "--json"));
@@ -122,18 +122,18 @@
     }
 
     @Test
-    void faultsAreListedAndASearchSaysWhatItFound() throws Exception {
+    void listsFaultsAndReportsSearchFindings() throws Exception {
         assertEquals(0, run("rehearse", "faults"));
         assertTrue(out.lines().anyMatch(l -> l.startsWith("cut-link  (link, for)")), out);
         String found = folder.resolve("found").toString();
-        assertEquals(0, run("rehearse", "search", day("day.toml", ""), "--seeds", "2", "--out", found));
+        assertEquals(0, run("rehearse", "search", writeScript("day.toml", ""), "--seeds", "2", "--out", found));
         assertEquals("0 found in 2 days\n", out);
         assertEquals(
                 1,
                 run(
                         "rehearse",
                         "search",
-                        day("day.toml", "[search]\nkinds = [\"hang\"]\nbelow = 1\n"),
+                        writeScript("day.toml", "[search]\nkinds = [\"hang\"]\nbelow = 1\n"),
                         "--seeds",
                         "2",
                         "--out",
@@ -143,7 +143,7 @@
 
     /** The first command of the README, as a process that is ended as by Ctrl-C. */
     @Test
-    void tryStartsAllAndLeavesNothingBehind() throws Exception {
+    void tryStopsAllProcessesOnExit() throws Exception {
         Process p = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
--- a/src/test/java/gullspar/journal/file/FaultyDisk.java
+++ b/src/test/java/gullspar/journal/file/FaultyDisk.java
@@ -15,35 +15,35 @@
  */
 final class FaultyDisk implements Disk {
     /** The machine or the process ends here: nothing after it happens. */
-    static final class Dead extends RuntimeException {
+    static final class CrashException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    private static final int BLOCK = 64;
+    private static final int BLOCK_BYTES = 64;
 
     private static final class Content {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        private int synced;
+        private int syncedBytes;
     }
 
     private final Map<Long, Content> files = new TreeMap<>();
     /** The operation that is the last one, and how many bytes of an append it lets through; -1 for none. */
-    int diesAt = -1;
+    int crashAt = -1;
 
-    int dyingBytes;
+    int partialBytes;
     /** Operations that fail, by number. */
-    final List<Integer> failing = new ArrayList<>();
+    final List<Integer> failingOperations = new ArrayList<>();
 
-    int operations;
+    int operationCount;
 
     private void operation(Content c, byte[] bytes, int length) throws IOException {
-        int now = operations++;
-        if (now == diesAt || failing.contains(now)) {
+        int now = operationCount++;
+        if (now == crashAt || failingOperations.contains(now)) {
             if (bytes != null) {
-                c.bytes.write(bytes, 0, Math.min(length, dyingBytes));
+                c.bytes.write(bytes, 0, Math.min(length, partialBytes));
             }
-            if (now == diesAt) {
-                throw new Dead();
+            if (now == crashAt) {
+                throw new CrashException();
             }
             throw new IOException("no space left on device");
         }
@@ -71,7 +71,7 @@
             @Override
             public void sync() throws IOException {
                 operation(c, null, 0);
-                c.synced = c.bytes.size();
+                c.syncedBytes = c.bytes.size();
             }
 
             @Override
@@ -80,10 +80,10 @@
     }
 
     @Override
-    public int read(long number, long at, byte[] into) {
+    public int read(long number, long offset, byte[] buffer) {
         byte[] all = files.get(number).bytes.toByteArray();
-        int n = (int) Math.max(0, Math.min(into.length, all.length - at));
-        System.arraycopy(all, (int) Math.min(at, all.length), into, 0, n);
+        int n = (int) Math.max(0, Math.min(buffer.length, all.length - offset));
+        System.arraycopy(all, (int) Math.min(offset, all.length), buffer, 0, n);
         return n;
     }
 
@@ -96,11 +96,12 @@
     void losePower(Random random) {
         for (Content c : files.values()) {
             byte[] all = c.bytes.toByteArray();
-            int kept = c.synced + (all.length > c.synced ? random.nextInt(all.length - c.synced + 1) : 0);
+            int kept =
+                    c.syncedBytes + (all.length > c.syncedBytes ? random.nextInt(all.length - c.syncedBytes + 1) : 0);
             all = Arrays.copyOf(all, kept);
-            for (int at = c.synced; at < kept; at += BLOCK) {
+            for (int at = c.syncedBytes; at < kept; at += BLOCK_BYTES) {
                 if (random.nextInt(3) == 0) {
-                    Arrays.fill(all, at, Math.min(kept, at + BLOCK), (byte) 0);
+                    Arrays.fill(all, at, Math.min(kept, at + BLOCK_BYTES), (byte) 0);
                 }
             }
             c.bytes.reset();
--- a/src/test/java/gullspar/journal/file/FolderTest.java
+++ b/src/test/java/gullspar/journal/file/FolderTest.java
@@ -8,7 +8,7 @@
 import gullspar.journal.Entry.Kind;
 import gullspar.journal.Entry.Request;
 import gullspar.journal.RequestHistory.State;
-import gullspar.journal.Scan;
+import gullspar.journal.SegmentScanner;
 import gullspar.journal.file.Appender.Durability;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -21,7 +21,7 @@
 
 /** A journal in a real folder: written, read beside its writer, damaged, held by one. */
 class FolderTest {
-    private static final Scan.Visitor NOBODY = new Scan.Visitor() {
+    private static final SegmentScanner.Visitor NO_OP_VISITOR = new SegmentScanner.Visitor() {
         @Override
         public void entry(long at, Entry e) {}
 
@@ -33,51 +33,54 @@
     private Path folder;
 
     private static void write(Disk disk, int from, int to, long segmentBytes) throws IOException {
-        Recovery.Found found = Recovery.read(disk, NOBODY);
-        Appender a = new Appender(disk, Durability.MACHINE, segmentBytes, found.nextNumber(), found.records(), () -> 5);
+        Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
+        Appender a =
+                new Appender(disk, Durability.MACHINE, segmentBytes, found.nextSegment(), found.records(), () -> 5);
         for (int i = from; i < to; i++) {
-            a.add(new Entry.Taken(new Request(1, i), i, Kind.KEYED, "k" + i, false, "", "/", 0), ok -> {});
+            a.add(new Entry.Accepted(new Request(1, i), i, Kind.KEYED, "k" + i, false, "", "/", 0), ok -> {});
             a.add(new Entry.Intent(new Request(1, i), i, 0, "n", "z"), ok -> assertTrue(ok));
-            a.step();
+            a.writeBatch();
         }
         a.close();
     }
 
     @Test
-    void aSecondRunGoesOnWhereTheFirstEnded() throws IOException {
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
+    void secondRunContinuesJournal() throws IOException {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
             write(disk, 0, 10, 300);
         }
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
             write(disk, 10, 20, 300);
-            Recovery.Found found = Recovery.read(FolderDisk.look(folder), NOBODY);
+            Recovery.Result found = Recovery.read(FolderDisk.openReadOnly(folder), NO_OP_VISITOR);
             assertEquals(40, found.records());
             assertEquals(List.of(), found.damage());
-            assertTrue(AppenderTest.read(FolderDisk.look(folder)).all().stream()
+            assertTrue(AppenderTest.read(FolderDisk.openReadOnly(folder)).all().stream()
                     .allMatch(s -> s.state() == State.UNCERTAIN));
         }
     }
 
     @Test
-    void oneJournalHasOneDaemon() throws IOException {
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
-            assertTrue(assertThrows(IOException.class, () -> FolderDisk.hold(folder))
+    void journalIsLockedByOneDaemon() throws IOException {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
+            assertTrue(assertThrows(IOException.class, () -> FolderDisk.open(folder))
                     .getMessage()
                     .contains("in use by another daemon"));
-            assertThrows(IOException.class, () -> FolderDisk.look(folder).create(1));
-            assertThrows(IOException.class, () -> FolderDisk.look(folder).delete(1));
+            assertThrows(
+                    IOException.class, () -> FolderDisk.openReadOnly(folder).create(1));
+            assertThrows(
+                    IOException.class, () -> FolderDisk.openReadOnly(folder).delete(1));
             assertEquals(List.of(), disk.segments());
         }
-        FolderDisk.hold(folder).close();
+        FolderDisk.open(folder).close();
     }
 
     @Test
-    void aSegmentThatIsCutOrGoneIsMissed() throws IOException {
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
+    void reportsMissingSegment() throws IOException {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
             write(disk, 0, 10, 300);
             assertTrue(disk.segments().size() > 3);
             disk.delete(2);
-            Recovery.Found found = Recovery.read(disk, NOBODY);
+            Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
             assertEquals(1, found.damage().size());
             assertTrue(found.damage().get(0).matches("segment 3: \\d+ records are missing before it"));
             assertEquals(20, found.records());
@@ -85,20 +88,20 @@
     }
 
     @Test
-    void segmentsThatWereLetGoAreNotMissed() throws IOException {
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
+    void deletedOldestSegmentsAreNotReported() throws IOException {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
             write(disk, 0, 10, 300);
             disk.delete(1);
             disk.delete(2);
-            Recovery.Found found = Recovery.read(disk, NOBODY);
+            Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
             assertEquals(List.of(), found.damage());
             assertEquals(20, found.records());
         }
     }
 
     @Test
-    void aSegmentOfANewerVersionIsRefusedWithAClearLine() throws IOException {
-        try (FolderDisk disk = FolderDisk.hold(folder)) {
+    void rejectsSegmentOfNewerVersion() throws IOException {
+        try (FolderDisk disk = FolderDisk.open(folder)) {
             write(disk, 0, 1, 300);
             Path file = folder.resolve("0000000000000001.journal");
             byte[] bytes = Files.readAllBytes(file);
@@ -110,19 +113,19 @@
             Files.write(file, newer);
             assertEquals(
                     "segment 1: this segment is of version 7, and this program reads up to 1",
-                    assertThrows(IOException.class, () -> Recovery.read(disk, NOBODY))
+                    assertThrows(IOException.class, () -> Recovery.read(disk, NO_OP_VISITOR))
                             .getMessage());
             bytes[9] = 7; // a flipped bit or two, and the sum says so
             Files.write(file, bytes);
-            Recovery.Found found = Recovery.read(disk, NOBODY);
+            Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
             assertEquals(List.of("segment 1: the head of this segment is damaged"), found.damage());
             assertEquals(2, found.records());
         }
     }
 
     @Test
-    void aFolderThatCannotBeHadIsAnError() throws IOException {
+    void unusableFolderIsAnError() throws IOException {
         Path file = Files.writeString(folder.resolve("file"), "x");
-        assertThrows(IOException.class, () -> FolderDisk.hold(file));
+        assertThrows(IOException.class, () -> FolderDisk.open(file));
     }
 }
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.cli.Tool;
+import gullspar.cli.RootCommand;
 import gullspar.config.ControlFile;
 import gullspar.proxy.io.Platform;
 import gullspar.versions.Follower;
@@ -55,7 +55,7 @@
         System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
         System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
         try {
-            int code = Tool.run(args);
+            int code = RootCommand.run(args);
             return new Ran(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
