--- a/src/main/java/gullspar/cli/ConfigCommands.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -22,20 +22,20 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The commands that look at an operator's file with no daemon. */
+/** The commands that inspect an operator's file without a daemon. */
 final class ConfigCommands {
     private ConfigCommands() {}
 
-    /** Is a file right? */
+    /** Validates a file. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
             description = {
                 "Reads a configuration of routes and pools, or an operators' file of the",
-                "platform's proxy, and says all that is wrong with it."
+                "platform's proxy, and prints all errors in it."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:it can be used", "2:it cannot, or wrong usage"})
+            exitCodeList = {"0:the file is valid", "2:the file has errors, or wrong usage"})
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration (TOML, docs/routing.md).")
         private Path file;
@@ -54,14 +54,14 @@
         }
     }
 
-    /** Where would a request go? */
+    /** Explains how a request would be routed. */
     @Command(
             name = "route",
             mixinStandardHelpOptions = true,
             description =
-                    "Says which route of a configuration a request takes, why, and what would be " + "sent where.",
+                    "Prints which route of a configuration a request takes, why, and what would be " + "sent where.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:there is a route", "1:there is none", "2:wrong usage, or a file with errors"})
+            exitCodeList = {"0:a route matches", "1:no route matches", "2:wrong usage, or a file with errors"})
     static final class ExplainRoute implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -75,7 +75,7 @@
         @Parameters(index = "2", paramLabel = "URL", description = "http://host/path?query")
         private String url;
 
-        @Option(names = "-H", paramLabel = "HEADER", description = "A header, as 'Name: value'; may come again.")
+        @Option(names = "-H", paramLabel = "HEADER", description = "A header, as 'Name: value'; may be repeated.")
         private List<String> headers = new ArrayList<>();
 
         @Override
@@ -105,7 +105,8 @@
             try {
                 URI u = new URI(url);
                 if (u.getHost() == null) {
-                    throw new ParameterException(spec.commandLine(), "'" + url + "' is not http://host/path");
+                    throw new ParameterException(
+                            spec.commandLine(), "'" + url + "' is not of the form http://host/path");
                 }
                 String path = u.getPath() == null || u.getPath().isEmpty() ? "/" : u.getPath();
                 return new Request(
@@ -118,7 +119,7 @@
             }
         }
 
-        /** What stands for a name with this request: the groups of the place, or what is known of it. */
+        /** The value of a template variable: a group of the matched path, or an attribute of the request. */
         private static String templateValue(Router.Found found, Request r, String name) {
             if (name.equals("route")) {
                 return found.route().name();
--- a/src/main/java/gullspar/cli/FleetCommand.java
+++ b/src/main/java/gullspar/cli/FleetCommand.java
@@ -20,21 +20,21 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The fleet as one of its members sees it. */
+/** Prints the fleet as one of its members sees it. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = {
-            "Prints who is there as one member sees it, by its operators' address (docs/fleet.md).",
-            "A line each: name, status and for how long, phase, version, how old its word is, who disagrees."
+            "Prints the fleet's members as one member sees them, read from its operators' address (docs/fleet.md).",
+            "One line each: name, status and its duration, phase, version, age of its last statement, disagreement."
         },
         subcommands = FleetCommand.NewKey.class,
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:it answered, and is not cut off",
-            "1:it did not answer",
+            "0:the member responded and is not cut off",
+            "1:no response",
             "2:wrong usage",
-            "3:it answered, and says that it is cut off"
+            "3:the member responded and reports that it is cut off"
         })
 final class FleetCommand implements Callable<Integer> {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
@@ -50,10 +50,10 @@
             description = "The operators' address of a member (${DEFAULT-VALUE}).")
     private String at;
 
-    @Option(names = "--json", description = "Prints the answer as it came.")
+    @Option(names = "--json", description = "Prints the JSON response unchanged.")
     private boolean json;
 
-    @Option(names = "--watch", description = "Asks again every second, until Ctrl-C.")
+    @Option(names = "--watch", description = "Repeats every second, until Ctrl-C.")
     private boolean watch;
 
     private final HttpClient client =
@@ -68,7 +68,7 @@
                 throw new IllegalArgumentException("no host and port");
             }
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), "--at is '" + at + "', not HOST:PORT");
+            throw new ParameterException(spec.commandLine(), "--at is '" + at + "', expected HOST:PORT");
         }
         int code = fetchAndPrint(uri);
         while (watch && code != 1) {
@@ -84,8 +84,8 @@
             HttpResponse<String> r = client.send(
                     HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
             if (r.statusCode() != 200) {
-                System.err.println(at + " answers " + r.statusCode()
-                        + (r.statusCode() == 404 ? ": it takes part in no fleet" : ""));
+                System.err.println(at + " responded with status " + r.statusCode()
+                        + (r.statusCode() == 404 ? ": it is not a member of a fleet" : ""));
                 return 1;
             }
             JsonNode view = new ObjectMapper().readTree(r.body());
@@ -96,12 +96,12 @@
             }
             return view.path("cut_off").asBoolean() ? EXIT_CUT_OFF : 0;
         } catch (IOException e) {
-            System.err.println(at + " does not answer: " + (e.getMessage() == null ? e : e.getMessage()));
+            System.err.println(at + " does not respond: " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
         }
     }
 
-    /** For people. */
+    /** Formats the view as a table for terminals. */
     static List<String> formatLines(JsonNode view) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
@@ -110,10 +110,10 @@
                 view.path("name").asText(),
                 view.path("seen").asInt(),
                 view.path("known").asInt(),
-                view.path("cut_off").asBoolean() ? ", CUT OFF from most: unknown is not gone" : "",
+                view.path("cut_off").asBoolean() ? ", CUT OFF from most members: 'unknown' does not mean gone" : "",
                 view.path("settled").asBoolean() ? ", settled" : ", not settled",
                 view.path("health").asInt() > 0
-                        ? ", hears badly (" + view.path("health").asInt() + ")"
+                        ? ", local health degraded (" + view.path("health").asInt() + ")"
                         : ""));
         lines.add(String.format(
                 Locale.ROOT,
@@ -124,7 +124,7 @@
                 "phase",
                 "version",
                 "zone",
-                "told",
+                "stmt age",
                 "req/s",
                 ""));
         for (JsonNode m : view.path("members")) {
@@ -133,7 +133,7 @@
                 notes.add("this one");
             }
             if (m.path("twin").asBoolean()) {
-                notes.add("TWIN: two processes live under this name, life "
+                notes.add("TWIN: two processes run under this name, life "
                         + m.path("life").asText());
             }
             if (m.has("why")) {
@@ -141,10 +141,10 @@
                 notes.add(why.contains(" ") ? why : "accused by " + why);
             }
             if (m.path("only_by_others").asBoolean()) {
-                notes.add("answers others only");
+                notes.add("responds only to other members");
             }
             if (!m.path("agrees").asBoolean(true) && !m.path("status").asText().equals("gone")) {
-                notes.add("sees others");
+                notes.add("has a different view");
             }
             lines.add(String.format(
                             Locale.ROOT,
@@ -171,7 +171,7 @@
                         : String.format(Locale.ROOT, "%.0fh", s / 3600);
     }
 
-    /** A key for a fleet. */
+    /** Generates a fleet key. */
     @Command(
             name = "new-key",
             mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/ImportCommand.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -25,11 +25,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes configurations of those of other proxies. */
+/** Converts configurations of other proxies. */
 @Command(
         name = "import",
         mixinStandardHelpOptions = true,
-        description = "Makes an operator's file of another proxy's configuration.",
+        description = "Converts another proxy's configuration to an operator's file.",
         subcommands = ImportCommand.Nginx.class)
 final class ImportCommand implements Runnable {
     @Spec
@@ -37,24 +37,24 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "from which proxy? nginx");
+        throw new ParameterException(spec.commandLine(), "missing subcommand: nginx");
     }
 
-    /** From nginx. */
+    /** Converts nginx's configuration. */
     @Command(
             name = "nginx",
             mixinStandardHelpOptions = true,
-            description = "Reads nginx's files with all that they include, and writes routes and pools "
+            description = "Reads nginx's files and all files that they include, and writes routes and pools "
                     + "(docs/import-nginx.md).",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all is translated or without effect here, or --partial",
-                "1:what came out cannot be written or read",
+                "0:all directives are translated or have no effect here, or --partial",
+                "1:the result cannot be written or is not valid",
                 "2:wrong usage, or files with errors",
-                "3:something cannot be translated: nothing is written"
+                "3:a directive cannot be translated; nothing is written"
             })
     static final class Nginx implements Callable<Integer> {
-        /** How the report is written. */
+        /** Format of the report. */
         enum ReportFormat {
             text,
             json
@@ -63,23 +63,23 @@
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "The main file, or several.")
         private List<Path> files;
 
-        @Option(names = "-o", paramLabel = "OUT", description = "Writes there, not to standard output.")
+        @Option(names = "-o", paramLabel = "OUT", description = "Writes to this file instead of standard output.")
         private Path out;
 
         @Option(
                 names = "--report",
                 paramLabel = "FORM",
-                description = "text, on standard error: what could "
-                        + "not be translated and all remarks; json: every directive, on standard output with -o.")
+                description = "text, on standard error: untranslatable "
+                        + "directives and all remarks; json: every directive, on standard output with -o.")
         private ReportFormat reportFormat = ReportFormat.text;
 
-        @Option(names = "--partial", description = "Writes what could be translated all the same.")
+        @Option(names = "--partial", description = "Writes the result even if some directives cannot be translated.")
         private boolean partial;
 
         @Option(
                 names = "--host",
                 paramLabel = "NAME=ADDRESS",
-                description = "The IP address of a name in the files; may come again.")
+                description = "The IP address of a host name in the files; may be repeated.")
         private Map<String, String> hosts = new LinkedHashMap<>();
 
         @Override
@@ -97,7 +97,8 @@
                 printReport(entries);
             }
             if (!imported.report().complete() && !partial) {
-                System.err.println("nothing is written: see above, or use --partial");
+                System.err.println(
+                        "nothing is written: directives above cannot be translated; use --partial to write the rest");
                 return 3;
             }
             return write(imported.toml());
@@ -105,9 +106,9 @@
 
         private int write(String toml) {
             try {
-                SiteReader.parse(toml, out == null ? "what came out" : out.toString());
+                SiteReader.parse(toml, out == null ? "(result)" : out.toString());
             } catch (ProblemsException e) {
-                System.err.println("what came out cannot be used as it is:\n" + e.getMessage());
+                System.err.println("the translated configuration is not valid:\n" + e.getMessage());
                 if (!partial) {
                     return 1;
                 }
@@ -130,7 +131,7 @@
             return v.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
-        /** What could not be translated, and remarks; then how many of each. */
+        /** Prints untranslatable directives and remarks, then the number of directives by verdict. */
         private static void printReport(List<Entry> entries) {
             int[] counts = new int[Verdict.values().length];
             for (Entry e : entries) {
--- a/src/main/java/gullspar/cli/InputFiles.java
+++ b/src/main/java/gullspar/cli/InputFiles.java
@@ -6,16 +6,16 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Files that somebody has written, read for a command. */
+/** Reads input files for a command and prints what is wrong with them. */
 final class InputFiles {
     private InputFiles() {}
 
-    /** Makes something of a file. */
+    /** Parses a file. */
     interface Reader<T> {
         T read(Path file) throws IOException, ProblemsException;
     }
 
-    /** What the reader makes of a file; on errors they are printed, a line each, and null is returned. */
+    /** Parses a file; on errors, prints them, one per line, and returns null. */
     static <T> T read(Path file, Reader<T> reader) {
         try {
             return reader.read(file);
--- a/src/main/java/gullspar/cli/PlatformCommands.java
+++ b/src/main/java/gullspar/cli/PlatformCommands.java
@@ -16,11 +16,11 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The commands that a platform starts. They load nothing that they do not run on, and return exit codes. */
+/** The commands that a platform runs. They load only the classes they need, and return exit codes. */
 public final class PlatformCommands {
     private PlatformCommands() {}
 
-    /** One real proxy, by the environment; returns only if it cannot go on. */
+    /** Runs a proxy configured by the environment; returns only if it cannot continue. */
     public static int serve() {
         return runDaemon(log -> Daemon.run(
                 System.getenv(),
@@ -29,7 +29,7 @@
                 (file, name, platform, load) -> Membership.start(file, OperatorsFile::read, name, platform, load)));
     }
 
-    /** One proxy for plain HTTP, by an operator's file; returns only if it cannot go on. */
+    /** Runs a proxy for plain HTTP, configured by an operator's file; returns only if it cannot continue. */
     static int serve(Path config) {
         configureNetty();
         try {
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Goes through all that serving needs and ends: the build records the classes that it loads. */
+    /** Exercises all code that serving needs and ends: the build records the classes that it loads. */
     public static int warm() {
         return runDaemon(log -> Daemon.warm(System.getenv(), Policy::new));
     }
 
-    /** The module on the simulator's wire, on standard input and output. */
+    /** Runs the decision module for the simulator, on standard input and output. */
     public static int drill() {
         try {
             new Host(Policy::new).serve(System.in, System.out);
@@ -59,7 +59,7 @@
         } catch (WireException e) {
             return reportFailure(e.getMessage());
         } catch (IOException e) {
-            return reportFailure("cannot read or write the wire: " + e.getMessage());
+            return reportFailure("cannot read standard input or write standard output: " + e.getMessage());
         }
     }
 
@@ -68,9 +68,10 @@
     }
 
     static void configureNetty() {
-        // Nobody records a flight here, and Netty's events for it cost a start 0.3 s on half a core.
+        // Flight Recorder is not used here, and Netty's events for it cost 0.3 s of a start on half a core.
         System.setProperty("io.netty.jfr.enabled", "false");
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // it would look for others first
+        // Without a default, Netty tries other logging libraries first.
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
     private static int runDaemon(DaemonTask work) {
--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -31,12 +31,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a day. */
+/** Plays a day by a script. */
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays a day by a script: in virtual time, the same every time for one script and seed.",
+            "Plays a day by a script, in virtual time: one script and seed always give the same result.",
             "Scripts are described in docs/rehearsal.md; examples are in examples/rehearsals."
         },
         exitCodeListHeading = "%nExit codes:%n",
@@ -56,25 +56,25 @@
     @Parameters(arity = "0..1", paramLabel = "SCRIPT", description = "The script to play.")
     private Path script;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Plays it with this seed, not with the script's.")
+    @Option(names = "--seed", paramLabel = "N", description = "Overrides the script's seed.")
     private Integer seed;
 
-    @Option(names = "--log", paramLabel = "FILE", description = "Writes the decision log there.")
+    @Option(names = "--log", paramLabel = "FILE", description = "Writes the decision log to this file.")
     private Path log;
 
     @Option(names = "--live", description = "Plays it in real time, with real daemon processes on loopback.")
     private boolean live;
 
-    @Option(names = "--report", paramLabel = "FILE", description = "Writes a page there, for people to look at.")
+    @Option(names = "--report", paramLabel = "FILE", description = "Writes an HTML report to this file.")
     private Path report;
 
-    @Option(names = "--json", description = "Prints the result as JSON, for machines.")
+    @Option(names = "--json", description = "Prints the result as JSON.")
     private boolean json;
 
     @Override
     public Integer call() {
         if (script == null) {
-            throw new ParameterException(spec.commandLine(), "which script?");
+            throw new ParameterException(spec.commandLine(), "missing script");
         }
         Script s = InputFiles.read(script, ScriptReader::read);
         if (s == null) {
@@ -82,15 +82,18 @@
         }
         s = seed == null ? s : s.with((long) seed);
         for (Path p : Stream.of(log, report).filter(Objects::nonNull).toList()) {
-            // Said before a day is played, not after.
+            // Checked before the day is played, not after.
             if (!Files.isDirectory(p.toAbsolutePath().getParent()) || Files.isDirectory(p)) {
-                throw new ParameterException(spec.commandLine(), p + " cannot be written: no such folder, or one");
+                throw new ParameterException(
+                        spec.commandLine(),
+                        p + " cannot be written: its folder does not exist, or it is a folder itself");
             }
         }
         Terminal terminal = new Terminal();
         Played played;
         if (live && log != null) {
-            throw new ParameterException(spec.commandLine(), "--log is for virtual time, not for --live");
+            throw new ParameterException(
+                    spec.commandLine(), "--log requires virtual time and cannot be combined with --live");
         }
         try {
             played = live ? LivePlay.play(s, terminal) : playVirtual(s, terminal);
@@ -98,7 +101,7 @@
                 Files.writeString(report, HtmlReport.of(played));
             }
         } catch (IOException e) {
-            System.err.println("it cannot be played: " + e.getMessage());
+            System.err.println("the script cannot be played: " + e.getMessage());
             return EXIT_FAILED;
         } finally {
             terminal.clear();
@@ -167,16 +170,16 @@
             name = "diff",
             mixinStandardHelpOptions = true,
             description = {
-                "Shows the first decision in which two runs part, and what each side knew then.",
+                "Shows the first decision in which two runs differ, and what each of them knew then.",
                 "Both files are decision logs, as rehearse --log writes them."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:the same", "1:they part", "2:wrong usage, or a file that is no decision log"})
+            exitCodeList = {"0:identical", "1:different", "2:wrong usage, or a file that is not a decision log"})
     static final class Diff implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "A", description = "A decision log.")
+        @Parameters(index = "0", paramLabel = "A", description = "The first decision log.")
         private Path a;
 
-        @Parameters(index = "1", paramLabel = "B", description = "Another.")
+        @Parameters(index = "1", paramLabel = "B", description = "The second decision log.")
         private Path b;
 
         @Override
@@ -190,19 +193,19 @@
             } catch (NoSuchFileException e) {
                 System.err.println(e.getMessage() + ": there is no such file");
             } catch (CharacterCodingException e) {
-                System.err.println("one of the two is not UTF-8 text");
+                System.err.println("one of the two files is not UTF-8 text");
             } catch (IOException e) {
-                System.err.println("cannot be read: " + e.getMessage());
+                System.err.println("a decision log cannot be read: " + e.getMessage());
             }
             return EXIT_USAGE;
         }
     }
 
-    /** Lists what scripts can let happen. */
+    /** Lists the faults that scripts can contain. */
     @Command(
             name = "faults",
             mixinStandardHelpOptions = true,
-            description = "Lists the kinds of faults with their figures, the usual values and the bounds.")
+            description = "Lists the kinds of faults with their parameters, defaults and bounds.")
     static final class Faults implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/gullspar/cli/RootCommand.java
+++ b/src/main/java/gullspar/cli/RootCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line as people use it: help, version, completion and the commands of the kit. */
+/** The command line for users: help, version, completion and the commands of the rehearsal kit. */
 @Command(
         name = "gullspar",
         mixinStandardHelpOptions = true,
@@ -18,7 +18,7 @@
         description = "A load-balancing proxy for HTTP/1.1, with a kit to rehearse it.",
         synopsisSubcommandLabel = "COMMAND",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:it could not be done, or a rehearsal broke a rule", "2:wrong usage"},
+        exitCodeList = {"0:success", "1:failed, or a rehearsal broke a rule", "2:wrong usage"},
         subcommands = {
             RootCommand.Serve.class,
             RootCommand.Drill.class,
@@ -47,10 +47,10 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "which command?");
+        throw new ParameterException(spec.commandLine(), "missing command");
     }
 
-    /** Says which version this is, as the jar was built. */
+    /** The version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The daemon. */
+    /** Runs the proxy. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -67,13 +67,13 @@
                 "Runs one proxy.",
                 "With --config it serves plain HTTP by the routes and pools of that file (docs/routing.md).",
                 "With --follow the routes and pools come from control processes (docs/versions.md).",
-                "Without, it reads the file that NODE_CONFIG names; NODE_LISTEN and NODE_DISCOVERY win over it at "
-                        + "the start."
+                "Without either, it reads the file that NODE_CONFIG names; NODE_LISTEN and NODE_DISCOVERY override it "
+                        + "at the start."
             },
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:ended by SIGTERM, all answered",
-                "1:it cannot start or go on",
+                "0:ended by SIGTERM, all requests completed",
+                "1:it cannot start or continue",
                 "2:wrong usage, or a file with errors"
             })
     static final class Serve implements Callable<Integer> {
@@ -83,7 +83,7 @@
         @Option(
                 names = "--follow",
                 paramLabel = "FILE",
-                description = "Where the control processes are, and what is this process's own (TOML).")
+                description = "The addresses of the control processes, and the settings of this process (TOML).")
         private Path follow;
 
         @Spec
@@ -92,7 +92,7 @@
         @Override
         public Integer call() {
             if (config != null && follow != null) {
-                throw new ParameterException(spec.commandLine(), "--config and --follow exclude each other");
+                throw new ParameterException(spec.commandLine(), "--config and --follow are mutually exclusive");
             }
             if (follow != null) {
                 PlatformCommands.configureNetty();
@@ -102,11 +102,12 @@
         }
     }
 
-    /** The adapter to the simulator. */
+    /** Runs the adapter to the simulator. */
     @Command(
             name = "drill",
             mixinStandardHelpOptions = true,
-            description = "Puts the decision module on the simulator's wire, on standard input and output.")
+            description =
+                    "Connects the decision module to the simulator by its protocol, on standard input and output.")
     static final class Drill implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -114,11 +115,12 @@
         }
     }
 
-    /** What the build runs to record classes. */
+    /** Run by the build to record the classes to archive. */
     @Command(
             name = "warm",
             mixinStandardHelpOptions = true,
-            description = "Warms a proxy up, as at every start, and ends: the build records what that loads.")
+            description =
+                    "Warms up a proxy, as at every start, and ends: the build records the classes that this loads.")
     static final class Warm implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** For shells. */
+    /** Prints the shell completion script. */
     @Command(
             name = "completion",
             mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/SearchCommand.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -16,20 +16,19 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks for days that break a rule. */
+/** Searches for days that break a rule. */
 @Command(
         name = "search",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays days with faults drawn at random until a rule breaks or the service falls under the script's "
-                    + "bound,",
-            "cuts each such day down to the smallest that still does, and writes it as a script.",
-            "Ctrl-C ends it; the same command goes on where it stopped."
+            "Plays days with random faults; where a rule breaks or the service falls below the script's " + "bound,",
+            "reduces the day to the smallest that still fails, and writes it as a script.",
+            "Ctrl-C stops it; the same command resumes where it stopped."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:nothing was found",
-            "1:something was found, or it could not be searched",
+            "1:a failing day was found, or the search failed",
             "2:wrong usage, or a script with errors"
         })
 final class SearchCommand implements Callable<Integer> {
@@ -46,20 +45,20 @@
             description = "How many days to play (${DEFAULT-VALUE}).")
     private int seeds;
 
-    @Option(names = "--jobs", paramLabel = "J", description = "How many at once (the number of cores).")
+    @Option(names = "--jobs", paramLabel = "J", description = "Days played in parallel (default: the number of cores).")
     private Integer jobs;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "found",
-            description = "Where scripts and the state of the search go (${DEFAULT-VALUE}).")
+            description = "Folder for scripts and the state of the search (${DEFAULT-VALUE}).")
     private Path out;
 
     @Override
     public Integer call() {
         if (seeds < 1 || jobs != null && jobs < 1) {
-            throw new ParameterException(spec.commandLine(), "--seeds and --jobs are 1 or more");
+            throw new ParameterException(spec.commandLine(), "--seeds and --jobs must be at least 1");
         }
         Script s = InputFiles.read(script, ScriptReader::read);
         if (s == null) {
@@ -87,7 +86,7 @@
             return found == 0 ? 0 : RehearseCommand.EXIT_FAILED;
         } catch (IOException e) {
             terminal.clear();
-            System.err.println("it cannot be searched: " + e.getMessage());
+            System.err.println("the search failed: " + e.getMessage());
             return RehearseCommand.EXIT_FAILED;
         }
     }
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -4,18 +4,18 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Words for people at a terminal; without one, only what was asked for. */
+/** Progress output for an interactive terminal; prints nothing if there is none. */
 final class Terminal implements Progress {
     private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
     private boolean lineOpen;
 
-    /** Is somebody there to read a table or a progress line? */
+    /** Whether output goes to an interactive terminal, so that tables and progress are shown. */
     boolean isInteractive() {
         return isInteractive;
     }
 
-    /** A line that the next one of its kind writes over. */
+    /** Prints a status line, which the next one overwrites. */
     void status(String text) {
         if (isInteractive) {
             err.print("\r\u001b[K" + text);
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Takes the status line away. */
+    /** Removes the status line. */
     void clear() {
         if (lineOpen) {
             err.print("\r\u001b[K");
--- a/src/main/java/gullspar/cli/TryCommand.java
+++ b/src/main/java/gullspar/cli/TryCommand.java
@@ -15,26 +15,26 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The first thing that a new user runs. */
+/** Runs a small demonstration fleet on loopback. */
 @Command(
         name = "try",
         mixinStandardHelpOptions = true,
         description = {
-            "Starts a small fleet, discovery and one real daemon on loopback, with a little traffic, and says how "
+            "Starts a small fleet, discovery and one real daemon on loopback, with a little traffic, and shows how "
                     + "to send",
-            "a request by hand. Needs no settings. Ctrl-C ends all of it."
+            "a request by hand. Needs no configuration. Ctrl-C stops everything."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:it ended by itself (--seconds)",
+            "0:stopped after --seconds",
             "1:it could not be started",
             "2:wrong usage",
-            "130:it was ended by Ctrl-C"
+            "130:stopped by Ctrl-C"
         })
 final class TryCommand implements Callable<Integer> {
     private static final long SHUTDOWN_TIMEOUT_S = 10;
 
-    @Option(names = "--seconds", paramLabel = "N", description = "Ends by itself after so many seconds.")
+    @Option(names = "--seconds", paramLabel = "N", description = "Stops after this many seconds.")
     private Integer seconds;
 
     private boolean hasPrintedInstructions;
@@ -65,7 +65,7 @@
             return 0;
         } catch (IOException e) {
             terminal.clear();
-            System.err.println("it cannot be started: " + e.getMessage());
+            System.err.println("cannot start the demonstration fleet: " + e.getMessage());
             return 1;
         } finally {
             stopped.countDown();
@@ -85,13 +85,13 @@
             hasPrintedInstructions = true;
             String at = "http://" + now.proxy().getAddress().getHostAddress() + ":"
                     + now.proxy().getPort();
-            System.out.println("ready. A request to paste into another terminal (each needs an id of its " + "own):");
+            System.out.println("ready. Requests to paste into another terminal (each needs a unique " + "id):");
             System.out.println();
             System.out.println("  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1' " + at + "/look/1");
             System.out.println("  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1'"
                     + " -H 'Idempotency-Key: my-order-1' -d 'two bottles' " + at + "/order/1");
             System.out.println();
-            System.out.println("Ctrl-C ends all of it.");
+            System.out.println("Ctrl-C stops everything.");
         }
         terminal.status(String.format(
                 Locale.ROOT,
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Configuration that travels as versions (docs/versions.md): control processes, changes, who runs what. */
+/** Commands for versioned configuration (docs/versions.md): run a control process, publish, list versions. */
 final class VersionCommands {
     private static final int CONTROL_TIMEOUT_MS = 10_000;
 
@@ -36,7 +36,7 @@
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
         if (colon < 1 || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
-            throw new ParameterException(spec.commandLine(), option + " is '" + text + "', not HOST:PORT");
+            throw new ParameterException(spec.commandLine(), option + " is '" + text + "', expected HOST:PORT");
         }
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(port));
     }
@@ -61,7 +61,7 @@
                 r.trouble().isEmpty() ? "" : "; " + r.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
-    /** A proxy by the document that its control processes have; returns an exit code if it cannot go on. */
+    /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
     static int serve(Path follow) {
         FollowFile file = InputFiles.read(follow, FollowFile::read);
         if (file == null) {
@@ -86,19 +86,24 @@
         return FollowFile.read(file).own();
     }
 
-    /** The daemon. */
+    /** Runs a control process. */
     @Command(
             name = "control",
             mixinStandardHelpOptions = true,
-            description = "Runs a control process: it has the routes and pools and hands each version to all proxies.",
+            description =
+                    "Runs a control process: it keeps the routes and pools and sends each version to all proxies.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:ended by SIGTERM", "1:it cannot start or go on", "2:wrong usage, or a file with errors"})
+            exitCodeList = {
+                "0:ended by SIGTERM",
+                "1:it cannot start or continue",
+                "2:wrong usage, or a file with errors"
+            })
     static final class Control implements Callable<Integer> {
         @Option(
                 names = "--config",
                 required = true,
                 paramLabel = "FILE",
-                description = "What this process is (TOML, docs/versions.md).")
+                description = "The settings of this process (TOML, docs/versions.md).")
         private Path config;
 
         @Override
@@ -118,21 +123,21 @@
         }
     }
 
-    /** A change. */
+    /** Publishes a configuration as the next version. */
     @Command(
             name = "publish",
             mixinStandardHelpOptions = true,
             description = {
                 "Makes a file of routes and pools the next version, and waits until it is in force everywhere.",
-                "To go back, publish the former text: it becomes a version of its own."
+                "To roll back, publish the former text: it becomes a new version."
             },
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:in force everywhere, or that is the newest version already",
-                "1:the primary does not answer or takes no changes; nothing is in force",
+                "0:in force everywhere, or already the newest version",
+                "1:the primary does not respond or accepts no changes; nothing is in force",
                 "2:wrong usage, or the file has errors; nothing is in force",
-                "3:another version came first; nothing is in force",
-                "4:it is a version now, but not in force everywhere in time"
+                "3:another version was published first; nothing is in force",
+                "4:published, but not in force everywhere in time"
             })
     static final class Publish implements Callable<Integer> {
         private static final int EXIT_SUPERSEDED = 3;
@@ -152,8 +157,8 @@
                 names = "--after",
                 paramLabel = "N",
                 description = {
-                    "The number of the version that the file was made from, 0 for none: refused if another came",
-                    "since. Without, the newest when this is called."
+                    "The number of the version that the file is based on, 0 for none: refused if another was published",
+                    "since. Default: the newest version at the time of the call."
                 })
         private Long after;
 
@@ -190,8 +195,9 @@
             } catch (IOException e) {
                 System.err.println(to
                         + (sent
-                                ? " was told and did not answer, see 'gullspar versions' for " + "what holds: "
-                                : " does not answer: ")
+                                ? " was sent the file but did not respond; 'gullspar versions' shows whether "
+                                        + "it was published: "
+                                : " does not respond: ")
                         + reason(e));
                 return 1;
             }
@@ -225,16 +231,16 @@
         }
     }
 
-    /** Who runs what. */
+    /** Lists the versions that processes run. */
     @Command(
             name = "versions",
             mixinStandardHelpOptions = true,
             description = {
-                "Prints who runs which version, as a control process knows: the primary of all,",
-                "another one of those that are connected to it."
+                "Prints which process runs which version, as known to a control process: the primary knows all,",
+                "another one only those that are connected to it."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:all run the newest one", "1:it does not answer", "2:wrong usage", "4:some do not"})
+            exitCodeList = {"0:all run the newest version", "1:no response", "2:wrong usage", "4:some do not"})
     static final class ListVersions implements Callable<Integer> {
         private static final int EXIT_NOT_IN_FORCE = 4;
 
@@ -250,13 +256,13 @@
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 Message.Looked looked = control.ask(new Message.Look(true), Message.Looked.class);
                 System.out.println(looked.control() + (looked.primary() ? ", the primary" : "")
-                        + (looked.inStep() ? "" : ", which may not know the newest") + ": version "
+                        + (looked.inStep() ? "" : ", which may not have the newest version") + ": version "
                         + (looked.head() == null ? "none" : looked.head()) + " in force at " + looked.inForce() + " of "
                         + looked.followers());
                 looked.all().stream().map(VersionCommands::formatLine).forEach(System.out::println);
                 return looked.inForce() == looked.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
-                System.err.println(at + " does not answer: " + reason(e));
+                System.err.println(at + " does not respond: " + reason(e));
                 return 1;
             }
         }
--- a/src/main/java/gullspar/journal/Entry.java
+++ b/src/main/java/gullspar/journal/Entry.java
@@ -1,27 +1,27 @@
 package gullspar.journal;
 
 /**
- * What is recorded of a request that must not run twice. Times are Unix time in ms, as the clock said; a
- * request is known by the run of its proxy and a number within that.
+ * A journal entry about a request that must not run twice. Times are wall-clock Unix time in ms; a request is
+ * identified by the run of its proxy and a number within that run.
  */
 public sealed interface Entry {
-    /** Which request: the run of the proxy that took it, and its number within that run. */
+    /** Identifies a request: the run of the proxy that accepted it, and its number within that run. */
     record Request(long run, long number) {}
 
-    /** May it run twice? A keyed one where repeats are discarded, an unsafe one nowhere. */
+    /** Effect of a repeat. KEYED: safe where repeats are discarded by key. UNSAFE: never safe. */
     enum Kind {
         KEYED,
         UNSAFE
     }
 
-    /** How an attempt ended. LOST: nobody knows whether it ran. NEVER_RAN: it is proven that it did not. */
+    /** How an attempt ended. LOST: unknown whether it ran. NEVER_RAN: proven not to have run. */
     enum AttemptOutcome {
         SERVED,
         NEVER_RAN,
         LOST
     }
 
-    /** The final answer. ABANDONED: the client left before there was one. */
+    /** The final response. ABANDONED: the client disconnected before there was one. */
     enum RequestOutcome {
         SERVED,
         REFUSED,
@@ -34,8 +34,8 @@
     long atMs();
 
     /**
-     * It was taken. key is empty where there is none; hashed: it is a hash of the key and not the key itself;
-     * windowMs: so long repeats of it are discarded at its site.
+     * The request was accepted. key: empty if there is none; hashed: key holds a hash of the key, not the key
+     * itself; windowMs: how long repeats of the request are discarded at its site.
      */
     record Accepted(
             Request request,
@@ -48,12 +48,12 @@
             long windowMs)
             implements Entry {}
 
-    /** An attempt is about to go out: on disk before its first byte. site: where repeats are discarded. */
+    /** An attempt is about to be sent: on disk before its first byte. site: where repeats are discarded. */
     record Intent(Request request, long atMs, int attempt, String node, String site) implements Entry {}
 
     /** An attempt has ended. */
     record AttemptEnded(Request request, long atMs, int attempt, AttemptOutcome outcome) implements Entry {}
 
-    /** The final answer is given. */
+    /** The final response was given, or the client disconnected. */
     record Completed(Request request, long atMs, RequestOutcome outcome) implements Entry {}
 }
--- a/src/main/java/gullspar/journal/EntryCodec.java
+++ b/src/main/java/gullspar/journal/EntryCodec.java
@@ -8,10 +8,10 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Entries as bytes, by docs/journal-format.md. Numbers are big-endian, texts UTF-8 behind their length. */
+/** Encodes entries (docs/journal-format.md). Numbers are big-endian, texts UTF-8 after their length. */
 final class EntryCodec {
     static final byte ACCEPTED = 1, INTENT = 2, ATTEMPT_ENDED = 3, COMPLETED = 4;
-    /** A longer text is cut: ids and keys have 128 characters at the most where they come in. */
+    /** Longer texts are truncated. Ids and keys have at most 128 characters when they are received. */
     private static final int MAX_TEXT_BYTES = 1024;
 
     private EntryCodec() {}
@@ -51,9 +51,8 @@
     }
 
     /**
-     * Null for a type that this version does not know. What cannot be an entry, though its sum is right, is
-     * an
-     * IllegalArgumentException.
+     * Decodes an entry; null for a type that this version does not know. Throws IllegalArgumentException for
+     * a payload that is not an entry although its checksum is right.
      */
     static Entry decode(byte type, byte[] payload) {
         ByteBuffer b = ByteBuffer.wrap(payload);
@@ -76,13 +75,13 @@
                 default -> new Entry.Completed(r, at, enumValue(RequestOutcome.values(), b.get()));
             };
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("an entry that ends too early", e);
+            throw new IllegalArgumentException("journal entry is truncated", e);
         }
     }
 
     private static <T> T enumValue(T[] values, byte ordinal) {
         if (ordinal < 0 || ordinal >= values.length) {
-            throw new IllegalArgumentException("an entry with a value that there is not: " + ordinal);
+            throw new IllegalArgumentException("journal entry has an unknown enum value: " + ordinal);
         }
         return values[ordinal];
     }
--- a/src/main/java/gullspar/journal/RequestHistories.java
+++ b/src/main/java/gullspar/journal/RequestHistories.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The stories of all requests that a journal's entries tell of, in the order in which they were taken. Where
- * records are lost every request that was open may have had one there: none of them is called never sent.
+ * The histories of all requests in a journal, in the order of their first entries. Where records are lost,
+ * each request that was open may have had one among them, so none of these is reported as never sent.
  */
 public final class RequestHistories {
     private final Map<Entry.Request, RequestHistory> all = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Records were lost at this point. */
+    /** Marks that records were lost at this point. */
     public void markRecordsLost() {
         open.values().forEach(RequestHistory::markRecordsLost);
     }
@@ -31,7 +31,7 @@
         return all.values();
     }
 
-    /** Null if nothing is known of it. */
+    /** Null if there is no entry of the request. */
     public RequestHistory find(Entry.Request request) {
         return all.get(request);
     }
--- a/src/main/java/gullspar/journal/RequestHistory.java
+++ b/src/main/java/gullspar/journal/RequestHistory.java
@@ -5,13 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the journal tells of one request: whatever may have run is uncertain until it is known. */
+/** What the journal shows of one request: an attempt that may have run is uncertain until its outcome is known. */
 public final class RequestHistory {
     /**
-     * NEVER_SENT: nothing of it went out. UNCERTAIN: it may have run, and nobody was told how it ended.
-     * SERVED: a node ran it. REFUSED: a repeat is harmless. FAILED: its client was told that it failed; it
-     * may
-     * have run all the same.
+     * NEVER_SENT: nothing of it was sent. UNCERTAIN: it may have run, and its client was not notified of the
+     * outcome. SERVED: a node ran it. REFUSED: a repeat is harmless. FAILED: its client got a failure, but it
+     * may have run.
      */
     public enum State {
         NEVER_SENT,
@@ -21,9 +20,9 @@
         FAILED
     }
 
-    /** An attempt; the outcome is null while nobody knows it, the node empty where its intent was lost. */
+    /** An attempt; the outcome is null while unknown, the node empty where its intent was lost. */
     public record Attempt(int number, String node, String site, long atMs, AttemptOutcome outcome) {
-        /** Nobody has proven that it did not run. */
+        /** Whether it is not proven that the attempt did not run. */
         public boolean mayHaveRun() {
             return outcome != AttemptOutcome.NEVER_RAN;
         }
@@ -70,12 +69,12 @@
         attempts.add(a);
     }
 
-    /** Records are lost that may have been its own. */
+    /** Marks that records were lost that may have belonged to this request. */
     void markRecordsLost() {
         hasLostRecords = true;
     }
 
-    /** Its final answer is known: what comes later cannot be of it. */
+    /** Whether the final outcome is known: records lost later cannot belong to this request. */
     boolean isClosed() {
         return outcome != null;
     }
@@ -84,32 +83,32 @@
         return request;
     }
 
-    /** Null where that record is lost. */
+    /** Null if that record is lost. */
     public Entry.Accepted accepted() {
         return accepted;
     }
 
-    /** In the order in which they were last heard of. */
+    /** In the order of their last entries. */
     public List<Attempt> attempts() {
         return List.copyOf(attempts);
     }
 
-    /** Null while there is none. */
+    /** Null while there is no final outcome. */
     public RequestOutcome outcome() {
         return outcome;
     }
 
-    /** When it was answered, Unix time in ms; 0 while it is not. */
+    /** When the final response was given, Unix time in ms; 0 while there is none. */
     public long completedAtMs() {
         return completedAtMs;
     }
 
-    /** Records are lost that may have been its own. */
+    /** Whether records were lost that may have belonged to this request. */
     public boolean hasLostRecords() {
         return hasLostRecords;
     }
 
-    /** May it have run? Also where records are lost that could tell. */
+    /** Whether it may have run; also true where records that could show it were lost. */
     public boolean mayHaveRun() {
         return outcome != RequestOutcome.REFUSED
                 && (hasLostRecords || accepted == null || attempts.stream().anyMatch(Attempt::mayHaveRun));
--- a/src/main/java/gullspar/journal/Segment.java
+++ b/src/main/java/gullspar/journal/Segment.java
@@ -4,22 +4,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment (docs/journal-format.md): a head that says its version, its number and how many
- * records come before it in the journal; then records, each with a head of its own that has a sum of its own,
- * so that the next one can be found behind a damaged one.
+ * The format of a segment (docs/journal-format.md): a header with the version, the segment's number and the
+ * number of records in the journal before it; then records, each with a header that has its own checksum, so
+ * that the next record can be found after a damaged one.
  */
 public final class Segment {
-    /** What this program writes, and the newest that it reads. */
+    /** The version that is written, and the newest that can be read. */
     public static final int VERSION = 1;
-    /** Bytes of a segment's head, and of a record's. */
+    /** Sizes of a segment's header and of a record's header. */
     public static final int HEADER_BYTES = 40, RECORD_HEADER_BYTES = 16;
-    /** A longer payload is none. */
+    /** A record header with a larger length is invalid. */
     static final int MAX_PAYLOAD_BYTES = 64 << 10;
 
     private static final long MAGIC = 0x47554c4c4a524e4cL; // GULLJRNL
     private static final short RECORD_MARK = (short) 0xa75e;
 
-    /** The head of a segment. before: records in the segments ahead of it. */
+    /** The header of a segment. recordsBefore: number of records in the segments before it. */
     public record Header(int version, long number, long recordsBefore, long createdMs) {}
 
     private Segment() {}
@@ -30,7 +30,7 @@
         return (int) crc.getValue();
     }
 
-    /** A segment that a newer program has written. */
+    /** The segment was written by a newer version of the program. */
     public static final class UnsupportedVersionException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
@@ -39,12 +39,12 @@
         }
     }
 
-    /** The bytes of a head. */
+    /** Encodes a header. */
     public static byte[] header(long number, long recordsBefore, long createdMs) {
         return header(VERSION, number, recordsBefore, createdMs);
     }
 
-    /** The bytes of a head of some version. */
+    /** Encodes a header of the given version. */
     static byte[] header(int version, long number, long recordsBefore, long createdMs) {
         ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES);
         b.putLong(MAGIC)
@@ -57,28 +57,28 @@
     }
 
     /**
-     * Reads a head; an IllegalArgumentException for what is none or is damaged, a NewerVersionException for
-     * one
-     * that this program does not read. All versions have the same head, so its sum is looked at first.
+     * Decodes a header. Throws IllegalArgumentException if it is damaged or not a header, and
+     * UnsupportedVersionException if its version is too new. All versions share the header layout, so the
+     * checksum is verified first.
      */
     public static Header header(byte[] bytes) {
         ByteBuffer b = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER_BYTES || b.getLong() != MAGIC) {
-            throw new IllegalArgumentException("this is no segment of a journal");
+            throw new IllegalArgumentException("this is not a journal segment");
         }
         if (b.getInt(HEADER_BYTES - 4) != checksum(bytes, 0, HEADER_BYTES - 4)) {
-            throw new IllegalArgumentException("the head of this segment is damaged");
+            throw new IllegalArgumentException("the header of this segment is damaged: its checksum does not match");
         }
         int version = b.getShort() & 0xffff;
         if (version > VERSION) {
             throw new UnsupportedVersionException(
-                    "this segment is of version " + version + ", and this program reads up to " + VERSION);
+                    "this segment has version " + version + ", but this program reads versions up to " + VERSION);
         }
         b.getShort();
         return new Header(version, b.getLong(), b.getLong(), b.getLong());
     }
 
-    /** The bytes of a record. */
+    /** Encodes an entry as a record. */
     public static byte[] encodeRecord(Entry e) {
         byte[] payload = EntryCodec.encode(e);
         ByteBuffer b = ByteBuffer.allocate(RECORD_HEADER_BYTES + payload.length);
@@ -87,7 +87,7 @@
         return b.put(payload).array();
     }
 
-    /** The length of the payload that a record's head says; -1 if this is no such head. */
+    /** The payload length in a record's header; -1 if this is not a valid record header. */
     static int payloadLength(byte[] bytes, int at) {
         ByteBuffer b = ByteBuffer.wrap(bytes, at, RECORD_HEADER_BYTES);
         boolean mark = b.getShort() == RECORD_MARK;
@@ -98,18 +98,18 @@
                 : -1;
     }
 
-    /** Is that the payload of that head? */
+    /** Whether the payload matches the checksum in the record's header. */
     static boolean payloadMatches(byte[] bytes, int at, int length) {
         return ByteBuffer.wrap(bytes).getInt(at + 12)
                 == checksum(bytes, at + RECORD_HEADER_BYTES, at + RECORD_HEADER_BYTES + length);
     }
 
-    /** The type in a record's head. */
+    /** The entry type in a record's header. */
     static byte recordType(byte[] bytes, int at) {
         return bytes[at + 2];
     }
 
-    /** Could these last bytes be the beginning of a record whose rest was never written? */
+    /** Whether these last bytes may be the start of a record that was not written completely. */
     static boolean isRecordPrefix(byte[] bytes, int at, int end) {
         if (end - at >= RECORD_HEADER_BYTES) {
             int length = payloadLength(bytes, at);
--- a/src/main/java/gullspar/journal/SegmentScanner.java
+++ b/src/main/java/gullspar/journal/SegmentScanner.java
@@ -3,25 +3,25 @@
 import java.io.IOException;
 
 /**
- * Goes through the records of a segment, in memory that does not grow with it. What is damaged is passed over
- * up to the next whole record and reported; a record that was never written whole ends the segment.
+ * Reads the records of a segment, in memory that does not grow with its size. Damaged parts are skipped up to
+ * the next intact record and reported; a record that was not written completely ends the segment.
  */
 public final class SegmentScanner {
-    /** Where bytes come from. */
+    /** The bytes of a segment. */
     public interface Source {
-        /** Reads as many bytes from a place on as are there, up to the array's length; 0 at the end. */
+        /** Reads as many bytes from an offset as there are, up to the array's length; 0 at the end. */
         int read(long offset, byte[] buffer) throws IOException;
     }
 
-    /** Who hears what there is, in its order. */
+    /** Receives entries and losses in the order of the segment. */
     public interface Visitor {
         void entry(long offset, Entry e);
 
-        /** From there to there nothing can be read: any number of records may have been there. */
+        /** The bytes from..to cannot be read; they may have held any number of records. */
         void lost(long from, long to);
     }
 
-    /** Where the last whole record ends, how many there were, and whether a record was begun behind it. */
+    /** validEnd: end offset of the last intact record; torn: an incomplete record follows it. */
     public record Result(long validEnd, long records, boolean torn) {}
 
     private static final int WINDOW_BYTES = 2 * (Segment.MAX_PAYLOAD_BYTES + Segment.RECORD_HEADER_BYTES);
@@ -37,12 +37,12 @@
         this.visitor = visitor;
     }
 
-    /** Goes through a segment, behind its head. */
+    /** Scans a segment after its header. */
     public static Result scan(Source source, Visitor visitor) throws IOException {
         return new SegmentScanner(source, visitor).run();
     }
 
-    /** Makes sure that a whole record that begins there is in the window; returns its place in that. */
+    /** Loads the record at an offset completely into the window; returns its index there. */
     private int ensureLoaded(long offset) throws IOException {
         int index = (int) (offset - windowStart);
         if (windowLength == 0
--- a/src/main/java/gullspar/journal/file/Appender.java
+++ b/src/main/java/gullspar/journal/file/Appender.java
@@ -12,29 +12,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * Writes entries in the order in which they were added, a batch at a time: all that waits goes in one write
- * and, where power loss must be survived, one sync (group commit). Any thread adds; one thread calls step.
+ * Writes entries in the order in which they were added, in batches: pending entries share one write and, where
+ * they must survive a power loss, one sync (group commit). Any thread may add; one thread calls writeBatch.
  *
- * <p>A disk that fails ends the segment, since after a failed write or sync nobody knows what of it is there
- * (that a second sync succeeds proves nothing: Rebello et al., Can Applications Recover from fsync Failures?,
- * USENIX ATC 2020). Intents that wait then are told at once that they are not recorded. What else waits is no
- * condition for anything: it is kept, within a bound, and written once the disk is back.
+ * <p>A disk error ends the segment, since after a failed write or sync it is unknown what was stored (a second
+ * sync that succeeds proves nothing: Rebello et al., Can Applications Recover from fsync Failures?, USENIX ATC
+ * 2020). Intents in the failed batch are reported as not recorded at once. No request waits for the other
+ * entries: they are retained, within a bound, and written once the disk works again.
  */
 public final class Appender {
-    /** What a record survives once it is done: the end of the process, or of the machine. */
+    /** What a record survives once it is reported as recorded: a crash of the process, or of the machine. */
     public enum Durability {
         PROCESS,
         MACHINE
     }
 
-    /** Who hears, on the writer's thread, whether an entry is recorded. */
+    /** Called on the writer's thread with whether the entry is recorded. */
     public interface Callback {
         void onCompleted(boolean recorded);
     }
 
     private record Pending(Entry entry, Callback callback) {}
 
-    /** So many entries may wait; more are not recorded. */
+    /** Entries beyond this are rejected. */
     private static final int MAX_PENDING = 100_000;
 
     private static final int MAX_BATCH_BYTES = 1 << 20;
@@ -45,7 +45,7 @@
     private final LongSupplier clockMs;
     private final Queue<Pending> queue = new ConcurrentLinkedQueue<>();
     private final AtomicInteger pendingCount = new AtomicInteger();
-    /** Entries but intents that a failed write may have lost, in their order; ahead of the queue. */
+    /** Entries other than intents that a failed write may have lost, in order; written before the queue. */
     private final List<Pending> retained = new ArrayList<>();
 
     private Disk.File segment;
@@ -54,7 +54,7 @@
     private long segmentLength;
     private volatile String lastFailure;
 
-    /** number: of the first segment that it begins; records: those in the journal so far. */
+    /** nextSegment: the number of the first segment to create; recordCount: records in the journal so far. */
     public Appender(
             Disk disk, Durability durability, long segmentBytes, long number, long records, LongSupplier clockMs) {
         this.disk = disk;
@@ -65,7 +65,7 @@
         this.clockMs = clockMs;
     }
 
-    /** Adds an entry; false, and nothing is heard of it, if too many wait already. */
+    /** Adds an entry; returns false, and never calls back, if too many are pending. */
     public boolean add(Entry e, Callback callback) {
         if (pendingCount.incrementAndGet() > MAX_PENDING) {
             pendingCount.decrementAndGet();
@@ -75,17 +75,17 @@
         return true;
     }
 
-    /** Entries that wait. */
+    /** The number of entries not yet written. */
     public int pendingCount() {
         return pendingCount.get();
     }
 
-    /** Why the disk last failed; null while it works. */
+    /** The message of the last disk error; null while the disk works. */
     public String lastFailure() {
         return lastFailure;
     }
 
-    /** Writes what waits, a batch; false if there was nothing to do. */
+    /** Writes a batch of pending entries; false if there are none. */
     public boolean writeBatch() {
         List<Pending> batch = new ArrayList<>(retained);
         retained.clear();
@@ -146,12 +146,12 @@
             try {
                 old.close();
             } catch (IOException e) {
-                // all that was promised of it is there
+                // all entries reported as recorded are already stored
             }
         }
     }
 
-    /** Writes what still waits and closes the segment. */
+    /** Writes the pending entries, until a disk error, and closes the segment. */
     public void close() {
         while (lastFailure == null && writeBatch()) {
             continue;
--- a/src/main/java/gullspar/journal/file/Disk.java
+++ b/src/main/java/gullspar/journal/file/Disk.java
@@ -4,24 +4,24 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The folder of a journal's segments, as the system has it: every call may fail, and take its time. */
+/** The storage of a journal's segments: every call may fail, and may block. */
 public interface Disk {
-    /** A segment that is open. */
+    /** A segment that is open for writing. */
     interface File extends Closeable {
-        /** Writes at the end; on an exception some of it may be there. */
+        /** Writes at the end; after an exception a part of the bytes may have been written. */
         void append(byte[] bytes, int length) throws IOException;
 
-        /** Returns once what was appended survives the loss of power (fdatasync). */
+        /** Returns once the appended bytes survive a power loss (fdatasync). */
         void sync() throws IOException;
     }
 
-    /** The numbers of the segments that there are, the lowest first. */
+    /** The numbers of the existing segments, in ascending order. */
     List<Long> segments() throws IOException;
 
-    /** A new segment, whose name survives the loss of power once this returns. */
+    /** Creates a segment; its directory entry survives a power loss once this returns. */
     File create(long number) throws IOException;
 
-    /** Reads from a place of a segment on, up to the array's length; 0 at the end. */
+    /** Reads from an offset of a segment, up to the array's length; returns 0 at the end. */
     int read(long number, long offset, byte[] buffer) throws IOException;
 
     void delete(long number) throws IOException;
--- a/src/main/java/gullspar/journal/file/FolderDisk.java
+++ b/src/main/java/gullspar/journal/file/FolderDisk.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, held by one process: its lock ends with the process, however that ends. */
+/** A folder of the file system, locked by one process; the system releases the lock when the process ends. */
 public final class FolderDisk implements Disk, Closeable {
     private static final String SUFFIX = ".journal";
 
@@ -24,7 +24,7 @@
         this.lockFile = lockFile;
     }
 
-    /** Takes a folder, which is made if need be; an IOException if another process has it. */
+    /** Creates the folder if need be and locks it; throws IOException if it is locked already. */
     public static FolderDisk open(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel c = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -32,7 +32,7 @@
         try {
             lock = c.tryLock();
         } catch (OverlappingFileLockException e) {
-            // held within this process: the same to whoever comes second
+            // locked within this process: reported like a lock of another process
         } finally {
             if (lock == null) {
                 c.close();
@@ -44,7 +44,7 @@
         return new FolderDisk(folder, c);
     }
 
-    /** Reads a folder, also while a daemon holds it; what would change it fails. */
+    /** Opens a folder for reading, also while a daemon has it locked; changes fail. */
     public static Disk openReadOnly(Path folder) {
         return new FolderDisk(folder, null);
     }
@@ -67,7 +67,7 @@
     @Override
     public File create(long number) throws IOException {
         if (lockFile == null) {
-            throw new IOException("this journal is only looked at");
+            throw new IOException("this journal is open for reading only");
         }
         FileChannel c = FileChannel.open(path(number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
@@ -111,12 +111,12 @@
     @Override
     public void delete(long number) throws IOException {
         if (lockFile == null) {
-            throw new IOException("this journal is only looked at");
+            throw new IOException("this journal is open for reading only");
         }
         Files.deleteIfExists(path(number));
     }
 
-    /** Lets go of the folder. */
+    /** Releases the lock. */
     @Override
     public void close() throws IOException {
         if (lockFile != null) {
--- a/src/main/java/gullspar/journal/file/Recovery.java
+++ b/src/main/java/gullspar/journal/file/Recovery.java
@@ -8,21 +8,20 @@
 import java.util.List;
 
 /**
- * Reads a journal from its first segment to its last; changes nothing, so it may be cut short and repeated.
+ * Reads a journal from its first segment to its last. It changes nothing, so it may be aborted and repeated.
  */
 public final class Recovery {
     /**
-     * What was found: the number of the next segment, the records so far, and a line for each place where
-     * some
-     * are lost.
+     * nextSegment: the number for the next segment; records: the number in the journal so far; damage: a
+     * line for each place where records are lost.
      */
     public record Result(long nextSegment, long records, List<String> damage) {}
 
     private Recovery() {}
 
     /**
-     * Tells a visitor of all entries and of each loss at its place among them. An IOException where a segment
-     * is of a newer version, or cannot be read at all.
+     * Passes all entries, and each loss at its place among them, to a visitor. Throws IOException if a segment
+     * has a newer version or cannot be read at all.
      */
     public static Result read(Disk disk, SegmentScanner.Visitor visitor) throws IOException {
         List<Long> numbers = disk.segments();
@@ -32,13 +31,13 @@
         for (long segment : numbers) {
             byte[] bytes = new byte[Segment.HEADER_BYTES];
             if (disk.read(segment, 0, bytes) < Segment.HEADER_BYTES) {
-                continue; // begun and never written: nothing was promised of it
+                continue; // created, but without a complete header: no entry in it was reported as recorded
             }
             Segment.Header head = readHeader(segment, bytes, damage);
             if (head == null) {
                 visitor.lost(0, Segment.HEADER_BYTES);
             } else if (first) {
-                records = head.recordsBefore(); // those ahead of it were let go when their time was over
+                records = head.recordsBefore(); // the segments before it were deleted after their retention time
             } else if (head.recordsBefore() > records) {
                 damage.add("segment " + segment + ": " + (head.recordsBefore() - records)
                         + " records are missing before it");
@@ -65,7 +64,7 @@
         return new Result(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1, records, damage);
     }
 
-    /** Null for a damaged one, behind which records may be read all the same. */
+    /** Null if the header is damaged; the records after it may still be readable. */
     private static Segment.Header readHeader(long number, byte[] bytes, List<String> damage) throws IOException {
         try {
             return Segment.header(bytes);
--- a/src/test/java/gullspar/MainTest.java
+++ b/src/test/java/gullspar/MainTest.java
@@ -69,7 +69,7 @@
                     .start();
             p.getOutputStream().close();
             String loaded = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(loaded.contains("gullspar.cli.Direct "), command);
+            assertTrue(loaded.contains("gullspar.cli.PlatformCommands "), command);
             assertFalse(loaded.contains("picocli"), command);
             assertFalse(loaded.contains("gullspar.versions"), command);
             assertFalse(loaded.contains("gullspar.site"), command);
--- a/src/test/java/gullspar/cli/ConfigCommandsTest.java
+++ b/src/test/java/gullspar/cli/ConfigCommandsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The commands that look at an operator's file. */
-@Isolated("what others print would come in between")
+/** The commands that inspect an operator's file. */
+@Isolated("captures standard output")
 class ConfigCommandsTest {
     private static final String FILE = "deploy/routes.example.toml";
 
--- a/src/test/java/gullspar/cli/ImportTest.java
+++ b/src/test/java/gullspar/cli/ImportTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The command that imports: what it writes where, and its exit codes. */
-@Isolated("what others print would come in between")
+/** The import command: its output files and streams, and its exit codes. */
+@Isolated("captures standard output and standard error")
 class ImportTest {
     private static final String TRANSLATABLE = "server { listen 80; location / { proxy_pass http://10.0.0.1; } }\n";
     private static final String UNTRANSLATABLE =
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The kit's commands as they are used: exit codes, what is printed where. */
+/** The commands of the rehearsal kit: exit codes, standard output and standard error. */
 @Timeout(120)
-@Isolated("what others print would come in between")
+@Isolated("captures standard output and standard error")
 class KitCommandsTest {
     @TempDir
     Path folder;
@@ -33,7 +33,7 @@
     private String out;
     private String err;
 
-    /** Else the library looks for loggers first, and says on standard error what it missed. */
+    /** Else Netty tries other logging libraries first and reports the missing ones on standard error. */
     @BeforeAll
     static void useJdkLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -141,7 +141,7 @@
         assertTrue(out.contains("found-service-"), out);
     }
 
-    /** The first command of the README, as a process that is ended as by Ctrl-C. */
+    /** The try command, run as a process and stopped as by Ctrl-C. */
     @Test
     void tryStopsAllProcessesOnExit() throws Exception {
         Process p = new ProcessBuilder(
--- a/src/test/java/gullspar/journal/RequestHistoryTest.java
+++ b/src/test/java/gullspar/journal/RequestHistoryTest.java
@@ -11,7 +11,7 @@
 import gullspar.journal.RequestHistory.State;
 import org.junit.jupiter.api.Test;
 
-/** What is said of a request by what is known of it, wherever its proxy was killed. */
+/** The state of a request by the entries written before its proxy was killed. */
 class RequestHistoryTest {
     private static final Request ONE = new Request(1, 1);
     private final RequestHistories histories = new RequestHistories();
@@ -41,7 +41,10 @@
     void stateAfterEachEntryOfServedRequest() {
         assertEquals(State.NEVER_SENT, stateAfter(accepted()));
         assertEquals(State.UNCERTAIN, stateAfter(intent(0)));
-        assertEquals(State.SERVED, stateAfter(ended(0, AttemptOutcome.SERVED)), "a node ran it, told or not");
+        assertEquals(
+                State.SERVED,
+                stateAfter(ended(0, AttemptOutcome.SERVED)),
+                "a node ran it, whether or not its client got a response");
         assertEquals(State.SERVED, stateAfter(completed(RequestOutcome.SERVED)));
     }
 
@@ -83,7 +86,7 @@
         assertEquals(State.FAILED, stateAfter(completed(RequestOutcome.FAILED)));
         assertTrue(histories.find(ONE).mayHaveRun());
         histories.add(new Entry.Accepted(new Request(1, 2), 9, Kind.UNSAFE, "", false, "", "", 0));
-        assertEquals(State.NEVER_SENT, histories.find(new Request(1, 2)).state(), "taken after the loss");
+        assertEquals(State.NEVER_SENT, histories.find(new Request(1, 2)).state(), "accepted after the loss");
     }
 
     @Test
--- a/src/test/java/gullspar/journal/SegmentScannerTest.java
+++ b/src/test/java/gullspar/journal/SegmentScannerTest.java
@@ -22,9 +22,9 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Segments as they were written, cut and damaged: what is wrong is found, and no story says too little. */
+/** Intact, truncated and damaged segments: damage is reported, and no history understates what may have run. */
 class SegmentScannerTest {
-    /** What a scan brought. */
+    /** Collects the output of a scan. */
     private static final class ScanOutput implements SegmentScanner.Visitor {
         final List<Entry> entries = new ArrayList<>();
         final List<long[]> lost = new ArrayList<>();
@@ -67,7 +67,7 @@
         return out.toByteArray();
     }
 
-    /** The lives of several requests, their records mixed as they come in service. */
+    /** The entries of several requests, interleaved as in service. */
     private static List<Entry> randomEntries(int seed, int requests) {
         Random random = new Random(seed);
         List<List<Entry>> perRequest = new ArrayList<>();
@@ -123,7 +123,7 @@
         assertEquals(new SegmentScanner.Result(segment.length, entries.size(), false), r.result);
     }
 
-    /** No request that may have run is called never sent or refused because of what is lost. */
+    /** Asserts that no request that may have run is reported as never sent or refused because of lost records. */
     private static void assertNoneUnderstated(ScanOutput whole, ScanOutput damaged) {
         for (RequestHistory truth : whole.histories.all()) {
             RequestHistory s = damaged.histories.find(truth.request());
@@ -179,7 +179,7 @@
         assertTrue(r.result.validEnd() <= cut && r.result.records() == r.entries.size());
     }
 
-    /** A record that another one holds as text is none. */
+    /** Skipping a damaged record must not yield a record from within its payload. */
     @Test
     void doesNotReadRecordWithinDamagedPayload() {
         Request r = new Request(1, 1);
@@ -208,15 +208,15 @@
         byte[] newer = Segment.header(2, 3, 17, 99);
         assertTrue(assertThrows(Segment.UnsupportedVersionException.class, () -> Segment.header(newer))
                 .getMessage()
-                .contains("version 2, and this program reads up to 1"));
+                .contains("version 2, but this program reads versions up to 1"));
         for (int bit = 64; bit < Segment.HEADER_BYTES * 8; bit++) {
             byte[] damaged = head.clone();
             damaged[bit / 8] ^= (byte) (1 << bit % 8);
             assertEquals(
-                    "the head of this segment is damaged",
+                    "the header of this segment is damaged: its checksum does not match",
                     assertThrows(IllegalArgumentException.class, () -> Segment.header(damaged))
                             .getMessage(),
-                    "also in the version");
+                    "any damaged bit, also one of the version");
         }
         assertThrows(IllegalArgumentException.class, () -> Segment.header(new byte[10]));
         assertThrows(IllegalArgumentException.class, () -> Segment.header(new byte[Segment.HEADER_BYTES]));
--- a/src/test/java/gullspar/journal/file/AppenderTest.java
+++ b/src/test/java/gullspar/journal/file/AppenderTest.java
@@ -23,16 +23,16 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The writer over a disk that fails and dies at every moment there is. */
+/** The appender on a disk that fails or crashes at each operation. */
 class AppenderTest {
     private static final int REQUESTS = 6;
 
-    /** Which requests a node may have seen: their intent was said to be recorded. */
+    /** Requests that a node may have received: their intent was reported as recorded. */
     private final Set<Request> sent = new HashSet<>();
 
     private final Set<Request> refused = new HashSet<>();
 
-    /** Some requests, as the daemon would have them: nothing goes out before its intent is recorded. */
+    /** Journals some requests as the daemon does: none is sent before its intent is recorded. */
     private void serve(FaultyDisk disk, Durability durability, long segmentBytes) {
         Appender a = new Appender(disk, durability, segmentBytes, 1, 0, () -> 5);
         for (int i = 0; i < REQUESTS; i++) {
@@ -79,7 +79,7 @@
         RequestHistories histories = read(disk);
         for (Request r : sent) {
             RequestHistory s = histories.find(r);
-            assertTrue(s != null && s.mayHaveRun(), when + ": " + r + " is missing or said not to have run");
+            assertTrue(s != null && s.mayHaveRun(), when + ": " + r + " is missing or reported as not run");
         }
     }
 
--- a/src/test/java/gullspar/journal/file/FaultyDisk.java
+++ b/src/test/java/gullspar/journal/file/FaultyDisk.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory that fails and dies as it is told. What was appended since the last sync survives the end
- * of the process; of the machine only what a draw leaves of it, in blocks.
+ * A disk in memory with injected errors and crashes. Bytes appended since the last sync survive a crash of the
+ * process; after a power loss a random part of their blocks is left.
  */
 final class FaultyDisk implements Disk {
-    /** The machine or the process ends here: nothing after it happens. */
+    /** The process or the machine crashes: no later operation takes place. */
     static final class CrashException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -27,11 +27,11 @@
     }
 
     private final Map<Long, Content> files = new TreeMap<>();
-    /** The operation that is the last one, and how many bytes of an append it lets through; -1 for none. */
+    /** The number of the operation that crashes; -1 for none. A failing append still writes partialBytes. */
     int crashAt = -1;
 
     int partialBytes;
-    /** Operations that fail, by number. */
+    /** The numbers of the operations that fail with an IOException. */
     final List<Integer> failingOperations = new ArrayList<>();
 
     int operationCount;
@@ -92,7 +92,7 @@
         files.remove(number);
     }
 
-    /** Power is lost: of what was not synced some blocks are there, some are zero, and the end may be cut. */
+    /** Simulates a power loss: of the unsynced bytes some blocks remain, some are zero, the end may be cut. */
     void losePower(Random random) {
         for (Content c : files.values()) {
             byte[] all = c.bytes.toByteArray();
--- a/src/test/java/gullspar/journal/file/FolderTest.java
+++ b/src/test/java/gullspar/journal/file/FolderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A journal in a real folder: written, read beside its writer, damaged, held by one. */
+/** A journal in a real folder: writing, reading during writes, damage, locking. */
 class FolderTest {
     private static final SegmentScanner.Visitor NO_OP_VISITOR = new SegmentScanner.Visitor() {
         @Override
@@ -112,13 +112,15 @@
             ByteBuffer.wrap(newer).putInt(36, (int) sum.getValue());
             Files.write(file, newer);
             assertEquals(
-                    "segment 1: this segment is of version 7, and this program reads up to 1",
+                    "segment 1: this segment has version 7, but this program reads versions up to 1",
                     assertThrows(IOException.class, () -> Recovery.read(disk, NO_OP_VISITOR))
                             .getMessage());
-            bytes[9] = 7; // a flipped bit or two, and the sum says so
+            bytes[9] = 7; // without a new checksum: the header counts as damaged
             Files.write(file, bytes);
             Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
-            assertEquals(List.of("segment 1: the head of this segment is damaged"), found.damage());
+            assertEquals(
+                    List.of("segment 1: the header of this segment is damaged: its checksum does not match"),
+                    found.damage());
             assertEquals(2, found.records());
         }
     }
