--- a/src/main/java/gullspar/cli/ConfigCommands.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -143,16 +143,18 @@
                                 : ", Location: " + route.answer().location().fill(values)));
                 return;
             }
-            Route.ToPool to = route.pool();
-            System.out.println("pool " + to.pool() + ", class "
-                    + Route.kind(to.kind(), r.method()).name().toLowerCase(Locale.ROOT) + ", within "
-                    + to.limits().deadlineNs() / 1_000_000 + " ms, at most "
-                    + to.limits().attempts() + " attempts");
-            System.out.println("sends " + r.method() + " " + to.rewrite().of(r.path())
+            Route.ToPool toPool = route.pool();
+            System.out.println("pool " + toPool.pool() + ", class "
+                    + Route.kind(toPool.kind(), r.method()).name().toLowerCase(Locale.ROOT) + ", within "
+                    + toPool.limits().deadlineNs() / 1_000_000 + " ms, at most "
+                    + toPool.limits().attempts() + " attempts");
+            System.out.println("sends " + r.method() + " " + toPool.rewrite().of(r.path())
                     + (r.query() == null ? "" : "?" + r.query()));
-            to.request().set().forEach((name, value) -> System.out.println("  " + name + ": " + value.fill(values)));
-            to.request().remove().forEach(name -> System.out.println("  without " + name));
-            Site.Pool pool = site.pools().get(to.pool());
+            toPool.request()
+                    .set()
+                    .forEach((name, value) -> System.out.println("  " + name + ": " + value.fill(values)));
+            toPool.request().remove().forEach(name -> System.out.println("  without " + name));
+            Site.Pool pool = site.pools().get(toPool.pool());
             if (pool.discovery() != null) {
                 System.out.println("  servers from " + pool.discovery());
             }
--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -126,33 +126,33 @@
         }
     }
 
-    private int reportBroken(Played p) {
-        Broken first = p.verdict().broken().get(0);
+    private int reportBroken(Played played) {
+        Broken first = played.verdict().broken().get(0);
         System.err.println("BROKEN: " + first.rule().words()
-                + (p.verdict().broken().size() > 1
-                        ? " (and " + (p.verdict().broken().size() - 1) + " more)"
+                + (played.verdict().broken().size() > 1
+                        ? " (and " + (played.verdict().broken().size() - 1) + " more)"
                         : ""));
         System.err.printf(
-                Locale.ROOT, "at %.6f s: %s%n", (first.at() - p.eventLog().start()) / 1e9, first.what());
+                Locale.ROOT, "at %.6f s: %s%n", (first.at() - played.eventLog().start()) / 1e9, first.what());
         if (first.request() != null) {
-            RequestTrace.of(first.request(), p.eventLog()).forEach(line -> System.err.println("  " + line));
+            RequestTrace.of(first.request(), played.eventLog()).forEach(line -> System.err.println("  " + line));
         }
         System.err.println("play it again: ./gullspar rehearse " + script + " --seed "
-                + p.script().seed() + (live ? " --live" : ""));
+                + played.script().seed() + (live ? " --live" : ""));
         return EXIT_FAILED;
     }
 
-    private static List<String> summaryLines(Played p) {
-        Verdict v = p.verdict();
+    private static List<String> summaryLines(Played played) {
+        Verdict v = played.verdict();
         return List.of(
                 String.format(
                         Locale.ROOT,
                         "%s, seed %d: %d orders in %.0f s, played in %.1f s",
-                        p.script().title(),
-                        p.script().seed(),
+                        played.script().title(),
+                        played.script().seed(),
                         v.orders(),
-                        p.script().seconds(),
-                        p.tookNs() / 1e9),
+                        played.script().seconds(),
+                        played.tookNs() / 1e9),
                 String.format(Locale.ROOT, "  service        %.4f of the worth asked for", v.service()),
                 String.format(Locale.ROOT, "  worst 10 s     %.4f, from %.0f s", v.worst10s(), v.worstFromNs() / 1e9),
                 String.format(Locale.ROOT, "  worst class    %.4f, %s", v.worstClass(), v.worstClassName()),
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -45,20 +45,22 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
-    private static boolean isOlder(Message.Running r, Version v) {
-        return r.epoch() < v.epoch() || r.epoch() == v.epoch() && r.number() < v.number();
+    private static boolean isOlder(Message.Running running, Version version) {
+        return running.epoch() < version.epoch()
+                || running.epoch() == version.epoch() && running.number() < version.number();
     }
 
-    private static String formatLine(Message.Running r) {
-        String disconnected = r.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", r.awayMs() / 1e3);
+    private static String formatLine(Message.Running running) {
+        String disconnected =
+                running.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", running.awayMs() / 1e3);
         return String.format(
                 Locale.ROOT,
                 "  %-24s %-10s by %s%s%s",
-                r.name(),
-                r.number() == 0 ? "nothing" : r.epoch() + "." + r.number(),
-                r.via(),
+                running.name(),
+                running.number() == 0 ? "nothing" : running.epoch() + "." + running.number(),
+                running.via(),
                 disconnected,
-                r.trouble().isEmpty() ? "" : "; " + r.trouble().replaceAll("\\p{Cntrl}", "?"));
+                running.trouble().isEmpty() ? "" : "; " + running.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
     /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
@@ -207,18 +209,18 @@
             return v == null ? 0 : v.number();
         }
 
-        private int awaitInForce(ControlClient control, Version v) throws IOException, InterruptedException {
+        private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
             long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
                 Message.Looked looked = control.ask(new Message.Look(false), Message.Looked.class);
                 List<Message.Running> missing =
-                        looked.all().stream().filter(r -> isOlder(r, v)).toList();
+                        looked.all().stream().filter(r -> isOlder(r, version)).toList();
                 if (missing.isEmpty()) {
-                    System.out.println("version " + v + " is in force at all " + looked.followers());
+                    System.out.println("version " + version + " is in force at all " + looked.followers());
                     return 0;
                 }
                 if (System.nanoTime() > deadlineNs) {
-                    System.out.println("version " + v + " is not in force at " + missing.size() + " of "
+                    System.out.println("version " + version + " is not in force at " + missing.size() + " of "
                             + looked.followers() + ":");
                     missing.stream()
                             .limit(MAX_LISTED)
--- a/src/main/java/gullspar/journal/EntryCodec.java
+++ b/src/main/java/gullspar/journal/EntryCodec.java
@@ -25,19 +25,22 @@
     static byte[] encode(Entry e) {
         ByteBuffer b = ByteBuffer.allocate(64 + 5 * (MAX_TEXT_BYTES + 2));
         b.putLong(e.request().run()).putLong(e.request().number()).putLong(e.atMs());
-        if (e instanceof Entry.Accepted t) {
-            b.put((byte) t.kind().ordinal()).put((byte) (t.hashed() ? 1 : 0)).putLong(t.windowMs());
-            text(b, t.key());
-            text(b, t.clientId());
-            text(b, t.route());
-        } else if (e instanceof Entry.Intent i) {
-            b.putShort((short) i.attempt());
-            text(b, i.node());
-            text(b, i.site());
-        } else if (e instanceof Entry.AttemptEnded d) {
-            b.putShort((short) d.attempt()).put((byte) d.outcome().ordinal());
-        } else if (e instanceof Entry.Completed a) {
-            b.put((byte) a.outcome().ordinal());
+        if (e instanceof Entry.Accepted accepted) {
+            b.put((byte) accepted.kind().ordinal())
+                    .put((byte) (accepted.hashed() ? 1 : 0))
+                    .putLong(accepted.windowMs());
+            text(b, accepted.key());
+            text(b, accepted.clientId());
+            text(b, accepted.route());
+        } else if (e instanceof Entry.Intent intent) {
+            b.putShort((short) intent.attempt());
+            text(b, intent.node());
+            text(b, intent.site());
+        } else if (e instanceof Entry.AttemptEnded attemptEnded) {
+            b.putShort((short) attemptEnded.attempt())
+                    .put((byte) attemptEnded.outcome().ordinal());
+        } else if (e instanceof Entry.Completed completed) {
+            b.put((byte) completed.outcome().ordinal());
         }
         byte[] bytes = new byte[b.position()];
         b.flip().get(bytes);
--- a/src/main/java/gullspar/journal/file/Appender.java
+++ b/src/main/java/gullspar/journal/file/Appender.java
@@ -128,9 +128,9 @@
         }
         if (segment == null) {
             segment = disk.create(nextSegment++);
-            byte[] head = Segment.header(nextSegment - 1, recordCount, clockMs.getAsLong());
-            segment.append(head, head.length);
-            segmentLength = head.length;
+            byte[] header = Segment.header(nextSegment - 1, recordCount, clockMs.getAsLong());
+            segment.append(header, header.length);
+            segmentLength = header.length;
         }
         segment.append(bytes, bytes.length);
         segmentLength += bytes.length;
--- a/src/main/java/gullspar/journal/file/Recovery.java
+++ b/src/main/java/gullspar/journal/file/Recovery.java
@@ -29,20 +29,20 @@
         long records = 0;
         boolean first = true;
         for (long segment : numbers) {
-            byte[] bytes = new byte[Segment.HEADER_BYTES];
-            if (disk.read(segment, 0, bytes) < Segment.HEADER_BYTES) {
+            byte[] headerBytes = new byte[Segment.HEADER_BYTES];
+            if (disk.read(segment, 0, headerBytes) < Segment.HEADER_BYTES) {
                 continue; // created, but without a complete header: no entry in it was reported as recorded
             }
-            Segment.Header head = readHeader(segment, bytes, damage);
-            if (head == null) {
+            Segment.Header header = readHeader(segment, headerBytes, damage);
+            if (header == null) {
                 visitor.lost(0, Segment.HEADER_BYTES);
             } else if (first) {
-                records = head.recordsBefore(); // the segments before it were deleted after their retention time
-            } else if (head.recordsBefore() > records) {
-                damage.add("segment " + segment + ": " + (head.recordsBefore() - records)
+                records = header.recordsBefore(); // the segments before it were deleted after their retention time
+            } else if (header.recordsBefore() > records) {
+                damage.add("segment " + segment + ": " + (header.recordsBefore() - records)
                         + " records are missing before it");
                 visitor.lost(0, 0);
-                records = head.recordsBefore();
+                records = header.recordsBefore();
             }
             SegmentScanner.Result end =
                     SegmentScanner.scan((at, into) -> disk.read(segment, at, into), new SegmentScanner.Visitor() {
--- a/src/test/java/gullspar/journal/SegmentScannerTest.java
+++ b/src/test/java/gullspar/journal/SegmentScannerTest.java
@@ -106,8 +106,8 @@
         }
         List<Entry> mixed = new ArrayList<>();
         while (!perRequest.isEmpty()) {
-            List<Entry> one = perRequest.get(random.nextInt(perRequest.size()));
-            mixed.add(one.remove(0));
+            List<Entry> requestEntries = perRequest.get(random.nextInt(perRequest.size()));
+            mixed.add(requestEntries.remove(0));
             perRequest.removeIf(List::isEmpty);
         }
         return mixed;
--- a/src/test/java/gullspar/journal/file/FolderTest.java
+++ b/src/test/java/gullspar/journal/file/FolderTest.java
@@ -33,9 +33,9 @@
     private Path folder;
 
     private static void write(Disk disk, int from, int to, long segmentBytes) throws IOException {
-        Recovery.Result found = Recovery.read(disk, NO_OP_VISITOR);
-        Appender a =
-                new Appender(disk, Durability.MACHINE, segmentBytes, found.nextSegment(), found.records(), () -> 5);
+        Recovery.Result recovered = Recovery.read(disk, NO_OP_VISITOR);
+        Appender a = new Appender(
+                disk, Durability.MACHINE, segmentBytes, recovered.nextSegment(), recovered.records(), () -> 5);
         for (int i = from; i < to; i++) {
             a.add(new Entry.Accepted(new Request(1, i), i, Kind.KEYED, "k" + i, false, "", "/", 0), ok -> {});
             a.add(new Entry.Intent(new Request(1, i), i, 0, "n", "z"), ok -> assertTrue(ok));
