--- a/src/main/java/gullspar/cli/FleetCommand.java
+++ b/src/main/java/gullspar/cli/FleetCommand.java
@@ -124,7 +124,7 @@
                 "phase",
                 "version",
                 "zone",
-                "stmt age",
+                "told",
                 "req/s",
                 ""));
         for (JsonNode m : view.path("members")) {
