--- a/src/main/java/gullspar/cli/Routes.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -22,29 +22,29 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The commands that look at an operator's file with no daemon. */
-final class Routes {
-    private Routes() {}
+/** The commands that inspect an operator's file without a daemon. */
+final class ConfigCommands {
+    private ConfigCommands() {}
 
-    /** Is a file right? */
+    /** Validates a file. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
             description = {
                 "Reads a configuration of routes and pools, or an operators' file of the",
-                "platform's proxy, and says all that is wrong with it."
+                "platform's proxy, and prints all errors in it."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:it can be used", "2:it cannot, or wrong usage"})
+            exitCodeList = {"0:the file is valid", "2:the file has errors, or wrong usage"})
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration (TOML, docs/routing.md).")
         private Path file;
 
         @Override
         public Integer call() {
-            return Written.read(file, f -> {
+            return InputFiles.read(file, f -> {
                                 String text = Files.readString(f);
-                                return OperatorsFile.only(text)
+                                return OperatorsFile.hasOnlyProcessTables(text)
                                         ? OperatorsFile.parse(text, f.toString())
                                         : SiteReader.parse(text, f.toString());
                             })
@@ -54,15 +54,15 @@
         }
     }
 
-    /** Where would a request go? */
+    /** Explains how a request would be routed. */
     @Command(
             name = "route",
             mixinStandardHelpOptions = true,
             description =
-                    "Says which route of a configuration a request takes, why, and what would be " + "sent where.",
+                    "Prints which route of a configuration a request takes, why, and what would be " + "sent where.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:there is a route", "1:there is none", "2:wrong usage, or a file with errors"})
-    static final class Which implements Callable<Integer> {
+            exitCodeList = {"0:a route matches", "1:no route matches", "2:wrong usage, or a file with errors"})
+    static final class ExplainRoute implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -75,24 +75,24 @@
         @Parameters(index = "2", paramLabel = "URL", description = "http://host/path?query")
         private String url;
 
-        @Option(names = "-H", paramLabel = "HEADER", description = "A header, as 'Name: value'; may come again.")
+        @Option(names = "-H", paramLabel = "HEADER", description = "A header, as 'Name: value'; may be repeated.")
         private List<String> headers = new ArrayList<>();
 
         @Override
         public Integer call() {
-            Site site = Written.read(file, SiteReader::read);
+            Site site = InputFiles.read(file, SiteReader::read);
             if (site == null) {
                 return 2;
             }
             Request r = request();
             Router router = site.router(port());
             router.explain(r).forEach(System.out::println);
-            Router.Found found = router.find(r);
+            Router.Result found = router.find(r);
             if (found.route() == null) {
                 System.out.println("answer " + found.status());
                 return 1;
             }
-            say(found, r, site);
+            printTarget(found, r, site);
             return 0;
         }
 
@@ -105,7 +105,8 @@
             try {
                 URI u = new URI(url);
                 if (u.getHost() == null) {
-                    throw new ParameterException(spec.commandLine(), "'" + url + "' is not http://host/path");
+                    throw new ParameterException(
+                            spec.commandLine(), "'" + url + "' is not of the form http://host/path");
                 }
                 String path = u.getPath() == null || u.getPath().isEmpty() ? "/" : u.getPath();
                 return new Request(
@@ -118,8 +119,8 @@
             }
         }
 
-        /** What stands for a name with this request: the groups of the place, or what is known of it. */
-        private static String value(Router.Found found, Request r, String name) {
+        /** The value of a template variable: a group of the matched path, or an attribute of the request. */
+        private static String templateValue(Router.Result found, Request r, String name) {
             if (name.equals("route")) {
                 return found.route().name();
             }
@@ -128,30 +129,35 @@
             }
             int group = Character.digit(name.charAt(0), 10);
             return group < 0
-                    ? r.value(name)
+                    ? r.resolve(name)
                     : group < found.groups().size() ? found.groups().get(group) : "";
         }
 
-        private static void say(Router.Found found, Request r, Site site) {
+        private static void printTarget(Router.Result found, Request r, Site site) {
             Route route = found.route();
-            Template.Values values = name -> value(found, r, name);
-            if (route.answer() != null) {
-                System.out.println("answer " + route.answer().status()
-                        + (route.answer().location() == null
+            Template.VariableResolver values = name -> templateValue(found, r, name);
+            if (route.fixedResponse() != null) {
+                System.out.println("answer " + route.fixedResponse().status()
+                        + (route.fixedResponse().location() == null
                                 ? ""
-                                : ", Location: " + route.answer().location().fill(values)));
+                                : ", Location: "
+                                        + route.fixedResponse().location().expand(values)));
                 return;
             }
-            Route.ToPool to = route.pool();
-            System.out.println("pool " + to.pool() + ", class "
-                    + Route.kind(to.kind(), r.method()).name().toLowerCase(Locale.ROOT) + ", within "
-                    + to.limits().deadlineNs() / 1_000_000 + " ms, at most "
-                    + to.limits().attempts() + " attempts");
-            System.out.println("sends " + r.method() + " " + to.rewrite().of(r.path())
+            Route.PoolTarget toPool = route.pool();
+            System.out.println("pool " + toPool.pool() + ", class "
+                    + Route.resolveClass(toPool.requestClass(), r.method())
+                            .name()
+                            .toLowerCase(Locale.ROOT) + ", within "
+                    + toPool.limits().deadlineNs() / 1_000_000 + " ms, at most "
+                    + toPool.limits().maxAttempts() + " attempts");
+            System.out.println("sends " + r.method() + " " + toPool.rewrite().apply(r.path())
                     + (r.query() == null ? "" : "?" + r.query()));
-            to.request().set().forEach((name, value) -> System.out.println("  " + name + ": " + value.fill(values)));
-            to.request().remove().forEach(name -> System.out.println("  without " + name));
-            Site.Pool pool = site.pools().get(to.pool());
+            toPool.requestHeaders()
+                    .set()
+                    .forEach((name, value) -> System.out.println("  " + name + ": " + value.expand(values)));
+            toPool.requestHeaders().remove().forEach(name -> System.out.println("  without " + name));
+            Site.Pool pool = site.pools().get(toPool.pool());
             if (pool.discovery() != null) {
                 System.out.println("  servers from " + pool.discovery());
             }
--- a/src/main/java/gullspar/cli/Import.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -25,37 +25,37 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes configurations of those of other proxies. */
+/** Converts configurations of other proxies. */
 @Command(
         name = "import",
         mixinStandardHelpOptions = true,
-        description = "Makes an operator's file of another proxy's configuration.",
-        subcommands = Import.Nginx.class)
-final class Import implements Runnable {
+        description = "Converts another proxy's configuration to an operator's file.",
+        subcommands = ImportCommand.Nginx.class)
+final class ImportCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "from which proxy? nginx");
+        throw new ParameterException(spec.commandLine(), "missing subcommand: nginx");
     }
 
-    /** From nginx. */
+    /** Converts nginx's configuration. */
     @Command(
             name = "nginx",
             mixinStandardHelpOptions = true,
-            description = "Reads nginx's files with all that they include, and writes routes and pools "
+            description = "Reads nginx's files and all files that they include, and writes routes and pools "
                     + "(docs/import-nginx.md).",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all is translated or without effect here, or --partial",
-                "1:what came out cannot be written or read",
+                "0:all directives are translated or have no effect here, or --partial",
+                "1:the result cannot be written or is not valid",
                 "2:wrong usage, or files with errors",
-                "3:something cannot be translated: nothing is written"
+                "3:a directive cannot be translated; nothing is written"
             })
     static final class Nginx implements Callable<Integer> {
-        /** How the report is written. */
-        enum Form {
+        /** Format of the report. */
+        enum ReportFormat {
             text,
             json
         }
@@ -63,51 +63,52 @@
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "The main file, or several.")
         private List<Path> files;
 
-        @Option(names = "-o", paramLabel = "OUT", description = "Writes there, not to standard output.")
+        @Option(names = "-o", paramLabel = "OUT", description = "Writes to this file instead of standard output.")
         private Path out;
 
         @Option(
                 names = "--report",
                 paramLabel = "FORM",
-                description = "text, on standard error: what could "
-                        + "not be translated and all remarks; json: every directive, on standard output with -o.")
-        private Form form = Form.text;
+                description = "text, on standard error: untranslatable "
+                        + "directives and all remarks; json: every directive, on standard output with -o.")
+        private ReportFormat reportFormat = ReportFormat.text;
 
-        @Option(names = "--partial", description = "Writes what could be translated all the same.")
+        @Option(names = "--partial", description = "Writes the result even if some directives cannot be translated.")
         private boolean partial;
 
         @Option(
                 names = "--host",
                 paramLabel = "NAME=ADDRESS",
-                description = "The IP address of a name in the files; may come again.")
+                description = "The IP address of a host name in the files; may be repeated.")
         private Map<String, String> hosts = new LinkedHashMap<>();
 
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            Importer.Imported made = Importer.read(files, hosts, problems);
-            if (made == null) {
+            Importer.Imported imported = Importer.read(files, hosts, problems);
+            if (imported == null) {
                 problems.forEach(System.err::println);
                 return 2;
             }
-            List<Entry> entries = made.report().entries(made.directives());
-            if (form == Form.json) {
+            List<Entry> entries = imported.report().entries(imported.directives());
+            if (reportFormat == ReportFormat.json) {
                 (out == null ? System.err : System.out).println(json(entries));
             } else {
-                say(entries);
+                printReport(entries);
             }
-            if (!made.report().complete() && !partial) {
-                System.err.println("nothing is written: see above, or use --partial");
+            if (!imported.report().complete() && !partial) {
+                System.err.println(
+                        "nothing is written: directives above cannot be translated; use --partial to write the rest");
                 return 3;
             }
-            return write(made.toml());
+            return write(imported.toml());
         }
 
         private int write(String toml) {
             try {
-                SiteReader.parse(toml, out == null ? "what came out" : out.toString());
+                SiteReader.parse(toml, out == null ? "(result)" : out.toString());
             } catch (ProblemsException e) {
-                System.err.println("what came out cannot be used as it is:\n" + e.getMessage());
+                System.err.println("the translated configuration is not valid:\n" + e.getMessage());
                 if (!partial) {
                     return 1;
                 }
@@ -126,17 +127,17 @@
             }
         }
 
-        private static String words(Verdict v) {
+        private static String verdictText(Verdict v) {
             return v.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
-        /** What could not be translated, and remarks; then how many of each. */
-        private static void say(List<Entry> entries) {
+        /** Prints untranslatable directives and remarks, then the number of directives by verdict. */
+        private static void printReport(List<Entry> entries) {
             int[] counts = new int[Verdict.values().length];
             for (Entry e : entries) {
                 counts[e.verdict().ordinal()]++;
                 if (!e.why().isEmpty()) {
-                    System.err.println(e.directive().place() + ": " + words(e.verdict()) + ": "
+                    System.err.println(e.directive().place() + ": " + verdictText(e.verdict()) + ": "
                             + e.directive().name().text() + ": " + e.why());
                 }
             }
@@ -155,7 +156,7 @@
                     g.writeNumberField("line", e.directive().place().line());
                     g.writeNumberField("column", e.directive().place().column());
                     g.writeStringField("directive", e.directive().name().text());
-                    g.writeStringField("verdict", words(e.verdict()));
+                    g.writeStringField("verdict", verdictText(e.verdict()));
                     g.writeStringField("why", e.why());
                     g.writeEndObject();
                 }
--- a/src/main/java/gullspar/cli/Rehearse.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -31,12 +31,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a day. */
+/** Plays a day by a script. */
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays a day by a script: in virtual time, the same every time for one script and seed.",
+            "Plays a day by a script, in virtual time: one script and seed always give the same result.",
             "Scripts are described in docs/rehearsal.md; examples are in examples/rehearsals."
         },
         exitCodeListHeading = "%nExit codes:%n",
@@ -45,10 +45,10 @@
             "1:a rule was broken, or the day could not be played",
             "2:wrong usage, or a script with errors (nothing is played)"
         },
-        subcommands = {SearchDays.class, Rehearse.Diff.class, Rehearse.Faults.class})
-final class Rehearse implements Callable<Integer> {
-    static final int BROKEN = 1;
-    static final int WRONG = 2;
+        subcommands = {SearchCommand.class, RehearseCommand.Diff.class, RehearseCommand.Faults.class})
+final class RehearseCommand implements Callable<Integer> {
+    static final int EXIT_FAILED = 1;
+    static final int EXIT_USAGE = 2;
 
     @Spec
     private CommandSpec spec;
@@ -56,50 +56,53 @@
     @Parameters(arity = "0..1", paramLabel = "SCRIPT", description = "The script to play.")
     private Path script;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Plays it with this seed, not with the script's.")
+    @Option(names = "--seed", paramLabel = "N", description = "Overrides the script's seed.")
     private Integer seed;
 
-    @Option(names = "--log", paramLabel = "FILE", description = "Writes the decision log there.")
+    @Option(names = "--log", paramLabel = "FILE", description = "Writes the decision log to this file.")
     private Path log;
 
     @Option(names = "--live", description = "Plays it in real time, with real daemon processes on loopback.")
     private boolean live;
 
-    @Option(names = "--report", paramLabel = "FILE", description = "Writes a page there, for people to look at.")
+    @Option(names = "--report", paramLabel = "FILE", description = "Writes an HTML report to this file.")
     private Path report;
 
-    @Option(names = "--json", description = "Prints the result as JSON, for machines.")
+    @Option(names = "--json", description = "Prints the result as JSON.")
     private boolean json;
 
     @Override
     public Integer call() {
         if (script == null) {
-            throw new ParameterException(spec.commandLine(), "which script?");
+            throw new ParameterException(spec.commandLine(), "missing script");
         }
-        Script s = Written.read(script, ScriptReader::read);
+        Script s = InputFiles.read(script, ScriptReader::read);
         if (s == null) {
-            return WRONG;
+            return EXIT_USAGE;
         }
         s = seed == null ? s : s.with((long) seed);
         for (Path p : Stream.of(log, report).filter(Objects::nonNull).toList()) {
-            // Said before a day is played, not after.
+            // Checked before the day is played, not after.
             if (!Files.isDirectory(p.toAbsolutePath().getParent()) || Files.isDirectory(p)) {
-                throw new ParameterException(spec.commandLine(), p + " cannot be written: no such folder, or one");
+                throw new ParameterException(
+                        spec.commandLine(),
+                        p + " cannot be written: its folder does not exist, or it is a folder itself");
             }
         }
         Terminal terminal = new Terminal();
         Played played;
         if (live && log != null) {
-            throw new ParameterException(spec.commandLine(), "--log is for virtual time, not for --live");
+            throw new ParameterException(
+                    spec.commandLine(), "--log requires virtual time and cannot be combined with --live");
         }
         try {
-            played = live ? LivePlay.play(s, terminal) : virtual(s, terminal);
+            played = live ? LivePlay.play(s, terminal) : playVirtual(s, terminal);
             if (report != null) {
                 Files.writeString(report, HtmlReport.of(played));
             }
         } catch (IOException e) {
-            System.err.println("it cannot be played: " + e.getMessage());
-            return BROKEN;
+            System.err.println("the script cannot be played: " + e.getMessage());
+            return EXIT_FAILED;
         } finally {
             terminal.clear();
         }
@@ -107,49 +110,49 @@
         if (json) {
             System.out.println(JsonReport.of(played));
         } else {
-            if (terminal.person()) {
-                table(played).forEach(System.out::println);
+            if (terminal.isInteractive()) {
+                summaryLines(played).forEach(System.out::println);
             }
             if (!live) {
                 System.out.println("decisions " + played.decisions() + " sha256 " + played.hash());
             }
         }
-        return played.verdict().kept() ? 0 : broken(played);
+        return played.verdict().kept() ? 0 : reportBroken(played);
     }
 
-    private Played virtual(Script s, Terminal terminal) throws IOException {
+    private Played playVirtual(Script s, Terminal terminal) throws IOException {
         try (Writer decisions = log == null ? null : Files.newBufferedWriter(log)) {
             return VirtualPlay.play(s, VirtualPlay.Options.logged(decisions, terminal));
         }
     }
 
-    private int broken(Played p) {
-        Broken first = p.verdict().broken().get(0);
+    private int reportBroken(Played played) {
+        Broken first = played.verdict().broken().get(0);
         System.err.println("BROKEN: " + first.rule().words()
-                + (p.verdict().broken().size() > 1
-                        ? " (and " + (p.verdict().broken().size() - 1) + " more)"
+                + (played.verdict().broken().size() > 1
+                        ? " (and " + (played.verdict().broken().size() - 1) + " more)"
                         : ""));
         System.err.printf(
-                Locale.ROOT, "at %.6f s: %s%n", (first.at() - p.eventLog().start()) / 1e9, first.what());
+                Locale.ROOT, "at %.6f s: %s%n", (first.at() - played.eventLog().start()) / 1e9, first.what());
         if (first.request() != null) {
-            RequestTrace.of(first.request(), p.eventLog()).forEach(line -> System.err.println("  " + line));
+            RequestTrace.of(first.request(), played.eventLog()).forEach(line -> System.err.println("  " + line));
         }
         System.err.println("play it again: ./gullspar rehearse " + script + " --seed "
-                + p.script().seed() + (live ? " --live" : ""));
-        return BROKEN;
+                + played.script().seed() + (live ? " --live" : ""));
+        return EXIT_FAILED;
     }
 
-    private static List<String> table(Played p) {
-        Verdict v = p.verdict();
+    private static List<String> summaryLines(Played played) {
+        Verdict v = played.verdict();
         return List.of(
                 String.format(
                         Locale.ROOT,
                         "%s, seed %d: %d orders in %.0f s, played in %.1f s",
-                        p.script().title(),
-                        p.script().seed(),
+                        played.script().title(),
+                        played.script().seed(),
                         v.orders(),
-                        p.script().seconds(),
-                        p.tookNs() / 1e9),
+                        played.script().seconds(),
+                        played.tookNs() / 1e9),
                 String.format(Locale.ROOT, "  service        %.4f of the worth asked for", v.service()),
                 String.format(Locale.ROOT, "  worst 10 s     %.4f, from %.0f s", v.worst10s(), v.worstFromNs() / 1e9),
                 String.format(Locale.ROOT, "  worst class    %.4f, %s", v.worstClass(), v.worstClassName()),
@@ -167,16 +170,16 @@
             name = "diff",
             mixinStandardHelpOptions = true,
             description = {
-                "Shows the first decision in which two runs part, and what each side knew then.",
+                "Shows the first decision in which two runs differ, and what each of them knew then.",
                 "Both files are decision logs, as rehearse --log writes them."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:the same", "1:they part", "2:wrong usage, or a file that is no decision log"})
+            exitCodeList = {"0:identical", "1:different", "2:wrong usage, or a file that is not a decision log"})
     static final class Diff implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "A", description = "A decision log.")
+        @Parameters(index = "0", paramLabel = "A", description = "The first decision log.")
         private Path a;
 
-        @Parameters(index = "1", paramLabel = "B", description = "Another.")
+        @Parameters(index = "1", paramLabel = "B", description = "The second decision log.")
         private Path b;
 
         @Override
@@ -184,25 +187,25 @@
             try {
                 List<String> lines = LogDiff.of(a, b);
                 lines.forEach(System.out::println);
-                return lines.isEmpty() ? 0 : BROKEN;
+                return lines.isEmpty() ? 0 : EXIT_FAILED;
             } catch (LogDiff.NoLogException e) {
                 System.err.println(e.getMessage());
             } catch (NoSuchFileException e) {
                 System.err.println(e.getMessage() + ": there is no such file");
             } catch (CharacterCodingException e) {
-                System.err.println("one of the two is not UTF-8 text");
+                System.err.println("one of the two files is not UTF-8 text");
             } catch (IOException e) {
-                System.err.println("cannot be read: " + e.getMessage());
+                System.err.println("a decision log cannot be read: " + e.getMessage());
             }
-            return WRONG;
+            return EXIT_USAGE;
         }
     }
 
-    /** Lists what scripts can let happen. */
+    /** Lists the faults that scripts can contain. */
     @Command(
             name = "faults",
             mixinStandardHelpOptions = true,
-            description = "Lists the kinds of faults with their figures, the usual values and the bounds.")
+            description = "Lists the kinds of faults with their parameters, defaults and bounds.")
     static final class Faults implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -4,27 +4,27 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Words for people at a terminal; without one, only what was asked for. */
+/** Progress output for an interactive terminal; prints nothing if there is none. */
 final class Terminal implements Progress {
-    private final boolean person = System.console() != null;
+    private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
     private boolean lineOpen;
 
-    /** Is somebody there to read a table or a progress line? */
-    boolean person() {
-        return person;
+    /** Whether output goes to an interactive terminal, so that tables and progress are shown. */
+    boolean isInteractive() {
+        return isInteractive;
     }
 
-    /** A line that the next one of its kind writes over. */
+    /** Prints a status line, which the next one overwrites. */
     void status(String text) {
-        if (person) {
+        if (isInteractive) {
             err.print("\r\u001b[K" + text);
             err.flush();
             lineOpen = true;
         }
     }
 
-    /** Takes the status line away. */
+    /** Removes the status line. */
     void clear() {
         if (lineOpen) {
             err.print("\r\u001b[K");
@@ -35,8 +35,8 @@
 
     @Override
     public void at(double second, double of) {
-        int done = (int) (30 * second / of);
+        int filled = (int) (30 * second / of);
         status(String.format(
-                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(done), ".".repeat(30 - done), second, of));
+                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(filled), ".".repeat(30 - filled), second, of));
     }
 }
--- /dev/null
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -0,0 +1,272 @@
+package gullspar.cli;
+
+import gullspar.config.ControlFile;
+import gullspar.config.FollowFile;
+import gullspar.config.OperatorsFile;
+import gullspar.decide.Policy;
+import gullspar.peers.net.Membership;
+import gullspar.site.SiteDaemon;
+import gullspar.toml.ProblemsException;
+import gullspar.versions.Message;
+import gullspar.versions.Version;
+import gullspar.versions.net.ControlClient;
+import gullspar.versions.net.ControlDaemon;
+import gullspar.versions.net.Following;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
+/** Commands for versioned configuration (docs/versions.md): run a control process, publish, list versions. */
+final class VersionCommands {
+    private static final int CONTROL_TIMEOUT_MS = 10_000;
+
+    private VersionCommands() {}
+
+    private static InetSocketAddress parseAddress(CommandSpec spec, String option, String text) {
+        int colon = text.lastIndexOf(':');
+        String port = text.substring(colon + 1);
+        if (colon < 1 || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
+            throw new ParameterException(spec.commandLine(), option + " is '" + text + "', expected HOST:PORT");
+        }
+        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(port));
+    }
+
+    private static String reason(Exception e) {
+        return e.getMessage() == null ? e.toString() : e.getMessage();
+    }
+
+    private static boolean isOlder(Message.Running running, Version version) {
+        return running.epoch() < version.epoch()
+                || running.epoch() == version.epoch() && running.number() < version.number();
+    }
+
+    private static String formatLine(Message.Running running) {
+        String disconnected =
+                running.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", running.awayMs() / 1e3);
+        return String.format(
+                Locale.ROOT,
+                "  %-24s %-10s by %s%s%s",
+                running.name(),
+                running.number() == 0 ? "nothing" : running.epoch() + "." + running.number(),
+                running.via(),
+                disconnected,
+                running.trouble().isEmpty() ? "" : "; " + running.trouble().replaceAll("\\p{Cntrl}", "?"));
+    }
+
+    /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
+    static int serve(Path follow) {
+        FollowFile file = InputFiles.read(follow, FollowFile::read);
+        if (file == null) {
+            return 2;
+        }
+        try {
+            return SiteDaemon.run(
+                            follow,
+                            Following.of(file),
+                            Policy::new,
+                            (f, name, platform, load) ->
+                                    Membership.start(f, VersionCommands::readOwnSettings, name, platform, load))
+                    ? 1
+                    : 2;
+        } catch (IOException e) {
+            System.err.println("gullspar: " + reason(e));
+            return 1;
+        }
+    }
+
+    private static OperatorsFile readOwnSettings(Path file) throws IOException, ProblemsException {
+        return FollowFile.read(file).operators();
+    }
+
+    /** Runs a control process. */
+    @Command(
+            name = "control",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Runs a control process: it keeps the routes and pools and sends each version to all proxies.",
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:ended by SIGTERM",
+                "1:it cannot start or continue",
+                "2:wrong usage, or a file with errors"
+            })
+    static final class Control implements Callable<Integer> {
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE",
+                description = "The settings of this process (TOML, docs/versions.md).")
+        private Path config;
+
+        @Override
+        public Integer call() {
+            ControlFile file = InputFiles.read(config, ControlFile::read);
+            if (file == null) {
+                return 2;
+            }
+            try {
+                PlatformCommands.configureNetty();
+                ControlDaemon.run(file);
+                return 0;
+            } catch (IOException e) {
+                System.err.println("gullspar: " + reason(e));
+                return 1;
+            }
+        }
+    }
+
+    /** Publishes a configuration as the next version. */
+    @Command(
+            name = "publish",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Makes a file of routes and pools the next version, and waits until it is in force everywhere.",
+                "To roll back, publish the former text: it becomes a new version."
+            },
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:in force everywhere, or already the newest version",
+                "1:the primary does not respond or accepts no changes; nothing is in force",
+                "2:wrong usage, or the file has errors; nothing is in force",
+                "3:another version was published first; nothing is in force",
+                "4:published, but not in force everywhere in time"
+            })
+    static final class Publish implements Callable<Integer> {
+        private static final int EXIT_SUPERSEDED = 3;
+        private static final int EXIT_NOT_IN_FORCE = 4;
+        private static final int MAX_LISTED = 20;
+
+        @Spec
+        private CommandSpec spec;
+
+        @Parameters(paramLabel = "FILE", description = "Routes and pools (TOML, docs/routing.md).")
+        private Path file;
+
+        @Option(names = "--to", required = true, paramLabel = "HOST:PORT", description = "The primary.")
+        private String to;
+
+        @Option(
+                names = "--after",
+                paramLabel = "N",
+                description = {
+                    "The number of the version that the file is based on, 0 for none: refused if another was published",
+                    "since. Default: the newest version at the time of the call."
+                })
+        private Long after;
+
+        @Option(
+                names = "--wait",
+                paramLabel = "S",
+                defaultValue = "10",
+                description = "Seconds to wait until it is in force everywhere (${DEFAULT-VALUE}).")
+        private double waitSeconds;
+
+        @Override
+        public Integer call() throws InterruptedException {
+            InetSocketAddress address = parseAddress(spec, "--to", to);
+            String text = InputFiles.read(file, Files::readString);
+            if (text == null) {
+                return 2;
+            }
+            boolean sent = false;
+            try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
+                long number = after != null
+                        ? after
+                        : numberOf(control.ask(new Message.Look(false), Message.Looked.class)
+                                .head());
+                sent = true;
+                Message.Published published =
+                        control.ask(new Message.Publish(number, file.toString(), text), Message.Published.class);
+                published.lines().forEach(System.err::println);
+                return switch (published.outcome()) {
+                    case ACCEPTED, SAME -> awaitInForce(control, published.head());
+                    case WRONG -> 2;
+                    case OLDER -> EXIT_SUPERSEDED;
+                    default -> 1;
+                };
+            } catch (IOException e) {
+                System.err.println(to
+                        + (sent
+                                ? " was sent the file but did not respond; 'gullspar versions' shows whether "
+                                        + "it was published: "
+                                : " does not respond: ")
+                        + reason(e));
+                return 1;
+            }
+        }
+
+        private static long numberOf(Version v) {
+            return v == null ? 0 : v.number();
+        }
+
+        private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
+            long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
+            while (true) {
+                Message.Looked looked = control.ask(new Message.Look(false), Message.Looked.class);
+                List<Message.Running> missing =
+                        looked.all().stream().filter(r -> isOlder(r, version)).toList();
+                if (missing.isEmpty()) {
+                    System.out.println("version " + version + " is in force at all " + looked.followers());
+                    return 0;
+                }
+                if (System.nanoTime() > deadlineNs) {
+                    System.out.println("version " + version + " is not in force at " + missing.size() + " of "
+                            + looked.followers() + ":");
+                    missing.stream()
+                            .limit(MAX_LISTED)
+                            .map(VersionCommands::formatLine)
+                            .forEach(System.out::println);
+                    return EXIT_NOT_IN_FORCE;
+                }
+                Thread.sleep(50);
+            }
+        }
+    }
+
+    /** Lists the versions that processes run. */
+    @Command(
+            name = "versions",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Prints which process runs which version, as known to a control process: the primary knows all,",
+                "another one only those that are connected to it."
+            },
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {"0:all run the newest version", "1:no response", "2:wrong usage", "4:some do not"})
+    static final class ListVersions implements Callable<Integer> {
+        private static final int EXIT_NOT_IN_FORCE = 4;
+
+        @Spec
+        private CommandSpec spec;
+
+        @Option(names = "--at", required = true, paramLabel = "HOST:PORT", description = "A control process.")
+        private String at;
+
+        @Override
+        public Integer call() {
+            InetSocketAddress address = parseAddress(spec, "--at", at);
+            try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
+                Message.Looked looked = control.ask(new Message.Look(true), Message.Looked.class);
+                System.out.println(looked.control() + (looked.primary() ? ", the primary" : "")
+                        + (looked.inStep() ? "" : ", which may not have the newest version") + ": version "
+                        + (looked.head() == null ? "none" : looked.head()) + " in force at " + looked.inForce() + " of "
+                        + looked.followers());
+                looked.all().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                return looked.inForce() == looked.followers() ? 0 : EXIT_NOT_IN_FORCE;
+            } catch (IOException e) {
+                System.err.println(at + " does not respond: " + reason(e));
+                return 1;
+            }
+        }
+    }
+}
--- a/src/main/java/gullspar/decide/Server.java
+++ b/src/main/java/gullspar/decide/Server.java
@@ -1,48 +1,47 @@
 package gullspar.decide;
 
-/** What a proxy knows of one server. State only, no decision. */
+/** A proxy's state for one server; makes no decision. */
 final class Server {
     final int id;
-    Balancer.Member listed;
-    /** Time of a request when warm: as used, as its own answers tell, and how many of them count. */
-    double pace, ownPace, seen;
-    /** The reported spare share, the factor made of it, the rotation's tally. */
-    double spare = 1, factor, tally;
-    /** The last report; the others' requests by it, how fresh that is, and what is held of them now. */
-    double util, held, heard, fresh, others;
-    /** Requests that run side by side without slowing each other: the requests above count in these. */
-    double parallel, rate, busy, told;
+    Balancer.ListedServer listed;
+    /** Service time when warm: as used, from its own answers, and the number of samples behind that. */
+    double serviceNs, ownServiceNs, serviceSamples;
+    /** The reported spare share, the factor derived from it, the credit in the rotation. */
+    double spareShare = 1, factor, rotationCredit;
+    /** The last report; the load of other proxies in it, its freshness, and the current estimate of that load. */
+    double reportedUtilization, reportedRequests, reportedForeignLoad, reportFreshness, foreignLoad;
+    /** Requests that run concurrently without slowing each other, the unit of the loads above, and its inputs. */
+    double concurrency, meanThroughput, meanUtilization, reportedThroughput;
 
     double tokens;
-    final long bootNs;
-    /** When a connection to it failed last; 0 for never. */
-    long refusedAt;
+    final long startedAtNs;
+    /** When a connection to it last failed; 0 for never. */
+    long connectFailedAt;
 
-    long renewedAt, learntAt, owedSince, trialAt, trialPause, tokensAt;
-    int out, failures;
-    boolean named, ejected, fit, blind;
-    /** Place in this proxy's order of the zone's servers, 0 to 1: the subset is those under its width. */
-    double place;
+    long factorUpdatedAt, serviceUpdatedAt, awaitingSince, nextTrialAt, trialPauseNs, tokensUpdatedAt;
+    int openAttempts, consecutiveFailures;
+    boolean isListed, isEjected, isEligible, lacksInflight;
+    /** Position in this proxy's order of the zone's servers, 0 to 1; the subset is the positions below its width. */
+    double subsetPosition;
 
-    Server(Balancer.Member listed, double pace, double parallel, long now) {
+    Server(Balancer.ListedServer listed, double pace, double parallel, long now) {
         this.id = listed.id();
         this.listed = listed;
-        this.bootNs = listed.bootNs();
-        this.pace = pace;
-        this.parallel = parallel;
-        this.tokensAt = now;
+        this.startedAtNs = listed.startedAtNs();
+        this.serviceNs = pace;
+        this.concurrency = parallel;
+        this.tokensUpdatedAt = now;
     }
 
     double load() {
-        return out / parallel + others;
+        return openAttempts / concurrency + foreignLoad;
     }
 
-    /** The number of its zone. */
     int zone() {
         return Math.max(0, listed.zone());
     }
 
-    boolean ready() {
-        return named && listed.state() == Balancer.State.READY;
+    boolean isReady() {
+        return isListed && listed.state() == Balancer.State.READY;
     }
 }
--- /dev/null
+++ b/src/main/java/gullspar/decide/TrackedRequest.java
@@ -0,0 +1,56 @@
+package gullspar.decide;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+
+/** A request in progress, kept until its last attempt has ended; makes no decision. */
+final class TrackedRequest {
+    final Balancer.Request request;
+    final Balancer.Profile profile;
+    /** When its answer would miss the latency target, and when its client gives up. */
+    final long usefulUntil;
+
+    final long deadline;
+    final List<Attempt> attempts = new ArrayList<>(2);
+    int openAttempts;
+    boolean isFinished;
+    boolean isStreaming;
+    /** The client disconnected while an answer would still have been in time. */
+    boolean clientLeftEarly;
+
+    /** The queue of its key; null if its class is not sequential or it has no key. */
+    KeyQueue keyQueue;
+
+    TrackedRequest(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
+        this.request = request;
+        this.profile = profile;
+        this.usefulUntil = aim;
+        this.deadline = deadline;
+    }
+
+    /** One attempt; loadAhead is the server's load when it was sent, status is null while it is open. */
+    static final class Attempt {
+        final Server server;
+        /** The list's entry of the server when it was sent, whose zone and cell restrict repeats. */
+        final Balancer.ListedServer listedAs;
+
+        final double loadAhead;
+        final long sentAt;
+        Balancer.Status status;
+
+        Attempt(Server to, double ahead, long sentAt) {
+            this.server = to;
+            this.listedAs = to.listed;
+            this.loadAhead = ahead;
+            this.sentAt = sentAt;
+        }
+    }
+
+    /** The sequential requests of one key in order, and until when the key is blocked. */
+    static final class KeyQueue {
+        final Deque<TrackedRequest> requests = new ArrayDeque<>();
+        long blockedUntil;
+    }
+}
--- a/src/main/java/gullspar/journal/RequestHistory.java
+++ b/src/main/java/gullspar/journal/RequestHistory.java
@@ -1,17 +1,16 @@
 package gullspar.journal;
 
-import gullspar.journal.Entry.Answer;
-import gullspar.journal.Entry.Outcome;
+import gullspar.journal.Entry.AttemptOutcome;
+import gullspar.journal.Entry.RequestOutcome;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the journal tells of one request: whatever may have run is uncertain until it is known. */
+/** What the journal shows of one request: an attempt that may have run is uncertain until its outcome is known. */
 public final class RequestHistory {
     /**
-     * NEVER_SENT: nothing of it went out. UNCERTAIN: it may have run, and nobody was told how it ended.
-     * SERVED: a node ran it. REFUSED: a repeat is harmless. FAILED: its client was told that it failed; it
-     * may
-     * have run all the same.
+     * NEVER_SENT: nothing of it was sent. UNCERTAIN: it may have run, and its client was not notified of the
+     * outcome. SERVED: a node ran it. REFUSED: a repeat is harmless. FAILED: its client got a failure, but it
+     * may have run.
      */
     public enum State {
         NEVER_SENT,
@@ -21,43 +20,43 @@
         FAILED
     }
 
-    /** An attempt; the outcome is null while nobody knows it, the node empty where its intent was lost. */
-    public record Attempt(int number, String node, String site, long atMs, Outcome outcome) {
-        /** Nobody has proven that it did not run. */
+    /** An attempt; the outcome is null while unknown, the node empty where its intent was lost. */
+    public record Attempt(int number, String node, String site, long atMs, AttemptOutcome outcome) {
+        /** Whether it is not proven that the attempt did not run. */
         public boolean mayHaveRun() {
-            return outcome != Outcome.NEVER_RAN;
+            return outcome != AttemptOutcome.NEVER_RAN;
         }
     }
 
     private final Entry.Request request;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private Entry.Taken taken;
-    private Answer answer;
-    private long answeredAtMs;
-    private boolean doubtful;
+    private Entry.Accepted accepted;
+    private RequestOutcome outcome;
+    private long completedAtMs;
+    private boolean hasLostRecords;
 
     RequestHistory(Entry.Request request) {
         this.request = request;
     }
 
     void add(Entry e) {
-        if (e instanceof Entry.Taken t) {
-            taken = t;
+        if (e instanceof Entry.Accepted t) {
+            accepted = t;
         } else if (e instanceof Entry.Intent i) {
-            put(new Attempt(i.attempt(), i.node(), i.site(), i.atMs(), known(i.attempt())));
-        } else if (e instanceof Entry.Ended d) {
+            putAttempt(new Attempt(i.attempt(), i.node(), i.site(), i.atMs(), outcomeOf(i.attempt())));
+        } else if (e instanceof Entry.AttemptEnded d) {
             Attempt a = attempts.stream()
                     .filter(x -> x.number() == d.attempt())
                     .findFirst()
                     .orElse(new Attempt(d.attempt(), "", "", d.atMs(), null));
-            put(new Attempt(a.number(), a.node(), a.site(), a.atMs(), d.outcome()));
-        } else if (e instanceof Entry.Answered a) {
-            answer = a.answer();
-            answeredAtMs = a.atMs();
+            putAttempt(new Attempt(a.number(), a.node(), a.site(), a.atMs(), d.outcome()));
+        } else if (e instanceof Entry.Completed a) {
+            outcome = a.outcome();
+            completedAtMs = a.atMs();
         }
     }
 
-    private Outcome known(int number) {
+    private AttemptOutcome outcomeOf(int number) {
         return attempts.stream()
                 .filter(a -> a.number() == number)
                 .map(Attempt::outcome)
@@ -65,64 +64,64 @@
                 .orElse(null);
     }
 
-    private void put(Attempt a) {
+    private void putAttempt(Attempt a) {
         attempts.removeIf(x -> x.number() == a.number());
         attempts.add(a);
     }
 
-    /** Records are lost that may have been its own. */
-    void doubt() {
-        doubtful = true;
+    /** Marks that records were lost that may have belonged to this request. */
+    void markRecordsLost() {
+        hasLostRecords = true;
     }
 
-    /** Its final answer is known: what comes later cannot be of it. */
-    boolean closed() {
-        return answer != null;
+    /** Whether the final outcome is known: records lost later cannot belong to this request. */
+    boolean isClosed() {
+        return outcome != null;
     }
 
     public Entry.Request request() {
         return request;
     }
 
-    /** Null where that record is lost. */
-    public Entry.Taken taken() {
-        return taken;
+    /** Null if that record is lost. */
+    public Entry.Accepted accepted() {
+        return accepted;
     }
 
-    /** In the order in which they were last heard of. */
+    /** In the order of their last entries. */
     public List<Attempt> attempts() {
         return List.copyOf(attempts);
     }
 
-    /** Null while there is none. */
-    public Answer answer() {
-        return answer;
+    /** Null while there is no final outcome. */
+    public RequestOutcome outcome() {
+        return outcome;
     }
 
-    /** When it was answered, Unix time in ms; 0 while it is not. */
-    public long answeredAtMs() {
-        return answeredAtMs;
+    /** When the final response was given, Unix time in ms; 0 while there is none. */
+    public long completedAtMs() {
+        return completedAtMs;
     }
 
-    /** Records are lost that may have been its own. */
-    public boolean doubtful() {
-        return doubtful;
+    /** Whether records were lost that may have belonged to this request. */
+    public boolean hasLostRecords() {
+        return hasLostRecords;
     }
 
-    /** May it have run? Also where records are lost that could tell. */
+    /** Whether it may have run; also true where records that could show it were lost. */
     public boolean mayHaveRun() {
-        return answer != Answer.REFUSED
-                && (doubtful || taken == null || attempts.stream().anyMatch(Attempt::mayHaveRun));
+        return outcome != RequestOutcome.REFUSED
+                && (hasLostRecords || accepted == null || attempts.stream().anyMatch(Attempt::mayHaveRun));
     }
 
     public State state() {
-        if (answer == Answer.SERVED || attempts.stream().anyMatch(a -> a.outcome() == Outcome.SERVED)) {
+        if (outcome == RequestOutcome.SERVED || attempts.stream().anyMatch(a -> a.outcome() == AttemptOutcome.SERVED)) {
             return State.SERVED;
         }
-        if (answer == Answer.REFUSED) {
+        if (outcome == RequestOutcome.REFUSED) {
             return State.REFUSED;
         }
-        if (answer == Answer.FAILED) {
+        if (outcome == RequestOutcome.FAILED) {
             return State.FAILED;
         }
         return mayHaveRun() ? State.UNCERTAIN : State.NEVER_SENT;
--- a/src/main/java/gullspar/journal/file/Recovery.java
+++ b/src/main/java/gullspar/journal/file/Recovery.java
@@ -1,72 +1,74 @@
 package gullspar.journal.file;
 
 import gullspar.journal.Entry;
-import gullspar.journal.Scan;
 import gullspar.journal.Segment;
+import gullspar.journal.SegmentScanner;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Reads a journal from its first segment to its last; changes nothing, so it may be cut short and repeated.
+ * Reads a journal from its first segment to its last. It changes nothing, so it may be aborted and repeated.
  */
 public final class Recovery {
     /**
-     * What was found: the number of the next segment, the records so far, and a line for each place where
-     * some
-     * are lost.
+     * nextSegment: the number for the next segment; records: the number in the journal so far; damage: a
+     * line for each place where records are lost.
      */
-    public record Found(long nextNumber, long records, List<String> damage) {}
+    public record Result(long nextSegment, long records, List<String> damage) {}
 
     private Recovery() {}
 
     /**
-     * Tells a visitor of all entries and of each loss at its place among them. An IOException where a segment
-     * is of a newer version, or cannot be read at all.
+     * Passes all entries, and each loss at its place among them, to a visitor. Throws IOException if a segment
+     * has a newer version or cannot be read at all.
      */
-    public static Found read(Disk disk, Scan.Visitor visitor) throws IOException {
+    public static Result read(Disk disk, SegmentScanner.Visitor visitor) throws IOException {
         List<Long> numbers = disk.segments();
         List<String> damage = new ArrayList<>();
         long records = 0;
         boolean first = true;
-        for (long n : numbers) {
-            byte[] bytes = new byte[Segment.HEAD];
-            if (disk.read(n, 0, bytes) < Segment.HEAD) {
-                continue; // begun and never written: nothing was promised of it
+        for (long segment : numbers) {
+            byte[] headerBytes = new byte[Segment.HEADER_BYTES];
+            if (disk.read(segment, 0, headerBytes) < Segment.HEADER_BYTES) {
+                continue; // created, but without a complete header: no entry in it was reported as recorded
             }
-            Segment.Head head = head(n, bytes, damage);
-            if (head == null) {
-                visitor.lost(0, Segment.HEAD);
+            Segment.Header header = readHeader(segment, headerBytes, damage);
+            if (header == null) {
+                visitor.lost(0, Segment.HEADER_BYTES);
             } else if (first) {
-                records = head.before(); // those ahead of it were let go when their time was over
-            } else if (head.before() > records) {
-                damage.add("segment " + n + ": " + (head.before() - records) + " records are missing before it");
+                records = header.recordsBefore(); // the segments before it were deleted after their retention time
+            } else if (header.recordsBefore() > records) {
+                damage.add("segment " + segment + ": " + (header.recordsBefore() - records)
+                        + " records are missing before it");
                 visitor.lost(0, 0);
-                records = head.before();
+                records = header.recordsBefore();
             }
-            Scan.End end = Scan.records((at, into) -> disk.read(n, at, into), new Scan.Visitor() {
-                @Override
-                public void entry(long at, Entry e) {
-                    visitor.entry(at, e);
-                }
+            SegmentScanner.Result end =
+                    SegmentScanner.scan((at, into) -> disk.read(segment, at, into), new SegmentScanner.Visitor() {
+                        @Override
+                        public void entry(long at, Entry e) {
+                            visitor.entry(at, e);
+                        }
 
-                @Override
-                public void lost(long from, long to) {
-                    damage.add("segment " + n + ": " + (to - from) + " bytes from " + from + " cannot be read");
-                    visitor.lost(from, to);
-                }
-            });
+                        @Override
+                        public void lost(long from, long to) {
+                            damage.add("segment " + segment + ": " + (to - from) + " bytes from " + from
+                                    + " cannot be read");
+                            visitor.lost(from, to);
+                        }
+                    });
             records += end.records();
             first = false;
         }
-        return new Found(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1, records, damage);
+        return new Result(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1, records, damage);
     }
 
-    /** Null for a damaged one, behind which records may be read all the same. */
-    private static Segment.Head head(long number, byte[] bytes, List<String> damage) throws IOException {
+    /** Null if the header is damaged; the records after it may still be readable. */
+    private static Segment.Header readHeader(long number, byte[] bytes, List<String> damage) throws IOException {
         try {
-            return Segment.head(bytes);
-        } catch (Segment.NewerVersionException e) {
+            return Segment.header(bytes);
+        } catch (Segment.UnsupportedVersionException e) {
             throw new IOException("segment " + number + ": " + e.getMessage(), e);
         } catch (IllegalArgumentException e) {
             damage.add("segment " + number + ": " + e.getMessage());
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -8,95 +8,95 @@
 import java.util.TreeSet;
 
 /**
- * What is to be told along with other datagrams: what was told least often goes first, among these the
- * newest, and nothing more often than a fleet of that size needs for all to hear it (SWIM, section 4.1).
+ * Queue of rumors to piggyback on datagrams: those sent least often first, among these the newest, and each only as
+ * often as it takes to reach the whole fleet (SWIM, section 4.1).
  */
 final class Gossip {
-    /** Makes a rumor of a life as it is at that moment; null if it is not known any more. */
+    /** Makes a rumor of the current state of a life; null if it is no longer known. */
     interface Source {
         Rumor rumor(Identity id, boolean withStatement);
     }
 
-    private static final class Item {
+    private static final class Entry {
         private final Identity id;
-        private final long number;
+        private final long sequence;
         private boolean withStatement;
-        private boolean light;
-        private int told;
+        private boolean statsOnly;
+        private int transmissions;
 
-        Item(Identity id, long number) {
+        Entry(Identity id, long sequence) {
             this.id = id;
-            this.number = number;
+            this.sequence = sequence;
         }
     }
 
     private final Source source;
-    private final Map<Identity, Item> items = new HashMap<>();
-    private final TreeSet<Item> order =
-            new TreeSet<>(Comparator.<Item>comparingInt(i -> i.told).thenComparing(i -> -i.number));
-    private long numbers;
+    private final Map<Identity, Entry> entries = new HashMap<>();
+    private final TreeSet<Entry> order =
+            new TreeSet<>(Comparator.<Entry>comparingInt(i -> i.transmissions).thenComparing(i -> -i.sequence));
+    private long lastSequence;
 
     Gossip(Source source) {
         this.source = source;
     }
 
-    /** There is something new to tell of a life; with its statement, or only how it stands. */
-    void tell(Identity id, boolean withStatement) {
-        tell(id, withStatement, false);
+    /** Queues a rumor of a life, with its statement or only its status. */
+    void enqueue(Identity id, boolean withStatement) {
+        enqueue(id, withStatement, false);
     }
 
-    /** Only its figures are new: told less often, since what is missed comes with the next comparison. */
-    void tellFigures(Identity id) {
-        tell(id, true, true);
+    /** Queues a rumor of changed traffic statistics: sent less often, as comparisons of views repair misses. */
+    void enqueueStats(Identity id) {
+        enqueue(id, true, true);
     }
 
-    private void tell(Identity id, boolean withStatement, boolean light) {
-        Item old = items.remove(id);
-        Item i = new Item(id, ++numbers);
+    private void enqueue(Identity id, boolean withStatement, boolean statsOnly) {
+        Entry old = entries.remove(id);
+        Entry i = new Entry(id, ++lastSequence);
         i.withStatement = withStatement;
-        i.light = light;
+        i.statsOnly = statsOnly;
         if (old != null) {
             order.remove(old);
             i.withStatement |= old.withStatement;
-            i.light &= old.light;
+            i.statsOnly &= old.statsOnly;
         }
-        items.put(id, i);
+        entries.put(id, i);
         order.add(i);
     }
 
     boolean isEmpty() {
-        return items.isEmpty();
+        return entries.isEmpty();
     }
 
-    /** Fills so many bytes for one receiver, who needs not be told of himself. */
-    void fill(List<Rumor> into, int room, Identity to, int tellings, int light) {
-        int left = room;
+    /** Adds rumors for one receiver, up to maxBytes; none about the receiver itself. */
+    void fill(List<Rumor> into, int maxBytes, Identity to, int maxTransmissions, int maxStatsTransmissions) {
+        int left = maxBytes;
         int misses = 0;
-        List<Item> told = new ArrayList<>();
-        for (Item i : order) {
+        List<Entry> sent = new ArrayList<>();
+        for (Entry i : order) {
             if (i.id.equals(to)) {
                 continue;
             }
             Rumor r = source.rumor(i.id, i.withStatement);
-            if (r == null || r.bytes() <= left) {
-                told.add(i);
+            if (r == null || r.maxBytes() <= left) {
+                sent.add(i);
                 if (r != null) {
-                    left -= r.bytes();
+                    left -= r.maxBytes();
                     into.add(r);
                 }
             } else if (++misses > 3) {
-                break; // a smaller one may still fit, but not for the price of a walk through all
+                break; // a smaller one may still fit, but walking through all entries costs too much
             }
-            if (left < Rumor.bytes(i.id, "", null)) {
+            if (left < Rumor.maxBytes(i.id, "", null)) {
                 break;
             }
         }
-        for (Item i : told) {
+        for (Entry i : sent) {
             order.remove(i);
-            if (++i.told < (i.light ? light : tellings)) {
+            if (++i.transmissions < (i.statsOnly ? maxStatsTransmissions : maxTransmissions)) {
                 order.add(i);
             } else {
-                items.remove(i.id);
+                entries.remove(i.id);
             }
         }
     }
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -12,15 +12,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * Compares views with one member at a time, so that what rumors missed comes right all the same: a digest
- * for each of 32 ranges of lives, and where one differs, what is known of each life in it, in pages; then
- * both sides tell what the other lacks.
+ * Anti-entropy: compares views with one member at a time, to repair what rumors missed. A digest for each of 32 ranges
+ * of lives is sent; where one differs, the state of each life in the range follows in pages, and then both sides send
+ * what the other lacks.
  */
 final class Reconciler {
     static final int RANGES = 32;
     private static final int SHIFT = 64 - 5;
-    /** Datagrams that one step of a comparison may take; what is left over comes at the next. */
-    private static final int PAGES = 8;
+    /** Limit on datagrams per step of a comparison; the rest follows in the next comparison. */
+    private static final int MAX_PAGES = 8;
 
     private final Self self;
     private final Roster roster;
@@ -36,11 +36,11 @@
         this.random = random;
     }
 
-    /** Begins a comparison. */
+    /** Starts a comparison. */
     void compare(long now, Peer with) {
-        if (sender.affords(1, now)) {
+        if (sender.canSend(1, now)) {
             List<Long> ranges = digests();
-            sender.plain(now, with, h -> new Message.Digest(h, ranges));
+            sender.sendPlain(now, with, h -> new Message.Digest(h, ranges));
         }
     }
 
@@ -61,7 +61,7 @@
         return known;
     }
 
-    /** Two sums of 32 bits for each range, of what is known in the order of lives. */
+    /** Two 32-bit checksums for each range, over the known states in the order of lives. */
     private List<Long> digests() {
         List<Long> digests = new ArrayList<>(RANGES);
         NavigableMap<Long, Message.Known> known = known();
@@ -91,30 +91,31 @@
         return first(range) | -1L >>> 64 - SHIFT;
     }
 
-    /** The other's digests: what is known here of the ranges that differ goes back. */
-    void digest(long now, Peer from, Message.Digest d) {
+    /** Handles digests: answers with the states known here in the ranges that differ. */
+    void onDigest(long now, Peer from, Message.Digest d) {
         if (d.ranges().size() != RANGES) {
-            return; // another version's; rumors go on
+            return; // another version with other ranges; rumors are still exchanged
         }
         List<Long> mine = digests();
         NavigableMap<Long, Message.Known> known = known();
         int begin = random.nextInt(RANGES);
-        int pages = PAGES;
+        int pages = MAX_PAGES;
         for (int i = 0; i < RANGES && pages > 0; i++) {
             int range = (begin + i) % RANGES;
             if (!mine.get(range).equals(d.ranges().get(range))) {
-                pages = list(now, from, known, first(range), last(range), pages);
+                pages = sendListings(now, from, known, first(range), last(range), pages);
             }
         }
     }
 
-    private int list(long now, Peer to, NavigableMap<Long, Message.Known> known, long first, long last, int pages) {
-        int most = (sender.room() - 22) / Message.Known.BYTES;
+    private int sendListings(
+            long now, Peer to, NavigableMap<Long, Message.Known> known, long first, long last, int pages) {
+        int maxPerPage = (sender.maxPayloadBytes() - 22) / Message.Known.MAX_BYTES;
         long from = first;
         int left = pages;
         List<Message.Known> page = new ArrayList<>();
         for (Message.Known k : known.subMap(first, true, last, true).values()) {
-            if (page.size() == most) {
+            if (page.size() == maxPerPage) {
                 left = listing(now, to, from, k.life() - 1, page, left);
                 from = k.life();
                 page = new ArrayList<>();
@@ -128,19 +129,19 @@
     }
 
     private int listing(long now, Peer to, long from, long last, List<Message.Known> page, int left) {
-        if (left == 0 || !sender.affords(1, now)) {
+        if (left == 0 || !sender.canSend(1, now)) {
             return 0;
         }
-        sender.plain(now, to, h -> new Message.Listing(h, from, last, page));
+        sender.sendPlain(now, to, h -> new Message.Listing(h, from, last, page));
         return left - 1;
     }
 
-    /** What the other knows of some lives. */
+    /** Handles the states that the other side knows: requests what is newer there and sends what is newer here. */
     void listing(long now, Peer from, Message.Listing l) {
         NavigableMap<Long, Message.Known> mine = known();
         Map<Long, Identity> names = names();
         List<Long> want = new ArrayList<>();
-        List<Rumor> tell = new ArrayList<>();
+        List<Rumor> toSend = new ArrayList<>();
         NavigableMap<Long, Message.Known> missing = Long.compareUnsigned(l.from(), l.to()) > 0
                 ? new TreeMap<>()
                 : new TreeMap<>(mine.subMap(l.from(), true, l.to(), true));
@@ -156,25 +157,25 @@
             if (k.revision() > m.revision() || theirs.compareTo(ours) > 0 && k.life() != self.id.life()) {
                 want.add(k.life());
             } else if (theirs.compareTo(ours) > 0) {
-                members.learn(now, new Rumor(self.id, k.incarnation(), k.status(), "", 0, null, 0), from);
+                members.applyRumor(now, new Rumor(self.id, k.incarnation(), k.status(), "", 0, null, 0), from);
             }
             if (m.revision() > k.revision() || ours.compareTo(theirs) > 0) {
-                tell.add(rumor(now, names.get(k.life()), m.revision() > k.revision()));
+                toSend.add(rumor(now, names.get(k.life()), m.revision() > k.revision()));
             }
         }
-        missing.keySet().forEach(life -> tell.add(rumor(now, names.get(life), true)));
-        tell(now, from, tell);
-        pages(want, sender.room() / Message.Want.BYTES, w -> {
-            if (sender.affords(1, now)) {
-                sender.plain(now, from, h -> new Message.Want(h, w));
+        missing.keySet().forEach(life -> toSend.add(rumor(now, names.get(life), true)));
+        sendRumors(now, from, toSend);
+        forEachPage(want, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, w -> {
+            if (sender.canSend(1, now)) {
+                sender.sendPlain(now, from, h -> new Message.Want(h, w));
             }
         });
     }
 
-    /** The other wants to hear of these lives. */
-    void want(long now, Peer from, Message.Want w) {
+    /** Handles a request for rumors of these lives. */
+    void onWant(long now, Peer from, Message.Want w) {
         Map<Long, Identity> names = names();
-        tell(
+        sendRumors(
                 now,
                 from,
                 w.lives().stream()
@@ -184,16 +185,16 @@
                         .toList());
     }
 
-    private void tell(long now, Peer to, List<Rumor> rumors) {
-        int most = PAGES * 3;
-        pages(rumors, most, page -> {
-            if (sender.affords(PAGES, now)) {
-                sender.tell(now, to, page);
+    private void sendRumors(long now, Peer to, List<Rumor> rumors) {
+        int maxPerPage = MAX_PAGES * 3;
+        forEachPage(rumors, maxPerPage, page -> {
+            if (sender.canSend(MAX_PAGES, now)) {
+                sender.sendRumors(now, to, page);
             }
         });
     }
 
-    private static <T> void pages(List<T> all, int size, Consumer<List<T>> each) {
+    private static <T> void forEachPage(List<T> all, int size, Consumer<List<T>> each) {
         for (int i = 0; i < all.size(); i += size) {
             each.accept(List.copyOf(all.subList(i, Math.min(all.size(), i + size))));
         }
--- a/src/main/java/gullspar/peers/ReplayGuard.java
+++ b/src/main/java/gullspar/peers/ReplayGuard.java
@@ -1,30 +1,30 @@
 package gullspar.peers;
 
 /**
- * The numbers of the datagrams that a life has sent, as heard here: each counts once, and one that lies far
- * behind the newest not at all (the sliding window of RFC 4303, section 3.4.3).
+ * Rejects replayed datagrams of one life: each sequence number is accepted once, and none that lies 64 or more
+ * behind the highest one (the sliding window of RFC 4303, section 3.4.3).
  */
 final class ReplayGuard {
     private static final int WINDOW = 64;
 
-    private long newest;
-    /** Bit i: newest - i was heard. */
-    private long state;
+    private long highestNumber;
+    /** Bit i: highestNumber - i was received. */
+    private long seenBits;
 
-    /** True for a number that was not heard yet and is not too old. */
-    boolean fresh(long number) {
-        if (number > newest) {
-            long ahead = number - newest;
-            state = ahead >= WINDOW ? 0 : state << ahead;
-            state |= 1;
-            newest = number;
+    /** Records a number; returns false if it was received before or is too old. */
+    boolean accept(long number) {
+        if (number > highestNumber) {
+            long ahead = number - highestNumber;
+            seenBits = ahead >= WINDOW ? 0 : seenBits << ahead;
+            seenBits |= 1;
+            highestNumber = number;
             return true;
         }
-        long behind = newest - number;
-        if (behind >= WINDOW || (state >>> behind & 1) != 0) {
+        long behind = highestNumber - number;
+        if (behind >= WINDOW || (seenBits >>> behind & 1) != 0) {
             return false;
         }
-        state |= 1L << behind;
+        seenBits |= 1L << behind;
         return true;
     }
 }
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -10,65 +10,65 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All known processes: members, confirmed by an answer or by the rumors of two others, and apart from them a bounded
- * number of processes that only one member has told of.
+ * All known processes: members, confirmed by an answer or by the rumors of two others, and separately a bounded
+ * number of processes that only one member has reported.
  */
 final class Roster {
-    /** Bound on the processes that only one member has told of; the oldest is dropped first. */
-    private static final int MOST_UNCONFIRMED = 2048;
+    /** Bound on the processes that only one member has reported; the oldest is dropped first. */
+    private static final int MAX_UNCONFIRMED = 2048;
 
-    /** A process that one member has told of. */
+    /** A process that only one member has reported. */
     static final class Unconfirmed {
         final Rumor rumor;
-        final long at;
-        final long by;
-        int asked;
-        long askAt;
+        final long receivedAt;
+        final long reporterLife;
+        int probes;
+        long nextProbeAt;
 
-        Unconfirmed(Rumor rumor, long by, long at) {
+        Unconfirmed(Rumor rumor, long reporterLife, long receivedAt) {
             this.rumor = rumor;
-            this.by = by;
-            this.at = at;
-            this.askAt = at;
+            this.reporterLife = reporterLife;
+            this.receivedAt = receivedAt;
+            this.nextProbeAt = receivedAt;
         }
     }
 
-    private final int most;
+    private final int maxMembers;
     private final TreeMap<Identity, Peer> peers = new TreeMap<>();
-    /** Unordered, so that a random one is drawn in constant time. */
+    /** Unordered, so that a random member is sampled in constant time. */
     private final List<Peer> present = new ArrayList<>();
 
     private final Map<Identity, Unconfirmed> unconfirmed = new LinkedHashMap<>();
 
-    Roster(int most) {
-        this.most = most;
+    Roster(int maxMembers) {
+        this.maxMembers = maxMembers;
     }
 
     Peer get(Identity id) {
         return peers.get(id);
     }
 
-    /** All that are known, by life. */
+    /** All known processes that are not unconfirmed, ordered by life. */
     Collection<Peer> all() {
         return peers.values();
     }
 
-    /** Those present; not to be changed. */
+    /** Members present (alive or suspected); callers must not modify the list. */
     List<Peer> present() {
         return present;
     }
 
-    /** How many are present, this process included. */
+    /** Number of members present, this process included. */
     int size() {
         return present.size() + 1;
     }
 
-    /** Takes one in; false if there are too many. Who is gone for the longest makes room. */
+    /** Adds a member, if need be in place of the one not present for longest; false if all are present. */
     boolean add(Peer p) {
-        if (peers.size() >= most - 1) {
+        if (peers.size() >= maxMembers - 1) {
             Peer oldest = peers.values().stream()
                     .filter(o -> !o.present())
-                    .min(Comparator.comparingLong(o -> o.since))
+                    .min(Comparator.comparingLong(o -> o.statusSince))
                     .orElse(null);
             if (oldest == null) {
                 return false;
@@ -77,34 +77,34 @@
         }
         unconfirmed.remove(p.id);
         peers.put(p.id, p);
-        placed(p);
+        updatePresence(p);
         return true;
     }
 
-    /** To be called after each change of a verdict. */
-    void placed(Peer p) {
-        if (p.present() && p.place < 0) {
-            p.place = present.size();
+    /** Updates the list of present members; must be called after each change of a status. */
+    void updatePresence(Peer p) {
+        if (p.present() && p.presentIndex < 0) {
+            p.presentIndex = present.size();
             present.add(p);
-        } else if (!p.present() && p.place >= 0) {
+        } else if (!p.present() && p.presentIndex >= 0) {
             Peer last = present.remove(present.size() - 1);
             if (last != p) {
-                present.set(p.place, last);
-                last.place = p.place;
+                present.set(p.presentIndex, last);
+                last.presentIndex = p.presentIndex;
             }
-            p.place = -1;
+            p.presentIndex = -1;
         }
     }
 
     void remove(Peer p) {
         peers.remove(p.id);
-        if (p.place >= 0) {
-            p.verdict = MemberStatus.GONE;
-            placed(p);
+        if (p.presentIndex >= 0) {
+            p.status = MemberStatus.GONE;
+            updatePresence(p);
         }
     }
 
-    /** Others that live under the same name, or did. */
+    /** Returns the other lives of the same name, present or not. */
     List<Peer> sameName(Identity id) {
         List<Peer> same = new ArrayList<>();
         for (Peer p : peers.values()) {
@@ -115,20 +115,20 @@
         return same;
     }
 
-    /** Up to so many of those present, drawn at random, without those two. */
-    List<Peer> draw(int count, RandomGenerator random, Peer without, Identity orHim) {
-        List<Peer> drawn = new ArrayList<>(count);
+    /** Returns up to count random members that are present, without the two excluded. */
+    List<Peer> sample(int count, RandomGenerator random, Peer excluded, Identity excludedId) {
+        List<Peer> sampled = new ArrayList<>(count);
         int tries = Math.min(present.size(), 3 * count + 3);
-        for (int i = 0; i < tries && drawn.size() < count; i++) {
+        for (int i = 0; i < tries && sampled.size() < count; i++) {
             Peer p = present.get(random.nextInt(present.size()));
-            if (p != without && !p.id.equals(orHim) && !drawn.contains(p)) {
-                drawn.add(p);
+            if (p != excluded && !p.id.equals(excludedId) && !sampled.contains(p)) {
+                sampled.add(p);
             }
         }
-        return drawn;
+        return sampled;
     }
 
-    // ---- who is only spoken of ----
+    // ---- unconfirmed processes ----
 
     Unconfirmed unconfirmed(Identity id) {
         return unconfirmed.get(id);
@@ -139,7 +139,7 @@
     }
 
     void addUnconfirmed(Unconfirmed h) {
-        if (unconfirmed.size() >= MOST_UNCONFIRMED) {
+        if (unconfirmed.size() >= MAX_UNCONFIRMED) {
             unconfirmed.remove(unconfirmed.keySet().iterator().next());
         }
         unconfirmed.put(h.rumor.id(), h);
--- a/src/main/java/gullspar/peers/Rumor.java
+++ b/src/main/java/gullspar/peers/Rumor.java
@@ -1,31 +1,31 @@
 package gullspar.peers;
 
 /**
- * What one member tells another of a third.
+ * Information about a member that is passed on by another.
  *
- * @param by who accuses it, where somebody does, else empty
- * @param sinceMs for how long its standing has been as it is, in ms
- * @param statement what it said of itself, or null where only the standing is told
- * @param statedMs how long ago it said that, in ms
+ * @param accuser the name of the accusing member, else empty
+ * @param statusAgeMs the time since its last change of status, in ms
+ * @param statement its own statement, or null where only the status is passed on
+ * @param statementAgeMs the age of that statement, in ms
  */
 public record Rumor(
         Identity id,
         int incarnation,
         MemberStatus status,
-        String by,
-        long sinceMs,
+        String accuser,
+        long statusAgeMs,
         Statement statement,
-        long statedMs) {
-    /** Numbers, lengths and types, at most. */
-    private static final int REST = 48;
+        long statementAgeMs) {
+    /** Upper bound of numbers, lengths and types. */
+    private static final int FIXED_BYTES = 48;
 
     public Rumor {
         if (!MemberState.incarnation(incarnation)
-                || !Identity.worded(by)
-                || sinceMs < 0
-                || statedMs < 0
+                || !Identity.isValidText(accuser)
+                || statusAgeMs < 0
+                || statementAgeMs < 0
                 || statement != null && !statement.id().equals(id)) {
-            throw new IllegalArgumentException("not a rumor of " + id);
+            throw new IllegalArgumentException("invalid rumor of " + id);
         }
     }
 
@@ -33,12 +33,12 @@
         return new MemberState(incarnation, status);
     }
 
-    /** At most this many on the wire. */
-    int bytes() {
-        return bytes(id, by, statement);
+    /** Upper bound of the encoded rumor, in bytes. */
+    int maxBytes() {
+        return maxBytes(id, accuser, statement);
     }
 
-    static int bytes(Identity id, String by, Statement statement) {
-        return REST + id.name().length() + by.length() + (statement == null ? 0 : statement.bytes());
+    static int maxBytes(Identity id, String accuser, Statement statement) {
+        return FIXED_BYTES + id.name().length() + accuser.length() + (statement == null ? 0 : statement.maxBytes());
     }
 }
--- a/src/main/java/gullspar/peers/Statement.java
+++ b/src/main/java/gullspar/peers/Statement.java
@@ -1,13 +1,13 @@
 package gullspar.peers;
 
 /**
- * What a life says of itself; only it makes them, each with the next revision.
+ * A self-description of a life; only the process itself makes them, each with the next revision.
  *
- * @param address where it hears the others, host:port
- * @param config digest of its configuration, empty if it tells none
- * @param upMs how long it had lived when it said so, in ms
- * @param twin the life of another process that lives under the same name, 0 if it knows of none
- * @param view digest of whom it held for alive then
+ * @param address where it receives datagrams, host:port
+ * @param config digest of its configuration, may be empty
+ * @param upMs its uptime when the statement was made, in ms
+ * @param twinLife the life of another process under the same name, 0 if it knows of none
+ * @param viewDigest digest of the members that were alive in its view
  */
 public record Statement(
         Identity id,
@@ -18,40 +18,40 @@
         String config,
         Phase phase,
         long upMs,
-        long twin,
-        int view,
-        Figures figures,
+        long twinLife,
+        int viewDigest,
+        TrafficStats stats,
         Facts facts) {
     /** An address of IPv6 with its brackets and port has 47 characters. */
-    public static final int LONGEST_ADDRESS = 48;
-    /** What stands round the texts, at most: numbers, lengths, types. */
-    private static final int REST = 80;
+    public static final int MAX_ADDRESS_LENGTH = 48;
+    /** Upper bound of numbers, lengths and types. */
+    private static final int FIXED_BYTES = 80;
 
     public Statement {
         if (address.isEmpty()
-                || address.length() > LONGEST_ADDRESS
-                || !Identity.worded(zone)
-                || !Identity.worded(version)
-                || !Identity.worded(config)
+                || address.length() > MAX_ADDRESS_LENGTH
+                || !Identity.isValidText(zone)
+                || !Identity.isValidText(version)
+                || !Identity.isValidText(config)
                 || revision < 1
                 || upMs < 0) {
-            throw new IllegalArgumentException("not a statement: " + id + " at " + address);
+            throw new IllegalArgumentException("invalid statement: " + id + " at " + address);
         }
         for (int i = 0; i < address.length(); i++) {
             if (address.charAt(i) <= ' ' || address.charAt(i) > '~') {
-                throw new IllegalArgumentException("not an address of " + id);
+                throw new IllegalArgumentException("invalid character in the address of " + id);
             }
         }
     }
 
-    /** At most this many on the wire. */
-    int bytes() {
-        return REST
+    /** Upper bound of the encoded statement, in bytes. */
+    int maxBytes() {
+        return FIXED_BYTES
                 + id.name().length()
                 + address.length()
                 + zone.length()
                 + version.length()
                 + config.length()
-                + facts.bytes();
+                + facts.maxBytes();
     }
 }
--- a/src/main/java/gullspar/peers/Suspicion.java
+++ b/src/main/java/gullspar/peers/Suspicion.java
@@ -4,47 +4,47 @@
 import java.util.Set;
 
 /**
- * A suspicion and the time until it is believed. With each confirmation by somebody else it shrinks, from
- * the most to the least: least &lt;= most - (most - least) log(c + 1) / log(k + 1) (Lifeguard, section
- * IV.B). So one process with bad hearing needs long to convict, and many that agree do not.
+ * A suspicion and its time-out. With c of at most k confirmations by other members the time-out shrinks from the
+ * maximum to the minimum: max(min, max - (max - min) log(c + 1) / log(k + 1)) (Lifeguard, section IV.B). So a single
+ * process that loses datagrams takes long to get a member marked as gone, and several that agree do not.
  */
 final class Suspicion {
     private final int incarnation;
-    private final int wanted;
+    private final int maxConfirmations;
     private final Set<String> accusers = new HashSet<>();
-    private final long least;
-    private final long most;
-    private long since;
+    private final long minNs;
+    private final long maxNs;
+    private long startedAt;
 
-    Suspicion(int incarnation, String by, int wanted, long least, long most, long now) {
+    Suspicion(int incarnation, String accuser, int maxConfirmations, long minNs, long maxNs, long now) {
         this.incarnation = incarnation;
-        this.wanted = wanted;
-        this.least = least;
-        this.most = wanted == 0 ? least : most;
-        this.since = now;
-        accusers.add(by);
+        this.maxConfirmations = maxConfirmations;
+        this.minNs = minNs;
+        this.maxNs = maxConfirmations == 0 ? minNs : maxNs;
+        this.startedAt = now;
+        accusers.add(accuser);
     }
 
     int incarnation() {
         return incarnation;
     }
 
-    /** Somebody accuses as well; true if that is news, and still wanted. */
-    boolean confirm(String by) {
-        return accusers.size() <= wanted && accusers.add(by);
+    /** Records another accuser; true if it is a new one, and a further confirmation still counts. */
+    boolean confirm(String accuser) {
+        return accusers.size() <= maxConfirmations && accusers.add(accuser);
     }
 
-    /** When it is believed, in ns. */
-    long endsAt() {
-        if (wanted == 0) {
-            return since + least;
+    /** When it times out, in ns. */
+    long expiresAt() {
+        if (maxConfirmations == 0) {
+            return startedAt + minNs;
         }
-        double part = Math.log(accusers.size()) / Math.log(wanted + 1.0);
-        return since + Math.max(least, most - (long) ((most - least) * part));
+        double fraction = Math.log(accusers.size()) / Math.log(maxConfirmations + 1.0);
+        return startedAt + Math.max(minNs, maxNs - (long) ((maxNs - minNs) * fraction));
     }
 
-    /** This process stood still meanwhile: the accused had no chance to be heard. */
-    void pausedFor(long ns) {
-        since += ns;
+    /** Extends the time-out by a pause of this process, during which a refutation could not be received. */
+    void extend(long ns) {
+        startedAt += ns;
     }
 }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -1,17 +1,17 @@
 package gullspar.peers.net;
 
-import gullspar.config.Fleet;
+import gullspar.config.FleetSettings;
 import gullspar.config.OperatorsFile;
 import gullspar.peers.Change;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.Phase;
 import gullspar.peers.Settings;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Companion;
+import gullspar.proxy.operator.AuxiliaryService;
 import gullspar.toml.ProblemsException;
 import io.netty.channel.ChannelFuture;
 import io.netty.util.NetUtil;
@@ -33,13 +33,13 @@
 import java.util.function.Supplier;
 
 /**
- * A proxy's part in the fleet, as its operators' file says: it tells how the proxy does, and logs what it
- * hears.
+ * Membership of a proxy in the fleet, configured by its operators' file: publishes the proxy's state and traffic, and
+ * logs changes of the view.
  */
-public final class Membership implements Companion {
+public final class Membership implements AuxiliaryService {
     private static final int DIGEST_BYTES = 4;
 
-    /** Reads what operators have written, of whatever kind their file is. */
+    /** Reads the operators' file, whatever its format. */
     public interface Reader {
         OperatorsFile read(Path file) throws IOException, ProblemsException;
     }
@@ -48,8 +48,8 @@
     private final Reader reader;
     private final Platform platform;
     private final Supplier<Load> load;
-    private final Fleet fleet;
-    private final Carrier carrier;
+    private final FleetSettings fleet;
+    private final UdpTransport transport;
     private String config;
     private Phase phase = Phase.JOINING;
     private Stage stage = Stage.WARMING;
@@ -62,7 +62,7 @@
             Reader reader,
             Platform platform,
             Supplier<Load> load,
-            Fleet fleet,
+            FleetSettings fleet,
             Envelope envelope,
             String config) {
         this.file = file;
@@ -71,34 +71,34 @@
         this.load = load;
         this.fleet = fleet;
         this.config = config;
-        this.carrier = new Carrier(platform, envelope, this::say);
+        this.transport = new UdpTransport(platform, envelope, this::logChange);
     }
 
-    /** Starts it, as {@link Companion.Factory} says; null if the file says nothing of a fleet. */
+    /** Starts it, see {@link AuxiliaryService.Factory}; null if the file has no [fleet] section. */
     public static Membership start(Path file, Reader reader, String name, Platform platform, Supplier<Load> load)
             throws IOException {
-        Fleet fleet = fleet(file, reader);
+        FleetSettings fleet = fleet(file, reader);
         if (fleet == null) {
             return null;
         }
-        String called = fleet.name() != null ? fleet.name() : name;
-        if (called == null || !Identity.named(called)) {
+        String memberName = fleet.name() != null ? fleet.name() : name;
+        if (memberName == null || !Identity.isValidName(memberName)) {
             throw new IOException(
-                    file + ": [fleet] has no name, and the platform gives none that could be one: " + called);
+                    file + ": [fleet] has no name, and the one of the platform is not valid: " + memberName);
         }
         Membership m = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
         try {
             ChannelFuture bound =
-                    platform.loop().submit(() -> m.carrier.bind(fleet.bind())).get();
+                    platform.loop().submit(() -> m.transport.bind(fleet.bind())).get();
             if (!bound.awaitUninterruptibly().isSuccess()) {
                 throw new IOException(
-                        "cannot hear the fleet at "
+                        "cannot bind the UDP socket of the fleet at "
                                 + NetUtil.toSocketAddressString(fleet.bind())
                                 + ": " + bound.cause().getMessage(),
                         bound.cause());
             }
             platform.loop()
-                    .submit(() -> m.begin(called, new SecureRandom().nextLong(), settings(fleet)))
+                    .submit(() -> m.startPeers(memberName, new SecureRandom().nextLong(), settings(fleet)))
                     .get();
             return m;
         } catch (InterruptedException e) {
@@ -110,25 +110,25 @@
     }
 
     /**
-     * Takes part from when its socket is bound, without files: for rehearsals. On the loop.
+     * Joins as soon as its socket is bound, without files: for rehearsals. On the loop.
      *
-     * @param life a number that no other process has, nor had
+     * @param life a number unique to this process
      */
     public static Membership join(
-            Fleet fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
+            FleetSettings fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
         Membership m = new Membership(null, null, platform, load, fleet, keys, "");
-        m.carrier.bind(fleet.bind()).addListener(f -> {
+        m.transport.bind(fleet.bind()).addListener(f -> {
             if (f.isSuccess()) {
-                m.begin(fleet.name(), life, settings);
+                m.startPeers(fleet.name(), life, settings);
             } else {
                 platform.log()
-                        .write("fleet: cannot hear the others: " + f.cause().getMessage());
+                        .write("fleet: cannot bind the UDP socket: " + f.cause().getMessage());
             }
         });
         return m;
     }
 
-    private static Fleet fleet(Path file, Reader reader) throws IOException {
+    private static FleetSettings fleet(Path file, Reader reader) throws IOException {
         try {
             return reader.read(file).fleet();
         } catch (ProblemsException e) {
@@ -136,7 +136,7 @@
         }
     }
 
-    private static Envelope envelope(Fleet fleet) throws IOException {
+    private static Envelope envelope(FleetSettings fleet) throws IOException {
         return new Envelope(KeyFile.read(fleet.keyFile()));
     }
 
@@ -149,21 +149,21 @@
         }
     }
 
-    /** How the fleet is watched, as the file says. */
-    public static Settings settings(Fleet fleet) {
-        Settings s = Settings.every(fleet.intervalNs()).within(fleet.windowNs());
-        return fleet.bytesPerSecond() > 0 ? s.atMost(fleet.bytesPerSecond()) : s;
+    /** Returns the settings that the operators' file configures. */
+    public static Settings settings(FleetSettings fleet) {
+        Settings s = Settings.withInterval(fleet.probeIntervalNs()).withWindow(fleet.isolationWindowNs());
+        return fleet.maxBytesPerSecond() > 0 ? s.withBytesPerSecond(fleet.maxBytesPerSecond()) : s;
     }
 
-    private void begin(String name, long life, Settings settings) {
-        InetSocketAddress at = fleet.advertise() != null ? fleet.advertise() : carrier.address();
+    private void startPeers(String name, long life, Settings settings) {
+        InetSocketAddress advertised = fleet.advertise() != null ? fleet.advertise() : transport.address();
         String version = Membership.class.getPackage().getImplementationVersion();
-        carrier.begin(
+        transport.start(
                 settings,
                 new Statement(
                         new Identity(name, life),
                         1,
-                        NetUtil.toSocketAddressString(at),
+                        NetUtil.toSocketAddressString(advertised),
                         fleet.zone(),
                         version == null ? "dev" : version,
                         config,
@@ -171,61 +171,65 @@
                         0,
                         0,
                         0,
-                        Figures.NONE,
+                        TrafficStats.NONE,
                         Facts.NONE),
-                texts(fleet.seeds()),
+                format(fleet.seeds()),
                 new SplittableRandom(life));
         lastAt = platform.clock().now();
         platform.log()
                 .write("fleet: " + name + ", life " + HexFormat.of().toHexDigits(life) + ", at "
-                        + NetUtil.toSocketAddressString(at) + ", "
+                        + NetUtil.toSocketAddressString(advertised) + ", "
                         + fleet.seeds().size() + " seeds");
         platform.loop()
-                .scheduleWithFixedDelay(this::tell, fleet.intervalNs(), fleet.intervalNs(), TimeUnit.NANOSECONDS);
+                .scheduleWithFixedDelay(
+                        this::publishStats, fleet.probeIntervalNs(), fleet.probeIntervalNs(), TimeUnit.NANOSECONDS);
     }
 
-    /** Once an interval: what the proxy did since the last time. */
-    private void tell() {
-        if (left || !carrier.begun()) {
+    /** Publishes state and traffic since the last call, once per interval. */
+    private void publishStats() {
+        if (left || !transport.isStarted()) {
             return;
         }
         long now = platform.clock().now();
         Load l = load.get();
         double seconds = Math.max(1e-3, (now - lastAt) / 1e9);
-        Figures f = new Figures(
+        TrafficStats f = new TrafficStats(
                 (float) ((l.ended() - last.ended()) / seconds),
                 (float) ((l.refused() - last.refused()) / seconds),
                 l.pending());
         last = l;
         lastAt = now;
-        carrier.with(p -> {
-            // Alone for good is a fleet as well: a proxy that serves is not joining.
+        transport.withPeers(p -> {
+            // A proxy may be the only member for good: once it serves, it is not joining any more.
             phase = stage == Stage.SERVING
                     ? Phase.SERVING
                     : stage == Stage.DRAINING ? Phase.DRAINING : p.size() == 1 ? Phase.JOINING : Phase.WARMING;
-            p.say(now, phase, config, f, Facts.NONE);
+            p.updateSelf(now, phase, config, f, Facts.NONE);
             return null;
         });
     }
 
-    private void say(Change c) {
-        String who = c.about().name();
+    private void logChange(Change c) {
+        String who = c.subject().name();
         String what =
                 switch (c.kind()) {
-                    case JOINED -> who + " joined, " + c.why();
-                    case SUSPECTED -> who + " is suspected, " + c.why();
-                    case CLEARED -> who + " is there after all";
+                    case JOINED -> who + " joined, " + c.reason();
+                    case SUSPECTED -> who + " is suspected, " + c.reason();
+                    case CLEARED -> who + " is alive, suspicion refuted";
                     case GONE -> who + " is gone"
-                            + (c.why().isEmpty()
+                            + (c.reason().isEmpty()
                                     ? ""
-                                    : Identity.named(c.why()) ? ", accused by " + c.why() : ": " + c.why());
+                                    : Identity.isValidName(c.reason())
+                                            ? ", accused by " + c.reason()
+                                            : ": " + c.reason());
                     case BACK -> who + " is back";
                     case LEFT -> who + " left";
-                    case TWIN -> who + ": " + c.why();
-                    case CUT_OFF -> "cut off: " + c.why();
-                    case REJOINED -> "not cut off any more: " + c.why();
-                    case OBJECTED -> "objected to being called gone" + (c.why().isEmpty() ? "" : " by " + c.why());
-                    case STOOD_STILL -> "stood still for " + c.why();
+                    case TWIN -> who + ": " + c.reason();
+                    case CUT_OFF -> "cut off: " + c.reason();
+                    case REJOINED -> "not cut off any more: " + c.reason();
+                    case OBJECTED -> "objected to being called gone"
+                            + (c.reason().isEmpty() ? "" : " by " + c.reason());
+                    case STOOD_STILL -> "stood still for " + c.reason();
                     default -> "settled";
                 };
         platform.log().write("fleet: " + what + String.format(Locale.ROOT, " (%d present)", c.present()));
@@ -234,73 +238,75 @@
     // ---- the companion ----
 
     @Override
-    public void at(Stage s) {
+    public void onStage(Stage s) {
         stage = s;
-        tell();
+        publishStats();
     }
 
     @Override
-    public String answer(String path) {
-        return path.equals("/_fleet") && carrier.begun()
-                ? carrier.with(p -> FleetPage.of(p.view(platform.clock().now()), p.counters(), carrier))
+    public String query(String path) {
+        return path.equals("/_fleet") && transport.isStarted()
+                ? transport.withPeers(p -> FleetPage.of(p.view(platform.clock().now()), p.counters(), transport))
                 : null;
     }
 
     @Override
     public void reload() {
         try {
-            Fleet now = fleet(file, reader);
-            if (now == null || !now.bind().equals(fleet.bind()) || now.intervalNs() != fleet.intervalNs()) {
-                platform.log().write("fleet: only keys and seeds are read again; the rest wants a restart");
+            FleetSettings now = fleet(file, reader);
+            if (now == null || !now.bind().equals(fleet.bind()) || now.probeIntervalNs() != fleet.probeIntervalNs()) {
+                platform.log()
+                        .write("fleet: only keys and seeds are reloaded; other changes of [fleet] need a restart");
             }
             Envelope keys = envelope(now == null ? fleet : now);
             String digest = digest(file);
             platform.loop().execute(() -> {
-                keys(keys);
-                seeds((now == null ? fleet : now).seeds());
+                setKeys(keys);
+                setSeeds((now == null ? fleet : now).seeds());
                 config = digest;
-                tell();
+                publishStats();
             });
         } catch (IOException e) {
-            e.getMessage().lines().forEach(line -> platform.log().write("fleet: nothing is read again: " + line));
+            e.getMessage().lines().forEach(line -> platform.log()
+                    .write("fleet: reload failed, nothing was changed: " + line));
         }
     }
 
-    /** Looks for others there from now on. On the loop. */
-    public void seeds(List<InetSocketAddress> seeds) {
-        if (carrier.begun()) {
-            carrier.with(p -> {
-                p.seeds(platform.clock().now(), texts(seeds));
+    /** Replaces the seeds. On the loop. */
+    public void setSeeds(List<InetSocketAddress> seeds) {
+        if (transport.isStarted()) {
+            transport.withPeers(p -> {
+                p.seeds(platform.clock().now(), format(seeds));
                 return null;
             });
         }
     }
 
-    private static List<String> texts(List<InetSocketAddress> addresses) {
+    private static List<String> format(List<InetSocketAddress> addresses) {
         return addresses.stream().map(NetUtil::toSocketAddressString).toList();
     }
 
-    /** Takes other keys from now on. On the loop. */
-    public void keys(Envelope keys) {
-        carrier.keys(keys);
+    /** Replaces the keys. On the loop. */
+    public void setKeys(Envelope keys) {
+        transport.setKeys(keys);
     }
 
     @Override
     public CompletableFuture<Void> leave() {
-        CompletableFuture<Void> gone = new CompletableFuture<>();
-        if (!left && carrier.begun()) {
+        CompletableFuture<Void> closed = new CompletableFuture<>();
+        if (!left && transport.isStarted()) {
             left = true;
-            carrier.with(p -> {
+            transport.withPeers(p -> {
                 p.leave(platform.clock().now());
                 return null;
             });
         }
         platform.loop()
                 .execute(
-                        () -> { // what was written goes out first
-                            carrier.close();
-                            gone.complete(null);
+                        () -> { // pending writes are sent first
+                            transport.close();
+                            closed.complete(null);
                         });
-        return gone;
+        return closed;
     }
 }
--- a/src/main/java/gullspar/peers/wire/Codec.java
+++ b/src/main/java/gullspar/peers/wire/Codec.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.MemberStatus;
 import gullspar.peers.Message;
 import gullspar.peers.Phase;
 import gullspar.peers.Rumor;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -21,10 +21,9 @@
 import java.util.TreeMap;
 
 /**
- * Messages as CBOR (RFC 8949): arrays, their fields by place. Whoever reads passes over fields that come
- * after those that it knows, and kinds of messages that it does not know; what a newer version has to say
- * of a member goes into its facts, which all pass on as they came. {@code docs/fleet-design.md} has the
- * table.
+ * Messages as CBOR (RFC 8949): arrays with positional fields. Readers skip fields after those that they know, and
+ * messages of unknown kinds; data that newer versions add to a member goes into its facts, which are passed on
+ * unchanged. {@code docs/fleet-design.md} has the table.
  */
 public final class Codec {
     private static final int PING = 1, ACK = 2, PING_REQ = 3, NACK = 4, NEWS = 5, DIGEST = 6, LISTING = 7, WANT = 8;
@@ -34,13 +33,13 @@
 
     // ---- writing ----
 
-    /** A message as bytes. */
+    /** Encodes a message. */
     public static byte[] encode(Message m) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(Message.MOST_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(Message.MAX_DATAGRAM_BYTES);
         try (JsonGenerator g = CBOR.createGenerator(bytes)) {
             write(g, m);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail
+            throw new UncheckedIOException(e); // an in-memory stream does not fail
         }
         return bytes.toByteArray();
     }
@@ -61,13 +60,13 @@
         if (m instanceof Message.Ping p) {
             begin(g, PING, p.header(), 4);
             g.writeNumber(p.nonce());
-            g.writeNumber(p.target());
-            g.writeBoolean(p.hello());
+            g.writeNumber(p.targetLife());
+            g.writeBoolean(p.requestsStatement());
             rumors(g, p.rumors());
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, a.header(), 5);
             g.writeNumber(a.nonce());
-            identity(g, a.of());
+            identity(g, a.subject());
             g.writeNumber(a.incarnation());
             rumors(g, a.rumors());
         } else if (m instanceof Message.PingReq r) {
@@ -127,14 +126,14 @@
             identity(g, r.id());
             g.writeNumber(r.incarnation());
             g.writeNumber(r.status().ordinal());
-            g.writeString(r.by());
-            g.writeNumber(r.sinceMs());
+            g.writeString(r.accuser());
+            g.writeNumber(r.statusAgeMs());
             if (r.statement() == null) {
                 g.writeNull();
             } else {
                 statement(g, r.statement());
             }
-            g.writeNumber(r.statedMs());
+            g.writeNumber(r.statementAgeMs());
             g.writeEndArray();
         }
         g.writeEndArray();
@@ -149,11 +148,11 @@
         g.writeString(s.config());
         g.writeNumber(s.phase().ordinal());
         g.writeNumber(s.upMs());
-        g.writeNumber(s.twin());
-        g.writeNumber(s.view());
-        g.writeNumber(s.figures().requests());
-        g.writeNumber(s.figures().refused());
-        g.writeNumber(s.figures().pending());
+        g.writeNumber(s.twinLife());
+        g.writeNumber(s.viewDigest());
+        g.writeNumber(s.stats().requestsPerSecond());
+        g.writeNumber(s.stats().refusedPerSecond());
+        g.writeNumber(s.stats().pending());
         g.writeStartArray(null, 3 * s.facts().all().size());
         for (Map.Entry<String, Facts.Fact> f : s.facts().all().entrySet()) {
             g.writeString(f.getKey());
@@ -166,16 +165,14 @@
 
     // ---- reading ----
 
-    /**
-     * The message in these bytes; null if it is of a kind that is not known. An IOException if it is none.
-     */
+    /** Decodes a message; null if its kind is unknown. Throws an IOException if it is malformed. */
     public static Message decode(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes, from, length)) {
-            array(p.nextToken());
+            expectArray(p.nextToken());
             int kind = number(p, 0, Integer.MAX_VALUE);
             Message m = message(p, kind);
             if (m != null) {
-                end(p);
+                skipToEnd(p);
             }
             return m;
         } catch (IllegalArgumentException e) {
@@ -189,7 +186,7 @@
         }
         Message.Header h = header(p);
         return switch (kind) {
-            case PING -> new Message.Ping(h, number(p), number(p), flag(p), rumors(p));
+            case PING -> new Message.Ping(h, number(p), number(p), bool(p), rumors(p));
             case ACK -> new Message.Ack(h, number(p), identity(p), number(p, 0, Integer.MAX_VALUE), rumors(p));
             case PING_REQ -> new Message.PingReq(h, number(p), identity(p), address(p), rumors(p));
             case NACK -> new Message.Nack(h, number(p), rumors(p));
@@ -200,17 +197,17 @@
         };
     }
 
-    private static void array(JsonToken t) throws IOException {
+    private static void expectArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
-            throw new IOException("no array where one must be");
+            throw new IOException("expected an array");
         }
     }
 
-    /** Passes over what a newer version has put behind. */
-    private static void end(JsonParser p) throws IOException {
+    /** Skips fields that a newer version appended. */
+    private static void skipToEnd(JsonParser p) throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t == null) {
-                throw new IOException("the message ends in the middle");
+                throw new IOException("unexpected end of the message");
             }
             p.skipChildren();
         }
@@ -218,15 +215,15 @@
 
     private static long number(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IOException("no number where one must be");
+            throw new IOException("expected an integer");
         }
         return p.getLongValue();
     }
 
-    private static int number(JsonParser p, int least, int most) throws IOException {
+    private static int number(JsonParser p, int min, int max) throws IOException {
         long n = number(p);
-        if (n < least || n > most) {
-            throw new IOException("a number out of its bounds");
+        if (n < min || n > max) {
+            throw new IOException("number out of range");
         }
         return (int) n;
     }
@@ -234,45 +231,45 @@
     private static long age(JsonParser p) throws IOException {
         long n = number(p);
         if (n < 0 || n > Long.MAX_VALUE / 4_000_000) {
-            throw new IOException("an age out of its bounds");
+            throw new IOException("age out of range");
         }
         return n;
     }
 
-    private static float figure(JsonParser p) throws IOException {
+    private static float finiteFloat(JsonParser p) throws IOException {
         if (!p.nextToken().isNumeric() || !Float.isFinite(p.getFloatValue())) {
-            throw new IOException("no figure where one must be");
+            throw new IOException("expected a finite number");
         }
         return p.getFloatValue();
     }
 
-    private static boolean flag(JsonParser p) throws IOException {
+    private static boolean bool(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
-            throw new IOException("no flag where one must be");
+            throw new IOException("expected a boolean");
         }
         return t == JsonToken.VALUE_TRUE;
     }
 
     private static String text(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
-            throw new IOException("no text where one must be");
+            throw new IOException("expected a string");
         }
         return p.getText();
     }
 
     private static String address(JsonParser p) throws IOException {
         String a = text(p);
-        if (a.isEmpty() || a.length() > Statement.LONGEST_ADDRESS) {
-            throw new IOException("no address where one must be");
+        if (a.isEmpty() || a.length() > Statement.MAX_ADDRESS_LENGTH) {
+            throw new IOException("expected an address");
         }
         return a;
     }
 
     private static Message.Header header(JsonParser p) throws IOException {
-        array(p.nextToken());
+        expectArray(p.nextToken());
         Message.Header h = new Message.Header(identity(p), number(p, 0, Integer.MAX_VALUE), address(p), number(p));
-        end(p);
+        skipToEnd(p);
         return h;
     }
 
@@ -282,10 +279,10 @@
 
     private static List<Long> longs(JsonParser p) throws IOException {
         List<Long> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_NUMBER_INT) {
-                throw new IOException("no number where one must be");
+                throw new IOException("expected an integer");
             }
             all.add(p.getLongValue());
         }
@@ -294,12 +291,12 @@
 
     private static List<Message.Known> known(JsonParser p) throws IOException {
         List<Message.Known> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            expectArray(t);
             all.add(new Message.Known(
                     number(p), number(p, 0, Integer.MAX_VALUE), status(p), number(p, 0, Integer.MAX_VALUE)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
@@ -310,9 +307,9 @@
 
     private static List<Rumor> rumors(JsonParser p) throws IOException {
         List<Rumor> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            expectArray(t);
             Identity id = identity(p);
             int incarnation = number(p, 0, Integer.MAX_VALUE);
             MemberStatus status = status(p);
@@ -320,13 +317,13 @@
             long since = age(p);
             Statement s = p.nextToken() == JsonToken.VALUE_NULL ? null : statement(p, id);
             all.add(new Rumor(id, incarnation, status, by, since, s, age(p)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
 
     private static Statement statement(JsonParser p, Identity id) throws IOException {
-        array(p.currentToken());
+        expectArray(p.currentToken());
         int revision = number(p, 1, Integer.MAX_VALUE);
         String address = address(p);
         String zone = text(p);
@@ -336,23 +333,23 @@
         long up = age(p);
         long twin = number(p);
         int view = number(p, Integer.MIN_VALUE, Integer.MAX_VALUE);
-        Figures figures = new Figures(figure(p), figure(p), number(p, 0, Integer.MAX_VALUE));
+        TrafficStats figures = new TrafficStats(finiteFloat(p), finiteFloat(p), number(p, 0, Integer.MAX_VALUE));
         Facts facts = facts(p);
-        end(p);
+        skipToEnd(p);
         return new Statement(id, revision, address, zone, version, config, phase, up, twin, view, figures, facts);
     }
 
     private static Facts facts(JsonParser p) throws IOException {
         Map<String, Facts.Fact> facts = new TreeMap<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
-                throw new IOException("no name of a fact where one must be");
+                throw new IOException("expected the name of a fact");
             }
             String name = p.getText();
             int version = number(p, 0, Integer.MAX_VALUE);
             if (p.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-                throw new IOException("no bytes where they must be");
+                throw new IOException("expected a byte string");
             }
             facts.put(name, new Facts.Fact(version, p.getBinaryValue()));
         }
--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -12,10 +12,10 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.ServingLoop;
 import gullspar.proxy.io.Signals;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.Figures;
-import gullspar.proxy.operator.OperatorPort;
-import gullspar.proxy.operator.Report;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
+import gullspar.proxy.operator.RequestCounters;
+import gullspar.proxy.operator.StatusReport;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -50,7 +50,7 @@
             Map<String, String> environment,
             Runnable afterDrain,
             Balancer.Factory factory,
-            Companion.Factory auxiliaryFactory)
+            AuxiliaryService.Factory auxiliaryFactory)
             throws ConfigException, IOException {
         // Installed first, since SIGHUP ends the process by default; an early signal waits for the proxy.
         CompletableFuture<Proxy> started = new CompletableFuture<>();
@@ -73,7 +73,7 @@
     private static void serve(
             Map<String, String> environment,
             Balancer.Factory factory,
-            Companion.Factory auxiliaryFactory,
+            AuxiliaryService.Factory auxiliaryFactory,
             ServingLoop servingLoop,
             ConfigReloader reloader,
             CompletableFuture<Proxy> started,
@@ -93,16 +93,16 @@
         Platform platform = config.inherited()
                 ? Platform.of(servingLoop, InheritedTransport.create(loop), LOG)
                 : Platform.of(servingLoop);
-        OperatorPort operatorEndpoint = listenForOperators(config, platform);
+        OperatorEndpoint operatorEndpoint = listenForOperators(config, platform);
         Proxy proxy = Proxy.callOnLoop(platform, () -> Proxy.startUnopened(config, platform, factory));
         started.complete(proxy); // configuration reloads apply during the warm-up too
-        Companion auxiliary = config.operatorsFile() == null
+        AuxiliaryService auxiliary = config.operatorsFile() == null
                 ? null
                 : auxiliaryFactory.start(config.operatorsFile(), config.name(), platform, proxy::load);
         if (auxiliary != null) {
             reloader.setAuxiliary(auxiliary);
             if (operatorEndpoint != null) {
-                loop.execute(() -> operatorEndpoint.with(auxiliary));
+                loop.execute(() -> operatorEndpoint.setAuxiliaryService(auxiliary));
             }
         }
         warm(config, factory, archive); // discovery can answer in the meantime
@@ -116,10 +116,10 @@
                 })
                 .awaitListening();
         if (auxiliary != null) {
-            loop.execute(() -> auxiliary.at(Companion.Stage.SERVING));
+            loop.execute(() -> auxiliary.onStage(AuxiliaryService.Stage.SERVING));
         }
         if (operatorEndpoint != null) {
-            loop.execute(() -> operatorEndpoint.about(proxy));
+            loop.execute(() -> operatorEndpoint.setStatusSource(proxy));
         }
         loop.terminationFuture().awaitUninterruptibly();
         throw new IOException("event loop terminated"); // exit rather than run without serving
@@ -172,9 +172,9 @@
     }
 
     /** Drains a proxy with an auxiliary service; a method of its own, so that without one its class is not loaded. */
-    private static Runnable drainWithAuxiliary(Proxy proxy, Companion auxiliary, EventLoop loop) {
+    private static Runnable drainWithAuxiliary(Proxy proxy, AuxiliaryService auxiliary, EventLoop loop) {
         return () -> {
-            loop.execute(() -> auxiliary.at(Companion.Stage.DRAINING));
+            loop.execute(() -> auxiliary.onStage(AuxiliaryService.Stage.DRAINING));
             proxy.drain().join();
             loop.submit(auxiliary::leave).syncUninterruptibly().getNow().join();
         };
@@ -192,15 +192,23 @@
 
     private static void warm(Config config, Balancer.Factory factory, ClassArchive archive) {
         if (config.operator() != null) {
-            OperatorPort.rehearse(new OperatorPort.Subject() {
+            OperatorEndpoint.warmUp(new OperatorEndpoint.StatusSource() {
                 @Override
-                public boolean ready() {
+                public boolean isReady() {
                     return false;
                 }
 
                 @Override
-                public String figures() {
-                    return new Report(config.classes(), new Figures(), 0, 0, 0, 0, null, new Report.Descriptors(0, 0))
+                public String statusJson() {
+                    return new StatusReport(
+                                    config.classes(),
+                                    new RequestCounters(),
+                                    0,
+                                    0,
+                                    0,
+                                    0,
+                                    null,
+                                    new StatusReport.Descriptors(0, 0))
                             .json();
                 }
             });
@@ -210,11 +218,11 @@
     }
 
     /** Opens the operators' port if the configuration has one; otherwise returns null. */
-    private static OperatorPort listenForOperators(Config config, Platform platform) throws IOException {
+    private static OperatorEndpoint listenForOperators(Config config, Platform platform) throws IOException {
         if (config.operator() == null) {
             return null;
         }
-        OperatorPort operatorEndpoint = new OperatorPort(platform);
+        OperatorEndpoint operatorEndpoint = new OperatorEndpoint(platform);
         ChannelFuture bindFuture = ListenRetry.listen(() -> operatorEndpoint.listen(config.operator()));
         if (!bindFuture.isSuccess()) {
             throw new IOException("cannot listen for operators on " + config.operator() + ": "
@@ -228,14 +236,14 @@
         private final Map<String, String> environment;
         private final EventLoop loop;
         private Config current;
-        private Companion auxiliary;
+        private AuxiliaryService auxiliary;
 
         ConfigReloader(Map<String, String> environment, EventLoop loop) {
             this.environment = environment;
             this.loop = loop;
         }
 
-        synchronized void setAuxiliary(Companion service) {
+        synchronized void setAuxiliary(AuxiliaryService service) {
             auxiliary = service;
         }
 
@@ -263,7 +271,7 @@
         /** Returns why the configuration was rejected, or null if it was applied. */
         private synchronized ConfigException tryReload(Proxy proxy) {
             try {
-                current = Config.reread(environment, current);
+                current = Config.reload(environment, current);
                 Config config = current;
                 loop.execute(() -> proxy.reload(config));
                 return null;
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -9,7 +9,7 @@
 import gullspar.proxy.backend.BackendResponse;
 import gullspar.proxy.client.Client;
 import gullspar.proxy.client.RequestParameters;
-import gullspar.proxy.config.Classes.Known;
+import gullspar.proxy.config.Classes.RequestClass;
 import gullspar.proxy.events.Events;
 import gullspar.proxy.http.Message;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -36,7 +36,7 @@
     final Client client;
     private final Exchanges exchanges;
     private final Message message;
-    private final Known requestClass;
+    private final RequestClass requestClass;
     private final long marginNs;
     private final long timeoutNs;
     /** MAX_VALUE while the request is being received: the client's timeout runs from the last byte. */
@@ -62,7 +62,7 @@
         this.requestClass = parameters.of();
         this.timeoutNs = parameters.timeoutNs();
         this.marginNs = Math.min(RESPONSE_MARGIN_NS, timeoutNs / 4);
-        if (message.rest() == null || !message.rest().coming()) {
+        if (message.bodyStream() == null || !message.bodyStream().isReceiving()) {
             onRequestComplete(receivedAtNs);
         }
         boolean isComplete = deadlineNs != Long.MAX_VALUE;
@@ -70,7 +70,7 @@
                 now,
                 new Request(
                         ticket,
-                        requestClass.place(),
+                        requestClass.index(),
                         parameters.tenant(),
                         parameters.key(),
                         Math.max(0, timeLeftNs(now)),
@@ -110,7 +110,7 @@
     }
 
     private void enqueue(Events.Event event) {
-        exchanges.events.tell(event, this::fail);
+        exchanges.events.enqueue(event, this::fail);
     }
 
     /** The request has finished and has no open attempt. */
@@ -140,7 +140,7 @@
             cancel(i);
         }
         enqueue((now, module) -> {
-            module.onWithdrawn(now, ticket);
+            module.onClientDisconnected(now, ticket);
             exchanges.forgetIfComplete(this);
         });
     }
@@ -169,8 +169,8 @@
 
     private void respond(int status, HttpHeaders headers, byte[] body) {
         finish();
-        exchanges.figures.ended(requestClass.place(), status);
-        client.answer(status, headers, body);
+        exchanges.figures.countEnded(requestClass.index(), status);
+        client.respond(status, headers, body);
     }
 
     /** Streams the response to the client as it is received; it is counted once it has ended. */
@@ -182,13 +182,13 @@
                 .platform
                 .loop()
                 .schedule(
-                        client::cutOff,
+                        client::abort,
                         Math.max(0, timeLeftNs(exchanges.platform.clock().now()) + marginNs),
                         TimeUnit.NANOSECONDS);
-        client.answer(response.head(), response.body(), response.rest(), whole -> {
+        client.respond(response.head(), response.body(), response.rest(), whole -> {
             timeout.cancel(false);
             exchanges.streaming(false);
-            exchanges.figures.ended(requestClass.place(), whole ? 200 : 502);
+            exchanges.figures.countEnded(requestClass.index(), whole ? 200 : 502);
         });
     }
 
@@ -208,7 +208,7 @@
         long remainingNs = timeLeftNs(nowNs);
         int attemptNumber = attempts.size();
         openAttempts++;
-        if (finished || remainingNs <= 0 || attemptNumber >= requestClass.attempts() || !message.sendable()) {
+        if (finished || remainingNs <= 0 || attemptNumber >= requestClass.maxAttempts() || !message.isSendable()) {
             attempts.add(null);
             onAttemptEnded(attemptNumber, server, nowNs, Status.MOOT, null, null);
             return;
@@ -234,7 +234,7 @@
 
     /** Checks the connection, so that a client that has just disconnected is noticed before an attempt is sent. */
     private boolean isWanted() {
-        if (!finished && !client.present() && !finished) {
+        if (!finished && !client.readAndCheckConnected() && !finished) {
             onClientDisconnected();
         }
         return !finished;
@@ -244,7 +244,7 @@
         if (!finished) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (retryInNs > 0) {
-                headers.set("Retry-After", Message.seconds(retryInNs));
+                headers.set("Retry-After", Message.formatSeconds(retryInNs));
             }
             respond(503, headers, "refused, try again\n".getBytes(StandardCharsets.UTF_8));
             exchanges.forgetIfComplete(this);
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -9,17 +9,17 @@
 import gullspar.proxy.events.Events;
 import gullspar.proxy.http.Message;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Figures;
+import gullspar.proxy.operator.RequestCounters;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
 
 /** The open requests of a proxy, by the module's ticket and by client. */
-final class Exchanges implements Frontend.Taker {
+final class Exchanges implements Frontend.RequestHandler {
     final Platform platform;
     final Events events;
     final Backends backends;
-    final Figures figures;
+    final RequestCounters figures;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
     /** Requests without a final response; never iterated over. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
@@ -29,7 +29,7 @@
     /** Time by which all requests are answered, whatever timeout their clients gave. */
     private long latestResponseNs = Long.MAX_VALUE;
 
-    Exchanges(Platform platform, Events events, Backends backends, Figures figures) {
+    Exchanges(Platform platform, Events events, Backends backends, RequestCounters figures) {
         this.platform = platform;
         this.events = events;
         this.backends = backends;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void onClientLeft(Client client) {
+    public void onClientDisconnected(Client client) {
         Exchange exchange = byClient.get(client);
         if (exchange != null) {
             exchange.onClientDisconnected();
@@ -104,7 +104,8 @@
             return;
         }
         platform.log().write("attempt dropped: ticket " + ticket + " is unknown or finished");
-        events.tell((now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
+        events.enqueue(
+                (now, module) -> module.onOutcome(now, new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
     }
 
     void refuse(int ticket, long retryInNs) {
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -14,10 +14,10 @@
 import gullspar.proxy.io.DescriptorLimits;
 import gullspar.proxy.io.ListenRetry;
 import gullspar.proxy.io.Platform;
-import gullspar.proxy.operator.Companion;
-import gullspar.proxy.operator.Figures;
-import gullspar.proxy.operator.OperatorPort;
-import gullspar.proxy.operator.Report;
+import gullspar.proxy.operator.AuxiliaryService;
+import gullspar.proxy.operator.OperatorEndpoint;
+import gullspar.proxy.operator.RequestCounters;
+import gullspar.proxy.operator.StatusReport;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import java.io.IOException;
@@ -33,7 +33,7 @@
  * One proxy: the decision module, the open requests and the sockets, all on one event loop. Events become calls
  * of the module, and its actions become I/O; the module decides where, whether and when requests are sent.
  */
-public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorPort.Subject {
+public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorEndpoint.StatusSource {
     /** Time without a list from discovery after which the proxy serves with the known list. */
     private static final long DISCOVERY_WAIT_MS = 3000;
     /**
@@ -65,7 +65,7 @@
     private final Balancer module;
     private final CompletableFuture<Void> drainCompleted = new CompletableFuture<>();
     private final Classes classes;
-    private final Figures figures = new Figures();
+    private final RequestCounters figures = new RequestCounters();
     private boolean listReceived;
     /** The list from the configuration, null if there is none, and whether the module has received it. */
     private ListUpdate knownList;
@@ -83,8 +83,8 @@
                 config,
                 platform,
                 factory,
-                config.settings().askForList() ? Discovery.Timeouts.SERVICE : Discovery.Timeouts.AGENT,
-                Frontend.UNREAD_NS);
+                config.settings().listOnRequest() ? Discovery.Timeouts.SERVICE : Discovery.Timeouts.AGENT,
+                Frontend.UNREAD_TIMEOUT_NS);
     }
 
     /** Creates a proxy with these discovery timeouts and this limit on how long bodies stay unread. */
@@ -106,7 +106,7 @@
         this.discovery = new Discovery(platform, Discovery.source(config), this, timeouts);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
-        events.to(module);
+        events.setModule(module);
     }
 
     /** Starts a proxy and waits until it listens; throws an IOException if it cannot. */
@@ -195,7 +195,7 @@
         if (knownList != null) {
             discovery.setVersion(knownList.version());
         }
-        if (config.settings().askForList()) {
+        if (config.settings().listOnRequest()) {
             applyKnownList();
         } else {
             // What the agent has counts as known from the start, and the known list may name backends that
@@ -245,44 +245,44 @@
         platform.log()
                 .write("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
-        List<Profile> profiles = classes.take(config);
-        events.news((now, m) -> m.onProfiles(profiles));
+        List<Profile> profiles = classes.update(config);
+        events.backendUpdate((now, m) -> m.onProfiles(profiles));
         discovery.changeAddress(config.discovery());
-        figures.reloaded(true);
+        figures.countReload(true);
     }
 
     /** Records that a configuration was rejected. Call on the event loop. */
     public void onConfigurationRejected(String reason) {
         platform.log().write("the new configuration is not used: " + reason);
-        figures.reloaded(false);
+        figures.countReload(false);
     }
 
     // ---- operators' requests ----
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return listReceived && !draining && listenFuture != null && listenFuture.isSuccess();
     }
 
     @Override
-    public String figures() {
-        return new Report(
+    public String statusJson() {
+        return new StatusReport(
                         classes.names(),
                         figures,
                         backends.writtenCount(),
                         exchanges.openRequests(),
                         backends.listedCount(),
-                        module.avoided(),
+                        module.avoidedServers(),
                         platform.statistics(),
-                        new Report.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
+                        new StatusReport.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
                 .json();
     }
 
     /** Request counts so far, for the auxiliary service. Call on the event loop. */
-    public Companion.Load load() {
-        long refused = figures.sum(Figures::rejected);
-        return new Companion.Load(
-                refused + figures.sum(Figures::completed) + figures.sum(Figures::failed),
+    public AuxiliaryService.Load load() {
+        long refused = figures.sum(RequestCounters::rejected);
+        return new AuxiliaryService.Load(
+                refused + figures.sum(RequestCounters::completed) + figures.sum(RequestCounters::failed),
                 refused,
                 exchanges.openRequests());
     }
@@ -293,8 +293,8 @@
             platform.log().write("draining");
             draining = true;
             frontend.drain();
-            long timeToKillMs = Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.longestDeadlineNs()))
-                    + KILL_SLACK_MS;
+            long timeToKillMs =
+                    Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.maxDeadlineNs())) + KILL_SLACK_MS;
             exchanges.capDeadlines(
                     platform.clock().now() + TimeUnit.MILLISECONDS.toNanos(timeToKillMs - RESPOND_BEFORE_KILL_MS));
             if (config.inherited()) {
@@ -302,7 +302,7 @@
                 return;
             }
             schedule(DRAIN_ACCEPT_MS, () -> closeListener(-1, 0));
-            schedule(timeToKillMs - STOP_READING_BEFORE_KILL_MS, frontend::turnAway);
+            schedule(timeToKillMs - STOP_READING_BEFORE_KILL_MS, frontend::rejectPartialRequests);
             schedule(timeToKillMs - EXIT_BEFORE_KILL_MS, this::completeDrain);
         });
         return drainCompleted;
@@ -324,12 +324,12 @@
      * it closes are dropped without a response.
      */
     private void closeListener(long previouslyAccepted, long waitedMs) {
-        long accepted = frontend.accepted();
-        boolean isStillAccepting = accepted != previouslyAccepted || frontend.acceptsAgainSoon();
+        long accepted = frontend.acceptedConnections();
+        boolean isStillAccepting = accepted != previouslyAccepted || frontend.isAcceptPaused();
         if (isStillAccepting && waitedMs < MAX_EXTRA_ACCEPT_MS) {
             schedule(DRAIN_POLL_MS, () -> closeListener(accepted, waitedMs + DRAIN_POLL_MS));
         } else {
-            frontend.refuseNew();
+            frontend.stopAccepting();
             completeWhenAnswered();
         }
     }
@@ -340,13 +340,13 @@
      * to use would lose that request.
      */
     private void handOver(long timeToKillMs) {
-        frontend.refuseNew();
+        frontend.stopAccepting();
         schedule(timeToKillMs - STOP_READING_BEFORE_KILL_MS, frontend::close);
         completeWhenDisconnected();
     }
 
     private void completeWhenDisconnected() {
-        if (frontend.open() == 0 && exchanges.openRequests() == 0) {
+        if (frontend.openConnections() == 0 && exchanges.openRequests() == 0) {
             completeDrain();
         } else {
             schedule(DRAIN_POLL_MS, this::completeWhenDisconnected);
@@ -356,7 +356,7 @@
     /** Completes the drain once no response is pending or being sent and no further request can be received. */
     private void completeWhenAnswered() {
         frontend.close();
-        if (exchanges.openRequests() == 0 && !frontend.owes()) {
+        if (exchanges.openRequests() == 0 && !frontend.hasPendingRequests()) {
             completeDrain();
         } else {
             schedule(DRAIN_POLL_MS, this::completeWhenAnswered);
@@ -396,7 +396,7 @@
     /** Applies a list update to the connections and the module. */
     void apply(ListUpdate update) {
         backends.update(update);
-        events.news((now, module) -> module.onMembers(
+        events.backendUpdate((now, module) -> module.onServerList(
                 now,
                 update.kind(),
                 update.version(),
@@ -405,7 +405,7 @@
 
     @Override
     public void onWatchFailed() {
-        events.news((now, module) -> module.onMembers(now, ListKind.FAILED, 0, List.of()));
+        events.backendUpdate((now, module) -> module.onServerList(now, ListKind.FAILED, 0, List.of()));
     }
 
     // ---- actions of the module ----
@@ -436,16 +436,16 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         platform.loop()
                 .schedule(
-                        () -> events.tell((now, module) -> module.onTimer(now, token)),
+                        () -> events.enqueue((now, module) -> module.onTimer(now, token)),
                         Math.max(0, at - platform.clock().now()),
                         TimeUnit.NANOSECONDS);
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         backends.closeIdleConnections(server);
     }
 
@@ -465,12 +465,12 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         throw new UnsupportedOperationException("this proxy sends no messages to peers");
     }
 
     @Override
-    public void reload() {
+    public void requestList() {
         throw new UnsupportedOperationException("this proxy watches discovery; single list requests are not supported");
     }
 }
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -70,11 +70,11 @@
         for (ListedBackend l : listUpdate.list()) {
             Backend b = backends.computeIfAbsent(l.member().id(), id -> new Backend());
             boolean hasMoved = l.address() != null && !l.address().equals(b.address);
-            if (hasMoved || l.member().bootNs() > b.bootNs) {
+            if (hasMoved || l.member().startedAtNs() > b.bootNs) {
                 b.closeIdleConnections(); // they lead to a process that has ended
             }
             b.address = hasMoved ? l.address() : b.address;
-            b.bootNs = l.member().bootNs();
+            b.bootNs = l.member().startedAtNs();
             if (l.member().state() == State.READY) {
                 b.leftAtNs = 0;
             } else {
@@ -178,7 +178,7 @@
             loop.execute(() -> a.end(Status.MOOT, null, null)); // the backend or the client has gone
             return a;
         }
-        if (request.rest() == null) {
+        if (request.bodyStream() == null) {
             a.startTimer();
         }
         Connection idle = takeIdle(a.backend(), isRepeatable);
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -1,9 +1,9 @@
 package gullspar.proxy.backend;
 
 import gullspar.decide.Balancer.Status;
+import gullspar.proxy.http.BodyStream;
+import gullspar.proxy.http.BodyStreamWriter;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.http.PieceWriter;
-import gullspar.proxy.http.Pieces;
 import gullspar.proxy.io.Clock;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -55,11 +55,11 @@
 
     private boolean hasTrailingBytes;
     /** The response that is streamed to the client; null if it is buffered, or none is expected. */
-    private Pieces rest;
+    private BodyStream rest;
 
     private long streamedBytes;
     private ScheduledFuture<?> stallCheck;
-    private final PieceWriter uploadWriter = new PieceWriter();
+    private final BodyStreamWriter uploadWriter = new BodyStreamWriter();
     private long uploadProgressNs;
 
     Connection(Backend backend, EventLoop loop, Clock clock, long drainGraceNs) {
@@ -115,15 +115,15 @@
         hasTrailingBytes = false;
         rest = null;
         streamedBytes = 0;
-        body = Unpooled.buffer(512, Message.MOST_HELD);
+        body = Unpooled.buffer(512, Message.MAX_BUFFERED_RESPONSE_BYTES);
         decoder.expectResponse();
-        Pieces upload = a.request().rest();
+        BodyStream upload = a.request().bodyStream();
         if (upload == null) {
             channel.writeAndFlush(a.toHttpRequest(), writePromise(a));
             return;
         }
         uploadProgressNs = clock.now();
-        uploadWriter.ahead(() -> {
+        uploadWriter.writeFirst(() -> {
             channel.write(a.toHttpRequest());
             channel.writeAndFlush(new DefaultHttpContent(a.request().body().bytes()));
         });
@@ -137,7 +137,7 @@
                 UPLOAD_STALL_TIMEOUT_NS / 4,
                 UPLOAD_STALL_TIMEOUT_NS / 4,
                 TimeUnit.NANOSECONDS);
-        upload.to(this::continueUpload);
+        upload.setReader(this::continueUpload);
         continueUpload();
     }
 
@@ -162,13 +162,13 @@
     /** Writes the received part of the request, as far as the backend accepts it. */
     private void continueUpload() {
         Attempt a = attempt;
-        Pieces upload = a == null ? null : a.request().rest();
+        BodyStream upload = a == null ? null : a.request().bodyStream();
         if (upload == null
                 || a.isSent()
                 || !uploadWriter.write(channel, upload, () -> attempt == a, () -> uploadProgressNs = clock.now())) {
             return;
         }
-        if (attempt == a && upload.taken()) {
+        if (attempt == a && upload.isFullyRead()) {
             a.sent();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, writePromise(a));
         }
@@ -194,7 +194,9 @@
                 fail();
                 return;
             }
-            if (!isInterim && HttpUtil.getContentLength(r, 0L) > Message.MOST_HELD && !startStreaming()) {
+            if (!isInterim
+                    && HttpUtil.getContentLength(r, 0L) > Message.MAX_BUFFERED_RESPONSE_BYTES
+                    && !startStreaming()) {
                 return;
             }
         }
@@ -222,7 +224,7 @@
             return true;
         }
         streamedBytes += bytes.readableBytes();
-        if (streamedBytes > Message.MOST_BYTES) {
+        if (streamedBytes > Message.MAX_BODY_BYTES) {
             return false;
         }
         if (bytes.isReadable() && !rest.add(bytes.retain())) {
@@ -239,7 +241,7 @@
             return false;
         }
         attempt = null;
-        rest = new Pieces(() -> channel.config().setAutoRead(true), this::abortStreaming);
+        rest = new BodyStream(() -> channel.config().setAutoRead(true), this::abortStreaming);
         streamedBytes = body.readableBytes();
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
@@ -288,13 +290,13 @@
     }
 
     private void finishStreaming() {
-        Pieces completed = rest;
+        BodyStream completed = rest;
         rest = null;
         decoder.expectNothing();
         // The client may still be reading this response, but the next one on the connection must be read.
         channel.config().setAutoRead(true);
         keepOrClose(true);
-        completed.whole();
+        completed.complete();
     }
 
     private void keepOrClose(boolean isRequestWritten) {
@@ -345,9 +347,9 @@
             a.onConnectionLost();
         }
         if (rest != null) {
-            Pieces truncated = rest;
+            BodyStream truncated = rest;
             rest = null;
-            truncated.broken();
+            truncated.abort();
         }
         channel.close();
     }
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -2,9 +2,9 @@
 
 import gullspar.proxy.http.Body;
 import gullspar.proxy.http.BodyBudget;
+import gullspar.proxy.http.BodyStream;
+import gullspar.proxy.http.BodyStreamWriter;
 import gullspar.proxy.http.Message;
-import gullspar.proxy.http.PieceWriter;
-import gullspar.proxy.http.Pieces;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -35,152 +35,160 @@
 import java.util.function.Consumer;
 
 /**
- * A client's connection: one request at a time, a few more wait in line. After a request that cannot be read,
- * or more than that in line, comes an error, the end, and nothing else.
+ * A client's connection. It processes one request at a time and queues a few pipelined ones. After a request
+ * that cannot be parsed, or when the queue is full, it responds with an error, closes, and reads no further
+ * request.
  */
 public final class Client extends SimpleChannelInboundHandler<HttpObject> {
-    /** Who takes whole requests, and hears when a connection changes its place among the others. */
+    /** Receives complete requests and connection state changes. */
     interface Owner {
         void onRequest(Client client, Message message, long at);
 
-        /** All of a request has come that was handed over while it came. */
+        /** The body of a request that was handed over while being received is now complete. */
         void onRequestComplete(Client client, long at);
 
-        /** The rest of such a request will not come, and the client is to be told so: it is no request. */
+        /**
+         * The body of such a request will not be completed: the request is dropped and its client gets an
+         * error.
+         */
         void onRequestAborted(Client client);
 
-        /** What the bodies that are held may take together. */
+        /** The limit shared by all buffered bodies. */
         BodyBudget budget();
 
-        /** For so long a body may be left unread while nothing has gone out for its connection's requests. */
-        long unreadNs();
+        /** How long a body may stay unread while nothing has been sent for the requests of its connection. */
+        long unreadTimeoutNs();
 
-        /** When what is read now may have come, at the earliest. */
+        /** The earliest time at which the data being read may have arrived. */
         long receivedAt();
 
-        /** An answer is about to be written; true if the connection should end with it. */
-        boolean answered(Client client, int status);
+        /** Called before a response is written; returns true if the connection must close after it. */
+        boolean onResponse(Client client, int status);
 
-        void closed(Client client);
+        void onClosed(Client client);
 
         long now();
     }
 
-    /** Requests that may wait behind one on a connection: enough for clients that await no answer. */
-    public static final int MOST_PIPELINED = 16;
+    /** Pipelined requests queued per connection: enough for clients that do not await responses. */
+    public static final int MAX_PIPELINED = 16;
 
-    /** Bodies of up to so many bytes are awaited, if there is room; larger ones go on while they come. */
-    private static final int MOST_AWAITED = 1 << 20;
-    /** A head must come within so long: from connecting for the first, from its first byte for later ones. */
-    static final long HEAD_NS = 2_500_000_000L;
-    /** A body that comes may pause so long, and needs so many bytes a second after a first while. */
-    private static final long PAUSE_NS = 2_200_000_000L, SLOW_START_NS = 1_500_000_000L;
+    /** Larger bodies, or those that the budget has no room for, are forwarded while they are received. */
+    private static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
+    /** Time limit for a request head: from connecting for the first, from its first byte for later ones. */
+    static final long HEAD_TIMEOUT_NS = 2_500_000_000L;
+    /** Limits for a body being received: the longest pause, and the time before the minimum rate applies. */
+    private static final long BODY_STALL_TIMEOUT_NS = 2_200_000_000L, BODY_RATE_GRACE_NS = 1_500_000_000L;
 
-    private static final long LEAST_RATE = 24 << 10;
-    /** One who takes nothing of an answer, or gives nothing of one, for so long has gone. */
-    private static final long ANSWER_STALL_NS = 10_000_000_000L;
+    private static final long MIN_BODY_BYTES_PER_S = 24 << 10;
+    /** A response on which neither side makes progress for this long is aborted. */
+    private static final long RESPONSE_STALL_TIMEOUT_NS = 10_000_000_000L;
 
-    /** A request, or the error that one ended in; after an error nothing is read. */
-    private record Waiting(
-            Message message, int status, String error, long at, boolean keepAlive, HttpVersion version) {}
+    /** A request, or the error response to one that was rejected. */
+    private record QueuedRequest(
+            Message message, int status, String error, long receivedAt, boolean keepAlive, HttpVersion version) {}
 
-    final long connectedAt;
+    final long connectedAtNs;
     private final Channel channel;
     private final RequestDecoder decoder;
     private final Owner owner;
-    private final Deque<Waiting> line = new ArrayDeque<>();
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
     private HttpRequest head;
     private Body body;
-    /** What comes of a request that has been handed over; null if none does. */
-    private Pieces upload;
-
-    private long received;
-    private long total;
-    private long bodySince;
-    private long lastCame;
-    /** Since when nothing is read, while the upload is paused. */
-    private long unreadSince;
-    /** The answer that is being passed on; null if none is. */
-    private Pieces rest;
-
-    private Consumer<Boolean> passed;
-    private long lastMoved;
-    private final PieceWriter writer = new PieceWriter();
-    private Message taken;
+    /** The part of the body that is still being received for a request already handed over; null if none. */
+    private BodyStream upload;
+
+    private long rateWindowBytes;
+    private long bodyBytes;
+    private long rateWindowStartNs;
+    private long lastReceivedNs;
+    /** When reading stopped because the upload was paused. */
+    private long unreadSinceNs;
+    /** The response that is being forwarded; null if none. */
+    private BodyStream responseStream;
+
+    private Consumer<Boolean> onResponseSent;
+    private long lastProgressNs;
+    private final BodyStreamWriter writer = new BodyStreamWriter();
+    private Message currentRequest;
     private boolean busy;
     private boolean keepAlive;
     private HttpVersion version = HttpVersion.HTTP_1_1;
-    private boolean lastAnswer;
+    private boolean lastResponse;
     private boolean awaitsContinue;
-    /** The connection ends while more may still come of a request. */
-    private boolean cutShort;
+    /** The connection closes while part of a request may still be received. */
+    private boolean requestIncomplete;
 
     private boolean used;
-    /** Answers that the system has not taken yet. */
-    private int unwritten;
-    /** No more is read: an error or the end is on its way, since then. */
-    private boolean ending;
+    /** Responses not yet written to the socket. */
+    private int pendingWrites;
+    /** No further request is read: an error or the last response is being sent, or the connection is closed. */
+    private boolean closing;
 
-    private long partSince;
-    private long idleSince;
-    private long endingSince;
+    private long partialSinceNs;
+    private long idleSinceNs;
+    private long closingSinceNs;
 
     Client(Channel channel, RequestDecoder decoder, Owner owner) {
         this.channel = channel;
         this.decoder = decoder;
         this.owner = owner;
-        this.connectedAt = owner.now();
-        this.idleSince = connectedAt;
+        this.connectedAtNs = owner.now();
+        this.idleSinceNs = connectedAtNs;
     }
 
-    /** Is no request open or begun? */
-    boolean idle() {
-        return !busy && line.isEmpty() && !partial();
+    /** True if no request is queued, in progress or partly received. */
+    boolean isIdle() {
+        return !busy && queue.isEmpty() && !hasPartialRequest();
     }
 
-    /** Is a request open or begun, or an answer still on its way to the system? */
-    boolean owed() {
-        return !idle() || rest != null || unwritten > 0;
+    /** True if a request is queued, in progress or partly received, or a response is not yet fully written. */
+    boolean hasPendingWork() {
+        return !isIdle() || responseStream != null || pendingWrites > 0;
     }
 
-    /** Of a request that has come in part the rest is not waited for any more. */
-    void turnAway() {
-        if (partial() && !ending) {
-            end(503, "this proxy ends");
+    /** Rejects a partly received request instead of waiting for the rest. */
+    void rejectPartialRequest() {
+        if (hasPartialRequest() && !closing) {
+            closeWithError(503, "proxy is shutting down");
         }
     }
 
-    /** Has a request on it ever been answered? */
+    /** True once an accepted request, or any request with status 200, has been answered. */
     boolean used() {
         return used;
     }
 
-    /** Does it end by itself: an error or the last answer is on its way, or the client's own end awaited? */
-    boolean ending() {
-        return ending;
+    /**
+     * True if the connection is closing: an error or the last response is being sent, or the client's close
+     * is awaited.
+     */
+    boolean closing() {
+        return closing;
     }
 
     boolean busy() {
         return busy;
     }
 
-    /** The request in hand has been taken on; null from its answer on. */
-    void take(Message message) {
-        taken = message;
+    /** Sets the request in progress; it is cleared by its response. */
+    void setCurrentRequest(Message message) {
+        currentRequest = message;
     }
 
-    Message taken() {
-        return taken;
+    Message currentRequest() {
+        return currentRequest;
     }
 
     /**
-     * Is its client still there? What has come by now is read first, not when the loop comes round to it: a
-     * turn may be long, and a request may have lain in the system together with the end of its client.
+     * Returns whether the client is still connected. Reads pending data first instead of waiting for the
+     * event loop: a loop iteration may be long, and both a request and the client's close may already be in
+     * the socket buffer.
      */
-    public boolean present() {
+    public boolean readAndCheckConnected() {
         if (upload != null && upload.paused()) {
-            if (owner.now() - unreadSince >= owner.unreadNs()) {
-                unreadTooLong();
+            if (owner.now() - unreadSinceNs >= owner.unreadTimeoutNs()) {
+                rejectUnreadUpload();
             }
         } else if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
@@ -188,8 +196,8 @@
         return channel.isActive();
     }
 
-    private boolean partial() {
-        return partSince != 0;
+    private boolean hasPartialRequest() {
+        return partialSinceNs != 0;
     }
 
     void close() {
@@ -197,105 +205,106 @@
     }
 
     /**
-     * Ends it between requests. Not if one has begun to come that the loop has not come round to read: it
-     * would be lost with the connection, and where it may not run twice its client has to know that it never
-     * ran.
+     * Closes the connection unless a request is in progress. Unread data is read first: an unread request
+     * would be lost with the connection, and for a request that must not run twice the client has to know
+     * that it never ran.
      */
     boolean closeBetweenRequests() {
-        if (present() && (owed() || ending)) {
+        if (readAndCheckConnected() && (hasPendingWork() || closing)) {
             return false;
         }
         channel.close();
         return true;
     }
 
-    /** Ends the connection in the middle of an answer, which tells the client that it is not whole. */
-    public void cutOff() {
+    /** Closes the connection in the middle of a response, so that the client sees it as truncated. */
+    public void abort() {
         channel.close();
     }
 
-    /** Ends a connection that has kept the proxy waiting for longer than the limits allow. */
-    void check(long now, long requestNs, long idleNs) {
-        if (rest != null) {
-            if (now - lastMoved > ANSWER_STALL_NS) {
+    /** Closes the connection if it has exceeded a time limit. */
+    void enforceTimeouts(long now, long requestTimeoutNs, long idleTimeoutNs) {
+        if (responseStream != null) {
+            if (now - lastProgressNs > RESPONSE_STALL_TIMEOUT_NS) {
                 channel.close();
             }
-        } else if (ending) {
-            if (now - endingSince > requestNs && !busy) {
-                channel.close(); // its client does not read what it is told
+        } else if (closing) {
+            if (now - closingSinceNs > requestTimeoutNs && !busy) {
+                channel.close(); // the client does not read the error response
             }
-        } else if (late(now)) {
-            end(408, "the request did not come in time");
-        } else if (idle() && now - idleSince > (used ? idleNs : requestNs)) {
+        } else if (isRequestTooSlow(now)) {
+            closeWithError(408, "request not received in time");
+        } else if (isIdle() && now - idleSinceNs > (used ? idleTimeoutNs : requestTimeoutNs)) {
             closeBetweenRequests();
         }
     }
 
-    /** Has what is coming of a request stopped coming, or does it come too slowly? */
-    private boolean late(long now) {
+    /** Returns whether a partly received request has stalled or is below the minimum rate. */
+    private boolean isRequestTooSlow(long now) {
         if (head == null) {
-            return partial() && now - partSince > HEAD_NS;
+            return hasPartialRequest() && now - partialSinceNs > HEAD_TIMEOUT_NS;
         }
         if (awaitsContinue || upload != null && upload.paused()) {
-            lastCame = now; // it is this side that does not read
-            bodySince = now;
-            received = 0;
+            lastReceivedNs = now; // the proxy itself is not reading
+            rateWindowStartNs = now;
+            rateWindowBytes = 0;
             return false;
         }
-        return now - lastCame > PAUSE_NS || received < (now - bodySince - SLOW_START_NS) / 1e9 * LEAST_RATE;
+        return now - lastReceivedNs > BODY_STALL_TIMEOUT_NS
+                || rateWindowBytes < (now - rateWindowStartNs - BODY_RATE_GRACE_NS) / 1e9 * MIN_BODY_BYTES_PER_S;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (ending) {
+        if (closing) {
             return;
         }
         if (message.decoderResult().isFailure()) {
             boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
-            end(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
+            closeWithError(tooLong ? 431 : 400, tooLong ? "request head too long" : "malformed request");
             return;
         }
         if (message instanceof HttpRequest r && !begin(r)) {
             return;
         }
-        if (message instanceof HttpContent content && !content(content.content())) {
+        if (message instanceof HttpContent content && !onContent(content.content())) {
             return;
         }
         if (message instanceof LastHttpContent) {
             if (upload == null) {
-                add(new Waiting(
-                        Message.whole(head.method(), head.uri(), head.headers(), body),
+                enqueue(new QueuedRequest(
+                        Message.withFullBody(head.method(), head.uri(), head.headers(), body),
                         0,
                         null,
                         owner.receivedAt(),
                         HttpUtil.isKeepAlive(head),
                         head.protocolVersion()));
             } else {
-                Pieces all = upload;
+                BodyStream all = upload;
                 upload = null;
-                all.whole();
-                if (taken != null && taken.rest() == all) {
+                all.complete();
+                if (currentRequest != null && currentRequest.bodyStream() == all) {
                     owner.onRequestComplete(this, owner.receivedAt());
                 }
             }
             head = null;
             body = null;
-            decoder.whole();
+            decoder.endRequest();
         }
     }
 
-    /** Some of a body; false if there is more than there may be. */
-    private boolean content(ByteBuf bytes) {
-        received += bytes.readableBytes();
-        total += bytes.readableBytes();
-        lastCame = owner.now();
-        if (total > Message.MOST_BYTES) {
-            end(413, "the body is too long");
+    /** Handles a part of a body; returns false if the request was rejected. */
+    private boolean onContent(ByteBuf bytes) {
+        rateWindowBytes += bytes.readableBytes();
+        bodyBytes += bytes.readableBytes();
+        lastReceivedNs = owner.now();
+        if (bodyBytes > Message.MAX_BODY_BYTES) {
+            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
             return false;
         }
-        if (upload == null && body.add(bytes) != Body.Added.TAKEN) {
-            upload = new Pieces(() -> channel.config().setAutoRead(true), () -> {});
-            add(new Waiting(
+        if (upload == null && body.add(bytes) != Body.AddResult.TAKEN) {
+            upload = new BodyStream(() -> channel.config().setAutoRead(true), () -> {});
+            enqueue(new QueuedRequest(
                     new Message(
                             head.method(),
                             head.uri(),
@@ -308,213 +317,223 @@
                     owner.receivedAt(),
                     HttpUtil.isKeepAlive(head),
                     head.protocolVersion()));
-            if (ending) {
+            if (closing) {
                 return false;
             }
         }
         if (upload != null && bytes.isReadable() && !upload.add(bytes.retain())) {
-            pause(upload);
+            pauseUpload(upload);
         }
         return true;
     }
 
-    private void pause(Pieces full) {
+    private void pauseUpload(BodyStream full) {
         if (channel.config().isAutoRead()) {
             channel.config().setAutoRead(false);
-            unreadSince = owner.now();
-            if (full.untouched()) {
+            unreadSinceNs = owner.now();
+            if (full.isUnread()) {
                 channel.eventLoop()
                         .schedule(
                                 () -> {
                                     if (upload == full) {
-                                        unreadTooLong(); // not by the clock as well: the two may differ by a little
+                                        rejectUnreadUpload(); // no clock check: it may differ from the timer
                                     }
                                 },
-                                owner.unreadNs(),
+                                owner.unreadTimeoutNs(),
                                 TimeUnit.NANOSECONDS);
             }
         }
     }
 
     /**
-     * The end of a client lies behind all that it sent. Where that is more than can be held nobody knows
-     * whether it still waits, so a request that has not begun to go out by then is turned away, and the rest
-     * is read to see its client go.
+     * Rejects an upload that no attempt has started to send. A client's close is only seen after reading all
+     * that it sent; where that exceeds the buffer, the proxy cannot tell whether the client still waits. The
+     * rest is then read and discarded to detect the close.
      */
-    private void unreadTooLong() {
-        if (!ending && upload.paused() && upload.untouched()) {
-            end(503, "its body is too long to be kept waiting, try again");
+    private void rejectUnreadUpload() {
+        if (!closing && upload.paused() && upload.isUnread()) {
+            closeWithError(503, "request body too large to hold until it is sent, try again");
         }
     }
 
-    /** The head of a request: false if what follows it is not wanted. */
+    /** Handles a request head; returns false if the request was rejected. */
     private boolean begin(HttpRequest r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            end(505, "this is HTTP/1.1");
-        } else if (HttpUtil.getContentLength(r, 0L) > Message.MOST_BYTES) {
-            end(413, "the body is too long"); // not read first: it may be of any length
+            closeWithError(505, "only HTTP/1.0 and HTTP/1.1 are supported");
+        } else if (HttpUtil.getContentLength(r, 0L) > Message.MAX_BODY_BYTES) {
+            // Rejected before reading: the body may be of any length.
+            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
         } else if (r.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(r)) {
-            end(417, "nothing to be expected but 100-continue");
+            closeWithError(417, "unsupported Expect header: only 100-continue is supported");
         } else {
             head = r;
             awaitsContinue = HttpUtil.is100ContinueExpected(r);
-            goOn();
-            body = new Body(owner.budget(), MOST_AWAITED);
-            received = 0;
-            total = 0;
-            bodySince = owner.now();
-            lastCame = bodySince;
+            sendContinueIfAwaited();
+            body = new Body(owner.budget(), MAX_BUFFERED_BODY_BYTES);
+            rateWindowBytes = 0;
+            bodyBytes = 0;
+            rateWindowStartNs = owner.now();
+            lastReceivedNs = rateWindowStartNs;
             return true;
         }
         return false;
     }
 
-    /** Tells a client that asked whether it may send its body, once no answer is due ahead of that. */
-    private void goOn() {
-        if (awaitsContinue && head != null && !busy && line.isEmpty()) {
+    /** Sends 100 Continue if the client awaits it and no earlier response is outstanding. */
+    private void sendContinueIfAwaited() {
+        if (awaitsContinue && head != null && !busy && queue.isEmpty()) {
             awaitsContinue = false;
-            lastCame = owner.now();
+            lastReceivedNs = owner.now();
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private void add(Waiting w) {
-        if (line.size() < MOST_PIPELINED) {
-            line.add(w);
+    private void enqueue(QueuedRequest request) {
+        if (queue.size() < MAX_PIPELINED) {
+            queue.add(request);
         } else {
-            // Whoever sends so many at once is no usual client. None of those in line has been sent on, and
-            // their deadlines would run out in it: each is turned away.
-            String why = "too many requests at once on a connection";
-            List<Waiting> turnedAway = line.stream()
-                    .map(o -> new Waiting(null, 429, why, o.at(), true, o.version()))
+            // Usual clients do not pipeline this many requests. No queued request has been sent on, and their
+            // deadlines would expire in the queue, so all of them are rejected.
+            String reason = "too many pipelined requests on this connection";
+            List<QueuedRequest> rejected = queue.stream()
+                    .map(o -> new QueuedRequest(null, 429, reason, o.receivedAt(), true, o.version()))
                     .toList();
-            forgetLine();
-            line.addAll(turnedAway);
-            end(429, why);
+            clearQueue();
+            queue.addAll(rejected);
+            closeWithError(429, reason);
         }
     }
 
-    /** An error behind what is in line, and then the end. */
-    private void end(int status, String error) {
-        ending = true;
-        endingSince = owner.now();
+    /** Queues an error response behind the queued requests; the connection closes after it. */
+    private void closeWithError(int status, String error) {
+        closing = true;
+        closingSinceNs = owner.now();
         decoder.stop();
-        letGo();
-        partSince = 0;
-        line.add(new Waiting(null, status, error, endingSince, false, HttpVersion.HTTP_1_1));
+        dropPartialRequest();
+        partialSinceNs = 0;
+        queue.add(new QueuedRequest(null, status, error, closingSinceNs, false, HttpVersion.HTTP_1_1));
         if (!busy) {
-            channel.eventLoop().execute(this::next);
+            channel.eventLoop().execute(this::processNext);
         }
     }
 
-    /** What was coming of a request is no request any more. */
-    private void letGo() {
+    /** Discards a request that is not yet complete. */
+    private void dropPartialRequest() {
         if (upload != null) {
-            Pieces cut = upload;
+            BodyStream cut = upload;
             upload = null;
-            cutShort = true;
-            if (taken != null && taken.rest() == cut) {
+            requestIncomplete = true;
+            if (currentRequest != null && currentRequest.bodyStream() == cut) {
                 owner.onRequestAborted(this);
-                taken = null;
+                currentRequest = null;
                 busy = false;
             } else {
-                line.removeIf(w -> w.message() != null && w.message().rest() == cut);
+                queue.removeIf(w -> w.message() != null && w.message().bodyStream() == cut);
             }
             cut.drop();
         }
         if (body != null) {
-            cutShort = true;
+            requestIncomplete = true;
             body.release();
         }
         head = null;
         body = null;
     }
 
-    private void forgetLine() {
-        line.forEach(w -> {
+    private void clearQueue() {
+        queue.forEach(w -> {
             if (w.message() != null) {
                 w.message().release();
             }
         });
-        line.clear();
+        queue.clear();
     }
 
-    /** All that came is seen: only now is it known how many requests were sent at once. */
+    /**
+     * Processing starts only after all available data is read, when the number of pipelined requests is
+     * known.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!ending && decoder.begun()) {
-            // A connection's first request counts from its connecting, however slowly it is sent.
-            partSince = partial() ? partSince : used || busy ? owner.now() : connectedAt;
+        if (!closing && decoder.inRequest()) {
+            // The time limit of a connection's first request starts at connecting, however slowly it is sent.
+            partialSinceNs = hasPartialRequest() ? partialSinceNs : used || busy ? owner.now() : connectedAtNs;
         } else {
-            partSince = 0;
+            partialSinceNs = 0;
         }
-        next();
+        processNext();
     }
 
-    private void next() {
-        while (!busy && !line.isEmpty() && channel.isActive()) {
-            Waiting w = line.poll();
+    private void processNext() {
+        while (!busy && !queue.isEmpty() && channel.isActive()) {
+            QueuedRequest next = queue.poll();
             busy = true;
-            keepAlive = w.keepAlive();
-            version = w.version();
-            if (w.error() == null) {
-                owner.onRequest(this, w.message(), w.at());
+            keepAlive = next.keepAlive();
+            version = next.version();
+            if (next.error() == null) {
+                owner.onRequest(this, next.message(), next.receivedAt());
             } else {
-                answer(w.status(), null, w.error());
+                respond(next.status(), null, next.error());
             }
         }
     }
 
-    /** The final answer to the request in hand; of a client that has gone nothing is written. */
-    public void answer(int status, HttpHeaders headers, byte[] bytes) {
+    /**
+     * Sends the final response to the request in progress; nothing is written if the client has disconnected.
+     */
+    public void respond(int status, HttpHeaders headers, byte[] bytes) {
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
         if (headers != null) {
-            Message.copyAnswer(headers, r.headers());
+            Message.copyResponseHeaders(headers, r.headers());
         }
         HttpUtil.setContentLength(r, bytes.length);
         busy = false;
         boolean last = begin(r, status);
-        ended(channel.writeAndFlush(r), last);
+        afterResponse(channel.writeAndFlush(r), last);
     }
 
-    /** An answer is about to be written: whatever else is to be said in its head; true if it is the last. */
+    /**
+     * Prepares a response head before it is written; returns true if the connection closes after this
+     * response.
+     */
     private boolean begin(HttpResponse r, int status) {
-        used |= taken != null || status == 200;
-        idleSince = owner.now();
-        // Where the rest of its request is still to come, that is read and let go.
-        boolean last = owner.answered(this, status) && line.isEmpty() || !keepAlive;
-        taken = null;
+        used |= currentRequest != null || status == 200;
+        idleSinceNs = owner.now();
+        // With keep-alive, the rest of a partly received request is read and discarded.
+        boolean last = owner.onResponse(this, status) && queue.isEmpty() || !keepAlive;
+        currentRequest = null;
         if (last) {
             r.headers().set(HttpHeaderNames.CONNECTION, "close");
-            cutShort |= head != null;
-            ending = true;
-            endingSince = idleSince;
+            requestIncomplete |= head != null;
+            closing = true;
+            closingSinceNs = idleSinceNs;
             decoder.stop();
         }
         return last;
     }
 
-    private void ended(ChannelFuture written, boolean last) {
-        unwritten++;
-        written.addListener(f -> unwritten--);
+    private void afterResponse(ChannelFuture written, boolean last) {
+        pendingWrites++;
+        written.addListener(f -> pendingWrites--);
         if (last) {
-            written.addListener(f -> finish());
-        } else if (!line.isEmpty()) {
-            channel.eventLoop().execute(this::next);
+            written.addListener(f -> closeAfterResponse());
+        } else if (!queue.isEmpty()) {
+            channel.eventLoop().execute(this::processNext);
         } else {
-            goOn();
+            sendContinueIfAwaited();
         }
     }
 
     /**
-     * The last answer is written. Where more is still to come of a request, closing at once would make the
-     * system reset the connection, and the answer could be lost with it: what comes is dropped for a while.
+     * Closes the connection after its last response. Closing while part of a request is still being received
+     * would make the kernel reset the connection, and the response could be lost: incoming data is discarded
+     * for a while instead.
      */
-    private void finish() {
-        if (cutShort && channel instanceof DuplexChannel duplex && channel.isActive()) {
+    private void closeAfterResponse() {
+        if (requestIncomplete && channel instanceof DuplexChannel duplex && channel.isActive()) {
             channel.config().setAutoRead(true);
             duplex.shutdownOutput();
         } else {
@@ -523,12 +542,12 @@
     }
 
     /**
-     * A final answer whose rest is still to come; done hears whether it went out whole. One that breaks off
-     * ends the connection, which tells the client.
+     * Sends a final response whose body is still being received; onSent gets whether all of it was sent. A
+     * body that breaks off closes the connection, so that the client sees it as truncated.
      */
-    public void answer(HttpResponse from, byte[] first, Pieces answer, Consumer<Boolean> done) {
+    public void respond(HttpResponse from, byte[] first, BodyStream stream, Consumer<Boolean> onSent) {
         DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        Message.copyAnswer(from.headers(), r.headers());
+        Message.copyResponseHeaders(from.headers(), r.headers());
         long length = HttpUtil.getContentLength(from, -1L);
         boolean chunked = length < 0 && version.equals(HttpVersion.HTTP_1_1);
         if (length >= 0) {
@@ -536,62 +555,62 @@
         } else if (chunked) {
             HttpUtil.setTransferEncodingChunked(r, true);
         } else {
-            keepAlive = false; // its end tells where the answer ends
+            keepAlive = false; // the end of the body is marked by closing the connection
         }
-        rest = answer;
-        passed = done;
-        lastAnswer = begin(r, 200);
-        lastMoved = owner.now();
-        writer.ahead(() -> {
+        responseStream = stream;
+        onResponseSent = onSent;
+        lastResponse = begin(r, 200);
+        lastProgressNs = owner.now();
+        writer.writeFirst(() -> {
             channel.write(r);
             channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
         });
-        answer.to(this::pass);
-        pass();
+        stream.setReader(this::forwardResponse);
+        forwardResponse();
     }
 
-    /** Passes on what has come of the answer, as far as the client takes it. */
-    private void pass() {
-        Pieces from = rest;
+    /** Forwards the available part of the response, as far as the client's channel is writable. */
+    private void forwardResponse() {
+        BodyStream from = responseStream;
         if (from == null
-                || !writer.write(channel, from, () -> rest != null, () -> lastMoved = owner.now())
-                || rest == null) {
-            return; // there is none, it is being written, or the flush found the connection closed
+                || !writer.write(channel, from, () -> responseStream != null, () -> lastProgressNs = owner.now())
+                || responseStream == null) {
+            return; // no response, a write in progress, or the flush found the connection closed
         }
-        if (from.taken()) {
-            rest = null;
+        if (from.isFullyRead()) {
+            responseStream = null;
             busy = false;
-            idleSince = owner.now();
-            passed.accept(true);
-            ended(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), lastAnswer);
-        } else if (from.isBroken() && !from.ready()) {
+            idleSinceNs = owner.now();
+            onResponseSent.accept(true);
+            afterResponse(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), lastResponse);
+        } else if (from.isAborted() && !from.hasChunk()) {
             channel.close();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        pass();
+        forwardResponse();
     }
 
-    public void answer(int status, HttpHeaders headers, String text) {
-        answer(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
+    public void respond(int status, HttpHeaders headers, String text) {
+        respond(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         busy = false;
-        ending = true;
-        Pieces cut = rest;
-        rest = null;
+        closing = true;
+        BodyStream cut = responseStream;
+        responseStream = null;
         if (cut != null) {
             cut.drop();
-            passed.accept(false);
+            onResponseSent.accept(false);
         }
-        owner.closed(this);
-        taken = null;
+        owner.onClosed(this);
+        currentRequest = null;
         if (upload != null) {
-            upload.broken();
+            upload.abort();
             upload.drop();
         }
         if (body != null) {
@@ -599,7 +618,7 @@
         }
         upload = null;
         body = null;
-        forgetLine();
+        clearQueue();
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/client/ConnectionPressure.java
+++ b/src/main/java/gullspar/proxy/client/ConnectionPressure.java
@@ -4,43 +4,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts what becomes of clients' connections where there are more than places for them: without it, clients
- * that are turned away before their first byte is read leave no trace.
+ * Counts client connections refused or closed because the connection limit was reached. Without these counts,
+ * clients whose connection is closed before their first byte is read leave no trace in the log.
  */
 final class ConnectionPressure {
     int accepted;
-    /** Closed as they came: all places were busy. */
+    /** Closed on accept: all other connections were busy. */
     int refused;
 
     int requests;
-    private int unused;
-    private int used;
-    private long youngestNs = Long.MAX_VALUE;
+    private int evictedUnused;
+    private int evictedIdle;
+    private long youngestEvictedNs = Long.MAX_VALUE;
 
-    /** One has been closed to make room. */
-    void closed(Client c, long now) {
+    /** Counts a connection closed to make room. */
+    void countEvicted(Client c, long now) {
         if (c.used()) {
-            used++;
+            evictedIdle++;
         } else {
-            unused++;
-            youngestNs = Math.min(youngestNs, now - c.connectedAt);
+            evictedUnused++;
+            youngestEvictedNs = Math.min(youngestEvictedNs, now - c.connectedAtNs);
         }
     }
 
-    /** One line, if places ran out since the last, and all begins anew. */
-    void say(Log log) {
-        if (refused + unused + used > 0) {
-            String youngest =
-                    unused == 0 ? "" : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestNs) + " ms";
-            log.write("too few places for clients: of " + accepted + " accepted " + refused
-                    + " closed at once; closed to make room: " + unused + " with nothing asked" + youngest
-                    + ", " + used + " idle; requests taken: " + requests);
+    /** Logs one line if the limit was reached since the last call, and resets the counts. */
+    void logAndReset(Log log) {
+        if (refused + evictedUnused + evictedIdle > 0) {
+            String youngest = evictedUnused == 0
+                    ? ""
+                    : ", the youngest after " + TimeUnit.NANOSECONDS.toMillis(youngestEvictedNs) + " ms";
+            log.write("client connection limit reached: of " + accepted + " accepted, " + refused
+                    + " closed at once; closed to make room: " + evictedUnused + " without a request" + youngest
+                    + ", " + evictedIdle + " idle; requests accepted: " + requests);
         }
         accepted = 0;
         refused = 0;
         requests = 0;
-        unused = 0;
-        used = 0;
-        youngestNs = Long.MAX_VALUE;
+        evictedUnused = 0;
+        evictedIdle = 0;
+        youngestEvictedNs = Long.MAX_VALUE;
     }
 }
--- a/src/main/java/gullspar/proxy/config/Classes.java
+++ b/src/main/java/gullspar/proxy/config/Classes.java
@@ -7,48 +7,50 @@
 import java.util.Map;
 
 /**
- * The classes that requests may be of, as the configuration last named them. A name keeps its number for as
- * long as the proxy lives, also while no configuration names it, so that what is counted and what the module
- * has learnt of it hold; what a class allows may change, for requests that come from then on.
+ * The classes of requests in the current configuration. A name keeps its index for the lifetime of the proxy,
+ * even while no configuration has it, so that counters and the module's statistics stay valid. The settings
+ * of a class may change, for requests received from then on.
  */
 public final class Classes {
-    /** A class: its number, and what the module is told of it. attempts: so many at the most. */
-    public record Known(int place, String name, Profile profile, int attempts) {}
+    /** A class: its index, name and profile for the module, and its maximum number of attempts. */
+    public record RequestClass(int index, String name, Profile profile, int maxAttempts) {}
 
     private final List<String> names = new ArrayList<>();
     private final List<Profile> profiles = new ArrayList<>();
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, RequestClass> current = new HashMap<>();
 
     public Classes(Config config) {
-        take(config);
+        update(config);
     }
 
-    /** Takes over the classes of a configuration; returns all there ever were, by number, for the module. */
-    public List<Profile> take(Config config) {
-        known.clear();
+    /**
+     * Applies a configuration; returns the profiles of all classes ever configured, by index, for the module.
+     */
+    public List<Profile> update(Config config) {
+        current.clear();
         int attempts = config.settings().maxAttempts();
         for (int i = 0; i < config.classes().size(); i++) {
             String name = config.classes().get(i);
-            Profile p = config.settings().profiles().get(i).withAttempts(attempts);
-            int place = names.indexOf(name);
-            if (place < 0) {
-                place = names.size();
+            Profile p = config.settings().profiles().get(i).withMaxAttempts(attempts);
+            int index = names.indexOf(name);
+            if (index < 0) {
+                index = names.size();
                 names.add(name);
                 profiles.add(p);
             } else {
-                profiles.set(place, p);
+                profiles.set(index, p);
             }
-            known.put(name, new Known(place, name, p, attempts));
+            current.put(name, new RequestClass(index, name, p, attempts));
         }
         return List.copyOf(profiles);
     }
 
-    /** The class of a name; null if the configuration has none. */
-    public Known of(String name) {
-        return known.get(name);
+    /** The class of a name; null if the current configuration has none. */
+    public RequestClass find(String name) {
+        return current.get(name);
     }
 
-    /** The names of all there ever were, by number. */
+    /** The names of all classes ever configured, by index. */
     public List<String> names() {
         return names;
     }
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gullspar.decide.Balancer.ListKind;
-import gullspar.decide.Balancer.Member;
+import gullspar.decide.Balancer.ListedServer;
 import gullspar.decide.Balancer.State;
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Fnv;
@@ -50,7 +50,8 @@
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode entry : instances) {
             boolean isGone = state(entry) == State.GONE;
-            InetSocketAddress address = Config.address(entry.path("hostPort").asText());
+            InetSocketAddress address =
+                    Config.parseAddress(entry.path("hostPort").asText());
             if (entry.path("instanceId").asText().isEmpty() || address == null && !isGone) {
                 throw new IllegalArgumentException("instance without an id or a valid address");
             }
@@ -72,7 +73,7 @@
         for (int i = 0; i < entries.size(); i++) {
             JsonNode entry = entries.get(i);
             list.add(new ListedBackend(
-                    new Member(
+                    new ListedServer(
                             numberOf(entry.path("instanceId").asText()),
                             indexOf(kinds, entry.path("machineType")),
                             state(entry),
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -144,7 +144,7 @@
     /** The source that the platform's configuration names. */
     public static Source source(Config config) {
         return new Source(
-                config.discovery(), config.settings().askForList(), config.known(), config.kinds(), config.zones());
+                config.discovery(), config.settings().listOnRequest(), config.known(), config.kinds(), config.zones());
     }
 
     /** Returns the list known at startup; null if there is none or it is invalid. */
@@ -341,7 +341,7 @@
                 return;
             }
             try {
-                if (parser.between()) {
+                if (parser.isBetweenValues()) {
                     readHeartbeats(bytes);
                 }
                 byte[] chunk = new byte[bytes.readableBytes()];
@@ -350,7 +350,7 @@
                 for (JsonNode list = parser.next(); list != null && watches.contains(this); list = parser.next()) {
                     applyList(list);
                 }
-                if (parser.pending() > MAX_LIST_BYTES) {
+                if (parser.pendingBytes() > MAX_LIST_BYTES) {
                     throw new IOException("list exceeds " + MAX_LIST_BYTES + " bytes");
                 }
             } catch (IOException | IllegalArgumentException e) {
