--- a/src/main/java/gullspar/cli/Versions.java
+++ b/src/main/java/gullspar/cli/Versions.java
@@ -11,7 +11,7 @@
 import gullspar.versions.Version;
 import gullspar.versions.net.ControlClient;
 import gullspar.versions.net.ControlDaemon;
-import gullspar.versions.net.Following;
+import gullspar.versions.net.VersionedSource;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -45,11 +45,11 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
-    private static boolean below(Message.Running r, Version v) {
+    private static boolean below(Message.FollowerState r, Version v) {
         return r.epoch() < v.epoch() || r.epoch() == v.epoch() && r.number() < v.number();
     }
 
-    private static String line(Message.Running r) {
+    private static String line(Message.FollowerState r) {
         String away = r.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", r.awayMs() / 1e3);
         return String.format(
                 Locale.ROOT,
@@ -70,7 +70,7 @@
         try {
             return SiteDaemon.run(
                             follow,
-                            Following.of(file),
+                            VersionedSource.open(file),
                             Policy::new,
                             (f, name, platform, load) -> Membership.start(f, Versions::own, name, platform, load))
                     ? 1
@@ -174,11 +174,11 @@
             try (ControlClient control = new ControlClient(at, PATIENCE_MS)) {
                 long number = after != null
                         ? after
-                        : number(control.ask(new Message.Look(false), Message.Looked.class)
+                        : number(control.request(new Message.StatusRequest(false), Message.StatusResponse.class)
                                 .head());
                 sent = true;
                 Message.Published p =
-                        control.ask(new Message.Publish(number, file.toString(), text), Message.Published.class);
+                        control.request(new Message.Publish(number, file.toString(), text), Message.Published.class);
                 p.lines().forEach(System.err::println);
                 return switch (p.outcome()) {
                     case ACCEPTED, SAME -> until(control, p.head());
@@ -203,9 +203,10 @@
         private int until(ControlClient control, Version v) throws IOException, InterruptedException {
             long end = System.nanoTime() + (long) (wait * 1e9);
             while (true) {
-                Message.Looked l = control.ask(new Message.Look(false), Message.Looked.class);
-                List<Message.Running> missing =
-                        l.all().stream().filter(r -> below(r, v)).toList();
+                Message.StatusResponse l =
+                        control.request(new Message.StatusRequest(false), Message.StatusResponse.class);
+                List<Message.FollowerState> missing =
+                        l.states().stream().filter(r -> below(r, v)).toList();
                 if (missing.isEmpty()) {
                     System.out.println("version " + v + " is in force at all " + l.followers());
                     return 0;
@@ -244,12 +245,13 @@
         public Integer call() {
             InetSocketAddress where = address(spec, "--at", at);
             try (ControlClient control = new ControlClient(where, PATIENCE_MS)) {
-                Message.Looked l = control.ask(new Message.Look(true), Message.Looked.class);
+                Message.StatusResponse l =
+                        control.request(new Message.StatusRequest(true), Message.StatusResponse.class);
                 System.out.println(l.control() + (l.primary() ? ", the primary" : "")
                         + (l.inStep() ? "" : ", which may not know the newest") + ": version "
                         + (l.head() == null ? "none" : l.head()) + " in force at " + l.inForce() + " of "
                         + l.followers());
-                l.all().stream().map(Versions::line).forEach(System.out::println);
+                l.states().stream().map(Versions::line).forEach(System.out::println);
                 return l.inForce() == l.followers() ? 0 : MISSING;
             } catch (IOException e) {
                 System.err.println(at + " does not answer: " + why(e));
--- a/src/main/java/gullspar/versions/Checksum.java
+++ b/src/main/java/gullspar/versions/Checksum.java
@@ -9,11 +9,11 @@
 /** A SHA-256 sum. */
 public final class Checksum {
     /** In bytes. */
-    public static final int LENGTH = 32;
+    public static final int LENGTH_BYTES = 32;
     /** Of nothing: the predecessor of a first version. */
-    public static final Checksum NONE = new Checksum(new byte[LENGTH]);
+    public static final Checksum NONE = new Checksum(new byte[LENGTH_BYTES]);
 
-    private static final int SHOWN = 4;
+    private static final int DISPLAYED_BYTES = 4;
 
     private final byte[] bytes;
 
@@ -22,9 +22,9 @@
     }
 
     /** As it was written; an IllegalArgumentException if its length is another. */
-    public static Checksum read(byte[] bytes) {
-        if (bytes.length != LENGTH) {
-            throw new IllegalArgumentException("a checksum of " + bytes.length + " bytes, not " + LENGTH);
+    public static Checksum fromBytes(byte[] bytes) {
+        if (bytes.length != LENGTH_BYTES) {
+            throw new IllegalArgumentException("a checksum of " + bytes.length + " bytes, not " + LENGTH_BYTES);
         }
         return new Checksum(bytes.clone());
     }
@@ -60,6 +60,6 @@
     /** Its first bytes, for people. */
     @Override
     public String toString() {
-        return HexFormat.of().formatHex(bytes, 0, SHOWN);
+        return HexFormat.of().formatHex(bytes, 0, DISPLAYED_BYTES);
     }
 }
--- a/src/main/java/gullspar/versions/Delta.java
+++ b/src/main/java/gullspar/versions/Delta.java
@@ -22,12 +22,12 @@
      * @param removed how many go
      * @param lines what stands there instead
      */
-    public record Hunk(int at, int removed, List<String> lines) {}
+    public record Hunk(int firstLine, int removed, List<String> lines) {}
 
     /** Middles of more lines than that are replaced as one: comparing them could take seconds. */
-    private static final int MOST_COMPARED = 4000;
+    private static final int MAX_COMPARED_LINES = 4000;
 
-    private static final int HUNK_BYTES = 12;
+    private static final int HUNK_OVERHEAD_BYTES = 12;
 
     /** The change from one text to the version whose text is the other. */
     public static Delta between(String from, Document to) {
@@ -49,13 +49,13 @@
         if (a.isEmpty() && b.isEmpty()) {
             return List.of();
         }
-        if (a.isEmpty() || b.isEmpty() || a.size() + b.size() > MOST_COMPARED) {
+        if (a.isEmpty() || b.isEmpty() || a.size() + b.size() > MAX_COMPARED_LINES) {
             return List.of(new Hunk(at, a.size(), List.copyOf(b)));
         }
         List<Hunk> hunks = new ArrayList<>();
         for (AbstractDelta<String> d :
                 DiffUtils.diff(a, b, new MyersDiffWithLinearSpace<>(), null).getDeltas()) {
-            join(
+            append(
                     hunks,
                     new Hunk(
                             at + d.getSource().getPosition(),
@@ -66,15 +66,15 @@
     }
 
     /** The library tells of lines that go and of those that come in their place one after the other. */
-    private static void join(List<Hunk> hunks, Hunk h) {
+    private static void append(List<Hunk> hunks, Hunk h) {
         Hunk last = hunks.isEmpty() ? null : hunks.get(hunks.size() - 1);
-        if (last == null || last.at + last.removed != h.at) {
+        if (last == null || last.firstLine + last.removed != h.firstLine) {
             hunks.add(h);
             return;
         }
         List<String> lines = new ArrayList<>(last.lines);
         lines.addAll(h.lines);
-        hunks.set(hunks.size() - 1, new Hunk(last.at, last.removed + h.removed, List.copyOf(lines)));
+        hunks.set(hunks.size() - 1, new Hunk(last.firstLine, last.removed + h.removed, List.copyOf(lines)));
     }
 
     private static List<String> lines(String text) {
@@ -89,7 +89,7 @@
             if (!d.to.follows(v)) {
                 throw new MismatchException("version " + d.to + " does not follow " + v);
             }
-            text = d.applied(text);
+            text = d.applyTo(text);
             v = d.to;
         }
         return Document.verified(v, text);
@@ -99,18 +99,18 @@
      * A proxy does this for each change to a text of a million characters: it is copied in pieces, not taken
      * apart into lines. Every line counts as ending in a line feed, and the last one's goes again.
      */
-    private String applied(String from) throws MismatchException {
-        StringBuilder to = new StringBuilder(from.length() + bytes());
+    private String applyTo(String from) throws MismatchException {
+        StringBuilder to = new StringBuilder(from.length() + estimatedBytes());
         int line = 0;
         int start = 0;
         for (Hunk h : hunks) {
-            int at = skip(from, start, h.at - line);
-            copy(from, start, at, to);
+            int at = skipLines(from, start, h.firstLine - line);
+            copyRange(from, start, at, to);
             h.lines.forEach(l -> to.append(l).append('\n'));
-            start = skip(from, at, h.removed);
-            line = h.at + h.removed;
+            start = skipLines(from, at, h.removed);
+            line = h.firstLine + h.removed;
         }
-        copy(from, start, from.length() + 1, to);
+        copyRange(from, start, from.length() + 1, to);
         if (to.length() == 0) {
             throw new MismatchException("a change that leaves no line");
         }
@@ -119,7 +119,7 @@
     }
 
     /** Where so many lines further begin; one past the end of the text behind the last one. */
-    private static int skip(String text, int start, int lines) throws MismatchException {
+    private static int skipLines(String text, int start, int lines) throws MismatchException {
         int at = start;
         for (int i = 0; i < lines && at <= text.length(); i++) {
             int feed = text.indexOf('\n', at);
@@ -134,7 +134,7 @@
         return at;
     }
 
-    private static void copy(String from, int start, int end, StringBuilder to) {
+    private static void copyRange(String from, int start, int end, StringBuilder to) {
         if (start <= from.length()) {
             to.append(from, start, Math.min(end, from.length()));
             if (end > from.length()) {
@@ -144,14 +144,14 @@
     }
 
     /** About how many bytes it takes on the wire, packed: a checksum does not shrink, lines do by half. */
-    public int bytes() {
+    public int estimatedBytes() {
         int lines = 0;
         for (Hunk h : hunks) {
-            lines += HUNK_BYTES;
+            lines += HUNK_OVERHEAD_BYTES;
             for (String line : h.lines) {
                 lines += line.length() + 2;
             }
         }
-        return Checksum.LENGTH + HUNK_BYTES + lines / 2;
+        return Checksum.LENGTH_BYTES + HUNK_OVERHEAD_BYTES + lines / 2;
     }
 }
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -14,7 +14,7 @@
     /** What a follower has done for it; none of it calls back before it returns. */
     public interface Host {
         /** Connect there, by the place in the list of addresses. */
-        void connect(int which);
+        void connect(int controlIndex);
 
         /** End the connection, or the attempt at one. {@link Follower#closed} is not called for that. */
         void disconnect();
@@ -26,10 +26,10 @@
          * {@link Follower#taken}. led: the changes that led there from the one before; empty if it came
          * whole.
          */
-        void take(Document d, List<Delta> led, boolean kept);
+        void apply(Document d, List<Delta> deltas, boolean persisted);
 
         /** A line for the log. */
-        void say(String line);
+        void log(String line);
     }
 
     /**
@@ -41,10 +41,12 @@
      * @param mostNs up to this
      * @param retryNs a document that could not be kept or put in force is tried again so much later
      */
-    public record Settings(long waitNs, long silenceNs, long leastNs, long mostNs, long retryNs) {
-        private static final long MS = 1_000_000L;
+    public record Settings(
+            long startupWaitNs, long silenceTimeoutNs, long initialBackoffNs, long maxBackoffNs, long applyRetryNs) {
+        private static final long NS_PER_MS = 1_000_000L;
         /** As in service. */
-        public static final Settings USUAL = new Settings(3000 * MS, 3500 * MS, 500 * MS, 8000 * MS, 10_000 * MS);
+        public static final Settings DEFAULTS =
+                new Settings(3000 * NS_PER_MS, 3500 * NS_PER_MS, 500 * NS_PER_MS, 8000 * NS_PER_MS, 10_000 * NS_PER_MS);
     }
 
     private enum Connection {
@@ -54,11 +56,11 @@
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long BEAT_NS = 2_000_000_000L;
+    private static final long ACK_INTERVAL_NS = 2_000_000_000L;
     /** A control process in doubt is not gone back to for so long, if there is another. */
-    private static final long DOUBT_NS = 300_000_000_000L;
+    private static final long DOUBT_PERIOD_NS = 300_000_000_000L;
 
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private final String name;
     private final Message.Role role;
@@ -66,37 +68,37 @@
     private final int addresses;
     private final RandomGenerator random;
     private final Host host;
-    private final long[] doubted;
+    private final long[] doubtedAtNs;
 
     private Connection connection = Connection.NONE;
-    private int which;
-    private long connectAt;
+    private int controlIndex;
+    private long reconnectAtNs;
     private int failures;
-    private long lastHeard;
-    private long lastAck;
-    private boolean wanted;
+    private long lastReceivedNs;
+    private long lastAckNs;
+    private boolean snapshotRequested;
     /** On this connection control has said what it has, and this one had it, or has it by now. */
     private boolean caughtUp;
 
-    private Version told;
-    private long startedAt;
+    private Version announced;
+    private long startedAtNs;
     /** Since when the control process is not in step with the primary, or has less than this one. */
-    private long doubtSince = NEVER;
+    private long doubtSinceNs = NEVER;
 
     private Document held;
     /** Changes that led from what was last taken to what is held; null where it came whole. */
-    private List<Delta> led = List.of();
+    private List<Delta> pendingDeltas = List.of();
 
-    private boolean kept;
+    private boolean persisted;
     private boolean mayBeOlder;
     /** The highest that any control process has told of. */
-    private Version highest;
+    private Version highestSeen;
 
-    private boolean decided;
-    private boolean taking;
+    private boolean startDecided;
+    private boolean applying;
     private Version inForce;
     private String trouble = "";
-    private long retryAt;
+    private long retryAtNs;
 
     /** addresses: how many control processes there are, in this follower's order; 1 or more. */
     public Follower(
@@ -107,8 +109,8 @@
         this.addresses = addresses;
         this.random = random;
         this.host = host;
-        this.doubted = new long[addresses];
-        Arrays.fill(doubted, Long.MIN_VALUE);
+        this.doubtedAtNs = new long[addresses];
+        Arrays.fill(doubtedAtNs, Long.MIN_VALUE);
     }
 
     /**
@@ -116,16 +118,16 @@
      * newer one, which is damaged.
      */
     public void start(long now, Document stored, boolean mayBeOlder) {
-        startedAt = now;
+        startedAtNs = now;
         held = stored;
-        kept = stored != null;
+        persisted = stored != null;
         this.mayBeOlder = mayBeOlder;
         connect();
     }
 
     private void connect() {
         connection = Connection.CONNECTING;
-        host.connect(which);
+        host.connect(controlIndex);
     }
 
     // ---- what a connection brings ----
@@ -133,11 +135,11 @@
     /** The connection is there. */
     public void opened(long now) {
         connection = Connection.OPEN;
-        lastHeard = now;
-        doubtSince = NEVER;
-        wanted = false;
+        lastReceivedNs = now;
+        doubtSinceNs = NEVER;
+        snapshotRequested = false;
         caughtUp = false;
-        told = null;
+        announced = null;
         host.send(new Message.Hello(name, role, held == null ? null : held.version()));
         ack(now);
     }
@@ -148,30 +150,31 @@
             return;
         }
         if (connection == Connection.OPEN) {
-            host.say("lost control " + which + ": " + why);
+            host.log("lost control " + controlIndex + ": " + why);
         }
-        next(now);
+        scheduleReconnect(now);
     }
 
     /** Gives a connection up and tries the next address, after a pause that grows with each failure. */
-    private void next(long now) {
+    private void scheduleReconnect(long now) {
         connection = Connection.NONE;
-        which = (which + 1) % addresses;
-        long most = Math.min(settings.mostNs, settings.leastNs << Math.min(failures, MOST_DOUBLINGS));
+        controlIndex = (controlIndex + 1) % addresses;
+        long maxDelayNs =
+                Math.min(settings.maxBackoffNs, settings.initialBackoffNs << Math.min(failures, MAX_DOUBLINGS));
         failures++;
-        connectAt = now + (long) (random.nextDouble() * most);
+        reconnectAtNs = now + (long) (random.nextDouble() * maxDelayNs);
     }
 
-    private void leave(long now, String why) {
-        host.say("leaves control " + which + ": " + why);
-        doubted[which] = now;
+    private void abandon(long now, String why) {
+        host.log("leaves control " + controlIndex + ": " + why);
+        doubtedAtNs[controlIndex] = now;
         host.disconnect();
-        next(now);
+        scheduleReconnect(now);
     }
 
     /** A control process says something. */
     public void received(long now, Message m) {
-        lastHeard = now;
+        lastReceivedNs = now;
         if (m instanceof Message.Head h) {
             head(now, h);
         } else if (m instanceof Message.Update u) {
@@ -180,34 +183,34 @@
     }
 
     /** Some of a message has come. */
-    public void heard(long now) {
-        lastHeard = now;
+    public void partReceived(long now) {
+        lastReceivedNs = now;
     }
 
     private void head(long now, Message.Head h) {
         failures = 0;
-        if (h.head() != null && (highest == null || h.head().order(highest) > 0)) {
-            highest = h.head();
+        if (h.head() != null && (highestSeen == null || h.head().comparePosition(highestSeen) > 0)) {
+            highestSeen = h.head();
         }
         String doubt = h.inStep() ? "" : h.control() + " is out of step with the primary";
-        if (held != null && (h.head() == null || h.head().order(held.version()) < 0)) {
+        if (held != null && (h.head() == null || h.head().comparePosition(held.version()) < 0)) {
             doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this one has "
                     + held.version();
         } else if (held != null
-                && h.head().order(held.version()) == 0
+                && h.head().comparePosition(held.version()) == 0
                 && !h.head().equals(held.version())) {
-            doubt = forked(h.control(), h.head());
+            doubt = forkMessage(h.control(), h.head());
             if (!doubt.equals(trouble)) {
                 trouble = doubt;
                 ack(now);
             }
         }
-        told = h.head();
+        announced = h.head();
         if (doubt.isEmpty()) {
-            doubtSince = NEVER;
+            doubtSinceNs = NEVER;
             if (held != null && h.head() != null && held.version().equals(h.head())) {
                 caughtUp = true;
-                decided = true;
+                startDecided = true;
                 mayBeOlder = false;
                 if (held.version().equals(inForce) && !trouble.isEmpty()) {
                     trouble = "";
@@ -216,27 +219,27 @@
             } else if (h.head() == null) {
                 caughtUp = true; // nobody has any yet
             }
-        } else if (doubtSince == NEVER) {
-            doubtSince = now;
-            host.say("doubts control " + which + ": " + doubt);
+        } else if (doubtSinceNs == NEVER) {
+            doubtSinceNs = now;
+            host.log("doubts control " + controlIndex + ": " + doubt);
         }
-        offer(now);
+        applyIfReady(now);
     }
 
-    private String forked(String who, Version other) {
+    private String forkMessage(String who, Version other) {
         return who + " has another version of the same place: " + other + ", this one has " + held.version()
                 + "; see 'forked' in docs/versions.md";
     }
 
     private void update(long now, Message.Update u) {
-        if (held != null && u.to().order(held.version()) <= 0) {
+        if (held != null && u.to().comparePosition(held.version()) <= 0) {
             if (!u.to().equals(held.version())) {
-                refused(now, "control " + which + " sent " + u.to() + ", this one has " + held.version());
+                refuse(now, "control " + controlIndex + " sent " + u.to() + ", this one has " + held.version());
             }
             return;
         }
-        if (highest == null || u.to().order(highest) > 0) {
-            highest = u.to();
+        if (highestSeen == null || u.to().comparePosition(highestSeen) > 0) {
+            highestSeen = u.to();
         }
         try {
             if (u.deltas().isEmpty()) {
@@ -248,15 +251,15 @@
                 if (!d.version().equals(u.to())) {
                     throw new MismatchException("changes that lead to " + d.version() + ", not to " + u.to());
                 }
-                hold(now, d, u.deltas());
+                accept(now, d, u.deltas());
             }
         } catch (MismatchException e) {
-            host.say("an update of control " + which + " is not used: " + e.getMessage());
-            if (wanted) {
-                leave(now, "its updates do not fit");
+            host.log("an update of control " + controlIndex + " is not used: " + e.getMessage());
+            if (snapshotRequested) {
+                abandon(now, "its updates do not fit");
             } else {
-                wanted = true;
-                host.send(new Message.Want());
+                snapshotRequested = true;
+                host.send(new Message.SnapshotRequest());
             }
         }
     }
@@ -267,70 +270,71 @@
             boolean other = u.ancestor() != null && !u.ancestor().equals(held.version());
             boolean next = u.to().number() == held.version().number() + 1 && !u.to().follows(held.version());
             if (other || next) {
-                refused(now, forked("control " + which, other ? u.ancestor() : u.to()));
+                refuse(now, forkMessage("control " + controlIndex, other ? u.ancestor() : u.to()));
                 return;
             }
         }
-        hold(now, d, null);
+        accept(now, d, null);
     }
 
-    private void refused(long now, String why) {
+    private void refuse(long now, String why) {
         trouble = why;
         ack(now);
-        leave(now, why);
+        abandon(now, why);
     }
 
-    private void hold(long now, Document d, List<Delta> how) {
+    private void accept(long now, Document d, List<Delta> deltas) {
         held = d;
-        kept = false;
+        persisted = false;
         mayBeOlder = false;
-        wanted = false;
-        if (how == null) {
-            led = null;
-        } else if (led != null) {
-            List<Delta> all = new ArrayList<>(led);
-            all.addAll(how);
-            led = all;
+        snapshotRequested = false;
+        if (deltas == null) {
+            pendingDeltas = null;
+        } else if (pendingDeltas != null) {
+            List<Delta> all = new ArrayList<>(pendingDeltas);
+            all.addAll(deltas);
+            pendingDeltas = all;
         }
-        retryAt = now;
-        if (doubtSince == NEVER && (caughtUp || told != null && d.version().order(told) >= 0)) {
+        retryAtNs = now;
+        if (doubtSinceNs == NEVER
+                && (caughtUp || announced != null && d.version().comparePosition(announced) >= 0)) {
             caughtUp = true;
-            decided = true;
+            startDecided = true;
         }
-        offer(now);
+        applyIfReady(now);
     }
 
     // ---- what becomes of a document ----
 
-    private void offer(long now) {
-        if (taking || !decided || held == null || held.version().equals(inForce) || now < retryAt) {
+    private void applyIfReady(long now) {
+        if (applying || !startDecided || held == null || held.version().equals(inForce) || now < retryAtNs) {
             return;
         }
-        taking = true;
-        List<Delta> how = led == null ? List.of() : led;
-        led = List.of();
-        host.take(held, how, kept);
+        applying = true;
+        List<Delta> deltas = pendingDeltas == null ? List.of() : pendingDeltas;
+        pendingDeltas = List.of();
+        host.apply(held, deltas, persisted);
     }
 
     /** That version was kept and is in force, if why is null; else why not, and the one before still is. */
-    public void taken(long now, Version v, String why) {
-        taking = false;
+    public void applied(long now, Version version, String why) {
+        applying = false;
         if (why == null) {
-            inForce = v;
+            inForce = version;
             trouble = "";
         } else {
             trouble = why;
-            led = null; // who keeps a history begins it anew
-            retryAt = now + settings.retryNs;
-            host.say("version " + v + " is not in force: " + why);
+            pendingDeltas = null; // who keeps a history begins it anew
+            retryAtNs = now + settings.applyRetryNs;
+            host.log("version " + version + " is not in force: " + why);
         }
         ack(now);
-        offer(now);
+        applyIfReady(now);
     }
 
     private void ack(long now) {
         if (connection == Connection.OPEN) {
-            lastAck = now;
+            lastAckNs = now;
             host.send(new Message.Ack(inForce, trouble));
         }
     }
@@ -339,35 +343,35 @@
 
     /** To be called every so often, some tenths of a second. */
     public void tick(long now) {
-        if (connection == Connection.NONE && now >= connectAt) {
+        if (connection == Connection.NONE && now >= reconnectAtNs) {
             connect();
-        } else if (connection == Connection.OPEN && now - lastHeard > settings.silenceNs) {
-            leave(now, "silent for " + (now - lastHeard) / 1_000_000 + " ms");
+        } else if (connection == Connection.OPEN && now - lastReceivedNs > settings.silenceTimeoutNs) {
+            abandon(now, "silent for " + (now - lastReceivedNs) / 1_000_000 + " ms");
         } else if (connection == Connection.OPEN
-                && doubtSince != NEVER
-                && now - doubtSince > settings.waitNs
-                && another(now)) {
-            leave(now, "it is in doubt");
-        } else if (connection == Connection.OPEN && now - lastAck >= BEAT_NS) {
+                && doubtSinceNs != NEVER
+                && now - doubtSinceNs > settings.startupWaitNs
+                && hasAlternative(now)) {
+            abandon(now, "it is in doubt");
+        } else if (connection == Connection.OPEN && now - lastAckNs >= ACK_INTERVAL_NS) {
             ack(now);
         }
-        if (!decided && held != null && now - startedAt >= settings.waitNs && !olderIsKnown()) {
-            decided = true;
-            host.say("control did not say in time what is newest: begins with " + held.version()
-                    + (kept ? " of the disk" : "")
+        if (!startDecided && held != null && now - startedAtNs >= settings.startupWaitNs && !isKnownOlder()) {
+            startDecided = true;
+            host.log("control did not say in time what is newest: begins with " + held.version()
+                    + (persisted ? " of the disk" : "")
                     + (mayBeOlder ? ", which may be older than what ran here before" : ""));
         }
-        offer(now);
+        applyIfReady(now);
     }
 
     /** Is it known that what is held is older than what ran here? Then it is not put in force. */
-    private boolean olderIsKnown() {
-        return mayBeOlder && highest != null && highest.order(held.version()) > 0;
+    private boolean isKnownOlder() {
+        return mayBeOlder && highestSeen != null && highestSeen.comparePosition(held.version()) > 0;
     }
 
-    private boolean another(long now) {
+    private boolean hasAlternative(long now) {
         for (int i = 0; i < addresses; i++) {
-            if (i != which && (doubted[i] == Long.MIN_VALUE || now - doubted[i] > DOUBT_NS)) {
+            if (i != controlIndex && (doubtedAtNs[i] == Long.MIN_VALUE || now - doubtedAtNs[i] > DOUBT_PERIOD_NS)) {
                 return true;
             }
         }
@@ -390,20 +394,20 @@
     }
 
     /** The place of the control process in the list of addresses. */
-    public int which() {
-        return which;
+    public int controlIndex() {
+        return controlIndex;
     }
 
     /** Has it all that its control process had, which is itself in step with the primary? */
-    public boolean inStep(long now) {
+    public boolean isInStep(long now) {
         return connection == Connection.OPEN
                 && caughtUp
-                && doubtSince == NEVER
-                && now - lastHeard <= settings.silenceNs;
+                && doubtSinceNs == NEVER
+                && now - lastReceivedNs <= settings.silenceTimeoutNs;
     }
 
     /** Is it connected? */
-    public boolean connected() {
+    public boolean isConnected() {
         return connection == Connection.OPEN;
     }
 }
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -4,39 +4,39 @@
 
 /** What one follower that is connected is to get, one update at a time: the next one tells all since. */
 public final class FollowerUpdates {
-    private final SnapshotSlots turns;
-    private Version has;
-    private boolean greeted;
-    private boolean wants;
+    private final SnapshotSlots slots;
+    private Version sentVersion;
+    private boolean helloReceived;
+    private boolean snapshotRequested;
 
     /** turns: those of the control process, for snapshots. */
     public FollowerUpdates(SnapshotSlots turns) {
-        this.turns = turns;
+        this.slots = turns;
     }
 
     /** It has begun, and has that version; null for none. */
     public void hello(Version v) {
-        has = v;
-        greeted = true;
+        sentVersion = v;
+        helloReceived = true;
     }
 
     /** It could not use what it got. */
-    public void want() {
-        wants = true;
+    public void requestSnapshot() {
+        snapshotRequested = true;
     }
 
     /** Has it a higher version than the history, or another one of the same place? */
-    public boolean beyond(History h) {
-        if (!greeted || has == null) {
+    public boolean isAheadOrForked(History h) {
+        if (!helloReceived || sentVersion == null) {
             return false;
         }
-        History.Kind kind = h.answer(has).kind();
-        return kind == History.Kind.AHEAD || kind == History.Kind.FORKED;
+        History.UpdateKind kind = h.planFor(sentVersion).kind();
+        return kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED;
     }
 
     /** What it has or is on its way to having; null for nothing. */
-    public Version has() {
-        return has;
+    public Version sentVersion() {
+        return sentVersion;
     }
 
     /**
@@ -44,26 +44,27 @@
      * snapshot calls {@link #over} when it has gone.
      */
     public Message.Update next(History h) {
-        if (!greeted || h.head() == null) {
+        if (!helloReceived || h.head() == null) {
             return null;
         }
-        History.Answer a = h.answer(has);
-        if (wants && a.kind() != History.Kind.AHEAD && a.kind() != History.Kind.FORKED) {
-            a = new History.Answer(History.Kind.SNAPSHOT, List.of());
+        History.UpdatePlan a = h.planFor(sentVersion);
+        if (snapshotRequested && a.kind() != History.UpdateKind.AHEAD && a.kind() != History.UpdateKind.FORKED) {
+            a = new History.UpdatePlan(History.UpdateKind.SNAPSHOT, List.of());
         }
         switch (a.kind()) {
             case CHANGES -> {
-                has = h.version();
-                return new Message.Update(has, null, a.deltas(), "");
+                sentVersion = h.version();
+                return new Message.Update(sentVersion, null, a.deltas(), "");
             }
             case SNAPSHOT -> {
-                if (!turns.has(this)) {
+                if (!slots.tryAcquire(this)) {
                     return null;
                 }
-                Version ancestor = has == null ? null : h.at(has);
-                has = h.version();
-                wants = false;
-                return new Message.Update(has, ancestor, a.deltas(), h.head().text());
+                Version ancestor = sentVersion == null ? null : h.versionAt(sentVersion);
+                sentVersion = h.version();
+                snapshotRequested = false;
+                return new Message.Update(
+                        sentVersion, ancestor, a.deltas(), h.head().text());
             }
             default -> {
                 return null;
@@ -72,7 +73,7 @@
     }
 
     /** Its snapshot has gone, or the follower has: the next one that may have its turn, null for none. */
-    public FollowerUpdates over() {
-        return (FollowerUpdates) turns.over(this);
+    public FollowerUpdates releaseSlot() {
+        return (FollowerUpdates) slots.release(this);
     }
 }
--- a/src/main/java/gullspar/versions/History.java
+++ b/src/main/java/gullspar/versions/History.java
@@ -13,7 +13,7 @@
  */
 public final class History {
     /** What a follower that has some version is to get. */
-    public enum Kind {
+    public enum UpdateKind {
         /** Nothing: it has the newest one, or nobody has any. */
         NOTHING,
         /** The changes since. */
@@ -27,30 +27,30 @@
     }
 
     /** What it is to get; the changes, empty but for {@link Kind#CHANGES}. */
-    public record Answer(Kind kind, List<Delta> deltas) {
-        private static Answer of(Kind kind) {
-            return new Answer(kind, List.of());
+    public record UpdatePlan(UpdateKind kind, List<Delta> deltas) {
+        private static UpdatePlan of(UpdateKind kind) {
+            return new UpdatePlan(kind, List.of());
         }
     }
 
     /** Changes of so few bytes are not compared with the whole. */
-    private static final int SMALL = 2048;
+    private static final int ALWAYS_DELTA_BYTES = 2048;
 
-    private final int mostDeltas;
-    private final int mostBytes;
+    private final int maxDeltas;
+    private final int maxBytes;
     private final Deque<Delta> deltas = new ArrayDeque<>();
-    private int bytes;
+    private int totalBytes;
     /** What the oldest change is applied to, or the head where there are none; null for nothing yet. */
     private Version oldest;
 
     private Document head;
     /** Of the head; -1 while nobody has asked. */
-    private int packed = -1;
+    private int compressedBytes = -1;
 
     /** Keeps at most so many changes, of at most so many bytes in all. */
-    public History(int mostDeltas, int mostBytes) {
-        this.mostDeltas = mostDeltas;
-        this.mostBytes = mostBytes;
+    public History(int maxDeltas, int maxBytes) {
+        this.maxDeltas = maxDeltas;
+        this.maxBytes = maxBytes;
     }
 
     /** The newest document; null before the first. */
@@ -72,60 +72,60 @@
      * A newer document, and the changes that led to it from the head; without them, or where they don't fit,
      * the history begins anew. An IllegalArgumentException if it is not newer.
      */
-    public void append(Document next, List<Delta> led) {
-        if (head != null && next.version().order(head.version()) <= 0) {
+    public void append(Document next, List<Delta> newDeltas) {
+        if (head != null && next.version().comparePosition(head.version()) <= 0) {
             throw new IllegalArgumentException(next.version() + " is not newer than " + head.version());
         }
         boolean joined = head != null
-                && !led.isEmpty()
-                && led.get(0).to().follows(head.version())
-                && led.get(led.size() - 1).to().equals(next.version());
+                && !newDeltas.isEmpty()
+                && newDeltas.get(0).to().follows(head.version())
+                && newDeltas.get(newDeltas.size() - 1).to().equals(next.version());
         if (joined) {
-            led.forEach(this::keep);
+            newDeltas.forEach(this::add);
         } else {
             deltas.clear();
-            bytes = 0;
+            totalBytes = 0;
             oldest = next.version();
         }
         head = next;
-        packed = -1;
-        while (deltas.size() > mostDeltas || bytes > mostBytes) {
+        compressedBytes = -1;
+        while (deltas.size() > maxDeltas || totalBytes > maxBytes) {
             Delta d = deltas.removeFirst();
-            bytes -= d.bytes();
+            totalBytes -= d.estimatedBytes();
             oldest = d.to();
         }
     }
 
-    private void keep(Delta d) {
+    private void add(Delta d) {
         deltas.add(d);
-        bytes += d.bytes();
+        totalBytes += d.estimatedBytes();
     }
 
     /** Another one with the same content. */
     public History copy() {
-        History h = new History(mostDeltas, mostBytes);
+        History h = new History(maxDeltas, maxBytes);
         h.deltas.addAll(deltas);
-        h.bytes = bytes;
+        h.totalBytes = totalBytes;
         h.oldest = oldest;
         h.head = head;
         return h;
     }
 
     /** As it was kept on a disk: the head, and the changes that led there as far as they are a chain. */
-    public void restore(Document kept, Version from, List<Delta> led) {
-        head = kept;
-        packed = -1;
-        oldest = kept.version();
+    public void restore(Document document, Version from, List<Delta> storedDeltas) {
+        head = document;
+        compressedBytes = -1;
+        oldest = document.version();
         deltas.clear();
-        bytes = 0;
+        totalBytes = 0;
         Version v = from;
         boolean chain = from != null;
-        for (Delta d : led) {
+        for (Delta d : storedDeltas) {
             chain = chain && d.to().follows(v);
             v = d.to();
         }
-        if (chain && !led.isEmpty() && v.equals(kept.version())) {
-            led.forEach(this::keep);
+        if (chain && !storedDeltas.isEmpty() && v.equals(document.version())) {
+            storedDeltas.forEach(this::add);
             oldest = from;
         }
     }
@@ -136,53 +136,55 @@
     }
 
     /** The version that was at the place of another one; null if that is not known any more. */
-    public Version at(Version place) {
-        if (oldest != null && oldest.order(place) == 0) {
+    public Version versionAt(Version position) {
+        if (oldest != null && oldest.comparePosition(position) == 0) {
             return oldest;
         }
         for (Delta d : deltas) {
-            if (d.to().order(place) == 0) {
+            if (d.to().comparePosition(position) == 0) {
                 return d.to();
             }
         }
-        return head != null && head.version().order(place) == 0 ? head.version() : null;
+        return head != null && head.version().comparePosition(position) == 0 ? head.version() : null;
     }
 
     /** What a follower that has that version gets, null for one that has none. */
-    public Answer answer(Version has) {
+    public UpdatePlan planFor(Version has) {
         if (head == null || head.version().equals(has)) {
-            return Answer.of(has == null || head != null ? Kind.NOTHING : Kind.AHEAD);
+            return UpdatePlan.of(has == null || head != null ? UpdateKind.NOTHING : UpdateKind.AHEAD);
         }
         if (has == null) {
-            return Answer.of(Kind.SNAPSHOT);
+            return UpdatePlan.of(UpdateKind.SNAPSHOT);
         }
-        int order = has.order(head.version());
+        int order = has.comparePosition(head.version());
         if (order > 0) {
-            return Answer.of(Kind.AHEAD);
+            return UpdatePlan.of(UpdateKind.AHEAD);
         }
-        Version mine = at(has);
+        Version mine = versionAt(has);
         if (mine != null && !mine.equals(has)) {
             // A higher epoch is the operators' word that it holds, whatever the former primary wrote.
-            return Answer.of(has.epoch() < head.version().epoch() ? Kind.SNAPSHOT : Kind.FORKED);
+            return UpdatePlan.of(has.epoch() < head.version().epoch() ? UpdateKind.SNAPSHOT : UpdateKind.FORKED);
         }
-        return mine == null ? Answer.of(Kind.SNAPSHOT) : since(has);
+        return mine == null ? UpdatePlan.of(UpdateKind.SNAPSHOT) : planSince(has);
     }
 
-    private Answer since(Version has) {
+    private UpdatePlan planSince(Version has) {
         List<Delta> since = new ArrayList<>();
         int size = 0;
         for (Delta d : deltas) {
-            if (d.to().order(has) > 0) {
+            if (d.to().comparePosition(has) > 0) {
                 since.add(d);
-                size += d.bytes();
+                size += d.estimatedBytes();
             }
         }
-        return size > SMALL && size > packed() ? Answer.of(Kind.SNAPSHOT) : new Answer(Kind.CHANGES, since);
+        return size > ALWAYS_DELTA_BYTES && size > compressedBytes()
+                ? UpdatePlan.of(UpdateKind.SNAPSHOT)
+                : new UpdatePlan(UpdateKind.CHANGES, since);
     }
 
     /** Bytes of the whole on the wire. */
-    private int packed() {
-        if (packed < 0) {
+    private int compressedBytes() {
+        if (compressedBytes < 0) {
             Deflater d = new Deflater();
             d.setInput(head.text().getBytes(StandardCharsets.UTF_8));
             d.finish();
@@ -190,9 +192,9 @@
             while (!d.finished()) {
                 d.deflate(part);
             }
-            packed = (int) d.getBytesWritten();
+            compressedBytes = (int) d.getBytesWritten();
             d.end();
         }
-        return packed;
+        return compressedBytes;
     }
 }
--- a/src/main/java/gullspar/versions/Message.java
+++ b/src/main/java/gullspar/versions/Message.java
@@ -5,9 +5,9 @@
 /** What goes over a connection between followers, control processes and operators' commands. */
 public sealed interface Message {
     /** Characters of the longest name of a follower or of a control process. */
-    int LONGEST_NAME = 64;
+    int MAX_NAME_CHARS = 64;
     /** Characters of the longest reason. */
-    int LONGEST_WHY = 300;
+    int MAX_REASON_CHARS = 300;
 
     /** As what somebody follows. The primary does after a start, to be told what the others have. */
     enum Role {
@@ -32,32 +32,32 @@
     record Update(Version to, Version ancestor, List<Delta> deltas, String text) implements Message {}
 
     /** The follower could not use an update, and asks for a snapshot. */
-    record Want() implements Message {}
+    record SnapshotRequest() implements Message {}
 
     /** What a follower runs, null for nothing; why it does not run a newer one, empty for no trouble. */
     record Ack(Version inForce, String trouble) implements Message {}
 
     /** What a control process knows of its followers, to the primary: those that have changed. */
-    record Report(List<Running> all) implements Message {}
+    record Report(List<FollowerState> states) implements Message {}
 
     /** An operator's change. after: the number that it was written against; 0 for the first. */
-    record Publish(long after, String file, String text) implements Message {}
+    record Publish(long baseNumber, String file, String text) implements Message {}
 
     /** What became of it; head: the newest version, null for none. */
     record Published(Publisher.Outcome outcome, Version head, List<String> lines) implements Message {}
 
     /** An operator asks who runs what; with whole also those in order. */
-    record Look(boolean whole) implements Message {}
+    record StatusRequest(boolean full) implements Message {}
 
     /** control: who answers; primary: is it the primary; all: who runs what. */
-    record Looked(
+    record StatusResponse(
             String control,
             boolean primary,
             boolean inStep,
             Version head,
             int followers,
             int inForce,
-            List<Running> all)
+            List<FollowerState> states)
             implements Message {}
 
     /**
@@ -67,5 +67,6 @@
      * @param awayMs for so long it has not been connected; 0 if it is
      * @param via the control process that it is, or was last, connected to
      */
-    record Running(String name, boolean control, long epoch, long number, String trouble, long awayMs, String via) {}
+    record FollowerState(
+            String name, boolean control, long epoch, long number, String trouble, long awayMs, String via) {}
 }
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -29,41 +29,41 @@
 
     /** document: the next version if it was accepted, else null. */
     public record Decision(Outcome outcome, List<String> lines, Document document) {
-        static Decision no(Outcome o, String line) {
+        static Decision reject(Outcome o, String line) {
             return new Decision(o, List.of(line), null);
         }
     }
 
     private final long epoch;
-    private final Set<String> unheard;
+    private final Set<String> awaited;
     private final Map<String, Version> others = new HashMap<>();
 
     /** others: the names of the other control processes. */
     public Publisher(long epoch, Set<String> others) {
         this.epoch = epoch;
-        this.unheard = new TreeSet<>(others);
+        this.awaited = new TreeSet<>(others);
     }
 
     /**
      * Another control process, or a follower, has that version; null for none. A control process that could
      * give it away is asked for it elsewhere.
      */
-    public void heard(String who, Version has) {
-        unheard.remove(who);
-        if (has != null) {
-            others.put(who, has);
+    public void recordVersion(String name, Version version) {
+        awaited.remove(name);
+        if (version != null) {
+            others.put(name, version);
         }
     }
 
     /** Has every other control process been heard? */
-    public boolean allHeard() {
-        return unheard.isEmpty();
+    public boolean hasAllVersions() {
+        return awaited.isEmpty();
     }
 
     /** Why no change is taken now; null if one is. */
     public String obstacle(History history) {
-        if (!unheard.isEmpty()) {
-            return "not yet heard which version these control processes have: " + String.join(", ", unheard);
+        if (!awaited.isEmpty()) {
+            return "not yet heard which version these control processes have: " + String.join(", ", awaited);
         }
         Version head = history.version();
         if (head != null && head.epoch() > epoch) {
@@ -71,10 +71,10 @@
         }
         for (Map.Entry<String, Version> o : others.entrySet()) {
             Version v = o.getValue();
-            if (v.epoch() >= epoch && (head == null || v.order(head) > 0)) {
+            if (v.epoch() >= epoch && (head == null || v.comparePosition(head) > 0)) {
                 return o.getKey() + " has version " + v + ", this primary only " + (head == null ? "nothing" : head);
             }
-            Version mine = history.at(v);
+            Version mine = history.versionAt(v);
             if (v.epoch() >= epoch && mine != null && !mine.equals(v)) {
                 return o.getKey() + " has another version of the same place: " + v + ", this primary " + mine;
             }
@@ -83,7 +83,7 @@
     }
 
     /** Is this primary sure that nobody has a newer one? */
-    public boolean ready(History history) {
+    public boolean isReady(History history) {
         return obstacle(history) == null;
     }
 
@@ -91,24 +91,24 @@
      * Decides about a change that was written against the version of that number, 0 for the first. An
      * accepted one is yet to be checked and kept; meanwhile no other may be decided about.
      */
-    public Decision begin(long after, String file, String text, History history) {
+    public Decision decide(long baseNumber, String file, String text, History history) {
         String obstacle = obstacle(history);
         if (obstacle != null) {
-            return Decision.no(Outcome.NOT_READY, obstacle);
+            return Decision.reject(Outcome.NOT_READY, obstacle);
         }
         Document head = history.head();
         long number = head == null ? 0 : head.version().number();
-        if (after != number) {
-            return Decision.no(
+        if (baseNumber != number) {
+            return Decision.reject(
                     Outcome.OLDER,
-                    "written against version " + after + ", but "
+                    "written against version " + baseNumber + ", but "
                             + (head == null ? "there is none yet" : head.version() + " came first"));
         }
-        if (text.length() > Document.LONGEST) {
-            return Decision.no(Outcome.WRONG, file + ":1:1: is longer than " + Document.LONGEST + " characters");
+        if (text.length() > Document.MAX_CHARS) {
+            return Decision.reject(Outcome.WRONG, file + ":1:1: is longer than " + Document.MAX_CHARS + " characters");
         }
         if (head != null && head.text().equals(text)) {
-            return Decision.no(Outcome.SAME, "that is version " + head.version() + " already");
+            return Decision.reject(Outcome.SAME, "that is version " + head.version() + " already");
         }
         long highest = number;
         for (Version v : others.values()) {
--- a/src/main/java/gullspar/versions/SnapshotSlots.java
+++ b/src/main/java/gullspar/versions/SnapshotSlots.java
@@ -5,39 +5,41 @@
 
 /** How many followers get a snapshot at the same time; the others wait in the order in which they came. */
 public final class SnapshotSlots {
-    private final int most;
-    private final Set<Object> have = new LinkedHashSet<>();
-    private final Set<Object> wait = new LinkedHashSet<>();
-    private int highest;
+    private final int capacity;
+    private final Set<Object> holders = new LinkedHashSet<>();
+    private final Set<Object> waiting = new LinkedHashSet<>();
+    private int peak;
 
-    public SnapshotSlots(int most) {
-        this.most = most;
+    public SnapshotSlots(int capacity) {
+        this.capacity = capacity;
     }
 
     /** Has it a turn? If not, it waits for one from now on. */
-    public boolean has(Object who) {
-        if (have.contains(who)) {
+    public boolean tryAcquire(Object who) {
+        if (holders.contains(who)) {
             return true;
         }
-        wait.add(who);
-        if (have.size() < most && wait.iterator().next().equals(who)) {
-            wait.remove(who);
-            have.add(who);
-            highest = Math.max(highest, have.size());
+        waiting.add(who);
+        if (holders.size() < capacity && waiting.iterator().next().equals(who)) {
+            waiting.remove(who);
+            holders.add(who);
+            peak = Math.max(peak, holders.size());
             return true;
         }
         return false;
     }
 
     /** It is done, or has gone; the next one that may come, null for none. */
-    public Object over(Object who) {
-        have.remove(who);
-        wait.remove(who);
-        return have.size() < most && !wait.isEmpty() ? wait.iterator().next() : null;
+    public Object release(Object who) {
+        holders.remove(who);
+        waiting.remove(who);
+        return holders.size() < capacity && !waiting.isEmpty()
+                ? waiting.iterator().next()
+                : null;
     }
 
     /** How many had one at once, at the most so far. */
-    public int highest() {
-        return highest;
+    public int peak() {
+        return peak;
     }
 }
--- a/src/main/java/gullspar/versions/Version.java
+++ b/src/main/java/gullspar/versions/Version.java
@@ -21,7 +21,7 @@
 
     /** What its successors name it by: a checksum of all four. */
     public Checksum id() {
-        return Checksum.of(ByteBuffer.allocate(2 * Long.BYTES + 2 * Checksum.LENGTH)
+        return Checksum.of(ByteBuffer.allocate(2 * Long.BYTES + 2 * Checksum.LENGTH_BYTES)
                 .putLong(epoch)
                 .putLong(number)
                 .put(text.bytes())
@@ -30,7 +30,7 @@
     }
 
     /** Below 0 for a lower place than the other's, 0 for the same one, which may be a fork. */
-    public int order(Version other) {
+    public int comparePosition(Version other) {
         return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(number, other.number);
     }
 
--- a/src/main/java/gullspar/versions/file/DiskFolder.java
+++ b/src/main/java/gullspar/versions/file/DiskFolder.java
@@ -23,7 +23,7 @@
     }
 
     /** Takes a folder, which is made if need be; an IOException if another process has it. */
-    public static DiskFolder hold(Path folder) throws IOException {
+    public static DiskFolder open(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel c = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
--- a/src/main/java/gullspar/versions/file/Store.java
+++ b/src/main/java/gullspar/versions/file/Store.java
@@ -2,7 +2,7 @@
 
 import gullspar.versions.Checksum;
 import gullspar.versions.wire.Codec;
-import gullspar.versions.wire.Packing;
+import gullspar.versions.wire.Compression;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -23,20 +23,20 @@
     public static final String NEXT = "next";
     private static final byte[] MAGIC = "gullspar versions 1\n".getBytes(StandardCharsets.US_ASCII);
     /** Written at each change: a quick way, whose result is some tenths longer. */
-    private static final int LEVEL = 1;
+    private static final int COMPRESSION_LEVEL = 1;
 
     /**
      * @param kept the newest that is whole; null for none
      * @param mayBeOlder a newer one was there, and cannot be read
      * @param damage a line for each file that is damaged
      */
-    public record Found(Codec.Kept kept, boolean mayBeOlder, List<String> damage) {}
+    public record Found(Codec.StoredDocument stored, boolean mayBeOlder, List<String> damage) {}
 
     private final Folder folder;
     /** Is the file of that name there and whole, as far as is known? */
-    private boolean current;
+    private boolean hasCurrent;
 
-    private boolean next;
+    private boolean hasNext;
 
     public Store(Folder folder) {
         this.folder = folder;
@@ -45,61 +45,65 @@
     /** What there is; an IOException if the folder cannot be read at all. Changes nothing. */
     public Found read() throws IOException {
         List<String> damage = new ArrayList<>();
-        Codec.Kept best = null;
-        boolean lost = false;
-        boolean former = false;
-        boolean missing = true;
-        current = false;
-        next = false;
+        Codec.StoredDocument best = null;
+        boolean newerLost = false;
+        boolean hasPrevious = false;
+        boolean currentMissing = true;
+        hasCurrent = false;
+        hasNext = false;
         for (String name : List.of(CURRENT, PREVIOUS, NEXT)) {
             byte[] bytes = folder.read(name);
             if (bytes == null) {
                 continue;
             }
             try {
-                Codec.Kept k = kept(bytes);
-                current |= name.equals(CURRENT);
-                former |= name.equals(PREVIOUS);
-                missing &= !name.equals(CURRENT);
-                if (best == null || k.document().version().order(best.document().version()) > 0) {
+                Codec.StoredDocument k = parse(bytes);
+                hasCurrent |= name.equals(CURRENT);
+                hasPrevious |= name.equals(PREVIOUS);
+                currentMissing &= !name.equals(CURRENT);
+                if (best == null
+                        || k.document()
+                                        .version()
+                                        .comparePosition(best.document().version())
+                                > 0) {
                     best = k;
                     // A whole one that was about to become the current one is the newest there was.
-                    lost &= !name.equals(NEXT);
-                    next = name.equals(NEXT);
+                    newerLost &= !name.equals(NEXT);
+                    hasNext = name.equals(NEXT);
                 }
             } catch (IOException e) {
                 // One that is torn while it was written was never in force: that is no loss.
                 if (!name.equals(NEXT)) {
                     damage.add("the file " + name + " is damaged, and is not used: " + e.getMessage());
-                    lost |= name.equals(CURRENT);
+                    newerLost |= name.equals(CURRENT);
                 }
             }
         }
-        lost |= former && missing && !next; // between the two names there was a whole one
-        return new Found(best, lost, damage);
+        newerLost |= hasPrevious && currentMissing && !hasNext; // between the two names there was a whole one
+        return new Found(best, newerLost, damage);
     }
 
-    private static Codec.Kept kept(byte[] bytes) throws IOException {
-        int head = MAGIC.length + Checksum.LENGTH;
+    private static Codec.StoredDocument parse(byte[] bytes) throws IOException {
+        int head = MAGIC.length + Checksum.LENGTH_BYTES;
         if (bytes.length < head || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
             throw new IOException("it does not begin as it must");
         }
         byte[] body = Arrays.copyOfRange(bytes, head, bytes.length);
-        if (!Checksum.of(body).equals(Checksum.read(Arrays.copyOfRange(bytes, MAGIC.length, head)))) {
+        if (!Checksum.of(body).equals(Checksum.fromBytes(Arrays.copyOfRange(bytes, MAGIC.length, head)))) {
             throw new IOException("its checksum is wrong");
         }
-        return Codec.kept(Packing.unpack(body));
+        return Codec.decodeStored(Compression.decompress(body));
     }
 
     /** Keeps a newer one. After an IOException the former one is there, or, whole, this one. */
-    public void keep(Codec.Kept k) throws IOException {
-        if (next) {
+    public void persist(Codec.StoredDocument k) throws IOException {
+        if (hasNext) {
             promote(); // the newest that is whole must not be written over
         }
-        byte[] body = Packing.pack(Codec.encode(k), LEVEL);
+        byte[] body = Compression.compress(Codec.encode(k), COMPRESSION_LEVEL);
         folder.write(
                 NEXT,
-                ByteBuffer.allocate(MAGIC.length + Checksum.LENGTH + body.length)
+                ByteBuffer.allocate(MAGIC.length + Checksum.LENGTH_BYTES + body.length)
                         .put(MAGIC)
                         .put(Checksum.of(body).bytes())
                         .put(body)
@@ -109,13 +113,13 @@
     }
 
     private void promote() throws IOException {
-        next = true;
-        if (current) { // a damaged one must not take the place of one that is whole
+        hasNext = true;
+        if (hasCurrent) { // a damaged one must not take the place of one that is whole
             folder.rename(CURRENT, PREVIOUS);
-            current = false;
+            hasCurrent = false;
         }
         folder.rename(NEXT, CURRENT);
-        current = true;
-        next = false;
+        hasCurrent = true;
+        hasNext = false;
     }
 }
--- a/src/main/java/gullspar/versions/net/ControlClient.java
+++ b/src/main/java/gullspar/versions/net/ControlClient.java
@@ -12,14 +12,14 @@
 /** An operator's command calls a control process. Blocks; an IOException if nothing comes in time. */
 public final class ControlClient implements Closeable {
     private final Socket socket = new Socket();
-    private final Frames.Joined joined = new Frames.Joined(FollowerNode.MOST);
+    private final Frames.Assembler assembler = new Frames.Assembler(FollowerNode.MAX_UPDATE_BYTES);
     private final DataInputStream in;
 
     /** Connects; patienceMs: for that, and for each answer. */
-    public ControlClient(InetSocketAddress at, int patienceMs) throws IOException {
+    public ControlClient(InetSocketAddress at, int timeoutMs) throws IOException {
         try {
-            socket.connect(at, patienceMs);
-            socket.setSoTimeout(patienceMs);
+            socket.connect(at, timeoutMs);
+            socket.setSoTimeout(timeoutMs);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
         } catch (IOException e) {
@@ -29,7 +29,7 @@
     }
 
     /** Sends a message and waits for the next one of that type. */
-    public <T extends Message> T ask(Message m, Class<T> type) throws IOException {
+    public <T extends Message> T request(Message m, Class<T> type) throws IOException {
         for (byte[] f : Frames.of(m)) {
             socket.getOutputStream().write(f);
         }
@@ -40,14 +40,14 @@
             } catch (EOFException e) {
                 throw new IOException("it closed the connection", e);
             }
-            if (length < 2 || length > Frames.MOST) {
+            if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
                 throw new IOException("it does not speak this protocol");
             }
             byte[] frame = new byte[length];
             in.readFully(frame);
-            Message answer = joined.add(frame);
-            if (type.isInstance(answer)) {
-                return type.cast(answer);
+            Message response = assembler.add(frame);
+            if (type.isInstance(response)) {
+                return type.cast(response);
             }
         }
     }
--- a/src/main/java/gullspar/versions/net/ControlDaemon.java
+++ b/src/main/java/gullspar/versions/net/ControlDaemon.java
@@ -24,7 +24,7 @@
     /** Runs until the process ends; an IOException if it cannot listen, or has no use of its folder. */
     public static void run(ControlFile file) throws IOException {
         LibraryLog.install();
-        try (DiskFolder folder = DiskFolder.hold(file.folder())) {
+        try (DiskFolder folder = DiskFolder.open(file.folder())) {
             Store store = new Store(folder);
             Store.Found found = store.read();
             ServingLoop serving = ServingLoop.start();
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -39,23 +39,23 @@
  */
 public final class ControlNode implements Link.Listener {
     private static final String NAME = "[A-Za-z0-9._+-]+";
-    private static final long BEAT_MS = 1000;
-    private static final long REPORT_MS = 50;
-    private static final long SILENT_NS = 10_000_000_000L;
-    private static final int MOST_CHANGES = 1000;
-    private static final int MOST_CHANGES_BYTES = 2 << 20;
-    private static final int MOST_FOLLOWERS = 20_000;
-    private static final int MOST_MISSING = 200;
-    private static final int CONTROL_PACE = 2_000_000;
-    private static final Follower.Settings UPSTREAM = new Follower.Settings(
-            Follower.Settings.USUAL.waitNs(),
-            Follower.Settings.USUAL.silenceNs(),
+    private static final long HEARTBEAT_MS = 1000;
+    private static final long REPORT_DELAY_MS = 50;
+    private static final long SILENCE_TIMEOUT_NS = 10_000_000_000L;
+    private static final int MAX_CHANGES = 1000;
+    private static final int MAX_CHANGES_BYTES = 2 << 20;
+    private static final int MAX_FOLLOWERS = 20_000;
+    private static final int MAX_MISSING = 200;
+    private static final int CONTROL_BYTES_PER_SECOND = 2_000_000;
+    private static final Follower.Settings UPSTREAM_SETTINGS = new Follower.Settings(
+            Follower.Settings.DEFAULTS.startupWaitNs(),
+            Follower.Settings.DEFAULTS.silenceTimeoutNs(),
             200_000_000L,
             2_000_000_000L,
             2_000_000_000L);
     /** A follower that catches up is not to wait: it asks one that has something, or not. */
-    private static final Follower.Settings CATCH_UP =
-            new Follower.Settings(0, Follower.Settings.USUAL.silenceNs(), 200_000_000L, 1_000_000_000L, 1_000_000_000L);
+    private static final Follower.Settings CATCH_UP_SETTINGS = new Follower.Settings(
+            0, Follower.Settings.DEFAULTS.silenceTimeoutNs(), 200_000_000L, 1_000_000_000L, 1_000_000_000L);
 
     private record Change(Link from, Message.Publish publish) {}
 
@@ -65,21 +65,21 @@
     private final ExecutorService worker;
     private final RandomGenerator random;
     private final Publisher.Check check;
-    private final Audience audience;
+    private final FollowerSessions sessions;
     private final Registry registry;
     /** Null but at the primary. */
     private final Publisher publisher;
     /** Null at the primary. */
     private FollowerNode upstream;
     /** At the primary after a start: those that ask the others what they have. */
-    private final Map<String, FollowerNode> asking = new LinkedHashMap<>();
+    private final Map<String, FollowerNode> versionQueries = new LinkedHashMap<>();
 
-    private final Queue<Change> changes = new ArrayDeque<>();
+    private final Queue<Change> pendingChanges = new ArrayDeque<>();
     private final Set<Link> links = new HashSet<>();
-    private boolean busy;
-    private boolean reporting;
-    private int reportedTo;
-    private History history = new History(MOST_CHANGES, MOST_CHANGES_BYTES);
+    private boolean changeInProgress;
+    private boolean reportScheduled;
+    private int reportedConnections;
+    private History history = new History(MAX_CHANGES, MAX_CHANGES_BYTES);
     private Channel listener;
 
     /** store: read and written on the worker only. */
@@ -96,13 +96,13 @@
         this.worker = worker;
         this.random = random;
         this.check = check;
-        this.audience = new Audience(
+        this.sessions = new FollowerSessions(
                 platform.loop(),
                 platform.clock()::now,
-                new Audience.Paces(file.bytesPerSecond(), file.firstBytesPerSecond(), CONTROL_PACE),
+                new FollowerSessions.Rates(file.bytesPerSecond(), file.firstBytesPerSecond(), CONTROL_BYTES_PER_SECOND),
                 file.snapshots(),
                 history);
-        this.registry = new Registry(file.forgetNs(), MOST_FOLLOWERS);
+        this.registry = new Registry(file.forgetNs(), MAX_FOLLOWERS);
         Set<String> others = new HashSet<>(file.controls().keySet());
         others.remove(file.name());
         this.publisher = file.name().equals(file.primary()) ? new Publisher(file.epoch(), others) : null;
@@ -117,8 +117,8 @@
     /** Begins with what its disk has; bound is told when it listens, with null, or why not. On the loop. */
     public void start(Store.Found found, Consumer<String> bound) {
         found.damage().forEach(platform.log()::say);
-        if (found.kept() != null) {
-            Codec.Kept k = found.kept();
+        if (found.stored() != null) {
+            Codec.StoredDocument k = found.stored();
             history.restore(k.document(), k.oldest(), k.deltas());
             platform.log()
                     .say("has version " + history.version() + " and "
@@ -132,7 +132,7 @@
                 .listen(file.controls().get(file.name()), new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Link(ControlNode.this, FollowerNode.MOST));
+                        c.pipeline().addLast(new Link(ControlNode.this, FollowerNode.MAX_UPDATE_BYTES));
                     }
                 });
         f.addListener(done -> {
@@ -141,30 +141,32 @@
                 return;
             }
             listener = AcceptFailures.on(f).channel();
-            begin(found);
-            platform.loop().scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+            startFollowing(found);
+            platform.loop().scheduleWithFixedDelay(this::heartbeat, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             bound.accept(null);
         });
     }
 
-    private void begin(Store.Found found) {
+    private void startFollowing(Store.Found found) {
         if (publisher == null) {
-            upstream = follower(file.primary(), Message.Role.CONTROL, UPSTREAM, m -> {});
+            upstream = follower(file.primary(), Message.Role.CONTROL, UPSTREAM_SETTINGS, m -> {});
             upstream.start(history.head(), found.mayBeOlder());
             return;
         }
-        own();
+        recordOwnVersion();
         for (String other : file.controls().keySet()) {
             if (!other.equals(file.name())) {
-                FollowerNode n = follower(other, Message.Role.PRIMARY, CATCH_UP, m -> told(other, m));
-                asking.put(other, n);
+                FollowerNode n =
+                        follower(other, Message.Role.PRIMARY, CATCH_UP_SETTINGS, m -> versionReported(other, m));
+                versionQueries.put(other, n);
                 n.start(history.head(), false);
             }
         }
-        ready();
+        finishCatchUpIfReady();
     }
 
-    private FollowerNode follower(String of, Message.Role role, Follower.Settings settings, Consumer<Message> heard) {
+    private FollowerNode follower(
+            String of, Message.Role role, Follower.Settings settings, Consumer<Message> messageListener) {
         return new FollowerNode(
                 file.name(),
                 role,
@@ -172,28 +174,28 @@
                 List.of(file.controls().get(of)),
                 platform,
                 random,
-                this::take,
-                heard,
+                this::apply,
+                messageListener,
                 of + ": ");
     }
 
     /** What another control process tells the primary after its start. */
-    private void told(String other, Message m) {
+    private void versionReported(String other, Message m) {
         if (m instanceof Message.Head h) {
-            publisher.heard(other, h.head());
-            ready();
+            publisher.recordVersion(other, h.head());
+            finishCatchUpIfReady();
         }
     }
 
-    private void ready() {
-        if (publisher.ready(history) && !asking.isEmpty()) {
-            List<FollowerNode> done = new ArrayList<>(asking.values());
-            asking.clear();
-            platform.loop().execute(() -> done.forEach(FollowerNode::end));
+    private void finishCatchUpIfReady() {
+        if (publisher.isReady(history) && !versionQueries.isEmpty()) {
+            List<FollowerNode> done = new ArrayList<>(versionQueries.values());
+            versionQueries.clear();
+            platform.loop().execute(() -> done.forEach(FollowerNode::stop));
             platform.log()
                     .say("all control processes are heard: takes changes after "
                             + (history.head() == null ? "nothing" : history.version()));
-            audience.beat(head(), SILENT_NS);
+            sessions.heartbeat(head(), SILENCE_TIMEOUT_NS);
         }
     }
 
@@ -208,26 +210,26 @@
     }
 
     /** Closes the listener and all connections. */
-    public void end() {
+    public void stop() {
         listener.close();
-        List.copyOf(links).forEach(l -> l.end(null));
+        List.copyOf(links).forEach(l -> l.close(null));
         if (upstream != null) {
-            upstream.end();
+            upstream.stop();
         }
-        asking.values().forEach(FollowerNode::end);
+        versionQueries.values().forEach(FollowerNode::stop);
     }
 
     // ---- documents ----
 
     /** A follower of another control process has a newer document: it is kept, then handed on. */
-    private void take(Document d, List<Delta> led, boolean kept, Consumer<String> done) {
-        if (history.head() != null && history.version().order(d.version()) >= 0) {
+    private void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
+        if (history.head() != null && history.version().comparePosition(d.version()) >= 0) {
             done.accept(null); // the one that it began with, or one that came over another connection
             return;
         }
         History next = history.copy();
-        next.append(d, led);
-        keep(next, why -> {
+        next.append(d, deltas);
+        persist(next, why -> {
             if (why == null) {
                 adopt(next);
             }
@@ -235,11 +237,11 @@
         });
     }
 
-    private void keep(History next, Consumer<String> then) {
+    private void persist(History next, Consumer<String> then) {
         worker.execute(() -> {
             String why = null;
             try {
-                store.keep(new Codec.Kept(next.head(), next.oldest(), next.deltas()));
+                store.persist(new Codec.StoredDocument(next.head(), next.oldest(), next.deltas()));
             } catch (IOException e) {
                 why = "it cannot be kept: " + (e.getMessage() == null ? e : e.getMessage());
             }
@@ -249,33 +251,33 @@
     }
 
     private void adopt(History next) {
-        if (history.head() != null && history.version().order(next.version()) >= 0) {
+        if (history.head() != null && history.version().comparePosition(next.version()) >= 0) {
             return;
         }
         history = next;
-        audience.tell(history);
+        sessions.distribute(history);
         if (publisher != null) {
-            own();
-            ready();
+            recordOwnVersion();
+            finishCatchUpIfReady();
         }
     }
 
     /** The primary runs what it has, as far as operators are concerned. */
-    private void own() {
+    private void recordOwnVersion() {
         registry.running(file.name(), true, history.version(), "", file.name());
     }
 
-    private boolean inStep() {
-        return publisher != null ? publisher.ready(history) : upstream != null && upstream.inStep();
+    private boolean isInStep() {
+        return publisher != null ? publisher.isReady(history) : upstream != null && upstream.isInStep();
     }
 
     private Message.Head head() {
-        return new Message.Head(file.name(), history.version(), inStep());
+        return new Message.Head(file.name(), history.version(), isInStep());
     }
 
-    private void beat() {
-        registry.forget(now());
-        audience.beat(head(), SILENT_NS);
+    private void heartbeat() {
+        registry.evictExpired(now());
+        sessions.heartbeat(head(), SILENCE_TIMEOUT_NS);
         report();
     }
 
@@ -283,32 +285,32 @@
 
     private void publish(Link from, Message.Publish p) {
         if (publisher == null) {
-            answer(
+            respond(
                     from,
                     Publisher.Outcome.NOT_PRIMARY,
                     List.of("the primary is " + file.primary() + " at "
                             + NetUtil.toSocketAddressString(file.controls().get(file.primary()))));
-        } else if (changes.size() >= MOST_CHANGES) {
-            answer(from, Publisher.Outcome.NOT_READY, List.of("too many changes wait"));
+        } else if (pendingChanges.size() >= MAX_CHANGES) {
+            respond(from, Publisher.Outcome.NOT_READY, List.of("too many changes wait"));
         } else {
-            changes.add(new Change(from, p));
-            nextChange();
+            pendingChanges.add(new Change(from, p));
+            startNextChange();
         }
     }
 
-    private void nextChange() {
-        Change c = busy ? null : changes.poll();
+    private void startNextChange() {
+        Change c = changeInProgress ? null : pendingChanges.poll();
         if (c == null) {
             return;
         }
         Message.Publish p = c.publish();
-        Publisher.Decision d = publisher.begin(p.after(), p.file(), p.text(), history);
+        Publisher.Decision d = publisher.decide(p.baseNumber(), p.file(), p.text(), history);
         if (d.outcome() != Publisher.Outcome.ACCEPTED) {
-            answer(c.from(), d.outcome(), d.lines());
-            nextChange();
+            respond(c.from(), d.outcome(), d.lines());
+            startNextChange();
             return;
         }
-        busy = true;
+        changeInProgress = true;
         History next = history.copy();
         worker.execute(() -> {
             List<String> problems = new ArrayList<>();
@@ -326,33 +328,33 @@
             }
             platform.loop().execute(() -> {
                 if (problems.isEmpty()) {
-                    keep(next, why -> kept(c, next, why));
+                    persist(next, why -> changePersisted(c, next, why));
                 } else {
-                    over(c, Publisher.Outcome.WRONG, problems);
+                    finishChange(c, Publisher.Outcome.WRONG, problems);
                 }
             });
         });
     }
 
-    private void kept(Change c, History next, String why) {
+    private void changePersisted(Change c, History next, String why) {
         if (why == null) {
             adopt(next);
             platform.log()
                     .say("version " + history.version() + " from " + c.from().peer());
-            over(c, Publisher.Outcome.ACCEPTED, List.of());
+            finishChange(c, Publisher.Outcome.ACCEPTED, List.of());
         } else {
             platform.log().say("a change is refused: " + why);
-            over(c, Publisher.Outcome.FAILED, List.of(why));
+            finishChange(c, Publisher.Outcome.FAILED, List.of(why));
         }
     }
 
-    private void over(Change c, Publisher.Outcome o, List<String> lines) {
-        busy = false;
-        answer(c.from(), o, lines);
-        nextChange();
+    private void finishChange(Change c, Publisher.Outcome o, List<String> lines) {
+        changeInProgress = false;
+        respond(c.from(), o, lines);
+        startNextChange();
     }
 
-    private void answer(Link to, Publisher.Outcome o, List<String> lines) {
+    private void respond(Link to, Publisher.Outcome o, List<String> lines) {
         to.send(new Message.Published(o, history.version(), lines));
     }
 
@@ -364,65 +366,65 @@
     }
 
     @Override
-    public void part(Link l) {
-        audience.heard(l);
+    public void partReceived(Link l) {
+        sessions.recordReceived(l);
     }
 
     @Override
     public void writable(Link l) {
-        audience.writable(l);
+        sessions.writable(l);
     }
 
     @Override
     public void received(Link l, Message m) {
-        audience.heard(l);
+        sessions.recordReceived(l);
         if (m instanceof Message.Hello h) {
-            if (audience.who(l) != null || !h.name().matches(NAME)) {
-                l.end("a greeting that cannot be");
+            if (sessions.helloOf(l) != null || !h.name().matches(NAME)) {
+                l.close("a greeting that cannot be");
                 return;
             }
-            audience.enter(l, h, head());
+            sessions.add(l, h, head());
         } else if (m instanceof Message.Ack a) {
             ack(l, a);
-        } else if (m instanceof Message.Want) {
-            audience.want(l);
+        } else if (m instanceof Message.SnapshotRequest) {
+            sessions.requestSnapshot(l);
         } else if (m instanceof Message.Report r) {
-            r.all().forEach(one -> registry.told(now(), one));
+            r.states().forEach(one -> registry.merge(now(), one));
         } else if (m instanceof Message.Publish p) {
             publish(l, p);
-        } else if (m instanceof Message.Look k) {
-            Registry.Standing s = registry.standing(now(), history.version());
-            List<Message.Running> all = k.whole() ? registry.all(now()) : s.missing();
-            l.send(new Message.Looked(
+        } else if (m instanceof Message.StatusRequest k) {
+            Registry.Progress s = registry.progress(now(), history.version());
+            List<Message.FollowerState> all = k.full() ? registry.all(now()) : s.missing();
+            l.send(new Message.StatusResponse(
                     file.name(),
                     publisher != null,
-                    inStep(),
+                    isInStep(),
                     history.version(),
                     s.followers(),
                     s.inForce(),
-                    k.whole() || all.size() <= MOST_MISSING ? all : all.subList(0, MOST_MISSING)));
+                    k.full() || all.size() <= MAX_MISSING ? all : all.subList(0, MAX_MISSING)));
         }
     }
 
     private void ack(Link l, Message.Ack a) {
-        Message.Hello who = audience.who(l);
+        Message.Hello who = sessions.helloOf(l);
         if (who == null || who.role() == Message.Role.PRIMARY) {
             return;
         }
         registry.running(who.name(), who.role() == Message.Role.CONTROL, a.inForce(), a.trouble(), file.name());
         if (publisher != null && a.inForce() != null) {
-            beyond(who, a);
+            recordIfAheadOrForked(who, a);
         }
-        soon();
+        scheduleReport();
     }
 
     /** A follower that has more than this one, or something else, is heard before a further change. */
-    private void beyond(Message.Hello who, Message.Ack a) {
-        History.Kind kind = history.answer(a.inForce()).kind();
-        if (kind == History.Kind.AHEAD || kind == History.Kind.FORKED) {
-            boolean before = publisher.ready(history);
-            publisher.heard(who.name(), a.inForce());
-            if (before && !publisher.ready(history)) {
+    private void recordIfAheadOrForked(Message.Hello who, Message.Ack a) {
+        History.UpdateKind kind = history.planFor(a.inForce()).kind();
+        if (kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED) {
+            boolean before = publisher.isReady(history);
+            publisher.recordVersion(who.name(), a.inForce());
+            if (before && !publisher.isReady(history)) {
                 platform.log().say("takes no changes: " + publisher.obstacle(history));
             }
         }
@@ -431,55 +433,55 @@
     @Override
     public void closed(Link l, String why) {
         links.remove(l);
-        Message.Hello who = audience.who(l);
-        if (!why.equals(Link.CLOSED)) {
+        Message.Hello who = sessions.helloOf(l);
+        if (!why.equals(Link.CLOSED_BY_PEER)) {
             platform.log().say("closed the connection of " + (who == null ? l.peer() : who.name()) + ": " + why);
         }
-        audience.leave(l);
+        sessions.remove(l);
         if (who == null || who.role() == Message.Role.PRIMARY) {
             return;
         }
-        if (audience.all().stream().noneMatch(h -> h.name().equals(who.name()))) {
-            registry.gone(now(), who.name(), file.name());
+        if (sessions.hellos().stream().noneMatch(h -> h.name().equals(who.name()))) {
+            registry.recordDisconnect(now(), who.name(), file.name());
         }
         if (who.role() == Message.Role.CONTROL) {
-            registry.lost(now(), who.name());
+            registry.recordControlLost(now(), who.name());
         }
-        soon();
+        scheduleReport();
     }
 
     // ---- who runs what ----
 
-    private void soon() {
-        if (upstream != null && !reporting) {
-            reporting = true;
+    private void scheduleReport() {
+        if (upstream != null && !reportScheduled) {
+            reportScheduled = true;
             platform.loop()
                     .schedule(
                             () -> {
-                                reporting = false;
+                                reportScheduled = false;
                                 report();
                             },
-                            REPORT_MS,
+                            REPORT_DELAY_MS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
     private void report() {
-        if (upstream == null || !upstream.follower().connected()) {
+        if (upstream == null || !upstream.follower().isConnected()) {
             return;
         }
-        if (reportedTo != upstream.connections()) { // whoever is there now has heard nothing
-            reportedTo = upstream.connections();
-            registry.retell();
+        if (reportedConnections != upstream.connections()) { // whoever is there now has heard nothing
+            reportedConnections = upstream.connections();
+            registry.markAllChanged();
         }
-        List<Message.Running> news = registry.changes(now());
-        if (!news.isEmpty()) {
-            upstream.send(new Message.Report(news));
+        List<Message.FollowerState> changed = registry.changes(now());
+        if (!changed.isEmpty()) {
+            upstream.send(new Message.Report(changed));
         }
     }
 
     /** Followers that are connected, snapshots begun, and the most of these at once. For measurements. */
-    public long[] figures() {
-        return new long[] {audience.size(), audience.snapshots(), audience.snapshotsAtOnce()};
+    public long[] statistics() {
+        return new long[] {sessions.size(), sessions.snapshotsStarted(), sessions.peakSnapshots()};
     }
 }
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -18,26 +18,26 @@
 /** A {@link Follower} on sockets. All on the platform's loop. */
 public final class FollowerNode implements Follower.Host, Link.Listener {
     /** Keeps a document and puts it in force. */
-    public interface Taker {
+    public interface Applier {
         /** done is called on the loop, with why it is not in force, or null. */
-        void take(Document d, List<Delta> led, boolean kept, Consumer<String> done);
+        void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done);
     }
 
     /** Bytes of the largest update, packed. */
-    static final int MOST = 32 << 20;
+    static final int MAX_UPDATE_BYTES = 32 << 20;
 
-    private static final int CONNECT_MS = 2000;
-    private static final long TICK_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final long TICK_INTERVAL_MS = 100;
 
     private final Platform platform;
     private final List<InetSocketAddress> addresses;
-    private final Taker taker;
-    private final Consumer<Message> heard;
+    private final Applier applier;
+    private final Consumer<Message> messageListener;
     private final Follower follower;
-    private final String says;
+    private final String logPrefix;
     private Link link;
     private Future<?> ticks;
-    private boolean ended;
+    private boolean stopped;
     private int connections;
     private long sent;
     private long received;
@@ -53,14 +53,14 @@
             List<InetSocketAddress> addresses,
             Platform platform,
             RandomGenerator random,
-            Taker taker,
-            Consumer<Message> heard,
-            String says) {
+            Applier applier,
+            Consumer<Message> messageListener,
+            String logPrefix) {
         this.platform = platform;
         this.addresses = addresses;
-        this.taker = taker;
-        this.heard = heard;
-        this.says = says;
+        this.applier = applier;
+        this.messageListener = messageListener;
+        this.logPrefix = logPrefix;
         this.follower = new Follower(name, role, settings, addresses.size(), random, this);
     }
 
@@ -68,7 +68,8 @@
     public void start(Document stored, boolean mayBeOlder) {
         follower.start(now(), stored, mayBeOlder);
         ticks = platform.loop()
-                .scheduleWithFixedDelay(() -> follower.tick(now()), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(
+                        () -> follower.tick(now()), TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private long now() {
@@ -80,8 +81,8 @@
     }
 
     /** Has it all that its control process had, which is itself in step with the primary? */
-    public boolean inStep() {
-        return follower.inStep(now());
+    public boolean isInStep() {
+        return follower.isInStep(now());
     }
 
     /** How many it has had so far. */
@@ -91,7 +92,7 @@
 
     /** Bytes written so far on all its connections. */
     public long sent() {
-        return sent + (link == null ? 0 : link.sent());
+        return sent + (link == null ? 0 : link.sentBytes());
     }
 
     /** Bytes that came so far on all its connections. */
@@ -100,8 +101,8 @@
     }
 
     /** Ends its connection and makes no further one. */
-    public void end() {
-        ended = true;
+    public void stop() {
+        stopped = true;
         if (ticks != null) {
             ticks.cancel(false);
         }
@@ -111,15 +112,15 @@
     // ---- what the follower has done ----
 
     @Override
-    public void connect(int which) {
-        if (ended) {
+    public void connect(int controlIndex) {
+        if (stopped) {
             return;
         }
-        Link mine = new Link(this, MOST);
+        Link mine = new Link(this, MAX_UPDATE_BYTES);
         link = mine;
         Bootstrap bootstrap = platform.transport()
-                .to(addresses.get(which))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .to(addresses.get(controlIndex))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(mine);
         Dial[] dial = new Dial[1];
         dial[0] = Dial.start(bootstrap, platform.loop(), new Dial.Listener() {
@@ -145,13 +146,13 @@
         Link old = link;
         link = null;
         if (old != null) {
-            count(old);
-            old.end(null);
+            addBytes(old);
+            old.close(null);
         }
     }
 
-    private void count(Link old) {
-        sent += old.sent();
+    private void addBytes(Link old) {
+        sent += old.sentBytes();
         received += old.received();
     }
 
@@ -163,18 +164,18 @@
     }
 
     @Override
-    public void take(Document d, List<Delta> led, boolean kept) {
+    public void apply(Document d, List<Delta> deltas, boolean persisted) {
         // Never from within the follower, which is not done yet.
-        taker.take(d, led, kept, why -> platform.loop().execute(() -> {
-            if (!ended) {
-                follower.taken(now(), d.version(), why);
+        applier.apply(d, deltas, persisted, why -> platform.loop().execute(() -> {
+            if (!stopped) {
+                follower.applied(now(), d.version(), why);
             }
         }));
     }
 
     @Override
-    public void say(String line) {
-        platform.log().say(says + line);
+    public void log(String line) {
+        platform.log().say(logPrefix + line);
     }
 
     // ---- what the connection brings ----
@@ -188,9 +189,9 @@
     }
 
     @Override
-    public void part(Link l) {
+    public void partReceived(Link l) {
         if (l == link) {
-            follower.heard(now());
+            follower.partReceived(now());
         }
     }
 
@@ -198,14 +199,14 @@
     public void received(Link l, Message m) {
         if (l == link) {
             follower.received(now(), m);
-            heard.accept(m);
+            messageListener.accept(m);
         }
     }
 
     @Override
     public void closed(Link l, String why) {
         if (l == link) {
-            count(l);
+            addBytes(l);
             link = null;
             follower.closed(now(), why);
         }
--- a/src/main/java/gullspar/versions/net/Audience.java
+++ b/src/main/java/gullspar/versions/net/FollowerSessions.java
@@ -18,145 +18,145 @@
 import java.util.function.LongSupplier;
 
 /** The followers that are connected to a control process, and what is on its way to each, at its pace. */
-final class Audience {
+final class FollowerSessions {
     /** Bytes a second: to a proxy; to one that has nothing yet, so serves nothing; to a control process. */
-    record Paces(int proxy, int first, int control) {}
+    record Rates(int proxy, int first, int control) {}
 
     /** One of them. */
-    private final class Seat {
+    private final class Session {
         private final Link link;
         private final Message.Hello hello;
-        private final FollowerUpdates feed = new FollowerUpdates(turns);
+        private final FollowerUpdates updates = new FollowerUpdates(slots);
         private final Deque<byte[]> frames = new ArrayDeque<>();
-        private RateLimiter pace;
+        private RateLimiter rateLimiter;
         private boolean snapshot;
         private boolean scheduled;
-        private long heardAt = clock.getAsLong();
+        private long receivedAtNs = clock.getAsLong();
 
-        Seat(Link link, Message.Hello hello) {
+        Session(Link link, Message.Hello hello) {
             this.link = link;
             this.hello = hello;
             int bytes = hello.role() != Message.Role.PROXY
-                    ? paces.control
-                    : hello.has() == null ? paces.first : paces.proxy;
-            this.pace = new RateLimiter(bytes, clock.getAsLong());
+                    ? rates.control
+                    : hello.has() == null ? rates.first : rates.proxy;
+            this.rateLimiter = new RateLimiter(bytes, clock.getAsLong());
         }
     }
 
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Paces paces;
-    private final SnapshotSlots turns;
-    private final Map<Link, Seat> seats = new LinkedHashMap<>();
-    private final Map<FollowerUpdates, Seat> byFeed = new LinkedHashMap<>();
+    private final Rates rates;
+    private final SnapshotSlots slots;
+    private final Map<Link, Session> sessions = new LinkedHashMap<>();
+    private final Map<FollowerUpdates, Session> byUpdates = new LinkedHashMap<>();
     private History history;
-    private Version packedTo;
-    private Version packedAncestor;
-    private List<byte[]> packed;
-    private long snapshots;
+    private Version cachedVersion;
+    private Version cachedAncestor;
+    private List<byte[]> cachedFrames;
+    private long snapshotsStarted;
 
     /** turns: how many get a snapshot at once; history: what they are to get. */
-    Audience(EventLoop loop, LongSupplier clock, Paces paces, int turns, History history) {
+    FollowerSessions(EventLoop loop, LongSupplier clock, Rates rates, int slotCount, History history) {
         this.loop = loop;
         this.clock = clock;
-        this.paces = paces;
-        this.turns = new SnapshotSlots(turns);
+        this.rates = rates;
+        this.slots = new SnapshotSlots(slotCount);
         this.history = history;
     }
 
     /** A follower begins; an older connection of the same name ends. */
-    void enter(Link link, Message.Hello hello, Message.Head head) {
-        for (Seat s : List.copyOf(seats.values())) {
+    void add(Link link, Message.Hello hello, Message.Head head) {
+        for (Session s : List.copyOf(sessions.values())) {
             if (s.hello.name().equals(hello.name()) && s.hello.role() == hello.role() && s.link != link) {
-                s.link.end("another connection of " + hello.name());
+                s.link.close("another connection of " + hello.name());
             }
         }
-        Seat s = new Seat(link, hello);
-        seats.put(link, s);
-        byFeed.put(s.feed, s);
-        s.feed.hello(hello.has());
-        beat(s, head);
+        Session s = new Session(link, hello);
+        sessions.put(link, s);
+        byUpdates.put(s.updates, s);
+        s.updates.hello(hello.has());
+        heartbeat(s, head);
         pump(s);
     }
 
     /** Who is at that connection; null for nobody. */
-    Message.Hello who(Link link) {
-        Seat s = seats.get(link);
+    Message.Hello helloOf(Link link) {
+        Session s = sessions.get(link);
         return s == null ? null : s.hello;
     }
 
-    Collection<Message.Hello> all() {
-        return seats.values().stream().map(s -> s.hello).toList();
+    Collection<Message.Hello> hellos() {
+        return sessions.values().stream().map(s -> s.hello).toList();
     }
 
     /** Something came from it. */
-    void heard(Link link) {
-        Seat s = seats.get(link);
+    void recordReceived(Link link) {
+        Session s = sessions.get(link);
         if (s != null) {
-            s.heardAt = clock.getAsLong();
+            s.receivedAtNs = clock.getAsLong();
         }
     }
 
     /** It could not use what it got. */
-    void want(Link link) {
-        Seat s = seats.get(link);
+    void requestSnapshot(Link link) {
+        Session s = sessions.get(link);
         if (s != null) {
-            s.feed.want();
+            s.updates.requestSnapshot();
             pump(s);
         }
     }
 
     /** Its connection has ended. */
-    void leave(Link link) {
-        Seat s = seats.remove(link);
+    void remove(Link link) {
+        Session s = sessions.remove(link);
         if (s != null) {
-            byFeed.remove(s.feed);
-            turn(s.feed.over());
+            byUpdates.remove(s.updates);
+            pumpNext(s.updates.releaseSlot());
         }
     }
 
     /** There is a newer document: everybody gets it. */
-    void tell(History newer) {
+    void distribute(History newer) {
         history = newer;
-        List.copyOf(seats.values()).forEach(this::pump);
+        List.copyOf(sessions.values()).forEach(this::pump);
     }
 
     /** To everybody that nothing is on its way to: what there is. Those long silent are closed. */
-    void beat(Message.Head head, long silentNs) {
+    void heartbeat(Message.Head head, long silentNs) {
         long now = clock.getAsLong();
-        for (Seat s : List.copyOf(seats.values())) {
-            if (now - s.heardAt > silentNs) {
-                s.link.end("silent for " + (now - s.heardAt) / 1_000_000 + " ms");
+        for (Session s : List.copyOf(sessions.values())) {
+            if (now - s.receivedAtNs > silentNs) {
+                s.link.close("silent for " + (now - s.receivedAtNs) / 1_000_000 + " ms");
             } else {
-                beat(s, head);
+                heartbeat(s, head);
             }
         }
     }
 
-    private void beat(Seat s, Message.Head head) {
+    private void heartbeat(Session s, Message.Head head) {
         if (s.frames.isEmpty()) { // frames of two messages must not mix; they are a sign of life themselves
             for (byte[] f : Frames.of(head)) {
                 s.link.write(f);
-                s.pace.spend(clock.getAsLong(), f.length);
+                s.rateLimiter.spend(clock.getAsLong(), f.length);
             }
             s.link.flush();
         }
     }
 
-    private void turn(FollowerUpdates next) {
+    private void pumpNext(FollowerUpdates next) {
         if (next != null) {
-            pump(byFeed.get(next));
+            pump(byUpdates.get(next));
         }
     }
 
     /** Writes what may go out now. */
-    private void pump(Seat s) {
-        if (s == null || s.scheduled || !seats.containsKey(s.link)) {
+    private void pump(Session s) {
+        if (s == null || s.scheduled || !sessions.containsKey(s.link)) {
             return;
         }
-        while (s.link.writable()) {
+        while (s.link.isWritable()) {
             long now = clock.getAsLong();
-            long at = s.pace.readyAt(now);
+            long at = s.rateLimiter.readyAtNs(now);
             if (at > now) { // an update is put together when it may go, so that it tells all since
                 s.scheduled = true;
                 loop.schedule(
@@ -168,18 +168,18 @@
                         TimeUnit.NANOSECONDS);
                 break;
             }
-            if (s.frames.isEmpty() && !fill(s)) {
+            if (s.frames.isEmpty() && !queueNextUpdate(s)) {
                 break;
             }
             byte[] f = s.frames.poll();
             s.link.write(f);
-            s.pace.spend(now, f.length);
+            s.rateLimiter.spend(now, f.length);
             if (s.frames.isEmpty() && s.snapshot) {
                 s.snapshot = false;
                 if (s.hello.role() == Message.Role.PROXY) { // it serves from now on
-                    s.pace = new RateLimiter(paces.proxy, now);
+                    s.rateLimiter = new RateLimiter(rates.proxy, now);
                 }
-                turn(s.feed.over());
+                pumpNext(s.updates.releaseSlot());
             }
         }
         s.link.flush();
@@ -187,46 +187,46 @@
 
     /** More may be written to it again. */
     void writable(Link link) {
-        pump(seats.get(link));
+        pump(sessions.get(link));
     }
 
-    private boolean fill(Seat s) {
-        Message.Update u = s.feed.next(history);
+    private boolean queueNextUpdate(Session s) {
+        Message.Update u = s.updates.next(history);
         if (u == null) {
             return false;
         }
         s.snapshot = u.deltas().isEmpty();
         if (s.snapshot) {
-            snapshots++;
-            s.frames.addAll(pack(u));
+            snapshotsStarted++;
+            s.frames.addAll(snapshotFrames(u));
         } else {
             s.frames.addAll(Frames.of(u));
         }
         return true;
     }
 
-    private List<byte[]> pack(Message.Update u) {
-        boolean same = packed != null
-                && u.to().equals(packedTo)
-                && (u.ancestor() == null ? packedAncestor == null : u.ancestor().equals(packedAncestor));
+    private List<byte[]> snapshotFrames(Message.Update u) {
+        boolean same = cachedFrames != null
+                && u.to().equals(cachedVersion)
+                && (u.ancestor() == null ? cachedAncestor == null : u.ancestor().equals(cachedAncestor));
         if (!same) {
-            packed = Frames.of(u);
-            packedTo = u.to();
-            packedAncestor = u.ancestor();
+            cachedFrames = Frames.of(u);
+            cachedVersion = u.to();
+            cachedAncestor = u.ancestor();
         }
-        return packed;
+        return cachedFrames;
     }
 
     int size() {
-        return seats.size();
+        return sessions.size();
     }
 
     /** Snapshots begun so far, and how many were under way at once, at the most. */
-    long snapshots() {
-        return snapshots;
+    long snapshotsStarted() {
+        return snapshotsStarted;
     }
 
-    int snapshotsAtOnce() {
-        return turns.highest();
+    int peakSnapshots() {
+        return slots.peak();
     }
 }
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -17,7 +17,7 @@
         void opened(Link link);
 
         /** A frame has come that does not end a message. */
-        void part(Link link);
+        void partReceived(Link link);
 
         void received(Link link, Message m);
 
@@ -29,20 +29,20 @@
     }
 
     /** What the listener is told where the other end has closed it, in whatever way. */
-    static final String CLOSED = "the other end closed it";
+    static final String CLOSED_BY_PEER = "the other end closed it";
 
     private final Listener listener;
-    private final Frames.Joined joined;
+    private final Frames.Assembler assembler;
     private Channel channel;
-    private String why = CLOSED;
-    private boolean broken;
-    private long sent;
+    private String closeReason = CLOSED_BY_PEER;
+    private boolean failed;
+    private long sentBytes;
     private long received;
 
     /** mostBytes: of a message that may come, packed. */
-    public Link(Listener listener, int mostBytes) {
+    public Link(Listener listener, int maxBytes) {
         this.listener = listener;
-        this.joined = new Frames.Joined(mostBytes);
+        this.assembler = new Frames.Assembler(maxBytes);
     }
 
     @Override
@@ -54,7 +54,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         super.channelInactive(context);
-        listener.closed(this, why);
+        listener.closed(this, closeReason);
     }
 
     @Override
@@ -66,7 +66,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (broken) { // what still comes would be refused once more, while it is closed
+        if (failed) { // what still comes would be refused once more, while it is closed
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -74,8 +74,8 @@
             return;
         }
         int length = in.getInt(in.readerIndex());
-        if (length < 2 || length > Frames.MOST) {
-            throw new IOException("a frame of " + length + " bytes, " + Frames.MOST + " at the most");
+        if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
+            throw new IOException("a frame of " + length + " bytes, " + Frames.MAX_FRAME_BYTES + " at the most");
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
@@ -84,9 +84,9 @@
         byte[] frame = new byte[length];
         in.readBytes(frame);
         received += Integer.BYTES + length;
-        Message m = joined.add(frame);
+        Message m = assembler.add(frame);
         if (m == null) {
-            listener.part(this);
+            listener.partReceived(this);
         } else {
             listener.received(this, m);
         }
@@ -94,9 +94,9 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        broken = true;
+        failed = true;
         Throwable first = cause.getCause() instanceof IOException ? cause.getCause() : cause;
-        end(first.getMessage() == null ? first.toString() : first.getMessage());
+        close(first.getMessage() == null ? first.toString() : first.getMessage());
     }
 
     /** Writes a message at once. */
@@ -107,7 +107,7 @@
 
     /** Writes a frame; it goes out with the next {@link #flush}. */
     public void write(byte[] frame) {
-        sent += frame.length;
+        sentBytes += frame.length;
         channel.write(Unpooled.wrappedBuffer(frame));
     }
 
@@ -116,13 +116,13 @@
     }
 
     /** Does the other end take what is written? */
-    public boolean writable() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
     /** Bytes written so far, and bytes of whole frames that came, without those of TCP and IP. */
-    public long sent() {
-        return sent;
+    public long sentBytes() {
+        return sentBytes;
     }
 
     public long received() {
@@ -135,9 +135,9 @@
     }
 
     /** Closes it; reason: what the listener is told, null for the usual one. */
-    public void end(String reason) {
+    public void close(String reason) {
         if (reason != null) {
-            why = reason;
+            closeReason = reason;
         }
         if (channel != null) {
             channel.close();
--- a/src/main/java/gullspar/versions/net/SharedDocument.java
+++ b/src/main/java/gullspar/versions/net/SharedDocument.java
@@ -23,15 +23,15 @@
         List<String> problems = new ArrayList<>();
         OperatorsFile own = site.operators();
         if (own.operator() != null) {
-            problems.add(place(file, text, "operator"));
+            problems.add(ownTableProblem(file, text, "operator"));
         }
         if (own.fleet() != null) {
-            problems.add(place(file, text, "fleet"));
+            problems.add(ownTableProblem(file, text, "fleet"));
         }
         return problems;
     }
 
-    private static String place(String file, String text, String table) {
+    private static String ownTableProblem(String file, String text, String table) {
         List<String> lines = text.lines().toList();
         int line = 0;
         while (line < lines.size() - 1 && !lines.get(line).strip().startsWith("[" + table)) {
--- a/src/main/java/gullspar/versions/net/Following.java
+++ b/src/main/java/gullspar/versions/net/VersionedSource.java
@@ -35,7 +35,7 @@
  * A proxy's configuration by its control processes. It has a loop and a worker of its own: reading a large
  * document must not hold up requests.
  */
-public final class Following implements Source {
+public final class VersionedSource implements Source {
     private static final Log LOG = Log.standardError();
 
     private final FollowFile file;
@@ -51,7 +51,7 @@
     /** Completed when the proxy serves. */
     private final CompletableFuture<Taker> proxy = new CompletableFuture<>();
 
-    private Following(FollowFile file, Folder folder) throws IOException {
+    private VersionedSource(FollowFile file, Folder folder) throws IOException {
         this.file = file;
         this.store = new Store(folder);
         this.found = store.read();
@@ -62,27 +62,31 @@
         });
         ServingLoop serving = ServingLoop.start();
         this.loop = serving.loop();
-        Follower.Settings usual = Follower.Settings.USUAL;
+        Follower.Settings usual = Follower.Settings.DEFAULTS;
         this.node = new FollowerNode(
                 file.name(),
                 Message.Role.PROXY,
                 new Follower.Settings(
-                        file.waitNs(), usual.silenceNs(), usual.leastNs(), usual.mostNs(), usual.retryNs()),
-                inOrder(file.name(), file.addresses()),
+                        file.waitNs(),
+                        usual.silenceTimeoutNs(),
+                        usual.initialBackoffNs(),
+                        usual.maxBackoffNs(),
+                        usual.applyRetryNs()),
+                orderAddresses(file.name(), file.addresses()),
                 Platform.of(serving),
                 new SplittableRandom(System.nanoTime()),
-                this::take,
+                this::apply,
                 m -> {},
                 "versions: ");
     }
 
     /** Takes the folder and looks what is there; an IOException if that cannot be. */
-    public static Following of(FollowFile file) throws IOException {
-        return new Following(file, DiskFolder.hold(file.folder()));
+    public static VersionedSource open(FollowFile file) throws IOException {
+        return new VersionedSource(file, DiskFolder.open(file.folder()));
     }
 
     /** The addresses in the order in which a follower of that name tries them. */
-    public static List<InetSocketAddress> inOrder(String name, List<InetSocketAddress> addresses) {
+    public static List<InetSocketAddress> orderAddresses(String name, List<InetSocketAddress> addresses) {
         Map<String, InetSocketAddress> byText = new HashMap<>();
         addresses.forEach(a -> byText.put(NetUtil.toSocketAddressString(a), a));
         return Preference.order(name, List.copyOf(byText.keySet())).stream()
@@ -93,7 +97,7 @@
     @Override
     public Site first() {
         found.damage().forEach(line -> LOG.say("versions: " + line));
-        Document stored = found.kept() == null ? null : found.kept().document();
+        Document stored = found.stored() == null ? null : found.stored().document();
         LOG.say("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
                 + "; asks " + file.addresses().size() + " control processes");
         loop.execute(() -> node.start(stored, found.mayBeOlder()));
@@ -101,15 +105,15 @@
     }
 
     /** Reads the document, keeps it, then puts it in force. */
-    private void take(Document d, List<Delta> led, boolean kept, Consumer<String> done) {
+    private void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
         worker.execute(() -> {
             Site site;
             try {
                 Site shared =
                         SiteReader.parse(d.text(), "version " + d.version().number(), blocks);
                 site = new Site(shared.listeners(), shared.pools(), shared.limits(), shared.forwarded(), file.own());
-                if (!kept) {
-                    store.keep(new Codec.Kept(d, null, List.of()));
+                if (!persisted) {
+                    store.persist(new Codec.StoredDocument(d, null, List.of()));
                 }
             } catch (ProblemsException e) {
                 done.accept("this program cannot use it: "
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -21,7 +21,7 @@
  */
 public final class Codec {
     /** What a disk keeps. oldest: what the first of the changes is applied to. */
-    public record Kept(Document document, Version oldest, List<Delta> deltas) {}
+    public record StoredDocument(Document document, Version oldest, List<Delta> deltas) {}
 
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int HELLO = 1;
@@ -34,7 +34,7 @@
     private static final int PUBLISHED = 8;
     private static final int LOOK = 9;
     private static final int LOOKED = 10;
-    private static final int KEPT = 20;
+    private static final int STORED = 20;
 
     private Codec() {}
 
@@ -60,9 +60,9 @@
     }
 
     /** What is to be kept, as bytes. */
-    public static byte[] encode(Kept k) {
+    public static byte[] encode(StoredDocument k) {
         return bytes(g -> {
-            begin(g, KEPT, 4);
+            begin(g, STORED, 4);
             version(g, k.document().version());
             g.writeString(k.document().text());
             version(g, k.oldest());
@@ -93,18 +93,18 @@
             version(g, u.ancestor());
             deltas(g, u.deltas());
             g.writeString(u.text());
-        } else if (m instanceof Message.Want) {
+        } else if (m instanceof Message.SnapshotRequest) {
             begin(g, WANT, 0);
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, 2);
             version(g, a.inForce());
-            g.writeString(cut(a.trouble()));
+            g.writeString(truncate(a.trouble()));
         } else if (m instanceof Message.Report r) {
             begin(g, REPORT, 1);
-            running(g, r.all());
+            running(g, r.states());
         } else if (m instanceof Message.Publish p) {
             begin(g, PUBLISH, 3);
-            g.writeNumber(p.after());
+            g.writeNumber(p.baseNumber());
             g.writeString(p.file());
             g.writeString(p.text());
         } else if (m instanceof Message.Published p) {
@@ -112,10 +112,10 @@
             g.writeNumber(p.outcome().ordinal());
             version(g, p.head());
             texts(g, p.lines());
-        } else if (m instanceof Message.Look l) {
+        } else if (m instanceof Message.StatusRequest l) {
             begin(g, LOOK, 1);
-            g.writeBoolean(l.whole());
-        } else if (m instanceof Message.Looked l) {
+            g.writeBoolean(l.full());
+        } else if (m instanceof Message.StatusResponse l) {
             begin(g, LOOKED, 7);
             g.writeString(l.control());
             g.writeBoolean(l.primary());
@@ -123,13 +123,13 @@
             version(g, l.head());
             g.writeNumber(l.followers());
             g.writeNumber(l.inForce());
-            running(g, l.all());
+            running(g, l.states());
         }
         g.writeEndArray();
     }
 
-    private static String cut(String why) {
-        return why.length() > Message.LONGEST_WHY ? why.substring(0, Message.LONGEST_WHY) : why;
+    private static String truncate(String why) {
+        return why.length() > Message.MAX_REASON_CHARS ? why.substring(0, Message.MAX_REASON_CHARS) : why;
     }
 
     private static void version(JsonGenerator g, Version v) throws IOException {
@@ -172,7 +172,7 @@
             g.writeStartArray(null, d.hunks().size());
             for (Delta.Hunk h : d.hunks()) {
                 g.writeStartArray(null, 3);
-                g.writeNumber(h.at());
+                g.writeNumber(h.firstLine());
                 g.writeNumber(h.removed());
                 texts(g, h.lines());
                 g.writeEndArray();
@@ -183,15 +183,15 @@
         g.writeEndArray();
     }
 
-    private static void running(JsonGenerator g, List<Message.Running> all) throws IOException {
+    private static void running(JsonGenerator g, List<Message.FollowerState> all) throws IOException {
         g.writeStartArray(null, all.size());
-        for (Message.Running r : all) {
+        for (Message.FollowerState r : all) {
             g.writeStartArray(null, 7);
             g.writeString(r.name());
             g.writeBoolean(r.control());
             g.writeNumber(r.epoch());
             g.writeNumber(r.number());
-            g.writeString(cut(r.trouble()));
+            g.writeString(truncate(r.trouble()));
             g.writeNumber(r.awayMs());
             g.writeString(r.via());
             g.writeEndArray();
@@ -207,10 +207,10 @@
 
     private static <T> T read(byte[] bytes, Reader<T> reader) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes)) {
-            array(p.nextToken());
+            requireArray(p.nextToken());
             T t = reader.read(p, (int) number(p, 0, Integer.MAX_VALUE));
             if (t != null) {
-                end(p);
+                skipToEnd(p);
             }
             return t;
         } catch (IllegalArgumentException e) {
@@ -224,13 +224,13 @@
     }
 
     /** What was kept; an IOException, also for a text that is not its version's, if it is nothing of it. */
-    public static Kept kept(byte[] bytes) throws IOException {
-        Kept k = read(bytes, (p, kind) -> {
-            if (kind != KEPT) {
+    public static StoredDocument decodeStored(byte[] bytes) throws IOException {
+        StoredDocument k = read(bytes, (p, kind) -> {
+            if (kind != STORED) {
                 throw new IOException("a message where a document must be");
             }
-            Document d = new Document(must(version(p)), text(p, Document.LONGEST));
-            return new Kept(d, version(p), deltas(p));
+            Document d = new Document(require(version(p)), text(p, Document.MAX_CHARS));
+            return new StoredDocument(d, version(p), deltas(p));
         });
         if (!Checksum.of(k.document().text()).equals(k.document().version().text())) {
             throw new IOException("the text does not have the checksum of version "
@@ -241,16 +241,17 @@
 
     private static Message message(JsonParser p, int kind) throws IOException {
         return switch (kind) {
-            case HELLO -> new Message.Hello(name(p), one(p, Message.Role.values()), version(p));
+            case HELLO -> new Message.Hello(name(p), enumValue(p, Message.Role.values()), version(p));
             case HEAD -> new Message.Head(name(p), version(p), flag(p));
-            case UPDATE -> new Message.Update(must(version(p)), version(p), deltas(p), text(p, Document.LONGEST));
-            case WANT -> new Message.Want();
-            case ACK -> new Message.Ack(version(p), text(p, Message.LONGEST_WHY));
+            case UPDATE -> new Message.Update(require(version(p)), version(p), deltas(p), text(p, Document.MAX_CHARS));
+            case WANT -> new Message.SnapshotRequest();
+            case ACK -> new Message.Ack(version(p), text(p, Message.MAX_REASON_CHARS));
             case REPORT -> new Message.Report(running(p));
-            case PUBLISH -> new Message.Publish(number(p, 0, Long.MAX_VALUE), text(p, 4096), text(p, Document.LONGEST));
-            case PUBLISHED -> new Message.Published(one(p, Publisher.Outcome.values()), version(p), texts(p));
-            case LOOK -> new Message.Look(flag(p));
-            case LOOKED -> new Message.Looked(
+            case PUBLISH -> new Message.Publish(
+                    number(p, 0, Long.MAX_VALUE), text(p, 4096), text(p, Document.MAX_CHARS));
+            case PUBLISHED -> new Message.Published(enumValue(p, Publisher.Outcome.values()), version(p), texts(p));
+            case LOOK -> new Message.StatusRequest(flag(p));
+            case LOOKED -> new Message.StatusResponse(
                     name(p),
                     flag(p),
                     flag(p),
@@ -262,14 +263,14 @@
         };
     }
 
-    private static void array(JsonToken t) throws IOException {
+    private static void requireArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
             throw new IOException("no array where one must be");
         }
     }
 
     /** Passes over what a newer version has put behind. */
-    private static void end(JsonParser p) throws IOException {
+    private static void skipToEnd(JsonParser p) throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t == null) {
                 throw new IOException("the message ends in the middle");
@@ -278,18 +279,18 @@
         }
     }
 
-    private static long number(JsonParser p, long least, long most) throws IOException {
+    private static long number(JsonParser p, long min, long max) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IOException("no number where one must be");
         }
         long n = p.getLongValue();
-        if (n < least || n > most) {
+        if (n < min || n > max) {
             throw new IOException("a number out of its bounds: " + n);
         }
         return n;
     }
 
-    private static <E> E one(JsonParser p, E[] all) throws IOException {
+    private static <E> E enumValue(JsonParser p, E[] all) throws IOException {
         return all[(int) number(p, 0, all.length - 1)];
     }
 
@@ -301,22 +302,22 @@
         return t == JsonToken.VALUE_TRUE;
     }
 
-    private static String text(JsonParser p, int most) throws IOException {
+    private static String text(JsonParser p, int maxChars) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
             throw new IOException("no text where one must be");
         }
         String t = p.getText();
-        if (t.length() > most) {
-            throw new IOException("a text of " + t.length() + " characters, " + most + " at the most");
+        if (t.length() > maxChars) {
+            throw new IOException("a text of " + t.length() + " characters, " + maxChars + " at the most");
         }
         return t;
     }
 
     private static String name(JsonParser p) throws IOException {
-        return text(p, Message.LONGEST_NAME);
+        return text(p, Message.MAX_NAME_CHARS);
     }
 
-    private static Version must(Version v) throws IOException {
+    private static Version require(Version v) throws IOException {
         if (v == null) {
             throw new IOException("no version where one must be");
         }
@@ -332,7 +333,7 @@
         if (t != JsonToken.VALUE_EMBEDDED_OBJECT) {
             throw new IOException("no checksum where one must be");
         }
-        return Checksum.read(p.getBinaryValue());
+        return Checksum.fromBytes(p.getBinaryValue());
     }
 
     private static Version version(JsonParser p) throws IOException {
@@ -345,18 +346,18 @@
         if (t == JsonToken.VALUE_NULL) {
             return null;
         }
-        array(t);
+        requireArray(t);
         long epoch = number(p, 1, Long.MAX_VALUE);
         long number = number(p, 1, Long.MAX_VALUE);
         Checksum text = checksum(p, null);
         Version v = new Version(epoch, number, text, checksum(p, before));
-        end(p);
+        skipToEnd(p);
         return v;
     }
 
     private static List<String> texts(JsonParser p) throws IOException {
         List<String> all = new ArrayList<>();
-        array(p.nextToken());
+        requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
                 throw new IOException("no text where one must be");
@@ -368,44 +369,44 @@
 
     private static List<Delta> deltas(JsonParser p) throws IOException {
         List<Delta> all = new ArrayList<>();
-        array(p.nextToken());
+        requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            requireArray(t);
             all.add(new Delta(
-                    must(version(
+                    require(version(
                             p, all.isEmpty() ? null : all.get(all.size() - 1).to())),
                     hunks(p)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
 
     private static List<Delta.Hunk> hunks(JsonParser p) throws IOException {
         List<Delta.Hunk> all = new ArrayList<>();
-        array(p.nextToken());
+        requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            requireArray(t);
             all.add(new Delta.Hunk(
                     (int) number(p, 0, Integer.MAX_VALUE), (int) number(p, 0, Integer.MAX_VALUE), texts(p)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
 
-    private static List<Message.Running> running(JsonParser p) throws IOException {
-        List<Message.Running> all = new ArrayList<>();
-        array(p.nextToken());
+    private static List<Message.FollowerState> running(JsonParser p) throws IOException {
+        List<Message.FollowerState> all = new ArrayList<>();
+        requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
-            all.add(new Message.Running(
+            requireArray(t);
+            all.add(new Message.FollowerState(
                     name(p),
                     flag(p),
                     number(p, 0, Long.MAX_VALUE),
                     number(p, 0, Long.MAX_VALUE),
-                    text(p, Message.LONGEST_WHY),
+                    text(p, Message.MAX_REASON_CHARS),
                     number(p, 0, Long.MAX_VALUE / 4_000_000),
                     name(p)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
--- a/src/main/java/gullspar/versions/wire/Packing.java
+++ b/src/main/java/gullspar/versions/wire/Compression.java
@@ -8,28 +8,28 @@
 import java.util.zip.Inflater;
 
 /** Bytes, compressed (RFC 1951) where that makes them fewer: one byte says which; then, if so, the length. */
-public final class Packing {
+public final class Compression {
     /** In bytes, unpacked; more is refused. */
-    public static final int MOST = 64 << 20;
+    public static final int MAX_DECOMPRESSED_BYTES = 64 << 20;
     /** Fewer are not worth it. */
-    private static final int LEAST = 200;
+    private static final int MIN_COMPRESSED_BYTES = 200;
 
-    private static final int HEAD = 1 + Integer.BYTES;
+    private static final int HEADER_BYTES = 1 + Integer.BYTES;
 
-    private Packing() {}
+    private Compression() {}
 
     /** Packed as well as the level says, 1 to 9. */
-    public static byte[] pack(byte[] plain, int level) {
-        if (plain.length >= LEAST) {
+    public static byte[] compress(byte[] plain, int level) {
+        if (plain.length >= MIN_COMPRESSED_BYTES) {
             Deflater d = new Deflater(level, true);
             try {
                 byte[] out = new byte[plain.length];
                 d.setInput(plain);
                 d.finish();
-                int n = d.deflate(out, HEAD, out.length - HEAD);
+                int n = d.deflate(out, HEADER_BYTES, out.length - HEADER_BYTES);
                 if (d.finished()) {
                     ByteBuffer.wrap(out).put((byte) 1).putInt(plain.length);
-                    return Arrays.copyOf(out, HEAD + n);
+                    return Arrays.copyOf(out, HEADER_BYTES + n);
                 }
             } finally {
                 d.end();
@@ -39,21 +39,21 @@
     }
 
     /** An IOException for bytes that were not packed so. */
-    public static byte[] unpack(byte[] packed) throws IOException {
+    public static byte[] decompress(byte[] packed) throws IOException {
         if (packed.length > 0 && packed[0] == 0) {
             return Arrays.copyOfRange(packed, 1, packed.length);
         }
-        if (packed.length < HEAD || packed[0] != 1) {
+        if (packed.length < HEADER_BYTES || packed[0] != 1) {
             throw new IOException("bytes that are packed in no known way");
         }
         int length = ByteBuffer.wrap(packed).getInt(1);
-        if (length < 0 || length > MOST) {
-            throw new IOException("a message of " + length + " bytes, " + MOST + " at the most");
+        if (length < 0 || length > MAX_DECOMPRESSED_BYTES) {
+            throw new IOException("a message of " + length + " bytes, " + MAX_DECOMPRESSED_BYTES + " at the most");
         }
         Inflater i = new Inflater(true);
         try {
             byte[] out = new byte[length];
-            i.setInput(packed, HEAD, packed.length - HEAD);
+            i.setInput(packed, HEADER_BYTES, packed.length - HEADER_BYTES);
             int n = i.inflate(out);
             if (n != length || !i.finished() && i.inflate(new byte[1]) != 0) {
                 throw new IOException("a message of another length than it says");
--- a/src/main/java/gullspar/versions/wire/Frames.java
+++ b/src/main/java/gullspar/versions/wire/Frames.java
@@ -13,19 +13,19 @@
  */
 public final class Frames {
     /** Bytes of a frame, its length not counted, at the most. */
-    public static final int MOST = 2048;
+    public static final int MAX_FRAME_BYTES = 2048;
 
-    private static final int LEVEL = 6;
+    private static final int COMPRESSION_LEVEL = 6;
 
     private Frames() {}
 
     /** The frames of a message, each as it goes out. */
     public static List<byte[]> of(Message m) {
-        byte[] packed = Packing.pack(Codec.encode(m), LEVEL);
-        List<byte[]> frames = new ArrayList<>(1 + packed.length / MOST);
+        byte[] packed = Compression.compress(Codec.encode(m), COMPRESSION_LEVEL);
+        List<byte[]> frames = new ArrayList<>(1 + packed.length / MAX_FRAME_BYTES);
         int at = 0;
         do {
-            int n = Math.min(MOST - 1, packed.length - at);
+            int n = Math.min(MAX_FRAME_BYTES - 1, packed.length - at);
             boolean last = at + n == packed.length;
             frames.add(ByteBuffer.allocate(Integer.BYTES + 1 + n)
                     .putInt(1 + n)
@@ -38,13 +38,13 @@
     }
 
     /** Puts what comes together again; one for each connection. */
-    public static final class Joined {
+    public static final class Assembler {
         private final ByteArrayOutputStream parts = new ByteArrayOutputStream();
-        private final int most;
+        private final int maxBytes;
 
         /** A message may have at most so many bytes, packed. */
-        public Joined(int most) {
-            this.most = most;
+        public Assembler(int maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
         /**
@@ -55,8 +55,8 @@
             if (frame.length < 2 || frame[0] != 0 && frame[0] != 1) {
                 throw new IOException("a frame that cannot be");
             }
-            if (parts.size() + frame.length > most) {
-                throw new IOException("a message of more than " + most + " bytes");
+            if (parts.size() + frame.length > maxBytes) {
+                throw new IOException("a message of more than " + maxBytes + " bytes");
             }
             parts.write(frame, 1, frame.length - 1);
             if (frame[0] == 0) {
@@ -64,7 +64,7 @@
             }
             byte[] whole = parts.toByteArray();
             parts.reset();
-            return Codec.decode(Packing.unpack(whole));
+            return Codec.decode(Compression.decompress(whole));
         }
     }
 }
--- a/src/test/java/gullspar/versions/FollowerTest.java
+++ b/src/test/java/gullspar/versions/FollowerTest.java
@@ -39,13 +39,13 @@
         }
 
         @Override
-        public void take(Document d, List<Delta> how, boolean kept) {
+        public void apply(Document d, List<Delta> how, boolean kept) {
             taken.add(d);
             led.add(how);
         }
 
         @Override
-        public void say(String line) {
+        public void log(String line) {
             said.add(line);
         }
     }
@@ -53,7 +53,7 @@
     private final Host host = new Host();
     private final List<Document> all = Chain.of(12, 100);
     private final Follower follower =
-            new Follower("p", Message.Role.PROXY, Follower.Settings.USUAL, 3, new SplittableRandom(1), host);
+            new Follower("p", Message.Role.PROXY, Follower.Settings.DEFAULTS, 3, new SplittableRandom(1), host);
 
     private static Message.Head head(Document d, boolean inStep) {
         return new Message.Head("c1", d == null ? null : d.version(), inStep);
@@ -76,7 +76,7 @@
         follower.start(0, all.get(which), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(which), true));
-        follower.taken(3 * MS, all.get(which).version(), null);
+        follower.applied(3 * MS, all.get(which).version(), null);
     }
 
     private Message.Ack ack() {
@@ -96,7 +96,7 @@
         assertEquals(all.get(5), host.taken.get(1));
         assertEquals(2, host.led.get(1).size());
         assertEquals(all.get(3).version(), ack().inForce(), "acknowledged before it is in force");
-        follower.taken(20 * MS, all.get(5).version(), null);
+        follower.applied(20 * MS, all.get(5).version(), null);
         assertEquals(all.get(5).version(), ack().inForce());
     }
 
@@ -107,7 +107,7 @@
         follower.received(11 * MS, changes(4, 5));
         follower.received(12 * MS, changes(5, 7));
         assertEquals(2, host.taken.size());
-        follower.taken(20 * MS, all.get(4).version(), null);
+        follower.applied(20 * MS, all.get(4).version(), null);
         assertEquals(all.get(7), host.taken.get(2));
         assertEquals(3, host.led.get(2).size());
     }
@@ -129,7 +129,7 @@
         Document fork = Chain.after(all.get(4), "fork");
         Document child = Chain.after(fork, "child of the fork");
         follower.received(10 * MS, new Message.Update(child.version(), null, List.of(Chain.delta(fork, child)), ""));
-        assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.Want);
+        assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
         follower.received(20 * MS, whole(child, fork));
         assertEquals(1, host.taken.size());
         assertTrue(ack().trouble().contains("another version of the same place"), ack().trouble());
@@ -151,8 +151,8 @@
         Document next = Chain.after(all.get(4), 2, "of the new primary");
         follower.received(10 * MS, whole(next, all.get(5)));
         assertEquals(next, host.taken.get(1));
-        assertTrue(next.version().order(all.get(8).version()) > 0);
-        follower.taken(20 * MS, next.version(), null);
+        assertTrue(next.version().comparePosition(all.get(8).version()) > 0);
+        follower.applied(20 * MS, next.version(), null);
         follower.received(30 * MS, changes(5, 8));
         assertEquals(2, host.taken.size(), "the former primary goes on, and is not heard");
     }
@@ -161,7 +161,7 @@
     void changesThatDoNotFitAreAnsweredByAskingForTheWholeOnce() {
         running(3);
         follower.received(10 * MS, changes(5, 6));
-        assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.Want);
+        assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
         follower.received(20 * MS, changes(5, 6));
         assertEquals(1, host.disconnects);
         follower.tick(600 * MS);
@@ -224,7 +224,7 @@
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
         for (long t = 0; t < 20_000; t += 100) {
-            follower.heard(t * MS);
+            follower.partReceived(t * MS);
             follower.tick(t * MS);
         }
         assertEquals(List.of(), host.taken);
@@ -246,13 +246,13 @@
     void whatCannotBeKeptIsNotInForceIsSaidAndTriedAgain() {
         running(3);
         follower.received(10 * MS, changes(3, 4));
-        follower.taken(20 * MS, all.get(4).version(), "it cannot be kept: No space left on device");
+        follower.applied(20 * MS, all.get(4).version(), "it cannot be kept: No space left on device");
         assertEquals(all.get(3).version(), ack().inForce());
         assertTrue(ack().trouble().contains("No space left"));
-        follower.heard(10_000 * MS);
+        follower.partReceived(10_000 * MS);
         follower.tick(10_100 * MS);
         assertEquals(3, host.taken.size());
-        follower.taken(10_200 * MS, all.get(4).version(), null);
+        follower.applied(10_200 * MS, all.get(4).version(), null);
         assertEquals(all.get(4).version(), ack().inForce());
         assertEquals("", ack().trouble());
     }
@@ -290,12 +290,12 @@
         follower.start(0, all.get(3), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
-        assertFalse(follower.inStep(3 * MS), "a disk that was put back");
+        assertFalse(follower.isInStep(3 * MS), "a disk that was put back");
         follower.received(4 * MS, changes(3, 9));
-        assertTrue(follower.inStep(5 * MS));
-        assertFalse(follower.inStep(5000 * MS), "silent");
+        assertTrue(follower.isInStep(5 * MS));
+        assertFalse(follower.isInStep(5000 * MS), "silent");
         follower.received(5100 * MS, head(all.get(9), false));
-        assertFalse(follower.inStep(5200 * MS), "the other end is not");
+        assertFalse(follower.isInStep(5200 * MS), "the other end is not");
     }
 
     @Test
--- a/src/test/java/gullspar/versions/HistoryTest.java
+++ b/src/test/java/gullspar/versions/HistoryTest.java
@@ -14,8 +14,8 @@
     void oneThatWasAwayGetsTheChangesOnly() throws MismatchException {
         History h = Chain.history(all, 1000);
         Document old = all.get(41);
-        History.Answer a = h.answer(old.version());
-        assertEquals(History.Kind.CHANGES, a.kind());
+        History.UpdatePlan a = h.planFor(old.version());
+        assertEquals(History.UpdateKind.CHANGES, a.kind());
         assertEquals(158, a.deltas().size());
         assertEquals(h.head(), Delta.apply(old, a.deltas()));
     }
@@ -23,30 +23,35 @@
     @Test
     void beyondWhatIsKeptItIsTheWhole() {
         History h = Chain.history(all, 100);
-        assertEquals(History.Kind.CHANGES, h.answer(all.get(99).version()).kind());
-        assertEquals(History.Kind.SNAPSHOT, h.answer(all.get(98).version()).kind());
-        assertEquals(History.Kind.SNAPSHOT, h.answer(null).kind());
-        assertEquals(History.Kind.NOTHING, h.answer(all.get(199).version()).kind());
+        assertEquals(
+                History.UpdateKind.CHANGES, h.planFor(all.get(99).version()).kind());
+        assertEquals(
+                History.UpdateKind.SNAPSHOT, h.planFor(all.get(98).version()).kind());
+        assertEquals(History.UpdateKind.SNAPSHOT, h.planFor(null).kind());
+        assertEquals(
+                History.UpdateKind.NOTHING, h.planFor(all.get(199).version()).kind());
     }
 
     @Test
     void changesThatAreMoreThanTheWholeGoAsTheWhole() {
         History h = Chain.history(Chain.of(200, 3), 1000);
         assertEquals(
-                History.Kind.SNAPSHOT, h.answer(Chain.of(1, 3).get(0).version()).kind());
+                History.UpdateKind.SNAPSHOT,
+                h.planFor(Chain.of(1, 3).get(0).version()).kind());
     }
 
     @Test
     void aHigherAndAForkedVersionGetNothing() {
         History h = Chain.history(all.subList(0, 100), 1000);
-        assertEquals(History.Kind.AHEAD, h.answer(all.get(100).version()).kind());
+        assertEquals(History.UpdateKind.AHEAD, h.planFor(all.get(100).version()).kind());
         Document fork = Chain.after(all.get(48), "other");
-        assertEquals(History.Kind.FORKED, h.answer(fork.version()).kind());
+        assertEquals(History.UpdateKind.FORKED, h.planFor(fork.version()).kind());
         assertEquals(
-                History.Kind.FORKED,
-                h.answer(Chain.after(all.get(98), "other").version()).kind());
+                History.UpdateKind.FORKED,
+                h.planFor(Chain.after(all.get(98), "other").version()).kind());
         assertEquals(
-                History.Kind.AHEAD, new History(5, 5).answer(fork.version()).kind());
+                History.UpdateKind.AHEAD,
+                new History(5, 5).planFor(fork.version()).kind());
     }
 
     @Test
@@ -55,8 +60,9 @@
         Document lost = Chain.after(all.get(49), "only the former primary had it");
         Document next = Chain.after(all.get(49), 2, "of the new primary");
         h.append(next, List.of(Chain.delta(h.head(), next)));
-        assertEquals(History.Kind.SNAPSHOT, h.answer(lost.version()).kind());
-        assertEquals(History.Kind.CHANGES, h.answer(all.get(49).version()).kind());
+        assertEquals(History.UpdateKind.SNAPSHOT, h.planFor(lost.version()).kind());
+        assertEquals(
+                History.UpdateKind.CHANGES, h.planFor(all.get(49).version()).kind());
     }
 
     @Test
@@ -65,10 +71,12 @@
         assertThrows(IllegalArgumentException.class, () -> h.append(all.get(198), List.of()));
         History again = new History(50, 1 << 20);
         again.restore(h.head(), h.oldest(), h.deltas());
-        assertEquals(h.answer(all.get(160).version()), again.answer(all.get(160).version()));
+        assertEquals(
+                h.planFor(all.get(160).version()), again.planFor(all.get(160).version()));
         History broken = new History(50, 1 << 20);
         broken.restore(h.head(), all.get(3).version(), h.deltas());
         assertEquals(
-                History.Kind.SNAPSHOT, broken.answer(all.get(160).version()).kind());
+                History.UpdateKind.SNAPSHOT,
+                broken.planFor(all.get(160).version()).kind());
     }
 }
--- a/src/test/java/gullspar/versions/PublisherTest.java
+++ b/src/test/java/gullspar/versions/PublisherTest.java
@@ -16,53 +16,53 @@
     @Test
     void ofTwoChangesAtOnceTheSecondIsToldWhichCameFirst() {
         Publisher p = new Publisher(1, Set.of());
-        Publisher.Decision a = p.begin(10, "a", "a\n", history);
+        Publisher.Decision a = p.decide(10, "a", "a\n", history);
         assertEquals(Publisher.Outcome.ACCEPTED, a.outcome());
         assertEquals(11, a.document().version().number());
         assertTrue(a.document().version().follows(history.version()));
         history.append(a.document(), List.of());
-        Publisher.Decision b = p.begin(10, "b", "b\n", history);
+        Publisher.Decision b = p.decide(10, "b", "b\n", history);
         assertEquals(Publisher.Outcome.OLDER, b.outcome());
         assertTrue(
                 b.lines().get(0).contains("written against version 10, but 1.11"),
                 b.lines().get(0));
-        assertEquals(Publisher.Outcome.SAME, p.begin(11, "a", "a\n", history).outcome());
+        assertEquals(Publisher.Outcome.SAME, p.decide(11, "a", "a\n", history).outcome());
     }
 
     @Test
     void nothingIsTakenBeforeAllOthersAreHeardAndCaughtUpWith() {
         Publisher p = new Publisher(1, Set.of("c2", "c3"));
-        assertTrue(p.begin(10, "a", "a\n", history).lines().get(0).contains("c2, c3"));
-        p.heard("c2", null);
+        assertTrue(p.decide(10, "a", "a\n", history).lines().get(0).contains("c2, c3"));
+        p.recordVersion("c2", null);
         assertEquals(
-                Publisher.Outcome.NOT_READY, p.begin(10, "a", "a\n", history).outcome());
+                Publisher.Outcome.NOT_READY, p.decide(10, "a", "a\n", history).outcome());
         Document next = Chain.after(history.head(), "from before the disk was put back");
-        p.heard("c3", next.version());
-        assertTrue(p.begin(10, "a", "a\n", history).lines().get(0).contains("c3 has version 1.11"));
+        p.recordVersion("c3", next.version());
+        assertTrue(p.decide(10, "a", "a\n", history).lines().get(0).contains("c3 has version 1.11"));
         history.append(next, List.of());
         assertNull(p.obstacle(history));
-        assertEquals(12, p.begin(11, "a", "a\n", history).document().version().number());
+        assertEquals(12, p.decide(11, "a", "a\n", history).document().version().number());
     }
 
     @Test
     void aForkElsewhereStopsItUntilTheEpochIsRaised() {
         Document fork = Chain.after(all.get(4), "written by somebody else");
         Publisher p = new Publisher(1, Set.of("c2"));
-        p.heard("c2", fork.version());
+        p.recordVersion("c2", fork.version());
         assertTrue(p.obstacle(history).contains("another version of the same place"));
         Publisher raised = new Publisher(2, Set.of("c2"));
-        raised.heard("c2", fork.version());
-        Document next = raised.begin(10, "a", "a\n", history).document();
+        raised.recordVersion("c2", fork.version());
+        Document next = raised.decide(10, "a", "a\n", history).document();
         assertEquals(2, next.version().epoch());
-        assertTrue(next.version().order(fork.version()) > 0);
+        assertTrue(next.version().comparePosition(fork.version()) > 0);
     }
 
     @Test
     void numbersAreNotGivenTwiceAndAPrimaryOfAFormerEpochWritesNothing() {
         Document far = new Document(new Version(1, 45, Checksum.of("x"), Checksum.NONE), "x");
         Publisher p = new Publisher(2, Set.of("c2"));
-        p.heard("c2", far.version());
-        Document next = p.begin(10, "a", "a\n", history).document();
+        p.recordVersion("c2", far.version());
+        Document next = p.decide(10, "a", "a\n", history).document();
         assertEquals(46, next.version().number());
         history.append(next, List.of());
         Publisher former = new Publisher(1, Set.of());
--- a/src/test/java/gullspar/versions/RateLimiterTest.java
+++ b/src/test/java/gullspar/versions/RateLimiterTest.java
@@ -21,7 +21,7 @@
         int most = 0;
         int all = 0;
         for (int i = 0; i < 500; i++) {
-            now = Math.max(now, p.readyAt(now));
+            now = Math.max(now, p.readyAtNs(now));
             int frame = i % 3 == 0 ? 2048 : 300;
             p.spend(now, frame);
             last.add(new long[] {now, frame});
@@ -40,15 +40,15 @@
     @Test
     void soManyHaveATurnAndTheOthersComeInTheirOrder() {
         SnapshotSlots t = new SnapshotSlots(2);
-        assertTrue(t.has("a"));
-        assertTrue(t.has("b"));
-        assertFalse(t.has("c"));
-        assertFalse(t.has("d"));
-        assertEquals("c", t.over("a"));
-        assertFalse(t.has("d"), "c was there before");
-        assertTrue(t.has("c"));
-        assertEquals(null, t.over("d"));
-        assertEquals(null, t.over("b"));
-        assertEquals(2, t.highest());
+        assertTrue(t.tryAcquire("a"));
+        assertTrue(t.tryAcquire("b"));
+        assertFalse(t.tryAcquire("c"));
+        assertFalse(t.tryAcquire("d"));
+        assertEquals("c", t.release("a"));
+        assertFalse(t.tryAcquire("d"), "c was there before");
+        assertTrue(t.tryAcquire("c"));
+        assertEquals(null, t.release("d"));
+        assertEquals(null, t.release("b"));
+        assertEquals(2, t.peak());
     }
 }
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -79,8 +79,8 @@
 
     private final List<Document> all = Chain.of(40, 60);
 
-    private static Codec.Kept kept(Document d) {
-        return new Codec.Kept(d, null, List.of());
+    private static Codec.StoredDocument kept(Document d) {
+        return new Codec.StoredDocument(d, null, List.of());
     }
 
     /** Whatever was kept, or began to be: never an older one, whenever the process ends. */
@@ -96,7 +96,7 @@
                 s.read();
                 try {
                     for (int i = 0; i < 10; i++) {
-                        s.keep(kept(all.get(i)));
+                        s.persist(kept(all.get(i)));
                         done = i;
                     }
                 } catch (Dead e) {
@@ -105,16 +105,16 @@
                 f.diesAt = -1;
                 for (int again = 0; again < 3; again++) {
                     Store.Found found = new Store(f).read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
+                            : (int) found.stored().document().version().number() - 1;
                     assertTrue(
                             has == done || has == done + 1, "dies at " + dies + ": has " + has + ", had kept " + done);
                     assertFalse(found.mayBeOlder(), "dies at " + dies);
                     assertEquals(List.of(), found.damage());
                     Store next = new Store(f);
                     next.read();
-                    next.keep(kept(all.get(has + 1)));
+                    next.persist(kept(all.get(has + 1)));
                     done = has + 1;
                 }
             }
@@ -133,14 +133,14 @@
                 for (int life = 0; life < 3; life++) {
                     Store s = new Store(f);
                     Store.Found found = s.read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
+                            : (int) found.stored().document().version().number() - 1;
                     assertTrue(has >= done, "has " + has + ", had " + done);
                     done = has;
                     try {
                         for (int i = has + 1; i < has + 6; i++) {
-                            s.keep(kept(all.get(i)));
+                            s.persist(kept(all.get(i)));
                             done = i;
                         }
                     } catch (Dead e) {
@@ -163,17 +163,17 @@
             int done = -1;
             for (int i = 0; i < 12; i++) {
                 try {
-                    s.keep(kept(all.get(i)));
+                    s.persist(kept(all.get(i)));
                     done = i;
                 } catch (IOException e) {
                     Store.Found found = new Store(f).read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
+                            : (int) found.stored().document().version().number() - 1;
                     assertTrue(has == done || has == i);
                 }
             }
-            assertEquals(all.get(11), new Store(f).read().kept().document());
+            assertEquals(all.get(11), new Store(f).read().stored().document());
         }
     }
 
@@ -184,8 +184,8 @@
             Faulty f = new Faulty();
             Store s = new Store(f);
             s.read();
-            s.keep(kept(all.get(0)));
-            s.keep(kept(all.get(1)));
+            s.persist(kept(all.get(0)));
+            s.persist(kept(all.get(1)));
             byte[] b = f.files.get(Store.CURRENT).clone();
             if (i % 2 == 0) {
                 b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
@@ -195,12 +195,12 @@
             f.files.put(Store.CURRENT, b);
             Store again = new Store(f);
             Store.Found found = again.read();
-            assertEquals(all.get(0), found.kept().document());
+            assertEquals(all.get(0), found.stored().document());
             assertTrue(found.mayBeOlder());
             assertTrue(found.damage().get(0).startsWith("the file current is damaged"));
-            again.keep(kept(all.get(2)));
+            again.persist(kept(all.get(2)));
             Store.Found mended = new Store(f).read();
-            assertEquals(all.get(2), mended.kept().document());
+            assertEquals(all.get(2), mended.stored().document());
             assertFalse(mended.mayBeOlder());
             assertTrue(f.files.containsKey(Store.PREVIOUS));
         }
@@ -208,14 +208,14 @@
 
     @Test
     void aFolderOfTheFileSystemDoesTheSameAndIsHeldByOne(@TempDir Path folder) throws IOException {
-        try (DiskFolder d = DiskFolder.hold(folder)) {
-            assertThrows(IOException.class, () -> DiskFolder.hold(folder));
+        try (DiskFolder d = DiskFolder.open(folder)) {
+            assertThrows(IOException.class, () -> DiskFolder.open(folder));
             Store s = new Store(d);
-            assertEquals(null, s.read().kept());
-            s.keep(kept(all.get(0)));
-            s.keep(kept(all.get(1)));
-            assertEquals(all.get(1), new Store(d).read().kept().document());
+            assertEquals(null, s.read().stored());
+            s.persist(kept(all.get(0)));
+            s.persist(kept(all.get(1)));
+            assertEquals(all.get(1), new Store(d).read().stored().document());
         }
-        DiskFolder.hold(folder).close();
+        DiskFolder.open(folder).close();
     }
 }
--- a/src/test/java/gullspar/versions/net/Processes.java
+++ b/src/test/java/gullspar/versions/net/Processes.java
@@ -178,11 +178,11 @@
 
     /** Waits until a control process knows that all of that many followers run that number or a later one. */
     public void inForce(String control, long number, int followers) throws Exception {
-        Message.Looked last = null;
+        Message.StatusResponse last = null;
         for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L; System.nanoTime() < end; ) {
             try (ControlClient c = new ControlClient(at(control), 5000)) {
-                last = c.ask(new Message.Look(true), Message.Looked.class);
-                if (last.all().stream()
+                last = c.request(new Message.StatusRequest(true), Message.StatusResponse.class);
+                if (last.states().stream()
                                 .filter(r -> r.number() >= number && r.awayMs() == 0)
                                 .count()
                         >= followers) {
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -189,7 +189,7 @@
 
         Proxy(String name) {
             super(name);
-            addresses = Following.inOrder(
+            addresses = VersionedSource.orderAddresses(
                     name, controls.stream().map(c -> c.address).toList());
         }
 
@@ -203,21 +203,21 @@
             node = new FollowerNode(
                     name,
                     Message.Role.PROXY,
-                    Follower.Settings.USUAL,
+                    Follower.Settings.DEFAULTS,
                     addresses,
                     p,
                     random.split(),
                     (d, led, kept, done) -> worker.execute(() -> take(store, d, led, kept, done)),
                     m -> {},
                     "");
-            loop.execute(
-                    () -> node.start(found.kept() == null ? null : found.kept().document(), found.mayBeOlder()));
+            loop.execute(() ->
+                    node.start(found.stored() == null ? null : found.stored().document(), found.mayBeOlder()));
         }
 
         private void take(Store store, Document d, List<Delta> led, boolean kept, Consumer<String> done) {
             try {
                 if (!kept) {
-                    store.keep(new Codec.Kept(d, null, List.of()));
+                    store.persist(new Codec.StoredDocument(d, null, List.of()));
                 }
             } catch (IOException e) {
                 done.accept(e.getMessage());
@@ -226,7 +226,7 @@
             Version before = inForce;
             inForce = d.version();
             ran.accept(this, before);
-            if (everRan == null || d.version().order(everRan) > 0) {
+            if (everRan == null || d.version().comparePosition(everRan) > 0) {
                 everRan = d.version();
             }
             done.accept(null);
@@ -248,12 +248,12 @@
         }
 
         @Override
-        public void part(Link l) {}
+        public void partReceived(Link l) {}
 
         @Override
         public void received(Link l, Message m) {
             answer = (Message.Published) m;
-            l.end(null);
+            l.close(null);
         }
 
         @Override
--- a/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
+++ b/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
@@ -50,12 +50,13 @@
         for (int i = 1; i <= 158; i++) {
             accepted(t, Chain.text(1500, i), i);
         }
-        long snapshots = t.controls.stream().mapToLong(c -> c.node.figures()[1]).sum();
+        long snapshots =
+                t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum();
         away.start();
         assertTrue(t.until(159, 10 * S));
         assertEquals(
                 snapshots,
-                t.controls.stream().mapToLong(c -> c.node.figures()[1]).sum());
+                t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum());
         assertTrue(away.node.received() < 20_000, away.node.received() + " bytes");
         assertEquals(away.everRan, away.inForce);
     }
@@ -104,14 +105,16 @@
         int last = 0;
         for (int s = 0; s < 30; s++) {
             t.go(S);
-            int all =
-                    t.controls.stream().mapToInt(c -> (int) c.node.figures()[0]).sum();
+            int all = t.controls.stream()
+                    .mapToInt(c -> (int) c.node.statistics()[0])
+                    .sum();
             most = Math.max(most, all - last);
             last = all;
         }
         assertTrue(last >= n, last + " are back after " + (t.agenda.now() - before) / S + " s");
         assertTrue(most < n * 6 / 10, most + " came in one second");
-        assertEquals(0, t.controls.stream().mapToLong(c -> c.node.figures()[1]).sum(), "snapshots");
+        assertEquals(
+                0, t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum(), "snapshots");
         for (int i = 0; i < had.length; i++) {
             SimulatedCluster.Proxy p = t.proxies.get(i);
             assertTrue(p.node.received() + p.node.sent() - had[i] < 30 * 500, "bytes of " + p.name);
@@ -132,7 +135,7 @@
         }
         assertTrue(t.until(1, 120 * S));
         for (SimulatedCluster.Control c : t.controls) {
-            assertTrue(c.node.figures()[2] <= 8, c.node.figures()[2] + " at once");
+            assertTrue(c.node.statistics()[2] <= 8, c.node.statistics()[2] + " at once");
         }
     }
 
@@ -277,7 +280,8 @@
             if (there != null && !there.equals(v)) {
                 wrong.add("two texts at one place: " + there + " and " + v);
             }
-            boolean older = before != null && v.order(before) < 0 || p.everRan != null && v.order(p.everRan) < 0;
+            boolean older = before != null && v.comparePosition(before) < 0
+                    || p.everRan != null && v.comparePosition(p.everRan) < 0;
             if (older) {
                 wrong.add(t.agenda.now() / MS + " " + p.name + " ran " + p.everRan + ", now " + v);
             }
@@ -394,7 +398,7 @@
                         && (!c.up()
                                 || mine != null
                                         && (c.node.version() == null
-                                                || c.node.version().order(mine) < 0))) {
+                                                || c.node.version().comparePosition(mine) < 0))) {
                     return;
                 }
             }
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -76,7 +76,7 @@
                 "name = \"c1\"\nprimary = \"c1\"\nfolder = \"" + folder + "\"\n[[control]]\nname = \"c1\"\naddress = \""
                         + at + "\"\n",
                 "control.toml");
-        Store store = new Store(DiskFolder.hold(folder.resolve("c1")));
+        Store store = new Store(DiskFolder.open(folder.resolve("c1")));
         Store.Found found = store.read();
         Platform quiet = Platform.of(loop);
         primary = new ControlNode(
@@ -105,11 +105,11 @@
     private FollowerNode follower(String name, String trouble) throws Exception {
         Platform quiet = Platform.of(loop);
         InetSocketAddress there = new InetSocketAddress("127.0.0.1", Integer.parseInt(at.substring(10)));
-        FollowerNode.Taker taker = (d, led, kept, done) -> done.accept(trouble);
+        FollowerNode.Applier taker = (d, led, kept, done) -> done.accept(trouble);
         FollowerNode n = new FollowerNode(
                 name,
                 Message.Role.PROXY,
-                Follower.Settings.USUAL,
+                Follower.Settings.DEFAULTS,
                 List.of(there),
                 new Platform(loop, quiet.clock(), quiet.transport(), line -> {}),
                 new SplittableRandom(2),
@@ -166,7 +166,7 @@
         assertEquals(4, ill.code());
         assertTrue(ill.out().contains("is not in force at 1 of 3"), ill.out());
         assertTrue(ill.out().matches("(?s).*p-ill +nothing +by c1; it cannot be kept: No space left.*"), ill.out());
-        loop.submit(well::end).get();
+        loop.submit(well::stop).get();
         while (!run("versions", "--at", at).out().contains("p-well")) {
             Thread.sleep(10);
         }
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -38,7 +38,8 @@
 
     private Message.Published told(String word, long after) throws Exception {
         try (ControlClient c = new ControlClient(town.at("c1"), 10_000)) {
-            return c.ask(new Message.Publish(after, "site.toml", Processes.document(word)), Message.Published.class);
+            return c.request(
+                    new Message.Publish(after, "site.toml", Processes.document(word)), Message.Published.class);
         }
     }
 
@@ -117,7 +118,7 @@
 
     private void wrongChange(int at) throws Exception {
         try (ControlClient c = new ControlClient(town.at("c1"), 10_000)) {
-            Message.Published p = c.ask(
+            Message.Published p = c.request(
                     new Message.Publish(1, "site.toml", Processes.document("wrong") + "odd = 1\n"),
                     Message.Published.class);
             assertEquals(Publisher.Outcome.WRONG, p.outcome());
--- a/src/test/java/gullspar/versions/scale/Hollow.java
+++ b/src/test/java/gullspar/versions/scale/Hollow.java
@@ -6,7 +6,7 @@
 import gullspar.versions.Follower;
 import gullspar.versions.Message;
 import gullspar.versions.net.FollowerNode;
-import gullspar.versions.net.Following;
+import gullspar.versions.net.VersionedSource;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -37,7 +37,7 @@
     Hollow(String name, EventLoop loop, List<InetSocketAddress> addresses, long seed, Heard heard) {
         this.name = name;
         this.loop = loop;
-        this.order = Following.inOrder(name, addresses);
+        this.order = VersionedSource.orderAddresses(name, addresses);
         this.heard = heard;
         this.random = new SplittableRandom(seed);
     }
@@ -49,7 +49,7 @@
             node = new FollowerNode(
                     name,
                     Message.Role.PROXY,
-                    Follower.Settings.USUAL,
+                    Follower.Settings.DEFAULTS,
                     order,
                     new Platform(loop, p.clock(), p.transport(), line -> {}),
                     random,
@@ -71,7 +71,7 @@
     void end() throws InterruptedException, ExecutionException {
         loop.submit(() -> {
                     before += node.sent() + node.received();
-                    node.end();
+                    node.stop();
                     node = null;
                 })
                 .get();
@@ -84,6 +84,6 @@
     }
 
     boolean connected() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> node != null && node.follower().connected()).get();
+        return loop.submit(() -> node != null && node.follower().isConnected()).get();
     }
 }
--- a/src/test/java/gullspar/versions/scale/VersionsRun.java
+++ b/src/test/java/gullspar/versions/scale/VersionsRun.java
@@ -164,10 +164,10 @@
         }
     }
 
-    private Message.Looked look(boolean whole) throws Exception {
+    private Message.StatusResponse look(boolean whole) throws Exception {
         for (int i = 0; i < PATIENCE_S * 10; i++) {
             try (ControlClient c = new ControlClient(controls.get(0), 10_000)) {
-                return c.ask(new Message.Look(whole), Message.Looked.class);
+                return c.request(new Message.StatusRequest(whole), Message.StatusResponse.class);
             } catch (IOException e) {
                 Thread.sleep(100); // it is starting
             }
@@ -178,7 +178,7 @@
     private void publish(ControlClient c) throws IOException {
         version++;
         published.put((long) version, System.nanoTime());
-        Message.Published p = c.ask(
+        Message.Published p = c.request(
                 new Message.Publish(version - 1, "routes.toml", Routes.text(routes, version)), Message.Published.class);
         if (p.outcome() != Publisher.Outcome.ACCEPTED) {
             throw new IOException("a change was refused: " + p);
@@ -193,9 +193,9 @@
         int left = real;
         while (System.nanoTime() < end) {
             if (left > 0) {
-                Message.Looked l = look(false); // those that are missing, by name: real ones first
+                Message.StatusResponse l = look(false); // those that are missing, by name: real ones first
                 Set<String> missing = new HashSet<>();
-                l.all().forEach(r -> missing.add(r.name()));
+                l.states().forEach(r -> missing.add(r.name()));
                 for (int i = 0; i < real && l.followers() >= followers + real; i++) {
                     if (!seen[i] && !missing.contains("a-real-" + i)) {
                         seen[i] = true;
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -23,7 +23,7 @@
     private final History history = Chain.history(all, 10);
 
     private List<Message> messages() {
-        Message.Running r = new Message.Running("p", false, 1, 5, "disk", 20, "c1");
+        Message.FollowerState r = new Message.FollowerState("p", false, 1, 5, "disk", 20, "c1");
         return List.of(
                 new Message.Hello("p", Message.Role.CONTROL, null),
                 new Message.Hello("p", Message.Role.PROXY, history.version()),
@@ -31,25 +31,25 @@
                 new Message.Update(history.version(), all.get(1).version(), history.deltas(), ""),
                 new Message.Update(
                         history.version(), null, List.of(), history.head().text()),
-                new Message.Want(),
+                new Message.SnapshotRequest(),
                 new Message.Ack(null, "why"),
                 new Message.Report(List.of(r, r)),
                 new Message.Publish(7, "a.toml", "text \u00e9\n"),
                 new Message.Published(Publisher.Outcome.WRONG, history.version(), List.of("a:1:1: b")),
-                new Message.Look(true),
-                new Message.Looked("c1", true, false, history.version(), 3, 2, List.of(r)));
+                new Message.StatusRequest(true),
+                new Message.StatusResponse("c1", true, false, history.version(), 3, 2, List.of(r)));
     }
 
     @Test
     void whatIsWrittenIsReadAgainAlsoInFrames() throws IOException {
-        Frames.Joined joined = new Frames.Joined(1 << 20);
+        Frames.Assembler joined = new Frames.Assembler(1 << 20);
         for (Message m : messages()) {
             assertEquals(m, Codec.decode(Codec.encode(m)));
             Message last = null;
             for (byte[] f : Frames.of(m)) {
                 assertNull(last);
                 assertEquals(f.length - 4, ByteBuffer.wrap(f).getInt());
-                assertTrue(f.length - 4 <= Frames.MOST);
+                assertTrue(f.length - 4 <= Frames.MAX_FRAME_BYTES);
                 last = joined.add(Arrays.copyOfRange(f, 4, f.length));
             }
             assertEquals(m, last);
@@ -82,23 +82,25 @@
             byte[] cut = Arrays.copyOf(whole, n);
             assertThrows(IOException.class, () -> Codec.decode(cut));
         }
-        Frames.Joined joined = new Frames.Joined(3000);
-        byte[] part = new byte[Frames.MOST];
+        Frames.Assembler joined = new Frames.Assembler(3000);
+        byte[] part = new byte[Frames.MAX_FRAME_BYTES];
         assertThrows(IOException.class, () -> {
             joined.add(part);
             joined.add(part);
         });
-        byte[] bomb =
-                ByteBuffer.allocate(50).put((byte) 1).putInt(Packing.MOST + 1).array();
-        assertTrue(assertThrows(IOException.class, () -> Packing.unpack(bomb))
+        byte[] bomb = ByteBuffer.allocate(50)
+                .put((byte) 1)
+                .putInt(Compression.MAX_DECOMPRESSED_BYTES + 1)
+                .array();
+        assertTrue(assertThrows(IOException.class, () -> Compression.decompress(bomb))
                 .getMessage()
                 .contains("at the most"));
-        assertThrows(IOException.class, () -> new Frames.Joined(100).add(new byte[] {7, 0}));
+        assertThrows(IOException.class, () -> new Frames.Assembler(100).add(new byte[] {7, 0}));
     }
 
     @Test
     void aKindOfANewerVersionIsPassedOver() throws IOException {
-        byte[] newer = Codec.encode(new Message.Want());
+        byte[] newer = Codec.encode(new Message.SnapshotRequest());
         newer[1] = 0x17; // the kind: 23
         assertNull(Codec.decode(newer));
     }
@@ -106,12 +108,12 @@
     @Test
     void theLimitOnAPackedMessageIsExact() throws IOException {
         byte[] plain = new byte[5000];
-        byte[] packed = Packing.pack(plain, 6);
+        byte[] packed = Compression.compress(plain, 6);
         assertTrue(packed.length < 100);
-        assertEquals(5000, Packing.unpack(packed).length);
+        assertEquals(5000, Compression.decompress(packed).length);
         ByteBuffer.wrap(packed).putInt(1, 4999);
-        assertThrows(IOException.class, () -> Packing.unpack(packed));
+        assertThrows(IOException.class, () -> Compression.decompress(packed));
         ByteBuffer.wrap(packed).putInt(1, 5001);
-        assertThrows(IOException.class, () -> Packing.unpack(packed));
+        assertThrows(IOException.class, () -> Compression.decompress(packed));
     }
 }
