--- a/src/main/java/gullspar/versions/Checksum.java
+++ b/src/main/java/gullspar/versions/Checksum.java
@@ -8,9 +8,8 @@
 
 /** A SHA-256 sum. */
 public final class Checksum {
-    /** In bytes. */
     public static final int LENGTH_BYTES = 32;
-    /** Of nothing: the predecessor of a first version. */
+    /** All zeros: stands for the missing predecessor of the first version. */
     public static final Checksum NONE = new Checksum(new byte[LENGTH_BYTES]);
 
     private static final int DISPLAYED_BYTES = 4;
@@ -21,24 +20,24 @@
         this.bytes = bytes;
     }
 
-    /** As it was written; an IllegalArgumentException if its length is another. */
+    /** Wraps the 32 bytes of a stored checksum; throws IllegalArgumentException for any other length. */
     public static Checksum fromBytes(byte[] bytes) {
         if (bytes.length != LENGTH_BYTES) {
-            throw new IllegalArgumentException("a checksum of " + bytes.length + " bytes, not " + LENGTH_BYTES);
+            throw new IllegalArgumentException("checksum has " + bytes.length + " bytes, expected " + LENGTH_BYTES);
         }
         return new Checksum(bytes.clone());
     }
 
-    /** Of some bytes. */
+    /** Computes the checksum of the content. */
     public static Checksum of(byte[] content) {
         try {
             return new Checksum(MessageDigest.getInstance("SHA-256").digest(content));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("this runtime has no SHA-256", e);
+            throw new IllegalStateException("this Java runtime does not provide SHA-256", e);
         }
     }
 
-    /** Of a text in UTF-8. */
+    /** Computes the checksum of a text encoded as UTF-8. */
     public static Checksum of(String text) {
         return of(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -57,7 +56,7 @@
         return Arrays.hashCode(bytes);
     }
 
-    /** Its first bytes, for people. */
+    /** The first bytes in hex, for log lines. */
     @Override
     public String toString() {
         return HexFormat.of().formatHex(bytes, 0, DISPLAYED_BYTES);
--- a/src/main/java/gullspar/versions/Delta.java
+++ b/src/main/java/gullspar/versions/Delta.java
@@ -8,28 +8,28 @@
 import java.util.List;
 
 /**
- * What became of a text from one version to the next, line by line. The checksum of the result says whether
- * it was applied to the right text.
+ * The line-by-line difference from one version to the next. The checksum of the result verifies that it was
+ * applied to the right text.
  *
- * @param to the version that it makes; its parent is the one that it is applied to
- * @param hunks from the top to the bottom, none over another
+ * @param to the resulting version; its parent is the version that the delta applies to
+ * @param hunks in order of their lines, not overlapping
  */
 public record Delta(Version to, List<Hunk> hunks) {
     /**
-     * Lines that are replaced.
+     * A replaced range of lines.
      *
-     * @param at the first of them in the former text, from 0
-     * @param removed how many go
-     * @param lines what stands there instead
+     * @param firstLine the first replaced line in the previous text, counted from 0
+     * @param removed number of lines removed
+     * @param lines the lines inserted in their place
      */
     public record Hunk(int firstLine, int removed, List<String> lines) {}
 
-    /** Middles of more lines than that are replaced as one: comparing them could take seconds. */
+    /** A changed region with more lines is replaced as a whole: a line diff could take seconds. */
     private static final int MAX_COMPARED_LINES = 4000;
 
     private static final int HUNK_OVERHEAD_BYTES = 12;
 
-    /** The change from one text to the version whose text is the other. */
+    /** Computes the delta from a text to a document. */
     public static Delta between(String from, Document to) {
         List<String> a = lines(from);
         List<String> b = lines(to.text());
@@ -65,7 +65,7 @@
         return List.copyOf(hunks);
     }
 
-    /** The library tells of lines that go and of those that come in their place one after the other. */
+    /** Appends a hunk, merging it with an adjacent one: the library reports a replacement as two deltas. */
     private static void append(List<Hunk> hunks, Hunk h) {
         Hunk last = hunks.isEmpty() ? null : hunks.get(hunks.size() - 1);
         if (last == null || last.firstLine + last.removed != h.firstLine) {
@@ -81,7 +81,7 @@
         return Arrays.asList(text.split("\n", -1));
     }
 
-    /** The text that the changes make of another, in their order; a MismatchException if they don't fit. */
+    /** Applies deltas in order; throws MismatchException if they do not match the document. */
     public static Document apply(Document from, List<Delta> deltas) throws MismatchException {
         String text = from.text();
         Version v = from.version();
@@ -96,8 +96,8 @@
     }
 
     /**
-     * A proxy does this for each change to a text of a million characters: it is copied in pieces, not taken
-     * apart into lines. Every line counts as ending in a line feed, and the last one's goes again.
+     * Copies ranges rather than splitting into lines, because a proxy does this for each change to a text of a
+     * million characters. Every line is treated as ending in a line feed; the last one is removed at the end.
      */
     private String applyTo(String from) throws MismatchException {
         StringBuilder to = new StringBuilder(from.length() + estimatedBytes());
@@ -112,24 +112,24 @@
         }
         copyRange(from, start, from.length() + 1, to);
         if (to.length() == 0) {
-            throw new MismatchException("a change that leaves no line");
+            throw new MismatchException("delta leaves no line");
         }
         to.setLength(to.length() - 1);
         return to.toString();
     }
 
-    /** Where so many lines further begin; one past the end of the text behind the last one. */
+    /** Returns the offset after skipping that many lines; text length + 1 past the last line. */
     private static int skipLines(String text, int start, int lines) throws MismatchException {
         int at = start;
         for (int i = 0; i < lines && at <= text.length(); i++) {
             int feed = text.indexOf('\n', at);
             at = feed < 0 ? text.length() + 1 : feed + 1;
             if (feed < 0 && i < lines - 1) {
-                throw new MismatchException("a change at a line that is not there");
+                throw new MismatchException("delta refers to a line that is not there");
             }
         }
         if (lines < 0 || lines > 0 && start > text.length()) {
-            throw new MismatchException("a change at a line that is not there");
+            throw new MismatchException("delta refers to a line that is not there");
         }
         return at;
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** About how many bytes it takes on the wire, packed: a checksum does not shrink, lines do by half. */
+    /** Estimates the compressed size on the wire: checksums do not compress, lines compress by half. */
     public int estimatedBytes() {
         int lines = 0;
         for (Hunk h : hunks) {
--- a/src/main/java/gullspar/versions/Document.java
+++ b/src/main/java/gullspar/versions/Document.java
@@ -1,14 +1,14 @@
 package gullspar.versions;
 
-/** A version with its text. */
+/** A version and its text. */
 public record Document(Version version, String text) {
-    /** Characters of the longest text; a longer one is refused by the primary. */
+    /** The primary refuses longer texts. */
     public static final int MAX_CHARS = 8 << 20;
 
-    /** The two together; a {@link MismatchException} if the text is not that version's. */
+    /** Creates a document; throws {@link MismatchException} if the checksum of the text is not the version's. */
     public static Document verified(Version version, String text) throws MismatchException {
         if (!Checksum.of(text).equals(version.text())) {
-            throw new MismatchException("the text does not have the checksum of version " + version);
+            throw new MismatchException("text does not match the checksum of version " + version);
         }
         return new Document(version, text);
     }
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -6,45 +6,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the document: connects to one of several control processes, verifies what comes, has it kept and
- * put in force, and acknowledges. It never takes a version that is lower than, or a fork of, one it has had.
- * A proxy is one, and so is each control process but the primary.
+ * Keeps a process up to date with the document: connects to one of several control processes, verifies updates,
+ * has them persisted and put in force, and acknowledges them. It never accepts a version that is lower than, or a
+ * fork of, one it has had. Every proxy is a follower, and so is every control process except the primary.
  */
 public final class Follower {
-    /** What a follower has done for it; none of it calls back before it returns. */
+    /** Operations the follower delegates; none may call back into the follower before it returns. */
     public interface Host {
-        /** Connect there, by the place in the list of addresses. */
+        /** Connects to the control process at that index of the address list. */
         void connect(int controlIndex);
 
-        /** End the connection, or the attempt at one. {@link Follower#closed} is not called for that. */
+        /** Closes the connection or cancels the attempt. {@link Follower#closed} is not called for this. */
         void disconnect();
 
         void send(Message m);
 
         /**
-         * Keep that document, unless it came from there, and put it in force; then call
-         * {@link Follower#taken}. led: the changes that led there from the one before; empty if it came
-         * whole.
+         * Persists the document unless it already is, and puts it in force; then calls
+         * {@link Follower#applied}. deltas: lead from the previous document to this one; empty if it came
+         * as a snapshot.
          */
         void apply(Document d, List<Delta> deltas, boolean persisted);
 
-        /** A line for the log. */
+        /** Writes a line to the log. */
         void log(String line);
     }
 
     /**
-     * Times in ns.
+     * Time limits in ns.
      *
-     * @param waitNs at the start control is asked for so long before what is on the disk is put in force
-     * @param silenceNs a connection on which nothing came for so long is given up
-     * @param leastNs the first pause before a further attempt is drawn from 0 to this; it doubles
-     * @param mostNs up to this
-     * @param retryNs a document that could not be kept or put in force is tried again so much later
+     * @param startupWaitNs how long a start waits for control before the version on disk is put in force
+     * @param silenceTimeoutNs a connection with nothing received for this long is abandoned
+     * @param initialBackoffNs the first reconnect delay is drawn from 0 to this; the bound doubles with each failure
+     * @param maxBackoffNs upper limit of that bound
+     * @param applyRetryNs delay before a document that could not be persisted or put in force is tried again
      */
     public record Settings(
             long startupWaitNs, long silenceTimeoutNs, long initialBackoffNs, long maxBackoffNs, long applyRetryNs) {
         private static final long NS_PER_MS = 1_000_000L;
-        /** As in service. */
         public static final Settings DEFAULTS =
                 new Settings(3000 * NS_PER_MS, 3500 * NS_PER_MS, 500 * NS_PER_MS, 8000 * NS_PER_MS, 10_000 * NS_PER_MS);
     }
@@ -57,7 +56,7 @@
 
     private static final long NEVER = Long.MAX_VALUE;
     private static final long ACK_INTERVAL_NS = 2_000_000_000L;
-    /** A control process in doubt is not gone back to for so long, if there is another. */
+    /** A doubted control process does not count as an alternative for this long. */
     private static final long DOUBT_PERIOD_NS = 300_000_000_000L;
 
     private static final int MAX_DOUBLINGS = 10;
@@ -77,21 +76,21 @@
     private long lastReceivedNs;
     private long lastAckNs;
     private boolean snapshotRequested;
-    /** On this connection control has said what it has, and this one had it, or has it by now. */
+    /** The follower has had the version that control announced on this connection, or has it by now. */
     private boolean caughtUp;
 
     private Version announced;
     private long startedAtNs;
-    /** Since when the control process is not in step with the primary, or has less than this one. */
+    /** When the control process was first seen out of step with the primary or behind this follower. */
     private long doubtSinceNs = NEVER;
 
     private Document held;
-    /** Changes that led from what was last taken to what is held; null where it came whole. */
+    /** Deltas from the document last applied to the held one; null if it came as a snapshot. */
     private List<Delta> pendingDeltas = List.of();
 
     private boolean persisted;
     private boolean mayBeOlder;
-    /** The highest that any control process has told of. */
+    /** The highest version announced by any control process. */
     private Version highestSeen;
 
     private boolean startDecided;
@@ -100,7 +99,7 @@
     private String trouble = "";
     private long retryAtNs;
 
-    /** addresses: how many control processes there are, in this follower's order; 1 or more. */
+    /** addresses: number of control processes, in this follower's order of preference; 1 or more. */
     public Follower(
             String name, Message.Role role, Settings settings, int addresses, RandomGenerator random, Host host) {
         this.name = name;
@@ -114,8 +113,8 @@
     }
 
     /**
-     * It begins. stored: what its disk has, null for nothing; mayBeOlder: it is known that the disk had a
-     * newer one, which is damaged.
+     * Starts following. stored: the document on disk, or null; mayBeOlder: the disk is known to have had a newer
+     * one, which is damaged.
      */
     public void start(long now, Document stored, boolean mayBeOlder) {
         startedAtNs = now;
@@ -130,9 +129,9 @@
         host.connect(controlIndex);
     }
 
-    // ---- what a connection brings ----
+    // ---- connection events ----
 
-    /** The connection is there. */
+    /** The connection is established. */
     public void opened(long now) {
         connection = Connection.OPEN;
         lastReceivedNs = now;
@@ -144,18 +143,18 @@
         ack(now);
     }
 
-    /** It has ended, or could not be made. */
+    /** The connection has ended or could not be established. */
     public void closed(long now, String why) {
         if (connection == Connection.NONE) {
             return;
         }
         if (connection == Connection.OPEN) {
-            host.log("lost control " + controlIndex + ": " + why);
+            host.log("lost connection to control " + controlIndex + ": " + why);
         }
         scheduleReconnect(now);
     }
 
-    /** Gives a connection up and tries the next address, after a pause that grows with each failure. */
+    /** Schedules a connection to the next address, after a random delay whose bound grows with each failure. */
     private void scheduleReconnect(long now) {
         connection = Connection.NONE;
         controlIndex = (controlIndex + 1) % addresses;
@@ -166,13 +165,13 @@
     }
 
     private void abandon(long now, String why) {
-        host.log("leaves control " + controlIndex + ": " + why);
+        host.log("disconnecting from control " + controlIndex + ", trying the next one: " + why);
         doubtedAtNs[controlIndex] = now;
         host.disconnect();
         scheduleReconnect(now);
     }
 
-    /** A control process says something. */
+    /** A message has arrived from the control process. */
     public void received(long now, Message m) {
         lastReceivedNs = now;
         if (m instanceof Message.Head h) {
@@ -182,7 +181,7 @@
         }
     }
 
-    /** Some of a message has come. */
+    /** Part of a message has arrived. */
     public void partReceived(long now) {
         lastReceivedNs = now;
     }
@@ -194,7 +193,7 @@
         }
         String doubt = h.inStep() ? "" : h.control() + " is out of step with the primary";
         if (held != null && (h.head() == null || h.head().comparePosition(held.version()) < 0)) {
-            doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this one has "
+            doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this follower has "
                     + held.version();
         } else if (held != null
                 && h.head().comparePosition(held.version()) == 0
@@ -217,24 +216,24 @@
                     ack(now);
                 }
             } else if (h.head() == null) {
-                caughtUp = true; // nobody has any yet
+                caughtUp = true; // no version has been published yet
             }
         } else if (doubtSinceNs == NEVER) {
             doubtSinceNs = now;
-            host.log("doubts control " + controlIndex + ": " + doubt);
+            host.log("control " + controlIndex + " may be outdated: " + doubt);
         }
         applyIfReady(now);
     }
 
     private String forkMessage(String who, Version other) {
-        return who + " has another version of the same place: " + other + ", this one has " + held.version()
+        return who + " has another version with the same number: " + other + ", this follower has " + held.version()
                 + "; see 'forked' in docs/versions.md";
     }
 
     private void update(long now, Message.Update u) {
         if (held != null && u.to().comparePosition(held.version()) <= 0) {
             if (!u.to().equals(held.version())) {
-                refuse(now, "control " + controlIndex + " sent " + u.to() + ", this one has " + held.version());
+                refuse(now, "control " + controlIndex + " sent " + u.to() + ", this follower has " + held.version());
             }
             return;
         }
@@ -245,18 +244,18 @@
             if (u.deltas().isEmpty()) {
                 snapshot(now, u);
             } else if (held == null) {
-                throw new MismatchException("changes, and there is nothing that they could apply to");
+                throw new MismatchException("received deltas but holds no version to apply them to");
             } else {
                 Document d = Delta.apply(held, u.deltas());
                 if (!d.version().equals(u.to())) {
-                    throw new MismatchException("changes that lead to " + d.version() + ", not to " + u.to());
+                    throw new MismatchException("deltas lead to " + d.version() + ", expected " + u.to());
                 }
                 accept(now, d, u.deltas());
             }
         } catch (MismatchException e) {
-            host.log("an update of control " + controlIndex + " is not used: " + e.getMessage());
+            host.log("discarding update from control " + controlIndex + ": " + e.getMessage());
             if (snapshotRequested) {
-                abandon(now, "its updates do not fit");
+                abandon(now, "its updates cannot be applied");
             } else {
                 snapshotRequested = true;
                 host.send(new Message.SnapshotRequest());
@@ -304,7 +303,7 @@
         applyIfReady(now);
     }
 
-    // ---- what becomes of a document ----
+    // ---- applying documents ----
 
     private void applyIfReady(long now) {
         if (applying || !startDecided || held == null || held.version().equals(inForce) || now < retryAtNs) {
@@ -316,7 +315,7 @@
         host.apply(held, deltas, persisted);
     }
 
-    /** That version was kept and is in force, if why is null; else why not, and the one before still is. */
+    /** The version is persisted and in force if why is null; otherwise the previous one still is in force. */
     public void applied(long now, Version version, String why) {
         applying = false;
         if (why == null) {
@@ -324,9 +323,9 @@
             trouble = "";
         } else {
             trouble = why;
-            pendingDeltas = null; // who keeps a history begins it anew
+            pendingDeltas = null; // a host with a history has to restart it
             retryAtNs = now + settings.applyRetryNs;
-            host.log("version " + version + " is not in force: " + why);
+            host.log("version " + version + " could not be put in force, will be retried: " + why);
         }
         ack(now);
         applyIfReady(now);
@@ -339,32 +338,32 @@
         }
     }
 
-    // ---- time ----
+    // ---- timers ----
 
-    /** To be called every so often, some tenths of a second. */
+    /** Has to be called periodically, every few tenths of a second. */
     public void tick(long now) {
         if (connection == Connection.NONE && now >= reconnectAtNs) {
             connect();
         } else if (connection == Connection.OPEN && now - lastReceivedNs > settings.silenceTimeoutNs) {
-            abandon(now, "silent for " + (now - lastReceivedNs) / 1_000_000 + " ms");
+            abandon(now, "nothing received for " + (now - lastReceivedNs) / 1_000_000 + " ms");
         } else if (connection == Connection.OPEN
                 && doubtSinceNs != NEVER
                 && now - doubtSinceNs > settings.startupWaitNs
                 && hasAlternative(now)) {
-            abandon(now, "it is in doubt");
+            abandon(now, "it has been outdated for too long");
         } else if (connection == Connection.OPEN && now - lastAckNs >= ACK_INTERVAL_NS) {
             ack(now);
         }
         if (!startDecided && held != null && now - startedAtNs >= settings.startupWaitNs && !isKnownOlder()) {
             startDecided = true;
-            host.log("control did not say in time what is newest: begins with " + held.version()
-                    + (persisted ? " of the disk" : "")
-                    + (mayBeOlder ? ", which may be older than what ran here before" : ""));
+            host.log("no control process confirmed the newest version in time: starting with " + held.version()
+                    + (persisted ? " from disk" : "")
+                    + (mayBeOlder ? ", which may be older than the version that ran here before" : ""));
         }
         applyIfReady(now);
     }
 
-    /** Is it known that what is held is older than what ran here? Then it is not put in force. */
+    /** Whether the held document is known to be older than what ran here; it is then not put in force. */
     private boolean isKnownOlder() {
         return mayBeOlder && highestSeen != null && highestSeen.comparePosition(held.version()) > 0;
     }
@@ -378,27 +377,27 @@
         return false;
     }
 
-    /** The newest document that was verified; null for none yet. */
+    /** The newest verified document, or null. */
     public Document held() {
         return held;
     }
 
-    /** Null for none yet. */
+    /** The version in force, or null. */
     public Version inForce() {
         return inForce;
     }
 
-    /** Why what is held is not in force; empty for no trouble. */
+    /** Why the held document is not in force; empty if there is no problem. */
     public String trouble() {
         return trouble;
     }
 
-    /** The place of the control process in the list of addresses. */
+    /** The index of the current control process in the address list. */
     public int controlIndex() {
         return controlIndex;
     }
 
-    /** Has it all that its control process had, which is itself in step with the primary? */
+    /** Whether it has every version of its control process, which is itself in step with the primary. */
     public boolean isInStep(long now) {
         return connection == Connection.OPEN
                 && caughtUp
@@ -406,7 +405,6 @@
                 && now - lastReceivedNs <= settings.silenceTimeoutNs;
     }
 
-    /** Is it connected? */
     public boolean isConnected() {
         return connection == Connection.OPEN;
     }
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** What one follower that is connected is to get, one update at a time: the next one tells all since. */
+/** Chooses the updates for one connected follower, one at a time; each covers all versions since the previous one. */
 public final class FollowerUpdates {
     private final SnapshotSlots slots;
     private Version sentVersion;
     private boolean helloReceived;
     private boolean snapshotRequested;
 
-    /** turns: those of the control process, for snapshots. */
+    /** slots: limits concurrent snapshots of the control process. */
     public FollowerUpdates(SnapshotSlots turns) {
         this.slots = turns;
     }
 
-    /** It has begun, and has that version; null for none. */
+    /** The follower has said hello with the version it has, or null. */
     public void hello(Version v) {
         sentVersion = v;
         helloReceived = true;
     }
 
-    /** It could not use what it got. */
+    /** The follower could not apply an update and asks for a snapshot. */
     public void requestSnapshot() {
         snapshotRequested = true;
     }
 
-    /** Has it a higher version than the history, or another one of the same place? */
+    /** Whether the follower has a higher version than the history, or a fork of it. */
     public boolean isAheadOrForked(History h) {
         if (!helloReceived || sentVersion == null) {
             return false;
@@ -34,14 +34,14 @@
         return kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED;
     }
 
-    /** What it has or is on its way to having; null for nothing. */
+    /** The version that the follower has or has been sent, or null. */
     public Version sentVersion() {
         return sentVersion;
     }
 
     /**
-     * The update that is to go out now; null for none, or where it has to wait for its turn. Whoever sends a
-     * snapshot calls {@link #over} when it has gone.
+     * Returns the next update to send; null for none, or while it waits for a snapshot slot. The caller calls
+     * {@link #releaseSlot} once a snapshot has been sent.
      */
     public Message.Update next(History h) {
         if (!helloReceived || h.head() == null) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Its snapshot has gone, or the follower has: the next one that may have its turn, null for none. */
+    /** Called when the snapshot is sent or the follower disconnects. Returns the next one to try, or null. */
     public FollowerUpdates releaseSlot() {
         return (FollowerUpdates) slots.release(this);
     }
--- a/src/main/java/gullspar/versions/History.java
+++ b/src/main/java/gullspar/versions/History.java
@@ -8,69 +8,69 @@
 import java.util.zip.Deflater;
 
 /**
- * The newest document and the changes that led to it, as far back as the bounds allow: what a control process
- * decides by what a follower gets.
+ * The newest document and the deltas that led to it, as far back as the limits allow. A control process uses it
+ * to choose the update for each follower.
  */
 public final class History {
-    /** What a follower that has some version is to get. */
+    /** The kind of update for a follower that has a given version. */
     public enum UpdateKind {
-        /** Nothing: it has the newest one, or nobody has any. */
+        /** No update: the follower has the newest version, or there is none. */
         NOTHING,
-        /** The changes since. */
+        /** The deltas since its version. */
         CHANGES,
-        /** The whole. */
+        /** The whole document. */
         SNAPSHOT,
-        /** Nothing: it has a higher one. */
+        /** No update: the follower has a higher version. */
         AHEAD,
-        /** Nothing: it has another one of the same place. */
+        /** No update: the follower has a different version with the same epoch and number. */
         FORKED
     }
 
-    /** What it is to get; the changes, empty but for {@link Kind#CHANGES}. */
+    /** The update for a follower; deltas are empty except for {@link UpdateKind#CHANGES}. */
     public record UpdatePlan(UpdateKind kind, List<Delta> deltas) {
         private static UpdatePlan of(UpdateKind kind) {
             return new UpdatePlan(kind, List.of());
         }
     }
 
-    /** Changes of so few bytes are not compared with the whole. */
+    /** Deltas up to this size are sent without comparing them with the size of a snapshot. */
     private static final int ALWAYS_DELTA_BYTES = 2048;
 
     private final int maxDeltas;
     private final int maxBytes;
     private final Deque<Delta> deltas = new ArrayDeque<>();
     private int totalBytes;
-    /** What the oldest change is applied to, or the head where there are none; null for nothing yet. */
+    /** The version that the oldest delta applies to, or the head if there are no deltas; null while empty. */
     private Version oldest;
 
     private Document head;
-    /** Of the head; -1 while nobody has asked. */
+    /** Compressed size of the head; -1 until computed. */
     private int compressedBytes = -1;
 
-    /** Keeps at most so many changes, of at most so many bytes in all. */
+    /** Limits the number of deltas and their total estimated size. */
     public History(int maxDeltas, int maxBytes) {
         this.maxDeltas = maxDeltas;
         this.maxBytes = maxBytes;
     }
 
-    /** The newest document; null before the first. */
+    /** The newest document, or null. */
     public Document head() {
         return head;
     }
 
-    /** The newest version; null before the first. */
+    /** The newest version, or null. */
     public Version version() {
         return head == null ? null : head.version();
     }
 
-    /** The changes that are kept, the oldest first. */
+    /** The retained deltas, oldest first. */
     public List<Delta> deltas() {
         return List.copyOf(deltas);
     }
 
     /**
-     * A newer document, and the changes that led to it from the head; without them, or where they don't fit,
-     * the history begins anew. An IllegalArgumentException if it is not newer.
+     * Appends a newer document and the deltas that lead to it from the head; without matching deltas the history
+     * restarts at the document. Throws IllegalArgumentException if it is not newer.
      */
     public void append(Document next, List<Delta> newDeltas) {
         if (head != null && next.version().comparePosition(head.version()) <= 0) {
@@ -101,7 +101,7 @@
         totalBytes += d.estimatedBytes();
     }
 
-    /** Another one with the same content. */
+    /** Returns an independent copy. */
     public History copy() {
         History h = new History(maxDeltas, maxBytes);
         h.deltas.addAll(deltas);
@@ -111,7 +111,7 @@
         return h;
     }
 
-    /** As it was kept on a disk: the head, and the changes that led there as far as they are a chain. */
+    /** Restores the state read from disk; the deltas are dropped unless they form a chain to the document. */
     public void restore(Document document, Version from, List<Delta> storedDeltas) {
         head = document;
         compressedBytes = -1;
@@ -130,12 +130,12 @@
         }
     }
 
-    /** What the oldest change that is kept is applied to; the head's where none is; null before the first. */
+    /** The version that the oldest retained delta applies to; the head without deltas; null while empty. */
     public Version oldest() {
         return oldest;
     }
 
-    /** The version that was at the place of another one; null if that is not known any more. */
+    /** The version with the same epoch and number as the given one; null if unknown or no longer retained. */
     public Version versionAt(Version position) {
         if (oldest != null && oldest.comparePosition(position) == 0) {
             return oldest;
@@ -148,7 +148,7 @@
         return head != null && head.version().comparePosition(position) == 0 ? head.version() : null;
     }
 
-    /** What a follower that has that version gets, null for one that has none. */
+    /** Chooses the update for a follower that has the version, or null for none. */
     public UpdatePlan planFor(Version has) {
         if (head == null || head.version().equals(has)) {
             return UpdatePlan.of(has == null || head != null ? UpdateKind.NOTHING : UpdateKind.AHEAD);
@@ -162,7 +162,7 @@
         }
         Version mine = versionAt(has);
         if (mine != null && !mine.equals(has)) {
-            // A higher epoch is the operators' word that it holds, whatever the former primary wrote.
+            // Operators raise the epoch to declare that it overrides what the former primary wrote.
             return UpdatePlan.of(has.epoch() < head.version().epoch() ? UpdateKind.SNAPSHOT : UpdateKind.FORKED);
         }
         return mine == null ? UpdatePlan.of(UpdateKind.SNAPSHOT) : planSince(has);
@@ -182,7 +182,7 @@
                 : new UpdatePlan(UpdateKind.CHANGES, since);
     }
 
-    /** Bytes of the whole on the wire. */
+    /** Compressed size of the head in bytes. */
     private int compressedBytes() {
         if (compressedBytes < 0) {
             Deflater d = new Deflater();
--- a/src/main/java/gullspar/versions/Message.java
+++ b/src/main/java/gullspar/versions/Message.java
@@ -2,54 +2,54 @@
 
 import java.util.List;
 
-/** What goes over a connection between followers, control processes and operators' commands. */
+/** Messages between followers, control processes and operators' commands. */
 public sealed interface Message {
-    /** Characters of the longest name of a follower or of a control process. */
+    /** Limit for the name of a follower or control process. */
     int MAX_NAME_CHARS = 64;
-    /** Characters of the longest reason. */
+    /** Limit for a reason. */
     int MAX_REASON_CHARS = 300;
 
-    /** As what somebody follows. The primary does after a start, to be told what the others have. */
+    /** The role of a follower. The primary follows the others after a start to collect the versions they have. */
     enum Role {
         PROXY,
         CONTROL,
         PRIMARY
     }
 
-    /** A follower begins: who it is, and what it has, null for nothing. */
+    /** Sent first by a follower: its identity and the version it has, or null. */
     record Hello(String name, Role role, Version has) implements Message {}
 
     /**
-     * A control process says what it has, null for nothing; each second, so it is its beat as well. inStep:
-     * it has heard within moments that there is nothing newer.
+     * The newest version of a control process, or null. Sent every second, so it is also the heartbeat. inStep:
+     * it was recently confirmed that there is nothing newer.
      */
     record Head(String control, Version head, boolean inStep) implements Message {}
 
     /**
-     * A newer version: by the changes that lead there, or, where these are empty, by its text. ancestor: what
-     * the control process had at the follower's place, null if it does not know.
+     * A newer version, as deltas or, if these are empty, as its whole text. ancestor: the version of the control
+     * process with the epoch and number of the follower's, null if unknown.
      */
     record Update(Version to, Version ancestor, List<Delta> deltas, String text) implements Message {}
 
-    /** The follower could not use an update, and asks for a snapshot. */
+    /** Sent by a follower that could not apply an update. */
     record SnapshotRequest() implements Message {}
 
-    /** What a follower runs, null for nothing; why it does not run a newer one, empty for no trouble. */
+    /** The version in force at a follower, or null; trouble: why a newer one is not, empty if none. */
     record Ack(Version inForce, String trouble) implements Message {}
 
-    /** What a control process knows of its followers, to the primary: those that have changed. */
+    /** Sent by a control process to the primary: its followers whose state has changed. */
     record Report(List<FollowerState> states) implements Message {}
 
-    /** An operator's change. after: the number that it was written against; 0 for the first. */
+    /** An operator's change. baseNumber: the version number it is based on; 0 for the first. */
     record Publish(long baseNumber, String file, String text) implements Message {}
 
-    /** What became of it; head: the newest version, null for none. */
+    /** The outcome of a change; head: the newest version, or null. */
     record Published(Publisher.Outcome outcome, Version head, List<String> lines) implements Message {}
 
-    /** An operator asks who runs what; with whole also those in order. */
+    /** An operator asks for the state of the followers; full: includes those that are up to date. */
     record StatusRequest(boolean full) implements Message {}
 
-    /** control: who answers; primary: is it the primary; all: who runs what. */
+    /** control: name of the responding process; primary: whether it is the primary. */
     record StatusResponse(
             String control,
             boolean primary,
@@ -61,11 +61,11 @@
             implements Message {}
 
     /**
-     * What somebody runs.
+     * The state of a follower or control process.
      *
-     * @param epoch and number: of the version; both 0 for none
-     * @param awayMs for so long it has not been connected; 0 if it is
-     * @param via the control process that it is, or was last, connected to
+     * @param epoch of the version in force, like number; both are 0 for none
+     * @param awayMs time since it was last connected; 0 if it is connected
+     * @param via the control process it is or was last connected to
      */
     record FollowerState(
             String name, boolean control, long epoch, long number, String trouble, long awayMs, String via) {}
--- a/src/main/java/gullspar/versions/MismatchException.java
+++ b/src/main/java/gullspar/versions/MismatchException.java
@@ -1,6 +1,6 @@
 package gullspar.versions;
 
-/** A text or a change that does not fit the version that it is said to be. */
+/** A text or delta does not match the version it claims to be. */
 public final class MismatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/versions/Preference.java
+++ b/src/main/java/gullspar/versions/Preference.java
@@ -4,11 +4,11 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** In which order a follower tries the control processes: by a hash of both, so that the load spreads. */
+/** The order in which a follower tries the control processes, by a hash of its name and their addresses. */
 public final class Preference {
     private Preference() {}
 
-    /** The addresses in that follower's order (rendezvous hashing: one that goes moves only its own). */
+    /** Orders addresses by rendezvous hashing: removing one moves only the followers that had it first. */
     public static List<String> order(String name, List<String> addresses) {
         List<String> order = new ArrayList<>(addresses);
         order.sort(
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 
 /**
- * What the primary decides: whether a change becomes the next version. It asks the other control processes
- * first, after each start, what they have: its own disk may be one that was put back.
+ * Decides at the primary whether a change becomes the next version. After each start it first needs the versions
+ * of all other control processes, because its own disk may have been restored from an older state.
  */
 public final class Publisher {
-    /** What became of a change. */
+    /** The outcome of a change. */
     public enum Outcome {
         ACCEPTED,
         SAME,
@@ -22,12 +22,12 @@
         FAILED
     }
 
-    /** Finds all that is wrong with a text: a line each, file:line:column: what. */
+    /** Validates a text; returns one line for each problem, as file:line:column: description. */
     public interface Check {
         List<String> problems(String file, String text);
     }
 
-    /** document: the next version if it was accepted, else null. */
+    /** document: the next version if accepted, otherwise null. */
     public record Decision(Outcome outcome, List<String> lines, Document document) {
         static Decision reject(Outcome o, String line) {
             return new Decision(o, List.of(line), null);
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Another control process, or a follower, has that version; null for none. A control process that could
-     * give it away is asked for it elsewhere.
+     * Records the version of another control process or follower, or null. Fetching a newer version from a control
+     * process is not done here.
      */
     public void recordVersion(String name, Version version) {
         awaited.remove(name);
@@ -55,41 +55,42 @@
         }
     }
 
-    /** Has every other control process been heard? */
+    /** Whether the versions of all other control processes are known. */
     public boolean hasAllVersions() {
         return awaited.isEmpty();
     }
 
-    /** Why no change is taken now; null if one is. */
+    /** Why changes are not accepted now; null if they are. */
     public String obstacle(History history) {
         if (!awaited.isEmpty()) {
-            return "not yet heard which version these control processes have: " + String.join(", ", awaited);
+            return "waiting for the versions of these control processes: " + String.join(", ", awaited);
         }
         Version head = history.version();
         if (head != null && head.epoch() > epoch) {
-            return "this primary is of epoch " + epoch + ", and version " + head + " of a later one";
+            return "this primary is of epoch " + epoch + ", but version " + head + " has a later epoch";
         }
         for (Map.Entry<String, Version> o : others.entrySet()) {
             Version v = o.getValue();
             if (v.epoch() >= epoch && (head == null || v.comparePosition(head) > 0)) {
-                return o.getKey() + " has version " + v + ", this primary only " + (head == null ? "nothing" : head);
+                return o.getKey() + " has version " + v + ", this primary has only "
+                        + (head == null ? "nothing" : head);
             }
             Version mine = history.versionAt(v);
             if (v.epoch() >= epoch && mine != null && !mine.equals(v)) {
-                return o.getKey() + " has another version of the same place: " + v + ", this primary " + mine;
+                return o.getKey() + " has another version with the same number: " + v + ", this primary has " + mine;
             }
         }
         return null;
     }
 
-    /** Is this primary sure that nobody has a newer one? */
+    /** Whether no other process is known or suspected to have a newer version. */
     public boolean isReady(History history) {
         return obstacle(history) == null;
     }
 
     /**
-     * Decides about a change that was written against the version of that number, 0 for the first. An
-     * accepted one is yet to be checked and kept; meanwhile no other may be decided about.
+     * Decides on a change based on the version with that number, 0 for the first. An accepted change still has to
+     * be validated and persisted; until then no other change may be decided.
      */
     public Decision decide(long baseNumber, String file, String text, History history) {
         String obstacle = obstacle(history);
@@ -102,17 +103,17 @@
             return Decision.reject(
                     Outcome.OLDER,
                     "written against version " + baseNumber + ", but "
-                            + (head == null ? "there is none yet" : head.version() + " came first"));
+                            + (head == null ? "there is none yet" : head.version() + " is newer"));
         }
         if (text.length() > Document.MAX_CHARS) {
             return Decision.reject(Outcome.WRONG, file + ":1:1: is longer than " + Document.MAX_CHARS + " characters");
         }
         if (head != null && head.text().equals(text)) {
-            return Decision.reject(Outcome.SAME, "that is version " + head.version() + " already");
+            return Decision.reject(Outcome.SAME, "version " + head.version() + " already has this text");
         }
         long highest = number;
         for (Version v : others.values()) {
-            highest = Math.max(highest, v.number()); // of a former epoch: numbers are not given twice
+            highest = Math.max(highest, v.number()); // of a former epoch: numbers are never reused
         }
         return new Decision(
                 Outcome.ACCEPTED,
--- a/src/main/java/gullspar/versions/RateLimiter.java
+++ b/src/main/java/gullspar/versions/RateLimiter.java
@@ -1,8 +1,8 @@
 package gullspar.versions;
 
 /**
- * A token bucket: in any second no more goes out than the allowance, but for one frame. Seven tenths of it
- * come back in a second, three tenths may be spent at once.
+ * A token bucket: in any second at most the allowed bytes are sent, plus one frame. 70% of the allowance is
+ * refilled per second, 30% is the burst.
  */
 public final class RateLimiter {
     private static final double NS_PER_SECOND = 1e9;
@@ -25,13 +25,13 @@
         refilledAtNs = Math.max(refilledAtNs, now);
     }
 
-    /** From when on the next frame may go: now or earlier if at once. */
+    /** The earliest time to send the next frame; now if immediately. */
     public long readyAtNs(long now) {
         refill(now);
         return tokens > 0 ? now : now + 1 + (long) (-tokens / perNs);
     }
 
-    /** So many bytes have gone. */
+    /** Records sent bytes. */
     public void spend(long now, int bytes) {
         refill(now);
         tokens -= bytes;
--- a/src/main/java/gullspar/versions/Registry.java
+++ b/src/main/java/gullspar/versions/Registry.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Who runs what, as far as a control process knows: its own followers, and at the primary everybody's. */
+/** The states of the followers known to a control process: its own, and at the primary those of all. */
 public final class Registry {
     private static final class Entry {
         private boolean control;
@@ -15,11 +15,11 @@
         private long number;
         private String trouble = "";
         private String via;
-        /** When it was last connected; it is now if -1. */
+        /** When it disconnected; CONNECTED while it is connected. */
         private long disconnectedAtNs;
     }
 
-    /** How far a version has come: who there is, those that run it or a newer one, and the others. */
+    /** Rollout of a version: number of followers, how many run it or a newer one, and the others. */
     public record Progress(int followers, int inForce, List<Message.FollowerState> missing) {}
 
     private static final long CONNECTED = -1;
@@ -30,18 +30,18 @@
     private final Map<String, Entry> entries = new TreeMap<>();
     private final Set<String> changed = new LinkedHashSet<>();
 
-    /** Those that are away for longer than that are forgotten; so are further ones than that many. */
+    /** Followers disconnected for longer than retentionNs are evicted; new ones beyond maxEntries are ignored. */
     public Registry(long retentionNs, int maxEntries) {
         this.retentionNs = retentionNs;
         this.maxEntries = maxEntries;
     }
 
-    /** A follower that is connected here runs that; null for nothing. */
+    /** Records the version of a connected follower, or null. */
     public void running(String name, boolean control, Version v, String trouble, String via) {
         update(name, control, v == null ? 0 : v.epoch(), v == null ? 0 : v.number(), trouble, via, CONNECTED);
     }
 
-    /** It is not connected there any more; it may be elsewhere. */
+    /** Records a disconnect, unless the follower has connected to another control process since. */
     public void recordDisconnect(long now, String name, String via) {
         Entry e = entries.get(name);
         if (e != null && e.disconnectedAtNs == CONNECTED && e.via.equals(via)) {
@@ -50,14 +50,14 @@
         }
     }
 
-    /** None of those that one control process told of is known to be there, since it is gone itself. */
+    /** Records a disconnect of all followers of a control process that has itself disconnected. */
     public void recordControlLost(long now, String via) {
         for (String name : List.copyOf(entries.keySet())) {
             recordDisconnect(now, name, via);
         }
     }
 
-    /** Another control process tells of somebody. */
+    /** Merges a state reported by another control process. */
     public void merge(long now, Message.FollowerState r) {
         Entry e = entries.get(r.name());
         if (r.awayMs() > 0) {
@@ -101,7 +101,7 @@
         changed.add(name);
     }
 
-    /** Forgets those that have been away for too long. */
+    /** Evicts followers disconnected for longer than the retention time. */
     public void evictExpired(long now) {
         entries.values().removeIf(e -> e.disconnectedAtNs != CONNECTED && now - e.disconnectedAtNs > retentionNs);
     }
@@ -117,14 +117,14 @@
                 e.via);
     }
 
-    /** Everybody, by name. */
+    /** All states, by name. */
     public List<Message.FollowerState> all(long now) {
         List<Message.FollowerState> all = new ArrayList<>();
         entries.forEach((name, e) -> all.add(running(now, name, e)));
         return all;
     }
 
-    /** Those of whom something has changed since this was last called. */
+    /** The states changed since the previous call. */
     public List<Message.FollowerState> changes(long now) {
         List<Message.FollowerState> all = new ArrayList<>();
         for (String name : changed) {
@@ -137,12 +137,12 @@
         return all;
     }
 
-    /** All count as changed: another one listens. */
+    /** Marks all as changed, for a new receiver of the changes. */
     public void markAllChanged() {
         changed.addAll(entries.keySet());
     }
 
-    /** How far a version has come; everybody for null. */
+    /** The rollout of a version; with null all count as up to date. */
     public Progress progress(long now, Version v) {
         List<Message.FollowerState> missing = new ArrayList<>();
         entries.forEach((name, e) -> {
--- a/src/main/java/gullspar/versions/SnapshotSlots.java
+++ b/src/main/java/gullspar/versions/SnapshotSlots.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** How many followers get a snapshot at the same time; the others wait in the order in which they came. */
+/** Limits concurrent snapshots; further followers wait in the order in which they asked. */
 public final class SnapshotSlots {
     private final int capacity;
     private final Set<Object> holders = new LinkedHashSet<>();
@@ -14,7 +14,7 @@
         this.capacity = capacity;
     }
 
-    /** Has it a turn? If not, it waits for one from now on. */
+    /** Whether it holds a slot or has now acquired one; otherwise it is added to the waiting list. */
     public boolean tryAcquire(Object who) {
         if (holders.contains(who)) {
             return true;
@@ -29,7 +29,7 @@
         return false;
     }
 
-    /** It is done, or has gone; the next one that may come, null for none. */
+    /** Releases the slot or leaves the waiting list; returns the next one that may acquire, or null. */
     public Object release(Object who) {
         holders.remove(who);
         waiting.remove(who);
@@ -38,7 +38,7 @@
                 : null;
     }
 
-    /** How many had one at once, at the most so far. */
+    /** The highest number of slots held at once so far. */
     public int peak() {
         return peak;
     }
--- a/src/main/java/gullspar/versions/Version.java
+++ b/src/main/java/gullspar/versions/Version.java
@@ -3,23 +3,23 @@
 import java.nio.ByteBuffer;
 
 /**
- * Which version of the document. Versions are ordered by epoch, then by number; within an epoch one process
- * writes, so two versions of the same place that differ are a fork.
+ * Identifies a version of the document. Versions are ordered by epoch, then by number; within an epoch only one
+ * process writes, so two different versions with the same epoch and number are a fork.
  *
- * @param epoch raised by the operators where another process becomes the primary; 1 or more
- * @param number one more than the predecessor's; 1 or more
+ * @param epoch raised by operators when another process becomes the primary; 1 or more
+ * @param number greater than the predecessor's; 1 or more
  * @param text the checksum of the document's text
- * @param parent the {@link #id} of the predecessor: a chain back to the first version
+ * @param parent the {@link #id} of the predecessor, which makes a hash chain back to the first version
  */
 public record Version(long epoch, long number, Checksum text, Checksum parent) {
-    /** An IllegalArgumentException for one that cannot be. */
+    /** Throws IllegalArgumentException for invalid values. */
     public Version {
         if (epoch < 1 || number < 1 || text == null || parent == null) {
-            throw new IllegalArgumentException("a version that cannot be: " + epoch + "." + number);
+            throw new IllegalArgumentException("invalid version: " + epoch + "." + number);
         }
     }
 
-    /** What its successors name it by: a checksum of all four. */
+    /** The checksum over all four fields, by which successors refer to this version. */
     public Checksum id() {
         return Checksum.of(ByteBuffer.allocate(2 * Long.BYTES + 2 * Checksum.LENGTH_BYTES)
                 .putLong(epoch)
@@ -29,17 +29,17 @@
                 .array());
     }
 
-    /** Below 0 for a lower place than the other's, 0 for the same one, which may be a fork. */
+    /** Compares epoch and number; 0 does not imply equality, as the versions may be forks. */
     public int comparePosition(Version other) {
         return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(number, other.number);
     }
 
-    /** Is the other one its predecessor? */
+    /** Whether the other version is the predecessor. */
     public boolean follows(Version other) {
         return parent.equals(other.id());
     }
 
-    /** Epoch, number, and the beginning of the text's checksum. */
+    /** Epoch, number and the start of the text checksum. */
     @Override
     public String toString() {
         return epoch + "." + number + " (" + text + ")";
--- a/src/main/java/gullspar/versions/file/DiskFolder.java
+++ b/src/main/java/gullspar/versions/file/DiskFolder.java
@@ -12,7 +12,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the file system, held by one process: its lock ends with the process, however that ends. */
+/** A folder of the file system, locked by one process; the lock is released however the process ends. */
 public final class DiskFolder implements Folder, Closeable {
     private final Path folder;
     private final FileChannel lockFile;
@@ -22,7 +22,7 @@
         this.lockFile = lockFile;
     }
 
-    /** Takes a folder, which is made if need be; an IOException if another process has it. */
+    /** Locks the folder, creating it if needed; throws IOException if another process has locked it. */
     public static DiskFolder open(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel c = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -30,14 +30,14 @@
         try {
             lock = c.tryLock();
         } catch (OverlappingFileLockException e) {
-            // held within this process: the same to whoever comes second
+            // locked within this process: treated like a lock of another process
         } finally {
             if (lock == null) {
                 c.close();
             }
         }
         if (lock == null) {
-            throw new IOException("the folder " + folder + " is in use by another process");
+            throw new IOException("folder " + folder + " is in use by another process");
         }
         return new DiskFolder(folder, c);
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Lets go of the folder. */
+    /** Releases the lock. */
     @Override
     public void close() throws IOException {
         lockFile.close();
--- a/src/main/java/gullspar/versions/file/Folder.java
+++ b/src/main/java/gullspar/versions/file/Folder.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** A folder with a few files of fixed names, as the system has it: every call may fail, and take its time. */
+/** A folder with a few files of fixed names. Every call may block or fail. */
 public interface Folder {
-    /** The whole file; null if there is none. */
+    /** Reads the whole file; null if it does not exist. */
     byte[] read(String name) throws IOException;
 
-    /** Makes a file anew; on return its content survives the loss of power (fsync). */
+    /** Creates or replaces a file; on return its content survives a power failure (fsync). */
     void write(String name, byte[] content) throws IOException;
 
-    /** Gives a file another name, at once, over one that has it. */
+    /** Renames a file atomically, replacing an existing one. */
     void rename(String from, String to) throws IOException;
 
-    /** On return names that were given survive the loss of power. */
+    /** On return earlier renames survive a power failure. */
     void sync() throws IOException;
 }
--- a/src/main/java/gullspar/versions/file/Store.java
+++ b/src/main/java/gullspar/versions/file/Store.java
@@ -11,29 +11,29 @@
 import java.util.List;
 
 /**
- * The newest version that a process has had, on its disk, and the one before. A new one is written beside and
- * synced before it takes the other's name: at any moment there is a whole one. Each file has a checksum, so
- * that a torn or damaged one is known as such.
+ * Stores the newest version that a process has had and the previous one on disk. A new version is written to a
+ * separate file and synced before it is renamed, so that an intact one exists at any moment. Each file has a
+ * checksum to detect torn writes and damage.
  */
 public final class Store {
-    /** What is in force, the one before, and one that is being written. */
+    /** File names: the current version, the previous one, and the one being written. */
     public static final String CURRENT = "current";
 
     public static final String PREVIOUS = "previous";
     public static final String NEXT = "next";
     private static final byte[] MAGIC = "gullspar versions 1\n".getBytes(StandardCharsets.US_ASCII);
-    /** Written at each change: a quick way, whose result is some tenths longer. */
+    /** Fast, because each change is written; the output is some tenths larger than at the default level. */
     private static final int COMPRESSION_LEVEL = 1;
 
     /**
-     * @param kept the newest that is whole; null for none
-     * @param mayBeOlder a newer one was there, and cannot be read
-     * @param damage a line for each file that is damaged
+     * @param stored the newest intact version, or null
+     * @param mayBeOlder a newer version existed but cannot be read
+     * @param damage a line for each damaged file
      */
     public record Found(Codec.StoredDocument stored, boolean mayBeOlder, List<String> damage) {}
 
     private final Folder folder;
-    /** Is the file of that name there and whole, as far as is known? */
+    /** Whether that file exists and is intact, as far as known. */
     private boolean hasCurrent;
 
     private boolean hasNext;
@@ -42,7 +42,7 @@
         this.folder = folder;
     }
 
-    /** What there is; an IOException if the folder cannot be read at all. Changes nothing. */
+    /** Reads the files without changing them; throws IOException if the folder cannot be read. */
     public Found read() throws IOException {
         List<String> damage = new ArrayList<>();
         Codec.StoredDocument best = null;
@@ -67,38 +67,38 @@
                                         .comparePosition(best.document().version())
                                 > 0) {
                     best = k;
-                    // A whole one that was about to become the current one is the newest there was.
+                    // An intact next file was about to become the current one, so it is the newest.
                     newerLost &= !name.equals(NEXT);
                     hasNext = name.equals(NEXT);
                 }
             } catch (IOException e) {
-                // One that is torn while it was written was never in force: that is no loss.
+                // A torn next file was never in force, so nothing is lost.
                 if (!name.equals(NEXT)) {
-                    damage.add("the file " + name + " is damaged, and is not used: " + e.getMessage());
+                    damage.add("the file " + name + " is damaged and is ignored: " + e.getMessage());
                     newerLost |= name.equals(CURRENT);
                 }
             }
         }
-        newerLost |= hasPrevious && currentMissing && !hasNext; // between the two names there was a whole one
+        newerLost |= hasPrevious && currentMissing && !hasNext; // the current file was lost between the two renames
         return new Found(best, newerLost, damage);
     }
 
     private static Codec.StoredDocument parse(byte[] bytes) throws IOException {
         int head = MAGIC.length + Checksum.LENGTH_BYTES;
         if (bytes.length < head || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new IOException("it does not begin as it must");
+            throw new IOException("unknown file header");
         }
         byte[] body = Arrays.copyOfRange(bytes, head, bytes.length);
         if (!Checksum.of(body).equals(Checksum.fromBytes(Arrays.copyOfRange(bytes, MAGIC.length, head)))) {
-            throw new IOException("its checksum is wrong");
+            throw new IOException("checksum mismatch");
         }
         return Codec.decodeStored(Compression.decompress(body));
     }
 
-    /** Keeps a newer one. After an IOException the former one is there, or, whole, this one. */
+    /** Persists a newer version. After an IOException the former version or this one is intact on disk. */
     public void persist(Codec.StoredDocument k) throws IOException {
         if (hasNext) {
-            promote(); // the newest that is whole must not be written over
+            promote(); // the newest intact version must not be overwritten
         }
         byte[] body = Compression.compress(Codec.encode(k), COMPRESSION_LEVEL);
         folder.write(
@@ -114,7 +114,7 @@
 
     private void promote() throws IOException {
         hasNext = true;
-        if (hasCurrent) { // a damaged one must not take the place of one that is whole
+        if (hasCurrent) { // a damaged file must not replace an intact previous one
             folder.rename(CURRENT, PREVIOUS);
             hasCurrent = false;
         }
--- a/src/main/java/gullspar/versions/net/ControlClient.java
+++ b/src/main/java/gullspar/versions/net/ControlClient.java
@@ -9,13 +9,13 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** An operator's command calls a control process. Blocks; an IOException if nothing comes in time. */
+/** Blocking client of a control process for operators' commands; throws IOException on a timeout. */
 public final class ControlClient implements Closeable {
     private final Socket socket = new Socket();
     private final Frames.Assembler assembler = new Frames.Assembler(FollowerNode.MAX_UPDATE_BYTES);
     private final DataInputStream in;
 
-    /** Connects; patienceMs: for that, and for each answer. */
+    /** Connects; timeoutMs applies to connecting and to each response. */
     public ControlClient(InetSocketAddress at, int timeoutMs) throws IOException {
         try {
             socket.connect(at, timeoutMs);
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Sends a message and waits for the next one of that type. */
+    /** Sends a message and waits for the next message of the given type. */
     public <T extends Message> T request(Message m, Class<T> type) throws IOException {
         for (byte[] f : Frames.of(m)) {
             socket.getOutputStream().write(f);
@@ -38,10 +38,10 @@
             try {
                 length = in.readInt();
             } catch (EOFException e) {
-                throw new IOException("it closed the connection", e);
+                throw new IOException("the control process closed the connection", e);
             }
             if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
-                throw new IOException("it does not speak this protocol");
+                throw new IOException("the peer does not speak the control protocol: a frame of " + length + " bytes");
             }
             byte[] frame = new byte[length];
             in.readFully(frame);
--- a/src/main/java/gullspar/versions/net/ControlDaemon.java
+++ b/src/main/java/gullspar/versions/net/ControlDaemon.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** The life of a control process. */
+/** Runs a control process. */
 public final class ControlDaemon {
     private static final Log LOG = Log.standardError();
 
     private ControlDaemon() {}
 
-    /** Runs until the process ends; an IOException if it cannot listen, or has no use of its folder. */
+    /** Runs until the process ends; throws IOException if it cannot listen or cannot use its folder. */
     public static void run(ControlFile file) throws IOException {
         LibraryLog.install();
         try (DiskFolder folder = DiskFolder.open(file.folder())) {
@@ -45,20 +45,20 @@
                 throw new IOException("cannot listen on "
                         + NetUtil.toSocketAddressString(file.controls().get(file.name())) + ": " + why);
             }
-            // SIGTERM is the usual end: all that was acknowledged is kept, so nothing is left to do.
+            // SIGTERM is the usual way to stop: all acknowledged changes are persisted, so no cleanup is needed.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                LOG.say("ends");
+                                LOG.say("shutting down");
                                 Runtime.getRuntime().halt(0);
                             },
                             "end"));
             LOG.say("control " + file.name()
-                    + (file.name().equals(file.primary()) ? ", the primary," : ", after " + file.primary() + ",")
+                    + (file.name().equals(file.primary()) ? " (primary)" : " (following " + file.primary() + ")")
                     + " listens on "
                     + NetUtil.toSocketAddressString(node.address()));
             loop.terminationFuture().awaitUninterruptibly();
-            throw new IOException("the event loop has ended");
+            throw new IOException("the event loop has terminated unexpectedly");
         }
     }
 }
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -33,9 +33,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A control process: it has the document, hands it to followers, and knows who runs what. The primary takes
- * changes; the others follow it as proxies do. On its loop, but for what is checked, compared and kept: that
- * is done one after the other on a worker.
+ * A control process: distributes the document to followers and tracks their states. The primary accepts changes;
+ * the others follow it as proxies do. Runs on its event loop, except for validating, comparing and persisting
+ * documents, which a worker does sequentially.
  */
 public final class ControlNode implements Link.Listener {
     private static final String NAME = "[A-Za-z0-9._+-]+";
@@ -53,7 +53,7 @@
             200_000_000L,
             2_000_000_000L,
             2_000_000_000L);
-    /** A follower that catches up is not to wait: it asks one that has something, or not. */
+    /** No startup wait: the primary only queries what one other process has. */
     private static final Follower.Settings CATCH_UP_SETTINGS = new Follower.Settings(
             0, Follower.Settings.DEFAULTS.silenceTimeoutNs(), 200_000_000L, 1_000_000_000L, 1_000_000_000L);
 
@@ -67,11 +67,11 @@
     private final Publisher.Check check;
     private final FollowerSessions sessions;
     private final Registry registry;
-    /** Null but at the primary. */
+    /** Null except at the primary. */
     private final Publisher publisher;
     /** Null at the primary. */
     private FollowerNode upstream;
-    /** At the primary after a start: those that ask the others what they have. */
+    /** At the primary after a start: the followers that fetch the versions of the other control processes. */
     private final Map<String, FollowerNode> versionQueries = new LinkedHashMap<>();
 
     private final Queue<Change> pendingChanges = new ArrayDeque<>();
@@ -82,7 +82,7 @@
     private History history = new History(MAX_CHANGES, MAX_CHANGES_BYTES);
     private Channel listener;
 
-    /** store: read and written on the worker only. */
+    /** store: written on the worker only. */
     public ControlNode(
             ControlFile file,
             Platform platform,
@@ -112,21 +112,21 @@
         return platform.clock().now();
     }
 
-    // ---- the start ----
+    // ---- startup ----
 
-    /** Begins with what its disk has; bound is told when it listens, with null, or why not. On the loop. */
+    /** Starts with the state read from disk; bound receives null once it listens, or the failure. On the loop. */
     public void start(Store.Found found, Consumer<String> bound) {
         found.damage().forEach(platform.log()::say);
         if (found.stored() != null) {
             Codec.StoredDocument k = found.stored();
             history.restore(k.document(), k.oldest(), k.deltas());
             platform.log()
-                    .say("has version " + history.version() + " and "
+                    .say("starting with version " + history.version() + " and "
                             + history.deltas().size()
-                            + " changes before it"
-                            + (found.mayBeOlder() ? "; it had a newer one, which is damaged" : ""));
+                            + " earlier changes"
+                            + (found.mayBeOlder() ? "; a newer version on disk is damaged" : ""));
         } else {
-            platform.log().say("has no version yet");
+            platform.log().say("starting without a version: none on disk");
         }
         ChannelFuture f = platform.transport()
                 .listen(file.controls().get(file.name()), new ChannelInitializer<Channel>() {
@@ -179,7 +179,7 @@
                 of + ": ");
     }
 
-    /** What another control process tells the primary after its start. */
+    /** Receives messages of another control process at the primary after its start. */
     private void versionReported(String other, Message m) {
         if (m instanceof Message.Head h) {
             publisher.recordVersion(other, h.head());
@@ -193,18 +193,18 @@
             versionQueries.clear();
             platform.loop().execute(() -> done.forEach(FollowerNode::stop));
             platform.log()
-                    .say("all control processes are heard: takes changes after "
+                    .say("all control processes have reported their versions: accepting changes after "
                             + (history.head() == null ? "nothing" : history.version()));
             sessions.heartbeat(head(), SILENCE_TIMEOUT_NS);
         }
     }
 
-    /** The newest version that it has; null for none. On the loop. */
+    /** The newest version, or null. On the loop. */
     public Version version() {
         return history.version();
     }
 
-    /** Where it listens. */
+    /** The address it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -221,10 +221,10 @@
 
     // ---- documents ----
 
-    /** A follower of another control process has a newer document: it is kept, then handed on. */
+    /** Persists and distributes a newer document received from another control process. */
     private void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
         if (history.head() != null && history.version().comparePosition(d.version()) >= 0) {
-            done.accept(null); // the one that it began with, or one that came over another connection
+            done.accept(null); // the one it started with, or one received over another connection
             return;
         }
         History next = history.copy();
@@ -262,7 +262,7 @@
         }
     }
 
-    /** The primary runs what it has, as far as operators are concerned. */
+    /** Registers the primary itself, so that operators see its version too. */
     private void recordOwnVersion() {
         registry.running(file.name(), true, history.version(), "", file.name());
     }
@@ -288,10 +288,13 @@
             respond(
                     from,
                     Publisher.Outcome.NOT_PRIMARY,
-                    List.of("the primary is " + file.primary() + " at "
+                    List.of("not the primary; the primary is " + file.primary() + " at "
                             + NetUtil.toSocketAddressString(file.controls().get(file.primary()))));
         } else if (pendingChanges.size() >= MAX_CHANGES) {
-            respond(from, Publisher.Outcome.NOT_READY, List.of("too many changes wait"));
+            respond(
+                    from,
+                    Publisher.Outcome.NOT_READY,
+                    List.of("too many changes are waiting, the maximum is " + MAX_CHANGES));
         } else {
             pendingChanges.add(new Change(from, p));
             startNextChange();
@@ -323,8 +326,8 @@
                                     ? List.of()
                                     : List.of(Delta.between(next.head().text(), d.document())));
                 }
-            } catch (RuntimeException e) { // a slip of the reader's costs this change, not all that follow
-                problems.add(p.file() + ":1:1: this program failed on it: " + e);
+            } catch (RuntimeException e) { // a bug in the parser must not stop later changes
+                problems.add(p.file() + ":1:1: internal error while validating: " + e);
             }
             platform.loop().execute(() -> {
                 if (problems.isEmpty()) {
@@ -343,7 +346,7 @@
                     .say("version " + history.version() + " from " + c.from().peer());
             finishChange(c, Publisher.Outcome.ACCEPTED, List.of());
         } else {
-            platform.log().say("a change is refused: " + why);
+            platform.log().say("change failed: " + why);
             finishChange(c, Publisher.Outcome.FAILED, List.of(why));
         }
     }
@@ -380,7 +383,7 @@
         sessions.recordReceived(l);
         if (m instanceof Message.Hello h) {
             if (sessions.helloOf(l) != null || !h.name().matches(NAME)) {
-                l.close("a greeting that cannot be");
+                l.close("unexpected or invalid hello");
                 return;
             }
             sessions.add(l, h, head());
@@ -418,14 +421,14 @@
         scheduleReport();
     }
 
-    /** A follower that has more than this one, or something else, is heard before a further change. */
+    /** A follower with a higher version or a fork blocks further changes. */
     private void recordIfAheadOrForked(Message.Hello who, Message.Ack a) {
         History.UpdateKind kind = history.planFor(a.inForce()).kind();
         if (kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED) {
             boolean before = publisher.isReady(history);
             publisher.recordVersion(who.name(), a.inForce());
             if (before && !publisher.isReady(history)) {
-                platform.log().say("takes no changes: " + publisher.obstacle(history));
+                platform.log().say("no longer accepting changes: " + publisher.obstacle(history));
             }
         }
     }
@@ -450,7 +453,7 @@
         scheduleReport();
     }
 
-    // ---- who runs what ----
+    // ---- follower states ----
 
     private void scheduleReport() {
         if (upstream != null && !reportScheduled) {
@@ -470,7 +473,7 @@
         if (upstream == null || !upstream.follower().isConnected()) {
             return;
         }
-        if (reportedConnections != upstream.connections()) { // whoever is there now has heard nothing
+        if (reportedConnections != upstream.connections()) { // a new connection has received no reports
             reportedConnections = upstream.connections();
             registry.markAllChanged();
         }
@@ -480,7 +483,7 @@
         }
     }
 
-    /** Followers that are connected, snapshots begun, and the most of these at once. For measurements. */
+    /** Connected followers, snapshots started, and the peak of concurrent ones. For measurements. */
     public long[] statistics() {
         return new long[] {sessions.size(), sessions.snapshotsStarted(), sessions.peakSnapshots()};
     }
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -15,15 +15,15 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A {@link Follower} on sockets. All on the platform's loop. */
+/** Connects a {@link Follower} to the network. Runs on the platform's event loop. */
 public final class FollowerNode implements Follower.Host, Link.Listener {
-    /** Keeps a document and puts it in force. */
+    /** Persists a document and puts it in force. */
     public interface Applier {
-        /** done is called on the loop, with why it is not in force, or null. */
+        /** done receives null on success, otherwise why the document is not in force. */
         void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done);
     }
 
-    /** Bytes of the largest update, packed. */
+    /** Limit for a compressed message. */
     static final int MAX_UPDATE_BYTES = 32 << 20;
 
     private static final int CONNECT_TIMEOUT_MS = 2000;
@@ -43,8 +43,8 @@
     private long received;
 
     /**
-     * addresses: the control processes in this follower's order; heard: is told of what comes, after the
-     * follower; says: what its lines of the log begin with.
+     * addresses: the control processes in order of preference; messageListener: receives each message after the
+     * follower; logPrefix: starts each log line.
      */
     public FollowerNode(
             String name,
@@ -64,7 +64,7 @@
         this.follower = new Follower(name, role, settings, addresses.size(), random, this);
     }
 
-    /** Begins, as {@link Follower#start} says. */
+    /** Starts the follower, see {@link Follower#start}. */
     public void start(Document stored, boolean mayBeOlder) {
         follower.start(now(), stored, mayBeOlder);
         ticks = platform.loop()
@@ -80,27 +80,27 @@
         return follower;
     }
 
-    /** Has it all that its control process had, which is itself in step with the primary? */
+    /** See {@link Follower#isInStep}. */
     public boolean isInStep() {
         return follower.isInStep(now());
     }
 
-    /** How many it has had so far. */
+    /** Number of connections established so far. */
     public int connections() {
         return connections;
     }
 
-    /** Bytes written so far on all its connections. */
+    /** Bytes sent so far on all connections. */
     public long sent() {
         return sent + (link == null ? 0 : link.sentBytes());
     }
 
-    /** Bytes that came so far on all its connections. */
+    /** Bytes received so far on all connections. */
     public long received() {
         return received + (link == null ? 0 : link.received());
     }
 
-    /** Ends its connection and makes no further one. */
+    /** Closes the connection and opens no further one. */
     public void stop() {
         stopped = true;
         if (ticks != null) {
@@ -109,7 +109,7 @@
         disconnect();
     }
 
-    // ---- what the follower has done ----
+    // ---- operations of the follower ----
 
     @Override
     public void connect(int controlIndex) {
@@ -165,7 +165,7 @@
 
     @Override
     public void apply(Document d, List<Delta> deltas, boolean persisted) {
-        // Never from within the follower, which is not done yet.
+        // Scheduled on the loop, because the host must not call back before apply returns.
         applier.apply(d, deltas, persisted, why -> platform.loop().execute(() -> {
             if (!stopped) {
                 follower.applied(now(), d.version(), why);
@@ -178,7 +178,7 @@
         platform.log().say(logPrefix + line);
     }
 
-    // ---- what the connection brings ----
+    // ---- connection events ----
 
     @Override
     public void opened(Link l) {
--- a/src/main/java/gullspar/versions/net/FollowerSessions.java
+++ b/src/main/java/gullspar/versions/net/FollowerSessions.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** The followers that are connected to a control process, and what is on its way to each, at its pace. */
+/** The followers connected to a control process, and the frames queued for each, sent at a limited rate. */
 final class FollowerSessions {
-    /** Bytes a second: to a proxy; to one that has nothing yet, so serves nothing; to a control process. */
+    /** Bytes per second: to a proxy, to one without any version (it serves no traffic yet), to a control process. */
     record Rates(int proxy, int first, int control) {}
 
-    /** One of them. */
+    /** One connected follower. */
     private final class Session {
         private final Link link;
         private final Message.Hello hello;
@@ -55,7 +55,7 @@
     private List<byte[]> cachedFrames;
     private long snapshotsStarted;
 
-    /** turns: how many get a snapshot at once; history: what they are to get. */
+    /** slotCount: maximum of concurrent snapshots; history: source of the updates. */
     FollowerSessions(EventLoop loop, LongSupplier clock, Rates rates, int slotCount, History history) {
         this.loop = loop;
         this.clock = clock;
@@ -64,11 +64,11 @@
         this.history = history;
     }
 
-    /** A follower begins; an older connection of the same name ends. */
+    /** Adds a follower and closes an older connection with the same name and role. */
     void add(Link link, Message.Hello hello, Message.Head head) {
         for (Session s : List.copyOf(sessions.values())) {
             if (s.hello.name().equals(hello.name()) && s.hello.role() == hello.role() && s.link != link) {
-                s.link.close("another connection of " + hello.name());
+                s.link.close("replaced by another connection of " + hello.name());
             }
         }
         Session s = new Session(link, hello);
@@ -79,7 +79,7 @@
         pump(s);
     }
 
-    /** Who is at that connection; null for nobody. */
+    /** The hello received on the connection, or null. */
     Message.Hello helloOf(Link link) {
         Session s = sessions.get(link);
         return s == null ? null : s.hello;
@@ -89,7 +89,7 @@
         return sessions.values().stream().map(s -> s.hello).toList();
     }
 
-    /** Something came from it. */
+    /** Records that data has been received. */
     void recordReceived(Link link) {
         Session s = sessions.get(link);
         if (s != null) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** It could not use what it got. */
+    /** The follower could not apply an update. */
     void requestSnapshot(Link link) {
         Session s = sessions.get(link);
         if (s != null) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Its connection has ended. */
+    /** Removes a follower whose connection has ended. */
     void remove(Link link) {
         Session s = sessions.remove(link);
         if (s != null) {
@@ -115,18 +115,18 @@
         }
     }
 
-    /** There is a newer document: everybody gets it. */
+    /** Sends a newer document to all followers. */
     void distribute(History newer) {
         history = newer;
         List.copyOf(sessions.values()).forEach(this::pump);
     }
 
-    /** To everybody that nothing is on its way to: what there is. Those long silent are closed. */
+    /** Sends the head to followers without queued frames, and closes connections that were silent too long. */
     void heartbeat(Message.Head head, long silentNs) {
         long now = clock.getAsLong();
         for (Session s : List.copyOf(sessions.values())) {
             if (now - s.receivedAtNs > silentNs) {
-                s.link.close("silent for " + (now - s.receivedAtNs) / 1_000_000 + " ms");
+                s.link.close("nothing received for " + (now - s.receivedAtNs) / 1_000_000 + " ms");
             } else {
                 heartbeat(s, head);
             }
@@ -134,7 +134,7 @@
     }
 
     private void heartbeat(Session s, Message.Head head) {
-        if (s.frames.isEmpty()) { // frames of two messages must not mix; they are a sign of life themselves
+        if (s.frames.isEmpty()) { // frames of two messages must not mix; queued ones show liveness themselves
             for (byte[] f : Frames.of(head)) {
                 s.link.write(f);
                 s.rateLimiter.spend(clock.getAsLong(), f.length);
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Writes what may go out now. */
+    /** Writes as many frames as the rate limit and the channel allow. */
     private void pump(Session s) {
         if (s == null || s.scheduled || !sessions.containsKey(s.link)) {
             return;
@@ -157,7 +157,7 @@
         while (s.link.isWritable()) {
             long now = clock.getAsLong();
             long at = s.rateLimiter.readyAtNs(now);
-            if (at > now) { // an update is put together when it may go, so that it tells all since
+            if (at > now) { // an update is built only when it may be sent, so that it covers all changes
                 s.scheduled = true;
                 loop.schedule(
                         () -> {
@@ -176,7 +176,7 @@
             s.rateLimiter.spend(now, f.length);
             if (s.frames.isEmpty() && s.snapshot) {
                 s.snapshot = false;
-                if (s.hello.role() == Message.Role.PROXY) { // it serves from now on
+                if (s.hello.role() == Message.Role.PROXY) { // it serves traffic from now on
                     s.rateLimiter = new RateLimiter(rates.proxy, now);
                 }
                 pumpNext(s.updates.releaseSlot());
@@ -185,7 +185,7 @@
         s.link.flush();
     }
 
-    /** More may be written to it again. */
+    /** The channel is writable again. */
     void writable(Link link) {
         pump(sessions.get(link));
     }
@@ -221,7 +221,7 @@
         return sessions.size();
     }
 
-    /** Snapshots begun so far, and how many were under way at once, at the most. */
+    /** Number of snapshots started so far. */
     long snapshotsStarted() {
         return snapshotsStarted;
     }
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -10,26 +10,26 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A connection on which messages go either way. All on its loop. */
+/** A bidirectional message connection. Runs on its event loop. */
 public final class Link extends ByteToMessageDecoder {
-    /** Who hears what comes on it. */
+    /** Receives the events of a link. */
     public interface Listener {
         void opened(Link link);
 
-        /** A frame has come that does not end a message. */
+        /** A frame has arrived that does not complete a message. */
         void partReceived(Link link);
 
         void received(Link link, Message m);
 
-        /** Nothing comes any more. */
+        /** The connection has ended. */
         void closed(Link link, String why);
 
-        /** More may be written again. */
+        /** The channel is writable again. */
         default void writable(Link link) {}
     }
 
-    /** What the listener is told where the other end has closed it, in whatever way. */
-    static final String CLOSED_BY_PEER = "the other end closed it";
+    /** The reason given to the listener when the peer has closed the connection in any way. */
+    static final String CLOSED_BY_PEER = "the peer closed the connection";
 
     private final Listener listener;
     private final Frames.Assembler assembler;
@@ -39,7 +39,7 @@
     private long sentBytes;
     private long received;
 
-    /** mostBytes: of a message that may come, packed. */
+    /** maxBytes: limit for a received message, compressed. */
     public Link(Listener listener, int maxBytes) {
         this.listener = listener;
         this.assembler = new Frames.Assembler(maxBytes);
@@ -66,7 +66,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (failed) { // what still comes would be refused once more, while it is closed
+        if (failed) { // discard input that arrives while the channel closes
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -75,7 +75,7 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes, " + Frames.MAX_FRAME_BYTES + " at the most");
+            throw new IOException("a frame of " + length + " bytes, the maximum is " + Frames.MAX_FRAME_BYTES);
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
@@ -99,13 +99,13 @@
         close(first.getMessage() == null ? first.toString() : first.getMessage());
     }
 
-    /** Writes a message at once. */
+    /** Writes and flushes a message. */
     public void send(Message m) {
         Frames.of(m).forEach(this::write);
         channel.flush();
     }
 
-    /** Writes a frame; it goes out with the next {@link #flush}. */
+    /** Writes a frame; it is sent with the next {@link #flush}. */
     public void write(byte[] frame) {
         sentBytes += frame.length;
         channel.write(Unpooled.wrappedBuffer(frame));
@@ -115,12 +115,12 @@
         channel.flush();
     }
 
-    /** Does the other end take what is written? */
+    /** Whether the write buffer is below its limit. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Bytes written so far, and bytes of whole frames that came, without those of TCP and IP. */
+    /** Bytes written so far, without TCP and IP overhead. */
     public long sentBytes() {
         return sentBytes;
     }
@@ -129,12 +129,12 @@
         return received;
     }
 
-    /** Where the other end is. */
+    /** The remote address. */
     public String peer() {
         return String.valueOf(channel.remoteAddress());
     }
 
-    /** Closes it; reason: what the listener is told, null for the usual one. */
+    /** Closes the connection; reason: passed to the listener, null for the default one. */
     public void close(String reason) {
         if (reason != null) {
             closeReason = reason;
--- a/src/main/java/gullspar/versions/net/SharedDocument.java
+++ b/src/main/java/gullspar/versions/net/SharedDocument.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Looks at a change before anybody runs it. Not for several threads. */
+/** Validates a change before it becomes a version. Not thread-safe. */
 public final class SharedDocument {
     private final Blocks blocks = new Blocks();
 
-    /** All that is wrong with it, a line each: what SiteReader finds, and what is one process's own. */
+    /** Returns one line per problem: those SiteReader finds, and tables that belong to a single process. */
     public List<String> problems(String file, String text) {
         Site site;
         try {
@@ -38,6 +38,6 @@
             line++;
         }
         return file + ":" + (line + 1) + ":1: [" + table
-                + "] belongs to one process: it stands in the file of --follow, not in what all share";
+                + "] belongs to one process: move it from the shared configuration to the file of --follow";
     }
 }
--- a/src/main/java/gullspar/versions/net/VersionedSource.java
+++ b/src/main/java/gullspar/versions/net/VersionedSource.java
@@ -32,15 +32,15 @@
 import java.util.function.Consumer;
 
 /**
- * A proxy's configuration by its control processes. It has a loop and a worker of its own: reading a large
- * document must not hold up requests.
+ * A proxy's configuration as received from control processes. It has its own loop and worker, because parsing a
+ * large document must not delay requests.
  */
 public final class VersionedSource implements Source {
     private static final Log LOG = Log.standardError();
 
     private final FollowFile file;
     private final Store store;
-    /** Read on the worker only. */
+    /** Used on the worker only. */
     private final Blocks blocks = new Blocks();
 
     private final ExecutorService worker;
@@ -48,7 +48,7 @@
     private final EventLoop loop;
     private final Store.Found found;
     private final CompletableFuture<Site> first = new CompletableFuture<>();
-    /** Completed when the proxy serves. */
+    /** Completed when the proxy starts to serve. */
     private final CompletableFuture<Taker> proxy = new CompletableFuture<>();
 
     private VersionedSource(FollowFile file, Folder folder) throws IOException {
@@ -80,12 +80,12 @@
                 "versions: ");
     }
 
-    /** Takes the folder and looks what is there; an IOException if that cannot be. */
+    /** Locks the folder and reads the stored version; throws IOException if that fails. */
     public static VersionedSource open(FollowFile file) throws IOException {
         return new VersionedSource(file, DiskFolder.open(file.folder()));
     }
 
-    /** The addresses in the order in which a follower of that name tries them. */
+    /** The addresses in the order in which the follower of that name tries them. */
     public static List<InetSocketAddress> orderAddresses(String name, List<InetSocketAddress> addresses) {
         Map<String, InetSocketAddress> byText = new HashMap<>();
         addresses.forEach(a -> byText.put(NetUtil.toSocketAddressString(a), a));
@@ -98,13 +98,13 @@
     public Site first() {
         found.damage().forEach(line -> LOG.say("versions: " + line));
         Document stored = found.stored() == null ? null : found.stored().document();
-        LOG.say("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
-                + "; asks " + file.addresses().size() + " control processes");
+        LOG.say("versions: " + (stored == null ? "no version on the disk" : "has " + stored.version() + " on the disk")
+                + "; connecting to one of " + file.addresses().size() + " control processes");
         loop.execute(() -> node.start(stored, found.mayBeOlder()));
         return first.join();
     }
 
-    /** Reads the document, keeps it, then puts it in force. */
+    /** Parses the document, persists it, then puts it in force. */
     private void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
         worker.execute(() -> {
             Site site;
@@ -116,14 +116,14 @@
                     store.persist(new Codec.StoredDocument(d, null, List.of()));
                 }
             } catch (ProblemsException e) {
-                done.accept("this program cannot use it: "
+                done.accept("invalid for this proxy: "
                         + e.getMessage().lines().findFirst().orElse(""));
                 return;
             } catch (IOException e) {
                 done.accept("it cannot be kept: " + (e.getMessage() == null ? e : e.getMessage()));
                 return;
-            } catch (RuntimeException e) { // a slip of the reader's: one version is lost, not all that follow
-                done.accept("this program failed on it: " + e);
+            } catch (RuntimeException e) { // a bug in the parser must not stop later versions
+                done.accept("internal error while applying it: " + e);
                 return;
             }
             if (first.complete(site)) {
@@ -149,6 +149,6 @@
 
     @Override
     public void reload(Taker to) {
-        LOG.say("versions: the configuration comes from control; SIGHUP reads nothing of it");
+        LOG.say("versions: SIGHUP ignored: the configuration comes from the control processes");
     }
 }
--- a/src/main/java/gullspar/versions/package-info.java
+++ b/src/main/java/gullspar/versions/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Configuration that travels as versions: one document, whose versions go from a few control processes to
- * all proxies as deltas or as a snapshot, each verified by its checksum. Decisions only: time, messages and
- * random numbers come in, messages and documents go out; there is no I/O, clock or thread here. Times are in
- * ns from any origin that never goes back. {@code docs/versions-design.md} says why it is as it is.
+ * Configuration distributed as versions: a few control processes send the versions of one document to all proxies,
+ * as deltas or snapshots, each verified by its checksum. This package has only the decision logic: time, messages
+ * and random numbers are inputs, messages and documents are outputs; there is no I/O, clock or thread. Times are in
+ * ns of a monotonic clock with an arbitrary origin. The reasons for the design are in
+ * {@code docs/versions-design.md}.
  */
 package gullspar.versions;
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -16,11 +16,11 @@
 import java.util.List;
 
 /**
- * Messages, and what a disk keeps, as CBOR (RFC 8949): an array each, the kind first, fields by place. What
- * stands behind the fields that are known is passed over, so that a newer version may add some.
+ * Encodes messages and stored documents as CBOR (RFC 8949): an array with the kind first, then the fields by
+ * position. Unknown trailing fields are skipped, so that a newer release may add some.
  */
 public final class Codec {
-    /** What a disk keeps. oldest: what the first of the changes is applied to. */
+    /** The content of a stored file. oldest: the version that the first delta applies to. */
     public record StoredDocument(Document document, Version oldest, List<Delta> deltas) {}
 
     private static final CBORFactory CBOR = new CBORFactory();
@@ -47,19 +47,17 @@
         try (JsonGenerator g = CBOR.createGenerator(bytes)) {
             w.write(g);
         } catch (IOException e) {
-            throw new IllegalStateException("memory that cannot be written to", e);
+            throw new IllegalStateException("encoding to memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    // ---- writing ----
+    // ---- encoding ----
 
-    /** A message as bytes. */
     public static byte[] encode(Message m) {
         return bytes(g -> message(g, m));
     }
 
-    /** What is to be kept, as bytes. */
     public static byte[] encode(StoredDocument k) {
         return bytes(g -> {
             begin(g, STORED, 4);
@@ -136,7 +134,7 @@
         version(g, v, true);
     }
 
-    /** parent: is that written as well? */
+    /** parent: whether the checksum of the predecessor is written as well. */
     private static void version(JsonGenerator g, Version v, boolean parent) throws IOException {
         if (v == null) {
             g.writeNull();
@@ -199,7 +197,7 @@
         g.writeEndArray();
     }
 
-    // ---- reading ----
+    // ---- decoding ----
 
     private interface Reader<T> {
         T read(JsonParser p, int kind) throws IOException;
@@ -218,22 +216,22 @@
         }
     }
 
-    /** The message in these bytes; null for a kind that is not known. An IOException if it is none. */
+    /** Decodes a message; null for an unknown kind. Throws IOException for invalid input. */
     public static Message decode(byte[] bytes) throws IOException {
         return read(bytes, Codec::message);
     }
 
-    /** What was kept; an IOException, also for a text that is not its version's, if it is nothing of it. */
+    /** Decodes a stored document; throws IOException for invalid input or a text checksum mismatch. */
     public static StoredDocument decodeStored(byte[] bytes) throws IOException {
         StoredDocument k = read(bytes, (p, kind) -> {
             if (kind != STORED) {
-                throw new IOException("a message where a document must be");
+                throw new IOException("expected a stored document, found kind " + kind);
             }
             Document d = new Document(require(version(p)), text(p, Document.MAX_CHARS));
             return new StoredDocument(d, version(p), deltas(p));
         });
         if (!Checksum.of(k.document().text()).equals(k.document().version().text())) {
-            throw new IOException("the text does not have the checksum of version "
+            throw new IOException("text does not match the checksum of version "
                     + k.document().version());
         }
         return k;
@@ -265,15 +263,15 @@
 
     private static void requireArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
-            throw new IOException("no array where one must be");
+            throw new IOException("expected an array, found " + t);
         }
     }
 
-    /** Passes over what a newer version has put behind. */
+    /** Skips trailing fields added by a newer release. */
     private static void skipToEnd(JsonParser p) throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t == null) {
-                throw new IOException("the message ends in the middle");
+                throw new IOException("message is truncated");
             }
             p.skipChildren();
         }
@@ -281,11 +279,11 @@
 
     private static long number(JsonParser p, long min, long max) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IOException("no number where one must be");
+            throw new IOException("expected a number");
         }
         long n = p.getLongValue();
         if (n < min || n > max) {
-            throw new IOException("a number out of its bounds: " + n);
+            throw new IOException("number out of range: " + n + ", allowed are " + min + " to " + max);
         }
         return n;
     }
@@ -297,18 +295,18 @@
     private static boolean flag(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
-            throw new IOException("no flag where one must be");
+            throw new IOException("expected a boolean, found " + t);
         }
         return t == JsonToken.VALUE_TRUE;
     }
 
     private static String text(JsonParser p, int maxChars) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
-            throw new IOException("no text where one must be");
+            throw new IOException("expected a text");
         }
         String t = p.getText();
         if (t.length() > maxChars) {
-            throw new IOException("a text of " + t.length() + " characters, " + maxChars + " at the most");
+            throw new IOException("text of " + t.length() + " characters, the maximum is " + maxChars);
         }
         return t;
     }
@@ -319,19 +317,19 @@
 
     private static Version require(Version v) throws IOException {
         if (v == null) {
-            throw new IOException("no version where one must be");
+            throw new IOException("expected a version, found null");
         }
         return v;
     }
 
-    /** before: whose id it is if it is left out; null if it must be there. */
+    /** before: the version whose id is used if the checksum is omitted; null if it is required. */
     private static Checksum checksum(JsonParser p, Version before) throws IOException {
         JsonToken t = p.nextToken();
         if (t == JsonToken.VALUE_NULL && before != null) {
             return before.id();
         }
         if (t != JsonToken.VALUE_EMBEDDED_OBJECT) {
-            throw new IOException("no checksum where one must be");
+            throw new IOException("expected a checksum, found " + t);
         }
         return Checksum.fromBytes(p.getBinaryValue());
     }
@@ -340,7 +338,7 @@
         return version(p, null);
     }
 
-    /** Null where none is told; before: whose successor it is, where its parent is left out. */
+    /** Returns null for CBOR null; before: the predecessor if the parent checksum is omitted. */
     private static Version version(JsonParser p, Version before) throws IOException {
         JsonToken t = p.nextToken();
         if (t == JsonToken.VALUE_NULL) {
@@ -360,7 +358,7 @@
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
-                throw new IOException("no text where one must be");
+                throw new IOException("expected a text, found " + t);
             }
             all.add(p.getText());
         }
--- a/src/main/java/gullspar/versions/wire/Compression.java
+++ b/src/main/java/gullspar/versions/wire/Compression.java
@@ -7,18 +7,17 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Bytes, compressed (RFC 1951) where that makes them fewer: one byte says which; then, if so, the length. */
+/** Compresses bytes (RFC 1951) if that makes them shorter. Format: a flag byte, the plain length if set, the data. */
 public final class Compression {
-    /** In bytes, unpacked; more is refused. */
     public static final int MAX_DECOMPRESSED_BYTES = 64 << 20;
-    /** Fewer are not worth it. */
+    /** Shorter input is not compressed. */
     private static final int MIN_COMPRESSED_BYTES = 200;
 
     private static final int HEADER_BYTES = 1 + Integer.BYTES;
 
     private Compression() {}
 
-    /** Packed as well as the level says, 1 to 9. */
+    /** level: compression level, 1 to 9. */
     public static byte[] compress(byte[] plain, int level) {
         if (plain.length >= MIN_COMPRESSED_BYTES) {
             Deflater d = new Deflater(level, true);
@@ -38,17 +37,17 @@
         return ByteBuffer.allocate(1 + plain.length).put((byte) 0).put(plain).array();
     }
 
-    /** An IOException for bytes that were not packed so. */
+    /** Throws IOException for input that is invalid or too large. */
     public static byte[] decompress(byte[] packed) throws IOException {
         if (packed.length > 0 && packed[0] == 0) {
             return Arrays.copyOfRange(packed, 1, packed.length);
         }
         if (packed.length < HEADER_BYTES || packed[0] != 1) {
-            throw new IOException("bytes that are packed in no known way");
+            throw new IOException("unknown compression format");
         }
         int length = ByteBuffer.wrap(packed).getInt(1);
         if (length < 0 || length > MAX_DECOMPRESSED_BYTES) {
-            throw new IOException("a message of " + length + " bytes, " + MAX_DECOMPRESSED_BYTES + " at the most");
+            throw new IOException("message of " + length + " bytes, the maximum is " + MAX_DECOMPRESSED_BYTES);
         }
         Inflater i = new Inflater(true);
         try {
@@ -56,11 +55,11 @@
             i.setInput(packed, HEADER_BYTES, packed.length - HEADER_BYTES);
             int n = i.inflate(out);
             if (n != length || !i.finished() && i.inflate(new byte[1]) != 0) {
-                throw new IOException("a message of another length than it says");
+                throw new IOException("decompressed length differs from the declared length of " + length + " bytes");
             }
             return out;
         } catch (DataFormatException e) {
-            throw new IOException("a message that cannot be unpacked: " + e.getMessage(), e);
+            throw new IOException("message cannot be decompressed: " + e.getMessage(), e);
         } finally {
             i.end();
         }
--- a/src/main/java/gullspar/versions/wire/Frames.java
+++ b/src/main/java/gullspar/versions/wire/Frames.java
@@ -8,18 +8,18 @@
 import java.util.List;
 
 /**
- * A message as frames, so that a long one goes out at a pace and lets others see that its sender is there: 4
- * bytes length of what follows, 1 byte (1 if it is the message's last), then a part of it.
+ * Splits messages into frames, so that a long one can be sent at a limited rate while its frames show that the
+ * sender is alive. A frame has a 4-byte length of the rest, 1 byte (1 for the last frame), then the payload.
  */
 public final class Frames {
-    /** Bytes of a frame, its length not counted, at the most. */
+    /** Limit for a frame, without its length field. */
     public static final int MAX_FRAME_BYTES = 2048;
 
     private static final int COMPRESSION_LEVEL = 6;
 
     private Frames() {}
 
-    /** The frames of a message, each as it goes out. */
+    /** Encodes a message as frames, including their length fields. */
     public static List<byte[]> of(Message m) {
         byte[] packed = Compression.compress(Codec.encode(m), COMPRESSION_LEVEL);
         List<byte[]> frames = new ArrayList<>(1 + packed.length / MAX_FRAME_BYTES);
@@ -37,26 +37,26 @@
         return frames;
     }
 
-    /** Puts what comes together again; one for each connection. */
+    /** Reassembles messages from received frames; one for each connection. */
     public static final class Assembler {
         private final ByteArrayOutputStream parts = new ByteArrayOutputStream();
         private final int maxBytes;
 
-        /** A message may have at most so many bytes, packed. */
+        /** maxBytes: limit for a compressed message. */
         public Assembler(int maxBytes) {
             this.maxBytes = maxBytes;
         }
 
         /**
-         * A frame without its length; the message that ends with it, null if none does or its kind is not
-         * known. An IOException if that cannot be.
+         * Adds a frame without its length field. Returns the message completed by it, or null if there is none or
+         * its kind is unknown. Throws IOException for an invalid frame or message.
          */
         public Message add(byte[] frame) throws IOException {
             if (frame.length < 2 || frame[0] != 0 && frame[0] != 1) {
-                throw new IOException("a frame that cannot be");
+                throw new IOException("invalid frame header");
             }
             if (parts.size() + frame.length > maxBytes) {
-                throw new IOException("a message of more than " + maxBytes + " bytes");
+                throw new IOException("message exceeds the maximum of " + maxBytes + " bytes");
             }
             parts.write(frame, 1, frame.length - 1);
             if (frame[0] == 0) {
--- a/src/test/java/gullspar/versions/FollowerTest.java
+++ b/src/test/java/gullspar/versions/FollowerTest.java
@@ -132,7 +132,7 @@
         assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
         follower.received(20 * MS, whole(child, fork));
         assertEquals(1, host.taken.size());
-        assertTrue(ack().trouble().contains("another version of the same place"), ack().trouble());
+        assertTrue(ack().trouble().contains("another version with the same number"), ack().trouble());
         assertEquals(all.get(5).version(), follower.inForce());
     }
 
@@ -140,7 +140,7 @@
     void aForkIsSeenAtOnceWhereBothStandAtTheSamePlace() {
         running(5);
         follower.received(10 * MS, head(Chain.after(all.get(4), "fork"), true));
-        assertTrue(ack().trouble().contains("another version of the same place"));
+        assertTrue(ack().trouble().contains("another version with the same number"));
         follower.received(20 * MS, head(all.get(5), true));
         assertEquals("", ack().trouble());
     }
@@ -239,7 +239,7 @@
         follower.tick(3000 * MS);
         assertEquals(List.of(all.get(3)), host.taken);
         assertTrue(
-                host.said.stream().anyMatch(s -> s.contains("may be older than what ran here")), host.said.toString());
+                host.said.stream().anyMatch(s -> s.contains("may be older than the version that ran here")), host.said.toString());
     }
 
     @Test
--- a/src/test/java/gullspar/versions/PublisherTest.java
+++ b/src/test/java/gullspar/versions/PublisherTest.java
@@ -49,7 +49,7 @@
         Document fork = Chain.after(all.get(4), "written by somebody else");
         Publisher p = new Publisher(1, Set.of("c2"));
         p.recordVersion("c2", fork.version());
-        assertTrue(p.obstacle(history).contains("another version of the same place"));
+        assertTrue(p.obstacle(history).contains("another version with the same number"));
         Publisher raised = new Publisher(2, Set.of("c2"));
         raised.recordVersion("c2", fork.version());
         Document next = raised.decide(10, "a", "a\n", history).document();
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -66,7 +66,7 @@
             Processes.One c3 = t.control("c3", "c1", "").start();
             Processes.One p1 = t.proxy("p1").start();
             Processes.One p2 = t.proxy("p2").start();
-            c1.said("all control processes are heard");
+            c1.said("all control processes have reported their versions");
             publish("one", 0, 5);
             int at1 = Processes.port(p1.said("listening on"));
             int at2 = Processes.port(p2.said("listening on"));
@@ -94,12 +94,12 @@
             c1.putBack();
             c2.kill();
             c1.start();
-            c1.said("has version 1.1");
+            c1.said("starting with version 1.1");
             t.inForce("c1", 2, 2);
             assertEquals(Publisher.Outcome.NOT_READY, told("fork", 1).outcome(), "c2 was not heard yet");
             c2.putBack(); // and that of another control process
             c2.start();
-            c1.said("all control processes are heard: takes changes after 1.2");
+            c1.said("all control processes have reported their versions: accepting changes after 1.2");
             assertEquals(Publisher.Outcome.OLDER, told("fork", 1).outcome());
             publish("three", 2, 6);
             answers(at1, "three");
@@ -164,7 +164,7 @@
         torn.start();
         whole.start();
         torn.said("the file current is damaged");
-        torn.said("which may be older than what ran here before");
+        torn.said("which may be older than the version that ran here before");
         int old = Processes.port(torn.said("listening on"));
         assertTrue(Processes.asked(old).endsWith("one"), "the copy before");
         assertTrue(Processes.asked(Processes.port(whole.said("listening on"))).endsWith("three"));
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -94,7 +94,7 @@
                 .array();
         assertTrue(assertThrows(IOException.class, () -> Compression.decompress(bomb))
                 .getMessage()
-                .contains("at the most"));
+                .contains("the maximum is"));
         assertThrows(IOException.class, () -> new Frames.Assembler(100).add(new byte[] {7, 0}));
     }
 
