--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -97,7 +97,7 @@
 
     /** Bytes received so far on all connections. */
     public long received() {
-        return received + (link == null ? 0 : link.received());
+        return received + (link == null ? 0 : link.receivedBytes());
     }
 
     /** Closes the connection and opens no further one. */
@@ -153,7 +153,7 @@
 
     private void addBytes(Link old) {
         sent += old.sentBytes();
-        received += old.received();
+        received += old.receivedBytes();
     }
 
     @Override
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -37,7 +37,7 @@
     private String closeReason = CLOSED_BY_PEER;
     private boolean failed;
     private long sentBytes;
-    private long received;
+    private long receivedBytes;
 
     /** maxBytes: limit for a received message, compressed. */
     public Link(Listener listener, int maxBytes) {
@@ -83,7 +83,7 @@
         in.skipBytes(Integer.BYTES);
         byte[] frame = new byte[length];
         in.readBytes(frame);
-        received += Integer.BYTES + length;
+        receivedBytes += Integer.BYTES + length;
         Message m = assembler.add(frame);
         if (m == null) {
             listener.partReceived(this);
@@ -125,8 +125,8 @@
         return sentBytes;
     }
 
-    public long received() {
-        return received;
+    public long receivedBytes() {
+        return receivedBytes;
     }
 
     /** The remote address. */
--- a/src/test/java/gullspar/versions/Chain.java
+++ b/src/test/java/gullspar/versions/Chain.java
@@ -6,7 +6,7 @@
 /** Documents that follow one another, for tests. */
 public final class Chain {
     /** Lines that do not shrink to nothing. */
-    private static final long MIXED = 0x9E3779B97F4A7C15L;
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private Chain() {}
 
@@ -43,7 +43,7 @@
             s.append("line ")
                     .append(i)
                     .append(' ')
-                    .append(Long.toHexString(i * MIXED))
+                    .append(Long.toHexString(i * HASH_MULTIPLIER))
                     .append(i == number % lines ? " changed by " + number : "")
                     .append('\n');
         }
--- a/src/test/java/gullspar/versions/DeltaTest.java
+++ b/src/test/java/gullspar/versions/DeltaTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whatWasChangedComesOutToTheByte() throws MismatchException {
+    void appliedDeltaReproducesTheTextExactly() throws MismatchException {
         SplittableRandom r = new SplittableRandom(7);
         for (int i = 0; i < 3000; i++) {
             Document a = Chain.first(draw(r));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void twoPlacesFarApartAreTwoHunks() {
+    void distantChangesAreTwoHunks() {
         Document a = Chain.first(Chain.text(50_000, 1));
         Document b = Chain.after(
                 a, a.text().replaceFirst("line 5 .*\n", "line five\n").replaceFirst("line 1900 .*\n", ""));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aTextThatIsAllNewIsOneHunkAndSoon() throws MismatchException {
+    void rewrittenTextIsOneHunkAndFast() throws MismatchException {
         Document a = Chain.first(Chain.text(50_000, 1));
         Document b = Chain.after(a, Chain.text(50_000, 1).replace("line", "other"));
         Delta d = Chain.delta(a, b);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void changesOfAnotherTextDoNotFit() {
+    void deltaOfAnotherTextIsRejected() {
         Document a = Chain.first("a\nb\n");
         Document b = Chain.after(a, "a\nc\n");
         Document other = Chain.first("a\nx\n");
--- a/src/test/java/gullspar/versions/FollowerTest.java
+++ b/src/test/java/gullspar/versions/FollowerTest.java
@@ -17,15 +17,15 @@
     /** What was done for it, in order. */
     private static final class Host implements Follower.Host {
         private final List<Message> sent = new ArrayList<>();
-        private final List<Document> taken = new ArrayList<>();
-        private final List<List<Delta>> led = new ArrayList<>();
-        private final List<String> said = new ArrayList<>();
+        private final List<Document> appliedDocuments = new ArrayList<>();
+        private final List<List<Delta>> appliedDeltas = new ArrayList<>();
+        private final List<String> logged = new ArrayList<>();
         private final List<Integer> connects = new ArrayList<>();
         private int disconnects;
 
         @Override
-        public void connect(int which) {
-            connects.add(which);
+        public void connect(int controlIndex) {
+            connects.add(controlIndex);
         }
 
         @Override
@@ -39,14 +39,14 @@
         }
 
         @Override
-        public void apply(Document d, List<Delta> how, boolean kept) {
-            taken.add(d);
-            led.add(how);
+        public void apply(Document d, List<Delta> deltas, boolean persisted) {
+            appliedDocuments.add(d);
+            appliedDeltas.add(deltas);
         }
 
         @Override
         public void log(String line) {
-            said.add(line);
+            logged.add(line);
         }
     }
 
@@ -59,7 +59,7 @@
         return new Message.Head("c1", d == null ? null : d.version(), inStep);
     }
 
-    private Message.Update changes(int from, int to) {
+    private Message.Update deltaUpdate(int from, int to) {
         List<Delta> deltas = new ArrayList<>();
         for (int i = from; i < to; i++) {
             deltas.add(Chain.delta(all.get(i), all.get(i + 1)));
@@ -67,16 +67,16 @@
         return new Message.Update(all.get(to).version(), null, deltas, "");
     }
 
-    private static Message.Update whole(Document d, Document ancestor) {
+    private static Message.Update snapshotUpdate(Document d, Document ancestor) {
         return new Message.Update(d.version(), ancestor == null ? null : ancestor.version(), List.of(), d.text());
     }
 
     /** It runs that one, by its disk and a control process that has the same. */
-    private void running(int which) {
-        follower.start(0, all.get(which), false);
+    private void startInForce(int index) {
+        follower.start(0, all.get(index), false);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(which), true));
-        follower.applied(3 * MS, all.get(which).version(), null);
+        follower.received(2 * MS, head(all.get(index), true));
+        follower.applied(3 * MS, all.get(index).version(), null);
     }
 
     private Message.Ack ack() {
@@ -89,34 +89,34 @@
     }
 
     @Test
-    void changesAreVerifiedKeptPutInForceAndAcknowledgedInThatOrder() {
-        running(3);
+    void deltasAreVerifiedAppliedAndAcknowledgedInThatOrder() {
+        startInForce(3);
         assertEquals(all.get(3).version(), ack().inForce());
-        follower.received(10 * MS, changes(3, 5));
-        assertEquals(all.get(5), host.taken.get(1));
-        assertEquals(2, host.led.get(1).size());
+        follower.received(10 * MS, deltaUpdate(3, 5));
+        assertEquals(all.get(5), host.appliedDocuments.get(1));
+        assertEquals(2, host.appliedDeltas.get(1).size());
         assertEquals(all.get(3).version(), ack().inForce(), "acknowledged before it is in force");
         follower.applied(20 * MS, all.get(5).version(), null);
         assertEquals(all.get(5).version(), ack().inForce());
     }
 
     @Test
-    void whatComesWhileOneIsTakenIsTakenInOneGo() {
-        running(3);
-        follower.received(10 * MS, changes(3, 4));
-        follower.received(11 * MS, changes(4, 5));
-        follower.received(12 * MS, changes(5, 7));
-        assertEquals(2, host.taken.size());
+    void updatesReceivedWhileApplyingAreAppliedTogether() {
+        startInForce(3);
+        follower.received(10 * MS, deltaUpdate(3, 4));
+        follower.received(11 * MS, deltaUpdate(4, 5));
+        follower.received(12 * MS, deltaUpdate(5, 7));
+        assertEquals(2, host.appliedDocuments.size());
         follower.applied(20 * MS, all.get(4).version(), null);
-        assertEquals(all.get(7), host.taken.get(2));
-        assertEquals(3, host.led.get(2).size());
+        assertEquals(all.get(7), host.appliedDocuments.get(2));
+        assertEquals(3, host.appliedDeltas.get(2).size());
     }
 
     @Test
-    void aLowerVersionIsRefusedAndTheNextControlProcessTried() {
-        running(5);
-        follower.received(10 * MS, whole(all.get(3), null));
-        assertEquals(1, host.taken.size());
+    void lowerVersionIsRefusedAndNextControlProcessTried() {
+        startInForce(5);
+        follower.received(10 * MS, snapshotUpdate(all.get(3), null));
+        assertEquals(1, host.appliedDocuments.size());
         assertEquals(1, host.disconnects);
         assertEquals(all.get(5), follower.held());
         follower.tick(600 * MS);
@@ -124,21 +124,21 @@
     }
 
     @Test
-    void aForkIsRefusedWhetherByChangesOrWhole() {
-        running(5);
+    void forkIsRefusedAsDeltasAndAsSnapshot() {
+        startInForce(5);
         Document fork = Chain.after(all.get(4), "fork");
         Document child = Chain.after(fork, "child of the fork");
         follower.received(10 * MS, new Message.Update(child.version(), null, List.of(Chain.delta(fork, child)), ""));
         assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
-        follower.received(20 * MS, whole(child, fork));
-        assertEquals(1, host.taken.size());
+        follower.received(20 * MS, snapshotUpdate(child, fork));
+        assertEquals(1, host.appliedDocuments.size());
         assertTrue(ack().trouble().contains("another version with the same number"), ack().trouble());
         assertEquals(all.get(5).version(), follower.inForce());
     }
 
     @Test
-    void aForkIsSeenAtOnceWhereBothStandAtTheSamePlace() {
-        running(5);
+    void forkWithTheSameNumberIsDetectedFromTheHead() {
+        startInForce(5);
         follower.received(10 * MS, head(Chain.after(all.get(4), "fork"), true));
         assertTrue(ack().trouble().contains("another version with the same number"));
         follower.received(20 * MS, head(all.get(5), true));
@@ -146,80 +146,80 @@
     }
 
     @Test
-    void aHigherEpochIsTakenOverAForkOfTheFormerOne() {
-        running(5);
+    void higherEpochOverridesAForkOfTheFormerEpoch() {
+        startInForce(5);
         Document next = Chain.after(all.get(4), 2, "of the new primary");
-        follower.received(10 * MS, whole(next, all.get(5)));
-        assertEquals(next, host.taken.get(1));
+        follower.received(10 * MS, snapshotUpdate(next, all.get(5)));
+        assertEquals(next, host.appliedDocuments.get(1));
         assertTrue(next.version().comparePosition(all.get(8).version()) > 0);
         follower.applied(20 * MS, next.version(), null);
-        follower.received(30 * MS, changes(5, 8));
-        assertEquals(2, host.taken.size(), "the former primary goes on, and is not heard");
+        follower.received(30 * MS, deltaUpdate(5, 8));
+        assertEquals(2, host.appliedDocuments.size(), "the former primary goes on, and is not heard");
     }
 
     @Test
-    void changesThatDoNotFitAreAnsweredByAskingForTheWholeOnce() {
-        running(3);
-        follower.received(10 * MS, changes(5, 6));
+    void mismatchedDeltasCauseOneSnapshotRequest() {
+        startInForce(3);
+        follower.received(10 * MS, deltaUpdate(5, 6));
         assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
-        follower.received(20 * MS, changes(5, 6));
+        follower.received(20 * MS, deltaUpdate(5, 6));
         assertEquals(1, host.disconnects);
         follower.tick(600 * MS);
         follower.opened(700 * MS);
-        follower.received(800 * MS, whole(all.get(6), all.get(3)));
-        assertEquals(all.get(6), host.taken.get(1));
+        follower.received(800 * MS, snapshotUpdate(all.get(6), all.get(3)));
+        assertEquals(all.get(6), host.appliedDocuments.get(1));
     }
 
     @Test
-    void aTextThatIsNotItsVersionsIsNeverTaken() {
-        running(3);
+    void textWithAWrongChecksumIsNeverApplied() {
+        startInForce(3);
         follower.received(10 * MS, new Message.Update(all.get(6).version(), null, List.of(), "torn"));
-        assertEquals(1, host.taken.size());
+        assertEquals(1, host.appliedDocuments.size());
     }
 
     @Test
-    void controlIsAskedForABoundedTimeBeforeTheDiskHolds() {
+    void storedVersionIsAppliedAfterTheStartupWait() {
         follower.start(0, all.get(3), false);
         follower.closed(10 * MS, "refused");
         follower.tick(2900 * MS);
-        assertEquals(List.of(), host.taken);
+        assertEquals(List.of(), host.appliedDocuments);
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.taken);
+        assertEquals(List.of(all.get(3)), host.appliedDocuments);
     }
 
     @Test
-    void aControlProcessOutOfStepIsNotBelievedAtTheStart() {
+    void outOfStepControlProcessIsNotTrustedAtStartup() {
         follower.start(0, all.get(3), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(3), false));
-        assertEquals(List.of(), host.taken);
+        assertEquals(List.of(), host.appliedDocuments);
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.taken);
+        assertEquals(List.of(all.get(3)), host.appliedDocuments);
         follower.tick(3100 * MS);
         assertEquals(1, host.disconnects, "it looks whether another one knows more");
     }
 
     @Test
-    void theFirstVersionOfAllIsTakenAsItComes() {
+    void firstVersionIsAppliedOnArrival() {
         follower.start(0, null, false);
         follower.opened(MS);
         follower.received(2 * MS, head(null, true));
-        follower.received(3 * MS, whole(all.get(0), null));
-        assertEquals(List.of(all.get(0)), host.taken);
+        follower.received(3 * MS, snapshotUpdate(all.get(0), null));
+        assertEquals(List.of(all.get(0)), host.appliedDocuments);
     }
 
     @Test
-    void aPutBackDiskDoesNotBringAnOlderVersionBackWhereControlKnowsBetter() {
+    void restoredDiskIsNotAppliedIfControlHasANewerVersion() {
         follower.start(0, all.get(3), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
-        assertEquals(List.of(), host.taken);
-        follower.received(3 * MS, changes(3, 9));
-        assertEquals(List.of(all.get(9)), host.taken);
+        assertEquals(List.of(), host.appliedDocuments);
+        follower.received(3 * MS, deltaUpdate(3, 9));
+        assertEquals(List.of(all.get(9)), host.appliedDocuments);
     }
 
     @Test
-    void anOlderCopyIsNeverUsedWhileControlTellsOfAHigherOne() {
+    void olderCopyIsNotUsedWhileControlAnnouncesAHigherVersion() {
         follower.start(0, all.get(3), true);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
@@ -227,39 +227,40 @@
             follower.partReceived(t * MS);
             follower.tick(t * MS);
         }
-        assertEquals(List.of(), host.taken);
-        follower.received(20_000 * MS, changes(3, 9));
-        assertEquals(List.of(all.get(9)), host.taken);
+        assertEquals(List.of(), host.appliedDocuments);
+        follower.received(20_000 * MS, deltaUpdate(3, 9));
+        assertEquals(List.of(all.get(9)), host.appliedDocuments);
     }
 
     @Test
-    void anOlderCopyIsUsedWithTheWordWhereAllOfControlIsGone() {
+    void olderCopyIsUsedWithAWarningIfNoControlProcessIsReachable() {
         follower.start(0, all.get(3), true);
         follower.closed(MS, "refused");
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.taken);
+        assertEquals(List.of(all.get(3)), host.appliedDocuments);
         assertTrue(
-                host.said.stream().anyMatch(s -> s.contains("may be older than the version that ran here")), host.said.toString());
+                host.logged.stream().anyMatch(s -> s.contains("may be older than the version that ran here")),
+                host.logged.toString());
     }
 
     @Test
-    void whatCannotBeKeptIsNotInForceIsSaidAndTriedAgain() {
-        running(3);
-        follower.received(10 * MS, changes(3, 4));
+    void failedApplyIsReportedAndRetried() {
+        startInForce(3);
+        follower.received(10 * MS, deltaUpdate(3, 4));
         follower.applied(20 * MS, all.get(4).version(), "it cannot be kept: No space left on device");
         assertEquals(all.get(3).version(), ack().inForce());
         assertTrue(ack().trouble().contains("No space left"));
         follower.partReceived(10_000 * MS);
         follower.tick(10_100 * MS);
-        assertEquals(3, host.taken.size());
+        assertEquals(3, host.appliedDocuments.size());
         follower.applied(10_200 * MS, all.get(4).version(), null);
         assertEquals(all.get(4).version(), ack().inForce());
         assertEquals("", ack().trouble());
     }
 
     @Test
-    void silenceIsNoticedAndPausesGrowAndAreDrawn() {
-        running(3);
+    void silenceIsDetectedAndBackoffGrowsWithJitter() {
+        startInForce(3);
         follower.tick(3000 * MS);
         assertEquals(0, host.disconnects);
         follower.tick(3600 * MS);
@@ -286,12 +287,12 @@
     }
 
     @Test
-    void inStepIsOnlyWhoHasAllThatItsControlProcessHad() {
+    void inStepRequiresAllVersionsOfTheControlProcess() {
         follower.start(0, all.get(3), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
         assertFalse(follower.isInStep(3 * MS), "a disk that was put back");
-        follower.received(4 * MS, changes(3, 9));
+        follower.received(4 * MS, deltaUpdate(3, 9));
         assertTrue(follower.isInStep(5 * MS));
         assertFalse(follower.isInStep(5000 * MS), "silent");
         follower.received(5100 * MS, head(all.get(9), false));
@@ -299,7 +300,7 @@
     }
 
     @Test
-    void eachNameHasItsOwnOrderAndTheyAreEven() {
+    void addressOrderDependsOnTheNameAndSpreadsEvenly() {
         List<String> addresses = List.of("a:1", "b:1", "c:1", "d:1", "e:1", "f:1");
         int[] first = new int[6];
         for (int i = 0; i < 640; i++) {
--- a/src/test/java/gullspar/versions/HistoryTest.java
+++ b/src/test/java/gullspar/versions/HistoryTest.java
@@ -11,7 +11,7 @@
     private final List<Document> all = Chain.of(200, 4000);
 
     @Test
-    void oneThatWasAwayGetsTheChangesOnly() throws MismatchException {
+    void reconnectingFollowerGetsOnlyTheDeltas() throws MismatchException {
         History h = Chain.history(all, 1000);
         Document old = all.get(41);
         History.UpdatePlan a = h.planFor(old.version());
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void beyondWhatIsKeptItIsTheWhole() {
+    void followerOlderThanTheRetainedDeltasGetsASnapshot() {
         History h = Chain.history(all, 100);
         assertEquals(
                 History.UpdateKind.CHANGES, h.planFor(all.get(99).version()).kind());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void changesThatAreMoreThanTheWholeGoAsTheWhole() {
+    void deltasLargerThanTheSnapshotAreSentAsASnapshot() {
         History h = Chain.history(Chain.of(200, 3), 1000);
         assertEquals(
                 History.UpdateKind.SNAPSHOT,
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aHigherAndAForkedVersionGetNothing() {
+    void higherOrForkedVersionGetsNoUpdate() {
         History h = Chain.history(all.subList(0, 100), 1000);
         assertEquals(History.UpdateKind.AHEAD, h.planFor(all.get(100).version()).kind());
         Document fork = Chain.after(all.get(48), "other");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aHigherEpochHoldsOverWhatTheFormerPrimaryWrote() {
+    void higherEpochOverridesTheFormerPrimary() {
         History h = Chain.history(all.subList(0, 50), 1000);
         Document lost = Chain.after(all.get(49), "only the former primary had it");
         Document next = Chain.after(all.get(49), 2, "of the new primary");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void nothingOlderIsTakenAndARestartKeepsTheChain() {
+    void olderDocumentIsRejectedAndRestoreKeepsTheChain() {
         History h = Chain.history(all, 50);
         assertThrows(IllegalArgumentException.class, () -> h.append(all.get(198), List.of()));
         History again = new History(50, 1 << 20);
--- a/src/test/java/gullspar/versions/PublisherTest.java
+++ b/src/test/java/gullspar/versions/PublisherTest.java
@@ -14,7 +14,7 @@
     private final History history = Chain.history(all, 100);
 
     @Test
-    void ofTwoChangesAtOnceTheSecondIsToldWhichCameFirst() {
+    void secondOfTwoConcurrentChangesIsRefusedWithTheNewerVersion() {
         Publisher p = new Publisher(1, Set.of());
         Publisher.Decision a = p.decide(10, "a", "a\n", history);
         assertEquals(Publisher.Outcome.ACCEPTED, a.outcome());
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void nothingIsTakenBeforeAllOthersAreHeardAndCaughtUpWith() {
+    void changesAreRefusedUntilAllVersionsAreKnownAndCaughtUp() {
         Publisher p = new Publisher(1, Set.of("c2", "c3"));
         assertTrue(p.decide(10, "a", "a\n", history).lines().get(0).contains("c2, c3"));
         p.recordVersion("c2", null);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aForkElsewhereStopsItUntilTheEpochIsRaised() {
+    void forkElsewhereBlocksChangesUntilTheEpochIsRaised() {
         Document fork = Chain.after(all.get(4), "written by somebody else");
         Publisher p = new Publisher(1, Set.of("c2"));
         p.recordVersion("c2", fork.version());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void numbersAreNotGivenTwiceAndAPrimaryOfAFormerEpochWritesNothing() {
+    void numbersAreNotReusedAndAFormerPrimaryAcceptsNoChanges() {
         Document far = new Document(new Version(1, 45, Checksum.of("x"), Checksum.NONE), "x");
         Publisher p = new Publisher(2, Set.of("c2"));
         p.recordVersion("c2", far.version());
--- a/src/test/java/gullspar/versions/RateLimiterTest.java
+++ b/src/test/java/gullspar/versions/RateLimiterTest.java
@@ -10,13 +10,13 @@
 
 /** How much goes out, and to how many at once. */
 class RateLimiterTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     @Test
-    void inNoSecondMoreGoesThanAllowedButForOneFrame() {
+    void anySecondIsWithinTheAllowancePlusOneFrame() {
         RateLimiter p = new RateLimiter(10_000, 0);
         Deque<long[]> last = new ArrayDeque<>();
-        long now = 5 * SECOND;
+        long now = 5 * SECOND_NS;
         int within = 0;
         int most = 0;
         int all = 0;
@@ -27,18 +27,18 @@
             last.add(new long[] {now, frame});
             within += frame;
             all += frame;
-            while (last.peek()[0] <= now - SECOND) {
+            while (last.peek()[0] <= now - SECOND_NS) {
                 within -= last.poll()[1];
             }
             most = Math.max(most, within);
         }
         assertTrue(most <= 10_000 + 2048, "worst second: " + most);
-        double mean = all / ((now - 5 * SECOND) / 1e9);
+        double mean = all / ((now - 5 * SECOND_NS) / 1e9);
         assertTrue(mean > 6_500 && mean < 7_500, "mean: " + mean);
     }
 
     @Test
-    void soManyHaveATurnAndTheOthersComeInTheirOrder() {
+    void slotsAreLimitedAndWaitersServedInOrder() {
         SnapshotSlots t = new SnapshotSlots(2);
         assertTrue(t.tryAcquire("a"));
         assertTrue(t.tryAcquire("b"));
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -21,15 +21,15 @@
 /** What a disk gives back, whatever happens to it. */
 class StoreTest {
     /** Nothing happens after it. */
-    private static final class Dead extends RuntimeException {
+    private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
     /** In memory; fails or dies at an operation, a write then with a part of its bytes. */
-    private static final class Faulty implements Folder {
+    private static final class FaultyFolder implements Folder {
         private final Map<String, byte[]> files = new HashMap<>();
         private int operations;
-        private int diesAt = -1;
+        private int crashesAt = -1;
         private int failsAt = -1;
         private double part;
 
@@ -38,7 +38,7 @@
             if (at == failsAt) {
                 throw new IOException("No space left on device");
             }
-            return at == diesAt;
+            return at == crashesAt;
         }
 
         @Override
@@ -49,11 +49,11 @@
         @Override
         public void write(String name, byte[] content) throws IOException {
             int n = (int) (content.length * part);
-            if (operations == diesAt || operations == failsAt) {
+            if (operations == crashesAt || operations == failsAt) {
                 files.put(name, Arrays.copyOf(content, n));
             }
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
             files.put(name, content);
         }
@@ -61,7 +61,7 @@
         @Override
         public void rename(String from, String to) throws IOException {
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
             if (!files.containsKey(from)) {
                 throw new IOException("no " + from);
@@ -72,7 +72,7 @@
         @Override
         public void sync() throws IOException {
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
         }
     }
@@ -85,11 +85,11 @@
 
     /** Whatever was kept, or began to be: never an older one, whenever the process ends. */
     @Test
-    void whateverOperationIsTheLastOneNothingOlderComesBack() throws IOException {
+    void crashAtAnyOperationNeverRestoresAnOlderVersion() throws IOException {
         for (int dies = 0; dies < 24; dies++) {
             for (double part : new double[] {0, 0.5, 1}) {
-                Faulty f = new Faulty();
-                f.diesAt = dies;
+                FaultyFolder f = new FaultyFolder();
+                f.crashesAt = dies;
                 f.part = part;
                 int done = -1;
                 Store s = new Store(f);
@@ -99,10 +99,10 @@
                         s.persist(kept(all.get(i)));
                         done = i;
                     }
-                } catch (Dead e) {
+                } catch (SimulatedCrash e) {
                     // and starts again
                 }
-                f.diesAt = -1;
+                f.crashesAt = -1;
                 for (int again = 0; again < 3; again++) {
                     Store.Found found = new Store(f).read();
                     int has = found.stored() == null
@@ -123,11 +123,11 @@
 
     /** It dies once, starts, and dies again at any operation: the newest that is whole is never lost. */
     @Test
-    void twoEndsInARowLoseNothingEither() throws IOException {
+    void twoCrashesInARowLoseNothing() throws IOException {
         for (int first = 4; first < 12; first++) {
             for (int second = 0; second < 6; second++) {
-                Faulty f = new Faulty();
-                f.diesAt = first;
+                FaultyFolder f = new FaultyFolder();
+                f.crashesAt = first;
                 f.part = 0.3;
                 int done = -1;
                 for (int life = 0; life < 3; life++) {
@@ -143,19 +143,19 @@
                             s.persist(kept(all.get(i)));
                             done = i;
                         }
-                    } catch (Dead e) {
+                    } catch (SimulatedCrash e) {
                         // and starts again
                     }
-                    f.diesAt = life == 0 ? f.operations + second : -1;
+                    f.crashesAt = life == 0 ? f.operations + second : -1;
                 }
             }
         }
     }
 
     @Test
-    void aDiskThatFailsLeavesTheFormerOneAndLaterTakesTheNext() throws IOException {
+    void failedWriteLeavesTheFormerVersionAndALaterOneSucceeds() throws IOException {
         for (int fails = 0; fails < 12; fails++) {
-            Faulty f = new Faulty();
+            FaultyFolder f = new FaultyFolder();
             f.failsAt = fails;
             f.part = 0.7;
             Store s = new Store(f);
@@ -178,10 +178,10 @@
     }
 
     @Test
-    void aDamagedFileIsNamedAndTheFormerOneIsSaidToBeOlder() throws IOException {
+    void damagedFileIsReportedAndTheFormerVersionMarkedOlder() throws IOException {
         SplittableRandom r = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            Faulty f = new Faulty();
+            FaultyFolder f = new FaultyFolder();
             Store s = new Store(f);
             s.read();
             s.persist(kept(all.get(0)));
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aFolderOfTheFileSystemDoesTheSameAndIsHeldByOne(@TempDir Path folder) throws IOException {
+    void diskFolderBehavesTheSameAndIsLockedByOneProcess(@TempDir Path folder) throws IOException {
         try (DiskFolder d = DiskFolder.open(folder)) {
             assertThrows(IOException.class, () -> DiskFolder.open(folder));
             Store s = new Store(d);
--- a/src/test/java/gullspar/versions/net/Processes.java
+++ b/src/test/java/gullspar/versions/net/Processes.java
@@ -21,21 +21,21 @@
 
 /** Control processes and proxies as real processes, with their folders, for a test. */
 public final class Processes implements AutoCloseable {
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
 
     /** One process, started anew under the same name as often as is asked for. */
-    public final class One {
+    public final class ManagedProcess {
         public final String name;
         private final List<String> arguments;
         private Process process;
         private BlockingQueue<String> log;
 
-        private One(String name, List<String> arguments) {
+        private ManagedProcess(String name, List<String> arguments) {
             this.name = name;
             this.arguments = arguments;
         }
 
-        public One start() throws IOException {
+        public ManagedProcess start() throws IOException {
             List<String> line = new ArrayList<>(List.of(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-XX:+UseSerialGC",
@@ -65,12 +65,12 @@
         }
 
         /** Waits for a line of the log. */
-        public String said(String part) throws InterruptedException {
+        public String awaitLog(String part) throws InterruptedException {
             List<String> all = new ArrayList<>();
-            String line = log.poll(PATIENCE_S, TimeUnit.SECONDS);
+            String line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
             while (line != null && !line.contains(part) && !line.equals("(ended)")) {
                 all.add(line);
-                line = log.poll(PATIENCE_S, TimeUnit.SECONDS);
+                line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
             }
             if (line == null || !line.contains(part)) {
                 throw new AssertionError(name + " did not say '" + part + "', but " + all);
@@ -97,7 +97,7 @@
         }
 
         /** Puts the copy in its folder's place. */
-        public void putBack() throws IOException {
+        public void restoreBackup() throws IOException {
             for (String f : List.of("current", "previous", "next")) {
                 Files.deleteIfExists(folder().resolve(f));
             }
@@ -107,7 +107,7 @@
 
     private final Path folder;
     private final Map<String, Integer> ports = new LinkedHashMap<>();
-    private final List<One> all = new ArrayList<>();
+    private final List<ManagedProcess> all = new ArrayList<>();
 
     public Processes(Path folder) {
         this.folder = folder;
@@ -148,7 +148,7 @@
     }
 
     /** Writes a control process's file. */
-    public One control(String name, String primary, String more) throws IOException {
+    public ManagedProcess control(String name, String primary, String more) throws IOException {
         StringBuilder s = new StringBuilder("name = \"" + name + "\"\nprimary = \"" + primary + "\"\nfolder = \""
                 + folder.resolve(name) + "\"\n" + more);
         ports.forEach((n, p) -> s.append("[[control]]\nname = \"")
@@ -157,29 +157,29 @@
                 .append(hostPort(n))
                 .append("\"\n"));
         Path file = Files.writeString(folder.resolve(name + ".toml"), s);
-        return add(new One(name, List.of("control", "--config", file.toString())));
+        return add(new ManagedProcess(name, List.of("control", "--config", file.toString())));
     }
 
     /** Writes a proxy's file. */
-    public One proxy(String name) throws IOException {
+    public ManagedProcess proxy(String name) throws IOException {
         List<String> addresses =
                 ports.keySet().stream().map(n -> "\"" + hostPort(n) + "\"").toList();
         Path file = Files.writeString(
                 folder.resolve(name + ".toml"),
                 "[control]\nname = \"" + name + "\"\nfolder = \"" + folder.resolve(name) + "\"\naddresses = "
                         + addresses + "\n");
-        return add(new One(name, List.of("serve", "--follow", file.toString())));
+        return add(new ManagedProcess(name, List.of("serve", "--follow", file.toString())));
     }
 
-    private One add(One one) {
+    private ManagedProcess add(ManagedProcess one) {
         all.add(one);
         return one;
     }
 
     /** Waits until a control process knows that all of that many followers run that number or a later one. */
-    public void inForce(String control, long number, int followers) throws Exception {
+    public void awaitInForce(String control, long number, int followers) throws Exception {
         Message.StatusResponse last = null;
-        for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L; System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + TIMEOUT_S * 1_000_000_000L; System.nanoTime() < end; ) {
             try (ControlClient c = new ControlClient(at(control), 5000)) {
                 last = c.request(new Message.StatusRequest(true), Message.StatusResponse.class);
                 if (last.states().stream()
@@ -197,7 +197,7 @@
     }
 
     /** What a proxy that listens there answers. */
-    public static String asked(int port) throws IOException {
+    public static String get(int port) throws IOException {
         try (Wire c = Wire.to(new InetSocketAddress("127.0.0.1", port))
                 .write("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")) {
             return c.read();
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -31,8 +31,8 @@
 
 /** Control processes and followers, by the program's own code, in memory and in virtual time. */
 public final class SimulatedCluster {
-    public static final long MS = 1_000_000L;
-    public static final long S = 1_000_000_000L;
+    public static final long NS_PER_MS = 1_000_000L;
+    public static final long NS_PER_S = 1_000_000_000L;
     private static final int PORT = 7400;
 
     /** Files in memory. */
@@ -77,7 +77,7 @@
 
         @Override
         public void execute(Runnable r) {
-            loop.schedule(r, 2 * MS, TimeUnit.NANOSECONDS);
+            loop.schedule(r, 2 * NS_PER_MS, TimeUnit.NANOSECONDS);
         }
 
         @Override
@@ -105,33 +105,33 @@
     }
 
     /** A machine and the process on it, if one runs. */
-    public abstract class Place {
+    public abstract class Node {
         public final String name;
         public final Host host;
         public Disk disk = new Disk();
         protected VirtualLoop loop;
 
-        Place(String name) {
+        Node(String name) {
             this.name = name;
             this.host = network.host(name);
         }
 
-        public boolean up() {
+        public boolean isRunning() {
             return loop != null;
         }
 
         /** Starts its process. */
         public void start() throws IOException {
-            loop = new VirtualLoop(agenda, slips::add);
+            loop = new VirtualLoop(agenda, errors::add);
             host.runs(loop);
-            begin(new Platform(
+            startProcess(new Platform(
                     loop,
                     agenda::now,
                     network.transport(host),
-                    line -> log.add(agenda.now() / MS + " " + name + ": " + line)));
+                    line -> log.add(agenda.now() / NS_PER_MS + " " + name + ": " + line)));
         }
 
-        abstract void begin(Platform p) throws IOException;
+        abstract void startProcess(Platform p) throws IOException;
 
         /** Ends it as kill -9 does. */
         public void kill() {
@@ -142,7 +142,7 @@
     }
 
     /** A control process. */
-    public final class Control extends Place {
+    public final class Control extends Node {
         public final InetSocketAddress address;
         public ControlNode node;
         public long epoch = 1;
@@ -156,13 +156,14 @@
         }
 
         @Override
-        void begin(Platform p) throws IOException {
+        void startProcess(Platform p) throws IOException {
             Map<String, InetSocketAddress> all = new LinkedHashMap<>();
             controls.forEach(c -> all.put(c.name, c.address));
             all.put(name, address); // one that the others do not know any more knows itself
             Store store = new Store(disk);
             node = new ControlNode(
-                    new ControlFile(name, primary, epoch, all, Path.of("."), bytesPerSecond, 200_000, 8, 3600 * S),
+                    new ControlFile(
+                            name, primary, epoch, all, Path.of("."), bytesPerSecond, 200_000, 8, 3600 * NS_PER_S),
                     p,
                     store,
                     new Worker(loop),
@@ -171,20 +172,20 @@
             Store.Found found = store.read();
             loop.execute(() -> node.start(found, why -> {
                 if (why != null) {
-                    slips.add(new IOException(name + " cannot listen: " + why));
+                    errors.add(new IOException(name + " cannot listen: " + why));
                 }
             }));
         }
     }
 
     /** A proxy without requests. */
-    public final class Proxy extends Place {
+    public final class Proxy extends Node {
         public FollowerNode node;
         /** What it has put in force, life by life. */
         public Version inForce;
 
-        public Version everRan;
-        public long since;
+        public Version highestApplied;
+        public long startedAtNs;
         private final List<InetSocketAddress> addresses;
 
         Proxy(String name) {
@@ -194,12 +195,12 @@
         }
 
         @Override
-        void begin(Platform p) throws IOException {
+        void startProcess(Platform p) throws IOException {
             Store store = new Store(disk);
             Store.Found found = store.read();
             Worker worker = new Worker(loop);
             inForce = null;
-            since = agenda.now();
+            startedAtNs = agenda.now();
             node = new FollowerNode(
                     name,
                     Message.Role.PROXY,
@@ -207,14 +208,14 @@
                     addresses,
                     p,
                     random.split(),
-                    (d, led, kept, done) -> worker.execute(() -> take(store, d, led, kept, done)),
+                    (d, led, kept, done) -> worker.execute(() -> apply(store, d, led, kept, done)),
                     m -> {},
                     "");
             loop.execute(() ->
                     node.start(found.stored() == null ? null : found.stored().document(), found.mayBeOlder()));
         }
 
-        private void take(Store store, Document d, List<Delta> led, boolean kept, Consumer<String> done) {
+        private void apply(Store store, Document d, List<Delta> led, boolean kept, Consumer<String> done) {
             try {
                 if (!kept) {
                     store.persist(new Codec.StoredDocument(d, null, List.of()));
@@ -225,9 +226,9 @@
             }
             Version before = inForce;
             inForce = d.version();
-            ran.accept(this, before);
-            if (everRan == null || d.version().comparePosition(everRan) > 0) {
-                everRan = d.version();
+            onApplied.accept(this, before);
+            if (highestApplied == null || d.version().comparePosition(highestApplied) > 0) {
+                highestApplied = d.version();
             }
             done.accept(null);
         }
@@ -235,7 +236,7 @@
 
     /** An operator: one connection for each change. */
     public final class Operator implements Link.Listener {
-        public Message.Published answer;
+        public Message.Published response;
         private final Message.Publish change;
 
         Operator(Message.Publish change) {
@@ -252,7 +253,7 @@
 
         @Override
         public void received(Link l, Message m) {
-            answer = (Message.Published) m;
+            response = (Message.Published) m;
             l.close(null);
         }
 
@@ -265,8 +266,8 @@
     public final List<Control> controls = new ArrayList<>();
     public final List<Proxy> proxies = new ArrayList<>();
     public final List<String> log = new ArrayList<>();
-    public final List<Throwable> slips = new ArrayList<>();
-    public BiConsumer<Proxy, Version> ran = (p, before) -> {};
+    public final List<Throwable> errors = new ArrayList<>();
+    public BiConsumer<Proxy, Version> onApplied = (p, before) -> {};
     public Publisher.Check check = (file, text) -> List.of();
     private final SplittableRandom random;
     private final Host operators;
@@ -283,7 +284,7 @@
             this.proxies.add(new Proxy("p" + i));
         }
         operators = network.host("operators");
-        operators.runs(new VirtualLoop(agenda, slips::add));
+        operators.runs(new VirtualLoop(agenda, errors::add));
     }
 
     /** Starts all. */
@@ -297,7 +298,7 @@
     }
 
     /** Every way loses so many segments. */
-    public void loss(double part) {
+    public void setLoss(double part) {
         List<String> names = new ArrayList<>();
         controls.forEach(c -> names.add(c.name));
         for (Control c : controls) {
@@ -326,22 +327,22 @@
             agenda.step();
         }
         agenda.skipTo(untilNs);
-        if (!slips.isEmpty()) {
-            throw new AssertionError("a slip at " + agenda.now() / MS + " ms", slips.get(0));
+        if (!errors.isEmpty()) {
+            throw new AssertionError("a slip at " + agenda.now() / NS_PER_MS + " ms", errors.get(0));
         }
     }
 
     /** The same, for so long. */
-    public void go(long ns) {
+    public void runFor(long ns) {
         run(agenda.now() + ns);
     }
 
     /** Lets time go on until all that run have a version of that number, for so long at the most. */
-    public boolean until(long number, long withinNs) {
+    public boolean runUntilInForce(long number, long withinNs) {
         long end = agenda.now() + withinNs;
         while (agenda.now() < end) {
-            go(10 * MS);
-            if (proxies.stream().allMatch(p -> !p.up() || p.inForce != null && p.inForce.number() >= number)) {
+            runFor(10 * NS_PER_MS);
+            if (proxies.stream().allMatch(p -> !p.isRunning() || p.inForce != null && p.inForce.number() >= number)) {
                 return true;
             }
         }
--- a/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
+++ b/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
@@ -21,48 +21,48 @@
 /** The program's own processes in virtual time: what is too slow, too rare or too many for real ones. */
 @Execution(ExecutionMode.CONCURRENT)
 class SimulatedClusterTest {
-    private static final long MS = SimulatedCluster.MS;
-    private static final long S = SimulatedCluster.S;
+    private static final long MS = SimulatedCluster.NS_PER_MS;
+    private static final long S = SimulatedCluster.NS_PER_S;
 
-    private static Message.Published changed(SimulatedCluster t, String text, long after) {
+    private static Message.Published publish(SimulatedCluster t, String text, long after) {
         SimulatedCluster.Operator o = t.publish(text, after);
-        for (int i = 0; i < 300 && o.answer == null; i++) {
-            t.go(10 * MS);
+        for (int i = 0; i < 300 && o.response == null; i++) {
+            t.runFor(10 * MS);
         }
-        assertNotNull(o.answer, "no answer");
-        return o.answer;
+        assertNotNull(o.response, "no answer");
+        return o.response;
     }
 
-    private static void accepted(SimulatedCluster t, String text, long after) {
-        Message.Published p = changed(t, text, after);
+    private static void publishAccepted(SimulatedCluster t, String text, long after) {
+        Message.Published p = publish(t, text, after);
         assertEquals(Publisher.Outcome.ACCEPTED, p.outcome(), p.lines().toString());
     }
 
     @Test
-    void oneThatWasAwayForAnHourGetsTheChangesAndNotTheWhole() throws IOException {
+    void proxyDisconnectedForAnHourGetsDeltasNotASnapshot() throws IOException {
         SimulatedCluster t = new SimulatedCluster(1, 2, 3, 20 * MS);
         t.start();
-        t.go(S);
-        accepted(t, Chain.text(1500, 0), 0);
-        assertTrue(t.until(1, 30 * S));
+        t.runFor(S);
+        publishAccepted(t, Chain.text(1500, 0), 0);
+        assertTrue(t.runUntilInForce(1, 30 * S));
         SimulatedCluster.Proxy away = t.proxies.get(0);
         away.kill();
         for (int i = 1; i <= 158; i++) {
-            accepted(t, Chain.text(1500, i), i);
+            publishAccepted(t, Chain.text(1500, i), i);
         }
         long snapshots =
                 t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum();
         away.start();
-        assertTrue(t.until(159, 10 * S));
+        assertTrue(t.runUntilInForce(159, 10 * S));
         assertEquals(
                 snapshots,
                 t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum());
         assertTrue(away.node.received() < 20_000, away.node.received() + " bytes");
-        assertEquals(away.everRan, away.inForce);
+        assertEquals(away.highestApplied, away.inForce);
     }
 
     @Test
-    void aSlipOfTheReaderCostsOneChangeAndNotThoseAfterIt() throws IOException {
+    void validatorFailureRefusesOnlyThatChange() throws IOException {
         SimulatedCluster t = new SimulatedCluster(4, 1, 1, 20 * MS);
         t.check = (file, text) -> {
             if (text.equals("slip")) {
@@ -71,28 +71,28 @@
             return List.of();
         };
         t.start();
-        t.go(S);
-        Message.Published p = changed(t, "slip", 0);
+        t.runFor(S);
+        Message.Published p = publish(t, "slip", 0);
         assertEquals(Publisher.Outcome.WRONG, p.outcome());
         assertTrue(
                 p.lines().get(0).startsWith("f:1:1: ") && p.lines().get(0).contains("a slip"),
                 p.lines().toString());
-        accepted(t, Chain.text(10, 0), 0);
-        assertTrue(t.until(1, 3 * S));
+        publishAccepted(t, Chain.text(10, 0), 0);
+        assertTrue(t.runUntilInForce(1, 3 * S));
     }
 
     @Test
-    void controlGoneForTenMinutesAndBackBringsNoStampede() throws IOException {
+    void reconnectsAreSpreadAfterATenMinuteControlOutage() throws IOException {
         int n = Integer.getInteger("versions.followers", 60);
         SimulatedCluster t = new SimulatedCluster(2, 3, n, 40 * MS);
-        t.loss(0.02);
+        t.setLoss(0.02);
         t.start();
-        t.go(S);
-        accepted(t, Chain.text(4000, 0), 0);
-        assertTrue(t.until(1, 60 * S));
-        t.go(5 * S);
-        t.controls.forEach(SimulatedCluster.Place::kill);
-        t.go(600 * S);
+        t.runFor(S);
+        publishAccepted(t, Chain.text(4000, 0), 0);
+        assertTrue(t.runUntilInForce(1, 60 * S));
+        t.runFor(5 * S);
+        t.controls.forEach(SimulatedCluster.Node::kill);
+        t.runFor(600 * S);
         assertTrue(t.proxies.stream().allMatch(p -> p.inForce.number() == 1), "it went on");
         for (SimulatedCluster.Control c : t.controls) {
             c.start();
@@ -104,7 +104,7 @@
         int most = 0;
         int last = 0;
         for (int s = 0; s < 30; s++) {
-            t.go(S);
+            t.runFor(S);
             int all = t.controls.stream()
                     .mapToInt(c -> (int) c.node.statistics()[0])
                     .sum();
@@ -119,42 +119,42 @@
             SimulatedCluster.Proxy p = t.proxies.get(i);
             assertTrue(p.node.received() + p.node.sent() - had[i] < 30 * 500, "bytes of " + p.name);
         }
-        accepted(t, Chain.text(4000, 1), 1);
-        assertTrue(t.until(2, 3 * S));
+        publishAccepted(t, Chain.text(4000, 1), 1);
+        assertTrue(t.runUntilInForce(2, 3 * S));
     }
 
     @Test
-    void allBeginAnewWithNothingAndGetTheWholeAFewAtATime() throws IOException {
+    void proxiesWithEmptyDisksGetSnapshotsAFewAtATime() throws IOException {
         SimulatedCluster t = new SimulatedCluster(3, 2, 24, 20 * MS);
         t.start();
-        t.go(S);
-        t.proxies.forEach(SimulatedCluster.Place::kill);
-        accepted(t, Chain.text(8000, 0), 0);
+        t.runFor(S);
+        t.proxies.forEach(SimulatedCluster.Node::kill);
+        publishAccepted(t, Chain.text(8000, 0), 0);
         for (SimulatedCluster.Proxy p : t.proxies) {
             p.start();
         }
-        assertTrue(t.until(1, 120 * S));
+        assertTrue(t.runUntilInForce(1, 120 * S));
         for (SimulatedCluster.Control c : t.controls) {
             assertTrue(c.node.statistics()[2] <= 8, c.node.statistics()[2] + " at once");
         }
     }
 
     @Test
-    void inNoSecondDoesAProxyGetMoreThanItsAllowance() throws IOException {
+    void proxyNeverReceivesMoreThanItsAllowancePerSecond() throws IOException {
         SimulatedCluster t = new SimulatedCluster(4, 2, 3, 20 * MS);
         t.start();
-        t.go(S);
-        accepted(t, Chain.text(1000, 0), 0);
-        assertTrue(t.until(1, 60 * S));
-        t.go(5 * S);
+        t.runFor(S);
+        publishAccepted(t, Chain.text(1000, 0), 0);
+        assertTrue(t.runUntilInForce(1, 60 * S));
+        t.runFor(5 * S);
         long[] had = t.proxies.stream().mapToLong(p -> p.node.received()).toArray();
         long worst = 0;
         long all = 0;
         SimulatedCluster.Operator o = t.publish(large(1), 1);
         for (int n = 1; n < 100; ) {
-            for (long second = t.agenda.now() + S; t.agenda.now() < second; t.go(10 * MS)) {
-                if (o.answer != null && n < 100) {
-                    assertEquals(Publisher.Outcome.ACCEPTED, o.answer.outcome());
+            for (long second = t.agenda.now() + S; t.agenda.now() < second; t.runFor(10 * MS)) {
+                if (o.response != null && n < 100) {
+                    assertEquals(Publisher.Outcome.ACCEPTED, o.response.outcome());
                     n++;
                     o = t.publish(large(n), n);
                 }
@@ -166,7 +166,7 @@
                 had[k] = now;
             }
         }
-        assertTrue(t.until(101, 20 * S));
+        assertTrue(t.runUntilInForce(101, 20 * S));
         assertTrue(all > 50_000, "there was little to send: " + all);
         assertTrue(worst <= 10_000 + 2048 + 200, worst + " bytes in a second");
     }
@@ -182,44 +182,44 @@
     }
 
     @Test
-    void aDiskThatIsFullIsSaidAndHealsByItself() throws IOException {
+    void fullDiskIsReportedAndRecovers() throws IOException {
         SimulatedCluster t = new SimulatedCluster(5, 2, 3, 10 * MS);
         t.start();
-        t.go(S);
-        accepted(t, "one\n", 0);
-        assertTrue(t.until(1, 30 * S));
+        t.runFor(S);
+        publishAccepted(t, "one\n", 0);
+        assertTrue(t.runUntilInForce(1, 30 * S));
         SimulatedCluster.Proxy p = t.proxies.get(1);
         p.disk.full = true;
-        accepted(t, "two\n", 1);
-        t.go(3 * S);
+        publishAccepted(t, "two\n", 1);
+        t.runFor(3 * S);
         assertEquals(1, p.inForce.number());
         assertTrue(p.node.follower().trouble().contains("No space left"));
         p.disk.full = false;
-        assertTrue(t.until(2, 11 * S));
+        assertTrue(t.runUntilInForce(2, 11 * S));
         t.controls.get(0).disk.full = true;
-        Message.Published no = changed(t, "three\n", 2);
+        Message.Published no = publish(t, "three\n", 2);
         assertEquals(Publisher.Outcome.FAILED, no.outcome());
         assertTrue(no.lines().get(0).contains("No space left"));
-        t.go(5 * S);
+        t.runFor(5 * S);
         assertTrue(t.proxies.stream().allMatch(x -> x.inForce.number() == 2));
         t.controls.get(0).disk.full = false;
-        accepted(t, "three\n", 2);
-        assertTrue(t.until(3, 3 * S));
+        publishAccepted(t, "three\n", 2);
+        assertTrue(t.runUntilInForce(3, 3 * S));
     }
 
     @Test
-    void aProxyWhoseDiskWasPutBackNeverRunsWhatIsOnIt() throws IOException {
+    void proxyWithARestoredDiskNeverRunsTheOldVersion() throws IOException {
         SimulatedCluster t = new SimulatedCluster(7, 3, 4, 40 * MS);
-        t.loss(0.02);
+        t.setLoss(0.02);
         t.start();
-        t.go(S);
-        accepted(t, "one\n", 0);
-        assertTrue(t.until(1, 30 * S));
+        t.runFor(S);
+        publishAccepted(t, "one\n", 0);
+        assertTrue(t.runUntilInForce(1, 30 * S));
         Map<String, byte[]> old = new HashMap<>(t.proxies.get(2).disk.files);
-        accepted(t, "two\n", 1);
-        assertTrue(t.until(2, 3 * S));
+        publishAccepted(t, "two\n", 1);
+        assertTrue(t.runUntilInForce(2, 3 * S));
         List<Long> ran = new ArrayList<>();
-        t.ran = (p, before) -> ran.add(p.inForce.number());
+        t.onApplied = (p, before) -> ran.add(p.inForce.number());
         SimulatedCluster.Proxy p = t.proxies.get(2);
         for (int i = 0; i < 20; i++) { // also where what it meets first was put back itself
             p.kill();
@@ -229,19 +229,19 @@
             c.disk.files = new HashMap<>(Map.of("current", old.get("current")));
             c.start();
             p.start();
-            assertTrue(t.until(2, 10 * S), "round " + i + ": " + tail(t.log));
-            t.go(10 * S);
+            assertTrue(t.runUntilInForce(2, 10 * S), "round " + i + ": " + tail(t.log));
+            t.runFor(10 * S);
         }
         assertTrue(ran.stream().allMatch(n -> n == 2), ran.toString());
     }
 
     @Test
-    void anotherPrimaryOfAHigherEpochTakesOverAndTheFormerOneIsNotHeard() throws IOException {
+    void primaryOfAHigherEpochTakesOverAndTheFormerOneIsIgnored() throws IOException {
         SimulatedCluster t = new SimulatedCluster(6, 3, 6, 10 * MS);
         t.start();
-        t.go(S);
-        accepted(t, "one\n", 0);
-        assertTrue(t.until(1, 30 * S));
+        t.runFor(S);
+        publishAccepted(t, "one\n", 0);
+        assertTrue(t.runUntilInForce(1, 30 * S));
         SimulatedCluster.Control former = t.controls.get(0);
         former.kill();
         t.controls.remove(former);
@@ -251,11 +251,11 @@
             c.kill();
             c.start();
         }
-        t.go(5 * S);
-        accepted(t, "two\n", 1);
-        assertTrue(t.until(2, 20 * S));
+        t.runFor(5 * S);
+        publishAccepted(t, "two\n", 1);
+        assertTrue(t.runUntilInForce(2, 20 * S));
         former.start(); // by its old file
-        t.go(20 * S);
+        t.runFor(20 * S);
         assertTrue(t.proxies.stream().allMatch(p -> p.inForce.epoch() == 2 && p.inForce.number() == 2));
     }
 
@@ -264,26 +264,26 @@
      * less than it ran, what was accepted holds, one place has one text, and in the end all run the newest.
      */
     @Test
-    void whateverHappensNobodyGoesBackAndAllComeTogether() throws IOException {
+    void randomFaultsNeverRollBackAndAllConverge() throws IOException {
         for (long seed = 1; seed <= Integer.getInteger("versions.seeds", 12); seed++) {
             play(seed);
         }
     }
 
-    private static final class Watch {
-        private final Map<Long, Version> places = new HashMap<>();
-        private final List<String> wrong = new ArrayList<>();
+    private static final class InvariantChecker {
+        private final Map<Long, Version> byPosition = new HashMap<>();
+        private final List<String> violations = new ArrayList<>();
 
-        void ran(SimulatedCluster t, SimulatedCluster.Proxy p, Version before) {
+        void check(SimulatedCluster t, SimulatedCluster.Proxy p, Version before) {
             Version v = p.inForce;
-            Version there = places.putIfAbsent(v.number(), v);
+            Version there = byPosition.putIfAbsent(v.number(), v);
             if (there != null && !there.equals(v)) {
-                wrong.add("two texts at one place: " + there + " and " + v);
+                violations.add("two texts at one place: " + there + " and " + v);
             }
             boolean older = before != null && v.comparePosition(before) < 0
-                    || p.everRan != null && v.comparePosition(p.everRan) < 0;
+                    || p.highestApplied != null && v.comparePosition(p.highestApplied) < 0;
             if (older) {
-                wrong.add(t.agenda.now() / MS + " " + p.name + " ran " + p.everRan + ", now " + v);
+                violations.add(t.agenda.now() / MS + " " + p.name + " ran " + p.highestApplied + ", now " + v);
             }
         }
     }
@@ -291,37 +291,37 @@
     private static void play(long seed) throws IOException {
         SplittableRandom r = new SplittableRandom(seed);
         SimulatedCluster t = new SimulatedCluster(seed, 3, 8, 5 * MS);
-        t.loss(0.02);
-        Watch w = new Watch();
-        t.ran = (p, before) -> w.ran(t, p, before);
+        t.setLoss(0.02);
+        InvariantChecker w = new InvariantChecker();
+        t.onApplied = (p, before) -> w.check(t, p, before);
         t.start();
         List<SimulatedCluster.Operator> changes = new ArrayList<>();
         Map<String, Map<String, byte[]>> backups = new HashMap<>();
         String[] cut = {null, null};
         for (int i = 0; i < 150; i++) {
-            t.go((long) (r.nextDouble() * (r.nextInt(4) == 0 ? 6 * S : S)));
-            SimulatedCluster.Place one = r.nextInt(3) == 0 ? t.controls.get(r.nextInt(3)) : t.proxies.get(r.nextInt(8));
+            t.runFor((long) (r.nextDouble() * (r.nextInt(4) == 0 ? 6 * S : S)));
+            SimulatedCluster.Node one = r.nextInt(3) == 0 ? t.controls.get(r.nextInt(3)) : t.proxies.get(r.nextInt(8));
             switch (r.nextInt(9)) {
                 case 0, 1, 2 -> changes.add(t.publish("text " + seed + " " + i + "\nof the same\n", head(t)));
                 case 3 -> {
-                    if (one.up()) {
+                    if (one.isRunning()) {
                         one.kill();
                     }
                 }
                 case 4 -> backups.putIfAbsent(one.name, new HashMap<>(one.disk.files));
-                case 5 -> putBack(t, one, backups);
+                case 5 -> restoreOldDisk(t, one, backups);
                 case 6 -> one.disk.full = !one.disk.full && r.nextInt(3) == 0;
                 case 7 -> {
                     if (cut[0] != null) {
-                        cut(t, cut, false);
+                        setPartition(t, cut, false);
                     }
                     cut[0] = t.controls.get(r.nextInt(3)).name;
                     cut[1] = r.nextBoolean() ? t.proxies.get(r.nextInt(8)).name : "c1";
-                    cut(t, cut, true);
+                    setPartition(t, cut, true);
                 }
                 default -> {
-                    for (SimulatedCluster.Place p : places(t)) {
-                        if (!p.up()) {
+                    for (SimulatedCluster.Node p : nodes(t)) {
+                        if (!p.isRunning()) {
                             p.start();
                         }
                     }
@@ -329,32 +329,32 @@
             }
         }
         if (cut[0] != null) {
-            cut(t, cut, false);
+            setPartition(t, cut, false);
         }
-        for (SimulatedCluster.Place p : places(t)) {
+        for (SimulatedCluster.Node p : nodes(t)) {
             p.disk.full = false;
-            if (!p.up()) {
+            if (!p.isRunning()) {
                 p.start();
             }
         }
-        t.go(40 * S);
-        Message.Published last = changed(t, "the last of " + seed, head(t));
+        t.runFor(40 * S);
+        Message.Published last = publish(t, "the last of " + seed, head(t));
         assertEquals(Publisher.Outcome.ACCEPTED, last.outcome(), "seed " + seed + ": " + last.lines());
-        boolean together = t.until(last.head().number(), 20 * S);
-        assertEquals(List.of(), w.wrong, "seed " + seed + "\n" + String.join("\n", tail(t.log)));
+        boolean together = t.runUntilInForce(last.head().number(), 20 * S);
+        assertEquals(List.of(), w.violations, "seed " + seed + "\n" + String.join("\n", tail(t.log)));
         assertTrue(together, "seed " + seed + "\n" + String.join("\n", tail(t.log)));
         long accepted = changes.stream()
-                .filter(o -> o.answer != null && o.answer.outcome() == Publisher.Outcome.ACCEPTED)
-                .mapToLong(o -> o.answer.head().number())
+                .filter(o -> o.response != null && o.response.outcome() == Publisher.Outcome.ACCEPTED)
+                .mapToLong(o -> o.response.head().number())
                 .max()
                 .orElse(0);
         assertTrue(last.head().number() > accepted, "seed " + seed);
         for (SimulatedCluster.Operator o : changes) {
-            if (o.answer != null && o.answer.outcome() == Publisher.Outcome.ACCEPTED) {
-                Version v = w.places.get(o.answer.head().number());
+            if (o.response != null && o.response.outcome() == Publisher.Outcome.ACCEPTED) {
+                Version v = w.byPosition.get(o.response.head().number());
                 assertTrue(
-                        v == null || v.equals(o.answer.head()),
-                        "seed " + seed + ": accepted " + o.answer.head() + ", ran " + v);
+                        v == null || v.equals(o.response.head()),
+                        "seed " + seed + ": accepted " + o.response.head() + ", ran " + v);
             }
         }
     }
@@ -363,8 +363,8 @@
         return log.subList(Math.max(0, log.size() - 60), log.size());
     }
 
-    private static List<SimulatedCluster.Place> places(SimulatedCluster t) {
-        List<SimulatedCluster.Place> all = new ArrayList<>(t.controls);
+    private static List<SimulatedCluster.Node> nodes(SimulatedCluster t) {
+        List<SimulatedCluster.Node> all = new ArrayList<>(t.controls);
         all.addAll(t.proxies);
         return all;
     }
@@ -374,7 +374,7 @@
         return v == null ? 0 : v.number();
     }
 
-    private static void cut(SimulatedCluster t, String[] ways, boolean on) {
+    private static void setPartition(SimulatedCluster t, String[] ways, boolean on) {
         t.network.cut(ways[0], ways[1], on);
         t.network.cut(ways[1], ways[0], on);
     }
@@ -383,8 +383,8 @@
      * Puts an older disk back. What cannot be known is left out: of the control processes one at a time,
      * whose versions all others have. That a proxy asks control first is looked at apart from this.
      */
-    private static void putBack(
-            SimulatedCluster t, SimulatedCluster.Place one, Map<String, Map<String, byte[]>> backups)
+    private static void restoreOldDisk(
+            SimulatedCluster t, SimulatedCluster.Node one, Map<String, Map<String, byte[]>> backups)
             throws IOException {
         Map<String, byte[]> old = backups.remove(one.name);
         if (old == null) {
@@ -395,7 +395,7 @@
             Version mine = t.controls.get(t.controls.indexOf(one)).node.version();
             for (SimulatedCluster.Control c : t.controls) {
                 if (c != one
-                        && (!c.up()
+                        && (!c.isRunning()
                                 || mine != null
                                         && (c.node.version() == null
                                                 || c.node.version().comparePosition(mine) < 0))) {
@@ -403,12 +403,12 @@
                 }
             }
         }
-        if (one.up()) {
+        if (one.isRunning()) {
             one.kill();
         }
         one.disk.files = new HashMap<>(old);
         if (!control) {
-            ((SimulatedCluster.Proxy) one).everRan = null;
+            ((SimulatedCluster.Proxy) one).highestApplied = null;
         }
         one.start();
     }
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -37,7 +37,7 @@
 @Isolated("what others print would come in between")
 @Timeout(60)
 class VersionsCommandsTest {
-    private record Ran(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
     @TempDir
     private Path folder;
@@ -47,7 +47,7 @@
     private ControlNode primary;
     private String at;
 
-    private static Ran run(String... args) {
+    private static CommandResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream o = new ByteArrayOutputStream();
@@ -56,14 +56,14 @@
         System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
         try {
             int code = Tool.run(args);
-            return new Ran(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
+            return new CommandResult(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
         }
     }
 
-    private static int free() throws Exception {
+    private static int freePort() throws Exception {
         try (ServerSocket s = new ServerSocket(0)) {
             return s.getLocalPort();
         }
@@ -71,7 +71,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        at = "127.0.0.1:" + free();
+        at = "127.0.0.1:" + freePort();
         ControlFile file = ControlFile.parse(
                 "name = \"c1\"\nprimary = \"c1\"\nfolder = \"" + folder + "\"\n[[control]]\nname = \"c1\"\naddress = \""
                         + at + "\"\n",
@@ -124,31 +124,31 @@
     }
 
     @Test
-    void publishingSaysWhatBecameOfIt() throws Exception {
-        Ran first = run("publish", file(Processes.document("one")), "--to", at);
+    void publishReportsTheOutcome() throws Exception {
+        CommandResult first = run("publish", file(Processes.document("one")), "--to", at);
         assertEquals(0, first.code(), first.err());
         assertTrue(first.out().startsWith("version 1.1 ("), first.out());
         assertTrue(first.out().contains("is in force at all 1"), first.out());
         assertEquals(2, run("publish", file("x = [\n"), "--to", at).code());
-        Ran wrong = run("publish", file(Processes.document("two") + "odd = 1\n"), "--to", at);
+        CommandResult wrong = run("publish", file(Processes.document("two") + "odd = 1\n"), "--to", at);
         assertEquals(2, wrong.code());
         assertTrue(wrong.err().contains("site.toml:8:1: "), wrong.err());
-        Ran own = run(
+        CommandResult own = run(
                 "publish",
                 file(Processes.document("two") + "[operator]\naddress = " + "\"127.0.0.1:9901\"\n"),
                 "--to",
                 at);
         assertEquals(2, own.code());
         assertTrue(own.err().contains("site.toml:8:1: [operator] belongs to one process"), own.err());
-        Ran late = run("publish", file(Processes.document("two")), "--to", at, "--after", "0");
+        CommandResult late = run("publish", file(Processes.document("two")), "--to", at, "--after", "0");
         assertEquals(3, late.code());
         assertTrue(late.err().contains("written against version 0, but 1.1"), late.err());
-        Ran same = run("publish", file(Processes.document("one")), "--to", at);
+        CommandResult same = run("publish", file(Processes.document("one")), "--to", at);
         assertEquals(0, same.code());
         assertTrue(same.err().contains("already"), same.err());
         assertEquals(
                 1,
-                run("publish", file(Processes.document("two")), "--to", "127.0.0.1:" + free())
+                run("publish", file(Processes.document("two")), "--to", "127.0.0.1:" + freePort())
                         .code());
         assertEquals(
                 2, run("publish", folder.resolve("none").toString(), "--to", at).code());
@@ -159,10 +159,10 @@
     }
 
     @Test
-    void whoIsMissingIsNamedWithTheReason() throws Exception {
+    void followersNotInForceAreListedWithTheReason() throws Exception {
         FollowerNode well = follower("p-well", null);
         follower("p-ill", "it cannot be kept: No space left on device");
-        Ran ill = run("publish", file(Processes.document("one")), "--to", at, "--wait", "0.5");
+        CommandResult ill = run("publish", file(Processes.document("one")), "--to", at, "--wait", "0.5");
         assertEquals(4, ill.code());
         assertTrue(ill.out().contains("is not in force at 1 of 3"), ill.out());
         assertTrue(ill.out().matches("(?s).*p-ill +nothing +by c1; it cannot be kept: No space left.*"), ill.out());
@@ -170,18 +170,18 @@
         while (!run("versions", "--at", at).out().contains("p-well")) {
             Thread.sleep(10);
         }
-        Ran away = run("publish", file(Processes.document("two")), "--to", at, "--wait", "0.5");
+        CommandResult away = run("publish", file(Processes.document("two")), "--to", at, "--wait", "0.5");
         assertEquals(4, away.code());
         assertTrue(away.out().matches("(?s).*p-well +1\\.1 +by c1 away for.*"), away.out());
-        Ran look = run("versions", "--at", at);
+        CommandResult look = run("versions", "--at", at);
         assertEquals(4, look.code());
         assertTrue(look.out().startsWith("c1, the primary: version 1.2 ("), look.out());
-        assertEquals(1, run("versions", "--at", "127.0.0.1:" + free()).code());
+        assertEquals(1, run("versions", "--at", "127.0.0.1:" + freePort()).code());
     }
 
     @Test
-    void filesWithErrorsAreSaidWithTheirPlace() throws Exception {
-        Ran control = run(
+    void configurationErrorsAreReportedWithTheirPosition() throws Exception {
+        CommandResult control = run(
                 "control",
                 "--config",
                 file("name = \"c9\"\nprimary = \"c1\"\n"
@@ -191,7 +191,7 @@
         assertTrue(control.err().contains("site.toml:4:1: unknown key 'odd'"), control.err());
         assertTrue(control.err().contains("site.toml:7:1: address is 'x', not an IP address"), control.err());
         assertTrue(control.err().contains("folder is missing"), control.err());
-        Ran follow = run(
+        CommandResult follow = run(
                 "serve",
                 "--follow",
                 file("[control]\nname = \"a b\"\nfolder = \"x\"\n" + "addresses = [\"127.0.0.1\"]\n"));
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -27,27 +27,27 @@
     @TempDir
     private Path folder;
 
-    private Processes town;
+    private Processes processes;
 
     /** Publishes, and waits until it is in force at so many. */
     private void publish(String word, long after, int followers) throws Exception {
-        Message.Published p = told(word, after);
+        Message.Published p = send(word, after);
         assertEquals(Publisher.Outcome.ACCEPTED, p.outcome(), p.lines().toString());
-        town.inForce("c1", p.head().number(), followers);
+        processes.awaitInForce("c1", p.head().number(), followers);
     }
 
-    private Message.Published told(String word, long after) throws Exception {
-        try (ControlClient c = new ControlClient(town.at("c1"), 10_000)) {
+    private Message.Published send(String word, long after) throws Exception {
+        try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             return c.request(
                     new Message.Publish(after, "site.toml", Processes.document(word)), Message.Published.class);
         }
     }
 
     /** Waits until a proxy that listens there answers with that word. */
-    private static void answers(int port, String word) throws Exception {
+    private static void awaitResponse(int port, String word) throws Exception {
         String last = "";
         for (int i = 0; i < 600; i++) {
-            last = Processes.asked(port);
+            last = Processes.get(port);
             if (last.endsWith(word)) {
                 return;
             }
@@ -57,86 +57,86 @@
     }
 
     @Test
-    void aChangeIsInForceEverywhereOrNowhereWhateverEnds() throws Exception {
+    void changesSurviveProcessFailuresAndRestoredDisks() throws Exception {
         try (Processes t = new Processes(folder)) {
-            town = t;
+            processes = t;
             t.controls("c1", "c2", "c3");
-            Processes.One c1 = t.control("c1", "c1", "").start();
-            Processes.One c2 = t.control("c2", "c1", "").start();
-            Processes.One c3 = t.control("c3", "c1", "").start();
-            Processes.One p1 = t.proxy("p1").start();
-            Processes.One p2 = t.proxy("p2").start();
-            c1.said("all control processes have reported their versions");
+            Processes.ManagedProcess c1 = t.control("c1", "c1", "").start();
+            Processes.ManagedProcess c2 = t.control("c2", "c1", "").start();
+            Processes.ManagedProcess c3 = t.control("c3", "c1", "").start();
+            Processes.ManagedProcess p1 = t.proxy("p1").start();
+            Processes.ManagedProcess p2 = t.proxy("p2").start();
+            c1.awaitLog("all control processes have reported their versions");
             publish("one", 0, 5);
-            int at1 = Processes.port(p1.said("listening on"));
-            int at2 = Processes.port(p2.said("listening on"));
-            answers(at1, "one");
-            for (Processes.One o : new Processes.One[] {c1, c2, p1}) {
+            int at1 = Processes.port(p1.awaitLog("listening on"));
+            int at2 = Processes.port(p2.awaitLog("listening on"));
+            awaitResponse(at1, "one");
+            for (Processes.ManagedProcess o : new Processes.ManagedProcess[] {c1, c2, p1}) {
                 o.backUp();
             }
 
-            wrongChange(at1);
-            noise(c1);
-            twoAtOnce();
-            t.inForce("c1", 2, 5);
-            String two = Processes.asked(at1);
-            assertEquals(two, Processes.asked(at2));
+            invalidChangeIsRefused(at1);
+            foreignProtocolIsDisconnected(c1);
+            concurrentChangesAreSerialized();
+            t.awaitInForce("c1", 2, 5);
+            String two = Processes.get(at1);
+            assertEquals(two, Processes.get(at2));
 
             // The primary ends: no changes, all else goes on; a proxy that begins anew gets the newest.
             c1.kill();
-            assertThrows(IOException.class, () -> told("none", 2));
-            Processes.One p3 = t.proxy("p3").start();
-            int at3 = Processes.port(p3.said("listening on"));
-            assertEquals(two, Processes.asked(at3));
-            assertEquals(two, Processes.asked(at1));
+            assertThrows(IOException.class, () -> send("none", 2));
+            Processes.ManagedProcess p3 = t.proxy("p3").start();
+            int at3 = Processes.port(p3.awaitLog("listening on"));
+            assertEquals(two, Processes.get(at3));
+            assertEquals(two, Processes.get(at1));
 
             // Its disk is put back: it asks the others before it takes a change.
-            c1.putBack();
+            c1.restoreBackup();
             c2.kill();
             c1.start();
-            c1.said("starting with version 1.1");
-            t.inForce("c1", 2, 2);
-            assertEquals(Publisher.Outcome.NOT_READY, told("fork", 1).outcome(), "c2 was not heard yet");
-            c2.putBack(); // and that of another control process
+            c1.awaitLog("starting with version 1.1");
+            t.awaitInForce("c1", 2, 2);
+            assertEquals(Publisher.Outcome.NOT_READY, send("fork", 1).outcome(), "c2 was not heard yet");
+            c2.restoreBackup(); // and that of another control process
             c2.start();
-            c1.said("all control processes have reported their versions: accepting changes after 1.2");
-            assertEquals(Publisher.Outcome.OLDER, told("fork", 1).outcome());
+            c1.awaitLog("all control processes have reported their versions: accepting changes after 1.2");
+            assertEquals(Publisher.Outcome.OLDER, send("fork", 1).outcome());
             publish("three", 2, 6);
-            answers(at1, "three");
-            answers(at3, "three");
+            awaitResponse(at1, "three");
+            awaitResponse(at3, "three");
 
             // A proxy's disk is put back, while control is there: it never serves what it had on it.
             p1.kill();
-            p1.putBack();
+            p1.restoreBackup();
             p1.start();
-            assertTrue(p1.said("on the disk").contains("has 1.1"));
-            at1 = Processes.port(p1.said("listening on"));
-            assertTrue(Processes.asked(at1).endsWith("three"));
-            allGone(new Processes.One[] {c1, c2, c3}, p1, p2);
+            assertTrue(p1.awaitLog("on the disk").contains("has 1.1"));
+            at1 = Processes.port(p1.awaitLog("listening on"));
+            assertTrue(Processes.get(at1).endsWith("three"));
+            startWithoutControl(new Processes.ManagedProcess[] {c1, c2, c3}, p1, p2);
         }
     }
 
-    private void wrongChange(int at) throws Exception {
-        try (ControlClient c = new ControlClient(town.at("c1"), 10_000)) {
+    private void invalidChangeIsRefused(int at) throws Exception {
+        try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             Message.Published p = c.request(
                     new Message.Publish(1, "site.toml", Processes.document("wrong") + "odd = 1\n"),
                     Message.Published.class);
             assertEquals(Publisher.Outcome.WRONG, p.outcome());
             assertTrue(p.lines().get(0).startsWith("site.toml:8:1: "), p.lines().toString());
         }
-        assertTrue(Processes.asked(at).endsWith("one"));
+        assertTrue(Processes.get(at).endsWith("one"));
     }
 
-    private void noise(Processes.One control) throws Exception {
-        try (Wire w = Wire.to(town.at("c1")).write("GET / HTTP/1.1\r\n\r\n")) {
+    private void foreignProtocolIsDisconnected(Processes.ManagedProcess control) throws Exception {
+        try (Wire w = Wire.to(processes.at("c1")).write("GET / HTTP/1.1\r\n\r\n")) {
             assertEquals("", w.read());
         }
-        assertTrue(control.said("closed the connection of").contains("a frame of 1195725856 bytes"));
+        assertTrue(control.awaitLog("closed the connection of").contains("a frame of 1195725856 bytes"));
     }
 
-    private void twoAtOnce() throws Exception {
-        CompletableFuture<Message.Published> a = CompletableFuture.supplyAsync(() -> quietly("two a"));
-        CompletableFuture<Message.Published> b = CompletableFuture.supplyAsync(() -> quietly("two b"));
+    private void concurrentChangesAreSerialized() throws Exception {
+        CompletableFuture<Message.Published> a = CompletableFuture.supplyAsync(() -> sendUnchecked("two a"));
+        CompletableFuture<Message.Published> b = CompletableFuture.supplyAsync(() -> sendUnchecked("two b"));
         Message.Published first = a.get().outcome() == Publisher.Outcome.ACCEPTED ? a.get() : b.get();
         Message.Published second = first == a.get() ? b.get() : a.get();
         assertEquals(Publisher.Outcome.ACCEPTED, first.outcome());
@@ -144,17 +144,19 @@
         assertTrue(second.lines().get(0).contains("1.2"), second.lines().toString());
     }
 
-    private Message.Published quietly(String word) {
+    private Message.Published sendUnchecked(String word) {
         try {
-            return told(word, 1);
+            return send(word, 1);
         } catch (Exception e) {
             throw new AssertionError(e);
         }
     }
 
     /** All of control is gone, one proxy's file is torn, another's is not. */
-    private void allGone(Processes.One[] control, Processes.One torn, Processes.One whole) throws Exception {
-        for (Processes.One c : control) {
+    private void startWithoutControl(
+            Processes.ManagedProcess[] control, Processes.ManagedProcess torn, Processes.ManagedProcess whole)
+            throws Exception {
+        for (Processes.ManagedProcess c : control) {
             c.kill();
         }
         torn.kill();
@@ -163,15 +165,15 @@
         Files.write(torn.folder().resolve("current"), Arrays.copyOf(current, current.length / 2));
         torn.start();
         whole.start();
-        torn.said("the file current is damaged");
-        torn.said("which may be older than the version that ran here before");
-        int old = Processes.port(torn.said("listening on"));
-        assertTrue(Processes.asked(old).endsWith("one"), "the copy before");
-        assertTrue(Processes.asked(Processes.port(whole.said("listening on"))).endsWith("three"));
-        for (Processes.One c : control) {
+        torn.awaitLog("the file current is damaged");
+        torn.awaitLog("which may be older than the version that ran here before");
+        int old = Processes.port(torn.awaitLog("listening on"));
+        assertTrue(Processes.get(old).endsWith("one"), "the copy before");
+        assertTrue(Processes.get(Processes.port(whole.awaitLog("listening on"))).endsWith("three"));
+        for (Processes.ManagedProcess c : control) {
             c.start();
         }
-        answers(old, "three");
-        town.inForce("c1", 3, 6);
+        awaitResponse(old, "three");
+        processes.awaitInForce("c1", 3, 6);
     }
 }
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAgainAlsoInFrames() throws IOException {
+    void messagesRoundTripThroughCodecAndFrames() throws IOException {
         Frames.Assembler joined = new Frames.Assembler(1 << 20);
         for (Message m : messages()) {
             assertEquals(m, Codec.decode(Codec.encode(m)));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void anythingElseIsRefusedAndNothingElseIsThrown() {
+    void invalidInputThrowsOnlyIOException() {
         SplittableRandom r = new SplittableRandom(3);
         for (Message m : messages()) {
             byte[] whole = Codec.encode(m);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aCutMessageAndOneThatIsTooLargeAreRefused() {
+    void truncatedAndOversizedMessagesAreRefused() {
         byte[] whole = Codec.encode(messages().get(3));
         for (int n = 0; n < whole.length; n += 7) {
             byte[] cut = Arrays.copyOf(whole, n);
@@ -99,14 +99,14 @@
     }
 
     @Test
-    void aKindOfANewerVersionIsPassedOver() throws IOException {
+    void unknownKindIsIgnored() throws IOException {
         byte[] newer = Codec.encode(new Message.SnapshotRequest());
         newer[1] = 0x17; // the kind: 23
         assertNull(Codec.decode(newer));
     }
 
     @Test
-    void theLimitOnAPackedMessageIsExact() throws IOException {
+    void declaredLengthOfACompressedMessageIsChecked() throws IOException {
         byte[] plain = new byte[5000];
         byte[] packed = Compression.compress(plain, 6);
         assertTrue(packed.length < 100);
