--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -75,7 +75,7 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes, the maximum is " + Frames.MAX_FRAME_BYTES);
+            throw new IOException("a frame of " + length + " bytes, " + Frames.MAX_FRAME_BYTES + " is the maximum");
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -225,7 +225,7 @@
     public static StoredDocument decodeStored(byte[] bytes) throws IOException {
         StoredDocument k = read(bytes, (p, kind) -> {
             if (kind != STORED) {
-                throw new IOException("expected a stored document, found kind " + kind);
+                throw new IOException("expected a stored document, found a message");
             }
             Document d = new Document(require(version(p)), text(p, Document.MAX_CHARS));
             return new StoredDocument(d, version(p), deltas(p));
@@ -263,7 +263,7 @@
 
     private static void requireArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
-            throw new IOException("expected an array, found " + t);
+            throw new IOException("expected an array");
         }
     }
 
@@ -283,7 +283,7 @@
         }
         long n = p.getLongValue();
         if (n < min || n > max) {
-            throw new IOException("number out of range: " + n + ", allowed are " + min + " to " + max);
+            throw new IOException("number out of range: " + n);
         }
         return n;
     }
@@ -295,7 +295,7 @@
     private static boolean flag(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
-            throw new IOException("expected a boolean, found " + t);
+            throw new IOException("expected a boolean");
         }
         return t == JsonToken.VALUE_TRUE;
     }
@@ -306,7 +306,7 @@
         }
         String t = p.getText();
         if (t.length() > maxChars) {
-            throw new IOException("text of " + t.length() + " characters, the maximum is " + maxChars);
+            throw new IOException("text of " + t.length() + " characters, " + maxChars + " is the maximum");
         }
         return t;
     }
@@ -329,7 +329,7 @@
             return before.id();
         }
         if (t != JsonToken.VALUE_EMBEDDED_OBJECT) {
-            throw new IOException("expected a checksum, found " + t);
+            throw new IOException("expected a checksum");
         }
         return Checksum.fromBytes(p.getBinaryValue());
     }
@@ -358,7 +358,7 @@
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
-                throw new IOException("expected a text, found " + t);
+                throw new IOException("expected a text");
             }
             all.add(p.getText());
         }
--- a/src/main/java/gullspar/versions/wire/Compression.java
+++ b/src/main/java/gullspar/versions/wire/Compression.java
@@ -47,7 +47,7 @@
         }
         int length = ByteBuffer.wrap(packed).getInt(1);
         if (length < 0 || length > MAX_DECOMPRESSED_BYTES) {
-            throw new IOException("message of " + length + " bytes, the maximum is " + MAX_DECOMPRESSED_BYTES);
+            throw new IOException("message of " + length + " bytes, " + MAX_DECOMPRESSED_BYTES + " is the maximum");
         }
         Inflater i = new Inflater(true);
         try {
@@ -55,7 +55,7 @@
             i.setInput(packed, HEADER_BYTES, packed.length - HEADER_BYTES);
             int n = i.inflate(out);
             if (n != length || !i.finished() && i.inflate(new byte[1]) != 0) {
-                throw new IOException("decompressed length differs from the declared length of " + length + " bytes");
+                throw new IOException("decompressed length differs from the declared one");
             }
             return out;
         } catch (DataFormatException e) {
--- a/src/test/java/gullspar/versions/Chain.java
+++ b/src/test/java/gullspar/versions/Chain.java
@@ -3,24 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Documents that follow one another, for tests. */
+/** Chains of successive documents for tests. */
 public final class Chain {
-    /** Lines that do not shrink to nothing. */
+    /** Spreads line contents, so that they do not compress to almost nothing. */
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private Chain() {}
 
-    /** The first version of a text. */
+    /** Creates the first version of a text. */
     public static Document first(String text) {
         return new Document(new Version(1, 1, Checksum.of(text), Checksum.NONE), text);
     }
 
-    /** The version after another. */
+    /** Creates the successor of a document. */
     public static Document after(Document d, String text) {
         return after(d, d.version().epoch(), text);
     }
 
-    /** The version after another, in that epoch. */
+    /** Creates the successor of a document in the given epoch. */
     public static Document after(Document d, long epoch, String text) {
         return new Document(
                 new Version(
@@ -31,12 +31,12 @@
                 text);
     }
 
-    /** What leads from one to the next. */
+    /** Computes the delta between two documents. */
     public static Delta delta(Document from, Document to) {
         return Delta.between(from.text(), to);
     }
 
-    /** A text of so many lines, some of which a number changes. */
+    /** Creates a text with that many lines, some of which depend on the number. */
     public static String text(int lines, int number) {
         StringBuilder s = new StringBuilder();
         for (int i = 0; i < lines; i++) {
@@ -50,7 +50,7 @@
         return s.toString();
     }
 
-    /** So many documents, each after the one before. */
+    /** Creates a chain of documents. */
     public static List<Document> of(int n, int lines) {
         List<Document> all = new ArrayList<>();
         all.add(first(text(lines, 0)));
@@ -60,7 +60,7 @@
         return all;
     }
 
-    /** A history of these. */
+    /** Creates a history of the documents. */
     public static History history(List<Document> all, int most) {
         History h = new History(most, 1 << 20);
         for (Document d : all) {
--- a/src/test/java/gullspar/versions/DeltaTest.java
+++ b/src/test/java/gullspar/versions/DeltaTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** From one text to the next, line by line. */
+/** Line-by-line deltas between texts. */
 class DeltaTest {
     private static String draw(SplittableRandom r) {
         StringBuilder s = new StringBuilder();
--- a/src/test/java/gullspar/versions/FollowerTest.java
+++ b/src/test/java/gullspar/versions/FollowerTest.java
@@ -10,11 +10,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a follower takes, refuses and says. */
+/** Which versions a follower accepts and refuses, and what it acknowledges. */
 class FollowerTest {
     private static final long MS = 1_000_000L;
 
-    /** What was done for it, in order. */
+    /** Records the operations of the follower in order. */
     private static final class Host implements Follower.Host {
         private final List<Message> sent = new ArrayList<>();
         private final List<Document> appliedDocuments = new ArrayList<>();
@@ -71,7 +71,7 @@
         return new Message.Update(d.version(), ancestor == null ? null : ancestor.version(), List.of(), d.text());
     }
 
-    /** It runs that one, by its disk and a control process that has the same. */
+    /** Puts a version in force that is on disk and that the control process has as well. */
     private void startInForce(int index) {
         follower.start(0, all.get(index), false);
         follower.opened(MS);
@@ -85,7 +85,7 @@
                 return a;
             }
         }
-        throw new AssertionError("nothing acknowledged");
+        throw new AssertionError("no ack was sent");
     }
 
     @Test
@@ -154,7 +154,7 @@
         assertTrue(next.version().comparePosition(all.get(8).version()) > 0);
         follower.applied(20 * MS, next.version(), null);
         follower.received(30 * MS, deltaUpdate(5, 8));
-        assertEquals(2, host.appliedDocuments.size(), "the former primary goes on, and is not heard");
+        assertEquals(2, host.appliedDocuments.size(), "a version of the former primary was applied");
     }
 
     @Test
@@ -196,7 +196,7 @@
         follower.tick(3000 * MS);
         assertEquals(List.of(all.get(3)), host.appliedDocuments);
         follower.tick(3100 * MS);
-        assertEquals(1, host.disconnects, "it looks whether another one knows more");
+        assertEquals(1, host.disconnects, "did not try another control process");
     }
 
     @Test
@@ -283,7 +283,7 @@
                         .orElse(0)
                 > 2500);
         assertTrue(host.connects.containsAll(List.of(0, 1, 2)));
-        assertEquals(all.get(3).version(), follower.inForce(), "it goes on without control");
+        assertEquals(all.get(3).version(), follower.inForce(), "no version in force without control");
     }
 
     @Test
@@ -291,12 +291,12 @@
         follower.start(0, all.get(3), false);
         follower.opened(MS);
         follower.received(2 * MS, head(all.get(9), true));
-        assertFalse(follower.isInStep(3 * MS), "a disk that was put back");
+        assertFalse(follower.isInStep(3 * MS), "the restored disk is behind");
         follower.received(4 * MS, deltaUpdate(3, 9));
         assertTrue(follower.isInStep(5 * MS));
         assertFalse(follower.isInStep(5000 * MS), "silent");
         follower.received(5100 * MS, head(all.get(9), false));
-        assertFalse(follower.isInStep(5200 * MS), "the other end is not");
+        assertFalse(follower.isInStep(5200 * MS), "the control process is out of step");
     }
 
     @Test
--- a/src/test/java/gullspar/versions/HistoryTest.java
+++ b/src/test/java/gullspar/versions/HistoryTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a follower gets. */
+/** Which update the history chooses for a follower. */
 class HistoryTest {
     private final List<Document> all = Chain.of(200, 4000);
 
--- a/src/test/java/gullspar/versions/PublisherTest.java
+++ b/src/test/java/gullspar/versions/PublisherTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which changes become versions. */
+/** Which changes the primary accepts as versions. */
 class PublisherTest {
     private final List<Document> all = Chain.of(10, 50);
     private final History history = Chain.history(all, 100);
@@ -36,7 +36,7 @@
         p.recordVersion("c2", null);
         assertEquals(
                 Publisher.Outcome.NOT_READY, p.decide(10, "a", "a\n", history).outcome());
-        Document next = Chain.after(history.head(), "from before the disk was put back");
+        Document next = Chain.after(history.head(), "from before the disk was restored");
         p.recordVersion("c3", next.version());
         assertTrue(p.decide(10, "a", "a\n", history).lines().get(0).contains("c3 has version 1.11"));
         history.append(next, List.of());
@@ -46,7 +46,7 @@
 
     @Test
     void forkElsewhereBlocksChangesUntilTheEpochIsRaised() {
-        Document fork = Chain.after(all.get(4), "written by somebody else");
+        Document fork = Chain.after(all.get(4), "written by another primary");
         Publisher p = new Publisher(1, Set.of("c2"));
         p.recordVersion("c2", fork.version());
         assertTrue(p.obstacle(history).contains("another version with the same number"));
--- a/src/test/java/gullspar/versions/RateLimiterTest.java
+++ b/src/test/java/gullspar/versions/RateLimiterTest.java
@@ -8,7 +8,7 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-/** How much goes out, and to how many at once. */
+/** Rate of sent bytes and number of concurrent snapshots. */
 class RateLimiterTest {
     private static final long SECOND_NS = 1_000_000_000L;
 
@@ -45,7 +45,7 @@
         assertFalse(t.tryAcquire("c"));
         assertFalse(t.tryAcquire("d"));
         assertEquals("c", t.release("a"));
-        assertFalse(t.tryAcquire("d"), "c was there before");
+        assertFalse(t.tryAcquire("d"), "c asked before d");
         assertTrue(t.tryAcquire("c"));
         assertEquals(null, t.release("d"));
         assertEquals(null, t.release("b"));
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a disk gives back, whatever happens to it. */
+/** What the store reads back after crashes, write failures and damage. */
 class StoreTest {
-    /** Nothing happens after it. */
+    /** Thrown in place of a process crash; nothing is written after it. */
     private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** In memory; fails or dies at an operation, a write then with a part of its bytes. */
+    /** In-memory folder that fails or crashes at a given operation; a write then stores a part of its bytes. */
     private static final class FaultyFolder implements Folder {
         private final Map<String, byte[]> files = new HashMap<>();
         private int operations;
@@ -83,7 +83,7 @@
         return new Codec.StoredDocument(d, null, List.of());
     }
 
-    /** Whatever was kept, or began to be: never an older one, whenever the process ends. */
+    /** A crash at any operation while versions are persisted must never restore an older version. */
     @Test
     void crashAtAnyOperationNeverRestoresAnOlderVersion() throws IOException {
         for (int dies = 0; dies < 24; dies++) {
@@ -100,7 +100,7 @@
                         done = i;
                     }
                 } catch (SimulatedCrash e) {
-                    // and starts again
+                    // the process restarts
                 }
                 f.crashesAt = -1;
                 for (int again = 0; again < 3; again++) {
@@ -109,8 +109,9 @@
                             ? -1
                             : (int) found.stored().document().version().number() - 1;
                     assertTrue(
-                            has == done || has == done + 1, "dies at " + dies + ": has " + has + ", had kept " + done);
-                    assertFalse(found.mayBeOlder(), "dies at " + dies);
+                            has == done || has == done + 1,
+                            "crash at " + dies + ": read " + has + ", had persisted " + done);
+                    assertFalse(found.mayBeOlder(), "crash at " + dies);
                     assertEquals(List.of(), found.damage());
                     Store next = new Store(f);
                     next.read();
@@ -121,7 +122,7 @@
         }
     }
 
-    /** It dies once, starts, and dies again at any operation: the newest that is whole is never lost. */
+    /** A crash, a restart and a second crash at any operation must not lose the newest intact version. */
     @Test
     void twoCrashesInARowLoseNothing() throws IOException {
         for (int first = 4; first < 12; first++) {
@@ -136,7 +137,7 @@
                     int has = found.stored() == null
                             ? -1
                             : (int) found.stored().document().version().number() - 1;
-                    assertTrue(has >= done, "has " + has + ", had " + done);
+                    assertTrue(has >= done, "read " + has + ", had persisted " + done);
                     done = has;
                     try {
                         for (int i = has + 1; i < has + 6; i++) {
@@ -144,7 +145,7 @@
                             done = i;
                         }
                     } catch (SimulatedCrash e) {
-                        // and starts again
+                        // the process restarts
                     }
                     f.crashesAt = life == 0 ? f.operations + second : -1;
                 }
--- a/src/test/java/gullspar/versions/net/Processes.java
+++ b/src/test/java/gullspar/versions/net/Processes.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** Control processes and proxies as real processes, with their folders, for a test. */
+/** Runs control processes and proxies as real processes, with their folders, for a test. */
 public final class Processes implements AutoCloseable {
     private static final int TIMEOUT_S = 30;
 
-    /** One process, started anew under the same name as often as is asked for. */
+    /** One process, which can be restarted under the same name. */
     public final class ManagedProcess {
         public final String name;
         private final List<String> arguments;
@@ -64,7 +64,7 @@
             return this;
         }
 
-        /** Waits for a line of the log. */
+        /** Waits for a log line that contains the text. */
         public String awaitLog(String part) throws InterruptedException {
             List<String> all = new ArrayList<>();
             String line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
@@ -73,12 +73,12 @@
                 line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
             }
             if (line == null || !line.contains(part)) {
-                throw new AssertionError(name + " did not say '" + part + "', but " + all);
+                throw new AssertionError(name + " did not log '" + part + "' but " + all);
             }
             return line;
         }
 
-        /** As kill -9 does. */
+        /** Ends the process like kill -9. */
         public void kill() throws InterruptedException {
             process.destroyForcibly().waitFor();
         }
@@ -91,12 +91,12 @@
             return folder.resolve(name);
         }
 
-        /** Copies its folder, as a backup does. */
+        /** Copies the folder as a backup. */
         public void backUp() throws IOException {
             copy(folder(), folder.resolve(name + ".backup"));
         }
 
-        /** Puts the copy in its folder's place. */
+        /** Replaces the content of the folder by the backup. */
         public void restoreBackup() throws IOException {
             for (String f : List.of("current", "previous", "next")) {
                 Files.deleteIfExists(folder().resolve(f));
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Names control processes, which get a port each; the first is the primary. */
+    /** Assigns a port to each control process; the first is the primary. */
     public void controls(String... names) throws IOException {
         List<ServerSocket> free = new ArrayList<>();
         for (String n : names) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Where a control process listens. */
+    /** The address of a control process. */
     public InetSocketAddress at(String control) {
         return new InetSocketAddress("127.0.0.1", ports.get(control));
     }
@@ -147,7 +147,7 @@
         return "127.0.0.1:" + ports.get(control);
     }
 
-    /** Writes a control process's file. */
+    /** Writes the configuration file of a control process. */
     public ManagedProcess control(String name, String primary, String more) throws IOException {
         StringBuilder s = new StringBuilder("name = \"" + name + "\"\nprimary = \"" + primary + "\"\nfolder = \""
                 + folder.resolve(name) + "\"\n" + more);
@@ -160,7 +160,7 @@
         return add(new ManagedProcess(name, List.of("control", "--config", file.toString())));
     }
 
-    /** Writes a proxy's file. */
+    /** Writes the configuration file of a proxy. */
     public ManagedProcess proxy(String name) throws IOException {
         List<String> addresses =
                 ports.keySet().stream().map(n -> "\"" + hostPort(n) + "\"").toList();
@@ -176,7 +176,7 @@
         return one;
     }
 
-    /** Waits until a control process knows that all of that many followers run that number or a later one. */
+    /** Waits until a control process reports that all of that many followers run the version or a later one. */
     public void awaitInForce(String control, long number, int followers) throws Exception {
         Message.StatusResponse last = null;
         for (long end = System.nanoTime() + TIMEOUT_S * 1_000_000_000L; System.nanoTime() < end; ) {
@@ -189,14 +189,14 @@
                     return;
                 }
             } catch (IOException e) {
-                last = null; // it is starting
+                last = null; // the process is still starting
             }
             Thread.sleep(30);
         }
         throw new AssertionError("version " + number + " is not in force at " + followers + ": " + last);
     }
 
-    /** What a proxy that listens there answers. */
+    /** The response of the proxy on that port. */
     public static String get(int port) throws IOException {
         try (Wire c = Wire.to(new InetSocketAddress("127.0.0.1", port))
                 .write("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")) {
@@ -204,12 +204,12 @@
         }
     }
 
-    /** Where a proxy has just said that it listens. */
+    /** The port in the log line of a proxy that has started to listen. */
     public static int port(String listening) {
         return Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
     }
 
-    /** A document whose proxies answer with that word. */
+    /** A document that makes proxies respond with the word. */
     public static String document(String word) {
         return "[[listener]]\naddress = \"127.0.0.1:0\"\n[[host]]\ndefault = true\n[[host.route]]\n"
                 + "path = \"/\"\nanswer = { status = 200, body = \"" + word + "\" }\n";
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -29,16 +29,16 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Control processes and followers, by the program's own code, in memory and in virtual time. */
+/** Control nodes and followers in memory and in virtual time, running the production code. */
 public final class SimulatedCluster {
     public static final long NS_PER_MS = 1_000_000L;
     public static final long NS_PER_S = 1_000_000_000L;
     private static final int PORT = 7400;
 
-    /** Files in memory. */
+    /** An in-memory folder. */
     public static final class Disk implements Folder {
         public Map<String, byte[]> files = new HashMap<>();
-        /** Every write fails while it is. */
+        /** While set, every write fails. */
         public boolean full;
 
         @Override
@@ -67,7 +67,7 @@
         public void sync() {}
     }
 
-    /** One after the other, on the process's loop, some ms later; nothing after its end. */
+    /** Runs tasks sequentially on the loop of the process, 2 ms later; none after the process has ended. */
     private final class Worker extends AbstractExecutorService {
         private final VirtualLoop loop;
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A machine and the process on it, if one runs. */
+    /** A machine and the process running on it, if any. */
     public abstract class Node {
         public final String name;
         public final Host host;
@@ -120,7 +120,7 @@
             return loop != null;
         }
 
-        /** Starts its process. */
+        /** Starts the process. */
         public void start() throws IOException {
             loop = new VirtualLoop(agenda, errors::add);
             host.runs(loop);
@@ -133,7 +133,7 @@
 
         abstract void startProcess(Platform p) throws IOException;
 
-        /** Ends it as kill -9 does. */
+        /** Ends the process like kill -9. */
         public void kill() {
             loop.end();
             network.ended(host);
@@ -159,7 +159,7 @@
         void startProcess(Platform p) throws IOException {
             Map<String, InetSocketAddress> all = new LinkedHashMap<>();
             controls.forEach(c -> all.put(c.name, c.address));
-            all.put(name, address); // one that the others do not know any more knows itself
+            all.put(name, address); // a control process removed from the list still knows itself
             Store store = new Store(disk);
             node = new ControlNode(
                     new ControlFile(
@@ -178,10 +178,10 @@
         }
     }
 
-    /** A proxy without requests. */
+    /** A proxy that serves no requests. */
     public final class Proxy extends Node {
         public FollowerNode node;
-        /** What it has put in force, life by life. */
+        /** The version in force since the last start, or null. */
         public Version inForce;
 
         public Version highestApplied;
@@ -234,7 +234,7 @@
         }
     }
 
-    /** An operator: one connection for each change. */
+    /** An operator, with one connection for each change. */
     public final class Operator implements Link.Listener {
         public Message.Published response;
         private final Message.Publish change;
@@ -272,7 +272,7 @@
     private final SplittableRandom random;
     private final Host operators;
 
-    /** So many control processes, the first of which is the primary, and proxies; none is started. */
+    /** Creates control processes, the first of which is the primary, and proxies, without starting them. */
     public SimulatedCluster(long seed, int controls, int proxies, long wayNs) {
         agenda = new Agenda(seed, 0);
         network = new Network(agenda, seed, (a, b) -> wayNs);
@@ -287,7 +287,7 @@
         operators.runs(new VirtualLoop(agenda, errors::add));
     }
 
-    /** Starts all. */
+    /** Starts all processes. */
     public void start() throws IOException {
         for (Control c : controls) {
             c.start();
@@ -297,7 +297,7 @@
         }
     }
 
-    /** Every way loses so many segments. */
+    /** Sets the fraction of segments lost on every path. */
     public void setLoss(double part) {
         List<String> names = new ArrayList<>();
         controls.forEach(c -> names.add(c.name));
@@ -311,7 +311,7 @@
         }
     }
 
-    /** A change is on its way to the primary. */
+    /** Sends a change to the primary. */
     public Operator publish(String text, long after) {
         Operator o = new Operator(new Message.Publish(after, "f", text));
         network.transport(operators)
@@ -321,23 +321,23 @@
         return o;
     }
 
-    /** Lets time go on. */
+    /** Runs until the given virtual time. */
     public void run(long untilNs) {
         while (agenda.due(untilNs)) {
             agenda.step();
         }
         agenda.skipTo(untilNs);
         if (!errors.isEmpty()) {
-            throw new AssertionError("a slip at " + agenda.now() / NS_PER_MS + " ms", errors.get(0));
+            throw new AssertionError("unexpected exception at " + agenda.now() / NS_PER_MS + " ms", errors.get(0));
         }
     }
 
-    /** The same, for so long. */
+    /** Runs for the given virtual time. */
     public void runFor(long ns) {
         run(agenda.now() + ns);
     }
 
-    /** Lets time go on until all that run have a version of that number, for so long at the most. */
+    /** Runs until all running proxies have the version number or a later one; false if not within the time. */
     public boolean runUntilInForce(long number, long withinNs) {
         long end = agenda.now() + withinNs;
         while (agenda.now() < end) {
--- a/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
+++ b/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** The program's own processes in virtual time: what is too slow, too rare or too many for real ones. */
+/** Control nodes and followers in virtual time, for cases too slow, too rare or too large for real processes. */
 @Execution(ExecutionMode.CONCURRENT)
 class SimulatedClusterTest {
     private static final long MS = SimulatedCluster.NS_PER_MS;
@@ -29,7 +29,7 @@
         for (int i = 0; i < 300 && o.response == null; i++) {
             t.runFor(10 * MS);
         }
-        assertNotNull(o.response, "no answer");
+        assertNotNull(o.response, "no response to the change");
         return o.response;
     }
 
@@ -93,7 +93,7 @@
         t.runFor(5 * S);
         t.controls.forEach(SimulatedCluster.Node::kill);
         t.runFor(600 * S);
-        assertTrue(t.proxies.stream().allMatch(p -> p.inForce.number() == 1), "it went on");
+        assertTrue(t.proxies.stream().allMatch(p -> p.inForce.number() == 1), "the version changed without control");
         for (SimulatedCluster.Control c : t.controls) {
             c.start();
         }
@@ -111,8 +111,8 @@
             most = Math.max(most, all - last);
             last = all;
         }
-        assertTrue(last >= n, last + " are back after " + (t.agenda.now() - before) / S + " s");
-        assertTrue(most < n * 6 / 10, most + " came in one second");
+        assertTrue(last >= n, last + " are connected after " + (t.agenda.now() - before) / S + " s");
+        assertTrue(most < n * 6 / 10, most + " connected in one second");
         assertEquals(
                 0, t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum(), "snapshots");
         for (int i = 0; i < had.length; i++) {
@@ -167,11 +167,11 @@
             }
         }
         assertTrue(t.runUntilInForce(101, 20 * S));
-        assertTrue(all > 50_000, "there was little to send: " + all);
+        assertTrue(all > 50_000, "too little data was sent: " + all);
         assertTrue(worst <= 10_000 + 2048 + 200, worst + " bytes in a second");
     }
 
-    /** A text of which each change takes some two thousand bytes on the wire. */
+    /** Creates a text; each change of it takes about 2000 bytes on the wire. */
     private static String large(int change) {
         StringBuilder s = new StringBuilder(Chain.text(2000, 0));
         SplittableRandom r = new SplittableRandom(change);
@@ -221,7 +221,7 @@
         List<Long> ran = new ArrayList<>();
         t.onApplied = (p, before) -> ran.add(p.inForce.number());
         SimulatedCluster.Proxy p = t.proxies.get(2);
-        for (int i = 0; i < 20; i++) { // also where what it meets first was put back itself
+        for (int i = 0; i < 20; i++) { // also where the disk of its control process was restored
             p.kill();
             p.disk.files = new HashMap<>(old);
             SimulatedCluster.Control c = t.controls.get(i % 3);
@@ -254,14 +254,14 @@
         t.runFor(5 * S);
         publishAccepted(t, "two\n", 1);
         assertTrue(t.runUntilInForce(2, 20 * S));
-        former.start(); // by its old file
+        former.start(); // with its old configuration
         t.runFor(20 * S);
         assertTrue(t.proxies.stream().allMatch(p -> p.inForce.epoch() == 2 && p.inForce.number() == 2));
     }
 
     /**
-     * Changes, ends, restarts, disks put back, full disks and ways that are cut, by lot: nobody ever runs
-     * less than it ran, what was accepted holds, one place has one text, and in the end all run the newest.
+     * Random changes, kills, restarts, restored and full disks, and partitions: no process runs an older version
+     * than before, accepted changes persist, a version number has one text, and finally all run the newest.
      */
     @Test
     void randomFaultsNeverRollBackAndAllConverge() throws IOException {
@@ -278,7 +278,7 @@
             Version v = p.inForce;
             Version there = byPosition.putIfAbsent(v.number(), v);
             if (there != null && !there.equals(v)) {
-                violations.add("two texts at one place: " + there + " and " + v);
+                violations.add("two versions with the same number: " + there + " and " + v);
             }
             boolean older = before != null && v.comparePosition(before) < 0
                     || p.highestApplied != null && v.comparePosition(p.highestApplied) < 0;
@@ -380,8 +380,8 @@
     }
 
     /**
-     * Puts an older disk back. What cannot be known is left out: of the control processes one at a time,
-     * whose versions all others have. That a proxy asks control first is looked at apart from this.
+     * Restores an older disk. Undetectable cases are left out: control processes are restored one at a time, and
+     * only if all others have their version. That a proxy asks control first is tested separately.
      */
     private static void restoreOldDisk(
             SimulatedCluster t, SimulatedCluster.Node one, Map<String, Map<String, byte[]>> backups)
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** Exit codes and words of the commands, with control processes within this one. */
+/** Exit codes and output of the commands, with a control node inside the test process. */
 @Isolated("what others print would come in between")
 @Timeout(60)
 class VersionsCommandsTest {
@@ -101,7 +101,7 @@
         return Files.writeString(folder.resolve("site.toml"), text).toString();
     }
 
-    /** A follower that puts all in force, or has that trouble with it. */
+    /** Starts a follower that puts every version in force, or fails with the given trouble. */
     private FollowerNode follower(String name, String trouble) throws Exception {
         Platform quiet = Platform.of(loop);
         InetSocketAddress there = new InetSocketAddress("127.0.0.1", Integer.parseInt(at.substring(10)));
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** Control processes and proxies as they are started in service, and what is broken between them. */
+/** Real control processes and proxies, with processes killed and disks restored or damaged. */
 @Timeout(180)
 @Execution(ExecutionMode.CONCURRENT)
 @ResourceLock("much of the machine")
@@ -29,7 +29,7 @@
 
     private Processes processes;
 
-    /** Publishes, and waits until it is in force at so many. */
+    /** Publishes a change and waits until it is in force at that many followers. */
     private void publish(String word, long after, int followers) throws Exception {
         Message.Published p = send(word, after);
         assertEquals(Publisher.Outcome.ACCEPTED, p.outcome(), p.lines().toString());
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Waits until a proxy that listens there answers with that word. */
+    /** Waits until the proxy on that port responds with the word. */
     private static void awaitResponse(int port, String word) throws Exception {
         String last = "";
         for (int i = 0; i < 600; i++) {
@@ -53,7 +53,7 @@
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("asked for " + word + ", answered " + last);
+        throw new AssertionError("expected " + word + ", last response " + last);
     }
 
     @Test
@@ -82,7 +82,7 @@
             String two = Processes.get(at1);
             assertEquals(two, Processes.get(at2));
 
-            // The primary ends: no changes, all else goes on; a proxy that begins anew gets the newest.
+            // Without the primary no changes are accepted, but a newly started proxy gets the newest version.
             c1.kill();
             assertThrows(IOException.class, () -> send("none", 2));
             Processes.ManagedProcess p3 = t.proxy("p3").start();
@@ -90,14 +90,14 @@
             assertEquals(two, Processes.get(at3));
             assertEquals(two, Processes.get(at1));
 
-            // Its disk is put back: it asks the others before it takes a change.
+            // After its disk was restored, the primary queries the others before it accepts a change.
             c1.restoreBackup();
             c2.kill();
             c1.start();
             c1.awaitLog("starting with version 1.1");
             t.awaitInForce("c1", 2, 2);
-            assertEquals(Publisher.Outcome.NOT_READY, send("fork", 1).outcome(), "c2 was not heard yet");
-            c2.restoreBackup(); // and that of another control process
+            assertEquals(Publisher.Outcome.NOT_READY, send("fork", 1).outcome(), "the version of c2 is not known yet");
+            c2.restoreBackup(); // the disk of another control process as well
             c2.start();
             c1.awaitLog("all control processes have reported their versions: accepting changes after 1.2");
             assertEquals(Publisher.Outcome.OLDER, send("fork", 1).outcome());
@@ -105,7 +105,7 @@
             awaitResponse(at1, "three");
             awaitResponse(at3, "three");
 
-            // A proxy's disk is put back, while control is there: it never serves what it had on it.
+            // A proxy with a restored disk must not serve the old version while control is reachable.
             p1.kill();
             p1.restoreBackup();
             p1.start();
@@ -152,7 +152,7 @@
         }
     }
 
-    /** All of control is gone, one proxy's file is torn, another's is not. */
+    /** No control process is running; the current file of one proxy is truncated, the other's is intact. */
     private void startWithoutControl(
             Processes.ManagedProcess[] control, Processes.ManagedProcess torn, Processes.ManagedProcess whole)
             throws Exception {
@@ -168,7 +168,7 @@
         torn.awaitLog("the file current is damaged");
         torn.awaitLog("which may be older than the version that ran here before");
         int old = Processes.port(torn.awaitLog("listening on"));
-        assertTrue(Processes.get(old).endsWith("one"), "the copy before");
+        assertTrue(Processes.get(old).endsWith("one"), "did not serve the previous version");
         assertTrue(Processes.get(Processes.port(whole.awaitLog("listening on"))).endsWith("three"));
         for (Processes.ManagedProcess c : control) {
             c.start();
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What goes over the wire, and what is not taken from it. */
+/** Encoding of messages, and rejection of invalid input. */
 class CodecTest {
     private final List<Document> all = Chain.of(5, 300);
     private final History history = Chain.history(all, 10);
@@ -94,7 +94,7 @@
                 .array();
         assertTrue(assertThrows(IOException.class, () -> Compression.decompress(bomb))
                 .getMessage()
-                .contains("the maximum is"));
+                .contains("is the maximum"));
         assertThrows(IOException.class, () -> new Frames.Assembler(100).add(new byte[] {7, 0}));
     }
 
