--- a/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
+++ b/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
@@ -16,12 +16,12 @@
 
     private final Path library;
     private final Path control;
-    private final MappedByteBuffer words;
+    private final MappedByteBuffer controlWords;
 
     private SystemCallFaults(Path library, Path control, MappedByteBuffer words) {
         this.library = library;
         this.control = control;
-        this.words = words;
+        this.controlWords = words;
     }
 
     /** Builds the library in that folder, with the system's C compiler; an IOException says why it cannot. */
@@ -63,17 +63,17 @@
     }
 
     /** From now on each such call fails. */
-    public void fail(SystemCall call, ErrorNumber error) {
+    public void failAll(SystemCall call, ErrorNumber error) {
         failOneIn(1, call, error);
     }
 
     /** From now on one such call in so many fails. */
     public void failOneIn(int calls, SystemCall call, ErrorNumber error) {
-        words.putInt(call.ordinal() * Integer.BYTES, calls << Short.SIZE | error.number);
+        controlWords.putInt(call.ordinal() * Integer.BYTES, calls << Short.SIZE | error.number);
     }
 
     /** Such calls work again. */
-    public void heal(SystemCall call) {
-        words.putInt(call.ordinal() * Integer.BYTES, 0);
+    public void restore(SystemCall call) {
+        controlWords.putInt(call.ordinal() * Integer.BYTES, 0);
     }
 }
--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -2,7 +2,7 @@
 
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Look;
+import gullspar.rehearse.stage.FleetSnapshot;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -27,7 +27,7 @@
     /** When a process answered first: only from then on does it take part. */
     private final Map<EventLog.Life, Long> heard = new HashMap<>();
     /** The last that an observer said of a life. */
-    private final Map<String, Look.Seen> last = new HashMap<>();
+    private final Map<String, FleetSnapshot.SeenMember> last = new HashMap<>();
 
     private final Set<String> told = new TreeSet<>();
 
@@ -39,7 +39,7 @@
 
     static List<Broken> judge(Script script, EventLog eventLog, long slackNs) {
         FleetJudge j = new FleetJudge(script, eventLog, slackNs);
-        for (Look l : eventLog.looks()) {
+        for (FleetSnapshot l : eventLog.fleetSnapshots()) {
             eventLog.lives().stream()
                     .filter(x -> x.proxy().equals(l.proxy()) && x.from() <= l.at() && l.at() <= x.until())
                     .findFirst()
@@ -48,7 +48,7 @@
                         j.heard.putIfAbsent(x, l.at());
                     });
         }
-        eventLog.looks().forEach(j::look);
+        eventLog.fleetSnapshots().forEach(j::look);
         return j.broken;
     }
 
@@ -78,16 +78,16 @@
         return at - since;
     }
 
-    private void look(Look l) {
+    private void look(FleetSnapshot l) {
         EventLog.Life me = lives.get(l.life());
         if (me == null) {
             return; // asked while it ended
         }
-        for (Look.Seen s : l.seen()) {
+        for (FleetSnapshot.SeenMember s : l.members()) {
             EventLog.Life other = lives.get(s.life());
             String who = l.proxy() + " of " + s.name() + '/' + s.life();
             if (other == null
-                    && s.present()
+                    && s.isPresent()
                     && eventLog.lives().stream().noneMatch(x -> x.name().equals(s.name()))) {
                 wrong(
                         Rule.FLEET_TRUE,
@@ -104,7 +104,7 @@
                             l.proxy() + " calls " + s.name() + " gone, which lives and was not struck for "
                                     + asked.quietS() + " s");
                 }
-            } else if (other != null && s.present()) {
+            } else if (other != null && s.isPresent()) {
                 long dead = Math.min(l.at() - other.until(), l.at() - eventLog.settledSince(l.proxy(), l.at()));
                 if (Math.min(dead, l.at() - me.from()) > ns(asked.goneS())) {
                     wrong(
@@ -134,10 +134,10 @@
     }
 
     /** Whoever hears none of the others cannot do its part, however well it is heard. */
-    private void deaf(Look l, Look.Seen s, String who) {
+    private void deaf(FleetSnapshot l, FleetSnapshot.SeenMember s, String who) {
         long span = ns(asked.goneS());
-        if (s.present()
-                && eventLog.deafThrough(s.name(), l.at() - span, l.at())
+        if (s.isPresent()
+                && eventLog.wasIsolatedThroughout(s.name(), l.at() - span, l.at())
                 && eventLog.lives().stream()
                         .anyMatch(x -> x.proxy().equals(l.proxy()) && x.from() < l.at() - span && livesAt(x, l.at()))) {
             wrong(
@@ -149,8 +149,8 @@
         }
     }
 
-    private void noWayBack(Look l, Look.Seen s, String who) {
-        Look.Seen before = last.put(l.life() + who, s);
+    private void noWayBack(FleetSnapshot l, FleetSnapshot.SeenMember s, String who) {
+        FleetSnapshot.SeenMember before = last.put(l.life() + who, s);
         if (before != null
                 && (s.incarnation() < before.incarnation()
                         || before.status().equals("left") && !s.status().equals("left"))) {
@@ -164,10 +164,10 @@
         }
     }
 
-    private void accused(Look l, EventLog.Life me) {
+    private void accused(FleetSnapshot l, EventLog.Life me) {
         double minutes = Math.max(1, l.upS() / 60);
         boolean struck = eventLog.settledSince(l.proxy(), l.at()) != Long.MIN_VALUE
-                || eventLog.partings().stream().anyMatch(p -> p.from() <= l.at());
+                || eventLog.partitions().stream().anyMatch(p -> p.from() <= l.at());
         if (!struck && l.objections() > asked.accusationsPerMin() * minutes) {
             wrong(
                     Rule.FLEET_TRUE,
@@ -181,7 +181,7 @@
     }
 
     /** Long enough after the last fault anywhere each sees all that live, and nobody else as present. */
-    private void agreed(Look l) {
+    private void agreed(FleetSnapshot l) {
         long calm = Long.MAX_VALUE;
         Set<String> living = new TreeSet<>();
         for (EventLog.Life x : eventLog.lives()) {
@@ -197,8 +197,8 @@
             return;
         }
         Set<String> sees = new TreeSet<>();
-        sees.add(EventLog.named(l.proxy()));
-        l.seen().stream().filter(s -> s.status().equals("alive")).forEach(s -> sees.add(s.name()));
+        sees.add(EventLog.baseName(l.proxy()));
+        l.members().stream().filter(s -> s.status().equals("alive")).forEach(s -> sees.add(s.name()));
         if (!sees.equals(living)) {
             wrong(
                     Rule.FLEET_AGREES,
@@ -210,7 +210,7 @@
     }
 
     /** Two processes that live under one name are both seen, and named as that by all: neither wins. */
-    private void twins(Look l, EventLog.Life me) {
+    private void twins(FleetSnapshot l, EventLog.Life me) {
         for (EventLog.Life x : eventLog.lives()) {
             String name = x.name();
             if (x.proxy().equals(name) || !livesAt(x, l.at())) {
@@ -225,11 +225,11 @@
                             <= ns(asked.agreeS())) {
                 continue;
             }
-            long seen = l.seen().stream()
-                    .filter(s -> s.name().equals(name) && s.present())
+            long seen = l.members().stream()
+                    .filter(s -> s.name().equals(name) && s.isPresent())
                     .count();
             long owed = me.name().equals(name) ? 1 : 2;
-            if (seen != owed || l.seen().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
+            if (seen != owed || l.members().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
                 wrong(
                         Rule.FLEET_TWINS,
                         l.at(),
@@ -244,14 +244,14 @@
      * While a minority is cut off from all others, and these were there lately, it says so; the rest does
      * not.
      */
-    private void honest(Look l) {
-        List<EventLog.Parted> now = eventLog.partings().stream()
+    private void honest(FleetSnapshot l) {
+        List<EventLog.Partition> now = eventLog.partitions().stream()
                 .filter(p -> p.from() <= l.at() && l.at() < p.until())
                 .toList();
         if (now.size() != 1) {
             return; // several at once: who hears whom is another question
         }
-        EventLog.Parted p = now.get(0);
+        EventLog.Partition p = now.get(0);
         if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && livesAt(x, l.at()))) {
             return; // a twin is on neither side
         }
@@ -263,8 +263,9 @@
         if (!allAlong || since < ns(asked.goneS()) || since > ns(asked.windowS() * 0.9)) {
             return;
         }
-        long side =
-                p.one().contains(l.proxy()) ? p.one().size() : living - p.one().size();
+        long side = p.group().contains(l.proxy())
+                ? p.group().size()
+                : living - p.group().size();
         boolean minority = 2 * side < living;
         if (minority != l.cutOff()) {
             wrong(
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -3,10 +3,10 @@
 import gullspar.decide.Balancer.Effect;
 import gullspar.decide.Balancer.Scope;
 import gullspar.rehearse.script.Script;
+import gullspar.rehearse.stage.ClientRequest;
+import gullspar.rehearse.stage.ClientRequest.Attempt;
 import gullspar.rehearse.stage.EventLog;
 import gullspar.rehearse.stage.Order;
-import gullspar.rehearse.stage.Try;
-import gullspar.rehearse.stage.Try.Attempt;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -51,33 +51,33 @@
 
     private Verdict verdict() {
         eventLog.orders().forEach(o -> {
-            o.tries.forEach(this::oneAnswer);
-            o.tries.forEach(this::leftAlone);
-            o.tries.forEach(this::timeTold);
-            o.tries.forEach(this::nothingTwice);
-            o.tries.forEach(this::drainsKept);
+            o.requests.forEach(this::oneAnswer);
+            o.requests.forEach(this::leftAlone);
+            o.requests.forEach(this::timeTold);
+            o.requests.forEach(this::nothingTwice);
+            o.requests.forEach(this::drainsKept);
             effects(o);
         });
-        eventLog.fallen()
+        eventLog.collapsedAt()
                 .forEach((node, at) -> broken.add(new Broken(
                         Rule.COLD_SPARED,
                         at,
                         node + " was sent more than " + script.rules().tipMultiple() + " times what it could do for "
                                 + script.rules().fallS() + " s while it was cold, and fell over",
                         null)));
-        eventLog.crashes().forEach(c -> broken.add(new Broken(Rule.ONE_ANSWER, c.at(), c.what(), null)));
-        eventLog.rudeServed()
+        eventLog.crashes().forEach(c -> broken.add(new Broken(Rule.ONE_ANSWER, c.at(), c.description(), null)));
+        eventLog.servedMalformedRequests()
                 .forEach(text -> broken.add(new Broken(
                         Rule.ONE_ANSWER,
                         0,
                         "a request that makes no sense was served: "
                                 + text.lines().findFirst().orElse(""),
                         null)));
-        if (eventLog.rudeIgnored() > 0) {
+        if (eventLog.unansweredMisbehavingClients() > 0) {
             broken.add(new Broken(
                     Rule.ONE_ANSWER,
                     0,
-                    eventLog.rudeIgnored() + " of " + eventLog.rudeSent()
+                    eventLog.unansweredMisbehavingClients() + " of " + eventLog.misbehavingClientCount()
                             + " clients that sent no sensible request got neither an error nor a close within 3 s",
                     null));
         }
@@ -90,8 +90,8 @@
         String worstClass = "";
         double worstShare = 2;
         for (Script.RequestClass c : script.classes()) {
-            double s =
-                    service(eventLog.orders().stream().filter(o -> o.kind == c).toList());
+            double s = service(
+                    eventLog.orders().stream().filter(o -> o.requestClass == c).toList());
             if (s < worstShare) {
                 worstShare = s;
                 worstClass = c.name();
@@ -120,8 +120,8 @@
         double[] served = new double[seconds + 1];
         for (Order o : eventLog.orders()) {
             int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / STEP_NS));
-            asked[at] += o.kind.worth();
-            served[at] += o.inTime() ? o.kind.worth() : 0;
+            asked[at] += o.requestClass.worth();
+            served[at] += o.isInTime() ? o.requestClass.worth() : 0;
         }
         int worst = -1;
         for (int from = 0; from + WORST_S <= seconds; from++) {
@@ -148,8 +148,8 @@
         double asked = 0;
         double served = 0;
         for (Order o : orders) {
-            asked += o.kind.worth();
-            served += o.inTime() ? o.kind.worth() : 0;
+            asked += o.requestClass.worth();
+            served += o.isInTime() ? o.requestClass.worth() : 0;
         }
         return asked == 0 ? 1 : served / asked;
     }
@@ -160,7 +160,7 @@
             counts.put(name, 0);
         }
         for (Order o : eventLog.orders()) {
-            for (Try t : o.tries) {
+            for (ClientRequest t : o.requests) {
                 counts.merge(ended(t), 1, Integer::sum);
             }
         }
@@ -168,10 +168,10 @@
     }
 
     /** How a try ended, in a word. */
-    public static String ended(Try t) {
+    public static String ended(ClientRequest t) {
         return switch (t.ending) {
             case ANSWERED -> t.status == 200
-                    ? t.endedAt <= t.order.at + (long) (t.order.kind.promiseMs() * 1e6) ? "served" : "late"
+                    ? t.endedAt <= t.order.at + (long) (t.order.requestClass.promiseMs() * 1e6) ? "served" : "late"
                     : refused(t) ? "refused" : "failed";
             case GIVEN_UP -> "given up";
             case LEFT -> "left";
@@ -181,35 +181,35 @@
         };
     }
 
-    private static boolean refused(Try t) {
+    private static boolean refused(ClientRequest t) {
         return t.status == 429 || t.status == 503;
     }
 
-    private void broken(Rule rule, long at, Try t, String what) {
+    private void broken(Rule rule, long at, ClientRequest t, String what) {
         broken.add(new Broken(rule, at, what, t));
     }
 
     // ---- the rules ----
 
-    private void oneAnswer(Try t) {
+    private void oneAnswer(ClientRequest t) {
         if (t.status == 200 && t.attempts.stream().noneMatch(a -> a.startedAt != 0)) {
             broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, and no node had worked on it");
         }
-        if (t.wrong != null) {
-            broken(Rule.ONE_ANSWER, t.endedAt, t, t.wrong);
+        if (t.responseError != null) {
+            broken(Rule.ONE_ANSWER, t.endedAt, t, t.responseError);
         }
-        if (t.sentAt != 0 && !eventLog.excused(t.proxy, t.sentAt, t.endedAt)) {
-            if (t.ending == Try.Ending.GIVEN_UP) {
+        if (t.sentAt != 0 && !eventLog.disrupted(t.proxy, t.sentAt, t.endedAt)) {
+            if (t.ending == ClientRequest.Ending.GIVEN_UP) {
                 broken(Rule.ONE_ANSWER, t.endedAt, t, "it had no final answer when its time was up");
-            } else if (t.ending == Try.Ending.CLOSED && !t.attempts.isEmpty()) {
+            } else if (t.ending == ClientRequest.Ending.CLOSED && !t.attempts.isEmpty()) {
                 broken(Rule.ONE_ANSWER, t.endedAt, t, "its connection was closed with no final answer");
-            } else if (t.ending == Try.Ending.OPEN) {
+            } else if (t.ending == ClientRequest.Ending.OPEN) {
                 broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open when the day was over");
             }
         }
-        if (t.ending == Try.Ending.ANSWERED) {
+        if (t.ending == ClientRequest.Ending.ANSWERED) {
             for (Attempt a : t.attempts) {
-                if (a.sentAt > t.answeredAt + slackNs) {
+                if (a.sentAt > t.respondedAt + slackNs) {
                     broken(
                             Rule.ONE_ANSWER,
                             a.sentAt,
@@ -220,9 +220,9 @@
         }
     }
 
-    private void leftAlone(Try t) {
+    private void leftAlone(ClientRequest t) {
         for (Attempt a : t.attempts) {
-            if (t.ending == Try.Ending.LEFT && a.sentAt > t.endedAt + LEFT_NS + slackNs) {
+            if (t.ending == ClientRequest.Ending.LEFT && a.sentAt > t.endedAt + LEFT_NS + slackNs) {
                 broken(
                         Rule.LEFT_ALONE,
                         a.sentAt,
@@ -237,10 +237,10 @@
     }
 
     /** A proxy that does not know how long a request has waited gives its backend time that nobody has. */
-    private void timeTold(Try t) {
+    private void timeTold(ClientRequest t) {
         for (Attempt a : t.attempts) {
             long left = t.deadline - a.sentAt;
-            if (a.toldNs != Long.MAX_VALUE && a.toldNs > left + TOLD_NS + slackNs) {
+            if (a.timeoutNs != Long.MAX_VALUE && a.timeoutNs > left + TOLD_NS + slackNs) {
                 broken(
                         Rule.TIME_TOLD,
                         a.sentAt,
@@ -249,32 +249,32 @@
                                 Locale.ROOT,
                                 "the attempt at %s was given %.3f s when its client had %.3f s left",
                                 a.node,
-                                a.toldNs / 1e9,
+                                a.timeoutNs / 1e9,
                                 left / 1e9));
             }
         }
     }
 
-    private void nothingTwice(Try t) {
-        Effect effect = t.order.kind.effect();
+    private void nothingTwice(ClientRequest t) {
+        Effect effect = t.order.requestClass.effect();
         if (effect == Effect.IDEMPOTENT) {
             return;
         }
         Attempt first = null;
         for (Attempt a : t.attempts) {
-            if (a.wholeAt == 0) {
+            if (a.receivedAt == 0) {
                 continue;
             }
             if (first != null && effect == Effect.AT_MOST_ONCE) {
                 broken(
                         Rule.NOTHING_TWICE,
-                        a.wholeAt,
+                        a.receivedAt,
                         t,
                         "an attempt at " + a.node + ", though the one at " + first.node + " may have run");
             } else if (first != null && !repeatIsDropped(t, first, a)) {
                 broken(
                         Rule.NOTHING_TWICE,
-                        a.wholeAt,
+                        a.receivedAt,
                         t,
                         "an attempt at " + a.node
                                 + ", which does not drop a repeat of the one at " + first.node
@@ -282,8 +282,8 @@
             }
             first = first == null && a.mayHaveRun() ? a : first;
         }
-        boolean harmless = effect == Effect.DEDUPLICATED && t.order.kind.scope() == Scope.ALL;
-        if (first != null && refused(t) && t.ending == Try.Ending.ANSWERED && !harmless) {
+        boolean harmless = effect == Effect.DEDUPLICATED && t.order.requestClass.scope() == Scope.ALL;
+        if (first != null && refused(t) && t.ending == ClientRequest.Ending.ANSWERED && !harmless) {
             broken(
                     Rule.NOTHING_TWICE,
                     t.endedAt,
@@ -292,28 +292,28 @@
         }
     }
 
-    private boolean repeatIsDropped(Try t, Attempt first, Attempt next) {
-        boolean inTime = next.wholeAt - first.wholeAt <= (long) (t.order.kind.windowMs() * 1e6) + slackNs;
-        return inTime && (t.order.kind.scope() == Scope.ALL || first.site.equals(next.site));
+    private boolean repeatIsDropped(ClientRequest t, Attempt first, Attempt next) {
+        boolean inTime = next.receivedAt - first.receivedAt <= (long) (t.order.requestClass.windowMs() * 1e6) + slackNs;
+        return inTime && (t.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
     /** What ran more than once: by a proxy's doing it breaks the rule, by a client's own retry it is told. */
     private void effects(Order o) {
-        if (o.effects <= 1 || o.kind.effect() == Effect.IDEMPOTENT) {
+        if (o.effects <= 1 || o.requestClass.effect() == Effect.IDEMPOTENT) {
             return;
         }
-        if (o.kind.effect() == Effect.AT_MOST_ONCE) {
-            Try last = o.tries.get(o.tries.size() - 1);
+        if (o.requestClass.effect() == Effect.AT_MOST_ONCE) {
+            ClientRequest last = o.requests.get(o.requests.size() - 1);
             broken(Rule.NOTHING_TWICE, last.endedAt, last, "it took effect " + o.effects + " times");
         } else {
             twice++;
         }
     }
 
-    private void drainsKept(Try t) {
+    private void drainsKept(ClientRequest t) {
         long grace = (long) (script.rules().drainGraceMs() * 1e6);
         for (Attempt a : t.attempts) {
-            long told = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
+            long told = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
             if (told != 0 && a.sentAt > told + grace + slackNs) {
                 broken(
                         Rule.DRAINS_KEPT,
@@ -326,7 +326,7 @@
                                 (a.sentAt - told) / 1e9,
                                 t.proxy));
             }
-            long due = eventLog.dueLeaving(t.proxy, a.node, a.sentAt);
+            long due = eventLog.dueLeavingAt(t.proxy, a.node, a.sentAt);
             if (due != 0 && a.sentAt > due + grace + slackNs) {
                 broken(
                         Rule.LISTS_HEARD,
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -1,8 +1,8 @@
 package gullspar.rehearse.judge;
 
+import gullspar.rehearse.stage.ClientRequest;
+import gullspar.rehearse.stage.ClientRequest.Attempt;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Try;
-import gullspar.rehearse.stage.Try.Attempt;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -15,12 +15,13 @@
     private RequestTrace() {}
 
     /** The story of the order of a request, a line each, with seconds from the start of the day. */
-    public static List<String> of(Try of, EventLog eventLog) {
+    public static List<String> of(ClientRequest of, EventLog eventLog) {
         List<Line> lines = new ArrayList<>();
         lines.add(new Line(
                 of.order.at,
-                "order " + of.order.number + " (" + of.order.kind.name() + ", " + of.order.site + ") comes up"));
-        for (Try t : of.order.tries) {
+                "order " + of.order.number + " (" + of.order.requestClass.name() + ", " + of.order.site
+                        + ") comes up"));
+        for (ClientRequest t : of.order.requests) {
             if (t.sentAt != 0) {
                 lines.add(new Line(
                         t.sentAt,
@@ -29,7 +30,7 @@
             }
             for (Attempt a : t.attempts) {
                 attempt(lines, t, a);
-                long told = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
+                long told = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
                 if (told != 0) {
                     lines.add(new Line(told, t.proxy + " is told that " + a.node + " leaves"));
                 }
@@ -41,15 +42,15 @@
                                 + (t.status == 0
                                         ? ""
                                         : " (" + t.status + ", sent "
-                                                + seconds(t.answeredAt - eventLog.start())
+                                                + seconds(t.respondedAt - eventLog.start())
                                                 + ")")));
             }
         }
         long from = of.order.at;
         long to = of.endedAt;
-        eventLog.happenings().stream()
+        eventLog.events().stream()
                 .filter(h -> h.at() >= from - 2_000_000_000L && h.at() <= to)
-                .forEach(h -> lines.add(new Line(h.at(), "(" + h.what() + ")")));
+                .forEach(h -> lines.add(new Line(h.at(), "(" + h.description() + ")")));
         return lines.stream()
                 .sorted(Comparator.comparingLong(Line::at))
                 .map(l -> String.format(Locale.ROOT, "%10.6f s  %s", (l.at - eventLog.start()) / 1e9, l.what))
@@ -60,10 +61,10 @@
         return String.format(Locale.ROOT, "%.6f s", ns / 1e9);
     }
 
-    private static void attempt(List<Line> lines, Try t, Attempt a) {
+    private static void attempt(List<Line> lines, ClientRequest t, Attempt a) {
         lines.add(new Line(a.sentAt, "an attempt of " + t.id + " goes out to " + a.node));
-        if (a.wholeAt != 0) {
-            lines.add(new Line(a.wholeAt, a.node + " has it whole"));
+        if (a.receivedAt != 0) {
+            lines.add(new Line(a.receivedAt, a.node + " has it whole"));
         }
         if (a.startedAt != 0) {
             lines.add(new Line(a.startedAt, a.node + " begins to work on it"));
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -8,7 +8,7 @@
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Look;
+import gullspar.rehearse.stage.FleetSnapshot;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -47,7 +47,7 @@
     private final Path folder;
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Consumer<Look> heard;
+    private final Consumer<FleetSnapshot> heard;
     final Relay relay;
     private final Map<String, InetSocketAddress> operators = new HashMap<>();
     private final Deque<Relay.Place> spare = new ArrayDeque<>();
@@ -61,7 +61,12 @@
 
     /** Not on the loop. heard: is told, on the loop, how each proxy sees the fleet. */
     LiveFleet(
-            Script script, Path folder, EventLoop loop, LongSupplier clock, List<String> proxies, Consumer<Look> heard)
+            Script script,
+            Path folder,
+            EventLoop loop,
+            LongSupplier clock,
+            List<String> proxies,
+            Consumer<FleetSnapshot> heard)
             throws IOException {
         this.script = script;
         this.folder = folder;
@@ -113,7 +118,7 @@
                             .collect(Collectors.joining()));
             Files.writeString(
                     file,
-                    "[fleet]\nname = \"" + EventLog.named(process) + "\"\nbind = \""
+                    "[fleet]\nname = \"" + EventLog.baseName(process) + "\"\nbind = \""
                             + at(place.home) + "\"\nadvertise = \"" + at(place.address()) + "\"\nseeds = [" + seeds()
                             + "]\nkey_file = \"" + keyFile + "\"\ninterval_ms = "
                             + script.peers().intervalMs()
@@ -181,12 +186,12 @@
                 });
             }
         }
-        loop.schedule(() -> look(alive), Look.everyMs(proxies.size()), TimeUnit.MILLISECONDS);
+        loop.schedule(() -> look(alive), FleetSnapshot.intervalMs(proxies.size()), TimeUnit.MILLISECONDS);
     }
 
     private void heard(String process, String answer) {
         try {
-            heard.accept(Look.of(clock.getAsLong(), process, answer));
+            heard.accept(FleetSnapshot.parse(clock.getAsLong(), process, answer));
         } catch (IOException e) {
             throw new UncheckedIOException("a proxy answered what is no view", e);
         }
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -91,7 +91,8 @@
         this.standIns = new StandIns(this, script, this);
         this.fleet = script.peers() == null
                 ? null
-                : new LiveFleet(script, folder, loop, clock::now, standIns.proxies(), standIns.eventLog()::looked);
+                : new LiveFleet(
+                        script, folder, loop, clock::now, standIns.proxies(), standIns.eventLog()::addFleetSnapshot);
     }
 
     /** Plays a day to its end; an IOException if it cannot be played here. */
@@ -182,7 +183,7 @@
 
     private void playOn(Consumer<Now> now, CountDownLatch end) throws IOException {
         ManualRequests manualRequests = new ManualRequests(script, this);
-        begin(() -> standIns.eventLog().serveStrangers(manualRequests));
+        begin(() -> standIns.eventLog().serveUnknownRequests(manualRequests));
         try {
             do {
                 List<Now> look = new ArrayList<>(1);
@@ -195,13 +196,13 @@
     }
 
     private Now look(ManualRequests manualRequests) {
-        standIns.eventLog().forget(now() - LOOK_BACK_NS);
+        standIns.eventLog().discardBefore(now() - LOOK_BACK_NS);
         // The last of them are still under way.
         long before = now() - LOOK_BACK_NS / 5;
         List<Order> ended =
                 standIns.eventLog().orders().stream().filter(o -> o.at < before).toList();
         double inTime =
-                ended.isEmpty() ? 1 : ended.stream().filter(Order::inTime).count() / (double) ended.size();
+                ended.isEmpty() ? 1 : ended.stream().filter(Order::isInTime).count() / (double) ended.size();
         return new Now(
                 address("p1"),
                 standIns.fleet().running().size(),
@@ -253,7 +254,7 @@
     // ---- the stage ----
 
     @Override
-    public Platform at(String machine) {
+    public Platform platform(String machine) {
         LiveTransport t = transports.computeIfAbsent(
                 machine, m -> new LiveTransport(loop, ways, m, clock::now, a -> names.getOrDefault(a, "")));
         return new Platform(loop, clock, t, line -> {});
@@ -287,12 +288,12 @@
     }
 
     @Override
-    public void peer(Channel channel, String machine) {
+    public void setPeer(Channel channel, String machine) {
         LinkHandler.peer(channel, machine);
     }
 
     @Override
-    public void ended(String machine) {
+    public void processEnded(String machine) {
         transports.get(machine).reset();
     }
 
@@ -305,9 +306,9 @@
                 StandIns.index(name),
                 name,
                 address(name),
-                standIns.fleet().discovery(name),
+                standIns.fleet().discoveryAddress(name),
                 seed,
-                standIns.fleet().known(name));
+                standIns.fleet().listJson(name));
         return fleet == null ? settings : fleet.with(name, settings);
     }
 
@@ -319,7 +320,7 @@
         ending.remove(name);
         String who = life == 1 ? name : name + "." + life;
         try {
-            standIns.fleet().startsKnowing(name);
+            standIns.fleet().recordStartingList(name);
             DaemonProcess d = DaemonProcess.start(
                     folder,
                     name,
@@ -327,10 +328,10 @@
                     script.proxies().memoryMb(),
                     line -> loop.execute(() -> say(who, line)));
             daemons.put(name, d);
-            standIns.eventLog().began(name, now());
+            standIns.eventLog().processStarted(name, now());
             d.onEnd(() -> loop.execute(() -> ended(name, d)));
             if (standIns.proxies().contains(name)) {
-                standIns.front().started(name); // of a twin it does not know
+                standIns.front().proxyStarted(name); // of a twin it does not know
             }
         } catch (IOException e) {
             begun.completeExceptionally(e);
@@ -339,12 +340,12 @@
 
     private void ended(String name, DaemonProcess d) {
         if (daemons.get(name) == d) {
-            standIns.eventLog().ended(name, now());
+            standIns.eventLog().processEnded(name, now());
         }
         if (!over && !ending.contains(name) && daemons.get(name) == d) {
-            standIns.eventLog().crashed(name, "exit code " + d.exitCode(), now());
+            standIns.eventLog().addCrash(name, "exit code " + d.exitCode(), now());
             if (standIns.proxies().contains(name)) {
-                standIns.front().ended(name);
+                standIns.front().proxyEnded(name);
             }
             begun.completeExceptionally(new IOException(name + " ended by itself, exit code " + d.exitCode()));
         }
@@ -363,8 +364,8 @@
             return;
         }
         ending.add(name);
-        standIns.eventLog().excuse(name, now(), now() + SIGNAL_NS);
-        standIns.front().ended(name);
+        standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_NS);
+        standIns.front().proxyEnded(name);
         d.kill();
         d.onEnd(() -> loop.execute(() -> startLater(name, downS)));
     }
@@ -376,7 +377,7 @@
             return;
         }
         ending.add(name);
-        standIns.front().ended(name);
+        standIns.front().proxyEnded(name);
         d.stop();
         d.onEnd(() -> loop.execute(() -> startLater(name, downS)));
     }
@@ -392,19 +393,19 @@
                 daemons.get(name).reload(settings(name));
             }
         } catch (IOException e) {
-            standIns.eventLog().happened(now(), name + " could not be told to reload: " + e.getMessage());
+            standIns.eventLog().addEvent(now(), name + " could not be told to reload: " + e.getMessage());
         }
     }
 
     @Override
     public void pause(String name, boolean on) {
         try {
-            standIns.eventLog().excuse(name, now(), now() + SIGNAL_NS);
+            standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_NS);
             if (daemons.get(name).alive()) {
                 daemons.get(name).pause(on);
             }
         } catch (IOException e) {
-            standIns.eventLog().happened(now(), name + " could not be paused: " + e.getMessage());
+            standIns.eventLog().addEvent(now(), name + " could not be paused: " + e.getMessage());
         }
     }
 
--- a/src/main/java/gullspar/rehearse/play/StandIns.java
+++ b/src/main/java/gullspar/rehearse/play/StandIns.java
@@ -3,10 +3,10 @@
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Fleet;
-import gullspar.rehearse.stage.Front;
+import gullspar.rehearse.stage.FrontBalancer;
 import gullspar.rehearse.stage.LoadGenerator;
-import gullspar.rehearse.stage.RudeClients;
+import gullspar.rehearse.stage.MisbehavingClients;
+import gullspar.rehearse.stage.NodeFleet;
 import gullspar.rehearse.stage.RunEnvironment;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,8 +17,8 @@
     private final Script script;
     private final EventLog eventLog = new EventLog();
     private final List<String> proxies;
-    private final Fleet fleet;
-    private final Front front;
+    private final NodeFleet fleet;
+    private final FrontBalancer front;
     private final LoadGenerator loadGenerator;
     private final Timeline timeline;
 
@@ -30,11 +30,11 @@
             names.add("p" + i);
         }
         this.proxies = List.copyOf(names);
-        this.fleet = new Fleet(stage, script, eventLog);
-        this.front = new Front(stage, script, proxies);
+        this.fleet = new NodeFleet(stage, script, eventLog);
+        this.front = new FrontBalancer(stage, script, proxies);
         this.loadGenerator = new LoadGenerator(stage, script, eventLog, front);
-        RudeClients rude =
-                new RudeClients(stage, eventLog, script.classes().get(0).name(), script.seed());
+        MisbehavingClients rude =
+                new MisbehavingClients(stage, eventLog, script.classes().get(0).name(), script.seed());
         this.timeline =
                 new Timeline(stage, script, eventLog, fleet, front, loadGenerator, rude, faultInjector, proxies);
     }
@@ -50,8 +50,8 @@
 
     /** Begins the day once all proxies are ready, and calls that then. */
     public void begin(Runnable then) {
-        front.whenAllIn(() -> {
-            eventLog.begins(stage.now());
+        front.onAllReady(() -> {
+            eventLog.markStart(stage.now());
             loadGenerator.start(script.seconds());
             timeline.start();
             then.run();
@@ -69,7 +69,7 @@
 
     /** The place of a proxy, or of its twin, among all, from 0. */
     public static int index(String proxy) {
-        return Integer.parseInt(EventLog.named(proxy).substring(1)) - 1;
+        return Integer.parseInt(EventLog.baseName(proxy).substring(1)) - 1;
     }
 
     public EventLog eventLog() {
@@ -80,11 +80,11 @@
         return proxies;
     }
 
-    public Fleet fleet() {
+    public NodeFleet fleet() {
         return fleet;
     }
 
-    public Front front() {
+    public FrontBalancer front() {
         return front;
     }
 }
--- a/src/main/java/gullspar/rehearse/play/Timeline.java
+++ b/src/main/java/gullspar/rehearse/play/Timeline.java
@@ -6,10 +6,10 @@
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Fleet;
-import gullspar.rehearse.stage.Front;
+import gullspar.rehearse.stage.FrontBalancer;
 import gullspar.rehearse.stage.LoadGenerator;
-import gullspar.rehearse.stage.RudeClients;
+import gullspar.rehearse.stage.MisbehavingClients;
+import gullspar.rehearse.stage.NodeFleet;
 import gullspar.rehearse.stage.RunEnvironment;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -32,10 +32,10 @@
     private final RunEnvironment stage;
     private final Script script;
     private final EventLog eventLog;
-    private final Fleet fleet;
-    private final Front front;
+    private final NodeFleet fleet;
+    private final FrontBalancer front;
     private final LoadGenerator loadGenerator;
-    private final RudeClients rude;
+    private final MisbehavingClients rude;
     private final FaultInjector faultInjector;
     private final List<String> proxies;
     private final Platform platform;
@@ -49,10 +49,10 @@
             RunEnvironment stage,
             Script script,
             EventLog eventLog,
-            Fleet fleet,
-            Front front,
+            NodeFleet fleet,
+            FrontBalancer front,
             LoadGenerator loadGenerator,
-            RudeClients rude,
+            MisbehavingClients rude,
             FaultInjector faultInjector,
             List<String> proxies) {
         this.stage = stage;
@@ -64,7 +64,7 @@
         this.rude = rude;
         this.faultInjector = faultInjector;
         this.proxies = proxies;
-        this.platform = stage.at("fleet");
+        this.platform = stage.platform("fleet");
     }
 
     /** The day begins: each fault happens so long from now. */
@@ -85,7 +85,7 @@
     }
 
     private void strike(Fault f, SplittableRandom random) {
-        eventLog.happened(stage.now(), f.toString());
+        eventLog.addEvent(stage.now(), f.toString());
         switch (f.kind().target()) {
             case NODES -> struck(f, fleet.running(), random).forEach(n -> node(f, n));
             case PROXIES -> {
@@ -99,19 +99,19 @@
             }
             case CLASS -> {
                 if (f.kind() == FaultKind.LEAVING) {
-                    loadGenerator.leaving(f.names().get(0), f.figure("share"), f.figure("within_ms"));
-                    after(f.lasts(), () -> loadGenerator.leaving(f.names().get(0), 0, 0));
+                    loadGenerator.abandon(f.names().get(0), f.figure("share"), f.figure("within_ms"));
+                    after(f.lasts(), () -> loadGenerator.abandon(f.names().get(0), 0, 0));
                     break;
                 }
-                loadGenerator.heavy(f.names().get(0), f.figure("share"), f.figure("times"));
-                after(f.lasts(), () -> loadGenerator.heavy(f.names().get(0), 0, 1));
+                loadGenerator.inflateWork(f.names().get(0), f.figure("share"), f.figure("times"));
+                after(f.lasts(), () -> loadGenerator.inflateWork(f.names().get(0), 0, 1));
             }
             case LINK -> ways(f);
             case DATAGRAMS -> datagrams(f);
             default -> fleet(f);
         }
         if (f.lasts() > 0) {
-            after(f.lasts(), () -> eventLog.happened(stage.now(), f.kind().named() + " ends"));
+            after(f.lasts(), () -> eventLog.addEvent(stage.now(), f.kind().named() + " ends"));
         }
     }
 
@@ -136,8 +136,8 @@
             case REPLACE -> fleet.replace(n, f.figure("grace_s"), f.figure("down_s"));
             case DRAIN -> fleet.drain(n, f.figure("grace_s"));
             case HANG -> during(f, on -> fleet.hang(n, on));
-            case SPOIL -> during(f, on -> fleet.spoil(n, on ? f.figure("share") : 0));
-            case SLOW_ANSWERS -> during(f, on -> fleet.trickle(n, on ? f.figure("bytes_per_s") : 0));
+            case SPOIL -> during(f, on -> fleet.spoilResponses(n, on ? f.figure("share") : 0));
+            case SLOW_ANSWERS -> during(f, on -> fleet.trickleResponses(n, on ? f.figure("bytes_per_s") : 0));
             case VANISH -> during(f, on -> faultInjector.vanish(n, on));
             default -> throw new IllegalStateException(f.kind().named());
         }
@@ -153,10 +153,10 @@
         if (stage.now() >= until) {
             return;
         }
-        fleet.neighbour(n, f.figure("takes"));
+        fleet.stealCpu(n, f.figure("takes"));
         double on = Math.min(f.figure("on_s"), (until - stage.now()) / 1e9);
         after(on, () -> {
-            fleet.neighbour(n, 0);
+            fleet.stealCpu(n, 0);
             after(Math.max(0.001, f.figure("off_s")), () -> neighbour(f, n, until));
         });
     }
@@ -164,7 +164,7 @@
     private void partition(Fault f, List<String> one) {
         List<String> other = new ArrayList<>(proxies);
         other.removeAll(one);
-        eventLog.parted(stage.now(), stage.now() + (long) (f.lasts() * 1e9), one);
+        eventLog.partitioned(stage.now(), stage.now() + (long) (f.lasts() * 1e9), one);
         unsettled(f, proxies);
         during(
                 f,
@@ -247,28 +247,28 @@
         }
         switch (f.kind()) {
             case RUSH -> {
-                front.rush(p, f.figure("share"));
-                after(f.lasts(), () -> front.rush(null, 0));
+                front.surge(p, f.figure("share"));
+                after(f.lasts(), () -> front.surge(null, 0));
             }
-            case LATE_LIST -> during(f, on -> fleet.late(p, on ? f.figure("by_s") : 0));
-            case SILENT_LIST -> during(f, on -> fleet.silent(p, on));
-            case RUDE_CLIENTS -> during(f, on -> rude.rude(p, on ? f.figure("per_s") : 0));
-            case SILENT_CLIENTS -> during(f, on -> rude.silent(p, on ? f.figure("per_s") : 0));
+            case LATE_LIST -> during(f, on -> fleet.delayDiscovery(p, on ? f.figure("by_s") : 0));
+            case SILENT_LIST -> during(f, on -> fleet.silenceDiscovery(p, on));
+            case RUDE_CLIENTS -> during(f, on -> rude.malformedRequests(p, on ? f.figure("per_s") : 0));
+            case SILENT_CLIENTS -> during(f, on -> rude.silentConnections(p, on ? f.figure("per_s") : 0));
             case KILL, MOVE, TAKE_OVER -> {
-                eventLog.excuse(p, now, now);
+                eventLog.addDisruption(p, now, now);
                 faultInjector.kill(p, f.figure("down_s"));
             }
             case STOP -> faultInjector.stop(p, f.figure("down_s"));
             case RELOAD -> {
-                fleet.move(p);
+                fleet.moveDiscovery(p);
                 faultInjector.reload(p);
             }
             case PAUSE -> {
-                eventLog.excuse(p, now, until);
+                eventLog.addDisruption(p, now, until);
                 during(f, on -> faultInjector.pause(p, on));
             }
             case STARVED -> {
-                eventLog.excuse(p, now, until);
+                eventLog.addDisruption(p, now, until);
                 starved(f, p, until);
             }
             case TWIN -> twin(f, p);
@@ -296,7 +296,7 @@
             unsettled(f, machines(from));
             unsettled(f, machines(to));
             if (f.kind() == FaultKind.CUT_LINK && from.equals("proxies")) {
-                machines(to).forEach(p -> eventLog.deaf(p, now, now + (long) (f.lasts() * 1e9)));
+                machines(to).forEach(p -> eventLog.isolated(p, now, now + (long) (f.lasts() * 1e9)));
             }
         }
         excuse(from, to, now, now + (long) (f.lasts() * 1e9) + AFTER_NS);
@@ -344,7 +344,7 @@
     /** What a client does not get over a way that is not sound is not the proxy's fault. */
     private void excuse(String from, String to, long since, long until) {
         if (from.equals("clients")) {
-            machines(to).forEach(p -> eventLog.excuse(p, since, until));
+            machines(to).forEach(p -> eventLog.addDisruption(p, since, until));
         }
     }
 
@@ -360,8 +360,8 @@
 
     private void fleet(Fault f) {
         switch (f.kind()) {
-            case DISCOVERY_DOWN -> during(f, fleet::down);
-            case OLD_LIST -> during(f, fleet::freeze);
+            case DISCOVERY_DOWN -> during(f, fleet::discoveryDown);
+            case OLD_LIST -> during(f, fleet::freezeDiscovery);
             case NEW_KEY -> newKey(f);
             case SHRINK -> {
                 List<String> running = fleet.running();
@@ -375,7 +375,7 @@
                 int steps = 10;
                 for (int i = 1; i <= steps; i++) {
                     double factor = 1 + (f.figure("traffic") - 1) * i / steps;
-                    after(f.lasts() * i / steps, () -> loadGenerator.traffic(factor));
+                    after(f.lasts() * i / steps, () -> loadGenerator.trafficFactor(factor));
                 }
             }
             default -> throw new IllegalStateException(f.kind().named());
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -69,7 +69,7 @@
 
     private Fleet fleet(String process) {
         Script.Peers p = script.peers();
-        String name = EventLog.named(process);
+        String name = EventLog.baseName(process);
         return new Fleet(
                 name,
                 home(process),
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -19,7 +19,7 @@
 import gullspar.rehearse.record.DecisionLog;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Look;
+import gullspar.rehearse.stage.FleetSnapshot;
 import gullspar.rehearse.stage.RunEnvironment;
 import gullspar.rehearse.time.Agenda;
 import gullspar.rehearse.time.VirtualLoop;
@@ -174,7 +174,7 @@
         if (machine.startsWith("n")) {
             return standIns.fleet().site(machine);
         }
-        return machine.startsWith("p") ? standIns.front().site(EventLog.named(machine)) : null;
+        return machine.startsWith("p") ? standIns.front().site(EventLog.baseName(machine)) : null;
     }
 
     private long distance(String from, String to) {
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public Platform at(String machine) {
+    public Platform platform(String machine) {
         Host host = network.host(machine);
         host.runs(loop);
         return new Platform(loop, agenda::now, network.transport(host), line -> {});
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void ended(String machine) {
+    public void processEnded(String machine) {
         network.ended(network.host(machine));
     }
 
@@ -227,7 +227,7 @@
     private String nodeName(int number) {
         return nodeNames.computeIfAbsent(number, n -> {
             for (String machine : standIns.fleet().machines()) {
-                for (int life = 1; life <= standIns.fleet().lives(machine); life++) {
+                for (int life = 1; life <= standIns.fleet().instanceCount(machine); life++) {
                     String id = life == 1 ? machine : machine + "-" + life;
                     if ((int) (Fnv.hash(id) >>> 32) == n) {
                         return id;
@@ -263,9 +263,9 @@
                             StandIns.index(name),
                             name,
                             address(name),
-                            standIns.fleet().discovery(name),
+                            standIns.fleet().discoveryAddress(name),
                             seed,
-                            standIns.fleet().known(name)),
+                            standIns.fleet().listJson(name)),
                     Map.of());
         } catch (ConfigException e) {
             throw new IllegalStateException(e);
@@ -289,13 +289,13 @@
                         null));
         long warm = (long) (script.proxies().startS() * 1e9);
         if (fleet != null) {
-            eventLog.began(name, agenda.now());
+            eventLog.processStarted(name, agenda.now());
             life.loop.execute(() -> life.member = fleet.join(
                     name, who, platform, () -> life.proxy == null ? Companion.Load.NONE : life.proxy.load()));
         }
         life.loop.schedule(
                 () -> {
-                    standIns.fleet().startsKnowing(name);
+                    standIns.fleet().recordStartingList(name);
                     Proxy asking = Proxy.startUnopened(
                             config(name, number),
                             platform,
@@ -309,7 +309,7 @@
                                 }
                                 if (standIns.proxies().contains(name)) {
                                     // The front looks at it from now on; at a twin nobody does.
-                                    loop.execute(() -> standIns.front().started(name));
+                                    loop.execute(() -> standIns.front().proxyStarted(name));
                                 }
                             },
                             warm - (long) (warm * ASKS_AFTER),
@@ -326,13 +326,13 @@
                     life.member == null || life.loop.ended() || life.paused ? null : life.member.answer("/_fleet");
             if (answer != null) {
                 try {
-                    eventLog.looked(Look.of(agenda.now(), name, answer));
+                    eventLog.addFleetSnapshot(FleetSnapshot.parse(agenda.now(), name, answer));
                 } catch (IOException e) {
                     throw new UncheckedIOException("a proxy answered what is no view", e);
                 }
             }
         });
-        loop.schedule(this::look, Look.everyMs(standIns.proxies().size()), TimeUnit.MILLISECONDS);
+        loop.schedule(this::look, FleetSnapshot.intervalMs(standIns.proxies().size()), TimeUnit.MILLISECONDS);
     }
 
     private void say(String who, String line) {
@@ -344,7 +344,7 @@
     private void endNow(String name, Life life) {
         life.loop.end();
         if (fleet != null) {
-            eventLog.ended(name, agenda.now());
+            eventLog.processEnded(name, agenda.now());
         }
         network.ended(network.host(name));
     }
@@ -360,7 +360,7 @@
             return;
         }
         endNow(name, life);
-        standIns.front().ended(name);
+        standIns.front().proxyEnded(name);
         startLater(name, downS);
     }
 
@@ -370,7 +370,7 @@
         if (life.loop.ended() || life.proxy == null) {
             return;
         }
-        standIns.front().ended(name);
+        standIns.front().proxyEnded(name);
         if (life.member != null) {
             life.loop.execute(() -> life.member.at(Companion.Stage.DRAINING));
         }
--- a/src/main/java/gullspar/rehearse/report/FleetChart.java
+++ b/src/main/java/gullspar/rehearse/report/FleetChart.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.report;
 
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.stage.Look;
+import gullspar.rehearse.stage.FleetSnapshot;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -35,9 +35,9 @@
 
     FleetChart(EventLog eventLog, double seconds) {
         this.eventLog = eventLog;
-        Map<String, Look> last = new TreeMap<>();
-        for (Look l : eventLog.looks()) {
-            Look before = last.put(l.life(), l);
+        Map<String, FleetSnapshot> last = new TreeMap<>();
+        for (FleetSnapshot l : eventLog.fleetSnapshots()) {
+            FleetSnapshot before = last.put(l.life(), l);
             long sent = before == null ? 0 : l.sentBytes() - before.sentBytes();
             int second = (int) Math.floorDiv(l.at() - eventLog.start(), 1_000_000_000L);
             if (second >= 0 && second < seconds) {
@@ -51,17 +51,17 @@
         return new Cell(w.sight, w.present, w.living, a.bytes + b.bytes);
     }
 
-    private Cell cell(Look l, long sent) {
+    private Cell cell(FleetSnapshot l, long sent) {
         Set<String> living = new TreeSet<>();
         for (EventLog.Life x : eventLog.lives()) {
             if (x.from() <= l.at() && l.at() < x.until()) {
                 living.add(x.name());
             }
         }
-        Set<String> present = new TreeSet<>(List.of(EventLog.named(l.proxy())));
+        Set<String> present = new TreeSet<>(List.of(EventLog.baseName(l.proxy())));
         boolean suspects = false;
-        for (Look.Seen s : l.seen()) {
-            if (s.present()) {
+        for (FleetSnapshot.SeenMember s : l.members()) {
+            if (s.isPresent()) {
                 present.add(s.name());
                 suspects |= s.status().equals("suspected");
             }
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -6,9 +6,9 @@
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.script.Fault;
+import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.EventLog;
 import gullspar.rehearse.stage.Order;
-import gullspar.rehearse.stage.Try;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -50,7 +50,7 @@
         head(title);
         timeline();
         nodes();
-        if (!eventLog.looks().isEmpty()) {
+        if (!eventLog.fleetSnapshots().isEmpty()) {
             fleet();
         }
         worst();
@@ -211,7 +211,7 @@
             double util =
                     four.stream().mapToDouble(EventLog.Sample::util).average().orElse(Double.NaN);
             double held =
-                    four.stream().mapToInt(EventLog.Sample::held).average().orElse(0);
+                    four.stream().mapToInt(EventLog.Sample::inFlight).average().orElse(0);
             share += four.stream().mapToDouble(EventLog.Sample::share).sum();
             boolean listed = four.stream().allMatch(EventLog.Sample::listed);
             if (at < day.script().seconds() && !Double.isNaN(util)) {
@@ -272,7 +272,7 @@
         Verdict v = day.verdict();
         long from = eventLog.start() + v.worstFromNs();
         List<Order> lost = eventLog.orders().stream()
-                .filter(o -> o.at >= from && o.at < from + WORST_NS && !o.inTime())
+                .filter(o -> o.at >= from && o.at < from + WORST_NS && !o.isInTime())
                 .toList();
         add("<h2>The worst ten seconds, from %.0f s</h2>", v.worstFromNs() / 1e9);
         if (lost.isEmpty()) {
@@ -281,8 +281,11 @@
         }
         Map<String, Integer> how = new LinkedHashMap<>();
         for (Order o : lost) {
-            String last = Judge.ended(o.tries.get(o.tries.size() - 1));
-            how.merge(o.kind.name() + ", " + last + ", by " + o.tries.get(o.tries.size() - 1).proxy, 1, Integer::sum);
+            String last = Judge.ended(o.requests.get(o.requests.size() - 1));
+            how.merge(
+                    o.requestClass.name() + ", " + last + ", by " + o.requests.get(o.requests.size() - 1).proxy,
+                    1,
+                    Integer::sum);
         }
         add(
                 "<p>%.2f %% of the worth asked for was served in time; %d orders were not.</p>",
@@ -294,13 +297,13 @@
                 .forEach(e -> add("<tr><td>%s</td><td>%d</td></tr>", escaped(e.getKey()), e.getValue()));
         add("</table></div>");
         add("<details><summary>What happened around then</summary><pre>");
-        eventLog.happenings().stream()
+        eventLog.events().stream()
                 .filter(h -> h.at() >= from - WORST_NS / 5 && h.at() < from + WORST_NS)
-                .forEach(h -> add("%8.3f s  %s", (h.at() - eventLog.start()) / 1e9, escaped(h.what())));
+                .forEach(h -> add("%8.3f s  %s", (h.at() - eventLog.start()) / 1e9, escaped(h.description())));
         add("</pre></details>");
         add("<details><summary>The first order that was not served in time</summary><pre>");
         Order first = lost.get(0);
-        RequestTrace.of(first.tries.get(first.tries.size() - 1), eventLog).forEach(l -> add("%s", escaped(l)));
+        RequestTrace.of(first.requests.get(first.requests.size() - 1), eventLog).forEach(l -> add("%s", escaped(l)));
         add("</pre></details>");
     }
 
@@ -317,7 +320,7 @@
             add(
                     "<p><strong>%s.</strong> At %.6f s: %s</p>",
                     escaped(b.rule().words()), (b.at() - eventLog.start()) / 1e9, escaped(b.what()));
-            Try t = b.request();
+            ClientRequest t = b.request();
             if (t != null) {
                 add("<pre>%s</pre>", escaped(String.join("\n", RequestTrace.of(t, eventLog))));
             }
--- a/src/main/java/gullspar/rehearse/report/Seconds.java
+++ b/src/main/java/gullspar/rehearse/report/Seconds.java
@@ -2,8 +2,8 @@
 
 import gullspar.rehearse.judge.Judge;
 import gullspar.rehearse.play.Played;
+import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.Order;
-import gullspar.rehearse.stage.Try;
 
 /** How the orders of each second of a day ended. */
 final class Seconds {
@@ -27,9 +27,9 @@
 
     static Kind kind(Order o) {
         if (o.servedAt() != Long.MAX_VALUE) {
-            return o.inTime() ? Kind.SERVED : Kind.LATE;
+            return o.isInTime() ? Kind.SERVED : Kind.LATE;
         }
-        Try last = o.tries.get(o.tries.size() - 1);
+        ClientRequest last = o.requests.get(o.requests.size() - 1);
         return Judge.ended(last).equals("refused") ? Kind.REFUSED : Kind.FAILED;
     }
 
--- a/src/main/java/gullspar/rehearse/stage/Fitness.java
+++ b/src/main/java/gullspar/rehearse/stage/CapacityHistory.java
@@ -4,19 +4,19 @@
 import java.util.Deque;
 
 /** What a node could do over the last while, as that changed: no clock of its own. */
-final class Fitness {
+final class CapacityHistory {
     /** From a time on it could do so much, in ns of work in a ns. */
-    private record Since(long at, double couldDo) {}
+    private record Change(long at, double capacity) {}
 
-    private final Deque<Since> changes = new ArrayDeque<>();
+    private final Deque<Change> changes = new ArrayDeque<>();
 
     /** From now on it can do that. */
-    void changed(long now, double couldDo) {
+    void record(long now, double capacity) {
         if (!changes.isEmpty() && changes.peekLast().at == now) {
             changes.removeLast();
         }
-        if (changes.isEmpty() || changes.peekLast().couldDo != couldDo) {
-            changes.addLast(new Since(now, couldDo));
+        if (changes.isEmpty() || changes.peekLast().capacity != capacity) {
+            changes.addLast(new Change(now, capacity));
         }
     }
 
@@ -24,8 +24,8 @@
      * All the work that it could have done in the time up to now, in ns; before the first word it was as
      * then.
      */
-    double over(long span, long now) {
-        long from = now - span;
+    double workNs(long spanNs, long now) {
+        long from = now - spanNs;
         // Of those before the span the last one says how it began.
         while (changes.size() > 1 && second().at <= from) {
             changes.removeFirst();
@@ -33,15 +33,15 @@
         double work = 0;
         long until = now;
         for (var i = changes.descendingIterator(); i.hasNext(); ) {
-            Since s = i.next();
+            Change s = i.next();
             long since = i.hasNext() ? Math.max(from, s.at) : from;
-            work += s.couldDo * Math.max(0, until - since);
+            work += s.capacity * Math.max(0, until - since);
             until = Math.min(until, s.at);
         }
         return work;
     }
 
-    private Since second() {
+    private Change second() {
         var i = changes.iterator();
         i.next();
         return i.next();
--- a/src/main/java/gullspar/rehearse/stage/Try.java
+++ b/src/main/java/gullspar/rehearse/stage/ClientRequest.java
@@ -6,7 +6,7 @@
 /**
  * One request of a client, as the client and the nodes saw it. Times in ns on the day's clock, 0 for never.
  */
-public final class Try {
+public final class ClientRequest {
     /** How it ended for its client. */
     public enum Ending {
         OPEN,
@@ -23,21 +23,21 @@
     public final long deadline;
     public long sentAt;
     /** When the proxy sent its answer, and when that was whole at the client. */
-    public long answeredAt;
+    public long respondedAt;
 
     public long endedAt;
     public int status;
     public Ending ending = Ending.OPEN;
     /** The first request on its connection? */
-    public boolean first;
+    public boolean firstOnConnection;
     /** Sent once more, since its connection was closed as it came. */
-    public boolean again;
+    public boolean resent;
     /** An answer that is not what a node made for it, or one too many; null if there was none. */
-    public String wrong;
+    public String responseError;
 
     public final List<Attempt> attempts = new ArrayList<>(1);
 
-    Try(Order order, String id, long deadline) {
+    ClientRequest(Order order, String id, long deadline) {
         this.order = order;
         this.id = id;
         this.deadline = deadline;
@@ -60,11 +60,11 @@
         public final String node;
         public final String site;
         public final long sentAt;
-        public long wholeAt;
+        public long receivedAt;
         public long startedAt;
         public long endedAt;
         /** The time that the proxy gave it, in ns; MAX_VALUE where it said none. */
-        public long toldNs = Long.MAX_VALUE;
+        public long timeoutNs = Long.MAX_VALUE;
 
         public State state = State.PART;
 
@@ -76,7 +76,7 @@
 
         /** Its last byte has come and the node never said that it did not start: it may have run. */
         public boolean mayHaveRun() {
-            return wholeAt != 0 && state != State.TURNED_AWAY;
+            return receivedAt != 0 && state != State.TURNED_AWAY;
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/Machine.java
+++ b/src/main/java/gullspar/rehearse/stage/CpuModel.java
@@ -9,68 +9,68 @@
  * and share the cores evenly (processor sharing), the rest wait in line. Work is in ns of one core at speed
  * 1.
  */
-final class Machine {
+final class CpuModel {
     /** One request's work. */
     static final class Job {
-        final Object what;
+        final Object payload;
         private final double workNs;
-        private double endsAt;
+        private double endsAtNs;
         private long number;
-        private boolean running;
-        private boolean over;
+        private boolean isRunning;
+        private boolean finished;
 
         Job(Object what, double workNs) {
-            this.what = what;
+            this.payload = what;
             this.workNs = workNs;
         }
 
-        boolean running() {
-            return running;
+        boolean isRunning() {
+            return isRunning;
         }
     }
 
     private final int cores;
     private final double speed;
     private final int slots;
-    private final int places;
+    private final int queueCapacity;
     private final PriorityQueue<Job> running = new PriorityQueue<>((a, b) -> {
-        int order = Double.compare(a.endsAt, b.endsAt);
+        int order = Double.compare(a.endsAtNs, b.endsAtNs);
         return order != 0 ? order : Long.compare(a.number, b.number);
     });
     private final Deque<Job> waiting = new ArrayDeque<>();
     /** The share of its power that it has now, 0 to 1. */
-    private double power = 1;
+    private double capacityShare = 1;
     /** Work that each running job has got since the beginning, had it run all along. */
-    private double attained;
+    private double attainedNs;
 
     private double busyNs;
-    private long at;
-    private long numbers;
+    private long updatedAtNs;
+    private long nextNumber;
 
-    Machine(int cores, double speed, int slots, int places, long now) {
+    CpuModel(int cores, double speed, int slots, int queueCapacity, long now) {
         this.cores = cores;
         this.speed = speed;
         this.slots = slots;
-        this.places = places;
-        this.at = now;
+        this.queueCapacity = queueCapacity;
+        this.updatedAtNs = now;
     }
 
     /** What each running job gets, in ns of work in a ns. */
     private double rate() {
-        return running.isEmpty() ? 0 : speed * power * Math.min(1, cores / (double) running.size());
+        return running.isEmpty() ? 0 : speed * capacityShare * Math.min(1, cores / (double) running.size());
     }
 
     private void advance(long now) {
-        double ns = Math.max(0, now - at);
-        attained += rate() * ns;
+        double ns = Math.max(0, now - updatedAtNs);
+        attainedNs += rate() * ns;
         busyNs += Math.min(cores, running.size()) * ns;
-        at = Math.max(at, now);
+        updatedAtNs = Math.max(updatedAtNs, now);
     }
 
     /** Changes the share of its power that it has. */
-    void power(double share, long now) {
+    void capacityShare(double share, long now) {
         advance(now);
-        power = share;
+        capacityShare = share;
     }
 
     /** Takes a job, to run or to wait; false if it is full. */
@@ -78,7 +78,7 @@
         advance(now);
         if (running.size() < slots) {
             start(j);
-        } else if (waiting.size() < places) {
+        } else if (waiting.size() < queueCapacity) {
             waiting.add(j);
         } else {
             return false;
@@ -87,59 +87,59 @@
     }
 
     private void start(Job j) {
-        j.running = true;
-        j.number = numbers++;
-        j.endsAt = attained + j.workNs;
+        j.isRunning = true;
+        j.number = nextNumber++;
+        j.endsAtNs = attainedNs + j.workNs;
         running.add(j);
     }
 
     /** Drops a job. */
     void drop(Job j, long now) {
         advance(now);
-        j.over = true;
+        j.finished = true;
         if (!running.remove(j)) {
             waiting.remove(j);
         }
     }
 
     /** A job that waits and may run now, with a place for it; null if there is none. The caller starts it. */
-    Job next() {
+    Job pollWaiting() {
         return running.size() < slots ? waiting.poll() : null;
     }
 
-    void begin(Job j, long now) {
+    void startWaiting(Job j, long now) {
         advance(now);
         start(j);
     }
 
     /** The next job that is done by then; null if there is none. */
-    Job done(long now) {
+    Job pollDone(long now) {
         advance(now);
         Job j = running.peek();
         // Half a ns: what rounding may leave of a job when its time has come.
-        if (j == null || j.endsAt > attained + 0.5) {
+        if (j == null || j.endsAtNs > attainedNs + 0.5) {
             return null;
         }
         running.remove();
-        j.over = true;
+        j.finished = true;
         return j;
     }
 
     /** When the next job will be done if nothing changes, in ns; Long.MAX_VALUE if none will. */
-    long doneAt() {
+    long nextDoneAtNs() {
         double rate = rate();
         if (rate <= 0) {
             return Long.MAX_VALUE;
         }
-        double left = Math.max(0, running.peek().endsAt - attained) / rate;
-        return left > 1e17 ? Long.MAX_VALUE : at + (long) Math.ceil(left);
+        double remainingNs = Math.max(0, running.peek().endsAtNs - attainedNs) / rate;
+        return remainingNs > 1e17 ? Long.MAX_VALUE : updatedAtNs + (long) Math.ceil(remainingNs);
     }
 
-    int held() {
+    int inFlight() {
         return running.size() + waiting.size();
     }
 
-    int waits() {
+    int waitingCount() {
         return waiting.size();
     }
 
--- a/src/main/java/gullspar/rehearse/stage/Agent.java
+++ b/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
@@ -24,24 +24,24 @@
 import java.util.concurrent.TimeUnit;
 
 /** Discovery as one proxy sees it: what has come through to its machine, and the watches on it. */
-final class Agent {
-    private static final long BEAT_MS = 2000;
+final class DiscoveryAgent {
+    private static final long HEARTBEAT_MS = 2000;
     /** After it has moved, open watches at the old address stay so long. */
-    private static final long LINGER_MS = 1500;
+    private static final long OLD_WATCH_CLOSE_DELAY_MS = 1500;
     /** What it has had for so long, while it could be reached, has to be known. */
-    private static final long DUE_MS = 6000;
+    private static final long DELIVERY_LIMIT_MS = 6000;
 
     /** An instance as listed. */
-    record Entry(
+    record Instance(
             String id,
             String hostPort,
-            String site,
-            String kind,
+            String zone,
+            String machineType,
             int cell,
             String lifecycle,
             double weight,
             long startedAtMs) {
-        boolean leaving() {
+        boolean isLeaving() {
             return !lifecycle.equals("in_service");
         }
 
@@ -50,8 +50,8 @@
                     .objectNode()
                     .put("instanceId", id)
                     .put("hostPort", hostPort)
-                    .put("zone", site)
-                    .put("machineType", kind)
+                    .put("zone", zone)
+                    .put("machineType", machineType)
                     .put("cell", cell)
                     .put("lifecycle", lifecycle)
                     .put("weight", weight)
@@ -59,46 +59,46 @@
         }
     }
 
-    private record Versioned(Entry entry, long version) {}
+    private record Versioned(Instance instance, long version) {}
 
     private final String proxy;
-    private final RunEnvironment stage;
+    private final RunEnvironment environment;
     private final Platform platform;
     private final EventLog eventLog;
     private final String machine;
-    private final ServiceQueue turns;
+    private final ServiceQueue callQueue;
     /** By instance; those that are gone stay, so that an old watch can be told. */
-    private Map<String, Versioned> entries = new LinkedHashMap<>();
+    private Map<String, Versioned> instances = new LinkedHashMap<>();
 
-    private Map<String, Versioned> old;
+    private Map<String, Versioned> frozenInstances;
     private long version = 1;
-    private long oldVersion;
+    private long frozenVersion;
     private final Set<Watch> watches = new LinkedHashSet<>();
-    private final List<Entry> unheard = new ArrayList<>();
+    private final List<Instance> withheld = new ArrayList<>();
     private Channel listener;
     private InetSocketAddress address;
     private int moves;
-    private boolean silent;
+    private boolean silenced;
     private boolean down;
     /** How often it began or ceased to be reachable, with what it has. */
-    private int turned;
+    private int stateChanged;
 
-    Agent(String proxy, RunEnvironment stage, EventLog eventLog, ServiceQueue turns) {
-        this.turns = turns;
+    DiscoveryAgent(String proxy, RunEnvironment environment, EventLog eventLog, ServiceQueue callQueue) {
+        this.callQueue = callQueue;
         this.proxy = proxy;
-        this.stage = stage;
+        this.environment = environment;
         this.eventLog = eventLog;
         this.machine = "discovery";
-        this.platform = stage.at(machine);
+        this.platform = environment.platform(machine);
     }
 
     /** What is known before the day begins. */
-    void knows(List<Entry> list) {
-        list.forEach(e -> entries.put(e.id(), new Versioned(e, version)));
+    void initialize(List<Instance> list) {
+        list.forEach(e -> instances.put(e.id(), new Versioned(e, version)));
     }
 
     void open() {
-        address = stage.address(machine + " " + proxy);
+        address = environment.address(machine + " " + proxy);
         listen();
     }
 
@@ -121,15 +121,16 @@
 
     /** Another address from now on; the old one takes nothing new and ends its watches a little later. */
     void move() {
-        Set<Watch> left = new LinkedHashSet<>(watches);
+        Set<Watch> oldWatches = new LinkedHashSet<>(watches);
         listener.close();
         moves++;
-        address = stage.address(machine + " " + proxy + " " + moves);
+        address = environment.address(machine + " " + proxy + " " + moves);
         if (!down) {
             listen();
         }
-        turned();
-        platform.loop().schedule(() -> left.forEach(Watch::close), LINGER_MS, TimeUnit.MILLISECONDS);
+        stateChanged();
+        platform.loop()
+                .schedule(() -> oldWatches.forEach(Watch::close), OLD_WATCH_CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     void down(boolean on) {
@@ -140,84 +141,88 @@
         } else {
             listen();
         }
-        turned();
+        stateChanged();
     }
 
     /** Whatever it has counts from now on, if it can be reached. */
-    private void turned() {
-        turned++;
-        dueInTime(entries.values().stream().map(Versioned::entry).toList());
+    private void stateChanged() {
+        stateChanged++;
+        scheduleDueNotices(instances.values().stream().map(Versioned::instance).toList());
     }
 
-    private void dueInTime(List<Entry> list) {
-        int since = turned;
-        list.stream().filter(e -> !e.leaving()).forEach(e -> eventLog.due(proxy, e.id(), false, stage.now()));
+    private void scheduleDueNotices(List<Instance> list) {
+        int scheduledAt = stateChanged;
+        list.stream()
+                .filter(e -> !e.isLeaving())
+                .forEach(e -> eventLog.noticeDue(proxy, e.id(), false, environment.now()));
         platform.loop()
                 .schedule(
                         () -> {
-                            if (since == turned && !silent && !down && old == null) {
+                            if (scheduledAt == stateChanged && !silenced && !down && frozenInstances == null) {
                                 list.stream()
-                                        .filter(e -> e.leaving() && entries.get(e.id()).entry == e)
-                                        .forEach(e -> eventLog.due(proxy, e.id(), true, stage.now()));
+                                        .filter(e -> e.isLeaving() && instances.get(e.id()).instance == e)
+                                        .forEach(e -> eventLog.noticeDue(proxy, e.id(), true, environment.now()));
                             }
                         },
-                        DUE_MS,
+                        DELIVERY_LIMIT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    void silent(boolean on) {
-        silent = on;
-        turned();
-        if (!on && !unheard.isEmpty()) {
-            List<Entry> missed = List.copyOf(unheard);
-            unheard.clear();
+    void silenced(boolean on) {
+        silenced = on;
+        stateChanged();
+        if (!on && !withheld.isEmpty()) {
+            List<Instance> missed = List.copyOf(withheld);
+            withheld.clear();
             push(missed);
         }
     }
 
     /** Watches that are opened from now on get the list as it is now; or the real one again. */
     void freeze(boolean on) {
-        old = on ? new LinkedHashMap<>(entries) : null;
-        oldVersion = version;
-        turned();
+        frozenInstances = on ? new LinkedHashMap<>(instances) : null;
+        frozenVersion = version;
+        stateChanged();
     }
 
     /** News have come through. */
-    void arrived(List<Entry> changed) {
+    void receive(List<Instance> changed) {
         version++;
-        changed.forEach(e -> entries.put(e.id(), new Versioned(e, version)));
-        dueInTime(changed);
-        if (silent) {
-            unheard.addAll(changed);
+        changed.forEach(e -> instances.put(e.id(), new Versioned(e, version)));
+        scheduleDueNotices(changed);
+        if (silenced) {
+            withheld.addAll(changed);
         } else {
             push(changed);
         }
     }
 
-    private void push(List<Entry> changed) {
-        String line = line(version, false, changed).toString();
-        watches.stream().filter(w -> w.begun).forEach(w -> w.say(line, changed));
+    private void push(List<Instance> changed) {
+        String line = updateLine(version, false, changed).toString();
+        watches.stream().filter(w -> w.started).forEach(w -> w.sendUpdate(line, changed));
     }
 
     /** The whole list, without what is gone. */
-    ObjectNode json() {
-        return line(
+    ObjectNode listJson() {
+        return updateLine(
                 version,
                 true,
-                entries.values().stream()
-                        .map(Versioned::entry)
+                instances.values().stream()
+                        .map(Versioned::instance)
                         .filter(e -> !e.lifecycle().equals("terminated"))
                         .toList());
     }
 
     /** A proxy starts with what is known here. */
-    void toldAll() {
-        entries.values().forEach(v -> eventLog.told(proxy, v.entry.id(), v.entry.leaving(), stage.now()));
+    void recordAllAsNotified() {
+        instances
+                .values()
+                .forEach(v -> eventLog.notified(proxy, v.instance.id(), v.instance.isLeaving(), environment.now()));
     }
 
-    private static ObjectNode line(long version, boolean whole, List<Entry> list) {
+    private static ObjectNode updateLine(long version, boolean isReset, List<Instance> list) {
         ObjectNode line =
-                JsonNodeFactory.instance.objectNode().put("generation", version).put("reset", whole);
+                JsonNodeFactory.instance.objectNode().put("generation", version).put("reset", isReset);
         ArrayNode instances = line.putArray("instances");
         list.forEach(e -> instances.add(e.json()));
         return line;
@@ -227,7 +232,7 @@
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private ChannelHandlerContext ctx;
         /** Its call has had its turn; until then it hears nothing. */
-        private boolean begun;
+        private boolean started;
 
         @Override
         protected void channelRead0(ChannelHandlerContext c, HttpObject message) {
@@ -241,58 +246,58 @@
                 return;
             }
             if (!q.parameters().containsKey("stream")) {
-                String list = json().toString();
+                String list = listJson().toString();
                 write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 return;
             }
-            stage.peer(c.channel(), proxy);
+            environment.setPeer(c.channel(), proxy);
             write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             watches.add(this);
             long index = Long.parseLong(
                     q.parameters().getOrDefault("index", List.of("-1")).get(0));
-            platform.loop().schedule(() -> begin(index), turns.next(stage.now()), TimeUnit.NANOSECONDS);
+            platform.loop().schedule(() -> start(index), callQueue.enqueue(environment.now()), TimeUnit.NANOSECONDS);
         }
 
-        private void begin(long index) {
+        private void start(long index) {
             if (watches.contains(this)) {
-                begun = true;
-                first(index);
-                beat();
+                started = true;
+                sendFirstUpdate(index);
+                scheduleHeartbeat();
             }
         }
 
         /** What changed after that version; the whole list for a version that it never had. */
-        private void first(long index) {
-            Map<String, Versioned> from = old != null ? old : entries;
-            long of = old != null ? oldVersion : version;
-            boolean whole = index < 0 || index > of;
-            List<Entry> list = from.values().stream()
-                    .filter(v -> whole || v.version > index)
-                    .map(Versioned::entry)
-                    .filter(e -> !whole || !e.lifecycle().equals("terminated"))
+        private void sendFirstUpdate(long index) {
+            Map<String, Versioned> from = frozenInstances != null ? frozenInstances : instances;
+            long currentVersion = frozenInstances != null ? frozenVersion : version;
+            boolean isReset = index < 0 || index > currentVersion;
+            List<Instance> list = from.values().stream()
+                    .filter(v -> isReset || v.version > index)
+                    .map(Versioned::instance)
+                    .filter(e -> !isReset || !e.lifecycle().equals("terminated"))
                     .toList();
-            if (!silent) {
-                say(line(of, whole, list).toString(), list);
+            if (!silenced) {
+                sendUpdate(updateLine(currentVersion, isReset, list).toString(), list);
             }
         }
 
-        void say(String line, List<Entry> told) {
+        void sendUpdate(String line, List<Instance> sentInstances) {
             write(chunk(line + "\n"));
-            told.forEach(e -> eventLog.told(proxy, e.id(), e.leaving(), stage.now()));
+            sentInstances.forEach(e -> eventLog.notified(proxy, e.id(), e.isLeaving(), environment.now()));
         }
 
-        private void beat() {
+        private void scheduleHeartbeat() {
             platform.loop()
                     .schedule(
                             () -> {
                                 if (watches.contains(this)) {
-                                    if (!silent) {
+                                    if (!silenced) {
                                         write(chunk("\n"));
                                     }
-                                    beat();
+                                    scheduleHeartbeat();
                                 }
                             },
-                            BEAT_MS,
+                            HEARTBEAT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/gullspar/rehearse/stage/EventLog.java
+++ b/src/main/java/gullspar/rehearse/stage/EventLog.java
@@ -10,65 +10,65 @@
 /** All that happened on a day, as seen from outside the proxies: what the judge and the report go by. */
 public final class EventLog {
     /** A proxy was told by then that a node is in service, drains or is gone. */
-    public record Told(long at, boolean leaving) {}
+    public record Notice(long at, boolean leaving) {}
 
     /** Something that happened, in words. */
-    public record Happening(long at, String what) {}
+    public record Event(long at, String description) {}
 
     /** A stretch of time in which something was so; until MAX_VALUE while it lasts. */
-    public record Stretch(long from, long until) {
-        public boolean meets(long a, long b) {
+    public record Interval(long from, long until) {
+        public boolean overlaps(long a, long b) {
             return from <= b && a <= until;
         }
     }
 
     /** A node at one moment: held in requests, util 0 to 1 or NaN while it is down. */
-    public record Sample(long at, String node, int held, double util, double share, boolean listed) {}
+    public record Sample(long at, String node, int inFlight, double util, double share, boolean listed) {}
 
     private long start;
-    private BiFunction<String, String, Try> manualRequests;
+    private BiFunction<String, String, ClientRequest> manualRequests;
     private final List<Order> orders = new ArrayList<>();
-    private final Map<String, Try> tries = new HashMap<>();
-    private final Map<String, List<Told>> told = new HashMap<>();
+    private final Map<String, ClientRequest> requests = new HashMap<>();
+    private final Map<String, List<Notice>> notified = new HashMap<>();
     /** The same by what discovery has had for long enough, whether or not any watch heard it. */
-    private final Map<String, List<Told>> due = new HashMap<>();
+    private final Map<String, List<Notice>> noticeDue = new HashMap<>();
 
-    private final List<Happening> happenings = new ArrayList<>();
-    private final List<Happening> crashes = new ArrayList<>();
-    private final Map<String, Long> fallen = new LinkedHashMap<>();
+    private final List<Event> events = new ArrayList<>();
+    private final List<Event> crashes = new ArrayList<>();
+    private final Map<String, Long> collapsedAt = new LinkedHashMap<>();
     /** Stretches in which a proxy was not itself, or the way to it was not sound: by proxy. */
-    private final Map<String, List<Stretch>> excused = new HashMap<>();
+    private final Map<String, List<Interval>> disrupted = new HashMap<>();
 
     private final List<Sample> samples = new ArrayList<>();
-    private final List<String> rudeServed = new ArrayList<>();
-    private int rudeSent;
-    private int rudeIgnored;
-    private final List<Look> looks = new ArrayList<>();
+    private final List<String> servedMalformedRequests = new ArrayList<>();
+    private int misbehavingClientCount;
+    private int unansweredMisbehavingClients;
+    private final List<FleetSnapshot> fleetSnapshots = new ArrayList<>();
     private final List<Life> lives = new ArrayList<>();
-    private final Map<String, List<Stretch>> unsettled = new HashMap<>();
-    private final List<Parted> parted = new ArrayList<>();
-    private final Map<String, List<Stretch>> deaf = new HashMap<>();
+    private final Map<String, List<Interval>> unsettled = new HashMap<>();
+    private final List<Partition> partitioned = new ArrayList<>();
+    private final Map<String, List<Interval>> isolated = new HashMap<>();
 
     /** Stands behind a proxy's name where a second process is meant that lives under it. */
     public static final String TWIN = "+";
 
     /** The name that a process has among the others. */
-    public static String named(String process) {
+    public static String baseName(String process) {
         return process.endsWith(TWIN) ? process.substring(0, process.length() - TWIN.length()) : process;
     }
 
     /** One process of a proxy, or its twin, from its start to its end; MAX_VALUE while it lives. */
     public record Life(String proxy, long from, long until) {
         public String name() {
-            return named(proxy);
+            return baseName(proxy);
         }
     }
 
     /** Some proxies heard nothing of the others. */
-    public record Parted(long from, long until, List<String> one) {}
+    public record Partition(long from, long until, List<String> group) {}
 
     /** The day begins now: times in reports count from here. */
-    public void begins(long now) {
+    public void markStart(long now) {
         start = now;
     }
 
@@ -80,13 +80,13 @@
         orders.add(o);
     }
 
-    void request(Try t) {
-        tries.put(t.id, t);
+    void request(ClientRequest t) {
+        requests.put(t.id, t);
     }
 
     /** The request of that id; null if no client sent one and strangers are not served. */
-    public Try request(String id, String path) {
-        Try t = tries.get(id);
+    public ClientRequest request(String id, String path) {
+        ClientRequest t = requests.get(id);
         return t == null && manualRequests != null && !id.isEmpty() ? manualRequests.apply(id, path) : t;
     }
 
@@ -94,47 +94,47 @@
      * From now on nodes also serve requests that no client of the day sent: the function makes a try of such
      * a request's id and path, or null.
      */
-    public void serveStrangers(BiFunction<String, String, Try> maker) {
+    public void serveUnknownRequests(BiFunction<String, String, ClientRequest> maker) {
         manualRequests = maker;
     }
 
     /** Forgets the orders before a time: a day without end must not grow. */
-    public void forget(long before) {
-        while (!orders.isEmpty() && orders.get(0).at < before) {
-            orders.remove(0).tries.forEach(t -> tries.remove(t.id));
+    public void discardBefore(long time) {
+        while (!orders.isEmpty() && orders.get(0).at < time) {
+            orders.remove(0).requests.forEach(t -> requests.remove(t.id));
         }
-        samples.removeIf(s -> s.at < before);
+        samples.removeIf(s -> s.at < time);
     }
 
-    void told(String proxy, String node, boolean leaving, long at) {
-        note(told, proxy, node, leaving, at);
+    void notified(String proxy, String node, boolean leaving, long at) {
+        addNotice(notified, proxy, node, leaving, at);
     }
 
     /** From now on a proxy has to know it, however it fared with its calls. */
-    void due(String proxy, String node, boolean leaving, long at) {
-        note(due, proxy, node, leaving, at);
+    void noticeDue(String proxy, String node, boolean leaving, long at) {
+        addNotice(noticeDue, proxy, node, leaving, at);
     }
 
-    private static void note(Map<String, List<Told>> in, String proxy, String node, boolean leaving, long at) {
-        List<Told> list = in.computeIfAbsent(proxy + '>' + node, k -> new ArrayList<>());
+    private static void addNotice(Map<String, List<Notice>> in, String proxy, String node, boolean leaving, long at) {
+        List<Notice> list = in.computeIfAbsent(proxy + '>' + node, k -> new ArrayList<>());
         if (list.isEmpty() || list.get(list.size() - 1).leaving != leaving) {
-            list.add(new Told(at, leaving));
+            list.add(new Notice(at, leaving));
         }
     }
 
     /** When a proxy was told that a node leaves, if that is what it last heard by that time; else 0. */
-    public long toldLeaving(String proxy, String node, long by) {
-        return leaving(told, proxy, node, by);
+    public long notifiedLeavingAt(String proxy, String node, long by) {
+        return leavingSince(notified, proxy, node, by);
     }
 
     /** When a proxy had to know at the latest that a node leaves, if that still holds by then; else 0. */
-    public long dueLeaving(String proxy, String node, long by) {
-        return leaving(due, proxy, node, by);
+    public long dueLeavingAt(String proxy, String node, long by) {
+        return leavingSince(noticeDue, proxy, node, by);
     }
 
-    private static long leaving(Map<String, List<Told>> in, String proxy, String node, long by) {
+    private static long leavingSince(Map<String, List<Notice>> in, String proxy, String node, long by) {
         long since = 0;
-        for (Told t : in.getOrDefault(proxy + '>' + node, List.of())) {
+        for (Notice t : in.getOrDefault(proxy + '>' + node, List.of())) {
             if (t.at <= by) {
                 since = t.leaving ? t.at : 0;
             }
@@ -142,40 +142,40 @@
         return since;
     }
 
-    public void happened(long at, String what) {
-        happenings.add(new Happening(at, what));
+    public void addEvent(long at, String description) {
+        events.add(new Event(at, description));
     }
 
-    void fell(String node, long at) {
-        fallen.put(node, at);
-        happened(at, node + " was pushed over while it was cold");
+    void addCollapse(String node, long at) {
+        collapsedAt.put(node, at);
+        addEvent(at, node + " was pushed over while it was cold");
     }
 
     /** From now on requests that a proxy holds may go without an answer: it is killed, stands still... */
-    public void excuse(String proxy, long from, long until) {
-        excused.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Stretch(from, until));
+    public void addDisruption(String proxy, long from, long until) {
+        disrupted.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** Was the proxy, or the way to it, out of order at any time between the two? */
-    public boolean excused(String proxy, long from, long until) {
-        return excused.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.meets(from, until));
+    public boolean disrupted(String proxy, long from, long until) {
+        return disrupted.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.overlaps(from, until));
     }
 
     /** A proxy has ended, and nobody told it to. */
-    public void crashed(String proxy, String how, long at) {
-        crashes.add(new Happening(at, proxy + " ended by itself: " + how));
-        happened(at, proxy + " ended by itself: " + how);
+    public void addCrash(String proxy, String cause, long at) {
+        crashes.add(new Event(at, proxy + " ended by itself: " + cause));
+        addEvent(at, proxy + " ended by itself: " + cause);
     }
 
     // ---- the view of the fleet ----
 
     /** A process of a proxy has begun. */
-    public void began(String proxy, long at) {
+    public void processStarted(String proxy, long at) {
         lives.add(new Life(proxy, at, Long.MAX_VALUE));
     }
 
     /** The last process of a proxy has ended. */
-    public void ended(String proxy, long at) {
+    public void processEnded(String proxy, long at) {
         for (int i = lives.size() - 1; i >= 0; i--) {
             Life l = lives.get(i);
             if (l.proxy.equals(proxy)) {
@@ -187,38 +187,38 @@
 
     /** In that time a proxy may have been seen wrongly, or have seen others so. */
     public void unsettled(String proxy, long from, long until) {
-        unsettled.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Stretch(from, until));
+        unsettled.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** In that time a proxy heard nothing of any other. */
-    public void deaf(String proxy, long from, long until) {
-        deaf.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Stretch(from, until));
+    public void isolated(String proxy, long from, long until) {
+        isolated.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** Was it so all the time between the two? */
-    public boolean deafThrough(String proxy, long from, long until) {
-        return deaf.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
+    public boolean wasIsolatedThroughout(String proxy, long from, long until) {
+        return isolated.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
     }
 
-    public void parted(long from, long until, List<String> one) {
-        parted.add(new Parted(from, until, List.copyOf(one)));
+    public void partitioned(long from, long until, List<String> group) {
+        partitioned.add(new Partition(from, until, List.copyOf(group)));
     }
 
     /** A proxy was asked how it sees the fleet. */
-    public void looked(Look l) {
-        looks.add(l);
+    public void addFleetSnapshot(FleetSnapshot l) {
+        fleetSnapshots.add(l);
     }
 
-    public List<Look> looks() {
-        return looks;
+    public List<FleetSnapshot> fleetSnapshots() {
+        return fleetSnapshots;
     }
 
     public List<Life> lives() {
         return lives;
     }
 
-    public List<Parted> partings() {
-        return parted;
+    public List<Partition> partitions() {
+        return partitioned;
     }
 
     /**
@@ -227,7 +227,7 @@
      */
     public long settledSince(String proxy, long at) {
         long last = Long.MIN_VALUE;
-        for (Stretch s : unsettled.getOrDefault(proxy, List.of())) {
+        for (Interval s : unsettled.getOrDefault(proxy, List.of())) {
             if (s.from <= at) {
                 last = Math.max(last, Math.min(s.until, at));
             }
@@ -235,7 +235,7 @@
         return last;
     }
 
-    public List<Happening> crashes() {
+    public List<Event> crashes() {
         return crashes;
     }
 
@@ -243,11 +243,11 @@
         samples.add(s);
     }
 
-    void rude(boolean owed, String servedInstead) {
-        rudeSent++;
-        rudeIgnored += owed ? 1 : 0;
-        if (servedInstead != null) {
-            rudeServed.add(servedInstead);
+    void addMisbehavingClient(boolean isUnanswered, String servedText) {
+        misbehavingClientCount++;
+        unansweredMisbehavingClients += isUnanswered ? 1 : 0;
+        if (servedText != null) {
+            servedMalformedRequests.add(servedText);
         }
     }
 
@@ -255,12 +255,12 @@
         return orders;
     }
 
-    public List<Happening> happenings() {
-        return happenings;
+    public List<Event> events() {
+        return events;
     }
 
-    public Map<String, Long> fallen() {
-        return fallen;
+    public Map<String, Long> collapsedAt() {
+        return collapsedAt;
     }
 
     public List<Sample> samples() {
@@ -268,16 +268,16 @@
     }
 
     /** Requests that made no sense and were served all the same. */
-    public List<String> rudeServed() {
-        return rudeServed;
+    public List<String> servedMalformedRequests() {
+        return servedMalformedRequests;
     }
 
-    public int rudeSent() {
-        return rudeSent;
+    public int misbehavingClientCount() {
+        return misbehavingClientCount;
     }
 
     /** Rude clients that got neither an error nor a close in time. */
-    public int rudeIgnored() {
-        return rudeIgnored;
+    public int unansweredMisbehavingClients() {
+        return unansweredMisbehavingClients;
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/Look.java
+++ b/src/main/java/gullspar/rehearse/stage/FleetSnapshot.java
@@ -13,7 +13,7 @@
  * @param sentBytes what it has sent since its start
  * @param objections how often it had to say that it lives
  */
-public record Look(
+public record FleetSnapshot(
         long at,
         String proxy,
         String life,
@@ -21,35 +21,35 @@
         double upS,
         long sentBytes,
         long objections,
-        List<Seen> seen) {
+        List<SeenMember> members) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long LEAST_MS = 250;
+    private static final long MIN_INTERVAL_MS = 250;
     /** Answers grow with the fleet: a larger one is asked less often. */
-    private static final int SMALL = 25;
+    private static final int SMALL_FLEET = 25;
 
     /** How long after the last time each of so many proxies is asked again, in ms. */
-    public static long everyMs(int proxies) {
-        return LEAST_MS * Math.max(SMALL, proxies) / SMALL;
+    public static long intervalMs(int proxies) {
+        return MIN_INTERVAL_MS * Math.max(SMALL_FLEET, proxies) / SMALL_FLEET;
     }
 
     /** One life of another proxy, as it is seen. */
-    public record Seen(String name, String life, String status, int incarnation, boolean twin) {
+    public record SeenMember(String name, String life, String status, int incarnation, boolean twin) {
         /** Is it held for somebody who is there, or may be? */
-        public boolean present() {
+        public boolean isPresent() {
             return status.equals("alive") || status.equals("suspected");
         }
     }
 
     /** Reads the answer of a process; an IOException if it is none. */
-    public static Look of(long at, String process, String answer) throws IOException {
-        JsonNode n = JSON.readTree(answer);
-        List<Seen> seen = new ArrayList<>();
+    public static FleetSnapshot parse(long at, String process, String response) throws IOException {
+        JsonNode n = JSON.readTree(response);
+        List<SeenMember> seen = new ArrayList<>();
         double up = 0;
         for (JsonNode m : n.path("members")) {
             if (m.path("self").asBoolean()) {
                 up = m.path("up_s").asDouble();
             } else {
-                seen.add(new Seen(
+                seen.add(new SeenMember(
                         m.path("name").asText(),
                         m.path("life").asText(),
                         m.path("status").asText(),
@@ -57,7 +57,7 @@
                         m.path("twin").asBoolean()));
             }
         }
-        return new Look(
+        return new FleetSnapshot(
                 at,
                 process,
                 n.path("life").asText(),
--- a/src/main/java/gullspar/rehearse/stage/Front.java
+++ b/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
@@ -23,36 +23,36 @@
  * The front that deals clients out among the proxies of their site. It takes a proxy in once its health page
  * has answered 200 after its start, and notices only after a while that one has died.
  */
-public final class Front {
-    private static final long CHECK_MS = 100;
+public final class FrontBalancer {
+    private static final long CHECK_INTERVAL_MS = 100;
 
-    private final RunEnvironment stage;
+    private final RunEnvironment environment;
     private final Platform platform;
     private final Script script;
     private final SplittableRandom random;
     private final Map<String, String> sites = new LinkedHashMap<>();
-    private final Map<String, Boolean> in = new LinkedHashMap<>();
+    private final Map<String, Boolean> inRotation = new LinkedHashMap<>();
     /** Counts the lives of each proxy: what is known of an earlier one says nothing of the next. */
-    private final Map<String, Integer> lives = new LinkedHashMap<>();
+    private final Map<String, Integer> generations = new LinkedHashMap<>();
 
-    private String rushTo;
-    private double rush;
-    private Runnable whenAllIn = () -> {};
+    private String surgeProxy;
+    private double surge;
+    private Runnable onAllReady = () -> {};
 
-    public Front(RunEnvironment stage, Script script, List<String> proxies) {
-        this.stage = stage;
-        this.platform = stage.at("clients");
+    public FrontBalancer(RunEnvironment environment, Script script, List<String> proxies) {
+        this.environment = environment;
+        this.platform = environment.platform("clients");
         this.script = script;
         this.random = new SplittableRandom(script.seed() * 31 + 2);
         for (int i = 0; i < proxies.size(); i++) {
             sites.put(proxies.get(i), script.sites().get(i % script.sites().size()));
-            in.put(proxies.get(i), false);
+            inRotation.put(proxies.get(i), false);
         }
     }
 
     /** Calls that once, as soon as every proxy has been taken in. */
-    public void whenAllIn(Runnable then) {
-        whenAllIn = then;
+    public void onAllReady(Runnable then) {
+        onAllReady = then;
     }
 
     public String site(String proxy) {
@@ -60,56 +60,58 @@
     }
 
     /** A proxy has been started: its health page is asked until it says that it is ready. */
-    public void started(String proxy) {
-        int life = lives.merge(proxy, 1, Integer::sum);
-        check(proxy, life);
+    public void proxyStarted(String proxy) {
+        int generation = generations.merge(proxy, 1, Integer::sum);
+        checkHealth(proxy, generation);
     }
 
     /** A proxy has died, or is about to: that is noticed later. */
-    public void ended(String proxy) {
-        int life = lives.merge(proxy, 1, Integer::sum);
+    public void proxyEnded(String proxy) {
+        int generation = generations.merge(proxy, 1, Integer::sum);
         platform.loop()
                 .schedule(
                         () -> {
-                            if (lives.get(proxy) == life) {
-                                in.put(proxy, false);
+                            if (generations.get(proxy) == generation) {
+                                inRotation.put(proxy, false);
                             }
                         },
                         (long) (script.clients().noticeS().draw(random) * 1e9),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void check(String proxy, int life) {
-        if (lives.get(proxy) != life) {
+    private void checkHealth(String proxy, int generation) {
+        if (generations.get(proxy) != generation) {
             return;
         }
         platform.transport()
-                .clientBootstrap(stage.address(proxy))
+                .clientBootstrap(environment.address(proxy))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpClientCodec(), new Check(proxy, life));
+                        c.pipeline().addLast(new HttpClientCodec(), new HealthCheck(proxy, generation));
                     }
                 })
                 .connect()
                 .channel()
                 .closeFuture()
                 .addListener(f -> {
-                    if (lives.get(proxy) == life && !in.get(proxy)) {
-                        platform.loop().schedule(() -> check(proxy, life), CHECK_MS, TimeUnit.MILLISECONDS);
+                    if (generations.get(proxy) == generation && !inRotation.get(proxy)) {
+                        platform.loop()
+                                .schedule(
+                                        () -> checkHealth(proxy, generation), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
     /** One look at a health page. */
-    private final class Check extends SimpleChannelInboundHandler<HttpObject> {
+    private final class HealthCheck extends SimpleChannelInboundHandler<HttpObject> {
         private final String proxy;
-        private final int life;
+        private final int generation;
 
-        Check(String proxy, int life) {
+        HealthCheck(String proxy, int generation) {
             this.proxy = proxy;
-            this.life = life;
+            this.generation = generation;
         }
 
         @Override
@@ -125,11 +127,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpResponse r) {
-                if (r.status().code() == 200 && lives.get(proxy) == life) {
-                    in.put(proxy, true);
-                    if (!in.containsValue(false)) {
-                        Runnable then = whenAllIn;
-                        whenAllIn = () -> {};
+                if (r.status().code() == 200 && generations.get(proxy) == generation) {
+                    inRotation.put(proxy, true);
+                    if (!inRotation.containsValue(false)) {
+                        Runnable then = onAllReady;
+                        onAllReady = () -> {};
                         then.run();
                     }
                 }
@@ -144,29 +146,29 @@
     }
 
     /** That share of all traffic goes to one proxy, on top of its own; null ends it. */
-    public void rush(String proxy, double share) {
-        rushTo = proxy;
-        rush = share;
+    public void surge(String proxy, double share) {
+        surgeProxy = proxy;
+        surge = share;
     }
 
     /** The proxy for a client of a site, by two draws from 0 to 1; "" if there is none. */
-    String deal(String site, double first, double second, String not) {
-        if (rushTo != null && first < rush && in.get(rushTo) && !rushTo.equals(not)) {
-            return rushTo;
+    String chooseProxy(String site, double first, double second, String excluded) {
+        if (surgeProxy != null && first < surge && inRotation.get(surgeProxy) && !surgeProxy.equals(excluded)) {
+            return surgeProxy;
         }
-        List<String> open = new ArrayList<>();
-        in.forEach((p, up) -> {
-            if (up && sites.get(p).equals(site) && !p.equals(not)) {
-                open.add(p);
+        List<String> candidates = new ArrayList<>();
+        inRotation.forEach((p, up) -> {
+            if (up && sites.get(p).equals(site) && !p.equals(excluded)) {
+                candidates.add(p);
             }
         });
-        if (open.isEmpty()) {
-            in.forEach((p, up) -> {
-                if (up && !p.equals(not)) {
-                    open.add(p);
+        if (candidates.isEmpty()) {
+            inRotation.forEach((p, up) -> {
+                if (up && !p.equals(excluded)) {
+                    candidates.add(p);
                 }
             });
         }
-        return open.isEmpty() ? "" : open.get((int) (second * open.size()));
+        return candidates.isEmpty() ? "" : candidates.get((int) (second * candidates.size()));
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -33,40 +33,41 @@
  * those before it, live and in virtual time.
  */
 public final class LoadGenerator {
-    private static final int CONNECT_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
     /** A connection refused is dealt to another proxy, so often at the most. */
-    private static final int DEALS = 3;
+    private static final int MAX_PROXIES_PER_REQUEST = 3;
     /** With less patience left than that no request is sent, in ns: no answer could come in time. */
-    private static final long LEAST_NS = 20_000_000L;
+    private static final long MIN_TIMEOUT_NS = 20_000_000L;
 
-    private final RunEnvironment stage;
+    private final RunEnvironment environment;
     private final Script script;
     private final EventLog eventLog;
-    private final Front front;
+    private final FrontBalancer front;
     private final Platform platform;
     private final SplittableRandom arrivals;
-    private final double[] keyShares;
+    private final double[] cumulativeKeyShares;
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
-    private final Map<String, double[]> heavy = new HashMap<>();
-    private final Map<String, double[]> leaving = new HashMap<>();
-    private double traffic = 1;
-    private long until;
+    private final Map<String, double[]> inflateWork = new HashMap<>();
+    private final Map<String, double[]> abandon = new HashMap<>();
+    private double trafficFactor = 1;
+    private long untilNs;
     private int orders;
     private int requests;
-    private int open;
+    private int openRequests;
 
-    public LoadGenerator(RunEnvironment stage, Script script, EventLog eventLog, Front front) {
-        this.stage = stage;
+    public LoadGenerator(RunEnvironment environment, Script script, EventLog eventLog, FrontBalancer front) {
+        this.environment = environment;
         this.script = script;
         this.eventLog = eventLog;
         this.front = front;
-        this.platform = stage.at("clients");
+        this.platform = environment.platform("clients");
         this.arrivals = new SplittableRandom(script.seed() * 31 + 3);
-        this.keyShares = keyShares(script.clients().keys(), script.clients().keySkew());
+        this.cumulativeKeyShares =
+                cumulativeKeyShares(script.clients().keys(), script.clients().keySkew());
     }
 
     /** Running sums of Zipf's shares. */
-    private static double[] keyShares(int keys, double skew) {
+    private static double[] cumulativeKeyShares(int keys, double skew) {
         double[] sums = new double[keys];
         double sum = 0;
         for (int i = 0; i < keys; i++) {
@@ -81,43 +82,43 @@
 
     /** Orders come from now on for so long. */
     public void start(double seconds) {
-        until = stage.now() + (long) (seconds * 1e9);
-        next(stage.now());
+        untilNs = environment.now() + (long) (seconds * 1e9);
+        scheduleArrival(environment.now());
     }
 
     /** Multiplies the usual rate. */
-    public void traffic(double factor) {
-        traffic = factor;
+    public void trafficFactor(double factor) {
+        trafficFactor = factor;
     }
 
     /** A share of a class's orders costs so many times the usual work; 0 ends it. */
-    public void heavy(String name, double share, double times) {
-        heavy.put(name, new double[] {share, times});
+    public void inflateWork(String name, double share, double factor) {
+        inflateWork.put(name, new double[] {share, factor});
     }
 
     /** A share of a class's clients leave within so long of asking; 0 ends it. */
-    public void leaving(String name, double share, double withinMs) {
-        leaving.put(name, new double[] {share, withinMs});
+    public void abandon(String name, double share, double withinMs) {
+        abandon.put(name, new double[] {share, withinMs});
     }
 
     /** Requests that have not ended. */
-    public int open() {
-        return open;
+    public int openRequests() {
+        return openRequests;
     }
 
     /** The next arrival comes on a schedule of its own: a late wake-up does not delay those after it. */
-    private void next(long from) {
+    private void scheduleArrival(long from) {
         double wait =
                 -StrictMath.log(1 - arrivals.nextDouble()) / script.clients().rate();
-        long at = from + (long) (wait * 1e9 / Math.max(1e-6, traffic));
-        if (at < until) {
+        long at = from + (long) (wait * 1e9 / Math.max(1e-6, trafficFactor));
+        if (at < untilNs) {
             platform.loop()
                     .schedule(
                             () -> {
                                 arrive();
-                                next(at);
+                                scheduleArrival(at);
                             },
-                            Math.max(0, at - stage.now()),
+                            Math.max(0, at - environment.now()),
                             TimeUnit.NANOSECONDS);
         }
     }
@@ -128,17 +129,17 @@
         double kind = draw.nextDouble();
         double key = draw.nextDouble();
         double site = draw.nextDouble();
-        RequestClass c = kind(kind);
+        RequestClass c = requestClass(kind);
         double work = c.workMs().draw(draw) * 1e6;
-        double[] h = heavy.getOrDefault(c.name(), new double[] {0, 1});
-        work *= draw.nextDouble() < h[0] ? h[1] : 1;
+        double[] inflation = inflateWork.getOrDefault(c.name(), new double[] {0, 1});
+        work *= draw.nextDouble() < inflation[0] ? inflation[1] : 1;
         String from = script.sites().get((int) (site * script.sites().size()));
-        Order o = new Order(number, c, key(key), work, from, stage.now());
+        Order o = new Order(number, c, key(key), work, from, environment.now());
         eventLog.order(o);
-        attempt(o, draw);
+        sendRequest(o, draw);
     }
 
-    private RequestClass kind(double draw) {
+    private RequestClass requestClass(double draw) {
         double all = script.classes().stream().mapToDouble(RequestClass::share).sum();
         double sum = 0;
         for (RequestClass c : script.classes()) {
@@ -151,70 +152,75 @@
     }
 
     private int key(double draw) {
-        if (keyShares.length == 0) {
+        if (cumulativeKeyShares.length == 0) {
             return 0;
         }
-        int i = Arrays.binarySearch(keyShares, draw);
-        return 1 + Math.min(keyShares.length - 1, i < 0 ? -i - 1 : i + 1);
+        int i = Arrays.binarySearch(cumulativeKeyShares, draw);
+        return 1 + Math.min(cumulativeKeyShares.length - 1, i < 0 ? -i - 1 : i + 1);
     }
 
     /** One more try of an order. */
-    private void attempt(Order o, SplittableRandom draw) {
-        double patience = script.clients().patience().draw(draw);
-        long now = stage.now();
-        Try t = new Try(o, "r" + ++requests + "-" + o.number, now + (long) (o.kind.giveUpMs() * 1e6 * patience));
-        o.tries.add(t);
-        open++;
+    private void sendRequest(Order o, SplittableRandom draw) {
+        double timeoutFactor = script.clients().patience().draw(draw);
+        long now = environment.now();
+        ClientRequest t = new ClientRequest(
+                o, "r" + ++requests + "-" + o.number, now + (long) (o.requestClass.giveUpMs() * 1e6 * timeoutFactor));
+        o.requests.add(t);
+        openRequests++;
         eventLog.request(t);
-        deal(t, draw, "", 0);
+        sendToProxy(t, draw, "", 0);
     }
 
-    private void deal(Try t, SplittableRandom draw, String not, int deals) {
-        String proxy = deals < DEALS ? front.deal(t.order.site, draw.nextDouble(), draw.nextDouble(), not) : "";
+    private void sendToProxy(ClientRequest t, SplittableRandom draw, String excluded, int attempted) {
+        String proxy = attempted < MAX_PROXIES_PER_REQUEST
+                ? front.chooseProxy(t.order.site, draw.nextDouble(), draw.nextDouble(), excluded)
+                : "";
         if (proxy.isEmpty()) {
-            ended(t, draw, Try.Ending.NOT_TAKEN, 0);
+            ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
             return;
         }
         t.proxy = proxy;
         Deque<Connection> pool = idle.computeIfAbsent(proxy, p -> new ArrayDeque<>());
-        Connection c = pool.pollLast();
-        if (c != null) {
-            c.send(t, draw);
+        Connection idleConnection = pool.pollLast();
+        if (idleConnection != null) {
+            idleConnection.send(t, draw);
             return;
         }
-        Connection fresh = new Connection(proxy);
+        Connection newConnection = new Connection(proxy);
         ChannelFuture connect = platform.transport()
-                .clientBootstrap(stage.address(proxy))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .clientBootstrap(environment.address(proxy))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 20), fresh);
+                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 20), newConnection);
                     }
                 })
                 .connect();
-        fresh.channel = connect.channel();
+        newConnection.channel = connect.channel();
         connect.addListener(f -> {
             if (f.isSuccess()) {
-                fresh.send(t, draw);
-            } else if (stage.now() < t.deadline) {
-                deal(t, draw, proxy, deals + 1);
+                newConnection.send(t, draw);
+            } else if (environment.now() < t.deadline) {
+                sendToProxy(t, draw, proxy, attempted + 1);
             } else {
-                ended(t, draw, Try.Ending.NOT_TAKEN, 0);
+                ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
             }
         });
     }
 
-    private void ended(Try t, SplittableRandom draw, Try.Ending how, double retryAfterS) {
-        t.ending = how;
-        t.endedAt = stage.now();
-        open--;
+    private void ended(ClientRequest t, SplittableRandom draw, ClientRequest.Ending ending, double retryAfterS) {
+        t.ending = ending;
+        t.endedAt = environment.now();
+        openRequests--;
         boolean refused = t.status == 429 || t.status == 503;
-        boolean may = refused || how == Try.Ending.NOT_TAKEN || t.order.kind.effect() != Effect.AT_MOST_ONCE;
-        boolean again = t.status != 200 && how != Try.Ending.LEFT && may;
-        if (again && t.order.tries.size() <= script.clients().retries()) {
+        boolean mayRetry = refused
+                || ending == ClientRequest.Ending.NOT_TAKEN
+                || t.order.requestClass.effect() != Effect.AT_MOST_ONCE;
+        boolean retry = t.status != 200 && ending != ClientRequest.Ending.LEFT && mayRetry;
+        if (retry && t.order.requests.size() <= script.clients().retries()) {
             double wait = Math.max(retryAfterS, script.clients().retryWaitMs().draw(draw) / 1e3);
-            platform.loop().schedule(() -> attempt(t.order, draw), (long) (wait * 1e9), TimeUnit.NANOSECONDS);
+            platform.loop().schedule(() -> sendRequest(t.order, draw), (long) (wait * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -222,50 +228,50 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final String proxy;
         private Channel channel;
-        private Try current;
+        private ClientRequest current;
         private SplittableRandom draw;
-        private ScheduledFuture<?> patience;
+        private ScheduledFuture<?> timeout;
         private boolean used;
         private boolean reset;
         /** The request answered last: whatever else comes was not asked for. */
-        private Try last;
+        private ClientRequest lastAnswered;
 
         Connection(String proxy) {
             this.proxy = proxy;
         }
 
-        void send(Try t, SplittableRandom random) {
+        void send(ClientRequest t, SplittableRandom random) {
             current = t;
             draw = random;
-            long now = stage.now();
-            t.sentAt = t.again ? t.sentAt : now;
-            t.first = !used;
+            long now = environment.now();
+            t.sentAt = t.resent ? t.sentAt : now;
+            t.firstOnConnection = !used;
             used = true;
-            if (now > t.deadline - LEAST_NS) {
+            if (now > t.deadline - MIN_TIMEOUT_NS) {
                 // Connecting took all its patience: nothing is asked of the proxy any more.
                 current = null;
                 t.sentAt = 0;
                 idle.get(proxy).addLast(this);
-                ended(t, draw, Try.Ending.NOT_TAKEN, 0);
+                ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
                 return;
             }
-            patience = platform.loop()
-                    .schedule(() -> leave(t, Try.Ending.GIVEN_UP), t.deadline - now, TimeUnit.NANOSECONDS);
-            double[] l = leaving.getOrDefault(t.order.kind.name(), new double[] {0, 0});
-            if (l[0] > 0 && draw.nextDouble() < l[0]) {
+            timeout = platform.loop()
+                    .schedule(() -> abandon(t, ClientRequest.Ending.GIVEN_UP), t.deadline - now, TimeUnit.NANOSECONDS);
+            double[] abandonment = abandon.getOrDefault(t.order.requestClass.name(), new double[] {0, 0});
+            if (abandonment[0] > 0 && draw.nextDouble() < abandonment[0]) {
                 platform.loop()
                         .schedule(
-                                () -> leave(t, Try.Ending.LEFT),
-                                (long) (draw.nextDouble() * l[1] * 1e6),
+                                () -> abandon(t, ClientRequest.Ending.LEFT),
+                                (long) (draw.nextDouble() * abandonment[1] * 1e6),
                                 TimeUnit.NANOSECONDS);
             }
             channel.pipeline()
                     .context(HttpClientCodec.class)
-                    .writeAndFlush(Unpooled.copiedBuffer(text(t, now), StandardCharsets.US_ASCII));
+                    .writeAndFlush(Unpooled.copiedBuffer(requestText(t, now), StandardCharsets.US_ASCII));
         }
 
-        private String text(Try t, long now) {
-            RequestClass c = t.order.kind;
+        private String requestText(ClientRequest t, long now) {
+            RequestClass c = t.order.requestClass;
             boolean safe = c.effect() == Effect.IDEMPOTENT;
             StringBuilder s = new StringBuilder(256)
                     .append(safe ? "GET /" : "POST /")
@@ -278,7 +284,7 @@
             if (t.order.key != 0) {
                 s.append("\r\nCookie: sid=k").append(t.order.key);
             }
-            if (t.order.tries.size() > 1) {
+            if (t.order.requests.size() > 1) {
                 s.append("\r\nClient-Retry: 1");
             }
             if (c.effect() == Effect.DEDUPLICATED) {
@@ -292,21 +298,22 @@
                     .toString();
         }
 
-        private void leave(Try t, Try.Ending how) {
+        private void abandon(ClientRequest t, ClientRequest.Ending ending) {
             if (current == t) {
                 current = null;
-                patience.cancel(false);
+                timeout.cancel(false);
                 channel.close();
-                ended(t, draw, how, 0);
+                ended(t, draw, ending, 0);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-            Try t = current;
+            ClientRequest t = current;
             if (t == null) {
-                if (last != null) {
-                    last.wrong = "a second answer came, " + r.status().code();
+                if (lastAnswered != null) {
+                    lastAnswered.responseError =
+                            "a second answer came, " + r.status().code();
                 }
                 ctx.close();
                 return;
@@ -316,21 +323,21 @@
                 return;
             }
             current = null;
-            patience.cancel(false);
+            timeout.cancel(false);
             t.status = r.status().code();
-            t.answeredAt = stage.sentAt(ctx.channel());
+            t.respondedAt = environment.sentAt(ctx.channel());
             String body = r.content().toString(StandardCharsets.US_ASCII);
-            if (t.status == 200 && !Node.madeFor(t.id, body)) {
-                t.wrong = "it was served with what no node made for it: '"
+            if (t.status == 200 && !Node.isBodyFor(t.id, body)) {
+                t.responseError = "it was served with what no node made for it: '"
                         + body.substring(0, Math.min(40, body.length())).trim() + "'";
             }
-            last = t;
+            lastAnswered = t;
             if (HttpUtil.isKeepAlive(r)) {
                 idle.get(proxy).addLast(this);
             } else {
                 ctx.close();
             }
-            ended(t, draw, Try.Ending.ANSWERED, retryAfter(r.headers().get("Retry-After")));
+            ended(t, draw, ClientRequest.Ending.ANSWERED, retryAfter(r.headers().get("Retry-After")));
         }
 
         private static double retryAfter(String text) {
@@ -344,20 +351,20 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.get(proxy).remove(this);
-            Try t = current;
+            ClientRequest t = current;
             if (t == null) {
                 return;
             }
             current = null;
-            patience.cancel(false);
-            if (!t.first && !t.again && !reset && t.order.kind.effect() == Effect.IDEMPOTENT) {
+            timeout.cancel(false);
+            if (!t.firstOnConnection && !t.resent && !reset && t.order.requestClass.effect() == Effect.IDEMPOTENT) {
                 // It crossed the end of a connection between requests: sent once more, on another. Only what
                 // is safe to repeat (RFC 9110, section 9.2.2): the other side may have ended after reading
                 // it.
-                t.again = true;
-                deal(t, draw, "", 0);
+                t.resent = true;
+                sendToProxy(t, draw, "", 0);
             } else {
-                ended(t, draw, Try.Ending.CLOSED, 0);
+                ended(t, draw, ClientRequest.Ending.CLOSED, 0);
             }
         }
 
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -4,23 +4,23 @@
 import java.util.function.BiFunction;
 
 /** Requests that somebody sends by hand, with curl: nodes serve them as an order of their class. */
-public final class ManualRequests implements BiFunction<String, String, Try> {
+public final class ManualRequests implements BiFunction<String, String, ClientRequest> {
     private final Script script;
-    private final RunEnvironment stage;
+    private final RunEnvironment environment;
     private int served;
 
-    public ManualRequests(Script script, RunEnvironment stage) {
+    public ManualRequests(Script script, RunEnvironment environment) {
         this.script = script;
-        this.stage = stage;
+        this.environment = environment;
     }
 
     @Override
-    public Try apply(String id, String path) {
+    public ClientRequest apply(String id, String path) {
         for (Script.RequestClass c : script.classes()) {
             if (path.equals("/" + c.name())
                     || path.startsWith("/" + c.name() + "/")
                     || path.startsWith("/" + c.name() + "?")) {
-                long now = stage.now();
+                long now = environment.now();
                 Order o = new Order(
                         --served,
                         c,
@@ -28,8 +28,8 @@
                         c.workMs().middle() * 1e6,
                         script.sites().get(0),
                         now);
-                Try t = new Try(o, id, now + (long) (c.giveUpMs() * 1e6));
-                o.tries.add(t);
+                ClientRequest t = new ClientRequest(o, id, now + (long) (c.giveUpMs() * 1e6));
+                o.requests.add(t);
                 return t;
             }
         }
--- a/src/main/java/gullspar/rehearse/stage/RudeClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -17,11 +17,11 @@
  * Clients that send what makes no sense, or connect and say nothing. Each is owed an error or a close in
  * time; none may be served.
  */
-public final class RudeClients {
+public final class MisbehavingClients {
     /** What such a client is owed comes within so long. */
-    private static final long OWED_MS = 3000;
+    private static final long RESPONSE_LIMIT_MS = 3000;
 
-    private static final String[] NONSENSE = {
+    private static final String[] MALFORMED_REQUESTS = {
         "\u0000\u0001\u0002 nothing that can be read\r\n\r\n",
         "GET /%s/1 HTTP/1.1\r\nHost: x\r\nRequest-Timeout: 1\r\n\r\n",
         "GET /no-such-class/1 HTTP/1.1\r\nHost: x\r\nRequest-Id: rude%d\r\nRequest-Timeout: 1\r\n\r\n",
@@ -34,97 +34,98 @@
         "GET /%s/1",
     };
 
-    private final RunEnvironment stage;
+    private final RunEnvironment environment;
     private final Platform platform;
     private final EventLog eventLog;
     private final String someClass;
     private final SplittableRandom random;
-    private final Set<String> rude = new HashSet<>();
-    private final Set<String> silent = new HashSet<>();
-    private int sent;
+    private final Set<String> malformedRequests = new HashSet<>();
+    private final Set<String> silentConnections = new HashSet<>();
+    private int clientCount;
 
-    public RudeClients(RunEnvironment stage, EventLog eventLog, String someClass, long seed) {
-        this.stage = stage;
-        this.platform = stage.at("rude");
+    public MisbehavingClients(RunEnvironment environment, EventLog eventLog, String someClass, long seed) {
+        this.environment = environment;
+        this.platform = environment.platform("rude");
         this.eventLog = eventLog;
         this.someClass = someClass;
         this.random = new SplittableRandom(seed * 31 + 5);
     }
 
     /** So many a second send nonsense to a proxy; 0 ends it. */
-    public void rude(String proxy, double perSecond) {
-        run(rude, proxy, perSecond, true);
+    public void malformedRequests(String proxy, double perSecond) {
+        run(malformedRequests, proxy, perSecond, true);
     }
 
     /** So many a second connect to a proxy and say nothing; 0 ends it. */
-    public void silent(String proxy, double perSecond) {
-        run(silent, proxy, perSecond, false);
+    public void silentConnections(String proxy, double perSecond) {
+        run(silentConnections, proxy, perSecond, false);
     }
 
-    private void run(Set<String> active, String proxy, double perSecond, boolean speaks) {
+    private void run(Set<String> active, String proxy, double perSecond, boolean sendsText) {
         if (perSecond <= 0) {
             active.remove(proxy);
         } else if (active.add(proxy)) {
-            step(active, proxy, (long) (1e9 / perSecond), speaks);
+            connectNext(active, proxy, (long) (1e9 / perSecond), sendsText);
         }
     }
 
-    private void step(Set<String> active, String proxy, long everyNs, boolean speaks) {
+    private void connectNext(Set<String> active, String proxy, long everyNs, boolean sendsText) {
         if (active.contains(proxy)) {
-            int n = ++sent;
-            String pattern = NONSENSE[random.nextInt(NONSENSE.length)];
-            String text = !speaks ? null : pattern.replace("%s", someClass).replace("%d", Integer.toString(n));
+            int n = ++clientCount;
+            String pattern = MALFORMED_REQUESTS[random.nextInt(MALFORMED_REQUESTS.length)];
+            String text = !sendsText ? null : pattern.replace("%s", someClass).replace("%d", Integer.toString(n));
             platform.transport()
-                    .clientBootstrap(stage.address(proxy))
+                    .clientBootstrap(environment.address(proxy))
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
-                            c.pipeline().addLast(new Rude(proxy, text));
+                            c.pipeline().addLast(new MisbehavingClient(proxy, text));
                         }
                     })
                     .connect();
-            platform.loop().schedule(() -> step(active, proxy, everyNs, speaks), everyNs, TimeUnit.NANOSECONDS);
+            platform.loop()
+                    .schedule(() -> connectNext(active, proxy, everyNs, sendsText), everyNs, TimeUnit.NANOSECONDS);
         }
     }
 
     /** One of them. */
-    private final class Rude extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class MisbehavingClient extends SimpleChannelInboundHandler<ByteBuf> {
         private final String proxy;
         private final String text;
-        private long since;
-        private boolean answered;
-        private String served;
+        private long startedAt;
+        private boolean responded;
+        private String servedText;
 
-        Rude(String proxy, String text) {
+        MisbehavingClient(String proxy, String text) {
             this.proxy = proxy;
             this.text = text;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            since = stage.now();
+            startedAt = environment.now();
             if (text != null) {
                 ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
             }
             platform.loop()
                     .schedule(
                             () -> {
-                                boolean owed = !answered
+                                boolean owed = !responded
                                         && ctx.channel().isActive()
-                                        && !eventLog.excused(proxy, since, stage.now());
-                                eventLog.rude(owed, served);
+                                        && !eventLog.disrupted(proxy, startedAt, environment.now());
+                                eventLog.addMisbehavingClient(owed, servedText);
                                 ctx.close();
                             },
-                            OWED_MS,
+                            RESPONSE_LIMIT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             String begin = bytes.toString(StandardCharsets.ISO_8859_1);
-            answered = true;
+            responded = true;
             if (begin.startsWith("HTTP/1.1 200")) {
-                served = text;
+                servedText = text;
             }
         }
 
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -20,22 +20,22 @@
  * if it is sent too much then.
  */
 final class Node {
-    private static final long TICK_NS = 100_000_000L;
+    private static final long WARM_UP_TICK_NS = 100_000_000L;
     /** What a repeat that is dropped costs, as a share of the work. */
-    private static final double REPEAT_SHARE = 0.05;
+    private static final double REPEAT_WORK_SHARE = 0.05;
 
     /** What a node shares with the others. */
-    interface Fleet {
-        RunEnvironment stage();
+    interface Context {
+        RunEnvironment environment();
 
         EventLog eventLog();
 
         Script script();
 
         /** Repeats of a class in the scope in which this node drops them. */
-        Repeats repeats(Script.RequestClass c, Node node);
+        RepeatFilter repeatFilter(Script.RequestClass c, Node node);
 
-        void fell(Node node);
+        void collapsed(Node node);
     }
 
     final String id;
@@ -47,37 +47,37 @@
     final long bootNs;
 
     final InetSocketAddress address;
-    private final Fleet fleet;
+    private final Context context;
     private final Platform platform;
     private final SplittableRandom random;
-    private final Machine cpu;
+    private final CpuModel cpu;
     private final double speed;
-    private final Fitness fitness = new Fitness();
-    private final KeyMemory keys;
-    private final double connectNs;
-    private final double saves;
+    private final CapacityHistory capacityHistory = new CapacityHistory();
+    private final KeyCache keyCache;
+    private final double connectWorkNs;
+    private final double cachedKeySavings;
     private final long reportPeriodNs;
     private final long reportDelayNs;
     /** Work that was sent in the last time in which it could fall, oldest first: when, and how much. */
-    private final Deque<double[]> sent = new ArrayDeque<>();
+    private final Deque<double[]> addSentWork = new ArrayDeque<>();
 
-    private double sentNs;
-    private ScheduledFuture<?> wake;
-    private long wakeAt = Long.MAX_VALUE;
-    private double taken;
+    private double sentWorkNs;
+    private ScheduledFuture<?> wakeUp;
+    private long wakeUpAtNs = Long.MAX_VALUE;
+    private double stolenCpuShare;
     private int connections;
-    private boolean up = true;
-    private boolean hung;
-    private double spoilt;
-    private double trickle;
-    private String report;
+    private boolean isUp = true;
+    private boolean isHung;
+    private double spoiltShare;
+    private double trickleBytesPerS;
+    private String loadReport;
     private double lastBusyNs;
-    private long lastReportAt;
+    private long lastReportAtNs;
     private int errors;
     private int served;
 
     Node(
-            Fleet fleet,
+            Context context,
             String id,
             String machine,
             String site,
@@ -86,26 +86,26 @@
             double speed,
             long bootNs,
             SplittableRandom random) {
-        this.fleet = fleet;
+        this.context = context;
         this.id = id;
         this.machine = machine;
         this.site = site;
         this.cell = cell;
         this.kind = kind;
         this.bootNs = bootNs;
-        this.platform = fleet.stage().at(machine);
-        this.address = fleet.stage().address(machine);
+        this.platform = context.environment().platform(machine);
+        this.address = context.environment().address(machine);
         this.random = random;
-        long now = fleet.stage().now();
+        long now = context.environment().now();
         this.speed = speed;
-        this.cpu = new Machine(kind.cores(), speed, kind.slots(), kind.queue(), now);
-        this.connectNs = kind.connectMs().draw(random) * 1e6;
-        this.keys = new KeyMemory((long) (kind.keyMemoryS().draw(random) * 1e9), kind.keysMost());
-        this.saves = kind.keySaves().draw(random);
+        this.cpu = new CpuModel(kind.cores(), speed, kind.slots(), kind.queue(), now);
+        this.connectWorkNs = kind.connectMs().draw(random) * 1e6;
+        this.keyCache = new KeyCache((long) (kind.keyMemoryS().draw(random) * 1e9), kind.keysMost());
+        this.cachedKeySavings = kind.keySaves().draw(random);
         this.reportPeriodNs = (long) (kind.reportPeriodMs().draw(random) * 1e6);
         this.reportDelayNs = (long) (kind.reportDelayMs().draw(random) * 1e6);
-        this.lastReportAt = now;
-        this.report = "util=0.00,inflight=0,eps=0";
+        this.lastReportAtNs = now;
+        this.loadReport = "util=0.00,inflight=0,eps=0";
     }
 
     void start() {
@@ -118,20 +118,20 @@
                     }
                 })
                 .bind();
-        power();
+        updateCapacity();
         // Nodes that started together do not report together.
         after(random.nextLong(Math.max(1, reportPeriodNs)), this::makeReport);
         if (warmth() < 1) {
-            after(TICK_NS, this::warm);
+            after(WARM_UP_TICK_NS, this::warmUp);
         }
     }
 
-    private void after(long ns, Runnable what) {
+    private void after(long ns, Runnable task) {
         platform.loop()
                 .schedule(
                         () -> {
-                            if (up) {
-                                what.run();
+                            if (isUp) {
+                                task.run();
                             }
                         },
                         ns,
@@ -140,79 +140,82 @@
 
     /** The process ends: nothing of it goes on. */
     void end() {
-        up = false;
-        fleet.stage().ended(machine);
+        isUp = false;
+        context.environment().processEnded(machine);
     }
 
-    boolean up() {
-        return up;
+    boolean isUp() {
+        return isUp;
     }
 
     // ---- what goes wrong ----
 
-    void neighbour(double takes) {
-        taken = takes;
-        power();
+    void stealCpu(double share) {
+        stolenCpuShare = share;
+        updateCapacity();
     }
 
     void hang(boolean on) {
-        hung = on;
-        power();
+        isHung = on;
+        updateCapacity();
     }
 
-    void spoil(double share) {
-        spoilt = share;
+    void spoilResponses(double share) {
+        spoiltShare = share;
     }
 
-    void trickle(double bytesPerSecond) {
-        trickle = bytesPerSecond;
+    void trickleBytesPerS(double bytesPerSecond) {
+        trickleBytesPerS = bytesPerSecond;
     }
 
     // ---- the machine ----
 
     private double warmth() {
-        double age = (fleet.stage().now() - bootNs) / (fleet.script().rules().coldS() * 1e9);
-        double least = fleet.script().rules().startCapacity();
-        return bootNs == 0 || age >= 1 ? 1 : least + (1 - least) * Math.max(0, age);
+        double age = (context.environment().now() - bootNs)
+                / (context.script().rules().coldS() * 1e9);
+        double startCapacity = context.script().rules().startCapacity();
+        return bootNs == 0 || age >= 1 ? 1 : startCapacity + (1 - startCapacity) * Math.max(0, age);
     }
 
-    private void warm() {
-        power();
+    private void warmUp() {
+        updateCapacity();
         if (warmth() < 1) {
-            after(TICK_NS, this::warm);
+            after(WARM_UP_TICK_NS, this::warmUp);
         }
     }
 
-    private void power() {
-        cpu.power(hung ? 0 : (1 - taken) * warmth(), fleet.stage().now());
-        fitness.changed(fleet.stage().now(), couldDo());
-        work();
+    private void updateCapacity() {
+        cpu.capacityShare(
+                isHung ? 0 : (1 - stolenCpuShare) * warmth(),
+                context.environment().now());
+        capacityHistory.record(context.environment().now(), capacity());
+        runJobs();
     }
 
     /** Lets go what is done, starts what may start, and wakes up again for the next. */
-    private void work() {
-        if (!up) {
+    private void runJobs() {
+        if (!isUp) {
             return;
         }
-        long now = fleet.stage().now();
-        for (Machine.Job j = cpu.done(now); j != null; j = cpu.done(now)) {
-            ((NodeRequest) j.what).done(now);
+        long now = context.environment().now();
+        for (CpuModel.Job j = cpu.pollDone(now); j != null; j = cpu.pollDone(now)) {
+            ((NodeRequest) j.payload).complete(now);
             served++;
             startNext(now);
         }
-        long next = cpu.doneAt();
-        if (next != wakeAt) {
-            if (wake != null) {
-                wake.cancel(false);
+        long next = cpu.nextDoneAtNs();
+        if (next != wakeUpAtNs) {
+            if (wakeUp != null) {
+                wakeUp.cancel(false);
             }
-            wakeAt = next;
-            wake = next == Long.MAX_VALUE
+            wakeUpAtNs = next;
+            wakeUp = next == Long.MAX_VALUE
                     ? null
                     : platform.loop()
                             .schedule(
                                     () -> {
-                                        wakeAt = Long.MAX_VALUE;
-                                        work();
+                                        wakeUpAtNs = Long.MAX_VALUE;
+                                        runJobs();
                                     },
                                     Math.max(0, next - now),
                                     TimeUnit.NANOSECONDS);
@@ -220,13 +223,13 @@
     }
 
     private void startNext(long now) {
-        for (Machine.Job j = cpu.next(); j != null; j = cpu.next()) {
-            NodeRequest r = (NodeRequest) j.what;
-            if (r.late(now)) {
-                r.turnAway(504);
+        for (CpuModel.Job j = cpu.pollWaiting(); j != null; j = cpu.pollWaiting()) {
+            NodeRequest r = (NodeRequest) j.payload;
+            if (r.isExpired(now)) {
+                r.reject(504);
             } else {
                 r.started(now);
-                cpu.begin(j, now);
+                cpu.startWaiting(j, now);
             }
         }
     }
@@ -235,54 +238,54 @@
      * A cold node that was sent, over the time of the rule, more than the multiple of what it could do in
      * that time falls over.
      */
-    private void sent(double usualNs, long now) {
+    private void addSentWork(double usualNs, long now) {
         if (warmth() >= 1) {
             return;
         }
-        long window = (long) (fleet.script().rules().fallS() * 1e9);
-        sent.add(new double[] {now, usualNs});
-        sentNs += usualNs;
-        while (sent.peek()[0] < now - window) {
-            sentNs -= sent.remove()[1];
+        long window = (long) (context.script().rules().fallS() * 1e9);
+        addSentWork.add(new double[] {now, usualNs});
+        sentWorkNs += usualNs;
+        while (addSentWork.peek()[0] < now - window) {
+            sentWorkNs -= addSentWork.remove()[1];
         }
-        fitness.changed(now, couldDo());
-        if (sentNs > fleet.script().rules().tipMultiple() * fitness.over(window, now)) {
-            fleet.eventLog().fell(id, now);
+        capacityHistory.record(now, capacity());
+        if (sentWorkNs > context.script().rules().tipMultiple() * capacityHistory.workNs(window, now)) {
+            context.eventLog().addCollapse(id, now);
             end();
-            fleet.fell(this);
+            context.collapsed(this);
         }
     }
 
     /** In ns of work in a ns: what it is fit for now, also while it hangs and does nothing. */
-    private double couldDo() {
-        return cpu.cores() * speed * (1 - taken) * warmth();
+    private double capacity() {
+        return cpu.cores() * speed * (1 - stolenCpuShare) * warmth();
     }
 
     // ---- what it says of itself ----
 
     private void makeReport() {
-        long now = fleet.stage().now();
+        long now = context.environment().now();
         double busy = cpu.busyNs(now);
-        double span = Math.max(1, now - lastReportAt);
-        double util = Math.min(1, taken + (1 - taken) * (busy - lastBusyNs) / span / cpu.cores());
+        double span = Math.max(1, now - lastReportAtNs);
+        double util = Math.min(1, stolenCpuShare + (1 - stolenCpuShare) * (busy - lastBusyNs) / span / cpu.cores());
         lastBusyNs = busy;
-        lastReportAt = now;
+        lastReportAtNs = now;
         double noise = kind.reportNoise();
         util = Math.max(0, Math.min(1, util * (1 + noise * (2 * random.nextDouble() - 1))));
-        String next =
-                String.format(Locale.ROOT, "util=%.2f,inflight=%d,eps=%.1f", util, cpu.held(), errors / (span / 1e9));
+        String next = String.format(
+                Locale.ROOT, "util=%.2f,inflight=%d,eps=%.1f", util, cpu.inFlight(), errors / (span / 1e9));
         errors = 0;
-        after(reportDelayNs, () -> report = next);
+        after(reportDelayNs, () -> loadReport = next);
         after(reportPeriodNs, this::makeReport);
     }
 
-    int held() {
-        return cpu.held();
+    int inFlight() {
+        return cpu.inFlight();
     }
 
     /** Busy share of its cores since that much use of them, in ns of core time. */
     double busyNs() {
-        return cpu.busyNs(fleet.stage().now());
+        return cpu.busyNs(context.environment().now());
     }
 
     int cores() {
@@ -295,91 +298,92 @@
 
     /** Size as listed: its power, lowered the more it holds. */
     double weight() {
-        return kind.cores() * kind.speed().middle() / (1 + cpu.held() / (double) Math.max(1, kind.slots()));
+        return kind.cores() * kind.speed().middle() / (1 + cpu.inFlight() / (double) Math.max(1, kind.slots()));
     }
 
     // ---- connections ----
 
     /** One more connection; true if that is more than the node takes. */
-    boolean connected() {
+    boolean connectionOpened() {
         return ++connections > kind.connections();
     }
 
-    void disconnected() {
+    void connectionClosed() {
         connections--;
     }
 
     // ---- requests ----
 
     /** A request has come whole: so much work, by its class, was sent to this node. */
-    void wasSent(Order o) {
-        sent(o.kind.workMs().middle() * 1e6, fleet.stage().now());
+    void requestReceived(Order o) {
+        addSentWork(
+                o.requestClass.workMs().middle() * 1e6, context.environment().now());
     }
 
-    boolean hung() {
-        return hung;
+    boolean isHung() {
+        return isHung;
     }
 
     /** Takes a request to run or to wait; false if all places are taken. */
-    boolean take(NodeRequest r, boolean newConnection) {
-        long now = fleet.stage().now();
-        if (cpu.held() >= kind.slots() + kind.queue()) {
+    boolean admit(NodeRequest r, boolean newConnection) {
+        long now = context.environment().now();
+        if (cpu.inFlight() >= kind.slots() + kind.queue()) {
             return false;
         }
         Order o = r.order();
-        double work = o.workNs * (keys.remembers(o.key, now) ? 1 - saves : 1);
-        boolean keyed = o.kind.effect() == Effect.DEDUPLICATED;
-        boolean repeat = keyed && fleet.repeats(o.kind, this).repeat(o.idempotencyKey(), now);
-        work = (repeat ? work * REPEAT_SHARE : work) + (newConnection ? connectNs : 0);
-        Machine.Job job = new Machine.Job(r, work);
-        r.taken(job, repeat);
+        double work = o.workNs * (keyCache.checkAndStore(o.key, now) ? 1 - cachedKeySavings : 1);
+        boolean keyed = o.requestClass.effect() == Effect.DEDUPLICATED;
+        boolean repeat = keyed && context.repeatFilter(o.requestClass, this).checkAndStore(o.idempotencyKey(), now);
+        work = (repeat ? work * REPEAT_WORK_SHARE : work) + (newConnection ? connectWorkNs : 0);
+        CpuModel.Job job = new CpuModel.Job(r, work);
+        r.admitted(job, repeat);
         cpu.offer(job, now);
-        if (job.running()) {
+        if (job.isRunning()) {
             r.started(now);
         }
-        work();
+        runJobs();
         return true;
     }
 
     /** The sender of a request has gone: waiting work is dropped, running work where that stops. */
     void abandoned(NodeRequest r) {
-        if (r.running() && kind.cancelled() == Script.Cancelled.GOES_ON) {
+        if (r.isRunning() && kind.cancelled() == Script.Cancelled.GOES_ON) {
             return;
         }
-        long now = fleet.stage().now();
-        if (!r.repeat()) {
-            fleet.repeats(r.order().kind, this).forget(r.order().idempotencyKey()); // it takes no effect
+        long now = context.environment().now();
+        if (!r.isRepeat()) {
+            context.repeatFilter(r.order().requestClass, this).forget(r.order().idempotencyKey()); // it takes no effect
         }
-        cpu.drop(r.dropped(now), now);
+        cpu.drop(r.drop(now), now);
         startNext(now);
-        work();
+        runJobs();
     }
 
     /** How the answer to a request that is done goes out. */
-    Spoils.How how() {
-        if (spoilt > 0 && random.nextDouble() < spoilt) {
+    FaultyResponse.Kind drawFault() {
+        if (spoiltShare > 0 && random.nextDouble() < spoiltShare) {
             errors++;
-            return Spoils.How.values()[random.nextInt(Spoils.How.values().length)];
+            return FaultyResponse.Kind.values()[random.nextInt(FaultyResponse.Kind.values().length)];
         }
         return null;
     }
 
     /** Bytes a second of an answer; 0 for all at once. */
-    double trickle() {
-        return trickle;
+    double trickleBytesPerS() {
+        return trickleBytesPerS;
     }
 
     /** What it says of its load, as it was some time ago. */
-    String report() {
-        return report;
+    String loadReport() {
+        return loadReport;
     }
 
-    RunEnvironment stage() {
-        return fleet.stage();
+    RunEnvironment environment() {
+        return context.environment();
     }
 
     EventLog eventLog() {
-        return fleet.eventLog();
+        return context.eventLog();
     }
 
     Platform platform() {
@@ -393,7 +397,7 @@
     }
 
     /** Could a body have been made by a node for that request? */
-    static boolean madeFor(String request, String body) {
+    static boolean isBodyFor(String request, String body) {
         return body.startsWith(request + " ") && body.endsWith("\n");
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/NodeConnection.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeConnection.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.stage;
 
-import gullspar.rehearse.stage.Try.Attempt;
+import gullspar.rehearse.stage.ClientRequest.Attempt;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -14,11 +14,11 @@
     private final Node node;
     private ChannelHandlerContext ctx;
     private HttpRequest head;
-    private Try asked;
+    private ClientRequest request;
     private Attempt attempt;
     private NodeRequest current;
     private boolean used;
-    private boolean crowded;
+    private boolean overLimit;
 
     NodeConnection(Node node) {
         this.node = node;
@@ -27,13 +27,13 @@
     @Override
     public void channelActive(ChannelHandlerContext c) {
         ctx = c;
-        crowded = node.connected();
+        overLimit = node.connectionOpened();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext c) {
-        node.disconnected();
-        if (current != null && node.up() && current.held()) {
+        node.connectionClosed();
+        if (current != null && node.isUp() && current.isHeld()) {
             node.abandoned(current);
         }
     }
@@ -45,7 +45,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext c, HttpObject message) {
-        if (!node.up()) {
+        if (!node.isUp()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -54,33 +54,33 @@
         }
         if (message instanceof HttpRequest r) {
             head = r;
-            asked = node.eventLog().request(r.headers().get("Request-Id", ""), r.uri());
+            request = node.eventLog().request(r.headers().get("Request-Id", ""), r.uri());
             attempt = null;
-            if (asked != null) {
-                attempt = new Attempt(node.id, node.site, node.stage().sentAt(c.channel()));
-                attempt.toldNs = head.headers().contains("Request-Timeout") ? timeoutNs() : Long.MAX_VALUE;
-                asked.attempts.add(attempt);
-                node.stage().peer(c.channel(), asked.proxy);
+            if (request != null) {
+                attempt = new Attempt(node.id, node.site, node.environment().sentAt(c.channel()));
+                attempt.timeoutNs = head.headers().contains("Request-Timeout") ? timeoutNs() : Long.MAX_VALUE;
+                request.attempts.add(attempt);
+                node.environment().setPeer(c.channel(), request.proxy);
             }
         }
         if (message instanceof LastHttpContent) {
-            whole();
+            requestComplete();
         }
     }
 
-    private void whole() {
-        if (asked == null) {
-            raw(message(404, "", "no request of that id\n"));
+    private void requestComplete() {
+        if (request == null) {
+            write(message(404, "", "no request of that id\n"));
             return;
         }
-        long now = node.stage().now();
-        attempt.wholeAt = now;
-        current = new NodeRequest(this, asked, attempt, now + timeoutNs());
+        long now = node.environment().now();
+        attempt.receivedAt = now;
+        current = new NodeRequest(this, request, attempt, now + timeoutNs());
         boolean first = !used;
         used = true;
-        node.wasSent(asked.order);
-        if (node.up() && !node.hung() && (crowded || !node.take(current, first))) {
-            current.turnAway(503);
+        node.requestReceived(request.order);
+        if (node.isUp() && !node.isHung() && (overLimit || !node.admit(current, first))) {
+            current.reject(503);
         }
     }
 
@@ -92,38 +92,38 @@
         }
     }
 
-    private void raw(byte[] bytes) {
+    private void write(byte[] bytes) {
         ctx.writeAndFlush(Unpooled.wrappedBuffer(bytes));
     }
 
     private byte[] message(int status, String headers, String body) {
-        return ("HTTP/1.1 " + status + " Status\r\nServer-Load: " + node.report() + "\r\n" + headers
+        return ("HTTP/1.1 " + status + " Status\r\nServer-Load: " + node.loadReport() + "\r\n" + headers
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
     /** Turns the request in hand away; returns when. */
-    long turnAway(int status) {
+    long reject(int status) {
         current = null;
-        raw(message(status, "Not-Started: 1\r\n", ""));
-        return node.stage().now();
+        write(message(status, "Not-Started: 1\r\n", ""));
+        return node.environment().now();
     }
 
     /** Answers the request in hand, if anybody is there; true if the answer was spoilt. */
-    boolean answer(NodeRequest r) {
+    boolean respond(NodeRequest r) {
         current = null;
         if (!ctx.channel().isActive()) {
             return false;
         }
-        byte[] answer = message(200, "", Node.body(r.id(), node.id, node.kind.answerBytes()));
-        Spoils.How how = node.how();
-        if (how != null) {
-            new Spoils(ctx, node).write(how, answer);
-        } else if (node.trickle() > 0) {
-            new Spoils(ctx, node).trickle(answer, 0);
+        byte[] response = message(200, "", Node.body(r.id(), node.id, node.kind.answerBytes()));
+        FaultyResponse.Kind fault = node.drawFault();
+        if (fault != null) {
+            new FaultyResponse(ctx, node).write(fault, response);
+        } else if (node.trickleBytesPerS() > 0) {
+            new FaultyResponse(ctx, node).trickle(response, 0);
         } else {
-            raw(answer);
+            write(response);
         }
-        return how != null;
+        return fault != null;
     }
 }
--- /dev/null
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -0,0 +1,359 @@
+package gullspar.rehearse.stage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import gullspar.decide.Balancer.Scope;
+import gullspar.proxy.io.Platform;
+import gullspar.rehearse.script.Script;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+
+/** All nodes, what starts and ends them, and discovery, which hears of that and tells the proxies late. */
+public final class NodeFleet implements Node.Context {
+    private static final long SAMPLE_NS = 250_000_000L;
+
+    private final RunEnvironment environment;
+    private final Script script;
+    private final EventLog eventLog;
+    private final Platform platform;
+    private final SplittableRandom random;
+    /** The machines with the process that runs on each, by the machine's name; null where none runs. */
+    private final Map<String, Node> nodeByMachine = new LinkedHashMap<>();
+
+    private final Map<String, Script.NodeKind> kinds = new LinkedHashMap<>();
+    private final Map<String, Double> speeds = new HashMap<>();
+    private final Map<String, String> sites = new HashMap<>();
+    private final Map<String, DiscoveryAgent.Instance> listedInstances = new LinkedHashMap<>();
+    private final Map<String, DiscoveryAgent> agents = new LinkedHashMap<>();
+    private final Map<String, Long> deliveredAtNs = new HashMap<>();
+    private final Map<String, Double> extraDelayS = new HashMap<>();
+    private final Map<String, RepeatFilter> repeatFilter = new HashMap<>();
+    private final Map<String, Double> lastBusyNs = new HashMap<>();
+    private final Map<String, Integer> lastServed = new HashMap<>();
+    private final Map<String, Integer> replacements = new HashMap<>();
+
+    public NodeFleet(RunEnvironment environment, Script script, EventLog eventLog) {
+        this.environment = environment;
+        this.script = script;
+        this.eventLog = eventLog;
+        this.platform = environment.platform("fleet");
+        this.random = new SplittableRandom(script.seed() * 31 + 1);
+        int n = 0;
+        for (Script.NodeKind k : script.nodes()) {
+            for (int i = 0; i < k.count(); i++) {
+                String machine = "n" + ++n;
+                kinds.put(machine, k);
+                speeds.put(machine, k.speed().draw(random));
+                sites.put(machine, script.sites().get((n - 1) % script.sites().size()));
+            }
+        }
+    }
+
+    /** The machines of the nodes, by name. */
+    public List<String> machines() {
+        return List.copyOf(kinds.keySet());
+    }
+
+    /** Those whose node runs. */
+    public List<String> running() {
+        return nodeByMachine.entrySet().stream()
+                .filter(e -> e.getValue() != null)
+                .map(Map.Entry::getKey)
+                .toList();
+    }
+
+    /** How many instances a machine has seen, replaced ones included. */
+    public int instanceCount(String machine) {
+        return 1 + replacements.getOrDefault(machine, 0);
+    }
+
+    public String site(String machine) {
+        return sites.get(machine);
+    }
+
+    /** Starts all nodes, warm, and a view of discovery for each proxy. */
+    public void start(List<String> proxies) {
+        for (String machine : kinds.keySet()) {
+            Node node = run(machine, machine, 0);
+            listedInstances.put(node.id, instance(node, "in_service"));
+        }
+        ServiceQueue turns = new ServiceQueue(script.discovery().answerMs());
+        for (String proxy : proxies) {
+            DiscoveryAgent a = new DiscoveryAgent(proxy, environment, eventLog, turns);
+            a.initialize(List.copyOf(listedInstances.values()));
+            a.open();
+            agents.put(proxy, a);
+        }
+        scheduleWeightUpdate();
+        scheduleSample();
+    }
+
+    /** Where discovery is for a proxy. */
+    public InetSocketAddress discoveryAddress(String proxy) {
+        return agents.get(proxy).address();
+    }
+
+    /** The list as it has come through to a proxy's machine, in discovery's form. */
+    public JsonNode listJson(String proxy) {
+        return agents.get(proxy).listJson();
+    }
+
+    /** A proxy starts with the list as it is known there: it has been told what that says. */
+    public void recordStartingList(String proxy) {
+        agents.get(proxy).recordAllAsNotified();
+    }
+
+    private Node run(String machine, String id, long bootNs) {
+        Node node = new Node(
+                this,
+                id,
+                machine,
+                sites.get(machine),
+                0,
+                kinds.get(machine),
+                speeds.get(machine),
+                bootNs,
+                random.split());
+        nodeByMachine.put(machine, node);
+        node.start();
+        return node;
+    }
+
+    private void after(double seconds, Runnable task) {
+        platform.loop().schedule(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    }
+
+    // ---- what happens to nodes ----
+
+    /** A process ends at once; 0: it stays away. */
+    public void crash(String machine, double downS) {
+        Node node = nodeByMachine.get(machine);
+        if (node == null) {
+            return;
+        }
+        eventLog.addEvent(environment.now(), node.id + " crashes");
+        node.end();
+        ended(node, script.discovery().noticeS().draw(random));
+        if (downS > 0) {
+            after(downS, () -> startInstance(machine, node.id));
+        }
+    }
+
+    @Override
+    public void collapsed(Node node) {
+        ended(node, script.discovery().noticeS().draw(random));
+    }
+
+    private void ended(Node node, double noticedAfterS) {
+        nodeByMachine.put(node.machine, null);
+        after(noticedAfterS, () -> {
+            DiscoveryAgent.Instance e = listedInstances.get(node.id);
+            boolean back = nodeByMachine.get(node.machine) != null
+                    && nodeByMachine.get(node.machine).id.equals(node.id);
+            if (e != null && !back) {
+                updateInstance(new DiscoveryAgent.Instance(
+                        e.id(),
+                        e.hostPort(),
+                        e.zone(),
+                        e.machineType(),
+                        e.cell(),
+                        "terminated",
+                        e.weight(),
+                        e.startedAtMs()));
+            }
+        });
+    }
+
+    private void startInstance(String machine, String id) {
+        if (nodeByMachine.get(machine) != null) {
+            return;
+        }
+        Node node = run(machine, id, environment.now());
+        eventLog.addEvent(environment.now(), id + " starts, cold");
+        updateInstance(instance(node, "in_service"));
+    }
+
+    /** Drains, ends; then: the same node again, another at its address, or nothing. */
+    private void leave(String machine, double graceS, double downS, String nextId) {
+        Node node = nodeByMachine.get(machine);
+        if (node == null) {
+            return;
+        }
+        eventLog.addEvent(environment.now(), node.id + " drains");
+        updateInstance(instance(node, "terminating"));
+        after(graceS, () -> {
+            if (nodeByMachine.get(machine) != node) {
+                return;
+            }
+            node.end();
+            eventLog.addEvent(environment.now(), node.id + " ends");
+            ended(node, 0);
+            if (nextId != null) {
+                after(downS, () -> startInstance(machine, nextId));
+            }
+        });
+    }
+
+    public void drain(String machine, double graceS) {
+        leave(machine, graceS, 0, null);
+    }
+
+    public void restart(String machine, double graceS, double downS) {
+        Node node = nodeByMachine.get(machine);
+        leave(machine, graceS, downS, node == null ? null : node.id);
+    }
+
+    public void replace(String machine, double graceS, double downS) {
+        leave(machine, graceS, downS, machine + "-" + (replacements.merge(machine, 1, Integer::sum) + 1));
+    }
+
+    public void stealCpu(String machine, double share) {
+        ifRunning(machine, n -> n.stealCpu(share));
+    }
+
+    public void hang(String machine, boolean on) {
+        ifRunning(machine, n -> n.hang(on));
+    }
+
+    public void spoilResponses(String machine, double share) {
+        ifRunning(machine, n -> n.spoilResponses(share));
+    }
+
+    public void trickleResponses(String machine, double bytesPerSecond) {
+        ifRunning(machine, n -> n.trickleBytesPerS(bytesPerSecond));
+    }
+
+    private void ifRunning(String machine, Consumer<Node> action) {
+        Node n = nodeByMachine.get(machine);
+        if (n != null) {
+            action.accept(n);
+        }
+    }
+
+    // ---- what happens to discovery ----
+
+    public void moveDiscovery(String proxy) {
+        agents.get(proxy).move();
+    }
+
+    public void discoveryDown(boolean on) {
+        agents.values().forEach(a -> a.down(on));
+    }
+
+    public void silenceDiscovery(String proxy, boolean on) {
+        agents.get(proxy).silenced(on);
+    }
+
+    public void delayDiscovery(String proxy, double delayS) {
+        extraDelayS.put(proxy, delayS);
+    }
+
+    public void freezeDiscovery(boolean on) {
+        agents.values().forEach(a -> a.freeze(on));
+    }
+
+    // ---- the list ----
+
+    private static DiscoveryAgent.Instance instance(Node n, String lifecycle) {
+        String at = n.address.getAddress().getHostAddress() + ":" + n.address.getPort();
+        return new DiscoveryAgent.Instance(
+                n.id, at, n.site, n.kind.kind(), n.cell, lifecycle, n.weight(), n.bootNs / 1_000_000);
+    }
+
+    private void updateInstance(DiscoveryAgent.Instance e) {
+        listedInstances.put(e.id(), e);
+        publish(List.of(e));
+        if (e.lifecycle().equals("terminated")) {
+            listedInstances.remove(e.id());
+        }
+    }
+
+    /** News go to each proxy late, each by its own draw, and in order. */
+    private void publish(List<DiscoveryAgent.Instance> changed) {
+        long now = environment.now();
+        agents.forEach((proxy, agent) -> {
+            double delayS = script.discovery().delayMs().draw(random) / 1e3 + extraDelayS.getOrDefault(proxy, 0.0);
+            long deliverAtNs = Math.max(now + (long) (delayS * 1e9), deliveredAtNs.getOrDefault(proxy, 0L));
+            deliveredAtNs.put(proxy, deliverAtNs);
+            platform.loop().schedule(() -> agent.receive(changed), deliverAtNs - now, TimeUnit.NANOSECONDS);
+        });
+    }
+
+    private void scheduleWeightUpdate() {
+        after(script.discovery().weightPeriodMs().draw(random) / 1e3, () -> {
+            List<DiscoveryAgent.Instance> changed = new ArrayList<>();
+            nodeByMachine.forEach((machine, n) -> {
+                DiscoveryAgent.Instance e = n == null ? null : listedInstances.get(n.id);
+                if (e != null && !e.isLeaving()) {
+                    changed.add(instance(n, e.lifecycle()));
+                }
+            });
+            changed.forEach(e -> listedInstances.put(e.id(), e));
+            publish(changed);
+            scheduleWeightUpdate();
+        });
+    }
+
+    @Override
+    public RepeatFilter repeatFilter(Script.RequestClass c, Node node) {
+        String scope = c.scope() == Scope.ALL ? "" : c.scope() == Scope.ZONE ? node.site : node.site + node.cell;
+        return repeatFilter.computeIfAbsent(c.name() + ">" + scope, k -> new RepeatFilter((long) (c.windowMs() * 1e6)));
+    }
+
+    // ---- what the report shows ----
+
+    private void scheduleSample() {
+        after(SAMPLE_NS / 1e9, () -> {
+            int all = 0;
+            Map<String, Integer> share = new LinkedHashMap<>();
+            for (Node n : nodeByMachine.values()) {
+                if (n != null) {
+                    int s = n.served() - lastServed.getOrDefault(n.id + n.bootNs, 0);
+                    lastServed.put(n.id + n.bootNs, n.served());
+                    share.put(n.machine, s);
+                    all += s;
+                }
+            }
+            for (Map.Entry<String, Node> e : nodeByMachine.entrySet()) {
+                Node n = e.getValue();
+                double util = Double.NaN;
+                if (n != null) {
+                    double busy = n.busyNs();
+                    util = (busy - lastBusyNs.getOrDefault(n.id + n.bootNs, 0.0)) / SAMPLE_NS / n.cores();
+                    lastBusyNs.put(n.id + n.bootNs, busy);
+                }
+                eventLog.sample(new EventLog.Sample(
+                        environment.now(),
+                        e.getKey(),
+                        n == null ? 0 : n.inFlight(),
+                        util,
+                        all == 0 ? 0 : share.getOrDefault(e.getKey(), 0) / (double) all,
+                        n != null
+                                && listedInstances.containsKey(n.id)
+                                && !listedInstances.get(n.id).isLeaving()));
+            }
+            scheduleSample();
+        });
+    }
+
+    @Override
+    public RunEnvironment environment() {
+        return environment;
+    }
+
+    @Override
+    public EventLog eventLog() {
+        return eventLog;
+    }
+
+    @Override
+    public Script script() {
+        return script;
+    }
+}
--- a/src/main/java/gullspar/rehearse/stage/NodeRequest.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeRequest.java
@@ -1,23 +1,23 @@
 package gullspar.rehearse.stage;
 
-import gullspar.rehearse.stage.Try.Attempt;
+import gullspar.rehearse.stage.ClientRequest.Attempt;
 
 /** A request that a node has whole, from then to its end. */
 final class NodeRequest {
     private final NodeConnection connection;
-    private final Try request;
+    private final ClientRequest request;
     private final Attempt attempt;
     /** When its sender stops waiting. */
-    private final long until;
+    private final long deadline;
 
-    private Machine.Job job;
-    private boolean repeat;
+    private CpuModel.Job job;
+    private boolean isRepeat;
 
-    NodeRequest(NodeConnection connection, Try request, Attempt attempt, long until) {
+    NodeRequest(NodeConnection connection, ClientRequest request, Attempt attempt, long deadline) {
         this.connection = connection;
         this.request = request;
         this.attempt = attempt;
-        this.until = until;
+        this.deadline = deadline;
     }
 
     Order order() {
@@ -28,57 +28,57 @@
         return request.id;
     }
 
-    boolean repeat() {
-        return repeat;
+    boolean isRepeat() {
+        return isRepeat;
     }
 
-    boolean running() {
-        return job.running();
+    boolean isRunning() {
+        return job.isRunning();
     }
 
     /** Would nobody wait for its answer any more? */
-    boolean late(long now) {
-        return now > until;
+    boolean isExpired(long now) {
+        return now > deadline;
     }
 
     /** It has a place; a repeat takes no effect. */
-    void taken(Machine.Job work, boolean isRepeat) {
-        job = work;
-        repeat = isRepeat;
+    void admitted(CpuModel.Job admittedJob, boolean repeatDetected) {
+        job = admittedJob;
+        isRepeat = repeatDetected;
         attempt.state = Attempt.State.WAITS;
     }
 
     void started(long now) {
         attempt.startedAt = now;
-        attempt.state = repeat ? Attempt.State.REPEAT : Attempt.State.RUNS;
+        attempt.state = isRepeat ? Attempt.State.REPEAT : Attempt.State.RUNS;
     }
 
     /** Turns it away, with the word that it was not started. */
-    void turnAway(int status) {
+    void reject(int status) {
         attempt.state = Attempt.State.TURNED_AWAY;
-        attempt.endedAt = connection.turnAway(status);
+        attempt.endedAt = connection.reject(status);
     }
 
     /** Is it in the node's hands? */
-    boolean held() {
+    boolean isHeld() {
         return job != null && attempt.endedAt == 0;
     }
 
     /** It is dropped; returns its work. */
-    Machine.Job dropped(long now) {
+    CpuModel.Job drop(long now) {
         attempt.state = Attempt.State.DROPPED;
         attempt.endedAt = now;
         return job;
     }
 
     /** Its work is done: it has taken effect, and its answer goes out if anybody is there. */
-    void done(long now) {
+    void complete(long now) {
         attempt.endedAt = now;
-        attempt.state = repeat ? Attempt.State.REPEAT : Attempt.State.SERVED;
-        if (!repeat) {
+        attempt.state = isRepeat ? Attempt.State.REPEAT : Attempt.State.SERVED;
+        if (!isRepeat) {
             request.order.effects++;
         }
-        if (connection.answer(this)) {
+        if (connection.respond(this)) {
             attempt.state = Attempt.State.FAILED;
         }
     }
--- a/src/main/java/gullspar/rehearse/stage/RunEnvironment.java
+++ b/src/main/java/gullspar/rehearse/stage/RunEnvironment.java
@@ -7,7 +7,7 @@
 /** Where a rehearsal plays: in virtual time and memory, or live on loopback sockets. */
 public interface RunEnvironment {
     /** What the process of a stand-in's machine stands on; all stand-ins share one event loop. */
-    Platform at(String machine);
+    Platform platform(String machine);
 
     /** Unix time in ns, on the day's clock. */
     long now();
@@ -19,8 +19,8 @@
     long sentAt(Channel channel);
 
     /** It has turned out whose connection a channel is. */
-    default void peer(Channel channel, String machine) {}
+    default void setPeer(Channel channel, String machine) {}
 
     /** The process of a stand-in's machine ends: its connections are reset and its listeners are gone. */
-    void ended(String machine);
+    void processEnded(String machine);
 }
--- a/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
+++ b/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
@@ -2,17 +2,17 @@
 
 /** One service for all callers: it works through their calls in turn. */
 final class ServiceQueue {
-    private final long eachNs;
+    private final long serviceTimeNs;
     private long freeAt;
 
     /** Each call takes so long; 0 for one that answers at once. */
     ServiceQueue(double eachMs) {
-        eachNs = (long) (eachMs * 1e6);
+        serviceTimeNs = (long) (eachMs * 1e6);
     }
 
     /** A call that comes now is answered after so long, in ns. */
-    long next(long now) {
-        freeAt = Math.max(freeAt, now) + eachNs;
+    long enqueue(long now) {
+        freeAt = Math.max(freeAt, now) + serviceTimeNs;
         return freeAt - now;
     }
 }
--- a/src/test/java/gullspar/proxy/SeededFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SeededFaultsTest.java
@@ -105,7 +105,7 @@
     private void failCalls(SystemCall call, Random random) throws Exception {
         proxy.faults.failOneIn(1 + random.nextInt(4), call, SHORTAGES.get(random.nextInt(SHORTAGES.size())));
         TimeUnit.MILLISECONDS.sleep(random.nextLong(MAX_FAULT_MS));
-        proxy.faults.heal(call);
+        proxy.faults.restore(call);
     }
 
     private void stopProcess(Random random) throws Exception {
--- a/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
@@ -49,12 +49,12 @@
     @EnumSource(names = {"ENOBUFS", "EMFILE"})
     void recoversFromSocketFailures(ErrorNumber error) throws Exception {
         proxy.start().awaitReady();
-        proxy.faults.fail(SystemCall.SOCKET, error);
+        proxy.faults.failAll(SystemCall.SOCKET, error);
         for (int i = 0; i < REQUESTS; i++) {
             assertTrue(proxy.sendRequest() != 200, "a backend was reached without a socket");
         }
         proxy.awaitMetric("descriptors_backends", 0);
-        proxy.faults.heal(SystemCall.SOCKET);
+        proxy.faults.restore(SystemCall.SOCKET);
         proxy.awaitServing(20);
     }
 
@@ -62,12 +62,12 @@
     @EnumSource(names = {"ENOBUFS", "EACCES"})
     void recoversFromConnectFailures(ErrorNumber error) throws Exception {
         proxy.start().awaitReady();
-        proxy.faults.fail(SystemCall.CONNECT, error);
+        proxy.faults.failAll(SystemCall.CONNECT, error);
         for (int i = 0; i < REQUESTS; i++) {
             proxy.sendRequest();
         }
         proxy.awaitMetric("descriptors_backends", 0);
-        proxy.faults.heal(SystemCall.CONNECT);
+        proxy.faults.restore(SystemCall.CONNECT);
         proxy.awaitServing(20);
     }
 
@@ -98,7 +98,7 @@
     @ParameterizedTest
     @EnumSource(names = {"EIO", "ENOSPC", "EPIPE"})
     void servesAndExitsWhileItsLogCannotBeWritten(ErrorNumber error) throws Exception {
-        proxy.faults.fail(SystemCall.WRITE_LOG, error);
+        proxy.faults.failAll(SystemCall.WRITE_LOG, error);
         proxy.start();
         proxy.awaitServing(5);
         proxy.assertCleanExit();
@@ -107,10 +107,10 @@
     @ParameterizedTest
     @EnumSource(names = {"SOCKET", "BIND", "LISTEN"})
     void startsAfterInitialListenFailures(SystemCall call) throws Exception {
-        proxy.faults.fail(call, ErrorNumber.ENOBUFS);
+        proxy.faults.failAll(call, ErrorNumber.ENOBUFS);
         proxy.start().awaitLine("configured: ");
         TimeUnit.MILLISECONDS.sleep(STARTUP_FAILURE_MS);
-        proxy.faults.heal(call);
+        proxy.faults.restore(call);
         proxy.awaitReady().awaitServing(1);
     }
 
--- a/src/test/java/gullspar/rehearse/Days.java
+++ b/src/test/java/gullspar/rehearse/Days.java
@@ -66,18 +66,18 @@
     private Days() {}
 
     /** A small day with what follows the tables: faults, rules. */
-    public static Script small(double seconds, String more) {
-        return small(seconds, 150, more);
+    public static Script small(double seconds, String tables) {
+        return small(seconds, 150, tables);
     }
 
     /** The same with another rate, in requests a second. */
-    public static Script small(double seconds, int rate, String more) {
-        return parse(SMALL.formatted(seconds, rate, more));
+    public static Script small(double seconds, int rate, String tables) {
+        return parse(SMALL.formatted(seconds, rate, tables));
     }
 
     /** The text of a small day. */
-    public static String text(double seconds, String more) {
-        return SMALL.formatted(seconds, 150, more);
+    public static String text(double seconds, String tables) {
+        return SMALL.formatted(seconds, 150, tables);
     }
 
     public static Script parse(String text) {
--- a/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
+++ b/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
@@ -8,7 +8,7 @@
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.script.Script;
-import gullspar.rehearse.stage.Look;
+import gullspar.rehearse.stage.FleetSnapshot;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
@@ -72,9 +72,10 @@
                         .toList(),
                 () -> String.join("\n", p.log()));
         // All of it was there to be seen.
-        Map<String, Set<String>> lives = p.eventLog().looks().stream()
+        Map<String, Set<String>> lives = p.eventLog().fleetSnapshots().stream()
                 .collect(Collectors.groupingBy(
-                        Look::proxy, Collectors.mapping(Look::life, Collectors.toCollection(TreeSet::new))));
+                        FleetSnapshot::proxy,
+                        Collectors.mapping(FleetSnapshot::life, Collectors.toCollection(TreeSet::new))));
         assertEquals(7, lives.size());
         assertEquals(
                 List.of(1, 1, 2, 1, 2, 2, 1),
@@ -83,12 +84,15 @@
                         .map(e -> e.getValue().size())
                         .toList(),
                 "lives of each");
-        assertTrue(p.eventLog().looks().stream().anyMatch(Look::cutOff), "a minority said that it is one");
-        Look last = p.eventLog().looks().stream()
-                .max(Comparator.comparingLong(Look::at))
+        assertTrue(
+                p.eventLog().fleetSnapshots().stream().anyMatch(FleetSnapshot::cutOff),
+                "a minority said that it is one");
+        FleetSnapshot last = p.eventLog().fleetSnapshots().stream()
+                .max(Comparator.comparingLong(FleetSnapshot::at))
                 .orElseThrow();
         assertEquals(
-                6, last.seen().stream().filter(s -> s.status().equals("alive")).count());
+                6,
+                last.members().stream().filter(s -> s.status().equals("alive")).count());
         for (String said : List.of(
                 "p3 is gone, accused by p",
                 "p2 is back",
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -54,8 +54,8 @@
         assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 is back");
         assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
         assertTrue(p.log().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
-        assertTrue(p.eventLog().happenings().stream()
-                .map(EventLog.Happening::what)
+        assertTrue(p.eventLog().events().stream()
+                .map(EventLog.Event::description)
                 .anyMatch(w -> w.equals("n2 starts, cold")));
         assertFalse(heard.isEmpty());
         // Rules that no slow machine excuses.
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -138,8 +138,8 @@
         Played p = VirtualPlay.play(s, VirtualPlay.Options.plain());
         assertEquals(List.of(), p.verdict().broken());
         assertTrue(
-                p.eventLog().looks().size() > 500,
-                "looked " + p.eventLog().looks().size());
+                p.eventLog().fleetSnapshots().size() > 500,
+                "looked " + p.eventLog().fleetSnapshots().size());
         assertTrue(p.log().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")), "who is cut off says so");
         assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "again"));
         assertEquals(p.hash(), VirtualPlay.play(s, VirtualPlay.Options.plain()).hash());
