--- a/src/main/java/gullspar/rehearse/faults/ErrorNumber.java
+++ b/src/main/java/gullspar/rehearse/faults/ErrorNumber.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.faults;
 
-/** Errors of system calls, with Linux's numbers. */
+/** Errors of system calls, with their numbers on Linux. */
 public enum ErrorNumber {
     EINTR(4),
     EIO(5),
--- a/src/main/java/gullspar/rehearse/faults/SystemCall.java
+++ b/src/main/java/gullspar/rehearse/faults/SystemCall.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.faults;
 
-/** The calls that can be made to fail, in the order of system-calls.c. */
+/** The system calls that can be made to fail, in the order of {@code enum call} in system-calls.c. */
 public enum SystemCall {
     SOCKET,
     ACCEPT,
--- a/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
+++ b/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
@@ -10,7 +10,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 
-/** Makes system calls of processes fail that are started with {@link #environment}; nothing fails at first. */
+/** Makes system calls fail in processes started with {@link #environment}; at first none fails. */
 public final class SystemCallFaults {
     private static final String SOURCE = "system-calls.c";
 
@@ -24,7 +24,7 @@
         this.controlWords = words;
     }
 
-    /** Builds the library in that folder, with the system's C compiler; an IOException says why it cannot. */
+    /** Builds the library in that folder with the system's C compiler; an IOException says why that failed. */
     public static SystemCallFaults buildIn(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE);
         try (InputStream in = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
@@ -50,29 +50,29 @@
                     .redirectOutput(log.toFile())
                     .start();
         } catch (IOException e) {
-            throw new IOException("no C compiler: 'cc' is wanted to make system calls fail", e);
+            throw new IOException("cannot run the C compiler 'cc', which is needed to make system calls fail", e);
         }
         if (compiler.waitFor() != 0) {
-            throw new IOException("cc failed: " + Files.readString(log));
+            throw new IOException("compiling the library for system call faults failed: " + Files.readString(log));
         }
     }
 
-    /** The variables of a process whose calls are to fail. */
+    /** The environment variables for a process whose calls are to fail. */
     public Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "GULLSPAR_FAULTS", control.toString());
     }
 
-    /** From now on each such call fails. */
+    /** Makes each such call fail from now on. */
     public void failAll(SystemCall call, ErrorNumber error) {
         failOneIn(1, call, error);
     }
 
-    /** From now on one such call in so many fails. */
+    /** Makes one in that many such calls fail from now on. */
     public void failOneIn(int calls, SystemCall call, ErrorNumber error) {
         controlWords.putInt(call.ordinal() * Integer.BYTES, calls << Short.SIZE | error.number);
     }
 
-    /** Such calls work again. */
+    /** Lets such calls succeed again. */
     public void restore(SystemCall call) {
         controlWords.putInt(call.ordinal() * Integer.BYTES, 0);
     }
--- a/src/main/java/gullspar/rehearse/stage/CapacityHistory.java
+++ b/src/main/java/gullspar/rehearse/stage/CapacityHistory.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a node could do over the last while, as that changed: no clock of its own. */
+/** The recent history of a node's capacity; the caller passes the time. */
 final class CapacityHistory {
-    /** From a time on it could do so much, in ns of work in a ns. */
+    /** A capacity in ns of work per ns, valid from that time on. */
     private record Change(long at, double capacity) {}
 
     private final Deque<Change> changes = new ArrayDeque<>();
 
-    /** From now on it can do that. */
+    /** Records the capacity that is valid from now on. */
     void record(long now, double capacity) {
         if (!changes.isEmpty() && changes.peekLast().at == now) {
             changes.removeLast();
@@ -21,12 +21,12 @@
     }
 
     /**
-     * All the work that it could have done in the time up to now, in ns; before the first word it was as
-     * then.
+     * The work, in ns, that the node could have done in the span that ends now. The first recorded capacity
+     * also counts for the time before it.
      */
     double workNs(long spanNs, long now) {
         long from = now - spanNs;
-        // Of those before the span the last one says how it began.
+        // The last change before the span holds the capacity at its start.
         while (changes.size() > 1 && second().at <= from) {
             changes.removeFirst();
         }
--- a/src/main/java/gullspar/rehearse/stage/ClientRequest.java
+++ b/src/main/java/gullspar/rehearse/stage/ClientRequest.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * One request of a client, as the client and the nodes saw it. Times in ns on the day's clock, 0 for never.
+ * One request of a client, as the client and the nodes saw it. Times are in ns on the day's clock, 0 for never.
  */
 public final class ClientRequest {
-    /** How it ended for its client. */
+    /** How the request ended for its client. */
     public enum Ending {
         OPEN,
         ANSWERED,
@@ -22,17 +22,17 @@
     public String proxy = "";
     public final long deadline;
     public long sentAt;
-    /** When the proxy sent its answer, and when that was whole at the client. */
+    /** When the proxy sent its response; {@link #endedAt} is when the client had received all of it. */
     public long respondedAt;
 
     public long endedAt;
     public int status;
     public Ending ending = Ending.OPEN;
-    /** The first request on its connection? */
+    /** Whether it was the first request on its connection. */
     public boolean firstOnConnection;
-    /** Sent once more, since its connection was closed as it came. */
+    /** Whether it was resent because the proxy closed the idle connection while the request was under way. */
     public boolean resent;
-    /** An answer that is not what a node made for it, or one too many; null if there was none. */
+    /** What was wrong: a response that no node made for this request, or a second one; null for neither. */
     public String responseError;
 
     public final List<Attempt> attempts = new ArrayList<>(1);
@@ -43,9 +43,9 @@
         this.deadline = deadline;
     }
 
-    /** One attempt of a proxy for it, as its node saw it. */
+    /** One attempt of the proxy for this request, as the node saw it. */
     public static final class Attempt {
-        /** What became of it at the node. */
+        /** The state of the attempt at the node. */
         public enum State {
             PART,
             WAITS,
@@ -63,7 +63,7 @@
         public long receivedAt;
         public long startedAt;
         public long endedAt;
-        /** The time that the proxy gave it, in ns; MAX_VALUE where it said none. */
+        /** The time-out that the proxy sent along; MAX_VALUE if it sent none. */
         public long timeoutNs = Long.MAX_VALUE;
 
         public State state = State.PART;
@@ -74,7 +74,7 @@
             this.sentAt = sentAt;
         }
 
-        /** Its last byte has come and the node never said that it did not start: it may have run. */
+        /** Whether its last byte arrived and the node did not report it as not started. */
         public boolean mayHaveRun() {
             return receivedAt != 0 && state != State.TURNED_AWAY;
         }
--- a/src/main/java/gullspar/rehearse/stage/CpuModel.java
+++ b/src/main/java/gullspar/rehearse/stage/CpuModel.java
@@ -5,12 +5,12 @@
 import java.util.PriorityQueue;
 
 /**
- * The processors of a node: a model with no clock of its own and no I/O. Up to so many jobs run side by side
- * and share the cores evenly (processor sharing), the rest wait in line. Work is in ns of one core at speed
- * 1.
+ * A model of a node's processors, without a clock or I/O. Up to {@code slots} jobs run concurrently and
+ * share the cores evenly (processor sharing); further jobs wait in a queue. Work is in ns of one core at
+ * speed 1.
  */
 final class CpuModel {
-    /** One request's work. */
+    /** The work of one request. */
     static final class Job {
         final Object payload;
         private final double workNs;
@@ -38,9 +38,9 @@
         return order != 0 ? order : Long.compare(a.number, b.number);
     });
     private final Deque<Job> waiting = new ArrayDeque<>();
-    /** The share of its power that it has now, 0 to 1. */
+    /** The share of the full capacity that is available now, 0 to 1. */
     private double capacityShare = 1;
-    /** Work that each running job has got since the beginning, had it run all along. */
+    /** The work that a job running since the start would have received so far. */
     private double attainedNs;
 
     private double busyNs;
@@ -55,7 +55,7 @@
         this.updatedAtNs = now;
     }
 
-    /** What each running job gets, in ns of work in a ns. */
+    /** The work that each running job receives, in ns per ns. */
     private double rate() {
         return running.isEmpty() ? 0 : speed * capacityShare * Math.min(1, cores / (double) running.size());
     }
@@ -67,13 +67,13 @@
         updatedAtNs = Math.max(updatedAtNs, now);
     }
 
-    /** Changes the share of its power that it has. */
+    /** Sets the share of the full capacity that is available. */
     void capacityShare(double share, long now) {
         advance(now);
         capacityShare = share;
     }
 
-    /** Takes a job, to run or to wait; false if it is full. */
+    /** Runs or queues a job; false if the queue is full. */
     boolean offer(Job j, long now) {
         advance(now);
         if (running.size() < slots) {
@@ -93,7 +93,6 @@
         running.add(j);
     }
 
-    /** Drops a job. */
     void drop(Job j, long now) {
         advance(now);
         j.finished = true;
@@ -102,7 +101,7 @@
         }
     }
 
-    /** A job that waits and may run now, with a place for it; null if there is none. The caller starts it. */
+    /** Removes the first waiting job if a slot is free, for the caller to start; otherwise null. */
     Job pollWaiting() {
         return running.size() < slots ? waiting.poll() : null;
     }
@@ -112,11 +111,11 @@
         start(j);
     }
 
-    /** The next job that is done by then; null if there is none. */
+    /** Removes and returns the next job that is done by then; null if there is none. */
     Job pollDone(long now) {
         advance(now);
         Job j = running.peek();
-        // Half a ns: what rounding may leave of a job when its time has come.
+        // Rounding may leave up to half a ns of work when a job is due to end.
         if (j == null || j.endsAtNs > attainedNs + 0.5) {
             return null;
         }
@@ -125,7 +124,7 @@
         return j;
     }
 
-    /** When the next job will be done if nothing changes, in ns; Long.MAX_VALUE if none will. */
+    /** When the next job will be done if nothing changes; Long.MAX_VALUE if none will. */
     long nextDoneAtNs() {
         double rate = rate();
         if (rate <= 0) {
@@ -143,7 +142,7 @@
         return waiting.size();
     }
 
-    /** The core time used so far, in ns. */
+    /** The core time used so far. */
     double busyNs(long now) {
         advance(now);
         return busyNs;
--- a/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
+++ b/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
@@ -23,12 +23,12 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery as one proxy sees it: what has come through to its machine, and the watches on it. */
+/** Simulated discovery as one proxy sees it: the list that has reached its machine, and the watches on it. */
 final class DiscoveryAgent {
     private static final long HEARTBEAT_MS = 2000;
-    /** After it has moved, open watches at the old address stay so long. */
+    /** How long watches at the old address stay open after a move. */
     private static final long OLD_WATCH_CLOSE_DELAY_MS = 1500;
-    /** What it has had for so long, while it could be reached, has to be known. */
+    /** A proxy must know a change once the agent has held it for this long while reachable. */
     private static final long DELIVERY_LIMIT_MS = 6000;
 
     /** An instance as listed. */
@@ -67,7 +67,7 @@
     private final EventLog eventLog;
     private final String machine;
     private final ServiceQueue callQueue;
-    /** By instance; those that are gone stay, so that an old watch can be told. */
+    /** By instance id; terminated ones are kept so that a watch resumed from an old version receives them. */
     private Map<String, Versioned> instances = new LinkedHashMap<>();
 
     private Map<String, Versioned> frozenInstances;
@@ -80,7 +80,7 @@
     private int moves;
     private boolean silenced;
     private boolean down;
-    /** How often it began or ceased to be reachable, with what it has. */
+    /** Counts changes of reachability or of the list served, so that notices scheduled before one are void. */
     private int stateChanged;
 
     DiscoveryAgent(String proxy, RunEnvironment environment, EventLog eventLog, ServiceQueue callQueue) {
@@ -92,7 +92,7 @@
         this.platform = environment.platform(machine);
     }
 
-    /** What is known before the day begins. */
+    /** Sets the list known before the day starts. */
     void initialize(List<Instance> list) {
         list.forEach(e -> instances.put(e.id(), new Versioned(e, version)));
     }
@@ -119,7 +119,7 @@
         return address;
     }
 
-    /** Another address from now on; the old one takes nothing new and ends its watches a little later. */
+    /** Moves to another address; the old one accepts no connections and closes its watches a little later. */
     void move() {
         Set<Watch> oldWatches = new LinkedHashSet<>(watches);
         listener.close();
@@ -137,14 +137,14 @@
         down = on;
         if (on) {
             listener.close();
-            List.copyOf(watches).forEach(Watch::close); // in order: a copied set has none
+            List.copyOf(watches).forEach(Watch::close); // a list keeps the order, a copied set does not
         } else {
             listen();
         }
         stateChanged();
     }
 
-    /** Whatever it has counts from now on, if it can be reached. */
+    /** Restarts the time limit of all instances: they count as available from now on, if reachable. */
     private void stateChanged() {
         stateChanged++;
         scheduleDueNotices(instances.values().stream().map(Versioned::instance).toList());
@@ -178,14 +178,14 @@
         }
     }
 
-    /** Watches that are opened from now on get the list as it is now; or the real one again. */
+    /** On: watches opened from now on get the present list, however it changes; off: the real one again. */
     void freeze(boolean on) {
         frozenInstances = on ? new LinkedHashMap<>(instances) : null;
         frozenVersion = version;
         stateChanged();
     }
 
-    /** News have come through. */
+    /** Applies changes that have reached this machine. */
     void receive(List<Instance> changed) {
         version++;
         changed.forEach(e -> instances.put(e.id(), new Versioned(e, version)));
@@ -202,7 +202,7 @@
         watches.stream().filter(w -> w.started).forEach(w -> w.sendUpdate(line, changed));
     }
 
-    /** The whole list, without what is gone. */
+    /** The whole list, without terminated instances. */
     ObjectNode listJson() {
         return updateLine(
                 version,
@@ -213,7 +213,7 @@
                         .toList());
     }
 
-    /** A proxy starts with what is known here. */
+    /** Records that a starting proxy knows the present list. */
     void recordAllAsNotified() {
         instances
                 .values()
@@ -228,10 +228,10 @@
         return line;
     }
 
-    /** One connection to it. */
+    /** One connection to the agent. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private ChannelHandlerContext ctx;
-        /** Its call has had its turn; until then it hears nothing. */
+        /** Set once the call has been served from the queue; no updates are sent before. */
         private boolean started;
 
         @Override
@@ -266,7 +266,7 @@
             }
         }
 
-        /** What changed after that version; the whole list for a version that it never had. */
+        /** Sends what changed after that version; the whole list if the version is unknown. */
         private void sendFirstUpdate(long index) {
             Map<String, Versioned> from = frozenInstances != null ? frozenInstances : instances;
             long currentVersion = frozenInstances != null ? frozenVersion : version;
--- a/src/main/java/gullspar/rehearse/stage/EventLog.java
+++ b/src/main/java/gullspar/rehearse/stage/EventLog.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 
-/** All that happened on a day, as seen from outside the proxies: what the judge and the report go by. */
+/** All events of a day as seen from outside the proxies; the input of the judge and the report. */
 public final class EventLog {
-    /** A proxy was told by then that a node is in service, drains or is gone. */
+    /** At that time a proxy was notified that a node is in service, or that it drains or has ended. */
     public record Notice(long at, boolean leaving) {}
 
-    /** Something that happened, in words. */
+    /** An event with its description. */
     public record Event(long at, String description) {}
 
-    /** A stretch of time in which something was so; until MAX_VALUE while it lasts. */
+    /** A time interval during which a condition held; until is MAX_VALUE while it lasts. */
     public record Interval(long from, long until) {
         public boolean overlaps(long a, long b) {
             return from <= b && a <= until;
         }
     }
 
-    /** A node at one moment: held in requests, util 0 to 1 or NaN while it is down. */
+    /** The state of a node at one time: inFlight in requests, util 0 to 1 or NaN while it is down. */
     public record Sample(long at, String node, int inFlight, double util, double share, boolean listed) {}
 
     private long start;
@@ -30,13 +30,13 @@
     private final List<Order> orders = new ArrayList<>();
     private final Map<String, ClientRequest> requests = new HashMap<>();
     private final Map<String, List<Notice>> notified = new HashMap<>();
-    /** The same by what discovery has had for long enough, whether or not any watch heard it. */
+    /** What a proxy should know because discovery has offered it long enough, with or without a watch. */
     private final Map<String, List<Notice>> noticeDue = new HashMap<>();
 
     private final List<Event> events = new ArrayList<>();
     private final List<Event> crashes = new ArrayList<>();
     private final Map<String, Long> collapsedAt = new LinkedHashMap<>();
-    /** Stretches in which a proxy was not itself, or the way to it was not sound: by proxy. */
+    /** Intervals in which a proxy, or the network path to it, was disturbed: by proxy. */
     private final Map<String, List<Interval>> disrupted = new HashMap<>();
 
     private final List<Sample> samples = new ArrayList<>();
@@ -49,25 +49,25 @@
     private final List<Partition> partitioned = new ArrayList<>();
     private final Map<String, List<Interval>> isolated = new HashMap<>();
 
-    /** Stands behind a proxy's name where a second process is meant that lives under it. */
+    /** Suffix of a proxy's name for a second process that runs under the same name. */
     public static final String TWIN = "+";
 
-    /** The name that a process has among the others. */
+    /** The name under which a process appears in the fleet. */
     public static String baseName(String process) {
         return process.endsWith(TWIN) ? process.substring(0, process.length() - TWIN.length()) : process;
     }
 
-    /** One process of a proxy, or its twin, from its start to its end; MAX_VALUE while it lives. */
+    /** One process of a proxy, or its twin, from start to end; until is MAX_VALUE while it runs. */
     public record Life(String proxy, long from, long until) {
         public String name() {
             return baseName(proxy);
         }
     }
 
-    /** Some proxies heard nothing of the others. */
+    /** A network partition between a group of proxies and all others. */
     public record Partition(long from, long until, List<String> group) {}
 
-    /** The day begins now: times in reports count from here. */
+    /** Marks the start of the day, from which times in reports count. */
     public void markStart(long now) {
         start = now;
     }
@@ -84,21 +84,21 @@
         requests.put(t.id, t);
     }
 
-    /** The request of that id; null if no client sent one and strangers are not served. */
+    /** The request of that id; null if no client sent it and unknown requests are not served. */
     public ClientRequest request(String id, String path) {
         ClientRequest t = requests.get(id);
         return t == null && manualRequests != null && !id.isEmpty() ? manualRequests.apply(id, path) : t;
     }
 
     /**
-     * From now on nodes also serve requests that no client of the day sent: the function makes a try of such
-     * a request's id and path, or null.
+     * Makes nodes also serve requests that no simulated client sent: the function creates a request from an id
+     * and a path, or returns null.
      */
     public void serveUnknownRequests(BiFunction<String, String, ClientRequest> maker) {
         manualRequests = maker;
     }
 
-    /** Forgets the orders before a time: a day without end must not grow. */
+    /** Discards orders and samples before a time, so that a day without an end does not use more and more memory. */
     public void discardBefore(long time) {
         while (!orders.isEmpty() && orders.get(0).at < time) {
             orders.remove(0).requests.forEach(t -> requests.remove(t.id));
@@ -110,7 +110,7 @@
         addNotice(notified, proxy, node, leaving, at);
     }
 
-    /** From now on a proxy has to know it, however it fared with its calls. */
+    /** From now on the proxy should know it, whether or not its calls to discovery succeeded. */
     void noticeDue(String proxy, String node, boolean leaving, long at) {
         addNotice(noticeDue, proxy, node, leaving, at);
     }
@@ -122,12 +122,12 @@
         }
     }
 
-    /** When a proxy was told that a node leaves, if that is what it last heard by that time; else 0. */
+    /** When the proxy was notified that the node leaves, if that was its last notice by then; else 0. */
     public long notifiedLeavingAt(String proxy, String node, long by) {
         return leavingSince(notified, proxy, node, by);
     }
 
-    /** When a proxy had to know at the latest that a node leaves, if that still holds by then; else 0. */
+    /** The time by which the proxy should have known that the node leaves, if that still holds by then; else 0. */
     public long dueLeavingAt(String proxy, String node, long by) {
         return leavingSince(noticeDue, proxy, node, by);
     }
@@ -151,17 +151,17 @@
         addEvent(at, node + " was pushed over while it was cold");
     }
 
-    /** From now on requests that a proxy holds may go without an answer: it is killed, stands still... */
+    /** Adds an interval in which requests may get no response from a proxy, as it is killed or paused. */
     public void addDisruption(String proxy, long from, long until) {
         disrupted.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
-    /** Was the proxy, or the way to it, out of order at any time between the two? */
+    /** Whether the proxy, or the network path to it, was disturbed at any time between the two. */
     public boolean disrupted(String proxy, long from, long until) {
         return disrupted.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.overlaps(from, until));
     }
 
-    /** A proxy has ended, and nobody told it to. */
+    /** Records that a proxy ended without being stopped. */
     public void addCrash(String proxy, String cause, long at) {
         crashes.add(new Event(at, proxy + " ended by itself: " + cause));
         addEvent(at, proxy + " ended by itself: " + cause);
@@ -169,12 +169,11 @@
 
     // ---- the view of the fleet ----
 
-    /** A process of a proxy has begun. */
     public void processStarted(String proxy, long at) {
         lives.add(new Life(proxy, at, Long.MAX_VALUE));
     }
 
-    /** The last process of a proxy has ended. */
+    /** Records the end of the last process of a proxy. */
     public void processEnded(String proxy, long at) {
         for (int i = lives.size() - 1; i >= 0; i--) {
             Life l = lives.get(i);
@@ -185,17 +184,17 @@
         }
     }
 
-    /** In that time a proxy may have been seen wrongly, or have seen others so. */
+    /** Adds an interval in which the proxy's view of others, or theirs of it, may be wrong. */
     public void unsettled(String proxy, long from, long until) {
         unsettled.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
-    /** In that time a proxy heard nothing of any other. */
+    /** Adds an interval in which the proxy received nothing from any other. */
     public void isolated(String proxy, long from, long until) {
         isolated.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
-    /** Was it so all the time between the two? */
+    /** Whether the proxy was isolated during all the time between the two. */
     public boolean wasIsolatedThroughout(String proxy, long from, long until) {
         return isolated.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
     }
@@ -204,7 +203,7 @@
         partitioned.add(new Partition(from, until, List.copyOf(group)));
     }
 
-    /** A proxy was asked how it sees the fleet. */
+    /** Records a proxy's view of the fleet. */
     public void addFleetSnapshot(FleetSnapshot l) {
         fleetSnapshots.add(l);
     }
@@ -222,8 +221,8 @@
     }
 
     /**
-     * When the last stretch ended, at that time, in which a proxy was unsettled; MIN_VALUE if there was
-     * none.
+     * The end of the last unsettled interval of a proxy that started by that time, but not after that time;
+     * MIN_VALUE if there was none.
      */
     public long settledSince(String proxy, long at) {
         long last = Long.MIN_VALUE;
@@ -267,7 +266,7 @@
         return samples;
     }
 
-    /** Requests that made no sense and were served all the same. */
+    /** Texts of malformed requests that were served nevertheless. */
     public List<String> servedMalformedRequests() {
         return servedMalformedRequests;
     }
@@ -276,7 +275,7 @@
         return misbehavingClientCount;
     }
 
-    /** Rude clients that got neither an error nor a close in time. */
+    /** The number of misbehaving clients that got neither an error nor a close in time. */
     public int unansweredMisbehavingClients() {
         return unansweredMisbehavingClients;
     }
--- a/src/main/java/gullspar/rehearse/stage/FaultyResponse.java
+++ b/src/main/java/gullspar/rehearse/stage/FaultyResponse.java
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 
-/** Answers as no proxy wants them. */
+/** Writes faulty or slow responses of a node. */
 final class FaultyResponse {
-    /** In which way. */
+    /** The kind of fault. */
     enum Kind {
         NOISE,
         NEGATIVE_LENGTH,
@@ -37,7 +37,7 @@
         writeBytes(s.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Writes an answer that was good in that way. */
+    /** Writes a valid response with that fault. */
     void write(Kind kind, byte[] response) {
         switch (kind) {
             case NOISE -> writeText("\u0001\u0002 noise that is no answer\r\n\r\n");
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Writes an answer a little at a time, from that byte on. */
+    /** Writes a response slowly, from that byte on. */
     void trickle(byte[] response, int from) {
         if (!ctx.channel().isActive() || !node.isUp()) {
             return;
--- a/src/main/java/gullspar/rehearse/stage/FleetSnapshot.java
+++ b/src/main/java/gullspar/rehearse/stage/FleetSnapshot.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * How a proxy said that it sees the fleet, as it answers operators at {@code /_fleet}.
+ * A proxy's view of the fleet, as reported at {@code /_fleet}.
  *
  * @param proxy the process that was asked: a proxy's name, or that of its twin
- * @param sentBytes what it has sent since its start
- * @param objections how often it had to say that it lives
+ * @param sentBytes the bytes in datagrams sent since its start
+ * @param objections how often it had to refute a statement that it is dead or suspected
  */
 public record FleetSnapshot(
         long at,
@@ -24,23 +24,23 @@
         List<SeenMember> members) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MIN_INTERVAL_MS = 250;
-    /** Answers grow with the fleet: a larger one is asked less often. */
+    /** Up to this many proxies are polled at the minimum interval; responses grow with the fleet. */
     private static final int SMALL_FLEET = 25;
 
-    /** How long after the last time each of so many proxies is asked again, in ms. */
+    /** The interval at which each proxy of a fleet of that size is polled. */
     public static long intervalMs(int proxies) {
         return MIN_INTERVAL_MS * Math.max(SMALL_FLEET, proxies) / SMALL_FLEET;
     }
 
-    /** One life of another proxy, as it is seen. */
+    /** One process of another proxy, as the polled one sees it. */
     public record SeenMember(String name, String life, String status, int incarnation, boolean twin) {
-        /** Is it held for somebody who is there, or may be? */
+        /** Whether it is considered alive or possibly alive. */
         public boolean isPresent() {
             return status.equals("alive") || status.equals("suspected");
         }
     }
 
-    /** Reads the answer of a process; an IOException if it is none. */
+    /** Parses the response of a process; an IOException if it is not JSON. */
     public static FleetSnapshot parse(long at, String process, String response) throws IOException {
         JsonNode n = JSON.readTree(response);
         List<SeenMember> seen = new ArrayList<>();
--- a/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
+++ b/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The front that deals clients out among the proxies of their site. It takes a proxy in once its health page
- * has answered 200 after its start, and notices only after a while that one has died.
+ * The simulated load balancer in front of the proxies, which distributes clients among those of their site. It
+ * adds a started proxy once its health page responds with 200, and notices the end of one only after a delay.
  */
 public final class FrontBalancer {
     private static final long CHECK_INTERVAL_MS = 100;
@@ -32,7 +32,7 @@
     private final SplittableRandom random;
     private final Map<String, String> sites = new LinkedHashMap<>();
     private final Map<String, Boolean> inRotation = new LinkedHashMap<>();
-    /** Counts the lives of each proxy: what is known of an earlier one says nothing of the next. */
+    /** Starts and ends of each proxy: a check or delayed notice of an earlier process must not affect a later one. */
     private final Map<String, Integer> generations = new LinkedHashMap<>();
 
     private String surgeProxy;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Calls that once, as soon as every proxy has been taken in. */
+    /** Runs the callback once, as soon as every proxy is in rotation. */
     public void onAllReady(Runnable then) {
         onAllReady = then;
     }
@@ -59,13 +59,13 @@
         return sites.get(proxy);
     }
 
-    /** A proxy has been started: its health page is asked until it says that it is ready. */
+    /** Polls the health page of a started proxy until it is ready. */
     public void proxyStarted(String proxy) {
         int generation = generations.merge(proxy, 1, Integer::sum);
         checkHealth(proxy, generation);
     }
 
-    /** A proxy has died, or is about to: that is noticed later. */
+    /** Takes a proxy that has ended, or is about to, out of rotation after the delay of its noticing. */
     public void proxyEnded(String proxy) {
         int generation = generations.merge(proxy, 1, Integer::sum);
         platform.loop()
@@ -104,7 +104,7 @@
                 });
     }
 
-    /** One look at a health page. */
+    /** One request to a health page. */
     private final class HealthCheck extends SimpleChannelInboundHandler<HttpObject> {
         private final String proxy;
         private final int generation;
@@ -145,13 +145,13 @@
         }
     }
 
-    /** That share of all traffic goes to one proxy, on top of its own; null ends it. */
+    /** Sends that share of all traffic to one proxy, on top of its own; a null proxy ends it. */
     public void surge(String proxy, double share) {
         surgeProxy = proxy;
         surge = share;
     }
 
-    /** The proxy for a client of a site, by two draws from 0 to 1; "" if there is none. */
+    /** Chooses the proxy for a client of a site by two random numbers from 0 to 1; "" if there is none. */
     String chooseProxy(String site, double first, double second, String excluded) {
         if (surgeProxy != null && first < surge && inRotation.get(surgeProxy) && !surgeProxy.equals(excluded)) {
             return surgeProxy;
--- a/src/main/java/gullspar/rehearse/stage/KeyCache.java
+++ b/src/main/java/gullspar/rehearse/stage/KeyCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a node remembers of the things that requests were about: so many, for so long. */
+/** The keys whose data a node has cached: limited in number and by time, least recently used evicted first. */
 final class KeyCache {
     private final long retentionNs;
     private final Map<Integer, Long> lastSeenNs;
@@ -20,7 +20,7 @@
         };
     }
 
-    /** Is it remembered? From now on it is. */
+    /** Whether the key is cached; stores it in any case. */
     boolean checkAndStore(int key, long now) {
         if (key == 0 || retentionNs == 0) {
             return false;
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -28,15 +28,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The usual clients. Arrivals are a Poisson process and wait for no answer; what each order is (class, key,
- * work, site, patience) comes from the seed and its number alone, so that it is the same whatever became of
- * those before it, live and in virtual time.
+ * The regular clients. Arrivals are a Poisson process and do not wait for responses. Each order (class, key,
+ * work, site, time-outs) depends on the seed and its number alone, so that it is the same whatever the outcome
+ * of earlier ones, live and in virtual time.
  */
 public final class LoadGenerator {
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    /** A connection refused is dealt to another proxy, so often at the most. */
+    /** After a refused connection another proxy is tried, up to this many in all. */
     private static final int MAX_PROXIES_PER_REQUEST = 3;
-    /** With less patience left than that no request is sent, in ns: no answer could come in time. */
+    /** With less time left no request is sent, as no response could arrive in time. */
     private static final long MIN_TIMEOUT_NS = 20_000_000L;
 
     private final RunEnvironment environment;
@@ -66,7 +66,7 @@
                 cumulativeKeyShares(script.clients().keys(), script.clients().keySkew());
     }
 
-    /** Running sums of Zipf's shares. */
+    /** The cumulative shares of a Zipf distribution. */
     private static double[] cumulativeKeyShares(int keys, double skew) {
         double[] sums = new double[keys];
         double sum = 0;
@@ -80,33 +80,33 @@
         return sums;
     }
 
-    /** Orders come from now on for so long. */
+    /** Generates orders from now on for that many seconds. */
     public void start(double seconds) {
         untilNs = environment.now() + (long) (seconds * 1e9);
         scheduleArrival(environment.now());
     }
 
-    /** Multiplies the usual rate. */
+    /** Sets the factor on the configured rate. */
     public void trafficFactor(double factor) {
         trafficFactor = factor;
     }
 
-    /** A share of a class's orders costs so many times the usual work; 0 ends it. */
+    /** Multiplies the work of a share of a class's orders; a share of 0 ends it. */
     public void inflateWork(String name, double share, double factor) {
         inflateWork.put(name, new double[] {share, factor});
     }
 
-    /** A share of a class's clients leave within so long of asking; 0 ends it. */
+    /** Makes a share of a class's clients abandon their request within that time; a share of 0 ends it. */
     public void abandon(String name, double share, double withinMs) {
         abandon.put(name, new double[] {share, withinMs});
     }
 
-    /** Requests that have not ended. */
+    /** The number of requests that have not ended. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** The next arrival comes on a schedule of its own: a late wake-up does not delay those after it. */
+    /** Schedules the next arrival from the planned time of the last, so that a late wake-up delays no later one. */
     private void scheduleArrival(long from) {
         double wait =
                 -StrictMath.log(1 - arrivals.nextDouble()) / script.clients().rate();
@@ -159,7 +159,7 @@
         return 1 + Math.min(cumulativeKeyShares.length - 1, i < 0 ? -i - 1 : i + 1);
     }
 
-    /** One more try of an order. */
+    /** Sends the first request of an order, or a retry. */
     private void sendRequest(Order o, SplittableRandom draw) {
         double timeoutFactor = script.clients().patience().draw(draw);
         long now = environment.now();
@@ -233,7 +233,7 @@
         private ScheduledFuture<?> timeout;
         private boolean used;
         private boolean reset;
-        /** The request answered last: whatever else comes was not asked for. */
+        /** The last request that got its response: any further data on an idle connection is unsolicited. */
         private ClientRequest lastAnswered;
 
         Connection(String proxy) {
@@ -248,7 +248,7 @@
             t.firstOnConnection = !used;
             used = true;
             if (now > t.deadline - MIN_TIMEOUT_NS) {
-                // Connecting took all its patience: nothing is asked of the proxy any more.
+                // Connecting used up the time-out: the request is not sent.
                 current = null;
                 t.sentAt = 0;
                 idle.get(proxy).addLast(this);
@@ -313,13 +313,13 @@
             if (t == null) {
                 if (lastAnswered != null) {
                     lastAnswered.responseError =
-                            "a second answer came, " + r.status().code();
+                            "unsolicited second response, status " + r.status().code();
                 }
                 ctx.close();
                 return;
             }
             if (r.decoderResult().isFailure()) {
-                ctx.close(); // an answer that is not whole is none
+                ctx.close(); // an incomplete response counts as none
                 return;
             }
             current = null;
@@ -328,7 +328,7 @@
             t.respondedAt = environment.sentAt(ctx.channel());
             String body = r.content().toString(StandardCharsets.US_ASCII);
             if (t.status == 200 && !Node.isBodyFor(t.id, body)) {
-                t.responseError = "it was served with what no node made for it: '"
+                t.responseError = "response body was not made by a node for this request: '"
                         + body.substring(0, Math.min(40, body.length())).trim() + "'";
             }
             lastAnswered = t;
@@ -358,9 +358,9 @@
             current = null;
             timeout.cancel(false);
             if (!t.firstOnConnection && !t.resent && !reset && t.order.requestClass.effect() == Effect.IDEMPOTENT) {
-                // It crossed the end of a connection between requests: sent once more, on another. Only what
-                // is safe to repeat (RFC 9110, section 9.2.2): the other side may have ended after reading
-                // it.
+                // The proxy closed the idle connection as the request was sent: it is resent on another one.
+                // Only idempotent requests may be (RFC 9110, section 9.2.2): the proxy may have read it before
+                // closing.
                 t.resent = true;
                 sendToProxy(t, draw, "", 0);
             } else {
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -3,7 +3,7 @@
 import gullspar.rehearse.script.Script;
 import java.util.function.BiFunction;
 
-/** Requests that somebody sends by hand, with curl: nodes serve them as an order of their class. */
+/** Requests sent by hand, for example with curl: nodes serve them as an order of the class in the path. */
 public final class ManualRequests implements BiFunction<String, String, ClientRequest> {
     private final Script script;
     private final RunEnvironment environment;
@@ -36,7 +36,7 @@
         return null;
     }
 
-    /** How many have been served. */
+    /** The number of requests served. */
     public int served() {
         return -served;
     }
--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients that send what makes no sense, or connect and say nothing. Each is owed an error or a close in
+ * Clients that send malformed requests, or connect and send nothing. Each must get an error or a close in
  * time; none may be served.
  */
 public final class MisbehavingClients {
-    /** What such a client is owed comes within so long. */
+    /** The time within which such a client must get an error or a close. */
     private static final long RESPONSE_LIMIT_MS = 3000;
 
     private static final String[] MALFORMED_REQUESTS = {
@@ -51,12 +51,12 @@
         this.random = new SplittableRandom(seed * 31 + 5);
     }
 
-    /** So many a second send nonsense to a proxy; 0 ends it. */
+    /** Sends that many malformed requests a second to a proxy; 0 ends it. */
     public void malformedRequests(String proxy, double perSecond) {
         run(malformedRequests, proxy, perSecond, true);
     }
 
-    /** So many a second connect to a proxy and say nothing; 0 ends it. */
+    /** Opens that many connections a second to a proxy without sending anything; 0 ends it. */
     public void silentConnections(String proxy, double perSecond) {
         run(silentConnections, proxy, perSecond, false);
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /** One of them. */
+    /** The connection of one client. */
     private final class MisbehavingClient extends SimpleChannelInboundHandler<ByteBuf> {
         private final String proxy;
         private final String text;
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for an order node: one process from its start to its end. It takes requests as the protocol
- * says, works on them as its machine allows, reports its load late, is slow while it is cold, and falls over
- * if it is sent too much then.
+ * A simulated order node: one process from its start to its end. It accepts requests by the protocol, works
+ * on them at the pace of its CPU model, reports its load with a delay, is slow while it is cold, and collapses
+ * if it is sent too much work then.
  */
 final class Node {
     private static final long WARM_UP_TICK_NS = 100_000_000L;
-    /** What a repeat that is dropped costs, as a share of the work. */
+    /** The cost of detecting a repeat, as a share of the work. */
     private static final double REPEAT_WORK_SHARE = 0.05;
 
-    /** What a node shares with the others. */
+    /** What all nodes share. */
     interface Context {
         RunEnvironment environment();
 
@@ -32,7 +32,7 @@
 
         Script script();
 
-        /** Repeats of a class in the scope in which this node drops them. */
+        /** The filter for repeats of a class in the scope that this node belongs to. */
         RepeatFilter repeatFilter(Script.RequestClass c, Node node);
 
         void collapsed(Node node);
@@ -43,7 +43,7 @@
     final String site;
     final int cell;
     final Script.NodeKind kind;
-    /** When it started, Unix time in ns; 0 for long ago: it is warm. */
+    /** When it started, Unix time in ns; 0 for a node that is warm from the beginning. */
     final long bootNs;
 
     final InetSocketAddress address;
@@ -58,7 +58,7 @@
     private final double cachedKeySavings;
     private final long reportPeriodNs;
     private final long reportDelayNs;
-    /** Work that was sent in the last time in which it could fall, oldest first: when, and how much. */
+    /** Work sent within the window of the collapse rule, oldest first: time and amount. */
     private final Deque<double[]> addSentWork = new ArrayDeque<>();
 
     private double sentWorkNs;
@@ -119,7 +119,7 @@
                 })
                 .bind();
         updateCapacity();
-        // Nodes that started together do not report together.
+        // Spreads the reports of nodes that started together.
         after(random.nextLong(Math.max(1, reportPeriodNs)), this::makeReport);
         if (warmth() < 1) {
             after(WARM_UP_TICK_NS, this::warmUp);
@@ -138,7 +138,7 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    /** The process ends: nothing of it goes on. */
+    /** Ends the process: all its scheduled tasks are void. */
     void end() {
         isUp = false;
         context.environment().processEnded(machine);
@@ -148,7 +148,7 @@
         return isUp;
     }
 
-    // ---- what goes wrong ----
+    // ---- faults ----
 
     void stealCpu(double share) {
         stolenCpuShare = share;
@@ -168,7 +168,7 @@
         trickleBytesPerS = bytesPerSecond;
     }
 
-    // ---- the machine ----
+    // ---- CPU ----
 
     private double warmth() {
         double age = (context.environment().now() - bootNs)
@@ -192,7 +192,7 @@
         runJobs();
     }
 
-    /** Lets go what is done, starts what may start, and wakes up again for the next. */
+    /** Completes finished jobs, starts waiting ones, and schedules itself for the next completion. */
     private void runJobs() {
         if (!isUp) {
             return;
@@ -235,8 +235,8 @@
     }
 
     /**
-     * A cold node that was sent, over the time of the rule, more than the multiple of what it could do in
-     * that time falls over.
+     * Adds work sent to a cold node, which collapses if the work sent within the rule's window exceeds the
+     * rule's multiple of what the node could have done in that time.
      */
     private void addSentWork(double usualNs, long now) {
         if (warmth() >= 1) {
@@ -256,12 +256,12 @@
         }
     }
 
-    /** In ns of work in a ns: what it is fit for now, also while it hangs and does nothing. */
+    /** The present capacity in ns of work per ns; a hang does not reduce it. */
     private double capacity() {
         return cpu.cores() * speed * (1 - stolenCpuShare) * warmth();
     }
 
-    // ---- what it says of itself ----
+    // ---- load reports ----
 
     private void makeReport() {
         long now = context.environment().now();
@@ -283,7 +283,7 @@
         return cpu.inFlight();
     }
 
-    /** Busy share of its cores since that much use of them, in ns of core time. */
+    /** The core time used so far. */
     double busyNs() {
         return cpu.busyNs(context.environment().now());
     }
@@ -296,14 +296,14 @@
         return served;
     }
 
-    /** Size as listed: its power, lowered the more it holds. */
+    /** The weight in discovery: the speed of all cores, reduced as requests are in flight. */
     double weight() {
         return kind.cores() * kind.speed().middle() / (1 + cpu.inFlight() / (double) Math.max(1, kind.slots()));
     }
 
     // ---- connections ----
 
-    /** One more connection; true if that is more than the node takes. */
+    /** Counts a new connection; true if it exceeds the node's limit. */
     boolean connectionOpened() {
         return ++connections > kind.connections();
     }
@@ -314,7 +314,7 @@
 
     // ---- requests ----
 
-    /** A request has come whole: so much work, by its class, was sent to this node. */
+    /** Counts the average work of the class of a request that has been received completely. */
     void requestReceived(Order o) {
         addSentWork(
                 o.requestClass.workMs().middle() * 1e6, context.environment().now());
@@ -324,7 +324,7 @@
         return isHung;
     }
 
-    /** Takes a request to run or to wait; false if all places are taken. */
+    /** Runs or queues a request; false if all slots and the queue are full. */
     boolean admit(NodeRequest r, boolean newConnection) {
         long now = context.environment().now();
         if (cpu.inFlight() >= kind.slots() + kind.queue()) {
@@ -345,21 +345,21 @@
         return true;
     }
 
-    /** The sender of a request has gone: waiting work is dropped, running work where that stops. */
+    /** Drops a request whose sender has closed: always while it waits, once it runs only if the kind of node does. */
     void abandoned(NodeRequest r) {
         if (r.isRunning() && kind.cancelled() == Script.Cancelled.GOES_ON) {
             return;
         }
         long now = context.environment().now();
         if (!r.isRepeat()) {
-            context.repeatFilter(r.order().requestClass, this).forget(r.order().idempotencyKey()); // it takes no effect
+            context.repeatFilter(r.order().requestClass, this).forget(r.order().idempotencyKey()); // it has no effect
         }
         cpu.drop(r.drop(now), now);
         startNext(now);
         runJobs();
     }
 
-    /** How the answer to a request that is done goes out. */
+    /** Draws the fault of the next response; null for none. */
     FaultyResponse.Kind drawFault() {
         if (spoiltShare > 0 && random.nextDouble() < spoiltShare) {
             errors++;
@@ -368,12 +368,12 @@
         return null;
     }
 
-    /** Bytes a second of an answer; 0 for all at once. */
+    /** The rate of responses in bytes per second; 0 for unlimited. */
     double trickleBytesPerS() {
         return trickleBytesPerS;
     }
 
-    /** What it says of its load, as it was some time ago. */
+    /** The last load report that has taken effect, after its delay. */
     String loadReport() {
         return loadReport;
     }
@@ -390,13 +390,13 @@
         return platform;
     }
 
-    /** The body of an answer: it names its request and its node, and is of a size. */
+    /** A response body that names the request and the node, padded to that size. */
     static String body(String request, String node, int bytes) {
         String begin = request + " " + node + " ";
         return begin + ".".repeat(Math.max(0, bytes - begin.length())) + "\n";
     }
 
-    /** Could a body have been made by a node for that request? */
+    /** Whether a node may have made this body for that request. */
     static boolean isBodyFor(String request, String body) {
         return body.startsWith(request + " ") && body.endsWith("\n");
     }
--- a/src/main/java/gullspar/rehearse/stage/NodeConnection.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeConnection.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.nio.charset.StandardCharsets;
 
-/** A proxy's connection to a node: one request at a time, as the protocol has it. */
+/** A proxy's connection to a node: one request at a time, as the protocol defines. */
 final class NodeConnection extends SimpleChannelInboundHandler<HttpObject> {
     private final Node node;
     private ChannelHandlerContext ctx;
@@ -102,14 +102,14 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Turns the request in hand away; returns when. */
+    /** Rejects the current request as not started; returns the time. */
     long reject(int status) {
         current = null;
         write(message(status, "Not-Started: 1\r\n", ""));
         return node.environment().now();
     }
 
-    /** Answers the request in hand, if anybody is there; true if the answer was spoilt. */
+    /** Responds to the current request if the connection is open; true if the response was faulty. */
     boolean respond(NodeRequest r) {
         current = null;
         if (!ctx.channel().isActive()) {
--- a/src/main/java/gullspar/rehearse/stage/NodeFleet.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** All nodes, what starts and ends them, and discovery, which hears of that and tells the proxies late. */
+/** All simulated nodes, their starts and ends, and discovery, which notifies the proxies with a delay. */
 public final class NodeFleet implements Node.Context {
     private static final long SAMPLE_NS = 250_000_000L;
 
@@ -23,7 +23,7 @@
     private final EventLog eventLog;
     private final Platform platform;
     private final SplittableRandom random;
-    /** The machines with the process that runs on each, by the machine's name; null where none runs. */
+    /** The process that runs on each machine, by the machine's name; null where none runs. */
     private final Map<String, Node> nodeByMachine = new LinkedHashMap<>();
 
     private final Map<String, Script.NodeKind> kinds = new LinkedHashMap<>();
@@ -55,12 +55,12 @@
         }
     }
 
-    /** The machines of the nodes, by name. */
+    /** The names of all machines of nodes. */
     public List<String> machines() {
         return List.copyOf(kinds.keySet());
     }
 
-    /** Those whose node runs. */
+    /** The names of the machines on which a node runs. */
     public List<String> running() {
         return nodeByMachine.entrySet().stream()
                 .filter(e -> e.getValue() != null)
@@ -68,7 +68,7 @@
                 .toList();
     }
 
-    /** How many instances a machine has seen, replaced ones included. */
+    /** The number of instances that a machine has had, including replaced ones. */
     public int instanceCount(String machine) {
         return 1 + replacements.getOrDefault(machine, 0);
     }
@@ -77,7 +77,7 @@
         return sites.get(machine);
     }
 
-    /** Starts all nodes, warm, and a view of discovery for each proxy. */
+    /** Starts all nodes, warm, and a discovery agent for each proxy. */
     public void start(List<String> proxies) {
         for (String machine : kinds.keySet()) {
             Node node = run(machine, machine, 0);
@@ -94,17 +94,17 @@
         scheduleSample();
     }
 
-    /** Where discovery is for a proxy. */
+    /** The address of discovery for a proxy. */
     public InetSocketAddress discoveryAddress(String proxy) {
         return agents.get(proxy).address();
     }
 
-    /** The list as it has come through to a proxy's machine, in discovery's form. */
+    /** The list as it has reached a proxy's machine, in discovery's format. */
     public JsonNode listJson(String proxy) {
         return agents.get(proxy).listJson();
     }
 
-    /** A proxy starts with the list as it is known there: it has been told what that says. */
+    /** Records that a starting proxy knows the list that has reached its machine. */
     public void recordStartingList(String proxy) {
         agents.get(proxy).recordAllAsNotified();
     }
@@ -129,9 +129,9 @@
         platform.loop().schedule(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    // ---- what happens to nodes ----
+    // ---- faults of nodes ----
 
-    /** A process ends at once; 0: it stays away. */
+    /** Ends a process at once and restarts it after that time; 0 for never. */
     public void crash(String machine, double downS) {
         Node node = nodeByMachine.get(machine);
         if (node == null) {
@@ -179,7 +179,7 @@
         updateInstance(instance(node, "in_service"));
     }
 
-    /** Drains, ends; then: the same node again, another at its address, or nothing. */
+    /** Drains and ends a node; then starts the instance with the next id at its address, unless that is null. */
     private void leave(String machine, double graceS, double downS, String nextId) {
         Node node = nodeByMachine.get(machine);
         if (node == null) {
@@ -236,7 +236,7 @@
         }
     }
 
-    // ---- what happens to discovery ----
+    // ---- faults of discovery ----
 
     public void moveDiscovery(String proxy) {
         agents.get(proxy).move();
@@ -274,7 +274,7 @@
         }
     }
 
-    /** News go to each proxy late, each by its own draw, and in order. */
+    /** Delivers changes to each proxy's agent in order, with a random delay for each. */
     private void publish(List<DiscoveryAgent.Instance> changed) {
         long now = environment.now();
         agents.forEach((proxy, agent) -> {
@@ -306,7 +306,7 @@
         return repeatFilter.computeIfAbsent(c.name() + ">" + scope, k -> new RepeatFilter((long) (c.windowMs() * 1e6)));
     }
 
-    // ---- what the report shows ----
+    // ---- samples for the report ----
 
     private void scheduleSample() {
         after(SAMPLE_NS / 1e9, () -> {
--- a/src/main/java/gullspar/rehearse/stage/NodeRequest.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeRequest.java
@@ -2,12 +2,12 @@
 
 import gullspar.rehearse.stage.ClientRequest.Attempt;
 
-/** A request that a node has whole, from then to its end. */
+/** A request that a node has received completely, until its end. */
 final class NodeRequest {
     private final NodeConnection connection;
     private final ClientRequest request;
     private final Attempt attempt;
-    /** When its sender stops waiting. */
+    /** When the sender stops waiting. */
     private final long deadline;
 
     private CpuModel.Job job;
@@ -36,12 +36,12 @@
         return job.isRunning();
     }
 
-    /** Would nobody wait for its answer any more? */
+    /** Whether the sender no longer waits for the response. */
     boolean isExpired(long now) {
         return now > deadline;
     }
 
-    /** It has a place; a repeat takes no effect. */
+    /** Records the admission; a repeat has no effect. */
     void admitted(CpuModel.Job admittedJob, boolean repeatDetected) {
         job = admittedJob;
         isRepeat = repeatDetected;
@@ -53,25 +53,25 @@
         attempt.state = isRepeat ? Attempt.State.REPEAT : Attempt.State.RUNS;
     }
 
-    /** Turns it away, with the word that it was not started. */
+    /** Rejects it with a response that says that it was not started. */
     void reject(int status) {
         attempt.state = Attempt.State.TURNED_AWAY;
         attempt.endedAt = connection.reject(status);
     }
 
-    /** Is it in the node's hands? */
+    /** Whether it was admitted and has not ended. */
     boolean isHeld() {
         return job != null && attempt.endedAt == 0;
     }
 
-    /** It is dropped; returns its work. */
+    /** Marks it as dropped; returns its job. */
     CpuModel.Job drop(long now) {
         attempt.state = Attempt.State.DROPPED;
         attempt.endedAt = now;
         return job;
     }
 
-    /** Its work is done: it has taken effect, and its answer goes out if anybody is there. */
+    /** Records its effect when the work is done, and responds if the connection is open. */
     void complete(long now) {
         attempt.endedAt = now;
         attempt.state = isRepeat ? Attempt.State.REPEAT : Attempt.State.SERVED;
--- a/src/main/java/gullspar/rehearse/stage/Order.java
+++ b/src/main/java/gullspar/rehearse/stage/Order.java
@@ -4,19 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a client wants done once: its first try and all its retries. Times in ns on the day's clock. */
+/** What a client wants done once: its first request and all retries. Times are in ns on the day's clock. */
 public final class Order {
     public final int number;
     public final RequestClass requestClass;
-    /** What it is about; 0 for nothing. */
+    /** The key of the data that it concerns; 0 for none. */
     public final int key;
-    /** What it costs on one core of speed 1. */
+    /** Its work on one core of speed 1. */
     public final double workNs;
 
     public final String site;
     public final long at;
     public final List<ClientRequest> requests = new ArrayList<>(1);
-    /** Executions that took effect, of all tries. */
+    /** The number of executions that took effect, over all requests. */
     public int effects;
 
     Order(int number, RequestClass kind, int key, double workNs, String site, long at) {
@@ -28,7 +28,7 @@
         this.at = at;
     }
 
-    /** The time of an answer that came while it was wanted; MAX_VALUE if there was none. */
+    /** The end of the first request that was served; MAX_VALUE if there was none. */
     public long servedAt() {
         long served = Long.MAX_VALUE;
         for (ClientRequest t : requests) {
@@ -39,12 +39,12 @@
         return served;
     }
 
-    /** Was it served within its wanted time? */
+    /** Whether it was served within the latency target of its class. */
     public boolean isInTime() {
         return servedAt() <= at + (long) (requestClass.promiseMs() * 1e6);
     }
 
-    /** The name under which nodes know repeats of it. */
+    /** The key by which nodes detect repeats of it. */
     public String idempotencyKey() {
         return "order-" + number;
     }
--- a/src/main/java/gullspar/rehearse/stage/RepeatFilter.java
+++ b/src/main/java/gullspar/rehearse/stage/RepeatFilter.java
@@ -4,17 +4,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The keys of orders that the nodes of one scope have met lately: repeats of these take no effect. */
+/** Detects repeats in one scope: the idempotency keys of orders that its nodes received within the window. */
 final class RepeatFilter {
     private final long windowNs;
-    /** By key, the one met first ahead. */
+    /** By key, oldest first. */
     private final Map<String, Long> firstSeenNs = new LinkedHashMap<>();
 
     RepeatFilter(long windowNs) {
         this.windowNs = windowNs;
     }
 
-    /** Is it a repeat? If it is not, it is remembered from now on. */
+    /** Whether the key is a repeat; if it is not, it is stored. */
     boolean checkAndStore(String key, long now) {
         for (Iterator<Long> i = firstSeenNs.values().iterator(); i.hasNext() && now - i.next() >= windowNs; ) {
             i.remove();
@@ -22,7 +22,7 @@
         return firstSeenNs.putIfAbsent(key, now) != null;
     }
 
-    /** What was met of it took no effect after all. */
+    /** Removes a key whose order was dropped without effect. */
     void forget(String key) {
         firstSeenNs.remove(key);
     }
--- a/src/main/java/gullspar/rehearse/stage/RunEnvironment.java
+++ b/src/main/java/gullspar/rehearse/stage/RunEnvironment.java
@@ -4,23 +4,23 @@
 import io.netty.channel.Channel;
 import java.net.InetSocketAddress;
 
-/** Where a rehearsal plays: in virtual time and memory, or live on loopback sockets. */
+/** The environment of a rehearsal: virtual time and memory, or real time and loopback sockets. */
 public interface RunEnvironment {
-    /** What the process of a stand-in's machine stands on; all stand-ins share one event loop. */
+    /** The platform for a simulated machine; all of them share one event loop. */
     Platform platform(String machine);
 
     /** Unix time in ns, on the day's clock. */
     long now();
 
-    /** An address for a machine; the same for the same name. */
+    /** The address of a machine; always the same for the same name. */
     InetSocketAddress address(String machine);
 
-    /** When the peer sent what is being read on a channel, as far as can be told; in ns. */
+    /** When the peer sent the data being read on a channel, as far as is known; in ns. */
     long sentAt(Channel channel);
 
-    /** It has turned out whose connection a channel is. */
+    /** Sets the machine at the other end of a channel, once a request has shown it. */
     default void setPeer(Channel channel, String machine) {}
 
-    /** The process of a stand-in's machine ends: its connections are reset and its listeners are gone. */
+    /** Ends the process of a simulated machine: resets its connections and closes its listeners. */
     void processEnded(String machine);
 }
--- a/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
+++ b/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
@@ -1,16 +1,16 @@
 package gullspar.rehearse.stage;
 
-/** One service for all callers: it works through their calls in turn. */
+/** A service shared by all callers, which serves their calls one after another. */
 final class ServiceQueue {
     private final long serviceTimeNs;
     private long freeAt;
 
-    /** Each call takes so long; 0 for one that answers at once. */
+    /** Creates a queue with that service time for each call; 0 for none. */
     ServiceQueue(double eachMs) {
         serviceTimeNs = (long) (eachMs * 1e6);
     }
 
-    /** A call that comes now is answered after so long, in ns. */
+    /** Adds a call that arrives now; returns the ns until its response. */
     long enqueue(long now) {
         freeAt = Math.max(freeAt, now) + serviceTimeNs;
         return freeAt - now;
--- a/src/test/java/gullspar/rehearse/Days.java
+++ b/src/test/java/gullspar/rehearse/Days.java
@@ -4,7 +4,7 @@
 import gullspar.rehearse.script.ScriptReader;
 import gullspar.toml.ProblemsException;
 
-/** Small days for tests. */
+/** Scripts of small days for tests. */
 public final class Days {
     private static final String SMALL =
             """
@@ -65,12 +65,12 @@
 
     private Days() {}
 
-    /** A small day with what follows the tables: faults, rules. */
+    /** A small day with further tables, such as faults and rules. */
     public static Script small(double seconds, String tables) {
         return small(seconds, 150, tables);
     }
 
-    /** The same with another rate, in requests a second. */
+    /** The same with another rate, in requests per second. */
     public static Script small(double seconds, int rate, String tables) {
         return parse(SMALL.formatted(seconds, rate, tables));
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A fault of a script. */
+    /** The table of a fault. */
     public static String fault(String kind, double at, String figures) {
         return "[[fault]]\nkind = \"" + kind + "\"\nat = " + at + "\n" + figures + "\n";
     }
--- a/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
@@ -197,7 +197,7 @@
 
     @Test
     void anAnswerThatIsWrittenTwice() {
-        caught(Rule.ONE_ANSWER, "a second answer", QUIET, answers(50, (ctx, text) -> {
+        caught(Rule.ONE_ANSWER, "unsolicited second response", QUIET, answers(50, (ctx, text) -> {
             say(ctx, text);
             ctx.executor().schedule(() -> say(ctx, text), 1, TimeUnit.MILLISECONDS);
         }));
@@ -207,7 +207,7 @@
     void anAnswerThatIsAnotherRequests() {
         caught(
                 Rule.ONE_ANSWER,
-                "what no node made for it",
+                "response body was not made by a node for this request",
                 QUIET,
                 answers(50, (ctx, text) -> say(ctx, text.replaceFirst("\r\n\r\nr", "\r\n\r\nx"))));
     }
--- a/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
+++ b/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The model of a node's processors. Times in ns. */
+/** The model of a node's processors, its capacity history, key cache and repeat filter. Times are in ns. */
 class CpuModelTest {
     private static CpuModel.Job job(CpuModel m, String name, double work, long now) {
         CpuModel.Job j = new CpuModel.Job(name, work);
@@ -20,11 +20,11 @@
         CpuModel m = new CpuModel(1, 2, 4, 0, 0);
         job(m, "a", 100, 0);
         assertEquals(50, m.nextDoneAtNs());
-        job(m, "b", 100, 25); // a has 50 left, and half of the core
+        job(m, "b", 100, 25); // a has 50 left, and now gets half of the core
         assertEquals(75, m.nextDoneAtNs());
         assertNull(m.pollDone(74));
         assertEquals("a", m.pollDone(75).payload);
-        assertEquals(100, m.nextDoneAtNs()); // b got 50 by then, and the rest alone
+        assertEquals(100, m.nextDoneAtNs()); // b had received 50 by then, and runs alone afterwards
         assertEquals("b", m.pollDone(100).payload);
         assertEquals(Long.MAX_VALUE, m.nextDoneAtNs());
         assertEquals(100, m.busyNs(100));
@@ -36,7 +36,7 @@
         job(m, "a", 100, 0);
         job(m, "b", 100, 0);
         assertEquals(100, m.nextDoneAtNs());
-        assertEquals("a", m.pollDone(100).payload); // of two that end together the first
+        assertEquals("a", m.pollDone(100).payload); // of two that end at the same time, the one started first
         assertEquals("b", m.pollDone(100).payload);
         assertEquals(200, m.busyNs(100));
     }
@@ -62,7 +62,7 @@
         job(m, "a", 100, 0);
         m.capacityShare(0.25, 50);
         assertEquals(250, m.nextDoneAtNs());
-        m.capacityShare(0, 150); // half of what was left is done
+        m.capacityShare(0, 150); // half of the remaining work is done
         assertEquals(Long.MAX_VALUE, m.nextDoneAtNs());
         m.capacityShare(1, 1000);
         assertEquals(1025, m.nextDoneAtNs());
@@ -73,7 +73,7 @@
         CpuModel m = new CpuModel(1, 1, 4, 0, 0);
         CpuModel.Job a = job(m, "a", 100, 0);
         job(m, "b", 100, 0);
-        m.drop(a, 100); // both have had 50
+        m.drop(a, 100); // both have received 50
         assertEquals(150, m.nextDoneAtNs());
     }
 
@@ -82,10 +82,10 @@
         CapacityHistory f = new CapacityHistory();
         f.record(0, 2);
         assertEquals(200, f.workNs(100, 100));
-        assertEquals(20, f.workNs(10, 0), "as it began, before");
+        assertEquals(20, f.workNs(10, 0), "the first capacity also counts before its time");
         f.record(100, 1);
         assertEquals(150, f.workNs(100, 150));
-        f.record(150, 0); // a moment ago it was fit
+        f.record(150, 0); // the capacity of the span before counts
         assertEquals(150, f.workNs(100, 150));
         assertEquals(50, f.workNs(100, 200));
         assertEquals(0, f.workNs(100, 260));
@@ -99,8 +99,8 @@
         assertFalse(keys.checkAndStore(1, 199));
         keys.checkAndStore(2, 200);
         keys.checkAndStore(3, 200);
-        assertFalse(keys.checkAndStore(1, 201), "only two are remembered");
-        assertFalse(keys.checkAndStore(0, 201), "0 is no key");
+        assertFalse(keys.checkAndStore(1, 201), "only two keys are stored");
+        assertFalse(keys.checkAndStore(0, 201), "0 stands for no key");
         RepeatFilter repeats = new RepeatFilter(100);
         assertFalse(repeats.checkAndStore("a", 0));
         assertTrue(repeats.checkAndStore("a", 99));
