--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -314,7 +314,7 @@
 
     // ---- requests ----
 
-    /** Counts the average work of the class of a request that has been received completely. */
+    /** Counts the middle of the work range of a completely received request's class. */
     void requestReceived(Order o) {
         addSentWork(
                 o.requestClass.workMs().middle() * 1e6, context.environment().now());
