--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -11,7 +11,7 @@
 import gullspar.versions.Version;
 import gullspar.versions.net.ControlClient;
 import gullspar.versions.net.ControlDaemon;
-import gullspar.versions.net.Following;
+import gullspar.versions.net.VersionedSource;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -45,12 +45,12 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
-    private static boolean isOlder(Message.Running running, Version version) {
+    private static boolean isOlder(Message.FollowerState running, Version version) {
         return running.epoch() < version.epoch()
                 || running.epoch() == version.epoch() && running.number() < version.number();
     }
 
-    private static String formatLine(Message.Running running) {
+    private static String formatLine(Message.FollowerState running) {
         String disconnected =
                 running.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", running.awayMs() / 1e3);
         return String.format(
@@ -72,7 +72,7 @@
         try {
             return SiteDaemon.run(
                             follow,
-                            Following.of(file),
+                            VersionedSource.open(file),
                             Policy::new,
                             (f, name, platform, load) ->
                                     Membership.start(f, VersionCommands::readOwnSettings, name, platform, load))
@@ -182,11 +182,11 @@
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 long number = after != null
                         ? after
-                        : numberOf(control.ask(new Message.Look(false), Message.Looked.class)
+                        : numberOf(control.request(new Message.StatusRequest(false), Message.StatusResponse.class)
                                 .head());
                 sent = true;
                 Message.Published published =
-                        control.ask(new Message.Publish(number, file.toString(), text), Message.Published.class);
+                        control.request(new Message.Publish(number, file.toString(), text), Message.Published.class);
                 published.lines().forEach(System.err::println);
                 return switch (published.outcome()) {
                     case ACCEPTED, SAME -> awaitInForce(control, published.head());
@@ -212,9 +212,11 @@
         private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
             long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
-                Message.Looked looked = control.ask(new Message.Look(false), Message.Looked.class);
-                List<Message.Running> missing =
-                        looked.all().stream().filter(r -> isOlder(r, version)).toList();
+                Message.StatusResponse looked =
+                        control.request(new Message.StatusRequest(false), Message.StatusResponse.class);
+                List<Message.FollowerState> missing = looked.states().stream()
+                        .filter(r -> isOlder(r, version))
+                        .toList();
                 if (missing.isEmpty()) {
                     System.out.println("version " + version + " is in force at all " + looked.followers());
                     return 0;
@@ -256,12 +258,13 @@
         public Integer call() {
             InetSocketAddress address = parseAddress(spec, "--at", at);
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
-                Message.Looked looked = control.ask(new Message.Look(true), Message.Looked.class);
+                Message.StatusResponse looked =
+                        control.request(new Message.StatusRequest(true), Message.StatusResponse.class);
                 System.out.println(looked.control() + (looked.primary() ? ", the primary" : "")
                         + (looked.inStep() ? "" : ", which may not have the newest version") + ": version "
                         + (looked.head() == null ? "none" : looked.head()) + " in force at " + looked.inForce() + " of "
                         + looked.followers());
-                looked.all().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                looked.states().stream().map(VersionCommands::formatLine).forEach(System.out::println);
                 return looked.inForce() == looked.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
                 System.err.println(at + " does not respond: " + reason(e));
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -69,7 +69,7 @@
 
     private FleetSettings fleet(String process) {
         Script.Peers p = script.peers();
-        String name = EventLog.named(process);
+        String name = EventLog.baseName(process);
         return new FleetSettings(
                 name,
                 home(process),
--- /dev/null
+++ b/src/main/java/gullspar/rehearse/stage/CpuModel.java
@@ -0,0 +1,154 @@
+package gullspar.rehearse.stage;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.PriorityQueue;
+
+/**
+ * A model of a node's processors, without a clock or I/O. Up to {@code slots} jobs run concurrently and
+ * share the cores evenly (processor sharing); further jobs wait in a queue. Work is in ns of one core at
+ * speed 1.
+ */
+final class CpuModel {
+    /** The work of one request. */
+    static final class Job {
+        final Object payload;
+        private final double workNs;
+        private double endsAtNs;
+        private long number;
+        private boolean isRunning;
+        private boolean finished;
+
+        Job(Object what, double workNs) {
+            this.payload = what;
+            this.workNs = workNs;
+        }
+
+        boolean isRunning() {
+            return isRunning;
+        }
+    }
+
+    private final int cores;
+    private final double speed;
+    private final int slots;
+    private final int queueCapacity;
+    private final PriorityQueue<Job> running = new PriorityQueue<>((a, b) -> {
+        int order = Double.compare(a.endsAtNs, b.endsAtNs);
+        return order != 0 ? order : Long.compare(a.number, b.number);
+    });
+    private final Deque<Job> waiting = new ArrayDeque<>();
+    /** The share of the full capacity that is available now, 0 to 1. */
+    private double capacityShare = 1;
+    /** The work that a job running since the start would have received so far. */
+    private double attainedNs;
+
+    private double busyNs;
+    private long updatedAtNs;
+    private long nextNumber;
+
+    CpuModel(int cores, double speed, int slots, int queueCapacity, long now) {
+        this.cores = cores;
+        this.speed = speed;
+        this.slots = slots;
+        this.queueCapacity = queueCapacity;
+        this.updatedAtNs = now;
+    }
+
+    /** The work that each running job receives, in ns per ns. */
+    private double rate() {
+        return running.isEmpty() ? 0 : speed * capacityShare * Math.min(1, cores / (double) running.size());
+    }
+
+    private void advance(long now) {
+        double ns = Math.max(0, now - updatedAtNs);
+        attainedNs += rate() * ns;
+        busyNs += Math.min(cores, running.size()) * ns;
+        updatedAtNs = Math.max(updatedAtNs, now);
+    }
+
+    /** Sets the share of the full capacity that is available. */
+    void capacityShare(double share, long now) {
+        advance(now);
+        capacityShare = share;
+    }
+
+    /** Runs or queues a job; false if the queue is full. */
+    boolean offer(Job j, long now) {
+        advance(now);
+        if (running.size() < slots) {
+            start(j);
+        } else if (waiting.size() < queueCapacity) {
+            waiting.add(j);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private void start(Job j) {
+        j.isRunning = true;
+        j.number = nextNumber++;
+        j.endsAtNs = attainedNs + j.workNs;
+        running.add(j);
+    }
+
+    void drop(Job j, long now) {
+        advance(now);
+        j.finished = true;
+        if (!running.remove(j)) {
+            waiting.remove(j);
+        }
+    }
+
+    /** Removes the first waiting job if a slot is free, for the caller to start; otherwise null. */
+    Job pollWaiting() {
+        return running.size() < slots ? waiting.poll() : null;
+    }
+
+    void startWaiting(Job j, long now) {
+        advance(now);
+        start(j);
+    }
+
+    /** Removes and returns the next job that is done by then; null if there is none. */
+    Job pollDone(long now) {
+        advance(now);
+        Job j = running.peek();
+        // Rounding may leave up to half a ns of work when a job is due to end.
+        if (j == null || j.endsAtNs > attainedNs + 0.5) {
+            return null;
+        }
+        running.remove();
+        j.finished = true;
+        return j;
+    }
+
+    /** When the next job will be done if nothing changes; Long.MAX_VALUE if none will. */
+    long nextDoneAtNs() {
+        double rate = rate();
+        if (rate <= 0) {
+            return Long.MAX_VALUE;
+        }
+        double remainingNs = Math.max(0, running.peek().endsAtNs - attainedNs) / rate;
+        return remainingNs > 1e17 ? Long.MAX_VALUE : updatedAtNs + (long) Math.ceil(remainingNs);
+    }
+
+    int inFlight() {
+        return running.size() + waiting.size();
+    }
+
+    int waitingCount() {
+        return waiting.size();
+    }
+
+    /** The core time used so far. */
+    double busyNs(long now) {
+        advance(now);
+        return busyNs;
+    }
+
+    int cores() {
+        return cores;
+    }
+}
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -6,45 +6,46 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the document: connects to one of several control processes, verifies what comes, has it kept and
- * put in force, and acknowledges. It never takes a version that is lower than, or a fork of, one it has had.
- * A proxy is one, and so is each control process but the primary.
+ * Keeps a process up to date with the document: connects to one of several control processes, verifies updates,
+ * has them persisted and put in force, and acknowledges them. It never accepts a version that is lower than, or a
+ * fork of, one it has had. Every proxy is a follower, and so is every control process except the primary.
  */
 public final class Follower {
-    /** What a follower has done for it; none of it calls back before it returns. */
+    /** Operations the follower delegates; none may call back into the follower before it returns. */
     public interface Host {
-        /** Connect there, by the place in the list of addresses. */
-        void connect(int which);
+        /** Connects to the control process at that index of the address list. */
+        void connect(int controlIndex);
 
-        /** End the connection, or the attempt at one. {@link Follower#closed} is not called for that. */
+        /** Closes the connection or cancels the attempt. {@link Follower#closed} is not called for this. */
         void disconnect();
 
         void send(Message m);
 
         /**
-         * Keep that document, unless it came from there, and put it in force; then call
-         * {@link Follower#taken}. led: the changes that led there from the one before; empty if it came
-         * whole.
+         * Persists the document unless it already is, and puts it in force; then calls
+         * {@link Follower#applied}. deltas: lead from the previous document to this one; empty if it came
+         * as a snapshot.
          */
-        void take(Document d, List<Delta> led, boolean kept);
+        void apply(Document d, List<Delta> deltas, boolean persisted);
 
-        /** A line for the log. */
-        void say(String line);
+        /** Writes a line to the log. */
+        void log(String line);
     }
 
     /**
-     * Times in ns.
+     * Time limits in ns.
      *
-     * @param waitNs at the start control is asked for so long before what is on the disk is put in force
-     * @param silenceNs a connection on which nothing came for so long is given up
-     * @param leastNs the first pause before a further attempt is drawn from 0 to this; it doubles
-     * @param mostNs up to this
-     * @param retryNs a document that could not be kept or put in force is tried again so much later
+     * @param startupWaitNs how long a start waits for control before the version on disk is put in force
+     * @param silenceTimeoutNs a connection with nothing received for this long is abandoned
+     * @param initialBackoffNs the first reconnect delay is drawn from 0 to this; the bound doubles with each failure
+     * @param maxBackoffNs upper limit of that bound
+     * @param applyRetryNs delay before a document that could not be persisted or put in force is tried again
      */
-    public record Settings(long waitNs, long silenceNs, long leastNs, long mostNs, long retryNs) {
-        private static final long MS = 1_000_000L;
-        /** As in service. */
-        public static final Settings USUAL = new Settings(3000 * MS, 3500 * MS, 500 * MS, 8000 * MS, 10_000 * MS);
+    public record Settings(
+            long startupWaitNs, long silenceTimeoutNs, long initialBackoffNs, long maxBackoffNs, long applyRetryNs) {
+        private static final long NS_PER_MS = 1_000_000L;
+        public static final Settings DEFAULTS =
+                new Settings(3000 * NS_PER_MS, 3500 * NS_PER_MS, 500 * NS_PER_MS, 8000 * NS_PER_MS, 10_000 * NS_PER_MS);
     }
 
     private enum Connection {
@@ -54,11 +55,11 @@
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long BEAT_NS = 2_000_000_000L;
-    /** A control process in doubt is not gone back to for so long, if there is another. */
-    private static final long DOUBT_NS = 300_000_000_000L;
+    private static final long ACK_INTERVAL_NS = 2_000_000_000L;
+    /** A doubted control process does not count as an alternative for this long. */
+    private static final long DOUBT_PERIOD_NS = 300_000_000_000L;
 
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private final String name;
     private final Message.Role role;
@@ -66,39 +67,39 @@
     private final int addresses;
     private final RandomGenerator random;
     private final Host host;
-    private final long[] doubted;
+    private final long[] doubtedAtNs;
 
     private Connection connection = Connection.NONE;
-    private int which;
-    private long connectAt;
+    private int controlIndex;
+    private long reconnectAtNs;
     private int failures;
-    private long lastHeard;
-    private long lastAck;
-    private boolean wanted;
-    /** On this connection control has said what it has, and this one had it, or has it by now. */
+    private long lastReceivedNs;
+    private long lastAckNs;
+    private boolean snapshotRequested;
+    /** The follower has had the version that control announced on this connection, or has it by now. */
     private boolean caughtUp;
 
-    private Version told;
-    private long startedAt;
-    /** Since when the control process is not in step with the primary, or has less than this one. */
-    private long doubtSince = NEVER;
+    private Version announced;
+    private long startedAtNs;
+    /** When the control process was first seen out of step with the primary or behind this follower. */
+    private long doubtSinceNs = NEVER;
 
     private Document held;
-    /** Changes that led from what was last taken to what is held; null where it came whole. */
-    private List<Delta> led = List.of();
+    /** Deltas from the document last applied to the held one; null if it came as a snapshot. */
+    private List<Delta> pendingDeltas = List.of();
 
-    private boolean kept;
+    private boolean persisted;
     private boolean mayBeOlder;
-    /** The highest that any control process has told of. */
-    private Version highest;
+    /** The highest version announced by any control process. */
+    private Version highestSeen;
 
-    private boolean decided;
-    private boolean taking;
+    private boolean startDecided;
+    private boolean applying;
     private Version inForce;
     private String trouble = "";
-    private long retryAt;
+    private long retryAtNs;
 
-    /** addresses: how many control processes there are, in this follower's order; 1 or more. */
+    /** addresses: number of control processes, in this follower's order of preference; 1 or more. */
     public Follower(
             String name, Message.Role role, Settings settings, int addresses, RandomGenerator random, Host host) {
         this.name = name;
@@ -107,71 +108,72 @@
         this.addresses = addresses;
         this.random = random;
         this.host = host;
-        this.doubted = new long[addresses];
-        Arrays.fill(doubted, Long.MIN_VALUE);
+        this.doubtedAtNs = new long[addresses];
+        Arrays.fill(doubtedAtNs, Long.MIN_VALUE);
     }
 
     /**
-     * It begins. stored: what its disk has, null for nothing; mayBeOlder: it is known that the disk had a
-     * newer one, which is damaged.
+     * Starts following. stored: the document on disk, or null; mayBeOlder: the disk is known to have had a newer
+     * one, which is damaged.
      */
     public void start(long now, Document stored, boolean mayBeOlder) {
-        startedAt = now;
+        startedAtNs = now;
         held = stored;
-        kept = stored != null;
+        persisted = stored != null;
         this.mayBeOlder = mayBeOlder;
         connect();
     }
 
     private void connect() {
         connection = Connection.CONNECTING;
-        host.connect(which);
+        host.connect(controlIndex);
     }
 
-    // ---- what a connection brings ----
+    // ---- connection events ----
 
-    /** The connection is there. */
+    /** The connection is established. */
     public void opened(long now) {
         connection = Connection.OPEN;
-        lastHeard = now;
-        doubtSince = NEVER;
-        wanted = false;
+        lastReceivedNs = now;
+        doubtSinceNs = NEVER;
+        snapshotRequested = false;
         caughtUp = false;
-        told = null;
+        announced = null;
         host.send(new Message.Hello(name, role, held == null ? null : held.version()));
         ack(now);
     }
 
-    /** It has ended, or could not be made. */
+    /** The connection has ended or could not be established. */
     public void closed(long now, String why) {
         if (connection == Connection.NONE) {
             return;
         }
         if (connection == Connection.OPEN) {
-            host.say("lost control " + which + ": " + why);
+            host.log("lost connection to control " + controlIndex + ": " + why);
         }
-        next(now);
+        scheduleReconnect(now);
     }
 
-    /** Gives a connection up and tries the next address, after a pause that grows with each failure. */
-    private void next(long now) {
+    /** Schedules a connection to the next address, after a random delay whose bound grows with each failure. */
+    private void scheduleReconnect(long now) {
         connection = Connection.NONE;
-        which = (which + 1) % addresses;
-        long most = Math.min(settings.mostNs, settings.leastNs << Math.min(failures, MOST_DOUBLINGS));
+        controlIndex = (controlIndex + 1) % addresses;
+        long maxDelayNs =
+                Math.min(settings.maxBackoffNs, settings.initialBackoffNs << Math.min(failures, MAX_DOUBLINGS));
         failures++;
-        connectAt = now + (long) (random.nextDouble() * most);
+        reconnectAtNs = now + (long) (random.nextDouble() * maxDelayNs);
     }
 
-    private void leave(long now, String why) {
-        host.say("leaves control " + which + ": " + why);
-        doubted[which] = now;
+    private void abandon(long now, String why) {
+        host.log("disconnecting from control " + controlIndex + ", trying the next one: " + why);
+        doubtedAtNs[controlIndex] = now;
         host.disconnect();
-        next(now);
+        scheduleReconnect(now);
     }
 
-    /** A control process says something. */
+    /** A message has arrived from the control process. */
     public void received(long now, Message m) {
-        lastHeard = now;
+        lastReceivedNs = now;
         if (m instanceof Message.Head h) {
             head(now, h);
         } else if (m instanceof Message.Update u) {
@@ -179,84 +181,84 @@
         }
     }
 
-    /** Some of a message has come. */
-    public void heard(long now) {
-        lastHeard = now;
+    /** Part of a message has arrived. */
+    public void partReceived(long now) {
+        lastReceivedNs = now;
     }
 
     private void head(long now, Message.Head h) {
         failures = 0;
-        if (h.head() != null && (highest == null || h.head().order(highest) > 0)) {
-            highest = h.head();
+        if (h.head() != null && (highestSeen == null || h.head().comparePosition(highestSeen) > 0)) {
+            highestSeen = h.head();
         }
         String doubt = h.inStep() ? "" : h.control() + " is out of step with the primary";
-        if (held != null && (h.head() == null || h.head().order(held.version()) < 0)) {
-            doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this one has "
+        if (held != null && (h.head() == null || h.head().comparePosition(held.version()) < 0)) {
+            doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this follower has "
                     + held.version();
         } else if (held != null
-                && h.head().order(held.version()) == 0
+                && h.head().comparePosition(held.version()) == 0
                 && !h.head().equals(held.version())) {
-            doubt = forked(h.control(), h.head());
+            doubt = forkMessage(h.control(), h.head());
             if (!doubt.equals(trouble)) {
                 trouble = doubt;
                 ack(now);
             }
         }
-        told = h.head();
+        announced = h.head();
         if (doubt.isEmpty()) {
-            doubtSince = NEVER;
+            doubtSinceNs = NEVER;
             if (held != null && h.head() != null && held.version().equals(h.head())) {
                 caughtUp = true;
-                decided = true;
+                startDecided = true;
                 mayBeOlder = false;
                 if (held.version().equals(inForce) && !trouble.isEmpty()) {
                     trouble = "";
                     ack(now);
                 }
             } else if (h.head() == null) {
-                caughtUp = true; // nobody has any yet
+                caughtUp = true; // no version has been published yet
             }
-        } else if (doubtSince == NEVER) {
-            doubtSince = now;
-            host.say("doubts control " + which + ": " + doubt);
+        } else if (doubtSinceNs == NEVER) {
+            doubtSinceNs = now;
+            host.log("control " + controlIndex + " may be outdated: " + doubt);
         }
-        offer(now);
+        applyIfReady(now);
     }
 
-    private String forked(String who, Version other) {
-        return who + " has another version of the same place: " + other + ", this one has " + held.version()
+    private String forkMessage(String who, Version other) {
+        return who + " has another version with the same number: " + other + ", this follower has " + held.version()
                 + "; see 'forked' in docs/versions.md";
     }
 
     private void update(long now, Message.Update u) {
-        if (held != null && u.to().order(held.version()) <= 0) {
+        if (held != null && u.to().comparePosition(held.version()) <= 0) {
             if (!u.to().equals(held.version())) {
-                refused(now, "control " + which + " sent " + u.to() + ", this one has " + held.version());
+                refuse(now, "control " + controlIndex + " sent " + u.to() + ", this follower has " + held.version());
             }
             return;
         }
-        if (highest == null || u.to().order(highest) > 0) {
-            highest = u.to();
+        if (highestSeen == null || u.to().comparePosition(highestSeen) > 0) {
+            highestSeen = u.to();
         }
         try {
             if (u.deltas().isEmpty()) {
                 snapshot(now, u);
             } else if (held == null) {
-                throw new MismatchException("changes, and there is nothing that they could apply to");
+                throw new MismatchException("received deltas but holds no version to apply them to");
             } else {
                 Document d = Delta.apply(held, u.deltas());
                 if (!d.version().equals(u.to())) {
-                    throw new MismatchException("changes that lead to " + d.version() + ", not to " + u.to());
+                    throw new MismatchException("deltas lead to " + d.version() + ", expected " + u.to());
                 }
-                hold(now, d, u.deltas());
+                accept(now, d, u.deltas());
             }
         } catch (MismatchException e) {
-            host.say("an update of control " + which + " is not used: " + e.getMessage());
-            if (wanted) {
-                leave(now, "its updates do not fit");
+            host.log("discarding update from control " + controlIndex + ": " + e.getMessage());
+            if (snapshotRequested) {
+                abandon(now, "its updates cannot be applied");
             } else {
-                wanted = true;
-                host.send(new Message.Want());
+                snapshotRequested = true;
+                host.send(new Message.SnapshotRequest());
             }
         }
     }
@@ -267,143 +269,143 @@
             boolean other = u.ancestor() != null && !u.ancestor().equals(held.version());
             boolean next = u.to().number() == held.version().number() + 1 && !u.to().follows(held.version());
             if (other || next) {
-                refused(now, forked("control " + which, other ? u.ancestor() : u.to()));
+                refuse(now, forkMessage("control " + controlIndex, other ? u.ancestor() : u.to()));
                 return;
             }
         }
-        hold(now, d, null);
+        accept(now, d, null);
     }
 
-    private void refused(long now, String why) {
+    private void refuse(long now, String why) {
         trouble = why;
         ack(now);
-        leave(now, why);
+        abandon(now, why);
     }
 
-    private void hold(long now, Document d, List<Delta> how) {
+    private void accept(long now, Document d, List<Delta> deltas) {
         held = d;
-        kept = false;
+        persisted = false;
         mayBeOlder = false;
-        wanted = false;
-        if (how == null) {
-            led = null;
-        } else if (led != null) {
-            List<Delta> all = new ArrayList<>(led);
-            all.addAll(how);
-            led = all;
+        snapshotRequested = false;
+        if (deltas == null) {
+            pendingDeltas = null;
+        } else if (pendingDeltas != null) {
+            List<Delta> all = new ArrayList<>(pendingDeltas);
+            all.addAll(deltas);
+            pendingDeltas = all;
         }
-        retryAt = now;
-        if (doubtSince == NEVER && (caughtUp || told != null && d.version().order(told) >= 0)) {
+        retryAtNs = now;
+        if (doubtSinceNs == NEVER
+                && (caughtUp || announced != null && d.version().comparePosition(announced) >= 0)) {
             caughtUp = true;
-            decided = true;
+            startDecided = true;
         }
-        offer(now);
+        applyIfReady(now);
     }
 
-    // ---- what becomes of a document ----
+    // ---- applying documents ----
 
-    private void offer(long now) {
-        if (taking || !decided || held == null || held.version().equals(inForce) || now < retryAt) {
+    private void applyIfReady(long now) {
+        if (applying || !startDecided || held == null || held.version().equals(inForce) || now < retryAtNs) {
             return;
         }
-        taking = true;
-        List<Delta> how = led == null ? List.of() : led;
-        led = List.of();
-        host.take(held, how, kept);
+        applying = true;
+        List<Delta> deltas = pendingDeltas == null ? List.of() : pendingDeltas;
+        pendingDeltas = List.of();
+        host.apply(held, deltas, persisted);
     }
 
-    /** That version was kept and is in force, if why is null; else why not, and the one before still is. */
-    public void taken(long now, Version v, String why) {
-        taking = false;
+    /** The version is persisted and in force if why is null; otherwise the previous one still is in force. */
+    public void applied(long now, Version version, String why) {
+        applying = false;
         if (why == null) {
-            inForce = v;
+            inForce = version;
             trouble = "";
         } else {
             trouble = why;
-            led = null; // who keeps a history begins it anew
-            retryAt = now + settings.retryNs;
-            host.say("version " + v + " is not in force: " + why);
+            pendingDeltas = null; // a host with a history has to restart it
+            retryAtNs = now + settings.applyRetryNs;
+            host.log("version " + version + " could not be put in force, will be retried: " + why);
         }
         ack(now);
-        offer(now);
+        applyIfReady(now);
     }
 
     private void ack(long now) {
         if (connection == Connection.OPEN) {
-            lastAck = now;
+            lastAckNs = now;
             host.send(new Message.Ack(inForce, trouble));
         }
     }
 
-    // ---- time ----
+    // ---- timers ----
 
-    /** To be called every so often, some tenths of a second. */
+    /** Has to be called periodically, every few tenths of a second. */
     public void tick(long now) {
-        if (connection == Connection.NONE && now >= connectAt) {
+        if (connection == Connection.NONE && now >= reconnectAtNs) {
             connect();
-        } else if (connection == Connection.OPEN && now - lastHeard > settings.silenceNs) {
-            leave(now, "silent for " + (now - lastHeard) / 1_000_000 + " ms");
+        } else if (connection == Connection.OPEN && now - lastReceivedNs > settings.silenceTimeoutNs) {
+            abandon(now, "nothing received for " + (now - lastReceivedNs) / 1_000_000 + " ms");
         } else if (connection == Connection.OPEN
-                && doubtSince != NEVER
-                && now - doubtSince > settings.waitNs
-                && another(now)) {
-            leave(now, "it is in doubt");
-        } else if (connection == Connection.OPEN && now - lastAck >= BEAT_NS) {
+                && doubtSinceNs != NEVER
+                && now - doubtSinceNs > settings.startupWaitNs
+                && hasAlternative(now)) {
+            abandon(now, "it has been outdated for too long");
+        } else if (connection == Connection.OPEN && now - lastAckNs >= ACK_INTERVAL_NS) {
             ack(now);
         }
-        if (!decided && held != null && now - startedAt >= settings.waitNs && !olderIsKnown()) {
-            decided = true;
-            host.say("control did not say in time what is newest: begins with " + held.version()
-                    + (kept ? " of the disk" : "")
-                    + (mayBeOlder ? ", which may be older than what ran here before" : ""));
+        if (!startDecided && held != null && now - startedAtNs >= settings.startupWaitNs && !isKnownOlder()) {
+            startDecided = true;
+            host.log("no control process confirmed the newest version in time: starting with " + held.version()
+                    + (persisted ? " from disk" : "")
+                    + (mayBeOlder ? ", which may be older than the version that ran here before" : ""));
         }
-        offer(now);
+        applyIfReady(now);
     }
 
-    /** Is it known that what is held is older than what ran here? Then it is not put in force. */
-    private boolean olderIsKnown() {
-        return mayBeOlder && highest != null && highest.order(held.version()) > 0;
+    /** Whether the held document is known to be older than what ran here; it is then not put in force. */
+    private boolean isKnownOlder() {
+        return mayBeOlder && highestSeen != null && highestSeen.comparePosition(held.version()) > 0;
     }
 
-    private boolean another(long now) {
+    private boolean hasAlternative(long now) {
         for (int i = 0; i < addresses; i++) {
-            if (i != which && (doubted[i] == Long.MIN_VALUE || now - doubted[i] > DOUBT_NS)) {
+            if (i != controlIndex && (doubtedAtNs[i] == Long.MIN_VALUE || now - doubtedAtNs[i] > DOUBT_PERIOD_NS)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The newest document that was verified; null for none yet. */
+    /** The newest verified document, or null. */
     public Document held() {
         return held;
     }
 
-    /** Null for none yet. */
+    /** The version in force, or null. */
     public Version inForce() {
         return inForce;
     }
 
-    /** Why what is held is not in force; empty for no trouble. */
+    /** Why the held document is not in force; empty if there is no problem. */
     public String trouble() {
         return trouble;
     }
 
-    /** The place of the control process in the list of addresses. */
-    public int which() {
-        return which;
+    /** The index of the current control process in the address list. */
+    public int controlIndex() {
+        return controlIndex;
     }
 
-    /** Has it all that its control process had, which is itself in step with the primary? */
-    public boolean inStep(long now) {
+    /** Whether it has every version of its control process, which is itself in step with the primary. */
+    public boolean isInStep(long now) {
         return connection == Connection.OPEN
                 && caughtUp
-                && doubtSince == NEVER
-                && now - lastHeard <= settings.silenceNs;
+                && doubtSinceNs == NEVER
+                && now - lastReceivedNs <= settings.silenceTimeoutNs;
     }
 
-    /** Is it connected? */
-    public boolean connected() {
+    public boolean isConnected() {
         return connection == Connection.OPEN;
     }
 }
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -2,68 +2,69 @@
 
 import java.util.List;
 
-/** What one follower that is connected is to get, one update at a time: the next one tells all since. */
+/** Chooses the updates for one connected follower, one at a time; each covers all versions since the previous one. */
 public final class FollowerUpdates {
-    private final SnapshotSlots turns;
-    private Version has;
-    private boolean greeted;
-    private boolean wants;
+    private final SnapshotSlots slots;
+    private Version sentVersion;
+    private boolean helloReceived;
+    private boolean snapshotRequested;
 
-    /** turns: those of the control process, for snapshots. */
+    /** slots: limits concurrent snapshots of the control process. */
     public FollowerUpdates(SnapshotSlots turns) {
-        this.turns = turns;
+        this.slots = turns;
     }
 
-    /** It has begun, and has that version; null for none. */
+    /** The follower has said hello with the version it has, or null. */
     public void hello(Version v) {
-        has = v;
-        greeted = true;
+        sentVersion = v;
+        helloReceived = true;
     }
 
-    /** It could not use what it got. */
-    public void want() {
-        wants = true;
+    /** The follower could not apply an update and asks for a snapshot. */
+    public void requestSnapshot() {
+        snapshotRequested = true;
     }
 
-    /** Has it a higher version than the history, or another one of the same place? */
-    public boolean beyond(History h) {
-        if (!greeted || has == null) {
+    /** Whether the follower has a higher version than the history, or a fork of it. */
+    public boolean isAheadOrForked(History h) {
+        if (!helloReceived || sentVersion == null) {
             return false;
         }
-        History.Kind kind = h.answer(has).kind();
-        return kind == History.Kind.AHEAD || kind == History.Kind.FORKED;
+        History.UpdateKind kind = h.planFor(sentVersion).kind();
+        return kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED;
     }
 
-    /** What it has or is on its way to having; null for nothing. */
-    public Version has() {
-        return has;
+    /** The version that the follower has or has been sent, or null. */
+    public Version sentVersion() {
+        return sentVersion;
     }
 
     /**
-     * The update that is to go out now; null for none, or where it has to wait for its turn. Whoever sends a
-     * snapshot calls {@link #over} when it has gone.
+     * Returns the next update to send; null for none, or while it waits for a snapshot slot. The caller calls
+     * {@link #releaseSlot} once a snapshot has been sent.
      */
     public Message.Update next(History h) {
-        if (!greeted || h.head() == null) {
+        if (!helloReceived || h.head() == null) {
             return null;
         }
-        History.Answer a = h.answer(has);
-        if (wants && a.kind() != History.Kind.AHEAD && a.kind() != History.Kind.FORKED) {
-            a = new History.Answer(History.Kind.SNAPSHOT, List.of());
+        History.UpdatePlan a = h.planFor(sentVersion);
+        if (snapshotRequested && a.kind() != History.UpdateKind.AHEAD && a.kind() != History.UpdateKind.FORKED) {
+            a = new History.UpdatePlan(History.UpdateKind.SNAPSHOT, List.of());
         }
         switch (a.kind()) {
             case CHANGES -> {
-                has = h.version();
-                return new Message.Update(has, null, a.deltas(), "");
+                sentVersion = h.version();
+                return new Message.Update(sentVersion, null, a.deltas(), "");
             }
             case SNAPSHOT -> {
-                if (!turns.has(this)) {
+                if (!slots.tryAcquire(this)) {
                     return null;
                 }
-                Version ancestor = has == null ? null : h.at(has);
-                has = h.version();
-                wants = false;
-                return new Message.Update(has, ancestor, a.deltas(), h.head().text());
+                Version ancestor = sentVersion == null ? null : h.versionAt(sentVersion);
+                sentVersion = h.version();
+                snapshotRequested = false;
+                return new Message.Update(
+                        sentVersion, ancestor, a.deltas(), h.head().text());
             }
             default -> {
                 return null;
@@ -71,8 +72,8 @@
         }
     }
 
-    /** Its snapshot has gone, or the follower has: the next one that may have its turn, null for none. */
-    public FollowerUpdates over() {
-        return (FollowerUpdates) turns.over(this);
+    /** Called when the snapshot is sent or the follower disconnects. Returns the next one to try, or null. */
+    public FollowerUpdates releaseSlot() {
+        return (FollowerUpdates) slots.release(this);
     }
 }
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -15,36 +15,36 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A {@link Follower} on sockets. All on the platform's loop. */
+/** Connects a {@link Follower} to the network. Runs on the platform's event loop. */
 public final class FollowerNode implements Follower.Host, Link.Listener {
-    /** Keeps a document and puts it in force. */
-    public interface Taker {
-        /** done is called on the loop, with why it is not in force, or null. */
-        void take(Document d, List<Delta> led, boolean kept, Consumer<String> done);
+    /** Persists a document and puts it in force. */
+    public interface Applier {
+        /** done receives null on success, otherwise why the document is not in force. */
+        void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done);
     }
 
-    /** Bytes of the largest update, packed. */
-    static final int MOST = 32 << 20;
+    /** Limit for a compressed message. */
+    static final int MAX_UPDATE_BYTES = 32 << 20;
 
-    private static final int CONNECT_MS = 2000;
-    private static final long TICK_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final long TICK_INTERVAL_MS = 100;
 
     private final Platform platform;
     private final List<InetSocketAddress> addresses;
-    private final Taker taker;
-    private final Consumer<Message> heard;
+    private final Applier applier;
+    private final Consumer<Message> messageListener;
     private final Follower follower;
-    private final String says;
+    private final String logPrefix;
     private Link link;
     private Future<?> ticks;
-    private boolean ended;
+    private boolean stopped;
     private int connections;
     private long sent;
     private long received;
 
     /**
-     * addresses: the control processes in this follower's order; heard: is told of what comes, after the
-     * follower; says: what its lines of the log begin with.
+     * addresses: the control processes in order of preference; messageListener: receives each message after the
+     * follower; logPrefix: starts each log line.
      */
     public FollowerNode(
             String name,
@@ -53,22 +53,23 @@
             List<InetSocketAddress> addresses,
             Platform platform,
             RandomGenerator random,
-            Taker taker,
-            Consumer<Message> heard,
-            String says) {
+            Applier applier,
+            Consumer<Message> messageListener,
+            String logPrefix) {
         this.platform = platform;
         this.addresses = addresses;
-        this.taker = taker;
-        this.heard = heard;
-        this.says = says;
+        this.applier = applier;
+        this.messageListener = messageListener;
+        this.logPrefix = logPrefix;
         this.follower = new Follower(name, role, settings, addresses.size(), random, this);
     }
 
-    /** Begins, as {@link Follower#start} says. */
+    /** Starts the follower, see {@link Follower#start}. */
     public void start(Document stored, boolean mayBeOlder) {
         follower.start(now(), stored, mayBeOlder);
         ticks = platform.loop()
-                .scheduleWithFixedDelay(() -> follower.tick(now()), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(
+                        () -> follower.tick(now()), TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private long now() {
@@ -79,47 +80,47 @@
         return follower;
     }
 
-    /** Has it all that its control process had, which is itself in step with the primary? */
-    public boolean inStep() {
-        return follower.inStep(now());
+    /** See {@link Follower#isInStep}. */
+    public boolean isInStep() {
+        return follower.isInStep(now());
     }
 
-    /** How many it has had so far. */
+    /** Number of connections established so far. */
     public int connections() {
         return connections;
     }
 
-    /** Bytes written so far on all its connections. */
+    /** Bytes sent so far on all connections. */
     public long sent() {
-        return sent + (link == null ? 0 : link.sent());
+        return sent + (link == null ? 0 : link.sentBytes());
     }
 
-    /** Bytes that came so far on all its connections. */
+    /** Bytes received so far on all connections. */
     public long received() {
-        return received + (link == null ? 0 : link.received());
+        return received + (link == null ? 0 : link.receivedBytes());
     }
 
-    /** Ends its connection and makes no further one. */
-    public void end() {
-        ended = true;
+    /** Closes the connection and opens no further one. */
+    public void stop() {
+        stopped = true;
         if (ticks != null) {
             ticks.cancel(false);
         }
         disconnect();
     }
 
-    // ---- what the follower has done ----
+    // ---- operations of the follower ----
 
     @Override
-    public void connect(int which) {
-        if (ended) {
+    public void connect(int controlIndex) {
+        if (stopped) {
             return;
         }
-        Link mine = new Link(this, MOST);
+        Link mine = new Link(this, MAX_UPDATE_BYTES);
         link = mine;
         Bootstrap bootstrap = platform.transport()
-                .clientBootstrap(addresses.get(which))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .clientBootstrap(addresses.get(controlIndex))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(mine);
         ConnectOperation[] dial = new ConnectOperation[1];
         dial[0] = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
@@ -145,14 +146,14 @@
         Link old = link;
         link = null;
         if (old != null) {
-            count(old);
-            old.end(null);
+            addBytes(old);
+            old.close(null);
         }
     }
 
-    private void count(Link old) {
-        sent += old.sent();
-        received += old.received();
+    private void addBytes(Link old) {
+        sent += old.sentBytes();
+        received += old.receivedBytes();
     }
 
     @Override
@@ -163,21 +164,21 @@
     }
 
     @Override
-    public void take(Document d, List<Delta> led, boolean kept) {
-        // Never from within the follower, which is not done yet.
-        taker.take(d, led, kept, why -> platform.loop().execute(() -> {
-            if (!ended) {
-                follower.taken(now(), d.version(), why);
+    public void apply(Document d, List<Delta> deltas, boolean persisted) {
+        // Scheduled on the loop, because the host must not call back before apply returns.
+        applier.apply(d, deltas, persisted, why -> platform.loop().execute(() -> {
+            if (!stopped) {
+                follower.applied(now(), d.version(), why);
             }
         }));
     }
 
     @Override
-    public void say(String line) {
-        platform.log().write(says + line);
+    public void log(String line) {
+        platform.log().write(logPrefix + line);
     }
 
-    // ---- what the connection brings ----
+    // ---- connection events ----
 
     @Override
     public void opened(Link l) {
@@ -188,9 +189,9 @@
     }
 
     @Override
-    public void part(Link l) {
+    public void partReceived(Link l) {
         if (l == link) {
-            follower.heard(now());
+            follower.partReceived(now());
         }
     }
 
@@ -198,14 +199,14 @@
     public void received(Link l, Message m) {
         if (l == link) {
             follower.received(now(), m);
-            heard.accept(m);
+            messageListener.accept(m);
         }
     }
 
     @Override
     public void closed(Link l, String why) {
         if (l == link) {
-            count(l);
+            addBytes(l);
             link = null;
             follower.closed(now(), why);
         }
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -10,39 +10,39 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A connection on which messages go either way. All on its loop. */
+/** A bidirectional message connection. Runs on its event loop. */
 public final class Link extends ByteToMessageDecoder {
-    /** Who hears what comes on it. */
+    /** Receives the events of a link. */
     public interface Listener {
         void opened(Link link);
 
-        /** A frame has come that does not end a message. */
-        void part(Link link);
+        /** A frame has arrived that does not complete a message. */
+        void partReceived(Link link);
 
         void received(Link link, Message m);
 
-        /** Nothing comes any more. */
+        /** The connection has ended. */
         void closed(Link link, String why);
 
-        /** More may be written again. */
+        /** The channel is writable again. */
         default void writable(Link link) {}
     }
 
-    /** What the listener is told where the other end has closed it, in whatever way. */
-    static final String CLOSED = "the other end closed it";
+    /** The reason given to the listener when the peer has closed the connection in any way. */
+    static final String CLOSED_BY_PEER = "the peer closed the connection";
 
     private final Listener listener;
-    private final Frames.Joined joined;
+    private final Frames.Assembler assembler;
     private Channel channel;
-    private String why = CLOSED;
-    private boolean broken;
-    private long sent;
-    private long received;
+    private String closeReason = CLOSED_BY_PEER;
+    private boolean failed;
+    private long sentBytes;
+    private long receivedBytes;
 
-    /** mostBytes: of a message that may come, packed. */
-    public Link(Listener listener, int mostBytes) {
+    /** maxBytes: limit for a received message, compressed. */
+    public Link(Listener listener, int maxBytes) {
         this.listener = listener;
-        this.joined = new Frames.Joined(mostBytes);
+        this.assembler = new Frames.Assembler(maxBytes);
     }
 
     @Override
@@ -54,7 +54,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         super.channelInactive(context);
-        listener.closed(this, why);
+        listener.closed(this, closeReason);
     }
 
     @Override
@@ -66,7 +66,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (broken) { // what still comes would be refused once more, while it is closed
+        if (failed) { // discard input that arrives while the channel closes
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -74,8 +74,8 @@
             return;
         }
         int length = in.getInt(in.readerIndex());
-        if (length < 2 || length > Frames.MOST) {
-            throw new IOException("a frame of " + length + " bytes, " + Frames.MOST + " at the most");
+        if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
+            throw new IOException("a frame of " + length + " bytes, " + Frames.MAX_FRAME_BYTES + " is the maximum");
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
@@ -83,10 +83,10 @@
         in.skipBytes(Integer.BYTES);
         byte[] frame = new byte[length];
         in.readBytes(frame);
-        received += Integer.BYTES + length;
-        Message m = joined.add(frame);
+        receivedBytes += Integer.BYTES + length;
+        Message m = assembler.add(frame);
         if (m == null) {
-            listener.part(this);
+            listener.partReceived(this);
         } else {
             listener.received(this, m);
         }
@@ -94,20 +94,20 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        broken = true;
+        failed = true;
         Throwable first = cause.getCause() instanceof IOException ? cause.getCause() : cause;
-        end(first.getMessage() == null ? first.toString() : first.getMessage());
+        close(first.getMessage() == null ? first.toString() : first.getMessage());
     }
 
-    /** Writes a message at once. */
+    /** Writes and flushes a message. */
     public void send(Message m) {
         Frames.of(m).forEach(this::write);
         channel.flush();
     }
 
-    /** Writes a frame; it goes out with the next {@link #flush}. */
+    /** Writes a frame; it is sent with the next {@link #flush}. */
     public void write(byte[] frame) {
-        sent += frame.length;
+        sentBytes += frame.length;
         channel.write(Unpooled.wrappedBuffer(frame));
     }
 
@@ -115,29 +115,29 @@
         channel.flush();
     }
 
-    /** Does the other end take what is written? */
-    public boolean writable() {
+    /** Whether the write buffer is below its limit. */
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Bytes written so far, and bytes of whole frames that came, without those of TCP and IP. */
-    public long sent() {
-        return sent;
+    /** Bytes written so far, without TCP and IP overhead. */
+    public long sentBytes() {
+        return sentBytes;
     }
 
-    public long received() {
-        return received;
+    public long receivedBytes() {
+        return receivedBytes;
     }
 
-    /** Where the other end is. */
+    /** The remote address. */
     public String peer() {
         return String.valueOf(channel.remoteAddress());
     }
 
-    /** Closes it; reason: what the listener is told, null for the usual one. */
-    public void end(String reason) {
+    /** Closes the connection; reason: passed to the listener, null for the default one. */
+    public void close(String reason) {
         if (reason != null) {
-            why = reason;
+            closeReason = reason;
         }
         if (channel != null) {
             channel.close();
--- a/src/main/java/gullspar/versions/net/SharedDocument.java
+++ b/src/main/java/gullspar/versions/net/SharedDocument.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Looks at a change before anybody runs it. Not for several threads. */
+/** Validates a change before it becomes a version. Not thread-safe. */
 public final class SharedDocument {
     private final BlockParser blocks = new BlockParser();
 
-    /** All that is wrong with it, a line each: what SiteReader finds, and what is one process's own. */
+    /** Returns one line per problem: those SiteReader finds, and tables that belong to a single process. */
     public List<String> problems(String file, String text) {
         Site site;
         try {
@@ -23,21 +23,21 @@
         List<String> problems = new ArrayList<>();
         OperatorsFile own = site.operators();
         if (own.operatorAddress() != null) {
-            problems.add(place(file, text, "operator"));
+            problems.add(ownTableProblem(file, text, "operator"));
         }
         if (own.fleet() != null) {
-            problems.add(place(file, text, "fleet"));
+            problems.add(ownTableProblem(file, text, "fleet"));
         }
         return problems;
     }
 
-    private static String place(String file, String text, String table) {
+    private static String ownTableProblem(String file, String text, String table) {
         List<String> lines = text.lines().toList();
         int line = 0;
         while (line < lines.size() - 1 && !lines.get(line).strip().startsWith("[" + table)) {
             line++;
         }
         return file + ":" + (line + 1) + ":1: [" + table
-                + "] belongs to one process: it stands in the file of --follow, not in what all share";
+                + "] belongs to one process: move it from the shared configuration to the file of --follow";
     }
 }
--- a/src/main/java/gullspar/versions/net/Following.java
+++ b/src/main/java/gullspar/versions/net/VersionedSource.java
@@ -32,15 +32,15 @@
 import java.util.function.Consumer;
 
 /**
- * A proxy's configuration by its control processes. It has a loop and a worker of its own: reading a large
- * document must not hold up requests.
+ * A proxy's configuration as received from control processes. It has its own loop and worker, because parsing a
+ * large document must not delay requests.
  */
-public final class Following implements ConfigSource {
+public final class VersionedSource implements ConfigSource {
     private static final Log LOG = Log.standardError();
 
     private final FollowFile file;
     private final Store store;
-    /** Read on the worker only. */
+    /** Used on the worker only. */
     private final BlockParser blocks = new BlockParser();
 
     private final ExecutorService worker;
@@ -48,10 +48,10 @@
     private final EventLoop loop;
     private final Store.Found found;
     private final CompletableFuture<Site> first = new CompletableFuture<>();
-    /** Completed when the proxy serves. */
+    /** Completed when the proxy starts to serve. */
     private final CompletableFuture<ConfigReceiver> proxy = new CompletableFuture<>();
 
-    private Following(FollowFile file, Folder folder) throws IOException {
+    private VersionedSource(FollowFile file, Folder folder) throws IOException {
         this.file = file;
         this.store = new Store(folder);
         this.found = store.read();
@@ -62,27 +62,31 @@
         });
         ServingLoop serving = ServingLoop.start();
         this.loop = serving.loop();
-        Follower.Settings usual = Follower.Settings.USUAL;
+        Follower.Settings usual = Follower.Settings.DEFAULTS;
         this.node = new FollowerNode(
                 file.name(),
                 Message.Role.PROXY,
                 new Follower.Settings(
-                        file.startupWaitNs(), usual.silenceNs(), usual.leastNs(), usual.mostNs(), usual.retryNs()),
-                inOrder(file.name(), file.addresses()),
+                        file.startupWaitNs(),
+                        usual.silenceTimeoutNs(),
+                        usual.initialBackoffNs(),
+                        usual.maxBackoffNs(),
+                        usual.applyRetryNs()),
+                orderAddresses(file.name(), file.addresses()),
                 Platform.of(serving),
                 new SplittableRandom(System.nanoTime()),
-                this::take,
+                this::apply,
                 m -> {},
                 "versions: ");
     }
 
-    /** Takes the folder and looks what is there; an IOException if that cannot be. */
-    public static Following of(FollowFile file) throws IOException {
-        return new Following(file, DiskFolder.hold(file.directory()));
+    /** Locks the folder and reads the stored version; throws IOException if that fails. */
+    public static VersionedSource open(FollowFile file) throws IOException {
+        return new VersionedSource(file, DiskFolder.open(file.directory()));
     }
 
-    /** The addresses in the order in which a follower of that name tries them. */
-    public static List<InetSocketAddress> inOrder(String name, List<InetSocketAddress> addresses) {
+    /** The addresses in the order in which the follower of that name tries them. */
+    public static List<InetSocketAddress> orderAddresses(String name, List<InetSocketAddress> addresses) {
         Map<String, InetSocketAddress> byText = new HashMap<>();
         addresses.forEach(a -> byText.put(NetUtil.toSocketAddressString(a), a));
         return Preference.order(name, List.copyOf(byText.keySet())).stream()
@@ -93,15 +97,16 @@
     @Override
     public Site initial() {
         found.damage().forEach(line -> LOG.write("versions: " + line));
-        Document stored = found.kept() == null ? null : found.kept().document();
-        LOG.write("versions: " + (stored == null ? "nothing on the disk" : "has " + stored.version() + " on the disk")
-                + "; asks " + file.addresses().size() + " control processes");
+        Document stored = found.stored() == null ? null : found.stored().document();
+        LOG.write(
+                "versions: " + (stored == null ? "no version on the disk" : "has " + stored.version() + " on the disk")
+                        + "; connecting to one of " + file.addresses().size() + " control processes");
         loop.execute(() -> node.start(stored, found.mayBeOlder()));
         return first.join();
     }
 
-    /** Reads the document, keeps it, then puts it in force. */
-    private void take(Document d, List<Delta> led, boolean kept, Consumer<String> done) {
+    /** Parses the document, persists it, then puts it in force. */
+    private void apply(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
         worker.execute(() -> {
             Site site;
             try {
@@ -109,18 +114,18 @@
                         SiteReader.parse(d.text(), "version " + d.version().number(), blocks);
                 site = new Site(
                         shared.listeners(), shared.pools(), shared.limits(), shared.forwarded(), file.operators());
-                if (!kept) {
-                    store.keep(new Codec.Kept(d, null, List.of()));
+                if (!persisted) {
+                    store.persist(new Codec.StoredDocument(d, null, List.of()));
                 }
             } catch (ProblemsException e) {
-                done.accept("this program cannot use it: "
+                done.accept("invalid for this proxy: "
                         + e.getMessage().lines().findFirst().orElse(""));
                 return;
             } catch (IOException e) {
                 done.accept("it cannot be kept: " + (e.getMessage() == null ? e : e.getMessage()));
                 return;
-            } catch (RuntimeException e) { // a slip of the reader's: one version is lost, not all that follow
-                done.accept("this program failed on it: " + e);
+            } catch (RuntimeException e) { // a bug in the parser must not stop later versions
+                done.accept("internal error while applying it: " + e);
                 return;
             }
             if (first.complete(site)) {
@@ -146,6 +151,6 @@
 
     @Override
     public void reload(ConfigReceiver to) {
-        LOG.write("versions: the configuration comes from control; SIGHUP reads nothing of it");
+        LOG.write("versions: SIGHUP ignored: the configuration comes from the control processes");
     }
 }
--- a/src/test/java/gullspar/versions/RateLimiterTest.java
+++ b/src/test/java/gullspar/versions/RateLimiterTest.java
@@ -8,47 +8,47 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-/** How much goes out, and to how many at once. */
+/** Rate of sent bytes and number of concurrent snapshots. */
 class RateLimiterTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     @Test
-    void inNoSecondMoreGoesThanAllowedButForOneFrame() {
+    void anySecondIsWithinTheAllowancePlusOneFrame() {
         RateLimiter p = new RateLimiter(10_000, 0);
         Deque<long[]> last = new ArrayDeque<>();
-        long now = 5 * SECOND;
+        long now = 5 * SECOND_NS;
         int within = 0;
         int most = 0;
         int all = 0;
         for (int i = 0; i < 500; i++) {
-            now = Math.max(now, p.readyAt(now));
+            now = Math.max(now, p.readyAtNs(now));
             int frame = i % 3 == 0 ? 2048 : 300;
             p.spend(now, frame);
             last.add(new long[] {now, frame});
             within += frame;
             all += frame;
-            while (last.peek()[0] <= now - SECOND) {
+            while (last.peek()[0] <= now - SECOND_NS) {
                 within -= last.poll()[1];
             }
             most = Math.max(most, within);
         }
         assertTrue(most <= 10_000 + 2048, "worst second: " + most);
-        double mean = all / ((now - 5 * SECOND) / 1e9);
+        double mean = all / ((now - 5 * SECOND_NS) / 1e9);
         assertTrue(mean > 6_500 && mean < 7_500, "mean: " + mean);
     }
 
     @Test
-    void soManyHaveATurnAndTheOthersComeInTheirOrder() {
+    void slotsAreLimitedAndWaitersServedInOrder() {
         SnapshotSlots t = new SnapshotSlots(2);
-        assertTrue(t.has("a"));
-        assertTrue(t.has("b"));
-        assertFalse(t.has("c"));
-        assertFalse(t.has("d"));
-        assertEquals("c", t.over("a"));
-        assertFalse(t.has("d"), "c was there before");
-        assertTrue(t.has("c"));
-        assertEquals(null, t.over("d"));
-        assertEquals(null, t.over("b"));
-        assertEquals(2, t.highest());
+        assertTrue(t.tryAcquire("a"));
+        assertTrue(t.tryAcquire("b"));
+        assertFalse(t.tryAcquire("c"));
+        assertFalse(t.tryAcquire("d"));
+        assertEquals("c", t.release("a"));
+        assertFalse(t.tryAcquire("d"), "c asked before d");
+        assertTrue(t.tryAcquire("c"));
+        assertEquals(null, t.release("d"));
+        assertEquals(null, t.release("b"));
+        assertEquals(2, t.peak());
     }
 }
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a disk gives back, whatever happens to it. */
+/** What the store reads back after crashes, write failures and damage. */
 class StoreTest {
-    /** Nothing happens after it. */
-    private static final class Dead extends RuntimeException {
+    /** Thrown in place of a process crash; nothing is written after it. */
+    private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** In memory; fails or dies at an operation, a write then with a part of its bytes. */
-    private static final class Faulty implements Folder {
+    /** In-memory folder that fails or crashes at a given operation; a write then stores a part of its bytes. */
+    private static final class FaultyFolder implements Folder {
         private final Map<String, byte[]> files = new HashMap<>();
         private int operations;
-        private int diesAt = -1;
+        private int crashesAt = -1;
         private int failsAt = -1;
         private double part;
 
@@ -38,7 +38,7 @@
             if (at == failsAt) {
                 throw new IOException("No space left on device");
             }
-            return at == diesAt;
+            return at == crashesAt;
         }
 
         @Override
@@ -49,11 +49,11 @@
         @Override
         public void write(String name, byte[] content) throws IOException {
             int n = (int) (content.length * part);
-            if (operations == diesAt || operations == failsAt) {
+            if (operations == crashesAt || operations == failsAt) {
                 files.put(name, Arrays.copyOf(content, n));
             }
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
             files.put(name, content);
         }
@@ -61,7 +61,7 @@
         @Override
         public void rename(String from, String to) throws IOException {
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
             if (!files.containsKey(from)) {
                 throw new IOException("no " + from);
@@ -72,90 +72,91 @@
         @Override
         public void sync() throws IOException {
             if (now()) {
-                throw new Dead();
+                throw new SimulatedCrash();
             }
         }
     }
 
     private final List<Document> all = Chain.of(40, 60);
 
-    private static Codec.Kept kept(Document d) {
-        return new Codec.Kept(d, null, List.of());
+    private static Codec.StoredDocument kept(Document d) {
+        return new Codec.StoredDocument(d, null, List.of());
     }
 
-    /** Whatever was kept, or began to be: never an older one, whenever the process ends. */
+    /** A crash at any operation while versions are persisted must never restore an older version. */
     @Test
-    void whateverOperationIsTheLastOneNothingOlderComesBack() throws IOException {
+    void crashAtAnyOperationNeverRestoresAnOlderVersion() throws IOException {
         for (int dies = 0; dies < 24; dies++) {
             for (double part : new double[] {0, 0.5, 1}) {
-                Faulty f = new Faulty();
-                f.diesAt = dies;
+                FaultyFolder f = new FaultyFolder();
+                f.crashesAt = dies;
                 f.part = part;
                 int done = -1;
                 Store s = new Store(f);
                 s.read();
                 try {
                     for (int i = 0; i < 10; i++) {
-                        s.keep(kept(all.get(i)));
+                        s.persist(kept(all.get(i)));
                         done = i;
                     }
-                } catch (Dead e) {
-                    // and starts again
+                } catch (SimulatedCrash e) {
+                    // the process restarts
                 }
-                f.diesAt = -1;
+                f.crashesAt = -1;
                 for (int again = 0; again < 3; again++) {
                     Store.Found found = new Store(f).read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
+                            : (int) found.stored().document().version().number() - 1;
                     assertTrue(
-                            has == done || has == done + 1, "dies at " + dies + ": has " + has + ", had kept " + done);
-                    assertFalse(found.mayBeOlder(), "dies at " + dies);
+                            has == done || has == done + 1,
+                            "crash at " + dies + ": read " + has + ", had persisted " + done);
+                    assertFalse(found.mayBeOlder(), "crash at " + dies);
                     assertEquals(List.of(), found.damage());
                     Store next = new Store(f);
                     next.read();
-                    next.keep(kept(all.get(has + 1)));
+                    next.persist(kept(all.get(has + 1)));
                     done = has + 1;
                 }
             }
         }
     }
 
-    /** It dies once, starts, and dies again at any operation: the newest that is whole is never lost. */
+    /** A crash, a restart and a second crash at any operation must not lose the newest intact version. */
     @Test
-    void twoEndsInARowLoseNothingEither() throws IOException {
+    void twoCrashesInARowLoseNothing() throws IOException {
         for (int first = 4; first < 12; first++) {
             for (int second = 0; second < 6; second++) {
-                Faulty f = new Faulty();
-                f.diesAt = first;
+                FaultyFolder f = new FaultyFolder();
+                f.crashesAt = first;
                 f.part = 0.3;
                 int done = -1;
                 for (int life = 0; life < 3; life++) {
                     Store s = new Store(f);
                     Store.Found found = s.read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
-                    assertTrue(has >= done, "has " + has + ", had " + done);
+                            : (int) found.stored().document().version().number() - 1;
+                    assertTrue(has >= done, "read " + has + ", had persisted " + done);
                     done = has;
                     try {
                         for (int i = has + 1; i < has + 6; i++) {
-                            s.keep(kept(all.get(i)));
+                            s.persist(kept(all.get(i)));
                             done = i;
                         }
-                    } catch (Dead e) {
-                        // and starts again
+                    } catch (SimulatedCrash e) {
+                        // the process restarts
                     }
-                    f.diesAt = life == 0 ? f.operations + second : -1;
+                    f.crashesAt = life == 0 ? f.operations + second : -1;
                 }
             }
         }
     }
 
     @Test
-    void aDiskThatFailsLeavesTheFormerOneAndLaterTakesTheNext() throws IOException {
+    void failedWriteLeavesTheFormerVersionAndALaterOneSucceeds() throws IOException {
         for (int fails = 0; fails < 12; fails++) {
-            Faulty f = new Faulty();
+            FaultyFolder f = new FaultyFolder();
             f.failsAt = fails;
             f.part = 0.7;
             Store s = new Store(f);
@@ -163,29 +164,29 @@
             int done = -1;
             for (int i = 0; i < 12; i++) {
                 try {
-                    s.keep(kept(all.get(i)));
+                    s.persist(kept(all.get(i)));
                     done = i;
                 } catch (IOException e) {
                     Store.Found found = new Store(f).read();
-                    int has = found.kept() == null
+                    int has = found.stored() == null
                             ? -1
-                            : (int) found.kept().document().version().number() - 1;
+                            : (int) found.stored().document().version().number() - 1;
                     assertTrue(has == done || has == i);
                 }
             }
-            assertEquals(all.get(11), new Store(f).read().kept().document());
+            assertEquals(all.get(11), new Store(f).read().stored().document());
         }
     }
 
     @Test
-    void aDamagedFileIsNamedAndTheFormerOneIsSaidToBeOlder() throws IOException {
+    void damagedFileIsReportedAndTheFormerVersionMarkedOlder() throws IOException {
         SplittableRandom r = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            Faulty f = new Faulty();
+            FaultyFolder f = new FaultyFolder();
             Store s = new Store(f);
             s.read();
-            s.keep(kept(all.get(0)));
-            s.keep(kept(all.get(1)));
+            s.persist(kept(all.get(0)));
+            s.persist(kept(all.get(1)));
             byte[] b = f.files.get(Store.CURRENT).clone();
             if (i % 2 == 0) {
                 b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
@@ -195,27 +196,27 @@
             f.files.put(Store.CURRENT, b);
             Store again = new Store(f);
             Store.Found found = again.read();
-            assertEquals(all.get(0), found.kept().document());
+            assertEquals(all.get(0), found.stored().document());
             assertTrue(found.mayBeOlder());
             assertTrue(found.damage().get(0).startsWith("the file current is damaged"));
-            again.keep(kept(all.get(2)));
+            again.persist(kept(all.get(2)));
             Store.Found mended = new Store(f).read();
-            assertEquals(all.get(2), mended.kept().document());
+            assertEquals(all.get(2), mended.stored().document());
             assertFalse(mended.mayBeOlder());
             assertTrue(f.files.containsKey(Store.PREVIOUS));
         }
     }
 
     @Test
-    void aFolderOfTheFileSystemDoesTheSameAndIsHeldByOne(@TempDir Path folder) throws IOException {
-        try (DiskFolder d = DiskFolder.hold(folder)) {
-            assertThrows(IOException.class, () -> DiskFolder.hold(folder));
+    void diskFolderBehavesTheSameAndIsLockedByOneProcess(@TempDir Path folder) throws IOException {
+        try (DiskFolder d = DiskFolder.open(folder)) {
+            assertThrows(IOException.class, () -> DiskFolder.open(folder));
             Store s = new Store(d);
-            assertEquals(null, s.read().kept());
-            s.keep(kept(all.get(0)));
-            s.keep(kept(all.get(1)));
-            assertEquals(all.get(1), new Store(d).read().kept().document());
+            assertEquals(null, s.read().stored());
+            s.persist(kept(all.get(0)));
+            s.persist(kept(all.get(1)));
+            assertEquals(all.get(1), new Store(d).read().stored().document());
         }
-        DiskFolder.hold(folder).close();
+        DiskFolder.open(folder).close();
     }
 }
