--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -223,7 +223,7 @@
             }
         } else if (fromSubject && q.address.equals(p.address())) {
             open.remove(a.nonce());
-            members.markGone(now, p, "another process answers at " + q.address + ": " + a.subject());
+            members.markGone(now, p, "at " + q.address + " answers " + a.subject());
         }
     }
 
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -227,7 +227,7 @@
             return;
         }
         if (older.address().equals(newer.address())) {
-            markGone(now, older, "restarted as " + newer.id);
+            markGone(now, older, "it came back as " + newer.id);
         } else {
             toProbe.add(older);
         }
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -150,7 +150,7 @@
     /** Rejects a partly received request instead of waiting for the rest. */
     void rejectPartialRequest() {
         if (hasPartialRequest() && !closing) {
-            closeWithError(503, "proxy is shutting down");
+            closeWithError(503, "this proxy ends");
         }
     }
 
@@ -233,7 +233,7 @@
                 channel.close(); // the client does not read the error response
             }
         } else if (isRequestTooSlow(now)) {
-            closeWithError(408, "request not received in time");
+            closeWithError(408, "the request did not come in time");
         } else if (isIdle() && now - idleSinceNs > (used ? idleTimeoutNs : requestTimeoutNs)) {
             closeBetweenRequests();
         }
@@ -261,7 +261,7 @@
         }
         if (message.decoderResult().isFailure()) {
             boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
-            closeWithError(tooLong ? 431 : 400, tooLong ? "request head too long" : "malformed request");
+            closeWithError(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
             return;
         }
         if (message instanceof HttpRequest r && !begin(r)) {
@@ -299,7 +299,7 @@
         bodyBytes += bytes.readableBytes();
         lastReceivedNs = owner.now();
         if (bodyBytes > Message.MAX_BODY_BYTES) {
-            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
+            closeWithError(413, "the body is too long");
             return false;
         }
         if (upload == null && body.add(bytes) != Body.AddResult.TAKEN) {
@@ -352,7 +352,7 @@
      */
     private void rejectUnreadUpload() {
         if (!closing && upload.paused() && upload.isUnread()) {
-            closeWithError(503, "request body too large to hold until it is sent, try again");
+            closeWithError(503, "its body is too long to be kept waiting, try again");
         }
     }
 
@@ -360,12 +360,12 @@
     private boolean begin(HttpRequest r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            closeWithError(505, "only HTTP/1.0 and HTTP/1.1 are supported");
+            closeWithError(505, "this is HTTP/1.1");
         } else if (HttpUtil.getContentLength(r, 0L) > Message.MAX_BODY_BYTES) {
             // Rejected before reading: the body may be of any length.
-            closeWithError(413, "request body exceeds " + Message.MAX_BODY_BYTES + " bytes");
+            closeWithError(413, "the body is too long");
         } else if (r.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(r)) {
-            closeWithError(417, "unsupported Expect header: only 100-continue is supported");
+            closeWithError(417, "nothing to be expected but 100-continue");
         } else {
             head = r;
             awaitsContinue = HttpUtil.is100ContinueExpected(r);
@@ -396,7 +396,7 @@
         } else {
             // Usual clients do not pipeline this many requests. No queued request has been sent on, and their
             // deadlines would expire in the queue, so all of them are rejected.
-            String reason = "too many pipelined requests on this connection";
+            String reason = "too many requests at once on a connection";
             List<QueuedRequest> rejected = queue.stream()
                     .map(o -> new QueuedRequest(null, 429, reason, o.receivedAt(), true, o.version()))
                     .toList();
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -288,7 +288,7 @@
             return;
         }
         if (of == null) {
-            client.respond(404, null, "unknown request class");
+            client.respond(404, null, "no such class");
             m.release();
             return;
         }
@@ -296,11 +296,11 @@
         HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         String error = RequestParameters.validationError(m, p);
         if (!m.method().equals(method)) {
-            client.respond(405, null, "method not allowed: this class takes " + method);
+            client.respond(405, null, "this class takes " + method);
         } else if (error != null) {
             client.respond(400, null, error);
         } else if (!requestIds.open(m.id())) {
-            client.respond(409, null, "Request-Id is already used by another request");
+            client.respond(409, null, "this Request-Id is another request's");
         } else {
             client.setCurrentRequest(m);
             pressure.requests++;
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -25,22 +25,22 @@
     /** Validates a request of a class; returns the error, or null if it is valid. */
     static String validationError(Message m, Profile p) {
         if (!TARGET.matcher(m.uri()).matches()) {
-            return "request target contains invalid characters";
+            return "a target with odd characters";
         }
         if (!hasSingleValue(m, "Request-Id", NAME)) {
-            return "Request-Id missing, invalid or repeated";
+            return "no Request-Id, or an odd one, or several";
         }
         if (parseTimeoutNs(m) <= 0) {
-            return "Request-Timeout missing, invalid or repeated";
+            return "no sensible Request-Timeout";
         }
         boolean keyed = m.headers().contains("Idempotency-Key");
         if (keyed && !hasSingleValue(m, "Idempotency-Key", NAME)) {
-            return "Idempotency-Key invalid or repeated";
+            return "an odd Idempotency-Key, or several";
         }
         if (p.effect() == Effect.DEDUPLICATED && !keyed || p.effect() == Effect.AT_MOST_ONCE && keyed) {
-            return keyed ? "Idempotency-Key not allowed for this class" : "Idempotency-Key missing";
+            return keyed ? "this class takes no Idempotency-Key" : "no Idempotency-Key";
         }
-        return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "body not allowed for this class" : null;
+        return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "a body" : null;
     }
 
     private static boolean hasSingleValue(Message m, String name, Pattern form) {
--- a/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
@@ -44,7 +44,7 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            answer(ctx, HttpResponseStatus.BAD_REQUEST, "text/plain", "malformed request\n", true);
+            answer(ctx, HttpResponseStatus.BAD_REQUEST, "text/plain", "not a call\n", true);
         } else if (message instanceof HttpRequest r) {
             handle(ctx, r);
         }
@@ -53,7 +53,7 @@
     private void handle(ChannelHandlerContext ctx, HttpRequest r) {
         boolean body = !r.method().equals(HttpMethod.HEAD);
         if (body && !r.method().equals(HttpMethod.GET)) {
-            answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET and HEAD are supported\n", true);
+            answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET\n", true);
             return;
         }
         OperatorEndpoint.StatusSource source = statusSource.get();
@@ -85,7 +85,7 @@
                     ctx,
                     HttpResponseStatus.NOT_FOUND,
                     "text/plain",
-                    "unknown path: expected /_ready or /_vars, or /_fleet with [fleet]\n",
+                    "there are /_ready and /_vars, and /_fleet with [fleet]\n",
                     body);
         } else {
             answer(ctx, HttpResponseStatus.OK, "application/json", json, body);
