--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -1,7 +1,7 @@
 package gullspar.cli;
 
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.RequestTrace;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.live.LivePlay;
 import gullspar.rehearse.play.Played;
@@ -117,7 +117,7 @@
                 System.out.println("decisions " + played.decisions() + " sha256 " + played.hash());
             }
         }
-        return played.verdict().kept() ? 0 : reportBroken(played);
+        return played.verdict().hasNoViolations() ? 0 : reportBroken(played);
     }
 
     private Played playVirtual(Script s, Terminal terminal) throws IOException {
@@ -127,13 +127,16 @@
     }
 
     private int reportBroken(Played played) {
-        Broken first = played.verdict().broken().get(0);
-        System.err.println("BROKEN: " + first.rule().words()
-                + (played.verdict().broken().size() > 1
-                        ? " (and " + (played.verdict().broken().size() - 1) + " more)"
+        RuleViolation first = played.verdict().violations().get(0);
+        System.err.println("BROKEN: " + first.rule().description()
+                + (played.verdict().violations().size() > 1
+                        ? " (and " + (played.verdict().violations().size() - 1) + " more)"
                         : ""));
         System.err.printf(
-                Locale.ROOT, "at %.6f s: %s%n", (first.at() - played.eventLog().start()) / 1e9, first.what());
+                Locale.ROOT,
+                "at %.6f s: %s%n",
+                (first.atNs() - played.eventLog().start()) / 1e9,
+                first.description());
         if (first.request() != null) {
             RequestTrace.of(first.request(), played.eventLog()).forEach(line -> System.err.println("  " + line));
         }
@@ -161,8 +164,9 @@
                                 .filter(e -> e.getValue() > 0)
                                 .map(e -> e.getValue() + " " + e.getKey())
                                 .collect(Collectors.joining(", ")),
-                "  ran twice      " + v.twice() + " keyed orders, by their clients' own retries",
-                "  rules          " + (v.kept() ? "all kept" : v.broken().size() + " times broken"));
+                "  ran twice      " + v.duplicateEffects() + " keyed orders, by their clients' own retries",
+                "  rules          "
+                        + (v.hasNoViolations() ? "all kept" : v.violations().size() + " times broken"));
     }
 
     /** Compares two decision logs. */
@@ -210,11 +214,16 @@
         @Override
         public Integer call() {
             for (FaultKind k : FaultKind.values()) {
-                System.out.println(k.named() + "  (" + k.target().name().toLowerCase(Locale.ROOT)
-                        + (k.momentary() ? "" : ", for") + ")"
-                        + k.figures().stream()
+                System.out.println(k.scriptName() + "  (" + k.target().name().toLowerCase(Locale.ROOT)
+                        + (k.isMomentary() ? "" : ", for") + ")"
+                        + k.parameters().stream()
                                 .map(f -> String.format(
-                                        Locale.ROOT, "  %s = %s (%s to %s)", f.name(), f.usual(), f.least(), f.most()))
+                                        Locale.ROOT,
+                                        "  %s = %s (%s to %s)",
+                                        f.name(),
+                                        f.defaultValue(),
+                                        f.min(),
+                                        f.max()))
                                 .collect(Collectors.joining()));
             }
             return 0;
--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -16,28 +16,28 @@
  */
 final class FleetJudge {
     /** A rate is one only over so long: a start among many costs more for a while. */
-    private static final double LEAST_UP_S = 20;
+    private static final double MIN_UPTIME_S = 20;
 
-    private final Script.Peers asked;
+    private final Script.Peers limits;
     private final EventLog eventLog;
     private final long slackNs;
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<RuleViolation> violations = new ArrayList<>();
     /** Whose a life was, and when it lived: learnt from what the processes said of themselves. */
     private final Map<String, EventLog.Life> lives = new HashMap<>();
     /** When a process answered first: only from then on does it take part. */
-    private final Map<EventLog.Life, Long> heard = new HashMap<>();
+    private final Map<EventLog.Life, Long> firstResponseAt = new HashMap<>();
     /** The last that an observer said of a life. */
-    private final Map<String, Look.Seen> last = new HashMap<>();
+    private final Map<String, Look.Seen> lastSeen = new HashMap<>();
 
-    private final Set<String> told = new TreeSet<>();
+    private final Set<String> reported = new TreeSet<>();
 
     private FleetJudge(Script script, EventLog eventLog, long slackNs) {
-        this.asked = script.peers();
+        this.limits = script.peers();
         this.eventLog = eventLog;
         this.slackNs = slackNs;
     }
 
-    static List<Broken> judge(Script script, EventLog eventLog, long slackNs) {
+    static List<RuleViolation> judge(Script script, EventLog eventLog, long slackNs) {
         FleetJudge j = new FleetJudge(script, eventLog, slackNs);
         for (Look l : eventLog.looks()) {
             eventLog.lives().stream()
@@ -45,11 +45,11 @@
                     .findFirst()
                     .ifPresent(x -> {
                         j.lives.putIfAbsent(l.life(), x);
-                        j.heard.putIfAbsent(x, l.at());
+                        j.firstResponseAt.putIfAbsent(x, l.at());
                     });
         }
-        eventLog.looks().forEach(j::look);
-        return j.broken;
+        eventLog.looks().forEach(j::checkView);
+        return j.violations;
     }
 
     private static long ns(double s) {
@@ -57,184 +57,186 @@
     }
 
     /** Once for each kind of thing that is wrong: the first shows it. */
-    private void wrong(Rule rule, long at, String key, String what) {
-        if (told.add(rule + key)) {
-            broken.add(new Broken(rule, at, what, null));
+    private void addViolation(Rule rule, long at, String key, String description) {
+        if (reported.add(rule + key)) {
+            violations.add(new RuleViolation(rule, at, description, null));
         }
     }
 
-    private boolean livesAt(EventLog.Life l, long at) {
+    private boolean isRunningAt(EventLog.Life l, long at) {
         return l.from() <= at && at + slackNs < l.until();
     }
 
     /** How long ago both of them were last struck, or began; negative while one is. */
-    private long calmFor(String a, String b, long at) {
+    private long undisturbedNs(String a, String b, long at) {
         long since = Math.max(eventLog.settledSince(a, at), eventLog.settledSince(b, at));
         for (EventLog.Life l : eventLog.lives()) {
             if (l.from() <= at && (l.proxy().equals(a) || l.proxy().equals(b))) {
-                since = Math.max(since, heard.getOrDefault(l, Math.min(l.until(), at)));
+                since = Math.max(since, firstResponseAt.getOrDefault(l, Math.min(l.until(), at)));
             }
         }
         return at - since;
     }
 
-    private void look(Look l) {
-        EventLog.Life me = lives.get(l.life());
-        if (me == null) {
+    private void checkView(Look l) {
+        EventLog.Life observer = lives.get(l.life());
+        if (observer == null) {
             return; // asked while it ended
         }
         for (Look.Seen s : l.seen()) {
             EventLog.Life other = lives.get(s.life());
-            String who = l.proxy() + " of " + s.name() + '/' + s.life();
+            String key = l.proxy() + " of " + s.name() + '/' + s.life();
             if (other == null
                     && s.present()
                     && eventLog.lives().stream().noneMatch(x -> x.name().equals(s.name()))) {
-                wrong(
+                addViolation(
                         Rule.FLEET_TRUE,
                         l.at(),
-                        who,
+                        key,
                         l.proxy() + " has " + s.name() + " as " + s.status() + ", which never was");
             }
-            if (other != null && livesAt(other, l.at())) {
-                if (s.status().equals("gone") && calmFor(l.proxy(), other.proxy(), l.at()) > ns(asked.quietS())) {
-                    wrong(
+            if (other != null && isRunningAt(other, l.at())) {
+                if (s.status().equals("gone")
+                        && undisturbedNs(l.proxy(), other.proxy(), l.at()) > ns(limits.quietS())) {
+                    addViolation(
                             Rule.FLEET_TRUE,
                             l.at(),
-                            who,
+                            key,
                             l.proxy() + " calls " + s.name() + " gone, which lives and was not struck for "
-                                    + asked.quietS() + " s");
+                                    + limits.quietS() + " s");
                 }
             } else if (other != null && s.present()) {
-                long dead = Math.min(l.at() - other.until(), l.at() - eventLog.settledSince(l.proxy(), l.at()));
-                if (Math.min(dead, l.at() - me.from()) > ns(asked.goneS())) {
-                    wrong(
+                long endedForNs = Math.min(l.at() - other.until(), l.at() - eventLog.settledSince(l.proxy(), l.at()));
+                if (Math.min(endedForNs, l.at() - observer.from()) > ns(limits.goneS())) {
+                    addViolation(
                             Rule.FLEET_TRUE,
                             l.at(),
-                            who,
+                            key,
                             l.proxy() + " still has " + s.name() + " (life "
                                     + s.life()
-                                    + ") as " + s.status() + ", which ended more than " + asked.goneS() + " s ago");
+                                    + ") as " + s.status() + ", which ended more than " + limits.goneS() + " s ago");
                 }
             }
-            deaf(l, s, who);
-            noWayBack(l, s, who);
+            checkIsolatedMember(l, s, key);
+            checkForwardOnly(l, s, key);
         }
-        accused(l, me);
-        agreed(l);
-        twins(l, me);
-        honest(l);
-        if (l.upS() > LEAST_UP_S && l.sentBytes() / l.upS() > asked.bytesPerS()) {
-            wrong(
+        checkAccusations(l, observer);
+        checkAgreement(l);
+        checkDuplicateNames(l, observer);
+        checkCutOffReport(l);
+        if (l.upS() > MIN_UPTIME_S && l.sentBytes() / l.upS() > limits.bytesPerS()) {
+            addViolation(
                     Rule.FLEET_CHEAP,
                     l.at(),
                     l.life(),
                     l.proxy() + " sent " + (long) (l.sentBytes() / l.upS()) + " bytes a second, of "
-                            + asked.bytesPerS());
+                            + limits.bytesPerS());
         }
     }
 
     /** Whoever hears none of the others cannot do its part, however well it is heard. */
-    private void deaf(Look l, Look.Seen s, String who) {
-        long span = ns(asked.goneS());
+    private void checkIsolatedMember(Look l, Look.Seen s, String key) {
+        long spanNs = ns(limits.goneS());
         if (s.present()
-                && eventLog.deafThrough(s.name(), l.at() - span, l.at())
+                && eventLog.deafThrough(s.name(), l.at() - spanNs, l.at())
                 && eventLog.lives().stream()
-                        .anyMatch(x -> x.proxy().equals(l.proxy()) && x.from() < l.at() - span && livesAt(x, l.at()))) {
-            wrong(
+                        .anyMatch(x ->
+                                x.proxy().equals(l.proxy()) && x.from() < l.at() - spanNs && isRunningAt(x, l.at()))) {
+            addViolation(
                     Rule.FLEET_TRUE,
                     l.at(),
-                    who + " deaf",
+                    key + " deaf",
                     l.proxy() + " has " + s.name() + " as " + s.status() + ", which has heard none of the others for "
-                            + asked.goneS() + " s");
+                            + limits.goneS() + " s");
         }
     }
 
-    private void noWayBack(Look l, Look.Seen s, String who) {
-        Look.Seen before = last.put(l.life() + who, s);
+    private void checkForwardOnly(Look l, Look.Seen s, String key) {
+        Look.Seen before = lastSeen.put(l.life() + key, s);
         if (before != null
                 && (s.incarnation() < before.incarnation()
                         || before.status().equals("left") && !s.status().equals("left"))) {
-            wrong(
+            addViolation(
                     Rule.FLEET_FORWARD,
                     l.at(),
-                    who,
+                    key,
                     l.proxy() + " had " + s.name() + " as " + before.status()
                             + " in incarnation " + before.incarnation() + ", and then as " + s.status() + " in "
                             + s.incarnation());
         }
     }
 
-    private void accused(Look l, EventLog.Life me) {
+    private void checkAccusations(Look l, EventLog.Life observer) {
         double minutes = Math.max(1, l.upS() / 60);
-        boolean struck = eventLog.settledSince(l.proxy(), l.at()) != Long.MIN_VALUE
+        boolean hadFault = eventLog.settledSince(l.proxy(), l.at()) != Long.MIN_VALUE
                 || eventLog.partings().stream().anyMatch(p -> p.from() <= l.at());
-        if (!struck && l.objections() > asked.accusationsPerMin() * minutes) {
-            wrong(
+        if (!hadFault && l.objections() > limits.accusationsPerMin() * minutes) {
+            addViolation(
                     Rule.FLEET_TRUE,
                     l.at(),
                     l.life() + " accused",
                     l.proxy()
                             + ", which was never struck, had to object "
-                            + l.objections() + " times in " + (l.at() - me.from()) / 1_000_000_000
+                            + l.objections() + " times in " + (l.at() - observer.from()) / 1_000_000_000
                             + " s to being called gone");
         }
     }
 
     /** Long enough after the last fault anywhere each sees all that live, and nobody else as present. */
-    private void agreed(Look l) {
-        long calm = Long.MAX_VALUE;
+    private void checkAgreement(Look l) {
+        long calmNs = Long.MAX_VALUE;
         Set<String> living = new TreeSet<>();
         for (EventLog.Life x : eventLog.lives()) {
             if (x.from() <= l.at()) {
-                calm = Math.min(calm, calmFor(x.proxy(), x.proxy(), l.at()));
-                calm = Math.min(calm, x.until() <= l.at() ? l.at() - x.until() : Long.MAX_VALUE);
-                if (livesAt(x, l.at())) {
+                calmNs = Math.min(calmNs, undisturbedNs(x.proxy(), x.proxy(), l.at()));
+                calmNs = Math.min(calmNs, x.until() <= l.at() ? l.at() - x.until() : Long.MAX_VALUE);
+                if (isRunningAt(x, l.at())) {
                     living.add(x.name());
                 }
             }
         }
-        if (calm <= ns(asked.agreeS())) {
+        if (calmNs <= ns(limits.agreeS())) {
             return;
         }
         Set<String> sees = new TreeSet<>();
         sees.add(EventLog.named(l.proxy()));
         l.seen().stream().filter(s -> s.status().equals("alive")).forEach(s -> sees.add(s.name()));
         if (!sees.equals(living)) {
-            wrong(
+            addViolation(
                     Rule.FLEET_AGREES,
                     l.at(),
                     l.proxy(),
-                    l.proxy() + " sees " + sees + " alive, and there are " + living + ", " + asked.agreeS()
+                    l.proxy() + " sees " + sees + " alive, and there are " + living + ", " + limits.agreeS()
                             + " s after the last fault");
         }
     }
 
     /** Two processes that live under one name are both seen, and named as that by all: neither wins. */
-    private void twins(Look l, EventLog.Life me) {
+    private void checkDuplicateNames(Look l, EventLog.Life observer) {
         for (EventLog.Life x : eventLog.lives()) {
             String name = x.name();
-            if (x.proxy().equals(name) || !livesAt(x, l.at())) {
+            if (x.proxy().equals(name) || !isRunningAt(x, l.at())) {
                 continue;
             }
             EventLog.Life first = eventLog.lives().stream()
-                    .filter(y -> y.proxy().equals(name) && livesAt(y, l.at()))
+                    .filter(y -> y.proxy().equals(name) && isRunningAt(y, l.at()))
                     .findFirst()
                     .orElse(null);
             if (first == null
-                    || Math.min(calmFor(l.proxy(), name, l.at()), calmFor(x.proxy(), x.proxy(), l.at()))
-                            <= ns(asked.agreeS())) {
+                    || Math.min(undisturbedNs(l.proxy(), name, l.at()), undisturbedNs(x.proxy(), x.proxy(), l.at()))
+                            <= ns(limits.agreeS())) {
                 continue;
             }
             long seen = l.seen().stream()
                     .filter(s -> s.name().equals(name) && s.present())
                     .count();
-            long owed = me.name().equals(name) ? 1 : 2;
-            if (seen != owed || l.seen().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
-                wrong(
+            long expected = observer.name().equals(name) ? 1 : 2;
+            if (seen != expected || l.seen().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
+                addViolation(
                         Rule.FLEET_TWINS,
                         l.at(),
                         l.proxy() + name,
-                        l.proxy() + " sees " + seen + " of the " + owed + " others that live under the name " + name
+                        l.proxy() + " sees " + seen + " of the " + expected + " others that live under the name " + name
                                 + ", and does not name them");
             }
         }
@@ -244,30 +246,31 @@
      * While a minority is cut off from all others, and these were there lately, it says so; the rest does
      * not.
      */
-    private void honest(Look l) {
-        List<EventLog.Parted> now = eventLog.partings().stream()
+    private void checkCutOffReport(Look l) {
+        List<EventLog.Parted> active = eventLog.partings().stream()
                 .filter(p -> p.from() <= l.at() && l.at() < p.until())
                 .toList();
-        if (now.size() != 1) {
+        if (active.size() != 1) {
             return; // several at once: who hears whom is another question
         }
-        EventLog.Parted p = now.get(0);
-        if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && livesAt(x, l.at()))) {
+        EventLog.Parted p = active.get(0);
+        if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && isRunningAt(x, l.at()))) {
             return; // a twin is on neither side
         }
-        long since = l.at() - p.from();
-        long living = eventLog.lives().stream().filter(x -> livesAt(x, l.at())).count();
-        boolean allAlong = eventLog.lives().stream()
-                .allMatch(x -> x.until() <= p.from() - ns(asked.windowS())
-                        || x.from() < p.from() - ns(asked.agreeS()) && x.until() > l.at());
-        if (!allAlong || since < ns(asked.goneS()) || since > ns(asked.windowS() * 0.9)) {
+        long sinceNs = l.at() - p.from();
+        long living =
+                eventLog.lives().stream().filter(x -> isRunningAt(x, l.at())).count();
+        boolean isMembershipStable = eventLog.lives().stream()
+                .allMatch(x -> x.until() <= p.from() - ns(limits.windowS())
+                        || x.from() < p.from() - ns(limits.agreeS()) && x.until() > l.at());
+        if (!isMembershipStable || sinceNs < ns(limits.goneS()) || sinceNs > ns(limits.windowS() * 0.9)) {
             return;
         }
         long side =
                 p.one().contains(l.proxy()) ? p.one().size() : living - p.one().size();
         boolean minority = 2 * side < living;
         if (minority != l.cutOff()) {
-            wrong(
+            addViolation(
                     Rule.FLEET_HONEST,
                     l.at(),
                     l.proxy(),
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -20,23 +20,23 @@
  * expectations. The same for a day in virtual time and a live one; live, times are known less exactly.
  */
 public final class Judge {
-    private static final int WORST_S = 10;
+    private static final int WORST_WINDOW_S = 10;
     /** A client that leaves is to be heard of within so long (the operators' page). */
-    private static final long LEFT_NS = 100_000_000L;
+    private static final long MAX_LEAVE_DELAY_NS = 100_000_000L;
 
     /** An attempt may be given so much more than its client has left (the operators' page). */
-    private static final long TOLD_NS = 150_000_000L;
+    private static final long MAX_EXTRA_TIME_NS = 150_000_000L;
 
-    private static final long STEP_NS = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     private final Script script;
     private final EventLog eventLog;
     private final long slackNs;
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<RuleViolation> broken = new ArrayList<>();
     /** Service of the ten seconds from each second on. */
-    private final List<Double> windows = new ArrayList<>();
+    private final List<Double> windowServices = new ArrayList<>();
 
-    private int twice;
+    private int duplicateEffects;
 
     private Judge(Script script, EventLog eventLog, long slackNs) {
         this.script = script;
@@ -51,30 +51,30 @@
 
     private Verdict verdict() {
         eventLog.orders().forEach(o -> {
-            o.tries.forEach(this::oneAnswer);
-            o.tries.forEach(this::leftAlone);
-            o.tries.forEach(this::timeTold);
-            o.tries.forEach(this::nothingTwice);
-            o.tries.forEach(this::drainsKept);
-            effects(o);
+            o.tries.forEach(this::checkFinalResponse);
+            o.tries.forEach(this::checkLeftClient);
+            o.tries.forEach(this::checkTimeGiven);
+            o.tries.forEach(this::checkRepeats);
+            o.tries.forEach(this::checkDrains);
+            checkEffects(o);
         });
         eventLog.fallen()
-                .forEach((node, at) -> broken.add(new Broken(
+                .forEach((node, at) -> broken.add(new RuleViolation(
                         Rule.COLD_SPARED,
                         at,
                         node + " was sent more than " + script.rules().tipMultiple() + " times what it could do for "
                                 + script.rules().fallS() + " s while it was cold, and fell over",
                         null)));
-        eventLog.crashes().forEach(c -> broken.add(new Broken(Rule.ONE_ANSWER, c.at(), c.what(), null)));
+        eventLog.crashes().forEach(c -> broken.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.what(), null)));
         eventLog.rudeServed()
-                .forEach(text -> broken.add(new Broken(
+                .forEach(text -> broken.add(new RuleViolation(
                         Rule.ONE_ANSWER,
                         0,
                         "a request that makes no sense was served: "
                                 + text.lines().findFirst().orElse(""),
                         null)));
         if (eventLog.rudeIgnored() > 0) {
-            broken.add(new Broken(
+            broken.add(new RuleViolation(
                     Rule.ONE_ANSWER,
                     0,
                     eventLog.rudeIgnored() + " of " + eventLog.rudeSent()
@@ -86,7 +86,7 @@
         }
         double service = service(eventLog.orders());
         int worstFrom = worstFrom();
-        double worst = worstFrom < 0 ? service : windows.get(worstFrom);
+        double worst = worstFrom < 0 ? service : windowServices.get(worstFrom);
         String worstClass = "";
         double worstShare = 2;
         for (Script.RequestClass c : script.classes()) {
@@ -97,20 +97,20 @@
                 worstClass = c.name();
             }
         }
-        expected("service", service);
-        expected("worst_10s", worst);
-        expected("worst_class", worstShare);
-        broken.sort(Comparator.comparingLong(Broken::at));
+        checkExpectation("service", service);
+        checkExpectation("worst_10s", worst);
+        checkExpectation("worst_class", worstShare);
+        broken.sort(Comparator.comparingLong(RuleViolation::atNs));
         return new Verdict(
                 List.copyOf(broken),
                 service,
                 worst,
-                Math.max(0, worstFrom) * STEP_NS,
+                Math.max(0, worstFrom) * SECOND_NS,
                 worstShare,
                 worstClass,
                 counts(),
                 eventLog.orders().size(),
-                twice);
+                duplicateEffects);
     }
 
     /** The second from which service was worst for ten; -1 on a day that is shorter. */
@@ -119,27 +119,27 @@
         double[] asked = new double[seconds + 1];
         double[] served = new double[seconds + 1];
         for (Order o : eventLog.orders()) {
-            int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / STEP_NS));
+            int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / SECOND_NS));
             asked[at] += o.kind.worth();
             served[at] += o.inTime() ? o.kind.worth() : 0;
         }
         int worst = -1;
-        for (int from = 0; from + WORST_S <= seconds; from++) {
-            double a = Arrays.stream(asked, from, from + WORST_S).sum();
-            double s = Arrays.stream(served, from, from + WORST_S).sum();
-            windows.add(a == 0 ? 1 : s / a);
-            worst = worst < 0 || windows.get(from) < windows.get(worst) ? from : worst;
+        for (int from = 0; from + WORST_WINDOW_S <= seconds; from++) {
+            double a = Arrays.stream(asked, from, from + WORST_WINDOW_S).sum();
+            double s = Arrays.stream(served, from, from + WORST_WINDOW_S).sum();
+            windowServices.add(a == 0 ? 1 : s / a);
+            worst = worst < 0 || windowServices.get(from) < windowServices.get(worst) ? from : worst;
         }
         return worst;
     }
 
-    private void expected(String name, double share) {
-        Double least = script.expect().get(name);
-        if (least != null && share < least) {
-            broken.add(new Broken(
+    private void checkExpectation(String name, double share) {
+        Double minimum = script.expect().get(name);
+        if (minimum != null && share < minimum) {
+            broken.add(new RuleViolation(
                     Rule.EXPECTED,
                     eventLog.start() + (long) (script.seconds() * 1e9),
-                    String.format(Locale.ROOT, "%s is %.4f, the script expects %.4f", name, share, least),
+                    String.format(Locale.ROOT, "%s is %.4f, the script expects %.4f", name, share, minimum),
                     null));
         }
     }
@@ -161,18 +161,18 @@
         }
         for (Order o : eventLog.orders()) {
             for (Try t : o.tries) {
-                counts.merge(ended(t), 1, Integer::sum);
+                counts.merge(endingName(t), 1, Integer::sum);
             }
         }
         return counts;
     }
 
     /** How a try ended, in a word. */
-    public static String ended(Try t) {
+    public static String endingName(Try t) {
         return switch (t.ending) {
             case ANSWERED -> t.status == 200
                     ? t.endedAt <= t.order.at + (long) (t.order.kind.promiseMs() * 1e6) ? "served" : "late"
-                    : refused(t) ? "refused" : "failed";
+                    : isRefused(t) ? "refused" : "failed";
             case GIVEN_UP -> "given up";
             case LEFT -> "left";
             case CLOSED -> "closed";
@@ -181,17 +181,17 @@
         };
     }
 
-    private static boolean refused(Try t) {
+    private static boolean isRefused(Try t) {
         return t.status == 429 || t.status == 503;
     }
 
     private void broken(Rule rule, long at, Try t, String what) {
-        broken.add(new Broken(rule, at, what, t));
+        broken.add(new RuleViolation(rule, at, what, t));
     }
 
     // ---- the rules ----
 
-    private void oneAnswer(Try t) {
+    private void checkFinalResponse(Try t) {
         if (t.status == 200 && t.attempts.stream().noneMatch(a -> a.startedAt != 0)) {
             broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, and no node had worked on it");
         }
@@ -220,9 +220,9 @@
         }
     }
 
-    private void leftAlone(Try t) {
+    private void checkLeftClient(Try t) {
         for (Attempt a : t.attempts) {
-            if (t.ending == Try.Ending.LEFT && a.sentAt > t.endedAt + LEFT_NS + slackNs) {
+            if (t.ending == Try.Ending.LEFT && a.sentAt > t.endedAt + MAX_LEAVE_DELAY_NS + slackNs) {
                 broken(
                         Rule.LEFT_ALONE,
                         a.sentAt,
@@ -237,10 +237,10 @@
     }
 
     /** A proxy that does not know how long a request has waited gives its backend time that nobody has. */
-    private void timeTold(Try t) {
+    private void checkTimeGiven(Try t) {
         for (Attempt a : t.attempts) {
-            long left = t.deadline - a.sentAt;
-            if (a.toldNs != Long.MAX_VALUE && a.toldNs > left + TOLD_NS + slackNs) {
+            long leftNs = t.deadline - a.sentAt;
+            if (a.toldNs != Long.MAX_VALUE && a.toldNs > leftNs + MAX_EXTRA_TIME_NS + slackNs) {
                 broken(
                         Rule.TIME_TOLD,
                         a.sentAt,
@@ -250,12 +250,12 @@
                                 "the attempt at %s was given %.3f s when its client had %.3f s left",
                                 a.node,
                                 a.toldNs / 1e9,
-                                left / 1e9));
+                                leftNs / 1e9));
             }
         }
     }
 
-    private void nothingTwice(Try t) {
+    private void checkRepeats(Try t) {
         Effect effect = t.order.kind.effect();
         if (effect == Effect.IDEMPOTENT) {
             return;
@@ -271,7 +271,7 @@
                         a.wholeAt,
                         t,
                         "an attempt at " + a.node + ", though the one at " + first.node + " may have run");
-            } else if (first != null && !repeatIsDropped(t, first, a)) {
+            } else if (first != null && !isRepeatDropped(t, first, a)) {
                 broken(
                         Rule.NOTHING_TWICE,
                         a.wholeAt,
@@ -282,8 +282,8 @@
             }
             first = first == null && a.mayHaveRun() ? a : first;
         }
-        boolean harmless = effect == Effect.DEDUPLICATED && t.order.kind.scope() == Scope.ALL;
-        if (first != null && refused(t) && t.ending == Try.Ending.ANSWERED && !harmless) {
+        boolean isRetryHarmless = effect == Effect.DEDUPLICATED && t.order.kind.scope() == Scope.ALL;
+        if (first != null && isRefused(t) && t.ending == Try.Ending.ANSWERED && !isRetryHarmless) {
             broken(
                     Rule.NOTHING_TWICE,
                     t.endedAt,
@@ -292,13 +292,13 @@
         }
     }
 
-    private boolean repeatIsDropped(Try t, Attempt first, Attempt next) {
-        boolean inTime = next.wholeAt - first.wholeAt <= (long) (t.order.kind.windowMs() * 1e6) + slackNs;
-        return inTime && (t.order.kind.scope() == Scope.ALL || first.site.equals(next.site));
+    private boolean isRepeatDropped(Try t, Attempt first, Attempt next) {
+        boolean isWithinWindow = next.wholeAt - first.wholeAt <= (long) (t.order.kind.windowMs() * 1e6) + slackNs;
+        return isWithinWindow && (t.order.kind.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
     /** What ran more than once: by a proxy's doing it breaks the rule, by a client's own retry it is told. */
-    private void effects(Order o) {
+    private void checkEffects(Order o) {
         if (o.effects <= 1 || o.kind.effect() == Effect.IDEMPOTENT) {
             return;
         }
@@ -306,15 +306,15 @@
             Try last = o.tries.get(o.tries.size() - 1);
             broken(Rule.NOTHING_TWICE, last.endedAt, last, "it took effect " + o.effects + " times");
         } else {
-            twice++;
+            duplicateEffects++;
         }
     }
 
-    private void drainsKept(Try t) {
-        long grace = (long) (script.rules().drainGraceMs() * 1e6);
+    private void checkDrains(Try t) {
+        long graceNs = (long) (script.rules().drainGraceMs() * 1e6);
         for (Attempt a : t.attempts) {
-            long told = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
-            if (told != 0 && a.sentAt > told + grace + slackNs) {
+            long toldAt = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
+            if (toldAt != 0 && a.sentAt > toldAt + graceNs + slackNs) {
                 broken(
                         Rule.DRAINS_KEPT,
                         a.sentAt,
@@ -323,11 +323,11 @@
                                 Locale.ROOT,
                                 "an attempt went to %s %.3f s after %s was told that it leaves",
                                 a.node,
-                                (a.sentAt - told) / 1e9,
+                                (a.sentAt - toldAt) / 1e9,
                                 t.proxy));
             }
-            long due = eventLog.dueLeaving(t.proxy, a.node, a.sentAt);
-            if (due != 0 && a.sentAt > due + grace + slackNs) {
+            long dueAt = eventLog.dueLeaving(t.proxy, a.node, a.sentAt);
+            if (dueAt != 0 && a.sentAt > dueAt + graceNs + slackNs) {
                 broken(
                         Rule.LISTS_HEARD,
                         a.sentAt,
@@ -336,7 +336,7 @@
                                 Locale.ROOT,
                                 "an attempt went to %s %.3f s after %s had to know that it leaves",
                                 a.node,
-                                (a.sentAt - due) / 1e9,
+                                (a.sentAt - dueAt) / 1e9,
                                 t.proxy));
             }
         }
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -10,17 +10,18 @@
 
 /** All that is known of one order, in the order in which it happened, for people to read. */
 public final class RequestTrace {
-    private record Line(long at, String what) {}
+    private record Line(long atNs, String text) {}
 
     private RequestTrace() {}
 
     /** The story of the order of a request, a line each, with seconds from the start of the day. */
-    public static List<String> of(Try of, EventLog eventLog) {
+    public static List<String> of(Try request, EventLog eventLog) {
         List<Line> lines = new ArrayList<>();
         lines.add(new Line(
-                of.order.at,
-                "order " + of.order.number + " (" + of.order.kind.name() + ", " + of.order.site + ") comes up"));
-        for (Try t : of.order.tries) {
+                request.order.at,
+                "order " + request.order.number + " (" + request.order.kind.name() + ", " + request.order.site
+                        + ") comes up"));
+        for (Try t : request.order.tries) {
             if (t.sentAt != 0) {
                 lines.add(new Line(
                         t.sentAt,
@@ -28,16 +29,16 @@
                                 + seconds(t.deadline - eventLog.start())));
             }
             for (Attempt a : t.attempts) {
-                attempt(lines, t, a);
-                long told = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
-                if (told != 0) {
-                    lines.add(new Line(told, t.proxy + " is told that " + a.node + " leaves"));
+                addAttempt(lines, t, a);
+                long toldAt = eventLog.toldLeaving(t.proxy, a.node, a.sentAt);
+                if (toldAt != 0) {
+                    lines.add(new Line(toldAt, t.proxy + " is told that " + a.node + " leaves"));
                 }
             }
             if (t.endedAt != 0) {
                 lines.add(new Line(
                         t.endedAt,
-                        t.id + " is " + Judge.ended(t)
+                        t.id + " is " + Judge.endingName(t)
                                 + (t.status == 0
                                         ? ""
                                         : " (" + t.status + ", sent "
@@ -45,14 +46,14 @@
                                                 + ")")));
             }
         }
-        long from = of.order.at;
-        long to = of.endedAt;
+        long from = request.order.at;
+        long to = request.endedAt;
         eventLog.happenings().stream()
                 .filter(h -> h.at() >= from - 2_000_000_000L && h.at() <= to)
                 .forEach(h -> lines.add(new Line(h.at(), "(" + h.what() + ")")));
         return lines.stream()
-                .sorted(Comparator.comparingLong(Line::at))
-                .map(l -> String.format(Locale.ROOT, "%10.6f s  %s", (l.at - eventLog.start()) / 1e9, l.what))
+                .sorted(Comparator.comparingLong(Line::atNs))
+                .map(l -> String.format(Locale.ROOT, "%10.6f s  %s", (l.atNs - eventLog.start()) / 1e9, l.text))
                 .toList();
     }
 
@@ -60,7 +61,7 @@
         return String.format(Locale.ROOT, "%.6f s", ns / 1e9);
     }
 
-    private static void attempt(List<Line> lines, Try t, Attempt a) {
+    private static void addAttempt(List<Line> lines, Try t, Attempt a) {
         lines.add(new Line(a.sentAt, "an attempt of " + t.id + " goes out to " + a.node));
         if (a.wholeAt != 0) {
             lines.add(new Line(a.wholeAt, a.node + " has it whole"));
--- a/src/main/java/gullspar/rehearse/judge/Rule.java
+++ b/src/main/java/gullspar/rehearse/judge/Rule.java
@@ -21,13 +21,13 @@
     FLEET_CHEAP("to keep a view of the fleet costs each proxy no more than its budget"),
     EXPECTED("the script expects it");
 
-    private final String words;
+    private final String description;
 
     Rule(String words) {
-        this.words = words;
+        this.description = words;
     }
 
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 }
--- a/src/main/java/gullspar/rehearse/judge/Verdict.java
+++ b/src/main/java/gullspar/rehearse/judge/Verdict.java
@@ -9,7 +9,7 @@
  * by their clients' own retries.
  */
 public record Verdict(
-        List<Broken> broken,
+        List<RuleViolation> violations,
         double service,
         double worst10s,
         long worstFromNs,
@@ -17,8 +17,8 @@
         String worstClassName,
         Map<String, Integer> counts,
         int orders,
-        int twice) {
-    public boolean kept() {
-        return broken.isEmpty();
+        int duplicateEffects) {
+    public boolean hasNoViolations() {
+        return violations.isEmpty();
     }
 }
--- a/src/main/java/gullspar/rehearse/play/Timeline.java
+++ b/src/main/java/gullspar/rehearse/play/Timeline.java
@@ -74,9 +74,11 @@
             Fault f = faults.get(i);
             // Who is struck is drawn for each fault by itself: one that is taken out must not change the
             // rest.
-            SplittableRandom random = new SplittableRandom(
-                    script.seed() * 31 + 6 + Double.hashCode(f.at()) + f.kind().ordinal() * 1_000_003L);
-            after(f.at(), () -> strike(f, random));
+            SplittableRandom random = new SplittableRandom(script.seed() * 31
+                    + 6
+                    + Double.hashCode(f.startS())
+                    + f.kind().ordinal() * 1_000_003L);
+            after(f.startS(), () -> strike(f, random));
         }
     }
 
@@ -99,19 +101,19 @@
             }
             case CLASS -> {
                 if (f.kind() == FaultKind.LEAVING) {
-                    loadGenerator.leaving(f.names().get(0), f.figure("share"), f.figure("within_ms"));
-                    after(f.lasts(), () -> loadGenerator.leaving(f.names().get(0), 0, 0));
+                    loadGenerator.leaving(f.names().get(0), f.parameter("share"), f.parameter("within_ms"));
+                    after(f.durationS(), () -> loadGenerator.leaving(f.names().get(0), 0, 0));
                     break;
                 }
-                loadGenerator.heavy(f.names().get(0), f.figure("share"), f.figure("times"));
-                after(f.lasts(), () -> loadGenerator.heavy(f.names().get(0), 0, 1));
+                loadGenerator.heavy(f.names().get(0), f.parameter("share"), f.parameter("times"));
+                after(f.durationS(), () -> loadGenerator.heavy(f.names().get(0), 0, 1));
             }
             case LINK -> ways(f);
             case DATAGRAMS -> datagrams(f);
             default -> fleet(f);
         }
-        if (f.lasts() > 0) {
-            after(f.lasts(), () -> eventLog.happened(stage.now(), f.kind().named() + " ends"));
+        if (f.durationS() > 0) {
+            after(f.durationS(), () -> eventLog.happened(stage.now(), f.kind().scriptName() + " ends"));
         }
     }
 
@@ -130,22 +132,22 @@
 
     private void node(Fault f, String n) {
         switch (f.kind()) {
-            case NEIGHBOUR -> neighbour(f, n, stage.now() + (long) (f.lasts() * 1e9));
-            case CRASH -> fleet.crash(n, f.figure("down_s"));
-            case RESTART -> fleet.restart(n, f.figure("grace_s"), f.figure("down_s"));
-            case REPLACE -> fleet.replace(n, f.figure("grace_s"), f.figure("down_s"));
-            case DRAIN -> fleet.drain(n, f.figure("grace_s"));
+            case NEIGHBOUR -> neighbour(f, n, stage.now() + (long) (f.durationS() * 1e9));
+            case CRASH -> fleet.crash(n, f.parameter("down_s"));
+            case RESTART -> fleet.restart(n, f.parameter("grace_s"), f.parameter("down_s"));
+            case REPLACE -> fleet.replace(n, f.parameter("grace_s"), f.parameter("down_s"));
+            case DRAIN -> fleet.drain(n, f.parameter("grace_s"));
             case HANG -> during(f, on -> fleet.hang(n, on));
-            case SPOIL -> during(f, on -> fleet.spoil(n, on ? f.figure("share") : 0));
-            case SLOW_ANSWERS -> during(f, on -> fleet.trickle(n, on ? f.figure("bytes_per_s") : 0));
+            case SPOIL -> during(f, on -> fleet.spoil(n, on ? f.parameter("share") : 0));
+            case SLOW_ANSWERS -> during(f, on -> fleet.trickle(n, on ? f.parameter("bytes_per_s") : 0));
             case VANISH -> during(f, on -> faultInjector.vanish(n, on));
-            default -> throw new IllegalStateException(f.kind().named());
+            default -> throw new IllegalStateException(f.kind().scriptName());
         }
     }
 
     private void during(Fault f, Consumer<Boolean> what) {
         what.accept(true);
-        after(f.lasts(), () -> what.accept(false));
+        after(f.durationS(), () -> what.accept(false));
     }
 
     /** On and off until the end. */
@@ -153,18 +155,18 @@
         if (stage.now() >= until) {
             return;
         }
-        fleet.neighbour(n, f.figure("takes"));
-        double on = Math.min(f.figure("on_s"), (until - stage.now()) / 1e9);
+        fleet.neighbour(n, f.parameter("takes"));
+        double on = Math.min(f.parameter("on_s"), (until - stage.now()) / 1e9);
         after(on, () -> {
             fleet.neighbour(n, 0);
-            after(Math.max(0.001, f.figure("off_s")), () -> neighbour(f, n, until));
+            after(Math.max(0.001, f.parameter("off_s")), () -> neighbour(f, n, until));
         });
     }
 
     private void partition(Fault f, List<String> one) {
         List<String> other = new ArrayList<>(proxies);
         other.removeAll(one);
-        eventLog.parted(stage.now(), stage.now() + (long) (f.lasts() * 1e9), one);
+        eventLog.parted(stage.now(), stage.now() + (long) (f.durationS() * 1e9), one);
         unsettled(f, proxies);
         during(
                 f,
@@ -177,7 +179,7 @@
     /** What these see of others, and others of them, may be wrong until it is over, and a while longer. */
     private void unsettled(Fault f, List<String> who) {
         long now = stage.now();
-        who.forEach(p -> eventLog.unsettled(p, now, now + (long) (f.lasts() * 1e9)));
+        who.forEach(p -> eventLog.unsettled(p, now, now + (long) (f.durationS() * 1e9)));
     }
 
     /** What strikes several as one. */
@@ -194,8 +196,8 @@
         if (stage.now() >= until) {
             return;
         }
-        double period = f.figure("period_ms") / 1e3;
-        double stands = Math.min(period * (1 - f.figure("share")), (until - stage.now()) / 1e9);
+        double period = f.parameter("period_ms") / 1e3;
+        double stands = Math.min(period * (1 - f.parameter("share")), (until - stage.now()) / 1e9);
         faultInjector.pause(p, true);
         after(stands, () -> {
             faultInjector.pause(p, false);
@@ -207,7 +209,7 @@
     private void forged(Fault f, String p, long until) {
         if (stage.now() < until) {
             faultInjector.forge(p);
-            after(1 / f.figure("per_s"), () -> forged(f, p, until));
+            after(1 / f.parameter("per_s"), () -> forged(f, p, until));
         }
     }
 
@@ -216,7 +218,7 @@
         if (!twins.add(p)) {
             return; // it has one
         }
-        after(f.lasts(), () -> twins.remove(p));
+        after(f.durationS(), () -> twins.remove(p));
         during(f, on -> {
             eventLog.unsettled(p, stage.now(), stage.now());
             eventLog.unsettled(p + EventLog.TWIN, stage.now(), stage.now());
@@ -229,36 +231,36 @@
         if (stage.now() < keyUntil) {
             return; // one is being replaced: no operator begins with the next
         }
-        keyUntil = stage.now() + (long) (f.lasts() * 1e9);
+        keyUntil = stage.now() + (long) (f.durationS() * 1e9);
         int old = key++;
         List<List<Integer>> steps = List.of(List.of(old, old + 1), List.of(old + 1, old), List.of(old + 1));
         for (int i = 0; i < steps.size() * proxies.size(); i++) {
             List<Integer> keys = steps.get(i / proxies.size());
             String p = proxies.get(i % proxies.size());
-            after(f.lasts() * i / (steps.size() * proxies.size()), () -> faultInjector.keys(p, keys));
+            after(f.durationS() * i / (steps.size() * proxies.size()), () -> faultInjector.keys(p, keys));
         }
     }
 
     private void proxy(Fault f, String p) {
         long now = stage.now();
-        long until = now + (long) (f.lasts() * 1e9);
+        long until = now + (long) (f.durationS() * 1e9);
         if (!HARMLESS.contains(f.kind())) {
             unsettled(f, List.of(p));
         }
         switch (f.kind()) {
             case RUSH -> {
-                front.rush(p, f.figure("share"));
-                after(f.lasts(), () -> front.rush(null, 0));
+                front.rush(p, f.parameter("share"));
+                after(f.durationS(), () -> front.rush(null, 0));
             }
-            case LATE_LIST -> during(f, on -> fleet.late(p, on ? f.figure("by_s") : 0));
+            case LATE_LIST -> during(f, on -> fleet.late(p, on ? f.parameter("by_s") : 0));
             case SILENT_LIST -> during(f, on -> fleet.silent(p, on));
-            case RUDE_CLIENTS -> during(f, on -> rude.rude(p, on ? f.figure("per_s") : 0));
-            case SILENT_CLIENTS -> during(f, on -> rude.silent(p, on ? f.figure("per_s") : 0));
+            case RUDE_CLIENTS -> during(f, on -> rude.rude(p, on ? f.parameter("per_s") : 0));
+            case SILENT_CLIENTS -> during(f, on -> rude.silent(p, on ? f.parameter("per_s") : 0));
             case KILL, MOVE, TAKE_OVER -> {
                 eventLog.excuse(p, now, now);
-                faultInjector.kill(p, f.figure("down_s"));
+                faultInjector.kill(p, f.parameter("down_s"));
             }
-            case STOP -> faultInjector.stop(p, f.figure("down_s"));
+            case STOP -> faultInjector.stop(p, f.parameter("down_s"));
             case RELOAD -> {
                 fleet.move(p);
                 faultInjector.reload(p);
@@ -273,8 +275,8 @@
             }
             case TWIN -> twin(f, p);
             case FORGED_DATAGRAMS -> forged(f, p, until);
-            case MAD_MEMBER -> during(f, on -> faultInjector.mad(p, on ? (int) f.figure("for_each") : 0));
-            default -> throw new IllegalStateException(f.kind().named());
+            case MAD_MEMBER -> during(f, on -> faultInjector.mad(p, on ? (int) f.parameter("for_each") : 0));
+            default -> throw new IllegalStateException(f.kind().scriptName());
         }
     }
 
@@ -296,23 +298,23 @@
             unsettled(f, machines(from));
             unsettled(f, machines(to));
             if (f.kind() == FaultKind.CUT_LINK && from.equals("proxies")) {
-                machines(to).forEach(p -> eventLog.deaf(p, now, now + (long) (f.lasts() * 1e9)));
+                machines(to).forEach(p -> eventLog.deaf(p, now, now + (long) (f.durationS() * 1e9)));
             }
         }
-        excuse(from, to, now, now + (long) (f.lasts() * 1e9) + AFTER_NS);
-        excuse(to, from, now, now + (long) (f.lasts() * 1e9) + AFTER_NS);
+        excuse(from, to, now, now + (long) (f.durationS() * 1e9) + AFTER_NS);
+        excuse(to, from, now, now + (long) (f.durationS() * 1e9) + AFTER_NS);
         switch (f.kind()) {
             case SLOW_LINK -> during(
                     f,
                     on -> each(
                             from,
                             to,
-                            (a, b) -> faultInjector.slower(a, b, on ? (long) (f.figure("adds_ms") * 1e6) : 0)));
+                            (a, b) -> faultInjector.slower(a, b, on ? (long) (f.parameter("adds_ms") * 1e6) : 0)));
             case LOSSY_LINK -> during(
-                    f, on -> each(from, to, (a, b) -> faultInjector.lossy(a, b, on ? f.figure("share") : 0)));
+                    f, on -> each(from, to, (a, b) -> faultInjector.lossy(a, b, on ? f.parameter("share") : 0)));
             case CUT_LINK -> during(f, on -> each(from, to, (a, b) -> faultInjector.cut(a, b, on)));
             case RESET_LINK -> each(from, to, faultInjector::reset);
-            default -> throw new IllegalStateException(f.kind().named());
+            default -> throw new IllegalStateException(f.kind().scriptName());
         }
     }
 
@@ -330,8 +332,8 @@
                     default -> Datagrams.Trouble.STALLED;
                 };
         double figure = f.kind() == FaultKind.JITTERY_LINK
-                ? f.figure("adds_ms") * 1e6
-                : f.kind() == FaultKind.STALLED_LINK ? 1 : f.figure("share");
+                ? f.parameter("adds_ms") * 1e6
+                : f.kind() == FaultKind.STALLED_LINK ? 1 : f.parameter("share");
         during(
                 f,
                 on -> each(from, to, (a, b) -> {
@@ -365,20 +367,20 @@
             case NEW_KEY -> newKey(f);
             case SHRINK -> {
                 List<String> running = fleet.running();
-                int leave = (int) Math.round(running.size() * (1 - f.figure("to")));
+                int leave = (int) Math.round(running.size() * (1 - f.parameter("to")));
                 SplittableRandom random = new SplittableRandom(script.seed() * 31 + 7);
                 List<String> left = new ArrayList<>(running);
                 for (int i = 0; i < leave; i++) {
                     String n = left.remove(random.nextInt(left.size()));
-                    after(f.lasts() * i / Math.max(1, leave), () -> fleet.drain(n, 1));
+                    after(f.durationS() * i / Math.max(1, leave), () -> fleet.drain(n, 1));
                 }
                 int steps = 10;
                 for (int i = 1; i <= steps; i++) {
-                    double factor = 1 + (f.figure("traffic") - 1) * i / steps;
-                    after(f.lasts() * i / steps, () -> loadGenerator.traffic(factor));
+                    double factor = 1 + (f.parameter("traffic") - 1) * i / steps;
+                    after(f.durationS() * i / steps, () -> loadGenerator.traffic(factor));
                 }
             }
-            default -> throw new IllegalStateException(f.kind().named());
+            default -> throw new IllegalStateException(f.kind().scriptName());
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -1,8 +1,8 @@
 package gullspar.rehearse.report;
 
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Judge;
 import gullspar.rehearse.judge.RequestTrace;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.script.Fault;
@@ -86,8 +86,10 @@
         add("<h1>%s</h1>", title);
         add(
                 "<p><span class=\"verdict %s\">%s</span> <span class=\"soft\">seed %d, %.0f s, %s%s</span></p>",
-                v.kept() ? "kept" : "broken",
-                v.kept() ? "all rules kept" : "broken: " + v.broken().size(),
+                v.hasNoViolations() ? "kept" : "broken",
+                v.hasNoViolations()
+                        ? "all rules kept"
+                        : "broken: " + v.violations().size(),
                 day.script().seed(),
                 day.script().seconds(),
                 day.hash().isEmpty() ? "played live" : "in virtual time",
@@ -159,13 +161,13 @@
         }
         add("<div class=\"faults\">");
         for (Fault f : day.script().faults()) {
-            double left = 100 * f.at() / day.script().seconds();
-            double width = 100 * f.lasts() / day.script().seconds();
+            double left = 100 * f.startS() / day.script().seconds();
+            double width = 100 * f.durationS() / day.script().seconds();
             String text = String.format(
                     Locale.ROOT,
                     "%.1f s%s: %s",
-                    f.at(),
-                    f.lasts() > 0 ? String.format(Locale.ROOT, " to %.1f s", f.at() + f.lasts()) : "",
+                    f.startS(),
+                    f.durationS() > 0 ? String.format(Locale.ROOT, " to %.1f s", f.startS() + f.durationS()) : "",
                     f);
             add(
                     "<div class=\"fault\" title=\"%s\"><span>%s</span><b "
@@ -281,7 +283,7 @@
         }
         Map<String, Integer> how = new LinkedHashMap<>();
         for (Order o : lost) {
-            String last = Judge.ended(o.tries.get(o.tries.size() - 1));
+            String last = Judge.endingName(o.tries.get(o.tries.size() - 1));
             how.merge(o.kind.name() + ", " + last + ", by " + o.tries.get(o.tries.size() - 1).proxy, 1, Integer::sum);
         }
         add(
@@ -305,7 +307,7 @@
     }
 
     private void broken() {
-        List<Broken> all = day.verdict().broken();
+        List<RuleViolation> all = day.verdict().violations();
         if (all.isEmpty()) {
             return;
         }
@@ -313,10 +315,10 @@
         if (all.size() > MOST_STORIES) {
             add("<p>The first %d of %d.</p>", MOST_STORIES, all.size());
         }
-        for (Broken b : all.subList(0, Math.min(MOST_STORIES, all.size()))) {
+        for (RuleViolation b : all.subList(0, Math.min(MOST_STORIES, all.size()))) {
             add(
                     "<p><strong>%s.</strong> At %.6f s: %s</p>",
-                    escaped(b.rule().words()), (b.at() - eventLog.start()) / 1e9, escaped(b.what()));
+                    escaped(b.rule().description()), (b.atNs() - eventLog.start()) / 1e9, escaped(b.description()));
             Try t = b.request();
             if (t != null) {
                 add("<pre>%s</pre>", escaped(String.join("\n", RequestTrace.of(t, eventLog))));
--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.RequestTrace;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.play.Played;
 import java.util.List;
@@ -35,17 +35,18 @@
                 .put("worst_10s_from", v.worstFromNs() / 1e9)
                 .put("worst_class", v.worstClass())
                 .put("worst_class_name", v.worstClassName())
-                .put("ran_twice", v.twice())
-                .put("kept", v.kept());
+                .put("ran_twice", v.duplicateEffects())
+                .put("kept", v.hasNoViolations());
         ObjectNode tries = root.putObject("tries");
         v.counts().forEach((name, n) -> tries.put(name.replace(' ', '_'), n));
-        root.put("broken_rules", v.broken().size());
+        root.put("broken_rules", v.violations().size());
         ArrayNode broken = root.putArray("broken");
-        for (Broken b : v.broken().subList(0, Math.min(MOST_STORIES, v.broken().size()))) {
+        for (RuleViolation b :
+                v.violations().subList(0, Math.min(MOST_STORIES, v.violations().size()))) {
             ObjectNode o = broken.addObject()
                     .put("rule", b.rule().name().toLowerCase(Locale.ROOT))
-                    .put("at", (b.at() - p.eventLog().start()) / 1e9)
-                    .put("what", b.what());
+                    .put("at", (b.atNs() - p.eventLog().start()) / 1e9)
+                    .put("what", b.description());
             List<String> story = b.request() == null ? List.of() : RequestTrace.of(b.request(), p.eventLog());
             ArrayNode lines = o.putArray("story");
             story.forEach(lines::add);
--- a/src/main/java/gullspar/rehearse/report/Seconds.java
+++ b/src/main/java/gullspar/rehearse/report/Seconds.java
@@ -30,7 +30,7 @@
             return o.inTime() ? Kind.SERVED : Kind.LATE;
         }
         Try last = o.tries.get(o.tries.size() - 1);
-        return Judge.ended(last).equals("refused") ? Kind.REFUSED : Kind.FAILED;
+        return Judge.endingName(last).equals("refused") ? Kind.REFUSED : Kind.FAILED;
     }
 
     int length() {
--- a/src/main/java/gullspar/rehearse/script/Fault.java
+++ b/src/main/java/gullspar/rehearse/script/Fault.java
@@ -9,22 +9,27 @@
  * from and to), or empty where count are to be drawn.
  */
 public record Fault(
-        FaultKind kind, double at, double lasts, int count, List<String> names, Map<String, Double> figures) {
-    public double figure(String name) {
-        return figures.get(name);
+        FaultKind kind,
+        double startS,
+        double durationS,
+        int count,
+        List<String> names,
+        Map<String, Double> parameters) {
+    public double parameter(String name) {
+        return parameters.get(name);
     }
 
     /** One line for people. */
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder(kind.named());
-        String some = count + (kind.target() == FaultKind.Target.NODES ? " node" : " proxy");
-        boolean way = kind.target() == FaultKind.Target.LINK || kind.target() == FaultKind.Target.DATAGRAMS;
-        String what = names.isEmpty()
-                ? count == 1 ? some : some.replace("proxy", "proxie") + "s"
-                : String.join(way ? " to " : ", ", names);
-        s.append(kind.target() == FaultKind.Target.FLEET ? "" : " " + what);
-        figures.forEach((k, v) -> s.append(' ').append(k).append('=').append(TableReader.formatNumber(v)));
+        StringBuilder s = new StringBuilder(kind.scriptName());
+        String drawn = count + (kind.target() == FaultKind.Target.NODES ? " node" : " proxy");
+        boolean isLink = kind.target() == FaultKind.Target.LINK || kind.target() == FaultKind.Target.DATAGRAMS;
+        String targets = names.isEmpty()
+                ? count == 1 ? drawn : drawn.replace("proxy", "proxie") + "s"
+                : String.join(isLink ? " to " : ", ", names);
+        s.append(kind.target() == FaultKind.Target.FLEET ? "" : " " + targets);
+        parameters.forEach((k, v) -> s.append(' ').append(k).append('=').append(TableReader.formatNumber(v)));
         return s.toString();
     }
 }
--- a/src/main/java/gullspar/rehearse/script/FaultKind.java
+++ b/src/main/java/gullspar/rehearse/script/FaultKind.java
@@ -6,27 +6,31 @@
 /** What can go wrong in a rehearsal, what it strikes and the figures that it takes. */
 public enum FaultKind {
     /** Another program takes a share of a node's machine, on and off. */
-    NEIGHBOUR(Target.NODES, figure("takes", 0.5, 0.05, 0.95), figure("on_s", 3, 0.1, 600), figure("off_s", 1, 0, 600)),
+    NEIGHBOUR(
+            Target.NODES,
+            parameter("takes", 0.5, 0.05, 0.95),
+            parameter("on_s", 3, 0.1, 600),
+            parameter("off_s", 1, 0, 600)),
     /** A proxy suddenly draws a share of all traffic on top of its own. */
-    RUSH(Target.PROXIES, figure("share", 0.15, 0.01, 0.9)),
+    RUSH(Target.PROXIES, parameter("share", 0.15, 0.01, 0.9)),
     /** A share of a class's requests costs many times the usual work. */
-    HEAVY(Target.CLASS, figure("share", 0.02, 0.001, 1), figure("times", 10, 1.1, 100)),
+    HEAVY(Target.CLASS, parameter("share", 0.02, 0.001, 1), parameter("times", 10, 1.1, 100)),
     /** A share of a class's clients leave before their answer, at any moment within so long. */
-    LEAVING(Target.CLASS, figure("share", 0.2, 0.001, 1), figure("within_ms", 300, 1, 60_000)),
+    LEAVING(Target.CLASS, parameter("share", 0.2, 0.001, 1), parameter("within_ms", 300, 1, 60_000)),
     /** Traffic falls and the fleet shrinks to a share of its size, evenly over the time. */
-    SHRINK(Target.FLEET, figure("to", 0.5, 0.05, 0.95), figure("traffic", 0.5, 0.05, 1)),
+    SHRINK(Target.FLEET, parameter("to", 0.5, 0.05, 0.95), parameter("traffic", 0.5, 0.05, 1)),
     /** A node's process ends; after a while it starts again, cold. 0: it stays away. */
-    CRASH(Target.NODES, figure("down_s", 2, 0, 600)),
+    CRASH(Target.NODES, parameter("down_s", 2, 0, 600)),
     /** A node takes what comes, works on nothing and says nothing. */
     HANG(Target.NODES),
     /** A node drains, ends, and is back cold under its old id. */
-    RESTART(Target.NODES, figure("grace_s", 2, 0, 60), figure("down_s", 1, 0.1, 60)),
+    RESTART(Target.NODES, parameter("grace_s", 2, 0, 60), parameter("down_s", 1, 0.1, 60)),
     /** A node drains, ends, and another with a new id starts cold at its address. */
-    REPLACE(Target.NODES, figure("grace_s", 2, 0, 60), figure("down_s", 1, 0.1, 60)),
+    REPLACE(Target.NODES, parameter("grace_s", 2, 0, 60), parameter("down_s", 1, 0.1, 60)),
     /** A node drains and is gone. */
-    DRAIN(Target.NODES, figure("grace_s", 3, 0, 60)),
+    DRAIN(Target.NODES, parameter("grace_s", 3, 0, 60)),
     /** The list comes later than usual. */
-    LATE_LIST(Target.PROXIES, figure("by_s", 3, 0.1, 60)),
+    LATE_LIST(Target.PROXIES, parameter("by_s", 3, 0.1, 60)),
     /** Watches that are opened meanwhile get the list as it was when this began. */
     OLD_LIST(Target.FLEET),
     /** Watches stay open and bring nothing. */
@@ -34,19 +38,19 @@
     /** Discovery is down: watches end, new ones are refused. */
     DISCOVERY_DOWN(Target.FLEET),
     /** A way takes longer. */
-    SLOW_LINK(Target.LINK, figure("adds_ms", 50, 0.1, 10_000)),
+    SLOW_LINK(Target.LINK, parameter("adds_ms", 50, 0.1, 10_000)),
     /** A way loses segments. */
-    LOSSY_LINK(Target.LINK, figure("share", 0.02, 0.0001, 0.9)),
+    LOSSY_LINK(Target.LINK, parameter("share", 0.02, 0.0001, 0.9)),
     /** A way carries nothing, in this direction only; nobody is told. */
     CUT_LINK(Target.LINK),
     /** Datagrams of a way take longer by up to so much each, so they overtake one another. */
-    JITTERY_LINK(Target.DATAGRAMS, figure("adds_ms", 200, 0.1, 10_000)),
+    JITTERY_LINK(Target.DATAGRAMS, parameter("adds_ms", 200, 0.1, 10_000)),
     /** A share of a way's datagrams comes twice. */
-    DOUBLED_LINK(Target.DATAGRAMS, figure("share", 0.2, 0.001, 1)),
+    DOUBLED_LINK(Target.DATAGRAMS, parameter("share", 0.2, 0.001, 1)),
     /** A share of a way's datagrams comes cut short. */
-    TORN_LINK(Target.DATAGRAMS, figure("share", 0.1, 0.001, 1)),
+    TORN_LINK(Target.DATAGRAMS, parameter("share", 0.1, 0.001, 1)),
     /** A share of a way's datagrams comes with a bit turned round. */
-    FLIPPED_LINK(Target.DATAGRAMS, figure("share", 0.1, 0.001, 1)),
+    FLIPPED_LINK(Target.DATAGRAMS, parameter("share", 0.1, 0.001, 1)),
     /** A way holds its datagrams, and then delivers all at once. */
     STALLED_LINK(Target.DATAGRAMS),
     /** Those struck and the other proxies hear nothing of each other. */
@@ -56,35 +60,35 @@
     /** A node's machine vanishes; when it is back it resets the connections that it had. */
     VANISH(Target.NODES),
     /** A share of a node's answers comes spoilt. */
-    SPOIL(Target.NODES, figure("share", 0.1, 0.001, 1)),
+    SPOIL(Target.NODES, parameter("share", 0.1, 0.001, 1)),
     /** A node's answers trickle. */
-    SLOW_ANSWERS(Target.NODES, figure("bytes_per_s", 2000, 1, 1e6)),
+    SLOW_ANSWERS(Target.NODES, parameter("bytes_per_s", 2000, 1, 1e6)),
     /** Clients that send what makes no sense, so many a second. */
-    RUDE_CLIENTS(Target.PROXIES, figure("per_s", 20, 0.1, 1000)),
+    RUDE_CLIENTS(Target.PROXIES, parameter("per_s", 20, 0.1, 1000)),
     /** Clients that connect and say nothing, so many each second. */
-    SILENT_CLIENTS(Target.PROXIES, figure("per_s", 20, 0.1, 1000)),
+    SILENT_CLIENTS(Target.PROXIES, parameter("per_s", 20, 0.1, 1000)),
     /** A proxy is killed and started again. */
-    KILL(Target.PROXIES, figure("down_s", 1, 0.1, 60)),
+    KILL(Target.PROXIES, parameter("down_s", 1, 0.1, 60)),
     /** A proxy is told to end (SIGTERM) and started again. */
-    STOP(Target.PROXIES, figure("down_s", 2, 0.1, 60)),
+    STOP(Target.PROXIES, parameter("down_s", 2, 0.1, 60)),
     /** Discovery moves, and a proxy is told to read its configuration anew (SIGHUP). */
     RELOAD(Target.PROXIES),
     /** A proxy stands still (SIGSTOP), and goes on. */
     PAUSE(Target.PROXIES),
     /** A proxy gets only a share of its processor: it runs so long in each period, and stands still. */
-    STARVED(Target.PROXIES, figure("share", 0.1, 0.01, 0.95), figure("period_ms", 500, 20, 60_000)),
+    STARVED(Target.PROXIES, parameter("share", 0.1, 0.01, 0.95), parameter("period_ms", 500, 20, 60_000)),
     /** A proxy is killed, and comes back where the others do not look for it. */
-    MOVE(Target.PROXIES, figure("down_s", 1, 0.1, 60)),
+    MOVE(Target.PROXIES, parameter("down_s", 1, 0.1, 60)),
     /** Proxies are killed, and each comes back at the address that the one before it had. */
-    TAKE_OVER(Target.PROXIES, figure("down_s", 1, 0.1, 60)),
+    TAKE_OVER(Target.PROXIES, parameter("down_s", 1, 0.1, 60)),
     /** A second process lives under a proxy's name, at an address of its own. */
     TWIN(Target.PROXIES),
     /** Operators replace the fleet's key, proxy by proxy: both known, the new one used, the old one gone. */
     NEW_KEY(Target.FLEET),
     /** Datagrams made without the key, changed ones, and old ones once more, so many a second. */
-    FORGED_DATAGRAMS(Target.PROXIES, figure("per_s", 200, 1, 5000)),
+    FORGED_DATAGRAMS(Target.PROXIES, parameter("per_s", 200, 1, 5000)),
     /** A proxy tells the others of some that do not exist: so many for each of its datagrams. */
-    MAD_MEMBER(Target.PROXIES, figure("for_each", 100, 1, 500));
+    MAD_MEMBER(Target.PROXIES, parameter("for_each", 100, 1, 500));
 
     /**
      * What a fault strikes: nodes or proxies by number or name, a way from one machine to another, the
@@ -100,35 +104,35 @@
     }
 
     /** A figure of a fault: its name, the value where none is given, and its bounds. */
-    public record Figure(String name, double usual, double least, double most) {}
+    public record Parameter(String name, double defaultValue, double min, double max) {}
 
     private final Target target;
-    private final List<Figure> figures;
+    private final List<Parameter> parameters;
 
-    FaultKind(Target target, Figure... figures) {
+    FaultKind(Target target, Parameter... figures) {
         this.target = target;
-        this.figures = List.of(figures);
+        this.parameters = List.of(figures);
     }
 
-    private static Figure figure(String name, double usual, double least, double most) {
-        return new Figure(name, usual, least, most);
+    private static Parameter parameter(String name, double defaultValue, double min, double max) {
+        return new Parameter(name, defaultValue, min, max);
     }
 
     public Target target() {
         return target;
     }
 
-    public List<Figure> figures() {
-        return figures;
+    public List<Parameter> parameters() {
+        return parameters;
     }
 
     /** How many it strikes at the least. */
-    public int least() {
+    public int minTargets() {
         return this == TAKE_OVER ? 2 : 1;
     }
 
     /** Is it over in a moment? Such a fault takes no duration. */
-    public boolean momentary() {
+    public boolean isMomentary() {
         return switch (this) {
             case CRASH, RESTART, REPLACE, DRAIN, RESET_LINK, KILL, STOP, RELOAD, MOVE, TAKE_OVER -> true;
             default -> false;
@@ -136,7 +140,7 @@
     }
 
     /** Is it one of those that only proxies with a view of the fleet feel? */
-    public boolean betweenProxies() {
+    public boolean needsPeers() {
         return target == Target.DATAGRAMS
                 || switch (this) {
                     case PARTITION, MOVE, TAKE_OVER, TWIN, NEW_KEY, FORGED_DATAGRAMS, MAD_MEMBER -> true;
@@ -145,7 +149,7 @@
     }
 
     /** The name in scripts. */
-    public String named() {
+    public String scriptName() {
         return TableReader.tomlName(this);
     }
 }
--- a/src/main/java/gullspar/rehearse/script/Script.java
+++ b/src/main/java/gullspar/rehearse/script/Script.java
@@ -62,7 +62,7 @@
             Range connectMs,
             Range keyMemoryS,
             Range keySaves,
-            int keysMost,
+            int maxKeys,
             Range reportPeriodMs,
             Range reportDelayMs,
             double reportNoise,
@@ -83,7 +83,7 @@
 
     /** The clients: rate in requests a second over all sites. */
     public record Clients(
-            double rate, Range patience, int retries, Range retryWaitMs, int keys, double keySkew, Range noticeS) {}
+            double rate, Range giveUpShare, int retries, Range retryWaitMs, int keys, double keySkew, Range noticeS) {}
 
     /** How news of the nodes reach the proxies; calls of all are answered in turn, each after answerMs. */
     public record Discovery(Range delayMs, Range weightPeriodMs, Range noticeS, double answerMs) {}
@@ -110,7 +110,7 @@
      * What a search may draw: kinds of faults, how many at the most, for how many s at the end there are
      * none, and the service that is too low for it.
      */
-    public record Search(List<FaultKind> kinds, int most, double calmS, double below) {}
+    public record Search(List<FaultKind> kinds, int maxFaults, double faultFreeS, double minService) {}
 
     public Script {
         sites = List.copyOf(sites);
@@ -120,7 +120,7 @@
     }
 
     /** How many nodes there are at the start. */
-    public int fleet() {
+    public int nodeCount() {
         return nodes.stream().mapToInt(NodeKind::count).sum();
     }
 
--- a/src/main/java/gullspar/rehearse/script/ScriptReader.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptReader.java
@@ -28,7 +28,7 @@
     /** What [expect] may state, each as the least share that satisfies it. */
     static final List<String> EXPECTATIONS = List.of("service", "worst_10s", "worst_class");
 
-    private static final double LONGEST_S = 24 * 3600;
+    private static final double MAX_DURATION_S = 24 * 3600;
 
     private final List<Problem> problems = new ArrayList<>();
 
@@ -59,7 +59,7 @@
 
     private Script script(TableReader f) {
         String title = f.string("title", "untitled");
-        double seconds = f.number("seconds", 1, LONGEST_S);
+        double seconds = f.number("seconds", 1, MAX_DURATION_S);
         long seed = f.integer("seed", 1, 0, Integer.MAX_VALUE);
         List<String> sites = f.stringList("sites", List.of("here"));
         if (sites.isEmpty() || sites.size() > 250) {
@@ -69,7 +69,7 @@
         Range localDelay = f.range("local_delay_ms", new Range(0.1, 0.1), 0, 10_000);
         Script.Proxies proxies = proxies(f.table("proxies"));
         List<Script.NodeKind> nodes =
-                f.tables("nodes").stream().map(this::nodes).toList();
+                f.tables("nodes").stream().map(this::nodeKind).toList();
         List<Script.RequestClass> classes =
                 f.tables("class").stream().map(this::requestClass).toList();
         if (nodes.isEmpty()) {
@@ -78,16 +78,17 @@
         if (classes.isEmpty()) {
             f.addProblem("there is no [[class]]");
         }
-        distinct(f, "nodes", nodes.stream().map(Script.NodeKind::kind).toList());
-        distinct(f, "class", classes.stream().map(Script.RequestClass::name).toList());
+        checkDistinct(f, "nodes", nodes.stream().map(Script.NodeKind::kind).toList());
+        checkDistinct(
+                f, "class", classes.stream().map(Script.RequestClass::name).toList());
         Script.Clients clients = clients(f.table("clients"));
         Script.Discovery discovery = discovery(f.table("discovery"));
         Script.Rules rules = rules(f.table("rules"));
         Script.Peers peers = f.has("peers") ? peers(f.table("peers")) : null;
         int fleet = nodes.stream().mapToInt(Script.NodeKind::count).sum();
-        Names names = new Names(
-                numbered("n", fleet),
-                numbered("p", proxies.count()),
+        TargetNames names = new TargetNames(
+                numberedNames("n", fleet),
+                numberedNames("p", proxies.count()),
                 new LinkedHashSet<>(
                         classes.stream().map(Script.RequestClass::name).toList()));
         List<Fault> faults = f.tables("fault").stream()
@@ -115,13 +116,13 @@
                 peers);
     }
 
-    private static void distinct(TableReader f, String key, List<String> names) {
+    private static void checkDistinct(TableReader f, String key, List<String> names) {
         if (new LinkedHashSet<>(names).size() < names.size()) {
             f.addProblem(key, "are not all of different names");
         }
     }
 
-    private static Set<String> numbered(String prefix, int count) {
+    private static Set<String> numberedNames(String prefix, int count) {
         Set<String> names = new LinkedHashSet<>();
         for (int i = 1; i <= count; i++) {
             names.add(prefix + i);
@@ -144,7 +145,7 @@
         return p;
     }
 
-    private Script.NodeKind nodes(TableReader f) {
+    private Script.NodeKind nodeKind(TableReader f) {
         String kind = f.string("kind");
         int count = f.integer("count", 1, 10_000);
         int cores = f.integer("cores", 1, 1, 1024);
@@ -157,7 +158,7 @@
         TableReader keys = f.table("keys");
         Range memory = keys.range("memory_s", new Range(0, 0), 0, 86_400);
         Range saves = keys.range("saves", new Range(0, 0), 0, 0.99);
-        int most = keys.integer("most", 1000, 1, 10_000_000);
+        int maxKeys = keys.integer("most", 1000, 1, 10_000_000);
         keys.rejectUnknownKeys();
         TableReader report = f.table("report");
         Range period = report.range("period_ms", new Range(1000, 1000), 1, 60_000);
@@ -178,7 +179,7 @@
                 connect,
                 memory,
                 saves,
-                most,
+                maxKeys,
                 period,
                 delay,
                 noise,
@@ -275,11 +276,11 @@
         for (String name : f.stringList(
                 "kinds",
                 Stream.of(FaultKind.values())
-                        .filter(k -> peers || !k.betweenProxies())
-                        .map(FaultKind::named)
+                        .filter(k -> peers || !k.needsPeers())
+                        .map(FaultKind::scriptName)
                         .toList())) {
             Stream.of(FaultKind.values())
-                    .filter(k -> k.named().equals(name))
+                    .filter(k -> k.scriptName().equals(name))
                     .findFirst()
                     .ifPresentOrElse(
                             kinds::add, () -> f.addProblem("kinds", "names '" + name + "', which is no kind of fault"));
@@ -290,7 +291,7 @@
         Script.Search s = new Script.Search(
                 List.copyOf(kinds),
                 f.integer("most", 5, 1, 50),
-                f.number("calm_s", 0, 0, LONGEST_S),
+                f.number("calm_s", 0, 0, MAX_DURATION_S),
                 f.number("below", 0, 0, 1));
         f.rejectUnknownKeys();
         return s;
@@ -299,87 +300,102 @@
     // ---- faults ----
 
     /** Who can be struck by name. */
-    private record Names(Set<String> nodes, Set<String> proxies, Set<String> classes) {}
+    private record TargetNames(Set<String> nodes, Set<String> proxies, Set<String> classes) {}
 
-    private Fault fault(TableReader f, double seconds, Names names, boolean peers) {
+    private Fault fault(TableReader f, double seconds, TargetNames names, boolean peers) {
         FaultKind kind = f.choice("kind", FaultKind.class, null);
-        if (kind.betweenProxies() && !peers) {
+        if (kind.needsPeers() && !peers) {
             f.addProblem("kind", "strikes what proxies tell each other, and there is no [peers]");
         }
-        double at = f.number("at", 0, LONGEST_S);
-        if (at >= seconds) {
+        double startS = f.number("at", 0, MAX_DURATION_S);
+        if (startS >= seconds) {
             f.addProblem(
                     "at",
-                    "is " + TableReader.formatNumber(at) + ", but the day ends at "
+                    "is " + TableReader.formatNumber(startS) + ", but the day ends at "
                             + TableReader.formatNumber(seconds));
         }
-        double lasts = 0;
-        if (!kind.momentary()) {
-            lasts = f.number("for", 0.001, LONGEST_S);
-            if (at < seconds && at + lasts > seconds) {
+        double durationS = 0;
+        if (!kind.isMomentary()) {
+            durationS = f.number("for", 0.001, MAX_DURATION_S);
+            if (startS < seconds && startS + durationS > seconds) {
                 f.addProblem(
                         "for",
-                        "runs to " + TableReader.formatNumber(at + lasts) + ", but the day ends at "
+                        "runs to " + TableReader.formatNumber(startS + durationS) + ", but the day ends at "
                                 + TableReader.formatNumber(seconds));
             }
         }
-        Map<String, Double> figures = new LinkedHashMap<>();
-        for (FaultKind.Figure g : kind.figures()) {
-            figures.put(g.name(), f.number(g.name(), g.usual(), g.least(), g.most()));
+        Map<String, Double> parameters = new LinkedHashMap<>();
+        for (FaultKind.Parameter g : kind.parameters()) {
+            parameters.put(g.name(), f.number(g.name(), g.defaultValue(), g.min(), g.max()));
         }
         Fault fault =
                 switch (kind.target()) {
-                    case NODES -> struck(f, "nodes", names.nodes(), kind, at, lasts, figures);
-                    case PROXIES -> struck(f, "proxies", names.proxies(), kind, at, lasts, figures);
+                    case NODES -> faultOnTargets(f, "nodes", names.nodes(), kind, startS, durationS, parameters);
+                    case PROXIES -> faultOnTargets(f, "proxies", names.proxies(), kind, startS, durationS, parameters);
                     case CLASS -> new Fault(
-                            kind, at, lasts, 1, known(f, "class", f.string("class"), names.classes()), figures);
+                            kind,
+                            startS,
+                            durationS,
+                            1,
+                            checkName(f, "class", f.string("class"), names.classes()),
+                            parameters);
                     case LINK -> new Fault(
-                            kind, at, lasts, 1, List.of(end(f, "from", names), end(f, "to", names)), figures);
+                            kind,
+                            startS,
+                            durationS,
+                            1,
+                            List.of(linkEnd(f, "from", names), linkEnd(f, "to", names)),
+                            parameters);
                     case DATAGRAMS -> new Fault(
-                            kind, at, lasts, 1, List.of(proxyEnd(f, "from", names), proxyEnd(f, "to", names)), figures);
-                    case FLEET -> new Fault(kind, at, lasts, 0, List.of(), figures);
+                            kind,
+                            startS,
+                            durationS,
+                            1,
+                            List.of(proxyEnd(f, "from", names), proxyEnd(f, "to", names)),
+                            parameters);
+                    case FLEET -> new Fault(kind, startS, durationS, 0, List.of(), parameters);
                 };
         f.rejectUnknownKeys();
         return fault;
     }
 
     /** A number to be drawn, or names. */
-    private Fault struck(
+    private Fault faultOnTargets(
             TableReader f,
             String key,
             Set<String> known,
             FaultKind kind,
-            double at,
-            double lasts,
-            Map<String, Double> figures) {
+            double startS,
+            double durationS,
+            Map<String, Double> parameters) {
         if (f.isNumber(key) || !f.has(key)) {
-            int count = f.integer(key, kind.least(), kind.least(), Math.max(kind.least(), known.size()));
-            return new Fault(kind, at, lasts, count, List.of(), figures);
+            int count = f.integer(key, kind.minTargets(), kind.minTargets(), Math.max(kind.minTargets(), known.size()));
+            return new Fault(kind, startS, durationS, count, List.of(), parameters);
         }
         List<String> named = f.stringList(key, List.of());
-        named.forEach(n -> known(f, key, n, known));
+        named.forEach(n -> checkName(f, key, n, known));
         if (named.isEmpty()) {
             f.addProblem(key, "names nobody");
-        } else if (named.size() < kind.least()) {
+        } else if (named.size() < kind.minTargets()) {
             f.addProblem(key, "names one, and this needs two or more");
         }
-        return new Fault(kind, at, lasts, named.size(), named, figures);
+        return new Fault(kind, startS, durationS, named.size(), named, parameters);
     }
 
-    private static List<String> known(TableReader f, String key, String name, Set<String> known) {
+    private static List<String> checkName(TableReader f, String key, String name, Set<String> known) {
         if (!name.isEmpty() && !known.contains(name)) {
-            f.addProblem(key, "names '" + name + "', and there is only " + some(known));
+            f.addProblem(key, "names '" + name + "', and there is only " + summarize(known));
         }
         return List.of(name);
     }
 
-    private static String some(Set<String> names) {
+    private static String summarize(Set<String> names) {
         List<String> list = List.copyOf(names);
         return list.size() <= 6 ? String.join(", ", list) : list.get(0) + " to " + list.get(list.size() - 1);
     }
 
     /** One end of a way between proxies: one, or all. */
-    private static String proxyEnd(TableReader f, String key, Names names) {
+    private static String proxyEnd(TableReader f, String key, TargetNames names) {
         String end = f.string(key);
         if (!end.isEmpty() && !end.equals("proxies") && !names.proxies().contains(end)) {
             f.addProblem(key, "is '" + end + "', not a proxy or proxies");
@@ -388,7 +404,7 @@
     }
 
     /** One end of a way: a machine, or all of a sort. */
-    private static String end(TableReader f, String key, Names names) {
+    private static String linkEnd(TableReader f, String key, TargetNames names) {
         String end = f.string(key);
         if (!end.isEmpty()
                 && !List.of("nodes", "proxies", "clients", "discovery").contains(end)
--- a/src/main/java/gullspar/rehearse/script/ScriptWriter.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptWriter.java
@@ -15,20 +15,20 @@
     /** The whole text. */
     public static String write(Script s) {
         ScriptWriter w = new ScriptWriter();
-        w.script(s);
+        w.appendScript(s);
         return w.out.toString();
     }
 
-    private ScriptWriter line(String key, Object value) {
+    private ScriptWriter appendEntry(String key, Object value) {
         out.append(key).append(" = ").append(value).append('\n');
         return this;
     }
 
-    private void table(String name) {
+    private void appendTable(String name) {
         out.append('\n').append(name).append('\n');
     }
 
-    private static String text(String s) {
+    private static String quote(String s) {
         StringBuilder t = new StringBuilder("\"");
         for (char c : s.toCharArray()) {
             t.append(c == '"' || c == '\\' ? "\\" + c : c < ' ' ? String.format("\\u%04x", (int) c) : "" + c);
@@ -36,132 +36,139 @@
         return t.append('"').toString();
     }
 
-    private static String texts(List<String> list) {
-        return list.stream().map(ScriptWriter::text).collect(Collectors.joining(", ", "[", "]"));
+    private static String quoteAll(List<String> list) {
+        return list.stream().map(ScriptWriter::quote).collect(Collectors.joining(", ", "[", "]"));
     }
 
-    private static String range(Range r) {
+    private static String formatRange(Range r) {
         return "[" + TableReader.formatNumber(r.from()) + ", " + TableReader.formatNumber(r.to()) + "]";
     }
 
-    private static String plain(double d) {
+    private static String formatNumber(double d) {
         return TableReader.formatNumber(d);
     }
 
-    private void script(Script s) {
-        line("title", text(s.title()))
-                .line("seconds", plain(s.seconds()))
-                .line("seed", s.seed())
-                .line("sites", texts(s.sites()))
-                .line("site_delay_ms", range(s.siteDelayMs()))
-                .line("local_delay_ms", range(s.localDelayMs()));
+    private void appendScript(Script s) {
+        appendEntry("title", quote(s.title()))
+                .appendEntry("seconds", formatNumber(s.seconds()))
+                .appendEntry("seed", s.seed())
+                .appendEntry("sites", quoteAll(s.sites()))
+                .appendEntry("site_delay_ms", formatRange(s.siteDelayMs()))
+                .appendEntry("local_delay_ms", formatRange(s.localDelayMs()));
         Script.Proxies x = s.proxies();
-        table("[proxies]");
-        line("count", x.count())
-                .line("cores", plain(x.cores()))
-                .line("memory_mb", x.memoryMb())
-                .line("sockets", x.sockets())
-                .line("attempts", x.attempts())
-                .line("cancelling", x.cancelling())
-                .line("retry_after_ms", plain(x.retryAfterMs()))
-                .line("connect_timeout_ms", plain(x.connectTimeoutMs()))
-                .line("start_s", plain(x.startS()));
-        s.nodes().forEach(this::nodes);
-        s.classes().forEach(this::requestClass);
+        appendTable("[proxies]");
+        appendEntry("count", x.count())
+                .appendEntry("cores", formatNumber(x.cores()))
+                .appendEntry("memory_mb", x.memoryMb())
+                .appendEntry("sockets", x.sockets())
+                .appendEntry("attempts", x.attempts())
+                .appendEntry("cancelling", x.cancelling())
+                .appendEntry("retry_after_ms", formatNumber(x.retryAfterMs()))
+                .appendEntry("connect_timeout_ms", formatNumber(x.connectTimeoutMs()))
+                .appendEntry("start_s", formatNumber(x.startS()));
+        s.nodes().forEach(this::appendNodeKind);
+        s.classes().forEach(this::appendRequestClass);
         Script.Clients c = s.clients();
-        table("[clients]");
-        line("rate", plain(c.rate()))
-                .line("patience", range(c.patience()))
-                .line("retries", c.retries())
-                .line("retry_wait_ms", range(c.retryWaitMs()))
-                .line("keys", c.keys())
-                .line("key_skew", plain(c.keySkew()))
-                .line("notice_s", range(c.noticeS()));
-        table("[discovery]");
-        line("delay_ms", range(s.discovery().delayMs()))
-                .line("weight_period_ms", range(s.discovery().weightPeriodMs()))
-                .line("notice_s", range(s.discovery().noticeS()))
-                .line("answer_ms", plain(s.discovery().answerMs()));
+        appendTable("[clients]");
+        appendEntry("rate", formatNumber(c.rate()))
+                .appendEntry("patience", formatRange(c.giveUpShare()))
+                .appendEntry("retries", c.retries())
+                .appendEntry("retry_wait_ms", formatRange(c.retryWaitMs()))
+                .appendEntry("keys", c.keys())
+                .appendEntry("key_skew", formatNumber(c.keySkew()))
+                .appendEntry("notice_s", formatRange(c.noticeS()));
+        appendTable("[discovery]");
+        appendEntry("delay_ms", formatRange(s.discovery().delayMs()))
+                .appendEntry("weight_period_ms", formatRange(s.discovery().weightPeriodMs()))
+                .appendEntry("notice_s", formatRange(s.discovery().noticeS()))
+                .appendEntry("answer_ms", formatNumber(s.discovery().answerMs()));
         Script.Rules r = s.rules();
-        table("[rules]");
-        line("drain_grace_ms", plain(r.drainGraceMs()))
-                .line("start_capacity", plain(r.startCapacity()))
-                .line("cold_s", plain(r.coldS()))
-                .line("tip_multiple", plain(r.tipMultiple()))
-                .line("fall_s", plain(r.fallS()));
+        appendTable("[rules]");
+        appendEntry("drain_grace_ms", formatNumber(r.drainGraceMs()))
+                .appendEntry("start_capacity", formatNumber(r.startCapacity()))
+                .appendEntry("cold_s", formatNumber(r.coldS()))
+                .appendEntry("tip_multiple", formatNumber(r.tipMultiple()))
+                .appendEntry("fall_s", formatNumber(r.fallS()));
         if (s.peers() != null) {
             Script.Peers p = s.peers();
-            table("[peers]");
-            line("interval_ms", plain(p.intervalMs()))
-                    .line("window_s", plain(p.windowS()))
-                    .line("quiet_s", plain(p.quietS()))
-                    .line("gone_s", plain(p.goneS()))
-                    .line("agree_s", plain(p.agreeS()))
-                    .line("bytes_per_s", p.bytesPerS())
-                    .line("accusations_per_min", plain(p.accusationsPerMin()));
+            appendTable("[peers]");
+            appendEntry("interval_ms", formatNumber(p.intervalMs()))
+                    .appendEntry("window_s", formatNumber(p.windowS()))
+                    .appendEntry("quiet_s", formatNumber(p.quietS()))
+                    .appendEntry("gone_s", formatNumber(p.goneS()))
+                    .appendEntry("agree_s", formatNumber(p.agreeS()))
+                    .appendEntry("bytes_per_s", p.bytesPerS())
+                    .appendEntry("accusations_per_min", formatNumber(p.accusationsPerMin()));
         }
         if (!s.expect().isEmpty()) {
-            table("[expect]");
-            s.expect().forEach((k, v) -> line(k, plain(v)));
+            appendTable("[expect]");
+            s.expect().forEach((k, v) -> appendEntry(k, formatNumber(v)));
         }
-        table("[search]");
-        line("kinds", texts(s.search().kinds().stream().map(FaultKind::named).toList()))
-                .line("most", s.search().most())
-                .line("calm_s", plain(s.search().calmS()))
-                .line("below", plain(s.search().below()));
-        s.faults().forEach(this::fault);
+        appendTable("[search]");
+        appendEntry(
+                        "kinds",
+                        quoteAll(s.search().kinds().stream()
+                                .map(FaultKind::scriptName)
+                                .toList()))
+                .appendEntry("most", s.search().maxFaults())
+                .appendEntry("calm_s", formatNumber(s.search().faultFreeS()))
+                .appendEntry("below", formatNumber(s.search().minService()));
+        s.faults().forEach(this::appendFault);
     }
 
-    private void nodes(Script.NodeKind n) {
-        table("[[nodes]]");
-        line("kind", text(n.kind()))
-                .line("count", n.count())
-                .line("cores", n.cores())
-                .line("speed", range(n.speed()))
-                .line("slots", n.slots())
-                .line("queue", n.queue())
-                .line("cancelled", text(TableReader.tomlName(n.cancelled())))
-                .line("connections", n.connections())
-                .line("connect_ms", range(n.connectMs()))
-                .line(
+    private void appendNodeKind(Script.NodeKind n) {
+        appendTable("[[nodes]]");
+        appendEntry("kind", quote(n.kind()))
+                .appendEntry("count", n.count())
+                .appendEntry("cores", n.cores())
+                .appendEntry("speed", formatRange(n.speed()))
+                .appendEntry("slots", n.slots())
+                .appendEntry("queue", n.queue())
+                .appendEntry("cancelled", quote(TableReader.tomlName(n.cancelled())))
+                .appendEntry("connections", n.connections())
+                .appendEntry("connect_ms", formatRange(n.connectMs()))
+                .appendEntry(
                         "keys",
-                        "{ memory_s = " + range(n.keyMemoryS()) + ", saves = " + range(n.keySaves()) + ", most = "
-                                + n.keysMost() + " }")
-                .line(
+                        "{ memory_s = " + formatRange(n.keyMemoryS()) + ", saves = " + formatRange(n.keySaves())
+                                + ", most = " + n.maxKeys() + " }")
+                .appendEntry(
                         "report",
-                        "{ period_ms = " + range(n.reportPeriodMs()) + ", delay_ms = " + range(n.reportDelayMs())
-                                + ", noise = " + plain(n.reportNoise()) + " }")
-                .line("answer_bytes", n.answerBytes());
+                        "{ period_ms = " + formatRange(n.reportPeriodMs()) + ", delay_ms = "
+                                + formatRange(n.reportDelayMs()) + ", noise = " + formatNumber(n.reportNoise()) + " }")
+                .appendEntry("answer_bytes", n.answerBytes());
     }
 
-    private void requestClass(Script.RequestClass c) {
-        table("[[class]]");
-        line("name", text(c.name()))
-                .line("effect", text(TableReader.tomlName(c.effect())))
-                .line("scope", text(TableReader.tomlName(c.scope())))
-                .line("window_ms", plain(c.windowMs()))
-                .line("share", plain(c.share()))
-                .line("work_ms", range(c.workMs()))
-                .line("promise_ms", plain(c.promiseMs()))
-                .line("give_up_ms", plain(c.giveUpMs()))
-                .line("worth", plain(c.worth()))
-                .line("body_bytes", c.bodyBytes());
+    private void appendRequestClass(Script.RequestClass c) {
+        appendTable("[[class]]");
+        appendEntry("name", quote(c.name()))
+                .appendEntry("effect", quote(TableReader.tomlName(c.effect())))
+                .appendEntry("scope", quote(TableReader.tomlName(c.scope())))
+                .appendEntry("window_ms", formatNumber(c.windowMs()))
+                .appendEntry("share", formatNumber(c.share()))
+                .appendEntry("work_ms", formatRange(c.workMs()))
+                .appendEntry("promise_ms", formatNumber(c.promiseMs()))
+                .appendEntry("give_up_ms", formatNumber(c.giveUpMs()))
+                .appendEntry("worth", formatNumber(c.worth()))
+                .appendEntry("body_bytes", c.bodyBytes());
     }
 
-    private void fault(Fault f) {
-        table("[[fault]]");
-        line("kind", text(f.kind().named())).line("at", plain(f.at()));
-        if (!f.kind().momentary()) {
-            line("for", plain(f.lasts()));
+    private void appendFault(Fault f) {
+        appendTable("[[fault]]");
+        appendEntry("kind", quote(f.kind().scriptName())).appendEntry("at", formatNumber(f.startS()));
+        if (!f.kind().isMomentary()) {
+            appendEntry("for", formatNumber(f.durationS()));
         }
         Target target = f.kind().target();
         if (target == Target.NODES || target == Target.PROXIES) {
-            line(target == Target.NODES ? "nodes" : "proxies", f.names().isEmpty() ? f.count() : texts(f.names()));
+            appendEntry(
+                    target == Target.NODES ? "nodes" : "proxies",
+                    f.names().isEmpty() ? f.count() : quoteAll(f.names()));
         } else if (target == Target.CLASS) {
-            line("class", text(f.names().get(0)));
+            appendEntry("class", quote(f.names().get(0)));
         } else if (target == Target.LINK || target == Target.DATAGRAMS) {
-            line("from", text(f.names().get(0))).line("to", text(f.names().get(1)));
+            appendEntry("from", quote(f.names().get(0)))
+                    .appendEntry("to", quote(f.names().get(1)));
         }
-        f.figures().forEach((k, v) -> line(k, plain(v)));
+        f.parameters().forEach((k, v) -> appendEntry(k, formatNumber(v)));
     }
 }
--- a/src/main/java/gullspar/rehearse/search/Draw.java
+++ b/src/main/java/gullspar/rehearse/search/Draw.java
@@ -2,7 +2,7 @@
 
 import gullspar.rehearse.script.Fault;
 import gullspar.rehearse.script.FaultKind;
-import gullspar.rehearse.script.FaultKind.Figure;
+import gullspar.rehearse.script.FaultKind.Parameter;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.time.Agenda;
 import java.util.ArrayList;
@@ -25,12 +25,12 @@
     static Script day(Script s, int number) {
         SplittableRandom r = new SplittableRandom(Agenda.mix(s.seed() * 31 + 10) + number);
         List<Fault> faults = new ArrayList<>();
-        int count = 1 + r.nextInt(s.search().most());
+        int count = 1 + r.nextInt(s.search().maxFaults());
         for (int i = 0; i < count; i++) {
             faults.add(
                     fault(s, s.search().kinds().get(r.nextInt(s.search().kinds().size())), r));
         }
-        faults.sort(Comparator.comparingDouble(Fault::at));
+        faults.sort(Comparator.comparingDouble(Fault::startS));
         return s.with((long) number).with(faults);
     }
 
@@ -40,24 +40,25 @@
 
     private static Fault fault(Script s, FaultKind kind, SplittableRandom r) {
         // A day that is all calm was cut down by a search: it has faults of its own.
-        double end = s.seconds() > s.search().calmS() ? s.seconds() - s.search().calmS() : s.seconds();
+        double end =
+                s.seconds() > s.search().faultFreeS() ? s.seconds() - s.search().faultFreeS() : s.seconds();
         double at = tenth(r.nextDouble() * end * BEGIN_IN);
         double left = Math.min(LONGEST_S, end - at);
         double lasts =
-                kind.momentary() ? 0 : Math.max(0.1, Math.floor(10 * left * (0.05 + 0.95 * r.nextDouble())) / 10);
+                kind.isMomentary() ? 0 : Math.max(0.1, Math.floor(10 * left * (0.05 + 0.95 * r.nextDouble())) / 10);
         Map<String, Double> figures = new LinkedHashMap<>();
-        for (Figure f : kind.figures()) {
+        for (Parameter f : kind.parameters()) {
             double spread = StrictMath.pow(SPREAD, 2 * r.nextDouble() - 1);
-            double value = Math.max(f.least(), Math.min(f.most(), f.usual() * spread));
-            figures.put(f.name(), Math.max(f.least(), Math.min(f.most(), Math.rint(value * 1000) / 1000)));
+            double value = Math.max(f.min(), Math.min(f.max(), f.defaultValue() * spread));
+            figures.put(f.name(), Math.max(f.min(), Math.min(f.max(), Math.rint(value * 1000) / 1000)));
         }
         return switch (kind.target()) {
-            case NODES -> new Fault(kind, at, lasts, 1 + r.nextInt(Math.max(1, s.fleet() / 2)), List.of(), figures);
+            case NODES -> new Fault(kind, at, lasts, 1 + r.nextInt(Math.max(1, s.nodeCount() / 2)), List.of(), figures);
             case PROXIES -> new Fault(
                     kind,
                     at,
                     lasts,
-                    Math.max(kind.least(), 1 + r.nextInt(s.proxies().count())),
+                    Math.max(kind.minTargets(), 1 + r.nextInt(s.proxies().count())),
                     List.of(),
                     figures);
             case CLASS -> new Fault(
@@ -89,7 +90,7 @@
                     case 0 -> "clients";
                     case 1 -> "discovery";
                     case 2 -> "nodes";
-                    default -> "n" + (1 + r.nextInt(s.fleet()));
+                    default -> "n" + (1 + r.nextInt(s.nodeCount()));
                 };
         return r.nextBoolean() ? List.of(proxy, other) : List.of(other, proxy);
     }
--- a/src/main/java/gullspar/rehearse/search/Finding.java
+++ b/src/main/java/gullspar/rehearse/search/Finding.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.search;
 
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Rule;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.script.Script;
 import java.util.Locale;
@@ -14,16 +14,16 @@
      * What is wrong with a day, if anything: the first broken rule, or service under the bound; else null.
      */
     static Finding in(Script script, Verdict v) {
-        for (Broken b : v.broken()) {
+        for (RuleViolation b : v.violations()) {
             if (b.rule() != Rule.EXPECTED) {
-                return new Finding(script, b.rule(), b.what());
+                return new Finding(script, b.rule(), b.description());
             }
         }
-        return v.service() < script.search().below()
+        return v.service() < script.search().minService()
                 ? new Finding(
                         script,
                         null,
-                        "service " + v.service() + ", under " + script.search().below())
+                        "service " + v.service() + ", under " + script.search().minService())
                 : null;
     }
 
--- a/src/main/java/gullspar/rehearse/search/Shrink.java
+++ b/src/main/java/gullspar/rehearse/search/Shrink.java
@@ -77,17 +77,22 @@
     private void less(int i) {
         while (change(
                 i,
-                f -> f.lasts() < 0.2
+                f -> f.durationS() < 0.2
                         ? null
                         : new Fault(
-                                f.kind(), f.at(), Math.rint(f.lasts() * 5) / 10, f.count(), f.names(), f.figures()))) {
+                                f.kind(),
+                                f.startS(),
+                                Math.rint(f.durationS() * 5) / 10,
+                                f.count(),
+                                f.names(),
+                                f.parameters()))) {
             continue; // half as long, while that does
         }
         while (change(
                 i,
-                f -> !f.names().isEmpty() || f.count() / 2 < f.kind().least()
+                f -> !f.names().isEmpty() || f.count() / 2 < f.kind().minTargets()
                         ? null
-                        : new Fault(f.kind(), f.at(), f.lasts(), f.count() / 2, f.names(), f.figures()))) {
+                        : new Fault(f.kind(), f.startS(), f.durationS(), f.count() / 2, f.names(), f.parameters()))) {
             continue; // half as many
         }
     }
@@ -104,7 +109,7 @@
 
     private void shorter() {
         double last = smallest.script().faults().stream()
-                .mapToDouble(f -> f.at() + f.lasts())
+                .mapToDouble(f -> f.startS() + f.durationS())
                 .max()
                 .orElse(0);
         for (double seconds = last + LEAST_S; seconds < smallest.script().seconds(); seconds += 4) {
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -160,7 +160,7 @@
 
     /** One more try of an order. */
     private void attempt(Order o, SplittableRandom draw) {
-        double patience = script.clients().patience().draw(draw);
+        double patience = script.clients().giveUpShare().draw(draw);
         long now = stage.now();
         Try t = new Try(o, "r" + ++requests + "-" + o.number, now + (long) (o.kind.giveUpMs() * 1e6 * patience));
         o.tries.add(t);
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -100,7 +100,7 @@
         this.speed = speed;
         this.cpu = new Machine(kind.cores(), speed, kind.slots(), kind.queue(), now);
         this.connectNs = kind.connectMs().draw(random) * 1e6;
-        this.keys = new KeyMemory((long) (kind.keyMemoryS().draw(random) * 1e9), kind.keysMost());
+        this.keys = new KeyMemory((long) (kind.keyMemoryS().draw(random) * 1e9), kind.maxKeys());
         this.saves = kind.keySaves().draw(random);
         this.reportPeriodNs = (long) (kind.reportPeriodMs().draw(random) * 1e6);
         this.reportDelayNs = (long) (kind.reportDelayMs().draw(random) * 1e6);
--- a/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
+++ b/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.rehearse.Days;
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Rule;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.Look;
@@ -66,9 +66,9 @@
 
         assertEquals(
                 List.of(),
-                p.verdict().broken().stream()
+                p.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET") || b.rule() == Rule.NOTHING_TWICE)
-                        .map(Broken::what)
+                        .map(RuleViolation::description)
                         .toList(),
                 () -> String.join("\n", p.log()));
         // All of it was there to be seen.
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.rehearse.Days;
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Rule;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.stage.EventLog;
 import io.netty.channel.DefaultEventLoop;
@@ -61,9 +61,9 @@
         // Rules that no slow machine excuses.
         assertEquals(
                 List.of(),
-                p.verdict().broken().stream()
+                p.verdict().violations().stream()
                         .filter(b -> b.rule() == Rule.NOTHING_TWICE)
-                        .map(Broken::what)
+                        .map(RuleViolation::description)
                         .toList());
         assertEquals(before, daemons());
     }
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -13,8 +13,8 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Transport;
 import gullspar.rehearse.Days;
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Rule;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.net.TamperedMessages;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.script.ScriptReader;
@@ -82,14 +82,14 @@
     private static final Script MAD =
             day(15, Days.fault("mad-member", 1, "for = 13\nproxies = [\"p2\"]\nfor_each = 60"));
 
-    private static List<Broken> broken(Script s, VirtualPlay.Options options) {
-        return VirtualPlay.play(s, options).verdict().broken().stream()
+    private static List<RuleViolation> broken(Script s, VirtualPlay.Options options) {
+        return VirtualPlay.play(s, options).verdict().violations().stream()
                 .filter(b -> b.rule().name().startsWith("FLEET"))
                 .toList();
     }
 
     private static void caught(Rule rule, Script s, VirtualPlay.Options options) {
-        List<Broken> broken = broken(s, options);
+        List<RuleViolation> broken = broken(s, options);
         assertTrue(broken.stream().anyMatch(b -> b.rule() == rule), () -> rule + " was not caught, but " + broken);
     }
 
@@ -110,7 +110,7 @@
         Played p = VirtualPlay.play(s, VirtualPlay.Options.plain());
         assertEquals(
                 List.of(),
-                p.verdict().broken().stream()
+                p.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET"))
                         .toList());
         assertTrue(p.log().stream().noneMatch(l -> l.contains("uncaught")), "nothing throws");
@@ -136,7 +136,7 @@
     void theShippedDayKeepsAllRulesAndReadsBack() throws Exception {
         Script s = ScriptReader.read(Path.of("examples/rehearsals/peers.toml"));
         Played p = VirtualPlay.play(s, VirtualPlay.Options.plain());
-        assertEquals(List.of(), p.verdict().broken());
+        assertEquals(List.of(), p.verdict().violations());
         assertTrue(
                 p.eventLog().looks().size() > 500,
                 "looked " + p.eventLog().looks().size());
--- a/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
@@ -15,8 +15,8 @@
 import gullspar.decide.Balancer.Status;
 import gullspar.proxy.io.Platform;
 import gullspar.rehearse.Days;
-import gullspar.rehearse.judge.Broken;
 import gullspar.rehearse.judge.Rule;
+import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.script.Script;
 import io.netty.buffer.ByteBuf;
@@ -63,17 +63,18 @@
 
     /** Every rule that is broken is the one that was planted, and it is. */
     private static void caught(Rule rule, String words, Script s, VirtualPlay.Options options) {
-        List<Broken> broken = play(s, options).broken();
+        List<RuleViolation> broken = play(s, options).violations();
         assertFalse(broken.isEmpty(), "nothing was caught");
         assertTrue(
-                broken.stream().anyMatch(b -> b.rule() == rule && b.what().contains(words)),
-                broken.get(0).what());
+                broken.stream()
+                        .anyMatch(b -> b.rule() == rule && b.description().contains(words)),
+                broken.get(0).description());
     }
 
     @Test
     void unplantedTheSameDaysKeepAllRules() {
         for (Script s : List.of(QUIET, HARMED, LEAVING, UNHEARD, COLD, IMPATIENT, PAUSED)) {
-            assertEquals(List.of(), play(s, VirtualPlay.Options.plain()).broken());
+            assertEquals(List.of(), play(s, VirtualPlay.Options.plain()).violations());
         }
     }
 
--- a/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
@@ -55,7 +55,7 @@
     void theFaultScriptsKeepAllRulesAndPlayTheSameTwice(String name) throws Exception {
         Script s = ScriptReader.read(Path.of("examples/rehearsals", name + ".toml"));
         Played once = VirtualPlay.play(s, VirtualPlay.Options.plain());
-        assertEquals(List.of(), once.verdict().broken());
+        assertEquals(List.of(), once.verdict().violations());
         assertTrue(once.decisions() > 10_000, "only " + once.decisions() + " decisions");
         assertEquals(
                 once.hash(), VirtualPlay.play(s, VirtualPlay.Options.plain()).hash());
@@ -113,7 +113,7 @@
         assertEquals(out, inAnotherProcess(script, "-Xint"));
         Played here = VirtualPlay.play(ScriptReader.read(script), VirtualPlay.Options.plain());
         assertEquals(out, "decisions " + here.decisions() + " sha256 " + here.hash());
-        assertEquals(List.of(), here.verdict().broken());
+        assertEquals(List.of(), here.verdict().violations());
     }
 
     @Test
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -96,7 +96,7 @@
         assertFalse(json.get("kept").asBoolean());
         assertEquals(day.hash(), json.get("sha256").asText());
         assertEquals("expected", json.get("broken").get(0).get("rule").asText());
-        assertEquals(Rule.EXPECTED, day.verdict().broken().get(0).rule());
+        assertEquals(Rule.EXPECTED, day.verdict().violations().get(0).rule());
         assertTrue(json.get("service").asDouble() < 1);
         assertEquals(
                 day.verdict().counts().get("served"),
--- a/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
@@ -32,14 +32,14 @@
 
     @ParameterizedTest
     @MethodSource("examples")
-    void whatIsShippedCanBeRead(Path example) throws Exception {
-        assertTrue(ScriptReader.read(example).fleet() > 0);
+    void readsEveryShippedExample(Path example) throws Exception {
+        assertTrue(ScriptReader.read(example).nodeCount() > 0);
     }
 
     @ParameterizedTest
     @EnumSource(FaultKind.class)
-    void everyFaultIsReadWithItsUsualFigures(FaultKind kind) {
-        String struck =
+    void readsEveryFaultKindWithDefaultParameters(FaultKind kind) {
+        String targets =
                 switch (kind.target()) {
                     case CLASS -> "class = \"look\"\n";
                     case LINK -> "from = \"p1\"\nto = \"nodes\"\n";
@@ -48,12 +48,12 @@
                 };
         Fault f = Days.small(
                         5,
-                        (kind.betweenProxies() ? "[peers]\n" : "")
-                                + Days.fault(kind.named(), 1, struck + (kind.momentary() ? "" : "for = 2\n")))
+                        (kind.needsPeers() ? "[peers]\n" : "")
+                                + Days.fault(kind.scriptName(), 1, targets + (kind.isMomentary() ? "" : "for = 2\n")))
                 .faults()
                 .get(0);
         assertEquals(kind, f.kind());
-        kind.figures().forEach(g -> assertEquals(g.usual(), f.figure(g.name())));
+        kind.parameters().forEach(g -> assertEquals(g.defaultValue(), f.parameter(g.name())));
     }
 
     @ParameterizedTest
@@ -81,7 +81,7 @@
         kind = "spoil"|for = 1|share = 7                | share is 7, not 0.001 to 1
         kind = "spoil"|for = 1|share = "much"           | share must be a number, not a string
         """)
-    void faultsThatCannotBe(String row) {
+    void rejectsInvalidFaults(String row) {
         // one row: lines of a fault parted by |, the message last
         int cut = row.lastIndexOf('|');
         String lines = (row.contains("at = ") ? "" : "at = 1\n")
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void allComesAtOnceEachWithItsPlace() {
+    void reportsAllProblemsWithTheirPositions() {
         assertEquals(
                 List.of(
                         "day.toml:1:1: seconds must be a number, not a string",
@@ -109,19 +109,19 @@
     }
 
     @Test
-    void whatIsNoTomlIsSaidWithItsPlace() {
+    void reportsTomlErrorsWithTheirPositions() {
         String errors = errors("seconds = \n[clients\n");
         assertTrue(errors.startsWith("day.toml:1:11: "), errors);
     }
 
     @Test
-    void rangesRunUpwards() {
+    void rejectsDescendingRanges() {
         assertTrue(errors(Days.text(5, "").replace("speed = [1.7, 2.3]", "speed = [2.3, 1.7]"))
                 .endsWith("speed runs from the larger to the smaller"));
     }
 
     @Test
-    void aDeduplicatedClassNeedsItsWindow() {
+    void deduplicatedClassRequiresWindow() {
         assertTrue(errors(Days.text(5, "").replace("window_ms = 1200\n", "")).contains("needs window_ms"));
     }
 }
--- a/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
@@ -12,13 +12,13 @@
 class ScriptWriterTest {
     @ParameterizedTest
     @MethodSource("gullspar.rehearse.script.ScriptReaderTest#examples")
-    void theExamples(Path example) throws Exception {
+    void writtenExamplesReadBackEqual(Path example) throws Exception {
         Script s = ScriptReader.read(example);
         assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "written.toml"));
     }
 
     @Test
-    void faultsOfEverySortAndOddTitles() {
+    void faultsAndEscapedTitlesReadBackEqual() {
         Script s = Days.parse("title = \"a \\\"quote\\\", a \\\\ and a \\u0007\"\n"
                 + Days.text(
                         9,
