--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -11,22 +11,22 @@
 import java.util.TreeSet;
 
 /**
- * Judges how the proxies saw each other: by what each answered when it was asked, against what is known of
- * their processes and of the ways between them.
+ * Judges the view of the fleet at each proxy: compares the views that the proxies returned with the recorded
+ * state of their processes and of the links between them.
  */
 final class FleetJudge {
-    /** A rate is one only over so long: a start among many costs more for a while. */
+    /** The send rate is judged only after this uptime, as joining a large fleet costs more for a while. */
     private static final double MIN_UPTIME_S = 20;
 
     private final Script.Peers limits;
     private final EventLog eventLog;
     private final long slackNs;
     private final List<RuleViolation> violations = new ArrayList<>();
-    /** Whose a life was, and when it lived: learnt from what the processes said of themselves. */
+    /** The process of each life id and its times, from the views in which the processes report their own id. */
     private final Map<String, EventLog.Life> lives = new HashMap<>();
-    /** When a process answered first: only from then on does it take part. */
+    /** The time of the first response of a process, from which on it counts as a participant. */
     private final Map<EventLog.Life, Long> firstResponseAt = new HashMap<>();
-    /** The last that an observer said of a life. */
+    /** The last state of a life in the view of an observer, by observer and life. */
     private final Map<String, Look.Seen> lastSeen = new HashMap<>();
 
     private final Set<String> reported = new TreeSet<>();
@@ -56,7 +56,7 @@
         return (long) (s * 1e9);
     }
 
-    /** Once for each kind of thing that is wrong: the first shows it. */
+    /** Adds a violation unless one of this rule and key was added before: the first is enough to show it. */
     private void addViolation(Rule rule, long at, String key, String description) {
         if (reported.add(rule + key)) {
             violations.add(new RuleViolation(rule, at, description, null));
@@ -67,7 +67,7 @@
         return l.from() <= at && at + slackNs < l.until();
     }
 
-    /** How long ago both of them were last struck, or began; negative while one is. */
+    /** The time since both proxies were last affected by a fault or started; negative during a fault. */
     private long undisturbedNs(String a, String b, long at) {
         long since = Math.max(eventLog.settledSince(a, at), eventLog.settledSince(b, at));
         for (EventLog.Life l : eventLog.lives()) {
@@ -81,7 +81,7 @@
     private void checkView(Look l) {
         EventLog.Life observer = lives.get(l.life());
         if (observer == null) {
-            return; // asked while it ended
+            return; // the process ended during the request
         }
         for (Look.Seen s : l.seen()) {
             EventLog.Life other = lives.get(s.life());
@@ -93,7 +93,7 @@
                         Rule.FLEET_TRUE,
                         l.at(),
                         key,
-                        l.proxy() + " has " + s.name() + " as " + s.status() + ", which never was");
+                        l.proxy() + " has " + s.name() + " as " + s.status() + ", which never existed");
             }
             if (other != null && isRunningAt(other, l.at())) {
                 if (s.status().equals("gone")
@@ -102,7 +102,7 @@
                             Rule.FLEET_TRUE,
                             l.at(),
                             key,
-                            l.proxy() + " calls " + s.name() + " gone, which lives and was not struck for "
+                            l.proxy() + " calls " + s.name() + " gone, which is running and had no fault for "
                                     + limits.quietS() + " s");
                 }
             } else if (other != null && s.present()) {
@@ -129,12 +129,12 @@
                     Rule.FLEET_CHEAP,
                     l.at(),
                     l.life(),
-                    l.proxy() + " sent " + (long) (l.sentBytes() / l.upS()) + " bytes a second, of "
+                    l.proxy() + " sent " + (long) (l.sentBytes() / l.upS()) + " bytes a second, over the limit of "
                             + limits.bytesPerS());
         }
     }
 
-    /** Whoever hears none of the others cannot do its part, however well it is heard. */
+    /** A proxy that receives nothing from the others cannot take part, even if they receive its messages. */
     private void checkIsolatedMember(Look l, Look.Seen s, String key) {
         long spanNs = ns(limits.goneS());
         if (s.present()
@@ -146,8 +146,8 @@
                     Rule.FLEET_TRUE,
                     l.at(),
                     key + " deaf",
-                    l.proxy() + " has " + s.name() + " as " + s.status() + ", which has heard none of the others for "
-                            + limits.goneS() + " s");
+                    l.proxy() + " has " + s.name() + " as " + s.status()
+                            + ", which has received nothing from the others for " + limits.goneS() + " s");
         }
     }
 
@@ -176,13 +176,13 @@
                     l.at(),
                     l.life() + " accused",
                     l.proxy()
-                            + ", which was never struck, had to object "
+                            + ", which had no fault, had to object "
                             + l.objections() + " times in " + (l.at() - observer.from()) / 1_000_000_000
                             + " s to being called gone");
         }
     }
 
-    /** Long enough after the last fault anywhere each sees all that live, and nobody else as present. */
+    /** Long enough after the last fault anywhere, each view holds all running proxies and no other as alive. */
     private void checkAgreement(Look l) {
         long calmNs = Long.MAX_VALUE;
         Set<String> living = new TreeSet<>();
@@ -206,12 +206,12 @@
                     Rule.FLEET_AGREES,
                     l.at(),
                     l.proxy(),
-                    l.proxy() + " sees " + sees + " alive, and there are " + living + ", " + limits.agreeS()
+                    l.proxy() + " sees " + sees + " alive, but running are " + living + ", " + limits.agreeS()
                             + " s after the last fault");
         }
     }
 
-    /** Two processes that live under one name are both seen, and named as that by all: neither wins. */
+    /** Two processes that run under one name are both in every view, marked as such: neither replaces the other. */
     private void checkDuplicateNames(Look l, EventLog.Life observer) {
         for (EventLog.Life x : eventLog.lives()) {
             String name = x.name();
@@ -236,26 +236,26 @@
                         Rule.FLEET_TWINS,
                         l.at(),
                         l.proxy() + name,
-                        l.proxy() + " sees " + seen + " of the " + expected + " others that live under the name " + name
-                                + ", and does not name them");
+                        l.proxy() + " sees " + seen + " of the " + expected + " other processes under the name " + name
+                                + ", or does not mark the name as shared");
             }
         }
     }
 
     /**
-     * While a minority is cut off from all others, and these were there lately, it says so; the rest does
-     * not.
+     * While a minority is cut off from all others, and these were seen within the window, it reports that it is
+     * cut off; the rest does not.
      */
     private void checkCutOffReport(Look l) {
         List<EventLog.Parted> active = eventLog.partings().stream()
                 .filter(p -> p.from() <= l.at() && l.at() < p.until())
                 .toList();
         if (active.size() != 1) {
-            return; // several at once: who hears whom is another question
+            return; // with several partitions the two sides are not defined
         }
         EventLog.Parted p = active.get(0);
         if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && isRunningAt(x, l.at()))) {
-            return; // a twin is on neither side
+            return; // a second process under one name belongs to neither side
         }
         long sinceNs = l.at() - p.from();
         long living =
@@ -274,9 +274,9 @@
                     Rule.FLEET_HONEST,
                     l.at(),
                     l.proxy(),
-                    l.proxy() + " hears " + (side - 1) + " of "
+                    l.proxy() + " can reach " + (side - 1) + " of "
                             + (living - 1)
-                            + " others and says that it is " + (l.cutOff() ? "" : "not ") + "cut off");
+                            + " others and reports that it is " + (l.cutOff() ? "" : "not ") + "cut off");
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -16,15 +16,15 @@
 import java.util.Map;
 
 /**
- * Judges a day by what was seen from outside the proxies: the four rules, the service, the script's
- * expectations. The same for a day in virtual time and a live one; live, times are known less exactly.
+ * Judges a day by what was observed from outside the proxies: the rules, the service, the script's
+ * expectations. Used for days in virtual time and live ones; live, times are known less exactly.
  */
 public final class Judge {
     private static final int WORST_WINDOW_S = 10;
-    /** A client that leaves is to be heard of within so long (the operators' page). */
+    /** A proxy has to detect within this time that a client has left (the operators' page). */
     private static final long MAX_LEAVE_DELAY_NS = 100_000_000L;
 
-    /** An attempt may be given so much more than its client has left (the operators' page). */
+    /** How much more time an attempt may be given than its client has left (the operators' page). */
     private static final long MAX_EXTRA_TIME_NS = 150_000_000L;
 
     private static final long SECOND_NS = 1_000_000_000L;
@@ -33,7 +33,7 @@
     private final EventLog eventLog;
     private final long slackNs;
     private final List<RuleViolation> broken = new ArrayList<>();
-    /** Service of the ten seconds from each second on. */
+    /** The service of the ten seconds that start at each second. */
     private final List<Double> windowServices = new ArrayList<>();
 
     private int duplicateEffects;
@@ -44,7 +44,7 @@
         this.slackNs = slackNs;
     }
 
-    /** slackNs: how far a time that was seen may lie from the true one. */
+    /** Judges a day; slackNs is how far an observed time may be from the true one. */
     public static Verdict judge(Script script, EventLog eventLog, long slackNs) {
         return new Judge(script, eventLog, slackNs).verdict();
     }
@@ -62,15 +62,15 @@
                 .forEach((node, at) -> broken.add(new RuleViolation(
                         Rule.COLD_SPARED,
                         at,
-                        node + " was sent more than " + script.rules().tipMultiple() + " times what it could do for "
-                                + script.rules().fallS() + " s while it was cold, and fell over",
+                        node + " was sent more than " + script.rules().tipMultiple() + " times its capacity for "
+                                + script.rules().fallS() + " s during its cold start, and fell over",
                         null)));
         eventLog.crashes().forEach(c -> broken.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.what(), null)));
         eventLog.rudeServed()
                 .forEach(text -> broken.add(new RuleViolation(
                         Rule.ONE_ANSWER,
                         0,
-                        "a request that makes no sense was served: "
+                        "a malformed request was served: "
                                 + text.lines().findFirst().orElse(""),
                         null)));
         if (eventLog.rudeIgnored() > 0) {
@@ -78,7 +78,7 @@
                     Rule.ONE_ANSWER,
                     0,
                     eventLog.rudeIgnored() + " of " + eventLog.rudeSent()
-                            + " clients that sent no sensible request got neither an error nor a close within 3 s",
+                            + " clients that sent a malformed request got neither an error nor a close within 3 s",
                     null));
         }
         if (script.peers() != null) {
@@ -113,7 +113,7 @@
                 duplicateEffects);
     }
 
-    /** The second from which service was worst for ten; -1 on a day that is shorter. */
+    /** The start, in s, of the ten seconds with the lowest service; -1 on a shorter day. */
     private int worstFrom() {
         int seconds = (int) script.seconds();
         double[] asked = new double[seconds + 1];
@@ -167,7 +167,7 @@
         return counts;
     }
 
-    /** How a try ended, in a word. */
+    /** The name of a try's ending in counts and reports. */
     public static String endingName(Try t) {
         return switch (t.ending) {
             case ANSWERED -> t.status == 200
@@ -193,7 +193,7 @@
 
     private void checkFinalResponse(Try t) {
         if (t.status == 200 && t.attempts.stream().noneMatch(a -> a.startedAt != 0)) {
-            broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, and no node had worked on it");
+            broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, but no node had processed it");
         }
         if (t.wrong != null) {
             broken(Rule.ONE_ANSWER, t.endedAt, t, t.wrong);
@@ -204,7 +204,7 @@
             } else if (t.ending == Try.Ending.CLOSED && !t.attempts.isEmpty()) {
                 broken(Rule.ONE_ANSWER, t.endedAt, t, "its connection was closed with no final answer");
             } else if (t.ending == Try.Ending.OPEN) {
-                broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open when the day was over");
+                broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open at the end of the day");
             }
         }
         if (t.ending == Try.Ending.ANSWERED) {
@@ -214,7 +214,7 @@
                             Rule.ONE_ANSWER,
                             a.sentAt,
                             t,
-                            "an attempt went out to " + a.node + " after its final answer");
+                            "an attempt was sent to " + a.node + " after its final answer");
                 }
             }
         }
@@ -229,14 +229,14 @@
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went out to %s %.3f s after its client had left",
+                                "an attempt was sent to %s %.3f s after its client had left",
                                 a.node,
                                 (a.sentAt - t.endedAt) / 1e9));
             }
         }
     }
 
-    /** A proxy that does not know how long a request has waited gives its backend time that nobody has. */
+    /** A proxy that does not know how long a request has waited gives its backend more time than the client has. */
     private void checkTimeGiven(Try t) {
         for (Attempt a : t.attempts) {
             long leftNs = t.deadline - a.sentAt;
@@ -278,7 +278,7 @@
                         t,
                         "an attempt at " + a.node
                                 + ", which does not drop a repeat of the one at " + first.node
-                                + ", or not any more, and that may have run");
+                                + " or no longer does, and that one may have run");
             }
             first = first == null && a.mayHaveRun() ? a : first;
         }
@@ -297,7 +297,7 @@
         return isWithinWindow && (t.order.kind.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
-    /** What ran more than once: by a proxy's doing it breaks the rule, by a client's own retry it is told. */
+    /** Repeated effects: a violation for a request without retries; by a client's own retries they are counted. */
     private void checkEffects(Order o) {
         if (o.effects <= 1 || o.kind.effect() == Effect.IDEMPOTENT) {
             return;
@@ -321,7 +321,7 @@
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went to %s %.3f s after %s was told that it leaves",
+                                "an attempt was sent to %s %.3f s after %s was told that it leaves",
                                 a.node,
                                 (a.sentAt - toldAt) / 1e9,
                                 t.proxy));
@@ -334,7 +334,7 @@
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went to %s %.3f s after %s had to know that it leaves",
+                                "an attempt was sent to %s %.3f s after %s had to know that it leaves",
                                 a.node,
                                 (a.sentAt - dueAt) / 1e9,
                                 t.proxy));
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** All that is known of one order, in the order in which it happened, for people to read. */
+/** Formats all recorded events of one order, sorted by time, as readable text. */
 public final class RequestTrace {
     private record Line(long atNs, String text) {}
 
     private RequestTrace() {}
 
-    /** The story of the order of a request, a line each, with seconds from the start of the day. */
+    /** The events of the order of a request, one per line, with seconds from the start of the day. */
     public static List<String> of(Try request, EventLog eventLog) {
         List<Line> lines = new ArrayList<>();
         lines.add(new Line(
--- a/src/main/java/gullspar/rehearse/judge/RuleViolation.java
+++ b/src/main/java/gullspar/rehearse/judge/RuleViolation.java
@@ -2,5 +2,5 @@
 
 import gullspar.rehearse.stage.Try;
 
-/** A rule that was broken: when (ns on the day's clock), by what, for which request if it was one. */
+/** A broken rule: the time (ns on the day's clock), what broke it, and the request, or null if it was none. */
 public record RuleViolation(Rule rule, long atNs, String description, Try request) {}
--- a/src/main/java/gullspar/rehearse/judge/Verdict.java
+++ b/src/main/java/gullspar/rehearse/judge/Verdict.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * What came of a day. Shares are of the worth that was asked for, 0 to 1; the first broken rule stands first.
- * Counts are of tries by how they ended; twice is the number of keyed orders that took effect more than once,
- * by their clients' own retries.
+ * The result of a day. Shares are of the requested worth, 0 to 1; violations are sorted by time.
+ * Counts are of tries by how they ended; duplicateEffects is the number of keyed orders that took effect more
+ * than once, by their clients' own retries.
  */
 public record Verdict(
         List<RuleViolation> violations,
--- a/src/main/java/gullspar/rehearse/script/Fault.java
+++ b/src/main/java/gullspar/rehearse/script/Fault.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * One fault of a script. Times in s from the start of the day; names are those of what it strikes (for a way:
- * from and to), or empty where count are to be drawn.
+ * One fault of a script. Times in s from the start of the day; names are those of its targets (for a link:
+ * from and to), or empty where count targets are drawn at random.
  */
 public record Fault(
         FaultKind kind,
@@ -19,7 +19,7 @@
         return parameters.get(name);
     }
 
-    /** One line for people. */
+    /** A one-line description for reports. */
     @Override
     public String toString() {
         StringBuilder s = new StringBuilder(kind.scriptName());
--- a/src/main/java/gullspar/rehearse/script/Script.java
+++ b/src/main/java/gullspar/rehearse/script/Script.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What is to be rehearsed: a fleet, its sites, proxies and clients, and what goes wrong when. The figures are
- * ranges; a day draws from them by its seed. peers: null where the proxies know nothing of each other.
+ * What is rehearsed: a fleet, its sites, proxies and clients, and the faults with their times. Ranges are
+ * drawn from by the seed of the day. peers: null where the proxies keep no view of the fleet.
  */
 public record Script(
         String title,
@@ -28,7 +28,7 @@
         Search search,
         Peers peers) {
 
-    /** The proxies and what each is told of its limits. */
+    /** The proxies and the configured limits of each. */
     public record Proxies(
             int count,
             double cores,
@@ -40,15 +40,15 @@
             double connectTimeoutMs,
             double startS) {}
 
-    /** What cancelling does to a request that runs. */
+    /** What cancelling does to a running request. */
     public enum Cancelled {
         STOPS,
         GOES_ON
     }
 
     /**
-     * Nodes alike. Speed 1 does 1 s of work in 1 s on one core; slots run side by side, queue wait; a new
-     * connection costs connectMs of work; a key that is remembered saves a share of the work.
+     * Identical nodes. Speed 1 does 1 s of work in 1 s on one core; up to slots requests run in parallel and up to
+     * queue wait; a new connection costs connectMs of work; a remembered key saves a share of the work.
      */
     public record NodeKind(
             String kind,
@@ -81,18 +81,18 @@
             double worth,
             int bodyBytes) {}
 
-    /** The clients: rate in requests a second over all sites. */
+    /** The clients: rate in requests a second over all sites; giveUpShare is the part of giveUpMs that one waits. */
     public record Clients(
             double rate, Range giveUpShare, int retries, Range retryWaitMs, int keys, double keySkew, Range noticeS) {}
 
-    /** How news of the nodes reach the proxies; calls of all are answered in turn, each after answerMs. */
+    /** How changes of the nodes reach the proxies; calls are answered one after the other, each after answerMs. */
     public record Discovery(Range delayMs, Range weightPeriodMs, Range noticeS, double answerMs) {}
 
     /**
-     * The view of the fleet that the proxies keep, and what is asked of it, in s: who lives and can be
-     * reached is not called gone for longer than quiet, who is dead has left every view after gone, and
-     * after the last fault all views are equal within agree. bytesPerS: what one of them sends, on average;
-     * accusationsPerMin: how often one that was never struck has to object to being called gone.
+     * The view of the fleet that the proxies keep, and its limits, in s: a running, reachable member is not
+     * called gone for longer than quiet, a dead one has left every view after gone, and after the last fault
+     * all views are equal within agree. bytesPerS: the average that one proxy may send; accusationsPerMin: how
+     * often a proxy without faults may have to object to being called gone.
      */
     public record Peers(
             double intervalMs,
@@ -103,12 +103,12 @@
             int bytesPerS,
             double accusationsPerMin) {}
 
-    /** The rules in figures. */
+    /** The limits of the rules. */
     public record Rules(double drainGraceMs, double startCapacity, double coldS, double tipMultiple, double fallS) {}
 
     /**
-     * What a search may draw: kinds of faults, how many at the most, for how many s at the end there are
-     * none, and the service that is too low for it.
+     * What a search may draw: the kinds of faults, the maximum number of faults, the seconds without faults at
+     * the end, and the service below which a day is a finding.
      */
     public record Search(List<FaultKind> kinds, int maxFaults, double faultFreeS, double minService) {}
 
@@ -119,12 +119,12 @@
         faults = List.copyOf(faults);
     }
 
-    /** How many nodes there are at the start. */
+    /** The number of nodes at the start. */
     public int nodeCount() {
         return nodes.stream().mapToInt(NodeKind::count).sum();
     }
 
-    /** The same with another seed. */
+    /** A copy with another seed. */
     public Script with(long otherSeed) {
         return new Script(
                 title,
@@ -145,7 +145,7 @@
                 peers);
     }
 
-    /** The same, as long as that. */
+    /** A copy with another duration. */
     public Script with(double otherSeconds) {
         return new Script(
                 title,
@@ -166,7 +166,7 @@
                 peers);
     }
 
-    /** The same with other faults. */
+    /** A copy with other faults. */
     public Script with(List<Fault> others) {
         return new Script(
                 title,
--- a/src/main/java/gullspar/rehearse/script/ScriptReader.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptReader.java
@@ -21,11 +21,11 @@
 import org.tomlj.TomlPosition;
 
 /**
- * Reads a script (TOML 1.0). All that is wrong with it is found in one reading: what is no TOML, keys that
- * are not known, types, bounds, names that nobody has, times that cannot be.
+ * Reads a script (TOML 1.0) and reports all problems together: syntax errors, unknown keys, wrong types, values
+ * out of bounds, unknown names, impossible times.
  */
 public final class ScriptReader {
-    /** What [expect] may state, each as the least share that satisfies it. */
+    /** The keys of [expect]; the value of each is the minimum share. */
     static final List<String> EXPECTATIONS = List.of("service", "worst_10s", "worst_class");
 
     private static final double MAX_DURATION_S = 24 * 3600;
@@ -34,12 +34,12 @@
 
     private ScriptReader() {}
 
-    /** Reads a file; an IOException if that is not possible at all. */
+    /** Reads a file; throws an IOException if the file cannot be read. */
     public static Script read(Path file) throws IOException, ProblemsException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** Reads a text; the name stands before each problem. */
+    /** Reads a text; each problem is prefixed with the name. */
     public static Script parse(String text, String name) throws ProblemsException {
         TomlParseResult toml = Toml.parse(text);
         ScriptReader r = new ScriptReader();
@@ -118,7 +118,7 @@
 
     private static void checkDistinct(TableReader f, String key, List<String> names) {
         if (new LinkedHashSet<>(names).size() < names.size()) {
-            f.addProblem(key, "are not all of different names");
+            f.addProblem(key, "have duplicate names");
         }
     }
 
@@ -202,12 +202,12 @@
         double promise = f.number("promise_ms", 1, 600_000);
         double giveUp = f.number("give_up_ms", 1, 600_000);
         if (giveUp < promise) {
-            f.addProblem("give_up_ms", "is under promise_ms");
+            f.addProblem("give_up_ms", "is below promise_ms");
         }
         double worth = f.number("worth", 1, 0.001, 1e6);
         int body = f.integer("body_bytes", effect == Effect.IDEMPOTENT ? 0 : 200, 0, 65_000);
         if (effect == Effect.IDEMPOTENT && body > 0) {
-            f.addProblem("body_bytes", "is for classes that are sent by POST");
+            f.addProblem("body_bytes", "is only for classes that are sent by POST");
         }
         f.rejectUnknownKeys();
         return new Script.RequestClass(name, effect, scope, window, share, work, promise, giveUp, worth, body);
@@ -283,10 +283,11 @@
                     .filter(k -> k.scriptName().equals(name))
                     .findFirst()
                     .ifPresentOrElse(
-                            kinds::add, () -> f.addProblem("kinds", "names '" + name + "', which is no kind of fault"));
+                            kinds::add,
+                            () -> f.addProblem("kinds", "names '" + name + "', which is not a kind of fault"));
         }
         if (kinds.isEmpty()) {
-            f.addProblem("kinds", "names nothing that could be searched");
+            f.addProblem("kinds", "names no kind of fault to search");
         }
         Script.Search s = new Script.Search(
                 List.copyOf(kinds),
@@ -299,13 +300,13 @@
 
     // ---- faults ----
 
-    /** Who can be struck by name. */
+    /** The names that a fault may have as targets. */
     private record TargetNames(Set<String> nodes, Set<String> proxies, Set<String> classes) {}
 
     private Fault fault(TableReader f, double seconds, TargetNames names, boolean peers) {
         FaultKind kind = f.choice("kind", FaultKind.class, null);
         if (kind.needsPeers() && !peers) {
-            f.addProblem("kind", "strikes what proxies tell each other, and there is no [peers]");
+            f.addProblem("kind", "affects the messages between proxies, and there is no [peers]");
         }
         double startS = f.number("at", 0, MAX_DURATION_S);
         if (startS >= seconds) {
@@ -359,7 +360,7 @@
         return fault;
     }
 
-    /** A number to be drawn, or names. */
+    /** A fault on a number of targets drawn at random, or on named ones. */
     private Fault faultOnTargets(
             TableReader f,
             String key,
@@ -375,9 +376,9 @@
         List<String> named = f.stringList(key, List.of());
         named.forEach(n -> checkName(f, key, n, known));
         if (named.isEmpty()) {
-            f.addProblem(key, "names nobody");
+            f.addProblem(key, "is empty; it must name at least one");
         } else if (named.size() < kind.minTargets()) {
-            f.addProblem(key, "names one, and this needs two or more");
+            f.addProblem(key, "names one, but this fault needs two or more");
         }
         return new Fault(kind, startS, durationS, named.size(), named, parameters);
     }
@@ -394,7 +395,7 @@
         return list.size() <= 6 ? String.join(", ", list) : list.get(0) + " to " + list.get(list.size() - 1);
     }
 
-    /** One end of a way between proxies: one, or all. */
+    /** One end of a link between proxies: one, or all. */
     private static String proxyEnd(TableReader f, String key, TargetNames names) {
         String end = f.string(key);
         if (!end.isEmpty() && !end.equals("proxies") && !names.proxies().contains(end)) {
@@ -403,7 +404,7 @@
         return end;
     }
 
-    /** One end of a way: a machine, or all of a sort. */
+    /** One end of a link: a machine, or all of a kind. */
     private static String linkEnd(TableReader f, String key, TargetNames names) {
         String end = f.string(key);
         if (!end.isEmpty()
--- a/src/main/java/gullspar/rehearse/script/ScriptWriter.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptWriter.java
@@ -12,7 +12,6 @@
 
     private ScriptWriter() {}
 
-    /** The whole text. */
     public static String write(Script s) {
         ScriptWriter w = new ScriptWriter();
         w.appendScript(s);
--- a/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Scripts are read strictly, and all that is wrong comes at once. */
+/** Scripts are read strictly, and all problems are reported together. */
 class ScriptReaderTest {
     private static String errors(String text) {
         return assertThrows(ProblemsException.class, () -> ScriptReader.parse(text, "day.toml"))
@@ -66,7 +66,7 @@
         kind = "crush"                                  | kind is 'crush', not one of neighbour, rush
         kind = "crash"|nodes = 1.5                      | nodes must be a whole number, not 1.5
         kind = "crash"|nodes = ["n99"]                  | nodes names 'n99', and there is only n1 to n8
-        kind = "crash"|nodes = []                       | nodes names nobody
+        kind = "crash"|nodes = []                       | nodes is empty; it must name at least one
         kind = "twin"|for = 1                           | and there is no [peers]
         kind = "crash"|nodes = ["n1", "n1"]             | nodes holds 'n1' twice
         kind = "crash"|nodes = 9                        | nodes is 9, not 1 to 8
@@ -82,7 +82,7 @@
         kind = "spoil"|for = 1|share = "much"           | share must be a number, not a string
         """)
     void rejectsInvalidFaults(String row) {
-        // one row: lines of a fault parted by |, the message last
+        // A row holds the lines of a fault and the expected message, separated by |.
         int cut = row.lastIndexOf('|');
         String lines = (row.contains("at = ") ? "" : "at = 1\n")
                 + row.substring(0, cut).replace('|', '\n');
@@ -101,7 +101,7 @@
                         "day.toml:6:1: class: effect is missing",
                         "day.toml:6:1: class: share is missing",
                         "day.toml:7:3: name must be 1 to 40 of a to z, 0 to 9 and -",
-                        "day.toml:8:1: give_up_ms is under promise_ms"),
+                        "day.toml:8:1: give_up_ms is below promise_ms"),
                 errors("seconds = \"5\"\nsecnods = 5\n[proxies]\ncount = 0\n\n[[class]]\n  name = \"A b\"\n"
                                 + "give_up_ms = 1\npromise_ms = 2\nwork_ms = [1, 2]\n[clients]\nrate = 1\n")
                         .lines()
--- a/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What is written reads back as the same script. */
+/** A written script reads back as the same script. */
 class ScriptWriterTest {
     @ParameterizedTest
     @MethodSource("gullspar.rehearse.script.ScriptReaderTest#examples")
