--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gullspar.peers.wire.Envelope;
-import gullspar.rehearse.net.Liar;
+import gullspar.rehearse.net.FalseRumorInjector;
 import gullspar.rehearse.script.Fault;
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.Script;
@@ -51,7 +51,7 @@
     final Relay relay;
     private final Map<String, InetSocketAddress> operators = new HashMap<>();
     private final Deque<Relay.Place> spare = new ArrayDeque<>();
-    private final Map<String, Liar> liars = new HashMap<>();
+    private final Map<String, FalseRumorInjector> liars = new HashMap<>();
     private final Map<String, List<Integer>> keys = new HashMap<>();
     /** Those that have not answered yet. */
     private final Map<String, Boolean> asked = new ConcurrentHashMap<>();
@@ -156,14 +156,14 @@
     /** As {@link gullspar.rehearse.play.FaultInjector#mad} says. */
     void mad(String process, int forEach) {
         liars.computeIfAbsent(process, p -> {
-                    Liar liar = new Liar(
+                    FalseRumorInjector liar = new FalseRumorInjector(
                             () -> new Envelope(keysOf(p).stream().map(this::key).toList()),
                             script.seed() * 31 + 14 + Integer.parseInt(p.substring(1)));
                     proxies.stream().filter(o -> !o.equals(p)).forEach(o -> relay.way(p, o)
-                            .liar(liar));
+                            .falseRumorInjector(liar));
                     return liar;
                 })
-                .lies(forEach);
+                .setFalseRumorsPerDatagram(forEach);
     }
 
     /** Asks each proxy again and again, until the end; alive tells whether one can answer. On the loop. */
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -5,7 +5,7 @@
 import gullspar.proxy.io.Platform;
 import gullspar.rehearse.judge.Judge;
 import gullspar.rehearse.judge.Verdict;
-import gullspar.rehearse.net.Datagrams;
+import gullspar.rehearse.net.DatagramLink;
 import gullspar.rehearse.play.FaultInjector;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.play.Progress;
@@ -448,7 +448,7 @@
     public void slower(String from, String to, long byNs) {
         ways.slower(from, to, byNs);
         if (fleet != null) {
-            fleet.relay.way(from, to).slower(byNs);
+            fleet.relay.way(from, to).setExtraDelayNs(byNs);
         }
     }
 
@@ -456,7 +456,7 @@
     public void lossy(String from, String to, double share) {
         ways.lossy(from, to, share);
         if (fleet != null) {
-            fleet.relay.way(from, to).lossy(share);
+            fleet.relay.way(from, to).setLoss(share);
         }
     }
 
@@ -469,7 +469,7 @@
     }
 
     @Override
-    public void trouble(String from, String to, Datagrams.Trouble t, double figure) {
+    public void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
         fleet.relay.trouble(from, to, t, figure);
     }
 
--- a/src/main/java/gullspar/rehearse/live/Relay.java
+++ b/src/main/java/gullspar/rehearse/live/Relay.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.live;
 
-import gullspar.rehearse.net.Datagrams;
-import gullspar.rehearse.net.Forger;
+import gullspar.rehearse.net.DatagramForger;
+import gullspar.rehearse.net.DatagramLink;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -43,15 +43,15 @@
 
     private final EventLoop loop;
     private final SplittableRandom random;
-    private final Forger forger;
+    private final DatagramForger forger;
     private final Map<Integer, Place> byHome = new HashMap<>();
     private final Map<String, Place> byProcess = new HashMap<>();
-    private final Map<String, Datagrams> ways = new HashMap<>();
+    private final Map<String, DatagramLink> ways = new HashMap<>();
 
     Relay(EventLoop loop, long seed) {
         this.loop = loop;
         this.random = new SplittableRandom(seed);
-        this.forger = new Forger(seed + 2);
+        this.forger = new DatagramForger(seed + 2);
     }
 
     /** Makes a place of which nobody is yet. Not on the loop. */
@@ -82,9 +82,9 @@
     }
 
     private void came(Place from, Place to, byte[] datagram) {
-        forger.hears(datagram);
+        forger.observe(datagram);
         if (to.process != null) {
-            way(from.process, to.process).carry(datagram, random, (ns, d) -> later(to, ns, d));
+            way(from.process, to.process).send(datagram, random, (ns, d) -> later(to, ns, d));
         }
     }
 
@@ -111,12 +111,12 @@
     }
 
     /** The way from one process to another. */
-    Datagrams way(String from, String to) {
-        return ways.computeIfAbsent(from + '>' + to, k -> new Datagrams());
+    DatagramLink way(String from, String to) {
+        return ways.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
 
-    void trouble(String from, String to, Datagrams.Trouble t, double figure) {
-        way(from, to).trouble(t, figure, (ns, d) -> later(byProcess.get(to), ns, d));
+    void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
+        way(from, to).setImpairment(t, figure, (ns, d) -> later(byProcess.get(to), ns, d));
     }
 
     /** A datagram that no process has sent goes to one. */
--- a/src/main/java/gullspar/rehearse/net/Liar.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -24,36 +24,37 @@
  * speak of members which never were. A life that has lied once stays renumbered, since its numbers must not
  * go back.
  */
-public final class Liar {
+public final class FalseRumorInjector {
     /** Numbers between two true datagrams: within the window that a receiver keeps of repeated ones. */
-    private static final int ROOM = 32;
+    private static final int NUMBERS_PER_DATAGRAM = 32;
 
-    private static final int MOST_RUMOUR_BYTES = 160;
-    private static final int IN_ONE =
-            (Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES - 100) / MOST_RUMOUR_BYTES;
+    private static final int MAX_RUMOR_BYTES = 160;
+    private static final int RUMORS_PER_DATAGRAM =
+            (Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES - 100) / MAX_RUMOR_BYTES;
 
     private final Supplier<Envelope> keys;
     private final SplittableRandom random;
-    private final Set<Long> lied = new HashSet<>();
-    private int forEach;
+    private final Set<Long> renumberedLives = new HashSet<>();
+    private int falseRumorsPerDatagram;
     private int invented;
 
     /** keys: those that the member has at the moment. */
-    public Liar(Supplier<Envelope> keys, long seed) {
+    public FalseRumorInjector(Supplier<Envelope> keys, long seed) {
         this.keys = keys;
         this.random = new SplittableRandom(seed);
     }
 
     /** Speaks of so many with each datagram from now on. */
-    public void lies(int count) {
-        forEach = count;
+    public void setFalseRumorsPerDatagram(int count) {
+        falseRumorsPerDatagram = count;
     }
 
     /** What becomes of a datagram of the member. */
-    List<byte[]> of(byte[] datagram) {
+    List<byte[]> rewrite(byte[] datagram) {
         Message m;
         try {
-            if (forEach == 0 && lied.isEmpty() || keys.get().open(datagram) != null) {
+            if (falseRumorsPerDatagram == 0 && renumberedLives.isEmpty()
+                    || keys.get().open(datagram) != null) {
                 return List.of(datagram);
             }
             m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
@@ -61,26 +62,28 @@
             throw new UncheckedIOException("a member has sent what is no message", e);
         }
         long life = m.header().from().life();
-        if (forEach > 0) {
-            lied.add(life);
+        if (falseRumorsPerDatagram > 0) {
+            renumberedLives.add(life);
         }
-        if (!lied.contains(life)) {
+        if (!renumberedLives.contains(life)) {
             return List.of(datagram);
         }
-        long number = m.header().number() * ROOM;
+        long number = m.header().number() * NUMBERS_PER_DATAGRAM;
         List<byte[]> out = new ArrayList<>();
-        out.add(sealed(TamperedMessages.numbered(m, number)));
-        for (int left = forEach; left > 0 && out.size() < ROOM; left -= IN_ONE) {
+        out.add(seal(TamperedMessages.withNumber(m, number)));
+        for (int left = falseRumorsPerDatagram;
+                left > 0 && out.size() < NUMBERS_PER_DATAGRAM;
+                left -= RUMORS_PER_DATAGRAM) {
             List<Rumor> rumors = new ArrayList<>();
-            for (int i = 0; i < Math.min(left, IN_ONE); i++) {
+            for (int i = 0; i < Math.min(left, RUMORS_PER_DATAGRAM); i++) {
                 rumors.add(invented());
             }
-            out.add(sealed(TamperedMessages.numbered(new Message.News(m.header(), rumors), number + out.size())));
+            out.add(seal(TamperedMessages.withNumber(new Message.News(m.header(), rumors), number + out.size())));
         }
         return out;
     }
 
-    private byte[] sealed(Message m) {
+    private byte[] seal(Message m) {
         return keys.get().seal(Codec.encode(m));
     }
 
--- a/src/main/java/gullspar/rehearse/net/HalfConnection.java
+++ b/src/main/java/gullspar/rehearse/net/HalfConnection.java
@@ -12,7 +12,7 @@
         RST
     }
 
-    private record Segment(Kind kind, ByteBuf bytes, long sentAt, long arrivesAt) {}
+    private record Segment(Kind kind, ByteBuf bytes, long sentAtNs, long arrivesAtNs) {}
 
     private final Network network;
     private final Host from;
@@ -21,7 +21,7 @@
     private final Queue<Segment> segments = new ArrayDeque<>();
     private MemoryChannel sender;
     private MemoryChannel receiver;
-    private long lastArrival;
+    private long lastArrivalNs;
     private int bytes;
     private boolean held;
 
@@ -30,83 +30,83 @@
         this.sender = sender;
         this.from = from;
         this.to = to;
-        this.source = network.agenda.source();
+        this.source = network.agenda.newSource();
     }
 
-    void leadsTo(MemoryChannel c) {
+    void setReceiver(MemoryChannel c) {
         receiver = c;
     }
 
     /** How many more bytes the sender may put on it. */
-    int room() {
+    int remainingWindowBytes() {
         return Network.WINDOW_BYTES - bytes;
     }
 
     void bytes(ByteBuf b) {
         bytes += b.readableBytes();
-        add(Kind.BYTES, b);
+        enqueue(Kind.BYTES, b);
     }
 
-    void fin() {
-        add(Kind.FIN, null);
+    void sendFin() {
+        enqueue(Kind.FIN, null);
     }
 
     /** A reset overtakes nothing, but nobody needs what was on the way before it. */
-    void rst() {
-        add(Kind.RST, null);
+    void sendRst() {
+        enqueue(Kind.RST, null);
     }
 
-    private void add(Kind kind, ByteBuf b) {
+    private void enqueue(Kind kind, ByteBuf b) {
         long now = network.agenda.now();
-        lastArrival = Math.max(lastArrival, now + network.travel(from, to));
-        segments.add(new Segment(kind, b, now, lastArrival));
-        network.agenda.at(lastArrival, source, this::arrive);
+        lastArrivalNs = Math.max(lastArrivalNs, now + network.travelTimeNs(from, to));
+        segments.add(new Segment(kind, b, now, lastArrivalNs));
+        network.agenda.schedule(lastArrivalNs, source, this::deliverDue);
     }
 
     /** Everything that is due, in one go: what came together is read together. */
-    private void arrive() {
-        if (segments.isEmpty() || segments.peek().arrivesAt > network.agenda.now()) {
+    private void deliverDue() {
+        if (segments.isEmpty() || segments.peek().arrivesAtNs > network.agenda.now()) {
             return; // an earlier entry took it along
         }
-        if (!network.passes(from, to)) {
+        if (!network.canReach(from, to)) {
             if (!held) {
                 held = true;
-                network.hold(() -> {
+                network.holdUntilRestored(() -> {
                     held = false;
-                    arrive();
+                    deliverDue();
                 });
             }
             return;
         }
         if (receiver != null && to.loop != null) {
             MemoryChannel r = receiver;
-            to.loop.input(() -> deliver(r));
+            to.loop.addInput(() -> deliver(r));
         }
     }
 
     private void deliver(MemoryChannel r) {
-        boolean any = false;
-        for (Segment s = segments.peek(); s != null && s.arrivesAt <= network.agenda.now(); s = segments.peek()) {
+        boolean delivered = false;
+        for (Segment s = segments.peek(); s != null && s.arrivesAtNs <= network.agenda.now(); s = segments.peek()) {
             segments.remove();
             if (s.kind == Kind.BYTES) {
                 bytes -= s.bytes.readableBytes();
-                any |= r.received(s.bytes, s.sentAt);
+                delivered |= r.receive(s.bytes, s.sentAtNs);
             } else {
-                if (any) {
+                if (delivered) {
                     r.readComplete();
-                    any = false;
+                    delivered = false;
                 }
-                r.peerEnded(s.kind == Kind.RST);
+                r.handlePeerEnd(s.kind == Kind.RST);
             }
         }
-        if (any) {
+        if (delivered) {
             r.readComplete();
         }
-        sender.roomAgain();
+        sender.resumeWriting();
     }
 
     /** Nobody will read what is on it. */
-    void drop() {
+    void discard() {
         for (Segment s : segments) {
             if (s.bytes != null) {
                 s.bytes.release();
--- a/src/main/java/gullspar/rehearse/net/Host.java
+++ b/src/main/java/gullspar/rehearse/net/Host.java
@@ -11,7 +11,7 @@
     /** False while the machine has vanished: it neither sends nor receives, and says nothing of it. */
     boolean reachable = true;
 
-    final Set<MemoryChannel> open = new LinkedHashSet<>();
+    final Set<MemoryChannel> openConnections = new LinkedHashSet<>();
     final Set<MemoryServerChannel> listeners = new LinkedHashSet<>();
 
     Host(String name) {
@@ -23,7 +23,7 @@
     }
 
     /** The process that runs here from now on. */
-    public void runs(VirtualLoop process) {
+    public void setProcess(VirtualLoop process) {
         loop = process;
     }
 }
--- a/src/main/java/gullspar/rehearse/net/Link.java
+++ b/src/main/java/gullspar/rehearse/net/Link.java
@@ -4,7 +4,7 @@
 public final class Link {
     long delayNs;
     long jitterNs;
-    long extraNs;
+    long extraDelayNs;
     double loss;
     boolean cut;
 
@@ -14,12 +14,12 @@
     }
 
     /** Adds to the delay; 0 takes it back. */
-    public void slower(long byNs) {
-        extraNs = byNs;
+    public void setExtraDelayNs(long addedNs) {
+        extraDelayNs = addedNs;
     }
 
     /** Loses a share of what is sent, 0 to 1; each loss costs a retransmission. */
-    public void lossy(double share) {
+    public void setLoss(double share) {
         loss = share;
     }
 }
--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -21,32 +21,32 @@
 public final class MemoryChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
-    private record Read(ByteBuf bytes, long sentAt) {}
+    private record ReceivedBytes(ByteBuf bytes, long sentAtNs) {}
 
     private final Network network;
     private final Host host;
     private final ChannelConfig config = new DefaultChannelConfig(this);
-    private final Queue<Read> unread = new ArrayDeque<>();
+    private final Queue<ReceivedBytes> unread = new ArrayDeque<>();
     private InetSocketAddress local;
     private InetSocketAddress remote;
     private Host peerHost;
     private MemoryChannel peer;
-    private HalfConnection out;
+    private HalfConnection outbound;
     private boolean open = true;
     private boolean active;
-    private boolean wanted;
-    private boolean inputEnded;
-    private boolean writing;
-    private long sentAt;
+    private boolean readRequested;
+    private boolean inputClosed;
+    private boolean writePending;
+    private long sentAtNs;
 
     MemoryChannel(Network network, Host host) {
-        super(null, new MemoryId(network.number()));
+        super(null, new MemoryChannelId(network.nextChannelNumber()));
         this.network = network;
         this.host = host;
     }
 
     private MemoryChannel(Network network, MemoryServerChannel parent, MemoryChannel client) {
-        super(parent, new MemoryId(network.number()));
+        super(parent, new MemoryChannelId(network.nextChannelNumber()));
         this.network = network;
         this.host = parent.host;
         this.local = (InetSocketAddress) parent.localAddress();
@@ -54,23 +54,23 @@
         this.peerHost = client.host;
         this.peer = client;
         this.active = true;
-        this.out = new HalfConnection(network, this, host, peerHost);
-        this.out.leadsTo(client);
+        this.outbound = new HalfConnection(network, this, host, peerHost);
+        this.outbound.setReceiver(client);
     }
 
     /** When the peer sent what is being read, on the agenda's clock, in ns. */
-    public long sentAt() {
-        return sentAt;
+    public long sentAtNs() {
+        return sentAtNs;
     }
 
     // ---- connecting ----
 
     private void connect(InetSocketAddress address, ChannelPromise promise) {
         remote = address;
-        local = network.ephemeral();
-        peerHost = network.at(address);
-        host.open.add(this);
-        int source = network.agenda.source();
+        local = network.nextEphemeralAddress();
+        peerHost = network.hostAt(address);
+        host.openConnections.add(this);
+        int source = network.agenda.newSource();
         int timeout = config.getConnectTimeoutMillis();
         if (timeout > 0) {
             eventLoop()
@@ -82,51 +82,56 @@
         if (peerHost == null) {
             return; // no such machine: nothing ever comes back
         }
-        network.agenda.at(
-                network.agenda.now() + network.travel(host, peerHost), source, () -> syn(address, promise, source));
+        network.agenda.schedule(
+                network.agenda.now() + network.travelTimeNs(host, peerHost),
+                source,
+                () -> handleSyn(address, promise, source));
     }
 
-    private void syn(InetSocketAddress address, ChannelPromise promise, int source) {
-        if (!open || !network.passes(host, peerHost)) {
+    private void handleSyn(InetSocketAddress address, ChannelPromise promise, int source) {
+        if (!open || !network.canReach(host, peerHost)) {
             if (open) {
-                network.hold(() -> syn(address, promise, source));
+                network.holdUntilRestored(() -> handleSyn(address, promise, source));
             }
             return;
         }
         MemoryServerChannel listener = network.listener(address);
         if (listener == null) {
-            back(source, promise, () -> failConnect(promise, new ConnectException("connection refused: " + address)));
+            scheduleReply(
+                    source,
+                    promise,
+                    () -> failConnect(promise, new ConnectException("connection refused: " + address)));
             return;
         }
         // A process that is paused still has a kernel: it completes the connection, and reads it later.
         MemoryChannel child = new MemoryChannel(network, listener, this);
-        child.host.open.add(child);
+        child.host.openConnections.add(child);
         peer = child;
-        listener.host.loop.input(() -> listener.accept(child));
-        back(source, promise, () -> connected(promise));
+        listener.host.loop.addInput(() -> listener.accept(child));
+        scheduleReply(source, promise, () -> completeConnect(promise));
     }
 
-    private void back(int source, ChannelPromise promise, Runnable then) {
-        network.agenda.at(network.agenda.now() + network.travel(peerHost, host), source, () -> {
-            if (!network.passes(peerHost, host)) {
-                network.hold(() -> back(source, promise, then));
+    private void scheduleReply(int source, ChannelPromise promise, Runnable reply) {
+        network.agenda.schedule(network.agenda.now() + network.travelTimeNs(peerHost, host), source, () -> {
+            if (!network.canReach(peerHost, host)) {
+                network.holdUntilRestored(() -> scheduleReply(source, promise, reply));
             } else if (host.loop != null) {
-                host.loop.input(then);
+                host.loop.addInput(reply);
             }
         });
     }
 
-    private void failConnect(ChannelPromise promise, IOException why) {
-        if (!active && open && promise.tryFailure(why)) {
+    private void failConnect(ChannelPromise promise, IOException cause) {
+        if (!active && open && promise.tryFailure(cause)) {
             unsafe().close(unsafe().voidPromise());
         }
     }
 
-    private void connected(ChannelPromise promise) {
-        out = new HalfConnection(network, this, host, peerHost);
-        out.leadsTo(peer);
+    private void completeConnect(ChannelPromise promise) {
+        outbound = new HalfConnection(network, this, host, peerHost);
+        outbound.setReceiver(peer);
         if (!open) {
-            out.rst(); // given up meanwhile
+            outbound.sendRst(); // given up meanwhile
             return;
         }
         active = true;
@@ -137,20 +142,20 @@
     // ---- reading ----
 
     /** True if it has been passed on. */
-    boolean received(ByteBuf bytes, long sent) {
-        if (!open || inputEnded) {
+    boolean receive(ByteBuf bytes, long sentNs) {
+        if (!open || inputClosed) {
             bytes.release();
             if (!open) {
-                answerWithReset();
+                sendReset();
             }
             return false;
         }
-        if (!wanted && !config.isAutoRead()) {
-            unread.add(new Read(bytes, sent));
+        if (!readRequested && !config.isAutoRead()) {
+            unread.add(new ReceivedBytes(bytes, sentNs));
             return false;
         }
-        wanted = false;
-        sentAt = sent;
+        readRequested = false;
+        sentAtNs = sentNs;
         pipeline().fireChannelRead(bytes);
         return true;
     }
@@ -162,68 +167,68 @@
     }
 
     /** Bytes for a connection that is closed at this end are answered with a reset. */
-    private void answerWithReset() {
-        if (out != null) {
-            out.rst();
+    private void sendReset() {
+        if (outbound != null) {
+            outbound.sendRst();
         }
     }
 
-    void peerEnded(boolean reset) {
-        if (!open || inputEnded) {
+    void handlePeerEnd(boolean reset) {
+        if (!open || inputClosed) {
             return;
         }
-        inputEnded = true;
+        inputClosed = true;
         if (reset) {
             pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
         }
         unsafe().close(unsafe().voidPromise());
     }
 
-    boolean leadsTo(Host h) {
+    boolean isConnectedTo(Host h) {
         return peerHost == h;
     }
 
     /** The connection is reset at both ends: a machine that is back knows nothing of it. */
     void reset() {
-        if (open && out != null) {
-            out.rst();
+        if (open && outbound != null) {
+            outbound.sendRst();
         }
         if (host.loop != null) {
-            host.loop.input(() -> peerEnded(true));
+            host.loop.addInput(() -> handlePeerEnd(true));
         }
     }
 
     /** The process at this end is no more. */
-    void abandoned() {
+    void abandon() {
         if (open) {
             open = false;
             active = false;
-            if (out != null) {
-                out.rst();
+            if (outbound != null) {
+                outbound.sendRst();
             }
         }
     }
 
     // ---- writing ----
 
-    void roomAgain() {
-        if (writing && open && out.room() > 0) {
-            ((MemoryUnsafe) unsafe()).flushAgain();
+    void resumeWriting() {
+        if (writePending && open && outbound.remainingWindowBytes() > 0) {
+            ((MemoryUnsafe) unsafe()).resumeFlush();
         }
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer in) {
-        writing = false;
+        writePending = false;
         for (Object message = in.current(); message != null; message = in.current()) {
             ByteBuf b = (ByteBuf) message;
-            int n = Math.min(Math.min(b.readableBytes(), out.room()), Network.SEGMENT_BYTES);
+            int n = Math.min(Math.min(b.readableBytes(), outbound.remainingWindowBytes()), Network.SEGMENT_BYTES);
             if (n == 0 && b.isReadable()) {
-                writing = true;
+                writePending = true;
                 return;
             }
             if (n > 0) {
-                out.bytes(b.copy(b.readerIndex(), n));
+                outbound.bytes(b.copy(b.readerIndex(), n));
             }
             in.removeBytes(n);
             if (n == 0) {
@@ -255,7 +260,7 @@
             }
         }
 
-        void flushAgain() {
+        void resumeFlush() {
             flush0();
         }
     }
@@ -292,31 +297,31 @@
         }
         open = false;
         active = false;
-        host.open.remove(this);
-        boolean lost = !unread.isEmpty();
+        host.openConnections.remove(this);
+        boolean unreadDiscarded = !unread.isEmpty();
         unread.forEach(r -> r.bytes.release());
         unread.clear();
-        if (out != null) {
-            if (lost) {
-                out.rst();
+        if (outbound != null) {
+            if (unreadDiscarded) {
+                outbound.sendRst();
             } else {
-                out.fin();
+                outbound.sendFin();
             }
         }
     }
 
     @Override
     protected void doBeginRead() {
-        wanted = true;
+        readRequested = true;
         if (!unread.isEmpty()) {
             eventLoop().execute(() -> {
-                boolean any = false;
-                for (Read r = unread.poll(); r != null && open; r = unread.poll()) {
-                    sentAt = r.sentAt;
+                boolean delivered = false;
+                for (ReceivedBytes r = unread.poll(); r != null && open; r = unread.poll()) {
+                    sentAtNs = r.sentAtNs;
                     pipeline().fireChannelRead(r.bytes);
-                    any = true;
+                    delivered = true;
                 }
-                if (any) {
+                if (delivered) {
                     readComplete();
                 }
             });
--- a/src/main/java/gullspar/rehearse/net/MemoryId.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannelId.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelId;
 
 /** The library's own ids hold the machine, the process and chance; this one only counts. */
-record MemoryId(int number) implements ChannelId {
+record MemoryChannelId(int number) implements ChannelId {
     private static final long serialVersionUID = 1L;
 
     @Override
@@ -18,7 +18,7 @@
 
     @Override
     public int compareTo(ChannelId o) {
-        return o instanceof MemoryId m
+        return o instanceof MemoryChannelId m
                 ? Integer.compare(number, m.number)
                 : asLongText().compareTo(o.asLongText());
     }
--- a/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
@@ -25,7 +25,7 @@
     private boolean open = true;
 
     MemoryDatagramChannel(Network network, Host host) {
-        super(null, new MemoryId(network.number()));
+        super(null, new MemoryChannelId(network.nextChannelNumber()));
         this.network = network;
         this.host = host;
     }
@@ -35,9 +35,9 @@
     }
 
     /** A datagram has come to this machine: its process reads it when it runs. */
-    void arrived(InetSocketAddress from, byte[] bytes) {
+    void receive(InetSocketAddress from, byte[] bytes) {
         if (host.loop != null) {
-            host.loop.input(() -> {
+            host.loop.addInput(() -> {
                 if (open) {
                     pipeline().fireChannelRead(new DatagramPacket(Unpooled.wrappedBuffer(bytes), address, from));
                     pipeline().fireChannelReadComplete();
@@ -56,7 +56,7 @@
     protected void doWrite(ChannelOutboundBuffer in) {
         for (Object m = in.current(); m != null; m = in.current()) {
             DatagramPacket p = (DatagramPacket) m;
-            network.datagram(this, address, p.recipient(), ByteBufUtil.getBytes(p.content()));
+            network.sendDatagram(this, address, p.recipient(), ByteBufUtil.getBytes(p.content()));
             in.remove();
         }
     }
--- a/src/main/java/gullspar/rehearse/net/MemoryServerChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryServerChannel.java
@@ -34,7 +34,7 @@
         if (network.listener(address) != null) {
             throw new BindException("address in use: " + address);
         }
-        network.place(address, host);
+        network.assignAddress(address, host);
         host.listeners.add(this);
     }
 
@@ -56,7 +56,7 @@
 
     @Override
     protected ChannelId newId() {
-        return new MemoryId(0); // nothing looks listeners up by it
+        return new MemoryChannelId(0); // nothing looks listeners up by it
     }
 
     @Override
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -22,40 +22,40 @@
  */
 public final class Network {
     /** Least wait before a lost segment is sent again, in ns: Linux's TCP_RTO_MIN. */
-    static final long RETRANSMIT_NS = 200_000_000L;
+    static final long MIN_RETRANSMIT_NS = 200_000_000L;
     /** Bytes that one way of a connection takes up before its sender must wait: a usual socket's buffers. */
     static final int WINDOW_BYTES = 256 << 10;
     /** Bytes in one go of the receiver's reading. */
     static final int SEGMENT_BYTES = 16 << 10;
 
-    private static final InetSocketAddress OUTSIDE = new InetSocketAddress("127.9.9.9", 9999);
+    private static final InetSocketAddress FORGED_SOURCE = new InetSocketAddress("127.9.9.9", 9999);
 
     /** How far it is from one machine to another, one way, in ns. */
-    public interface Distance {
-        long ns(String from, String to);
+    public interface OneWayDelay {
+        long delayNs(String from, String to);
     }
 
     final Agenda agenda;
     private final SplittableRandom random;
-    private final Distance distance;
+    private final OneWayDelay oneWayDelay;
     private final Map<String, Host> hosts = new HashMap<>();
     private final Map<String, Link> links = new HashMap<>();
     private final Map<InetSocketAddress, Host> addresses = new HashMap<>();
-    private final List<Runnable> held = new ArrayList<>();
-    private final Map<InetSocketAddress, MemoryDatagramChannel> sockets = new HashMap<>();
-    private final Map<String, Datagrams> datagrams = new HashMap<>();
+    private final List<Runnable> heldRetries = new ArrayList<>();
+    private final Map<InetSocketAddress, MemoryDatagramChannel> datagramSockets = new HashMap<>();
+    private final Map<String, DatagramLink> datagrams = new HashMap<>();
     /** Apart from that of connections, whose draws must not depend on who else talks. */
     private final SplittableRandom datagramRandom;
 
-    private int channels;
-    private int ports = 30_000;
-    private Forger forger;
+    private int lastChannelNumber;
+    private int lastPort = 30_000;
+    private DatagramForger forger;
 
-    public Network(Agenda agenda, long seed, Distance distance) {
+    public Network(Agenda agenda, long seed, OneWayDelay distance) {
         this.agenda = agenda;
         this.random = new SplittableRandom(seed);
         this.datagramRandom = new SplittableRandom(seed ^ 0x5bd1e995);
-        this.distance = distance;
+        this.oneWayDelay = distance;
     }
 
     public Host host(String name) {
@@ -63,71 +63,72 @@
     }
 
     /** Gives a machine an address, and takes it from whoever had it. */
-    public void place(InetSocketAddress address, Host host) {
+    public void assignAddress(InetSocketAddress address, Host host) {
         addresses.put(address, host);
     }
 
     /** The way from one machine to another. */
     public Link link(String from, String to) {
-        return links.computeIfAbsent(from + '>' + to, k -> new Link(distance.ns(from, to), 0));
+        return links.computeIfAbsent(from + '>' + to, k -> new Link(oneWayDelay.delayNs(from, to), 0));
     }
 
     /** What the way from one machine to another does to datagrams. */
-    public Datagrams datagrams(String from, String to) {
-        return datagrams.computeIfAbsent(from + '>' + to, k -> new Datagrams());
+    public DatagramLink datagrams(String from, String to) {
+        return datagrams.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
 
     /** A trouble of datagrams begins or ends on the way from one machine to another. */
-    public void trouble(String from, String to, Datagrams.Trouble t, double figure) {
-        datagrams(from, to).trouble(t, figure, (ns, d) -> sockets.values().stream()
+    public void setImpairment(String from, String to, DatagramLink.Impairment impairment, double value) {
+        datagrams(from, to).setImpairment(impairment, value, (ns, d) -> datagramSockets.values().stream()
                 .filter(s -> s.host().name.equals(to))
                 .findFirst()
-                .ifPresent(s -> arrive(host(from), null, s, ns, d)));
+                .ifPresent(s -> scheduleArrival(host(from), null, s, ns, d)));
     }
 
     void bind(InetSocketAddress address, MemoryDatagramChannel socket) throws BindException {
-        if (sockets.putIfAbsent(address, socket) != null) {
+        if (datagramSockets.putIfAbsent(address, socket) != null) {
             throw new BindException("address in use: " + address);
         }
     }
 
     void unbind(InetSocketAddress address, MemoryDatagramChannel socket) {
-        sockets.remove(address, socket);
+        datagramSockets.remove(address, socket);
     }
 
     /** Whoever stands beside the ways hears all datagrams from now on. */
-    public void heardBy(Forger who) {
-        forger = who;
+    public void setForger(DatagramForger observer) {
+        forger = observer;
     }
 
     /** A datagram that no machine of the day has sent comes to one. */
     public void inject(String to, byte[] datagram) {
-        sockets.values().stream()
+        datagramSockets.values().stream()
                 .filter(s -> s.host().name.equals(to))
                 .findFirst()
-                .ifPresent(s -> agenda.at(agenda.now(), 0, () -> {
+                .ifPresent(s -> agenda.schedule(agenda.now(), 0, () -> {
                     if (s.host().reachable && s.isOpen()) {
-                        s.arrived(OUTSIDE, datagram);
+                        s.receive(FORGED_SOURCE, datagram);
                     }
                 }));
     }
 
     /** A datagram sets out; whoever is at the address when it arrives gets it, if anybody. */
-    void datagram(MemoryDatagramChannel from, InetSocketAddress source, InetSocketAddress to, byte[] bytes) {
+    void sendDatagram(MemoryDatagramChannel from, InetSocketAddress source, InetSocketAddress to, byte[] bytes) {
         if (forger != null) {
-            forger.hears(bytes);
+            forger.observe(bytes);
         }
-        MemoryDatagramChannel there = sockets.get(to);
-        if (there != null) {
-            datagrams(from.host().name, there.host().name)
-                    .carry(bytes, datagramRandom, (ns, d) -> arrive(from.host(), source, there, ns, d));
+        MemoryDatagramChannel destination = datagramSockets.get(to);
+        if (destination != null) {
+            datagrams(from.host().name, destination.host().name)
+                    .send(bytes, datagramRandom, (ns, d) -> scheduleArrival(from.host(), source, destination, ns, d));
         }
     }
 
-    private void arrive(Host from, InetSocketAddress source, MemoryDatagramChannel to, long ns, byte[] bytes) {
-        agenda.at(agenda.now() + link(from.name, to.host().name).delayNs + ns, 0, () -> {
+    private void scheduleArrival(
+            Host from, InetSocketAddress source, MemoryDatagramChannel to, long addedNs, byte[] bytes) {
+        agenda.schedule(agenda.now() + link(from.name, to.host().name).delayNs + addedNs, 0, () -> {
             if (from.reachable && to.host().reachable && to.isOpen()) {
-                to.arrived(source, bytes);
+                to.receive(source, bytes);
             }
         });
     }
@@ -136,54 +137,58 @@
     public void cut(String from, String to, boolean on) {
         link(from, to).cut = on;
         if (!on) {
-            release();
+            retryHeld();
         }
     }
 
     /** A machine vanishes, or is back; when it is back it resets the connections that it had. */
-    public void vanish(Host host, boolean on) {
+    public void setUnreachable(Host host, boolean on) {
         host.reachable = !on;
         if (!on) {
-            List.copyOf(host.open).forEach(MemoryChannel::reset);
-            release();
+            List.copyOf(host.openConnections).forEach(MemoryChannel::reset);
+            retryHeld();
         }
     }
 
     /** The process of a machine has ended: its connections are reset, nothing listens there any more. */
-    public void ended(Host host) {
+    public void closeSockets(Host host) {
         host.listeners.clear();
-        List.copyOf(sockets.values()).stream().filter(s -> s.host() == host).forEach(MemoryDatagramChannel::doClose);
-        List<MemoryChannel> open = List.copyOf(host.open);
-        host.open.clear();
-        open.forEach(MemoryChannel::abandoned);
+        List.copyOf(datagramSockets.values()).stream()
+                .filter(s -> s.host() == host)
+                .forEach(MemoryDatagramChannel::doClose);
+        List<MemoryChannel> open = List.copyOf(host.openConnections);
+        host.openConnections.clear();
+        open.forEach(MemoryChannel::abandon);
     }
 
     /** Resets the connections between two machines, at both ends. */
     public void reset(Host a, Host b) {
-        List.copyOf(a.open).stream().filter(c -> c.leadsTo(b)).forEach(MemoryChannel::reset);
+        List.copyOf(a.openConnections).stream().filter(c -> c.isConnectedTo(b)).forEach(MemoryChannel::reset);
     }
 
-    private void release() {
-        List<Runnable> again = new ArrayList<>(held);
-        held.clear();
-        again.forEach(r -> agenda.at(agenda.now() + RETRANSMIT_NS, 0, r));
+    private void retryHeld() {
+        List<Runnable> retries = new ArrayList<>(heldRetries);
+        heldRetries.clear();
+        retries.forEach(r -> agenda.schedule(agenda.now() + MIN_RETRANSMIT_NS, 0, r));
     }
 
     /** Waits until some way is whole again, and tries once more. */
-    void hold(Runnable tryAgain) {
-        held.add(tryAgain);
+    void holdUntilRestored(Runnable retry) {
+        heldRetries.add(retry);
     }
 
-    boolean passes(Host from, Host to) {
+    boolean canReach(Host from, Host to) {
         return from.reachable && to.reachable && !link(from.name, to.name).cut;
     }
 
     /** How long a segment that is sent now takes, its retransmissions included. */
-    long travel(Host from, Host to) {
+    long travelTimeNs(Host from, Host to) {
         Link l = link(from.name, to.name);
-        long ns = l.delayNs + l.extraNs + (l.jitterNs > 0 ? random.nextLong(l.jitterNs) : 0);
+        long ns = l.delayNs + l.extraDelayNs + (l.jitterNs > 0 ? random.nextLong(l.jitterNs) : 0);
         if (l.loss > 0) {
-            for (long wait = RETRANSMIT_NS; random.nextDouble() < l.loss && wait <= 16 * RETRANSMIT_NS; wait *= 2) {
+            for (long wait = MIN_RETRANSMIT_NS;
+                    random.nextDouble() < l.loss && wait <= 16 * MIN_RETRANSMIT_NS;
+                    wait *= 2) {
                 ns += wait; // the time-out doubles each time (RFC 6298, section 5.5)
             }
         }
@@ -203,17 +208,17 @@
         return null;
     }
 
-    Host at(InetSocketAddress address) {
+    Host hostAt(InetSocketAddress address) {
         return addresses.get(address);
     }
 
-    int number() {
-        return ++channels;
+    int nextChannelNumber() {
+        return ++lastChannelNumber;
     }
 
-    InetSocketAddress ephemeral() {
-        ports = ports >= 60_000 ? 30_001 : ports + 1;
-        return new InetSocketAddress("127.0.0.1", ports);
+    InetSocketAddress nextEphemeralAddress() {
+        lastPort = lastPort >= 60_000 ? 30_001 : lastPort + 1;
+        return new InetSocketAddress("127.0.0.1", lastPort);
     }
 
     /** The sockets of a machine. */
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -9,7 +9,7 @@
     private TamperedMessages() {}
 
     /** With other rumors, where its kind carries any; a listing is empty then. */
-    public static Message with(Message m, List<Rumor> rumors) {
+    public static Message withRumors(Message m, List<Rumor> rumors) {
         if (m instanceof Message.Ping p) {
             return new Message.Ping(p.header(), p.nonce(), p.targetLife(), p.requestsStatement(), rumors);
         } else if (m instanceof Message.Ack a) {
@@ -27,7 +27,7 @@
     }
 
     /** With another number. */
-    public static Message numbered(Message m, long number) {
+    public static Message withNumber(Message m, long number) {
         Message.Header o = m.header();
         Message.Header h = new Message.Header(o.from(), o.incarnation(), o.address(), number);
         if (m instanceof Message.Ping p) {
--- a/src/main/java/gullspar/rehearse/play/FaultInjector.java
+++ b/src/main/java/gullspar/rehearse/play/FaultInjector.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.play;
 
-import gullspar.rehearse.net.Datagrams;
+import gullspar.rehearse.net.DatagramLink;
 import java.util.List;
 
 /**
@@ -50,5 +50,5 @@
     void mad(String proxy, int forEach);
 
     /** A trouble of the datagrams on a way between two proxies; 0 ends it. */
-    void trouble(String from, String to, Datagrams.Trouble t, double figure);
+    void trouble(String from, String to, DatagramLink.Impairment t, double figure);
 }
--- a/src/main/java/gullspar/rehearse/play/Timeline.java
+++ b/src/main/java/gullspar/rehearse/play/Timeline.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.play;
 
 import gullspar.proxy.io.Platform;
-import gullspar.rehearse.net.Datagrams;
+import gullspar.rehearse.net.DatagramLink;
 import gullspar.rehearse.script.Fault;
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.Script;
@@ -321,13 +321,13 @@
         String to = f.names().get(1);
         unsettled(f, machines(from));
         unsettled(f, machines(to));
-        Datagrams.Trouble t =
+        DatagramLink.Impairment t =
                 switch (f.kind()) {
-                    case JITTERY_LINK -> Datagrams.Trouble.JITTER;
-                    case DOUBLED_LINK -> Datagrams.Trouble.TWICE;
-                    case TORN_LINK -> Datagrams.Trouble.TORN;
-                    case FLIPPED_LINK -> Datagrams.Trouble.FLIPPED;
-                    default -> Datagrams.Trouble.STALLED;
+                    case JITTERY_LINK -> DatagramLink.Impairment.JITTER;
+                    case DOUBLED_LINK -> DatagramLink.Impairment.TWICE;
+                    case TORN_LINK -> DatagramLink.Impairment.TORN;
+                    case FLIPPED_LINK -> DatagramLink.Impairment.FLIPPED;
+                    default -> DatagramLink.Impairment.STALLED;
                 };
         double figure = f.kind() == FaultKind.JITTERY_LINK
                 ? f.figure("adds_ms") * 1e6
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -5,8 +5,8 @@
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.operator.AuxiliaryService;
-import gullspar.rehearse.net.Forger;
-import gullspar.rehearse.net.Liar;
+import gullspar.rehearse.net.DatagramForger;
+import gullspar.rehearse.net.FalseRumorInjector;
 import gullspar.rehearse.net.Network;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
@@ -35,8 +35,8 @@
     private final VirtualPlay.Peering peering;
     private final Map<String, InetSocketAddress> homes = new HashMap<>();
     private final Map<String, Envelope> keys = new HashMap<>();
-    private final Map<String, Liar> liars = new HashMap<>();
-    private final Forger forger;
+    private final Map<String, FalseRumorInjector> liars = new HashMap<>();
+    private final DatagramForger forger;
     private int moves;
 
     /** machines: their addresses; each proxy is found at a port of its own machine at first. */
@@ -51,8 +51,8 @@
         this.network = network;
         this.machines = machines;
         this.peering = peering;
-        this.forger = new Forger(script.seed() * 31 + 13);
-        network.heardBy(forger);
+        this.forger = new DatagramForger(script.seed() * 31 + 13);
+        network.setForger(forger);
     }
 
     /** A process begins to take part; who: its name, and which process of that name it is. On its loop. */
@@ -134,12 +134,13 @@
     /** As {@link FaultInjector#mad} says. */
     void mad(String process, int forEach) {
         liars.computeIfAbsent(process, p -> {
-                    Liar liar = new Liar(() -> keysOf(p), script.seed() * 31 + 14 + StandIns.index(p));
+                    FalseRumorInjector liar =
+                            new FalseRumorInjector(() -> keysOf(p), script.seed() * 31 + 14 + StandIns.index(p));
                     standIns.proxies().stream().filter(o -> !o.equals(p)).forEach(o -> network.datagrams(p, o)
-                            .liar(liar));
+                            .falseRumorInjector(liar));
                     return liar;
                 })
-                .lies(forEach);
+                .setFalseRumorsPerDatagram(forEach);
     }
 
     void forge(String process) {
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -12,7 +12,7 @@
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.operator.AuxiliaryService;
 import gullspar.rehearse.judge.Judge;
-import gullspar.rehearse.net.Datagrams;
+import gullspar.rehearse.net.DatagramLink;
 import gullspar.rehearse.net.Host;
 import gullspar.rehearse.net.MemoryChannel;
 import gullspar.rehearse.net.Network;
@@ -153,8 +153,8 @@
     /** Up to a time that may be moved meanwhile. */
     private void run(long[] end) {
         long next = agenda.now();
-        while (agenda.due(end[0])) {
-            agenda.step();
+        while (agenda.hasEventBy(end[0])) {
+            agenda.runNext();
             if (slip != null) {
                 throw new IllegalStateException(
                         "the rehearsal itself failed at " + (agenda.now() - eventLog.start()) / 1e9 + " s", slip);
@@ -165,7 +165,7 @@
                 next = agenda.now() + 1_000_000_000L;
             }
         }
-        agenda.skipTo(end[0]);
+        agenda.advanceTo(end[0]);
     }
 
     // ---- the stage ----
@@ -196,7 +196,7 @@
     @Override
     public Platform at(String machine) {
         Host host = network.host(machine);
-        host.runs(loop);
+        host.setProcess(loop);
         return new Platform(loop, agenda::now, network.transport(host), line -> {});
     }
 
@@ -215,12 +215,12 @@
 
     @Override
     public long sentAt(Channel channel) {
-        return ((MemoryChannel) channel).sentAt();
+        return ((MemoryChannel) channel).sentAtNs();
     }
 
     @Override
     public void ended(String machine) {
-        network.ended(network.host(machine));
+        network.closeSockets(network.host(machine));
     }
 
     /** The name of a node by the number under which the module knows it. */
@@ -278,14 +278,14 @@
         Life life = new Life(number, new VirtualLoop(agenda, e -> say(who, "uncaught: " + e)));
         lives.put(name, life);
         Host host = network.host(name);
-        host.runs(life.loop);
+        host.setProcess(life.loop);
         Platform platform = options.platform()
                 .apply(new Platform(
                         life.loop,
                         agenda::now,
                         network.transport(host),
                         line -> say(who, line),
-                        life.loop::unreadNs,
+                        life.loop::inputDelayNs,
                         null));
         long warm = (long) (script.proxies().startS() * 1e9);
         if (fleet != null) {
@@ -323,7 +323,7 @@
     private void look() {
         lives.forEach((name, life) -> {
             String answer =
-                    life.member == null || life.loop.ended() || life.paused ? null : life.member.query("/_fleet");
+                    life.member == null || life.loop.hasEnded() || life.paused ? null : life.member.query("/_fleet");
             if (answer != null) {
                 try {
                     eventLog.looked(Look.of(agenda.now(), name, answer));
@@ -346,7 +346,7 @@
         if (fleet != null) {
             eventLog.ended(name, agenda.now());
         }
-        network.ended(network.host(name));
+        network.closeSockets(network.host(name));
     }
 
     private void startLater(String name, double downS) {
@@ -356,7 +356,7 @@
     @Override
     public void kill(String name, double downS) {
         Life life = lives.get(name);
-        if (life.loop.ended()) {
+        if (life.loop.hasEnded()) {
             return;
         }
         endNow(name, life);
@@ -367,7 +367,7 @@
     @Override
     public void stop(String name, double downS) {
         Life life = lives.get(name);
-        if (life.loop.ended() || life.proxy == null) {
+        if (life.loop.hasEnded() || life.proxy == null) {
             return;
         }
         standIns.front().ended(name);
@@ -378,7 +378,7 @@
                 .drain()
                 .thenCompose(v -> life.member == null ? CompletableFuture.completedFuture(null) : life.member.leave())
                 .thenRun(() -> {
-                    if (!life.loop.ended()) {
+                    if (!life.loop.hasEnded()) {
                         // Not from inside its own wake-up.
                         loop.execute(() -> {
                             endNow(name, life);
@@ -391,7 +391,7 @@
     @Override
     public void reload(String name) {
         Life life = lives.get(name);
-        if (!life.loop.ended() && life.proxy != null) {
+        if (!life.loop.hasEnded() && life.proxy != null) {
             Config config = config(name, life.number);
             life.loop.execute(() -> life.proxy.reload(config));
         }
@@ -444,14 +444,14 @@
 
     @Override
     public void slower(String from, String to, long byNs) {
-        network.link(from, to).slower(byNs);
-        network.datagrams(from, to).slower(byNs);
+        network.link(from, to).setExtraDelayNs(byNs);
+        network.datagrams(from, to).setExtraDelayNs(byNs);
     }
 
     @Override
     public void lossy(String from, String to, double share) {
-        network.link(from, to).lossy(share);
-        network.datagrams(from, to).lossy(share);
+        network.link(from, to).setLoss(share);
+        network.datagrams(from, to).setLoss(share);
     }
 
     @Override
@@ -461,8 +461,8 @@
     }
 
     @Override
-    public void trouble(String from, String to, Datagrams.Trouble t, double figure) {
-        network.trouble(from, to, t, figure);
+    public void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
+        network.setImpairment(from, to, t, figure);
     }
 
     @Override
@@ -472,6 +472,6 @@
 
     @Override
     public void vanish(String machine, boolean on) {
-        network.vanish(network.host(machine), on);
+        network.setUnreachable(network.host(machine), on);
     }
 }
--- a/src/main/java/gullspar/rehearse/time/Agenda.java
+++ b/src/main/java/gullspar/rehearse/time/Agenda.java
@@ -9,17 +9,17 @@
  * with the seed, and for one seed always the same way.
  */
 public final class Agenda {
-    private record Entry(long at, long lot, long number, Runnable what) {}
+    private record Entry(long timeNs, long tieBreak, long sequence, Runnable action) {}
 
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024, (a, b) -> {
-        int order = Long.compare(a.at, b.at);
-        order = order != 0 ? order : Long.compare(a.lot, b.lot);
-        return order != 0 ? order : Long.compare(a.number, b.number);
+        int order = Long.compare(a.timeNs, b.timeNs);
+        order = order != 0 ? order : Long.compare(a.tieBreak, b.tieBreak);
+        return order != 0 ? order : Long.compare(a.sequence, b.sequence);
     });
     private final long seed;
     private long now;
-    private long numbers;
-    private int sources;
+    private long nextSequence;
+    private int lastSource;
 
     /** Begins at a time in ns, from any origin. */
     public Agenda(long seed, long start) {
@@ -36,34 +36,34 @@
      * A number for whoever enters events whose own order must be kept: a timer wheel, one way of a
      * connection.
      */
-    public int source() {
-        return ++sources;
+    public int newSource() {
+        return ++lastSource;
     }
 
     /** Enters an event; one that is late happens now. */
-    public void at(long time, int source, Runnable what) {
+    public void schedule(long time, int source, Runnable action) {
         long t = Math.max(time, now);
-        entries.add(new Entry(t, lot(source, t), numbers++, what));
+        entries.add(new Entry(t, tieBreak(source, t), nextSequence++, action));
     }
 
     /** Is anything entered up to that time? */
-    public boolean due(long until) {
-        return !entries.isEmpty() && entries.peek().at <= until;
+    public boolean hasEventBy(long until) {
+        return !entries.isEmpty() && entries.peek().timeNs <= until;
     }
 
     /** Lets the next event happen. */
-    public void step() {
+    public void runNext() {
         Entry e = entries.remove();
-        now = e.at;
-        e.what.run();
+        now = e.timeNs;
+        e.action.run();
     }
 
     /** Goes on to a time up to which nothing is entered. */
-    public void skipTo(long time) {
+    public void advanceTo(long time) {
         now = Math.max(now, time);
     }
 
-    private long lot(int source, long time) {
+    private long tieBreak(int source, long time) {
         return mix(seed ^ mix(time) + source * 0x9e3779b97f4a7c15L);
     }
 
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -24,7 +24,7 @@
  */
 public final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
     private final Agenda agenda;
-    private final Consumer<Throwable> slips;
+    private final Consumer<Throwable> errorHandler;
     private final int source;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final Queue<Runnable> inputs = new ArrayDeque<>();
@@ -46,23 +46,23 @@
     };
     private final Promise<Void> termination = new DefaultPromise<>(this);
     private boolean paused;
-    private long pausedAt;
-    private long resumedAt = Long.MIN_VALUE;
-    private boolean ended;
+    private long pausedAtNs;
+    private long resumedAtNs = Long.MIN_VALUE;
+    private boolean hasEnded;
     private boolean running;
     /** The earliest wake-up that is entered for timers; MAX_VALUE if none is. */
-    private long armed = Long.MAX_VALUE;
+    private long armedForNs = Long.MAX_VALUE;
 
     /** slips hears of what tasks throw; the loop goes on, as real ones do. */
     public VirtualLoop(Agenda agenda, Consumer<Throwable> slips) {
         this.agenda = agenda;
-        this.slips = slips;
-        this.source = agenda.source();
+        this.errorHandler = slips;
+        this.source = agenda.newSource();
     }
 
     /** What a socket brings: a wake-up, or one more thing that waits while the process stands still. */
-    public void input(Runnable input) {
-        if (!ended) {
+    public void addInput(Runnable input) {
+        if (!hasEnded) {
             inputs.add(input);
             wake();
         }
@@ -72,87 +72,87 @@
     public void pause(boolean on) {
         paused = on;
         if (on) {
-            pausedAt = agenda.now();
+            pausedAtNs = agenda.now();
         } else {
-            resumedAt = agenda.now();
-            agenda.at(agenda.now(), source, this::wake);
+            resumedAtNs = agenda.now();
+            agenda.schedule(agenda.now(), source, this::wake);
         }
     }
 
     /** How long what is read now may have waited, in ns: since the beginning of a pause that has just ended. */
-    public long unreadNs() {
-        return agenda.now() == resumedAt ? resumedAt - pausedAt : 0;
+    public long inputDelayNs() {
+        return agenda.now() == resumedAtNs ? resumedAtNs - pausedAtNs : 0;
     }
 
     /** Ends the process as SIGKILL does: nothing that it meant to do happens any more. */
     public void end() {
-        ended = true;
+        hasEnded = true;
         inputs.clear();
         tasks.clear();
         cancelScheduledTasks();
     }
 
-    public boolean ended() {
-        return ended;
+    public boolean hasEnded() {
+        return hasEnded;
     }
 
     private void wake() {
-        if (running || paused || ended) {
+        if (running || paused || hasEnded) {
             return; // what came is seen in the wake-up that is under way, or when it goes on
         }
         running = true;
-        while (!ended && !paused && (!inputs.isEmpty() || !tasks.isEmpty() || timersDue())) {
-            for (Runnable i = inputs.poll(); i != null && !ended; i = inputs.poll()) {
-                guarded(i);
+        while (!hasEnded && !paused && (!inputs.isEmpty() || !tasks.isEmpty() || hasDueTimers())) {
+            for (Runnable i = inputs.poll(); i != null && !hasEnded; i = inputs.poll()) {
+                runGuarded(i);
             }
-            fetchTimers();
+            moveDueTimers();
             // Only those that are there now: sockets are looked at in between, as a real loop does.
-            for (int n = tasks.size(); n > 0 && !ended && !tasks.isEmpty(); n--) {
-                guarded(tasks.remove());
+            for (int n = tasks.size(); n > 0 && !hasEnded && !tasks.isEmpty(); n--) {
+                runGuarded(tasks.remove());
             }
         }
         running = false;
-        arm();
+        armTimer();
     }
 
-    private void guarded(Runnable r) {
+    private void runGuarded(Runnable r) {
         try {
             r.run();
         } catch (RuntimeException | Error e) {
-            slips.accept(e);
+            errorHandler.accept(e);
         }
     }
 
     /** The library keeps to itself, in a future, what a timer's task throws. */
-    private Runnable heard(Runnable command) {
+    private Runnable reportingErrors(Runnable command) {
         return () -> {
             try {
                 command.run();
             } catch (RuntimeException | Error e) {
-                slips.accept(e);
+                errorHandler.accept(e);
                 throw e;
             }
         };
     }
 
-    private boolean timersDue() {
+    private boolean hasDueTimers() {
         long next = nextScheduledTaskDeadlineNanos();
         return next >= 0 && next <= agenda.now();
     }
 
-    private void fetchTimers() {
+    private void moveDueTimers() {
         for (Runnable r = pollScheduledTask(agenda.now()); r != null; r = pollScheduledTask(agenda.now())) {
             tasks.add(r);
         }
     }
 
-    private void arm() {
+    private void armTimer() {
         long next = nextScheduledTaskDeadlineNanos();
-        if (!ended && next >= 0 && next < armed) {
-            armed = next;
-            agenda.at(next, source, () -> {
-                if (armed == next) {
-                    armed = Long.MAX_VALUE;
+        if (!hasEnded && next >= 0 && next < armedForNs) {
+            armedForNs = next;
+            agenda.schedule(next, source, () -> {
+                if (armedForNs == next) {
+                    armedForNs = Long.MAX_VALUE;
                 }
                 wake();
             });
@@ -161,19 +161,19 @@
 
     @Override
     public void execute(Runnable task) {
-        if (ended) {
+        if (hasEnded) {
             return;
         }
         tasks.add(task);
         if (!running) {
-            agenda.at(agenda.now(), source, this::wake);
+            agenda.schedule(agenda.now(), source, this::wake);
         }
     }
 
     @Override
     public ScheduledFuture<?> schedule(Runnable command, long delay, TimeUnit unit) {
-        ScheduledFuture<?> f = super.schedule(heard(command), delay, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.schedule(reportingErrors(command), delay, unit);
+        armTimerIfIdle();
         return f;
     }
 
@@ -184,33 +184,33 @@
                     try {
                         return command.call();
                     } catch (Exception | Error e) {
-                        slips.accept(e);
+                        errorHandler.accept(e);
                         throw e;
                     }
                 },
                 delay,
                 unit);
-        armIfIdle();
+        armTimerIfIdle();
         return f;
     }
 
     @Override
     public ScheduledFuture<?> scheduleAtFixedRate(Runnable command, long first, long period, TimeUnit unit) {
-        ScheduledFuture<?> f = super.scheduleAtFixedRate(heard(command), first, period, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.scheduleAtFixedRate(reportingErrors(command), first, period, unit);
+        armTimerIfIdle();
         return f;
     }
 
     @Override
     public ScheduledFuture<?> scheduleWithFixedDelay(Runnable command, long first, long delay, TimeUnit unit) {
-        ScheduledFuture<?> f = super.scheduleWithFixedDelay(heard(command), first, delay, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.scheduleWithFixedDelay(reportingErrors(command), first, delay, unit);
+        armTimerIfIdle();
         return f;
     }
 
-    private void armIfIdle() {
+    private void armTimerIfIdle() {
         if (!running) {
-            arm();
+            armTimer();
         }
     }
 
@@ -276,21 +276,21 @@
 
     @Override
     public boolean isShuttingDown() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean isShutdown() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean isTerminated() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean awaitTermination(long timeout, TimeUnit unit) {
-        return ended;
+        return hasEnded;
     }
 }
--- a/src/test/java/gullspar/rehearse/net/NetworkTest.java
+++ b/src/test/java/gullspar/rehearse/net/NetworkTest.java
@@ -26,32 +26,32 @@
 
 /** The network in memory does what a proxy would see of TCP. Ways take 1 ms. */
 class NetworkTest {
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
     private static final InetSocketAddress SERVER = new InetSocketAddress("127.1.0.1", 9000);
 
-    private final List<Throwable> slips = new ArrayList<>();
+    private final List<Throwable> errors = new ArrayList<>();
     private Agenda agenda;
     private Network network;
     private Host client;
     private Host server;
     private VirtualLoop serverLoop;
-    private final List<End> accepted = new ArrayList<>();
+    private final List<Endpoint> accepted = new ArrayList<>();
 
     @BeforeEach
     void listen() {
         agenda = new Agenda(1, 0);
-        network = new Network(agenda, 1, (a, b) -> MS);
+        network = new Network(agenda, 1, (a, b) -> NS_PER_MS);
         client = network.host("client");
         server = network.host("server");
-        client.runs(new VirtualLoop(agenda, slips::add));
-        serverLoop = new VirtualLoop(agenda, slips::add);
-        server.runs(serverLoop);
+        client.setProcess(new VirtualLoop(agenda, errors::add));
+        serverLoop = new VirtualLoop(agenda, errors::add);
+        server.setProcess(serverLoop);
         network.transport(server)
                 .serverBootstrap(SERVER)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        End e = new End();
+                        Endpoint e = new Endpoint();
                         accepted.add(e);
                         c.pipeline().addLast(e);
                     }
@@ -61,22 +61,22 @@
     }
 
     private void run(long untilMs) {
-        while (agenda.due(untilMs * MS)) {
-            agenda.step();
+        while (agenda.hasEventBy(untilMs * NS_PER_MS)) {
+            agenda.runNext();
         }
-        agenda.skipTo(untilMs * MS);
-        assertEquals(List.of(), slips);
+        agenda.advanceTo(untilMs * NS_PER_MS);
+        assertEquals(List.of(), errors);
     }
 
     /** One end of a connection: what it has read and how it ended. */
-    private final class End extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
         private final StringBuilder read = new StringBuilder();
-        private final List<String> goes = new ArrayList<>();
+        private final List<String> readBatches = new ArrayList<>();
         private Channel channel;
         private long bytes;
         private Throwable failure;
-        private long endedAt = -1;
-        private String go = "";
+        private long endedAtMs = -1;
+        private String currentBatch = "";
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -88,19 +88,19 @@
             bytes += b.readableBytes();
             if (bytes < 10_000) {
                 read.append(b.toString(StandardCharsets.US_ASCII));
-                go += b.toString(StandardCharsets.US_ASCII);
+                currentBatch += b.toString(StandardCharsets.US_ASCII);
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            goes.add(go);
-            go = "";
+            readBatches.add(currentBatch);
+            currentBatch = "";
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            endedAt = agenda.now() / MS;
+            endedAtMs = agenda.now() / NS_PER_MS;
         }
 
         @Override
@@ -113,7 +113,7 @@
         }
     }
 
-    private ChannelFuture connect(End e, InetSocketAddress to) {
+    private ChannelFuture connect(Endpoint e, InetSocketAddress to) {
         return network.transport(client)
                 .clientBootstrap(to)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 50)
@@ -126,39 +126,39 @@
                 .connect();
     }
 
-    private End connected() {
-        End e = new End();
+    private Endpoint connected() {
+        Endpoint e = new Endpoint();
         ChannelFuture f = connect(e, SERVER);
         run(2);
         assertTrue(f.isSuccess());
         return e;
     }
 
-    private End peer() {
+    private Endpoint peer() {
         return accepted.get(accepted.size() - 1);
     }
 
     @Test
-    void bytesTakeTheirTimeAndKeepTheirOrderAndWhatComesTogetherIsReadInOneGo() {
-        End e = connected();
+    void bytesArriveInOrderAfterTheDelayAndAreReadInOneBatch() {
+        Endpoint e = connected();
         e.write("one ");
         e.write("two");
         run(2);
         assertEquals("", peer().read.toString());
         run(3);
-        assertEquals(List.of("one two"), peer().goes);
-        assertEquals(2 * MS, ((MemoryChannel) peer().channel).sentAt());
+        assertEquals(List.of("one two"), peer().readBatches);
+        assertEquals(2 * NS_PER_MS, ((MemoryChannel) peer().channel).sentAtNs());
         peer().write("back");
         run(4);
         assertEquals("back", e.read.toString());
     }
 
     @Test
-    void whereNobodyListensAConnectionIsRefusedAndFromNoMachineNothingComes() {
-        ChannelFuture refused = connect(new End(), new InetSocketAddress("127.1.0.1", 9001));
+    void connectIsRefusedWithoutListenerAndTimesOutWithoutHost() {
+        ChannelFuture refused = connect(new Endpoint(), new InetSocketAddress("127.1.0.1", 9001));
         run(0); // it has set out, and there is no such machine
-        network.place(new InetSocketAddress("127.1.0.1", 9001), server);
-        ChannelFuture again = connect(new End(), new InetSocketAddress("127.1.0.1", 9001));
+        network.assignAddress(new InetSocketAddress("127.1.0.1", 9001), server);
+        ChannelFuture again = connect(new Endpoint(), new InetSocketAddress("127.1.0.1", 9001));
         run(2);
         assertInstanceOf(ConnectException.class, again.cause());
         assertFalse(refused.isDone());
@@ -167,46 +167,46 @@
     }
 
     @Test
-    void anEndComesBehindWhatWasSentBeforeIt() {
-        End e = connected();
+    void closeArrivesAfterBytesSentBeforeIt() {
+        Endpoint e = connected();
         e.write("last words");
         e.channel.close();
         run(3);
         assertEquals("last words", peer().read.toString());
-        assertEquals(3, peer().endedAt);
+        assertEquals(3, peer().endedAtMs);
         assertEquals(null, peer().failure);
     }
 
     @Test
-    void aProcessThatEndsResetsItsConnectionsAndTheNextOnesAreRefused() {
-        End e = connected();
+    void endOfProcessResetsConnectionsAndRefusesNewOnes() {
+        Endpoint e = connected();
         serverLoop.end();
-        network.ended(server);
+        network.closeSockets(server);
         run(3);
         assertEquals("Connection reset by peer", e.failure.getMessage());
-        assertEquals(3, e.endedAt);
-        ChannelFuture next = connect(new End(), SERVER);
+        assertEquals(3, e.endedAtMs);
+        ChannelFuture next = connect(new Endpoint(), SERVER);
         run(5);
         assertInstanceOf(ConnectException.class, next.cause());
     }
 
     @Test
-    void aMachineThatVanishesSaysNothingAndResetsWhenItIsBack() {
-        End e = connected();
-        network.vanish(server, true);
+    void unreachableHostIsSilentAndResetsConnectionsOnReturn() {
+        Endpoint e = connected();
+        network.setUnreachable(server, true);
         e.write("anybody?");
-        ChannelFuture next = connect(new End(), SERVER);
+        ChannelFuture next = connect(new Endpoint(), SERVER);
         run(52);
-        assertEquals(-1, e.endedAt);
+        assertEquals(-1, e.endedAtMs);
         assertInstanceOf(ConnectTimeoutException.class, next.cause());
-        network.vanish(server, false);
+        network.setUnreachable(server, false);
         run(1000);
-        assertTrue(e.endedAt > 52, "ended at " + e.endedAt);
+        assertTrue(e.endedAtMs > 52, "ended at " + e.endedAtMs);
     }
 
     @Test
-    void aWayThatIsCutHoldsItsBytesAndTheOtherWayGoesOn() {
-        End e = connected();
+    void cutHoldsBytesInOneDirectionOnly() {
+        Endpoint e = connected();
         network.cut("client", "server", true);
         e.write("held");
         peer().write("free");
@@ -221,20 +221,20 @@
     }
 
     @Test
-    void aLostSegmentHoldsUpThoseBehindIt() {
-        End e = connected();
-        network.link("client", "server").lossy(0.5);
+    void lostSegmentDelaysThoseBehindIt() {
+        Endpoint e = connected();
+        network.link("client", "server").setLoss(0.5);
         for (int i = 0; i < 20; i++) {
             e.write("" + (char) ('a' + i));
         }
         run(10_000);
         assertEquals("abcdefghijklmnopqrst", peer().read.toString());
-        assertTrue(peer().goes.size() > 1, "some were lost: " + peer().goes);
+        assertTrue(peer().readBatches.size() > 1, "some were lost: " + peer().readBatches);
     }
 
     @Test
-    void aReceiverThatDoesNotReadStopsItsSender() {
-        End e = connected();
+    void receiverThatDoesNotReadBlocksItsSender() {
+        Endpoint e = connected();
         run(2);
         serverLoop.pause(true);
         ChannelFuture much = e.channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[1 << 20]));
@@ -249,26 +249,26 @@
 
     /** Only part of what was written has come: a node that dies then has not got the request. */
     @Test
-    void aProcessThatEndsInTheMidstOfAMessageHasHalfOfIt() {
-        End e = connected();
+    void processThatEndsMidMessageHasReadOnlyPartOfIt() {
+        Endpoint e = connected();
         e.channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[1 << 20]));
         run(3);
-        End p = peer();
+        Endpoint p = peer();
         assertTrue(p.bytes > 0 && p.bytes < 1 << 20, "has " + p.bytes);
         serverLoop.end();
-        network.ended(server);
+        network.closeSockets(server);
         run(10);
         assertEquals("Connection reset by peer", e.failure.getMessage());
     }
 
     @Test
-    void whileAProcessStandsStillWhatComesPilesUpAndIsSeenInOneWakeUp() {
-        End e = connected();
+    void pausedProcessReadsQueuedInputInOneWakeUp() {
+        Endpoint e = connected();
         serverLoop.pause(true);
         e.write("a");
         run(5);
         e.write("b");
-        End late = new End();
+        Endpoint late = new Endpoint();
         ChannelFuture f = connect(late, SERVER);
         run(20);
         assertTrue(f.isSuccess(), "its kernel takes connections");
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -187,7 +187,7 @@
 
             @Override
             Message in(Message m) {
-                return TamperedMessages.with(
+                return TamperedMessages.withRumors(
                         m,
                         m.rumors().stream()
                                 .filter(r -> !r.id().name().equals(self))
@@ -275,7 +275,7 @@
 
             @Override
             Message out(Message m) {
-                return TamperedMessages.numbered(m, ROOM * m.header().number());
+                return TamperedMessages.withNumber(m, ROOM * m.header().number());
             }
 
             @Override
@@ -297,7 +297,7 @@
         caught(Rule.FLEET_TWINS, TWINS, datagrams(() -> new Filter() {
             @Override
             Message out(Message m) {
-                return TamperedMessages.with(
+                return TamperedMessages.withRumors(
                         m,
                         m.rumors().stream()
                                 .map(r -> r.statement() == null
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameInstantTest.java
@@ -71,9 +71,9 @@
             others = new VirtualLoop(agenda, slips::add);
             VirtualLoop loop = new VirtualLoop(agenda, slips::add);
             Host proxy = network.host("proxy");
-            proxy.runs(loop);
+            proxy.setProcess(loop);
             for (String name : List.of("client", "node", "discovery")) {
-                network.host(name).runs(others);
+                network.host(name).setProcess(others);
             }
             listen("node", NODE, ctx -> atNode = ctx);
             listen("discovery", DISCOVERY, ctx -> atDiscovery = ctx);
@@ -127,10 +127,10 @@
 
         /** Up to so many ms from the start. */
         void runTo(long ms) {
-            while (agenda.due(START + ms * MS)) {
-                agenda.step();
+            while (agenda.hasEventBy(START + ms * MS)) {
+                agenda.runNext();
             }
-            agenda.skipTo(START + ms * MS);
+            agenda.advanceTo(START + ms * MS);
             assertEquals(List.of(), slips);
         }
 
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -123,7 +123,7 @@
         /** Starts its process. */
         public void start() throws IOException {
             loop = new VirtualLoop(agenda, slips::add);
-            host.runs(loop);
+            host.setProcess(loop);
             begin(new Platform(
                     loop,
                     agenda::now,
@@ -136,7 +136,7 @@
         /** Ends it as kill -9 does. */
         public void kill() {
             loop.end();
-            network.ended(host);
+            network.closeSockets(host);
             loop = null;
         }
     }
@@ -152,7 +152,7 @@
         Control(String name, int i) {
             super(name);
             address = new InetSocketAddress("127.1.0." + (i + 1), PORT);
-            network.place(address, host);
+            network.assignAddress(address, host);
         }
 
         @Override
@@ -283,7 +283,7 @@
             this.proxies.add(new Proxy("p" + i));
         }
         operators = network.host("operators");
-        operators.runs(new VirtualLoop(agenda, slips::add));
+        operators.setProcess(new VirtualLoop(agenda, slips::add));
     }
 
     /** Starts all. */
@@ -302,11 +302,11 @@
         controls.forEach(c -> names.add(c.name));
         for (Control c : controls) {
             for (Proxy p : proxies) {
-                network.link(c.name, p.name).lossy(part);
-                network.link(p.name, c.name).lossy(part);
+                network.link(c.name, p.name).setLoss(part);
+                network.link(p.name, c.name).setLoss(part);
             }
             names.stream().filter(n -> !n.equals(c.name)).forEach(n -> network.link(c.name, n)
-                    .lossy(part));
+                    .setLoss(part));
         }
     }
 
@@ -322,10 +322,10 @@
 
     /** Lets time go on. */
     public void run(long untilNs) {
-        while (agenda.due(untilNs)) {
-            agenda.step();
+        while (agenda.hasEventBy(untilNs)) {
+            agenda.runNext();
         }
-        agenda.skipTo(untilNs);
+        agenda.advanceTo(untilNs);
         if (!slips.isEmpty()) {
             throw new AssertionError("a slip at " + agenda.now() / MS + " ms", slips.get(0));
         }
