--- a/src/main/java/gullspar/rehearse/net/DatagramForger.java
+++ b/src/main/java/gullspar/rehearse/net/DatagramForger.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Somebody on the network without the fleet's key: he hears what goes by, and sends it once more, changed or
- * as it was, to whom he likes, long after its time too, or sends what he makes up.
+ * An attacker without the fleet's key: observes datagrams on the network and produces replayed (also long after
+ * they were sent), modified and made-up ones for any recipient.
  */
 public final class DatagramForger {
     private static final int MAX_KEPT = 4096;
@@ -20,7 +20,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** A datagram went by. Each of all that ever did is kept with the same chance (Vitter's algorithm R). */
+    /** Samples a datagram: each one observed is kept with equal probability (reservoir sampling, algorithm R). */
     public void observe(byte[] datagram) {
         observedCount++;
         if (observed.size() < MAX_KEPT) {
@@ -33,14 +33,14 @@
         }
     }
 
-    /** The next that he sends: a third each of old ones, changed ones and such as are made up. */
+    /** The next datagram to send: one third each are replayed, modified and made up. */
     public byte[] next() {
         int kind = random.nextInt(3);
         if (kind == 0 || observed.isEmpty()) {
             byte[] forged = new byte[random.nextInt(MAX_FORGED_BYTES)];
             random.nextBytes(forged);
             if (forged.length > 0 && random.nextBoolean()) {
-                forged[0] = 1; // the version of the envelope, so that more of it is looked at
+                forged[0] = 1; // a valid envelope version, so that later checks are reached too
             }
             return forged;
         }
--- a/src/main/java/gullspar/rehearse/net/DatagramLink.java
+++ b/src/main/java/gullspar/rehearse/net/DatagramLink.java
@@ -6,14 +6,14 @@
 import java.util.SplittableRandom;
 
 /**
- * What one way does to the datagrams on it: unlike a connection's bytes they may get lost, overtake each
- * other, come twice, cut short or changed. The same in virtual time and in the relay of a live day.
+ * Treatment of datagrams on one link: unlike a connection's bytes they may be lost, reordered, duplicated,
+ * truncated or corrupted. Used both in virtual time and by the relay of a live day.
  */
 public final class DatagramLink {
-    /** More than that does not wait on a way that stalls. */
+    /** Datagrams held while the link is stalled; further ones are dropped. */
     private static final int MAX_HELD = 10_000;
 
-    /** What may be wrong with a way, beside loss and delay. */
+    /** Impairments of a link, besides loss and delay. */
     public enum Impairment {
         JITTER,
         TWICE,
@@ -22,7 +22,7 @@
         STALLED
     }
 
-    /** Takes what comes out at the other end, so long from now. */
+    /** Receives the datagrams at the far end, each with its delay from now. */
     public interface Delivery {
         void deliver(long delayNs, byte[] datagram);
     }
@@ -30,7 +30,7 @@
     private final List<byte[]> held = new ArrayList<>();
     private long extraDelayNs;
     private double loss;
-    /** How many cuts lie over it: faults may overlap. */
+    /** Number of cuts in effect: faults may overlap. */
     private int activeCuts;
 
     private double jitterNs;
@@ -40,27 +40,27 @@
     private boolean stalled;
     private FalseRumorInjector falseRumorInjector;
 
-    /** Adds to the delay; 0 takes it back. */
+    /** Sets a delay added to the base delay; 0 removes it. */
     public void setExtraDelayNs(long addedNs) {
         extraDelayNs = addedNs;
     }
 
-    /** Loses a share. */
+    /** Sets the share of datagrams lost, 0 to 1. */
     public void setLoss(double share) {
         loss = share;
     }
 
-    /** Carries nothing, or one cut fewer lies over it. */
+    /** Adds or removes one cut; nothing is carried while any is in effect. */
     public void cut(boolean on) {
         activeCuts = Math.max(0, activeCuts + (on ? 1 : -1));
     }
 
-    /** From now on somebody stands at its beginning who may lie. */
+    /** Sets the injector that rewrites datagrams before they are sent. */
     public void falseRumorInjector(FalseRumorInjector injector) {
         falseRumorInjector = injector;
     }
 
-    /** One trouble begins, or with 0 is over. JITTER: in ns; the others: the share that is struck. */
+    /** Sets an impairment; 0 ends it. The value of JITTER is in ns, of the others the share affected. */
     public void setImpairment(Impairment impairment, double value, Delivery delivery) {
         switch (impairment) {
             case JITTER -> jitterNs = value;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A datagram sets out. */
+    /** Sends a datagram, rewritten by the injector if one is set. */
     public void send(byte[] datagram, SplittableRandom random, Delivery delivery) {
         if (falseRumorInjector == null) {
             transmit(datagram, random, delivery);
@@ -88,7 +88,7 @@
     }
 
     private void transmit(byte[] datagram, SplittableRandom random, Delivery delivery) {
-        // Drawn in any case: a trouble that is left out must not shift what others draw.
+        // Always drawn: removing one impairment must not change the random draws of the others.
         double lossDraw = random.nextDouble();
         double duplicateDraw = random.nextDouble();
         double truncateDraw = random.nextDouble();
--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -20,12 +20,12 @@
 import java.util.function.Supplier;
 
 /**
- * Makes a member of the fleet a mad one: behind each of its datagrams go others, numbered as its own, that
- * speak of members which never were. A life that has lied once stays renumbered, since its numbers must not
- * go back.
+ * Makes a member faulty: follows each of its datagrams by others, numbered as its own, with rumors about members
+ * that do not exist. A life that has once sent false rumors stays renumbered, since its numbers must not
+ * decrease.
  */
 public final class FalseRumorInjector {
-    /** Numbers between two true datagrams: within the window that a receiver keeps of repeated ones. */
+    /** Sequence numbers reserved per genuine datagram: fewer than the receiver's replay window. */
     private static final int NUMBERS_PER_DATAGRAM = 32;
 
     private static final int MAX_RUMOR_BYTES = 160;
@@ -38,18 +38,18 @@
     private int falseRumorsPerDatagram;
     private int invented;
 
-    /** keys: those that the member has at the moment. */
+    /** keys: supplies the member's current keys. */
     public FalseRumorInjector(Supplier<Envelope> keys, long seed) {
         this.keys = keys;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Speaks of so many with each datagram from now on. */
+    /** Sets the number of false rumors that follow each datagram; 0 sends none. */
     public void setFalseRumorsPerDatagram(int count) {
         falseRumorsPerDatagram = count;
     }
 
-    /** What becomes of a datagram of the member. */
+    /** Returns the datagrams to send in place of one from the member. */
     List<byte[]> rewrite(byte[] datagram) {
         Message m;
         try {
@@ -59,7 +59,7 @@
             }
             m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
         } catch (IOException e) {
-            throw new UncheckedIOException("a member has sent what is no message", e);
+            throw new UncheckedIOException("a member sent a datagram that cannot be decoded as a message", e);
         }
         long life = m.header().from().life();
         if (falseRumorsPerDatagram > 0) {
@@ -89,7 +89,7 @@
 
     private Rumor invented() {
         Identity id = new Identity("ghost" + ++invented, random.nextLong());
-        // Nobody is there, but on a live day it must be an address of this machine.
+        // No member has this address, but on a live day it must be one of the local machine.
         Statement s = new Statement(
                 id,
                 1,
--- a/src/main/java/gullspar/rehearse/net/HalfConnection.java
+++ b/src/main/java/gullspar/rehearse/net/HalfConnection.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** One way of a connection: what is on it, in order. */
+/** One direction of a connection: the segments in flight, in order. */
 final class HalfConnection {
     private enum Kind {
         BYTES,
@@ -37,7 +37,7 @@
         receiver = c;
     }
 
-    /** How many more bytes the sender may put on it. */
+    /** Number of bytes that the sender may still send before the window is full. */
     int remainingWindowBytes() {
         return Network.WINDOW_BYTES - bytes;
     }
@@ -51,7 +51,7 @@
         enqueue(Kind.FIN, null);
     }
 
-    /** A reset overtakes nothing, but nobody needs what was on the way before it. */
+    /** Queues a reset; it does not overtake segments sent before it. */
     void sendRst() {
         enqueue(Kind.RST, null);
     }
@@ -63,10 +63,10 @@
         network.agenda.schedule(lastArrivalNs, source, this::deliverDue);
     }
 
-    /** Everything that is due, in one go: what came together is read together. */
+    /** Delivers all segments that are due as one input: bytes that arrive together are read together. */
     private void deliverDue() {
         if (segments.isEmpty() || segments.peek().arrivesAtNs > network.agenda.now()) {
-            return; // an earlier entry took it along
+            return; // already delivered with an earlier segment
         }
         if (!network.canReach(from, to)) {
             if (!held) {
@@ -105,7 +105,7 @@
         sender.resumeWriting();
     }
 
-    /** Nobody will read what is on it. */
+    /** Discards the segments in flight and removes the receiver. */
     void discard() {
         for (Segment s : segments) {
             if (s.bytes != null) {
--- a/src/main/java/gullspar/rehearse/net/Host.java
+++ b/src/main/java/gullspar/rehearse/net/Host.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A machine on the network, with the process that runs on it. */
+/** A host on the simulated network, with the process that runs on it. */
 public final class Host {
     final String name;
     VirtualLoop loop;
-    /** False while the machine has vanished: it neither sends nor receives, and says nothing of it. */
+    /** False while the host silently neither sends nor receives. */
     boolean reachable = true;
 
     final Set<MemoryChannel> openConnections = new LinkedHashSet<>();
@@ -22,7 +22,7 @@
         return name;
     }
 
-    /** The process that runs here from now on. */
+    /** Sets the process that runs on this host. */
     public void setProcess(VirtualLoop process) {
         loop = process;
     }
--- a/src/main/java/gullspar/rehearse/net/Link.java
+++ b/src/main/java/gullspar/rehearse/net/Link.java
@@ -1,6 +1,6 @@
 package gullspar.rehearse.net;
 
-/** One way between two machines, as it is now: times in ns, the loss as a share of the segments. */
+/** Current state of one direction between two hosts: times in ns, loss as a share of the segments. */
 public final class Link {
     long delayNs;
     long jitterNs;
@@ -13,12 +13,12 @@
         this.jitterNs = jitterNs;
     }
 
-    /** Adds to the delay; 0 takes it back. */
+    /** Sets a delay added to the base delay; 0 removes it. */
     public void setExtraDelayNs(long addedNs) {
         extraDelayNs = addedNs;
     }
 
-    /** Loses a share of what is sent, 0 to 1; each loss costs a retransmission. */
+    /** Sets the share of segments lost, 0 to 1; each loss costs a retransmission. */
     public void setLoss(double share) {
         loss = share;
     }
--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -17,7 +17,7 @@
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
 
-/** One end of a connection in memory. */
+/** One end of an in-memory connection. */
 public final class MemoryChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
@@ -58,7 +58,7 @@
         this.outbound.setReceiver(client);
     }
 
-    /** When the peer sent what is being read, on the agenda's clock, in ns. */
+    /** Virtual time at which the peer sent the bytes being read. */
     public long sentAtNs() {
         return sentAtNs;
     }
@@ -80,7 +80,7 @@
                             TimeUnit.MILLISECONDS);
         }
         if (peerHost == null) {
-            return; // no such machine: nothing ever comes back
+            return; // no host has the address: there is never a reply
         }
         network.agenda.schedule(
                 network.agenda.now() + network.travelTimeNs(host, peerHost),
@@ -103,7 +103,7 @@
                     () -> failConnect(promise, new ConnectException("connection refused: " + address)));
             return;
         }
-        // A process that is paused still has a kernel: it completes the connection, and reads it later.
+        // The kernel completes the connection even while the process is paused; the process reads it later.
         MemoryChannel child = new MemoryChannel(network, listener, this);
         child.host.openConnections.add(child);
         peer = child;
@@ -131,7 +131,7 @@
         outbound = new HalfConnection(network, this, host, peerHost);
         outbound.setReceiver(peer);
         if (!open) {
-            outbound.sendRst(); // given up meanwhile
+            outbound.sendRst(); // closed meanwhile, for example by the connect time-out
             return;
         }
         active = true;
@@ -141,7 +141,7 @@
 
     // ---- reading ----
 
-    /** True if it has been passed on. */
+    /** Returns true if the bytes were passed to the pipeline. */
     boolean receive(ByteBuf bytes, long sentNs) {
         if (!open || inputClosed) {
             bytes.release();
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Bytes for a connection that is closed at this end are answered with a reset. */
+    /** Sends a reset for bytes that arrive after this end is closed. */
     private void sendReset() {
         if (outbound != null) {
             outbound.sendRst();
@@ -188,7 +188,7 @@
         return peerHost == h;
     }
 
-    /** The connection is reset at both ends: a machine that is back knows nothing of it. */
+    /** Resets the connection at both ends: a host that returns has no state of it. */
     void reset() {
         if (open && outbound != null) {
             outbound.sendRst();
@@ -198,7 +198,7 @@
         }
     }
 
-    /** The process at this end is no more. */
+    /** Closes this end with a reset because its process has ended. */
     void abandon() {
         if (open) {
             open = false;
@@ -242,10 +242,10 @@
         if (message instanceof ByteBuf) {
             return message;
         }
-        throw new UnsupportedOperationException("only bytes go over a connection");
+        throw new UnsupportedOperationException("a connection carries only ByteBuf messages");
     }
 
-    // ---- the rest of a channel ----
+    // ---- other channel operations ----
 
     @Override
     protected AbstractUnsafe newUnsafe() {
@@ -282,7 +282,7 @@
 
     @Override
     protected void doBind(SocketAddress address) {
-        throw new UnsupportedOperationException("connections choose their own address");
+        throw new UnsupportedOperationException("connections are assigned an ephemeral address and cannot be bound");
     }
 
     @Override
--- a/src/main/java/gullspar/rehearse/net/MemoryChannelId.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannelId.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.ChannelId;
 
-/** The library's own ids hold the machine, the process and chance; this one only counts. */
+/** A sequential channel id: Netty's own ids contain the host, the process and a random part, so they vary by run. */
 record MemoryChannelId(int number) implements ChannelId {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
@@ -14,7 +14,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** A socket for datagrams in memory. */
+/** An in-memory datagram socket. */
 final class MemoryDatagramChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
@@ -34,7 +34,7 @@
         return host;
     }
 
-    /** A datagram has come to this machine: its process reads it when it runs. */
+    /** Queues an arrived datagram as input of the host's process. */
     void receive(InetSocketAddress from, byte[] bytes) {
         if (host.loop != null) {
             host.loop.addInput(() -> {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Its process has ended, or it is closed. */
+    /** Called when the channel is closed or its process has ended. */
     @Override
     protected void doClose() {
         open = false;
@@ -73,14 +73,14 @@
         return new AbstractUnsafe() {
             @Override
             public void connect(SocketAddress remote, SocketAddress local, ChannelPromise promise) {
-                promise.setFailure(new UnsupportedOperationException("datagrams go to an address each"));
+                promise.setFailure(new UnsupportedOperationException("datagram channels cannot be connected"));
             }
         };
     }
 
     @Override
     protected void doBeginRead() {
-        // what comes is read
+        // datagrams are read as they arrive
     }
 
     @Override
--- a/src/main/java/gullspar/rehearse/net/MemoryServerChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryServerChannel.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** A listener in memory. */
+/** An in-memory listening socket. */
 final class MemoryServerChannel extends AbstractServerChannel {
     private final Network network;
     final Host host;
@@ -22,7 +22,7 @@
         this.host = host;
     }
 
-    /** A connection has come: the child belongs to the listener's side. */
+    /** Accepts a connection; the child is its end on the listener's host. */
     void accept(MemoryChannel child) {
         pipeline().fireChannelRead(child);
         pipeline().fireChannelReadComplete();
@@ -46,7 +46,7 @@
 
     @Override
     protected void doBeginRead() {
-        // connections are accepted as they come
+        // connections are accepted as they arrive
     }
 
     @Override
@@ -56,7 +56,7 @@
 
     @Override
     protected ChannelId newId() {
-        return new MemoryChannelId(0); // nothing looks listeners up by it
+        return new MemoryChannelId(0); // listeners are not looked up by id
     }
 
     @Override
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -15,22 +15,22 @@
 import java.util.SplittableRandom;
 
 /**
- * A network in memory, on the agenda's clock: machines, the ways between them, and connections that behave as
- * TCP does where a proxy can tell. Bytes of a connection keep their order; a lost segment holds up those
- * behind it for a retransmission; a way that is cut holds everything until it is whole again; a process that
- * ends resets its connections, a machine that vanishes says nothing.
+ * An in-memory network in virtual time: hosts, the links between them, and connections that behave like TCP as
+ * far as a proxy can observe. Bytes of a connection keep their order; a lost segment delays those behind it
+ * until it is retransmitted; a link that is cut holds everything until it is restored; a process that ends
+ * resets its connections, and an unreachable host is silent.
  */
 public final class Network {
-    /** Least wait before a lost segment is sent again, in ns: Linux's TCP_RTO_MIN. */
+    /** Minimum retransmission time-out: Linux's TCP_RTO_MIN. */
     static final long MIN_RETRANSMIT_NS = 200_000_000L;
-    /** Bytes that one way of a connection takes up before its sender must wait: a usual socket's buffers. */
+    /** Bytes in flight in one direction before the sender must wait: the buffers of a typical socket. */
     static final int WINDOW_BYTES = 256 << 10;
-    /** Bytes in one go of the receiver's reading. */
+    /** Maximum bytes passed to the receiver in one read. */
     static final int SEGMENT_BYTES = 16 << 10;
 
     private static final InetSocketAddress FORGED_SOURCE = new InetSocketAddress("127.9.9.9", 9999);
 
-    /** How far it is from one machine to another, one way, in ns. */
+    /** The one-way delay from one host to another. */
     public interface OneWayDelay {
         long delayNs(String from, String to);
     }
@@ -44,7 +44,7 @@
     private final List<Runnable> heldRetries = new ArrayList<>();
     private final Map<InetSocketAddress, MemoryDatagramChannel> datagramSockets = new HashMap<>();
     private final Map<String, DatagramLink> datagrams = new HashMap<>();
-    /** Apart from that of connections, whose draws must not depend on who else talks. */
+    /** Separate from that of connections, whose random draws must not depend on datagram traffic. */
     private final SplittableRandom datagramRandom;
 
     private int lastChannelNumber;
@@ -62,22 +62,22 @@
         return hosts.computeIfAbsent(name, Host::new);
     }
 
-    /** Gives a machine an address, and takes it from whoever had it. */
+    /** Assigns an address to a host, replacing any former owner. */
     public void assignAddress(InetSocketAddress address, Host host) {
         addresses.put(address, host);
     }
 
-    /** The way from one machine to another. */
+    /** The link from one host to another. */
     public Link link(String from, String to) {
         return links.computeIfAbsent(from + '>' + to, k -> new Link(oneWayDelay.delayNs(from, to), 0));
     }
 
-    /** What the way from one machine to another does to datagrams. */
+    /** The treatment of datagrams from one host to another. */
     public DatagramLink datagrams(String from, String to) {
         return datagrams.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
 
-    /** A trouble of datagrams begins or ends on the way from one machine to another. */
+    /** Starts or ends a datagram impairment on the link from one host to another. */
     public void setImpairment(String from, String to, DatagramLink.Impairment impairment, double value) {
         datagrams(from, to).setImpairment(impairment, value, (ns, d) -> datagramSockets.values().stream()
                 .filter(s -> s.host().name.equals(to))
@@ -95,12 +95,12 @@
         datagramSockets.remove(address, socket);
     }
 
-    /** Whoever stands beside the ways hears all datagrams from now on. */
+    /** Sets the attacker that observes all datagrams from now on. */
     public void setForger(DatagramForger observer) {
         forger = observer;
     }
 
-    /** A datagram that no machine of the day has sent comes to one. */
+    /** Delivers a datagram that no host of the day has sent. */
     public void inject(String to, byte[] datagram) {
         datagramSockets.values().stream()
                 .filter(s -> s.host().name.equals(to))
@@ -112,7 +112,7 @@
                 }));
     }
 
-    /** A datagram sets out; whoever is at the address when it arrives gets it, if anybody. */
+    /** Sends a datagram to the socket now bound to the address; drops it if there is none. */
     void sendDatagram(MemoryDatagramChannel from, InetSocketAddress source, InetSocketAddress to, byte[] bytes) {
         if (forger != null) {
             forger.observe(bytes);
@@ -133,7 +133,7 @@
         });
     }
 
-    /** Cuts a way: what is sent on it is held until it is whole again, and nobody is told. */
+    /** Cuts or restores a link: data sent meanwhile is held until it is restored, without any notice. */
     public void cut(String from, String to, boolean on) {
         link(from, to).cut = on;
         if (!on) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /** A machine vanishes, or is back; when it is back it resets the connections that it had. */
+    /** Makes a host unreachable, or reachable again; on its return it resets its earlier connections. */
     public void setUnreachable(Host host, boolean on) {
         host.reachable = !on;
         if (!on) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /** The process of a machine has ended: its connections are reset, nothing listens there any more. */
+    /** Closes all sockets of a host whose process has ended: connections are reset, listeners removed. */
     public void closeSockets(Host host) {
         host.listeners.clear();
         List.copyOf(datagramSockets.values()).stream()
@@ -161,7 +161,7 @@
         open.forEach(MemoryChannel::abandon);
     }
 
-    /** Resets the connections between two machines, at both ends. */
+    /** Resets the connections between two hosts, at both ends. */
     public void reset(Host a, Host b) {
         List.copyOf(a.openConnections).stream().filter(c -> c.isConnectedTo(b)).forEach(MemoryChannel::reset);
     }
@@ -172,7 +172,7 @@
         retries.forEach(r -> agenda.schedule(agenda.now() + MIN_RETRANSMIT_NS, 0, r));
     }
 
-    /** Waits until some way is whole again, and tries once more. */
+    /** Runs the retry after a link or host is next restored. */
     void holdUntilRestored(Runnable retry) {
         heldRetries.add(retry);
     }
@@ -181,7 +181,7 @@
         return from.reachable && to.reachable && !link(from.name, to.name).cut;
     }
 
-    /** How long a segment that is sent now takes, its retransmissions included. */
+    /** The time that a segment sent now takes, including its retransmissions. */
     long travelTimeNs(Host from, Host to) {
         Link l = link(from.name, to.name);
         long ns = l.delayNs + l.extraDelayNs + (l.jitterNs > 0 ? random.nextLong(l.jitterNs) : 0);
@@ -195,7 +195,7 @@
         return ns;
     }
 
-    /** Who listens there; null if nobody does. */
+    /** The listener bound to an address, or null. */
     MemoryServerChannel listener(InetSocketAddress address) {
         Host h = addresses.get(address);
         if (h != null) {
@@ -221,12 +221,12 @@
         return new InetSocketAddress("127.0.0.1", lastPort);
     }
 
-    /** The sockets of a machine. */
+    /** The transport that creates the sockets of a host. */
     public Transport transport(Host host) {
         return new Transport() {
             @Override
             public Bootstrap clientBootstrap(InetSocketAddress address) {
-                // The library keeps a resolver of names for each loop for good, and with it each day played.
+                // Netty never releases its name resolver of a loop, which would keep each day played in memory.
                 return new Bootstrap()
                         .group(host.loop)
                         .disableResolver()
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -4,11 +4,11 @@
 import gullspar.peers.Rumor;
 import java.util.List;
 
-/** Messages as they were, but for one thing: what whoever holds the key can make of them. */
+/** Copies of messages with one part replaced, as a holder of the key could produce. */
 public final class TamperedMessages {
     private TamperedMessages() {}
 
-    /** With other rumors, where its kind carries any; a listing is empty then. */
+    /** Replaces the rumors of messages that carry any; the entries of a listing are removed. */
     public static Message withRumors(Message m, List<Rumor> rumors) {
         if (m instanceof Message.Ping p) {
             return new Message.Ping(p.header(), p.nonce(), p.targetLife(), p.requestsStatement(), rumors);
@@ -26,7 +26,7 @@
         return m;
     }
 
-    /** With another number. */
+    /** Replaces the sequence number. */
     public static Message withNumber(Message m, long number) {
         Message.Header o = m.header();
         Message.Header h = new Message.Header(o.from(), o.incarnation(), o.address(), number);
--- a/src/main/java/gullspar/rehearse/time/Agenda.java
+++ b/src/main/java/gullspar/rehearse/time/Agenda.java
@@ -3,10 +3,10 @@
 import java.util.PriorityQueue;
 
 /**
- * What is still to happen, in virtual time. The order is defined: by time; at one instant by lot, drawn from
- * the seed for each source of events and instant; of one source in the order in which it was entered. So what
- * crosses at one instant (an answer and a time-out, a drain notice and a send) goes now this way and now that
- * with the seed, and for one seed always the same way.
+ * The event queue of a simulation in virtual time. Events are ordered by time; at one instant by a tie-break
+ * derived from the seed, the source and the instant; within one source in insertion order. So the order of
+ * simultaneous events of different sources (a response and a time-out, a drain notice and a send) varies with
+ * the seed and is the same for the same seed.
  */
 public final class Agenda {
     private record Entry(long timeNs, long tieBreak, long sequence, Runnable action) {}
@@ -21,44 +21,44 @@
     private long nextSequence;
     private int lastSource;
 
-    /** Begins at a time in ns, from any origin. */
+    /** Starts at a time in ns, from any origin. */
     public Agenda(long seed, long start) {
         this.seed = seed;
         this.now = start;
     }
 
-    /** The time of what is happening, in ns. */
+    /** The current virtual time, in ns. */
     public long now() {
         return now;
     }
 
     /**
-     * A number for whoever enters events whose own order must be kept: a timer wheel, one way of a
-     * connection.
+     * Returns a new source id. Events of one source keep their order: those of a timer wheel, or of one direction of
+     * a connection.
      */
     public int newSource() {
         return ++lastSource;
     }
 
-    /** Enters an event; one that is late happens now. */
+    /** Schedules an event; one whose time has passed runs at the current time. */
     public void schedule(long time, int source, Runnable action) {
         long t = Math.max(time, now);
         entries.add(new Entry(t, tieBreak(source, t), nextSequence++, action));
     }
 
-    /** Is anything entered up to that time? */
+    /** Returns whether an event is scheduled at or before the time. */
     public boolean hasEventBy(long until) {
         return !entries.isEmpty() && entries.peek().timeNs <= until;
     }
 
-    /** Lets the next event happen. */
+    /** Advances to the next event and runs it. */
     public void runNext() {
         Entry e = entries.remove();
         now = e.timeNs;
         e.action.run();
     }
 
-    /** Goes on to a time up to which nothing is entered. */
+    /** Advances to a time before which no event is scheduled. */
     public void advanceTo(long time) {
         now = Math.max(now, time);
     }
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 
 /**
- * An event loop on the agenda's clock, one for each process of a rehearsal. A wake-up is one input, or all
- * that have piled up while it was paused, followed by the timers that are due and every task these leave.
+ * An event loop in virtual time, one for each process of a rehearsal. A wake-up runs one input, or all that were
+ * queued while it was paused, then the timers that are due and every task that these submit.
  */
 public final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
     private final Agenda agenda;
@@ -41,7 +41,7 @@
 
         @Override
         public void sleep(long delay, TimeUnit unit) {
-            throw new UnsupportedOperationException("nothing sleeps on a virtual clock");
+            throw new UnsupportedOperationException("cannot sleep on a virtual clock");
         }
     };
     private final Promise<Void> termination = new DefaultPromise<>(this);
@@ -50,17 +50,17 @@
     private long resumedAtNs = Long.MIN_VALUE;
     private boolean hasEnded;
     private boolean running;
-    /** The earliest wake-up that is entered for timers; MAX_VALUE if none is. */
+    /** The earliest wake-up scheduled for timers; MAX_VALUE if there is none. */
     private long armedForNs = Long.MAX_VALUE;
 
-    /** slips hears of what tasks throw; the loop goes on, as real ones do. */
+    /** errorHandler: receives what tasks throw; the loop continues, as real event loops do. */
     public VirtualLoop(Agenda agenda, Consumer<Throwable> slips) {
         this.agenda = agenda;
         this.errorHandler = slips;
         this.source = agenda.newSource();
     }
 
-    /** What a socket brings: a wake-up, or one more thing that waits while the process stands still. */
+    /** Adds input from a socket and wakes the loop; it stays queued while the process is paused. */
     public void addInput(Runnable input) {
         if (!hasEnded) {
             inputs.add(input);
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Stops the process as SIGSTOP does, or lets it go on. */
+    /** Pauses the process as SIGSTOP does, or resumes it. */
     public void pause(boolean on) {
         paused = on;
         if (on) {
@@ -79,12 +79,12 @@
         }
     }
 
-    /** How long what is read now may have waited, in ns: since the beginning of a pause that has just ended. */
+    /** Maximum time that input read now may have waited: the length of a pause that has just ended, else 0. */
     public long inputDelayNs() {
         return agenda.now() == resumedAtNs ? resumedAtNs - pausedAtNs : 0;
     }
 
-    /** Ends the process as SIGKILL does: nothing that it meant to do happens any more. */
+    /** Ends the process as SIGKILL does: pending inputs, tasks and timers are discarded. */
     public void end() {
         hasEnded = true;
         inputs.clear();
@@ -98,7 +98,7 @@
 
     private void wake() {
         if (running || paused || hasEnded) {
-            return; // what came is seen in the wake-up that is under way, or when it goes on
+            return; // the input is handled by the current wake-up, or on resumption
         }
         running = true;
         while (!hasEnded && !paused && (!inputs.isEmpty() || !tasks.isEmpty() || hasDueTimers())) {
@@ -106,7 +106,7 @@
                 runGuarded(i);
             }
             moveDueTimers();
-            // Only those that are there now: sockets are looked at in between, as a real loop does.
+            // Only the tasks queued now: inputs are polled in between, as a real loop does.
             for (int n = tasks.size(); n > 0 && !hasEnded && !tasks.isEmpty(); n--) {
                 runGuarded(tasks.remove());
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    /** The library keeps to itself, in a future, what a timer's task throws. */
+    /** Reports what a timer's task throws, which Netty would keep only in the future. */
     private Runnable reportingErrors(Runnable command) {
         return () -> {
             try {
@@ -247,7 +247,7 @@
         return promise;
     }
 
-    /** There is one thread, and it is in whatever loop runs. */
+    /** Always true: one thread runs all loops. */
     @Override
     public boolean inEventLoop() {
         return true;
@@ -260,7 +260,7 @@
 
     @Override
     public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
-        throw new UnsupportedOperationException("a virtual loop is ended, not shut down");
+        throw new UnsupportedOperationException("a virtual loop has no graceful shutdown; use end()");
     }
 
     @Override
--- a/src/test/java/gullspar/rehearse/net/NetworkTest.java
+++ b/src/test/java/gullspar/rehearse/net/NetworkTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The network in memory does what a proxy would see of TCP. Ways take 1 ms. */
+/** The in-memory network behaves like TCP as a proxy observes it. The one-way delay is 1 ms. */
 class NetworkTest {
     private static final long NS_PER_MS = 1_000_000;
     private static final InetSocketAddress SERVER = new InetSocketAddress("127.1.0.1", 9000);
@@ -68,7 +68,7 @@
         assertEquals(List.of(), errors);
     }
 
-    /** One end of a connection: what it has read and how it ended. */
+    /** One end of a connection: records what it has read and how it ended. */
     private final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
         private final StringBuilder read = new StringBuilder();
         private final List<String> readBatches = new ArrayList<>();
@@ -156,7 +156,7 @@
     @Test
     void connectIsRefusedWithoutListenerAndTimesOutWithoutHost() {
         ChannelFuture refused = connect(new Endpoint(), new InetSocketAddress("127.1.0.1", 9001));
-        run(0); // it has set out, and there is no such machine
+        run(0); // the connect was sent while no host had the address
         network.assignAddress(new InetSocketAddress("127.1.0.1", 9001), server);
         ChannelFuture again = connect(new Endpoint(), new InetSocketAddress("127.1.0.1", 9001));
         run(2);
@@ -216,7 +216,7 @@
         network.cut("client", "server", false);
         run(299);
         assertEquals("", peer().read.toString());
-        run(300); // it is sent again after 200 ms
+        run(300); // retransmitted after 200 ms
         assertEquals("held", peer().read.toString());
     }
 
@@ -229,7 +229,7 @@
         }
         run(10_000);
         assertEquals("abcdefghijklmnopqrst", peer().read.toString());
-        assertTrue(peer().readBatches.size() > 1, "some were lost: " + peer().readBatches);
+        assertTrue(peer().readBatches.size() > 1, "batches, some segments lost: " + peer().readBatches);
     }
 
     @Test
@@ -247,14 +247,14 @@
         assertEquals(1 << 20, peer().bytes);
     }
 
-    /** Only part of what was written has come: a node that dies then has not got the request. */
+    /** Guards against a process that ends mid-transfer counting as having received the whole request. */
     @Test
     void processThatEndsMidMessageHasReadOnlyPartOfIt() {
         Endpoint e = connected();
         e.channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[1 << 20]));
         run(3);
         Endpoint p = peer();
-        assertTrue(p.bytes > 0 && p.bytes < 1 << 20, "has " + p.bytes);
+        assertTrue(p.bytes > 0 && p.bytes < 1 << 20, "bytes read: " + p.bytes);
         serverLoop.end();
         network.closeSockets(server);
         run(10);
@@ -271,7 +271,7 @@
         Endpoint late = new Endpoint();
         ChannelFuture f = connect(late, SERVER);
         run(20);
-        assertTrue(f.isSuccess(), "its kernel takes connections");
+        assertTrue(f.isSuccess(), "the kernel accepts connections while the process is paused");
         assertEquals("", peer().read.toString());
         serverLoop.pause(false);
         run(20);
--- a/src/test/java/gullspar/rehearse/time/AgendaTest.java
+++ b/src/test/java/gullspar/rehearse/time/AgendaTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Order on the virtual clock. */
+/** Event order in virtual time. */
 class AgendaTest {
     private static List<String> runOrder(long seed) {
         Agenda a = new Agenda(seed, 0);
@@ -38,13 +38,13 @@
         }
     }
 
-    /** An answer and a time-out, or a notice and a send, that fall together: both orders are met. */
+    /** Simultaneous events, such as a response and a time-out, must run in both orders over many seeds. */
     @Test
     void simultaneousEventsRunInEitherOrderDependingOnSeed() {
         long first = IntStream.range(0, 1000)
                 .filter(seed -> runOrder(seed).get(0).equals("s0 first"))
                 .count();
-        assertTrue(first > 50 && first < 200, first + " of 1000 where 100 are due");
+        assertTrue(first > 50 && first < 200, first + " of 1000, expected about 100");
     }
 
     @Test
@@ -53,7 +53,7 @@
         List<Long> at = new ArrayList<>();
         a.schedule(300, 1, () -> {
             at.add(a.now());
-            a.schedule(50, 1, () -> at.add(a.now())); // late: it happens now
+            a.schedule(50, 1, () -> at.add(a.now())); // in the past: runs now
         });
         a.schedule(200, 1, () -> at.add(a.now()));
         while (a.hasEventBy(1000)) {
