--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -45,8 +45,8 @@
     }
 
     /** Sets the number of false rumors that follow each datagram; 0 sends none. */
-    public void setFalseRumorsPerDatagram(int count) {
-        falseRumorsPerDatagram = count;
+    public void setFalseRumorsPerDatagram(int rumorsPerDatagram) {
+        falseRumorsPerDatagram = rumorsPerDatagram;
     }
 
     /** Returns the datagrams to send in place of one from the member. */
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -51,11 +51,11 @@
     private int lastPort = 30_000;
     private DatagramForger forger;
 
-    public Network(Agenda agenda, long seed, OneWayDelay distance) {
+    public Network(Agenda agenda, long seed, OneWayDelay oneWayDelay) {
         this.agenda = agenda;
         this.random = new SplittableRandom(seed);
         this.datagramRandom = new SplittableRandom(seed ^ 0x5bd1e995);
-        this.oneWayDelay = distance;
+        this.oneWayDelay = oneWayDelay;
     }
 
     public Host host(String name) {
@@ -142,9 +142,9 @@
     }
 
     /** Makes a host unreachable, or reachable again; on its return it resets its earlier connections. */
-    public void setUnreachable(Host host, boolean on) {
-        host.reachable = !on;
-        if (!on) {
+    public void setUnreachable(Host host, boolean unreachable) {
+        host.reachable = !unreachable;
+        if (!unreachable) {
             List.copyOf(host.openConnections).forEach(MemoryChannel::reset);
             retryHeld();
         }
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -54,9 +54,9 @@
     private long armedForNs = Long.MAX_VALUE;
 
     /** errorHandler: receives what tasks throw; the loop continues, as real event loops do. */
-    public VirtualLoop(Agenda agenda, Consumer<Throwable> slips) {
+    public VirtualLoop(Agenda agenda, Consumer<Throwable> errorHandler) {
         this.agenda = agenda;
-        this.errorHandler = slips;
+        this.errorHandler = errorHandler;
         this.source = agenda.newSource();
     }
 
