--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -16,27 +16,27 @@
 import java.util.Map;
 
 /**
- * Judges a day by what was seen from outside the proxies: the four rules, the service, the script's
- * expectations. The same for a day in virtual time and a live one; live, times are known less exactly.
+ * Judges a day by what was observed from outside the proxies: the rules, the service, the script's
+ * expectations. Used for days in virtual time and live ones; live, times are known less exactly.
  */
 public final class Judge {
-    private static final int WORST_S = 10;
-    /** A client that leaves is to be heard of within so long (the operators' page). */
-    private static final long LEFT_NS = 100_000_000L;
+    private static final int WORST_WINDOW_S = 10;
+    /** A proxy has to detect within this time that a client has left (the operators' page). */
+    private static final long MAX_LEAVE_DELAY_NS = 100_000_000L;
 
-    /** An attempt may be given so much more than its client has left (the operators' page). */
-    private static final long TOLD_NS = 150_000_000L;
+    /** How much more time an attempt may be given than its client has left (the operators' page). */
+    private static final long MAX_EXTRA_TIME_NS = 150_000_000L;
 
-    private static final long STEP_NS = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     private final Script script;
     private final EventLog eventLog;
     private final long slackNs;
-    private final List<Broken> broken = new ArrayList<>();
-    /** Service of the ten seconds from each second on. */
-    private final List<Double> windows = new ArrayList<>();
+    private final List<RuleViolation> broken = new ArrayList<>();
+    /** The service of the ten seconds that start at each second. */
+    private final List<Double> windowServices = new ArrayList<>();
 
-    private int twice;
+    private int duplicateEffects;
 
     private Judge(Script script, EventLog eventLog, long slackNs) {
         this.script = script;
@@ -44,41 +44,41 @@
         this.slackNs = slackNs;
     }
 
-    /** slackNs: how far a time that was seen may lie from the true one. */
+    /** Judges a day; slackNs is how far an observed time may be from the true one. */
     public static Verdict judge(Script script, EventLog eventLog, long slackNs) {
         return new Judge(script, eventLog, slackNs).verdict();
     }
 
     private Verdict verdict() {
         eventLog.orders().forEach(o -> {
-            o.requests.forEach(this::oneAnswer);
-            o.requests.forEach(this::leftAlone);
-            o.requests.forEach(this::timeTold);
-            o.requests.forEach(this::nothingTwice);
-            o.requests.forEach(this::drainsKept);
-            effects(o);
+            o.requests.forEach(this::checkFinalResponse);
+            o.requests.forEach(this::checkLeftClient);
+            o.requests.forEach(this::checkTimeGiven);
+            o.requests.forEach(this::checkRepeats);
+            o.requests.forEach(this::checkDrains);
+            checkEffects(o);
         });
         eventLog.collapsedAt()
-                .forEach((node, at) -> broken.add(new Broken(
+                .forEach((node, at) -> broken.add(new RuleViolation(
                         Rule.COLD_SPARED,
                         at,
-                        node + " was sent more than " + script.rules().tipMultiple() + " times what it could do for "
-                                + script.rules().fallS() + " s while it was cold, and fell over",
+                        node + " was sent more than " + script.rules().tipMultiple() + " times its capacity for "
+                                + script.rules().fallS() + " s during its cold start, and fell over",
                         null)));
-        eventLog.crashes().forEach(c -> broken.add(new Broken(Rule.ONE_ANSWER, c.at(), c.description(), null)));
+        eventLog.crashes().forEach(c -> broken.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.description(), null)));
         eventLog.servedMalformedRequests()
-                .forEach(text -> broken.add(new Broken(
+                .forEach(text -> broken.add(new RuleViolation(
                         Rule.ONE_ANSWER,
                         0,
-                        "a request that makes no sense was served: "
+                        "a malformed request was served: "
                                 + text.lines().findFirst().orElse(""),
                         null)));
         if (eventLog.unansweredMisbehavingClients() > 0) {
-            broken.add(new Broken(
+            broken.add(new RuleViolation(
                     Rule.ONE_ANSWER,
                     0,
                     eventLog.unansweredMisbehavingClients() + " of " + eventLog.misbehavingClientCount()
-                            + " clients that sent no sensible request got neither an error nor a close within 3 s",
+                            + " clients that sent a malformed request got neither an error nor a close within 3 s",
                     null));
         }
         if (script.peers() != null) {
@@ -86,7 +86,7 @@
         }
         double service = service(eventLog.orders());
         int worstFrom = worstFrom();
-        double worst = worstFrom < 0 ? service : windows.get(worstFrom);
+        double worst = worstFrom < 0 ? service : windowServices.get(worstFrom);
         String worstClass = "";
         double worstShare = 2;
         for (Script.RequestClass c : script.classes()) {
@@ -97,49 +97,49 @@
                 worstClass = c.name();
             }
         }
-        expected("service", service);
-        expected("worst_10s", worst);
-        expected("worst_class", worstShare);
-        broken.sort(Comparator.comparingLong(Broken::at));
+        checkExpectation("service", service);
+        checkExpectation("worst_10s", worst);
+        checkExpectation("worst_class", worstShare);
+        broken.sort(Comparator.comparingLong(RuleViolation::atNs));
         return new Verdict(
                 List.copyOf(broken),
                 service,
                 worst,
-                Math.max(0, worstFrom) * STEP_NS,
+                Math.max(0, worstFrom) * SECOND_NS,
                 worstShare,
                 worstClass,
                 counts(),
                 eventLog.orders().size(),
-                twice);
+                duplicateEffects);
     }
 
-    /** The second from which service was worst for ten; -1 on a day that is shorter. */
+    /** The start, in s, of the ten seconds with the lowest service; -1 on a shorter day. */
     private int worstFrom() {
         int seconds = (int) script.seconds();
         double[] asked = new double[seconds + 1];
         double[] served = new double[seconds + 1];
         for (Order o : eventLog.orders()) {
-            int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / STEP_NS));
+            int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / SECOND_NS));
             asked[at] += o.requestClass.worth();
             served[at] += o.isInTime() ? o.requestClass.worth() : 0;
         }
         int worst = -1;
-        for (int from = 0; from + WORST_S <= seconds; from++) {
-            double a = Arrays.stream(asked, from, from + WORST_S).sum();
-            double s = Arrays.stream(served, from, from + WORST_S).sum();
-            windows.add(a == 0 ? 1 : s / a);
-            worst = worst < 0 || windows.get(from) < windows.get(worst) ? from : worst;
+        for (int from = 0; from + WORST_WINDOW_S <= seconds; from++) {
+            double a = Arrays.stream(asked, from, from + WORST_WINDOW_S).sum();
+            double s = Arrays.stream(served, from, from + WORST_WINDOW_S).sum();
+            windowServices.add(a == 0 ? 1 : s / a);
+            worst = worst < 0 || windowServices.get(from) < windowServices.get(worst) ? from : worst;
         }
         return worst;
     }
 
-    private void expected(String name, double share) {
-        Double least = script.expect().get(name);
-        if (least != null && share < least) {
-            broken.add(new Broken(
+    private void checkExpectation(String name, double share) {
+        Double minimum = script.expect().get(name);
+        if (minimum != null && share < minimum) {
+            broken.add(new RuleViolation(
                     Rule.EXPECTED,
                     eventLog.start() + (long) (script.seconds() * 1e9),
-                    String.format(Locale.ROOT, "%s is %.4f, the script expects %.4f", name, share, least),
+                    String.format(Locale.ROOT, "%s is %.4f, the script expects %.4f", name, share, minimum),
                     null));
         }
     }
@@ -161,18 +161,18 @@
         }
         for (Order o : eventLog.orders()) {
             for (ClientRequest t : o.requests) {
-                counts.merge(ended(t), 1, Integer::sum);
+                counts.merge(endingName(t), 1, Integer::sum);
             }
         }
         return counts;
     }
 
-    /** How a try ended, in a word. */
-    public static String ended(ClientRequest t) {
+    /** The name of a try's ending in counts and reports. */
+    public static String endingName(ClientRequest t) {
         return switch (t.ending) {
             case ANSWERED -> t.status == 200
                     ? t.endedAt <= t.order.at + (long) (t.order.requestClass.promiseMs() * 1e6) ? "served" : "late"
-                    : refused(t) ? "refused" : "failed";
+                    : isRefused(t) ? "refused" : "failed";
             case GIVEN_UP -> "given up";
             case LEFT -> "left";
             case CLOSED -> "closed";
@@ -181,19 +181,19 @@
         };
     }
 
-    private static boolean refused(ClientRequest t) {
+    private static boolean isRefused(ClientRequest t) {
         return t.status == 429 || t.status == 503;
     }
 
     private void broken(Rule rule, long at, ClientRequest t, String what) {
-        broken.add(new Broken(rule, at, what, t));
+        broken.add(new RuleViolation(rule, at, what, t));
     }
 
     // ---- the rules ----
 
-    private void oneAnswer(ClientRequest t) {
+    private void checkFinalResponse(ClientRequest t) {
         if (t.status == 200 && t.attempts.stream().noneMatch(a -> a.startedAt != 0)) {
-            broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, and no node had worked on it");
+            broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, but no node had processed it");
         }
         if (t.responseError != null) {
             broken(Rule.ONE_ANSWER, t.endedAt, t, t.responseError);
@@ -204,7 +204,7 @@
             } else if (t.ending == ClientRequest.Ending.CLOSED && !t.attempts.isEmpty()) {
                 broken(Rule.ONE_ANSWER, t.endedAt, t, "its connection was closed with no final answer");
             } else if (t.ending == ClientRequest.Ending.OPEN) {
-                broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open when the day was over");
+                broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open at the end of the day");
             }
         }
         if (t.ending == ClientRequest.Ending.ANSWERED) {
@@ -214,33 +214,33 @@
                             Rule.ONE_ANSWER,
                             a.sentAt,
                             t,
-                            "an attempt went out to " + a.node + " after its final answer");
+                            "an attempt was sent to " + a.node + " after its final answer");
                 }
             }
         }
     }
 
-    private void leftAlone(ClientRequest t) {
+    private void checkLeftClient(ClientRequest t) {
         for (Attempt a : t.attempts) {
-            if (t.ending == ClientRequest.Ending.LEFT && a.sentAt > t.endedAt + LEFT_NS + slackNs) {
+            if (t.ending == ClientRequest.Ending.LEFT && a.sentAt > t.endedAt + MAX_LEAVE_DELAY_NS + slackNs) {
                 broken(
                         Rule.LEFT_ALONE,
                         a.sentAt,
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went out to %s %.3f s after its client had left",
+                                "an attempt was sent to %s %.3f s after its client had left",
                                 a.node,
                                 (a.sentAt - t.endedAt) / 1e9));
             }
         }
     }
 
-    /** A proxy that does not know how long a request has waited gives its backend time that nobody has. */
-    private void timeTold(ClientRequest t) {
+    /** A proxy that does not know how long a request has waited gives its backend more time than the client has. */
+    private void checkTimeGiven(ClientRequest t) {
         for (Attempt a : t.attempts) {
-            long left = t.deadline - a.sentAt;
-            if (a.timeoutNs != Long.MAX_VALUE && a.timeoutNs > left + TOLD_NS + slackNs) {
+            long leftNs = t.deadline - a.sentAt;
+            if (a.timeoutNs != Long.MAX_VALUE && a.timeoutNs > leftNs + MAX_EXTRA_TIME_NS + slackNs) {
                 broken(
                         Rule.TIME_TOLD,
                         a.sentAt,
@@ -250,12 +250,12 @@
                                 "the attempt at %s was given %.3f s when its client had %.3f s left",
                                 a.node,
                                 a.timeoutNs / 1e9,
-                                left / 1e9));
+                                leftNs / 1e9));
             }
         }
     }
 
-    private void nothingTwice(ClientRequest t) {
+    private void checkRepeats(ClientRequest t) {
         Effect effect = t.order.requestClass.effect();
         if (effect == Effect.IDEMPOTENT) {
             return;
@@ -271,19 +271,19 @@
                         a.receivedAt,
                         t,
                         "an attempt at " + a.node + ", though the one at " + first.node + " may have run");
-            } else if (first != null && !repeatIsDropped(t, first, a)) {
+            } else if (first != null && !isRepeatDropped(t, first, a)) {
                 broken(
                         Rule.NOTHING_TWICE,
                         a.receivedAt,
                         t,
                         "an attempt at " + a.node
                                 + ", which does not drop a repeat of the one at " + first.node
-                                + ", or not any more, and that may have run");
+                                + " or no longer does, and that one may have run");
             }
             first = first == null && a.mayHaveRun() ? a : first;
         }
-        boolean harmless = effect == Effect.DEDUPLICATED && t.order.requestClass.scope() == Scope.ALL;
-        if (first != null && refused(t) && t.ending == ClientRequest.Ending.ANSWERED && !harmless) {
+        boolean isRetryHarmless = effect == Effect.DEDUPLICATED && t.order.requestClass.scope() == Scope.ALL;
+        if (first != null && isRefused(t) && t.ending == ClientRequest.Ending.ANSWERED && !isRetryHarmless) {
             broken(
                     Rule.NOTHING_TWICE,
                     t.endedAt,
@@ -292,13 +292,14 @@
         }
     }
 
-    private boolean repeatIsDropped(ClientRequest t, Attempt first, Attempt next) {
-        boolean inTime = next.receivedAt - first.receivedAt <= (long) (t.order.requestClass.windowMs() * 1e6) + slackNs;
-        return inTime && (t.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
+    private boolean isRepeatDropped(ClientRequest t, Attempt first, Attempt next) {
+        boolean isWithinWindow =
+                next.receivedAt - first.receivedAt <= (long) (t.order.requestClass.windowMs() * 1e6) + slackNs;
+        return isWithinWindow && (t.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
-    /** What ran more than once: by a proxy's doing it breaks the rule, by a client's own retry it is told. */
-    private void effects(Order o) {
+    /** Repeated effects: a violation for a request without retries; by a client's own retries they are counted. */
+    private void checkEffects(Order o) {
         if (o.effects <= 1 || o.requestClass.effect() == Effect.IDEMPOTENT) {
             return;
         }
@@ -306,37 +307,37 @@
             ClientRequest last = o.requests.get(o.requests.size() - 1);
             broken(Rule.NOTHING_TWICE, last.endedAt, last, "it took effect " + o.effects + " times");
         } else {
-            twice++;
+            duplicateEffects++;
         }
     }
 
-    private void drainsKept(ClientRequest t) {
-        long grace = (long) (script.rules().drainGraceMs() * 1e6);
+    private void checkDrains(ClientRequest t) {
+        long graceNs = (long) (script.rules().drainGraceMs() * 1e6);
         for (Attempt a : t.attempts) {
-            long told = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
-            if (told != 0 && a.sentAt > told + grace + slackNs) {
+            long toldAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
+            if (toldAt != 0 && a.sentAt > toldAt + graceNs + slackNs) {
                 broken(
                         Rule.DRAINS_KEPT,
                         a.sentAt,
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went to %s %.3f s after %s was told that it leaves",
+                                "an attempt was sent to %s %.3f s after %s was told that it leaves",
                                 a.node,
-                                (a.sentAt - told) / 1e9,
+                                (a.sentAt - toldAt) / 1e9,
                                 t.proxy));
             }
-            long due = eventLog.dueLeavingAt(t.proxy, a.node, a.sentAt);
-            if (due != 0 && a.sentAt > due + grace + slackNs) {
+            long dueAt = eventLog.dueLeavingAt(t.proxy, a.node, a.sentAt);
+            if (dueAt != 0 && a.sentAt > dueAt + graceNs + slackNs) {
                 broken(
                         Rule.LISTS_HEARD,
                         a.sentAt,
                         t,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt went to %s %.3f s after %s had to know that it leaves",
+                                "an attempt was sent to %s %.3f s after %s had to know that it leaves",
                                 a.node,
-                                (a.sentAt - due) / 1e9,
+                                (a.sentAt - dueAt) / 1e9,
                                 t.proxy));
             }
         }
--- a/src/main/java/gullspar/rehearse/judge/Verdict.java
+++ b/src/main/java/gullspar/rehearse/judge/Verdict.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What came of a day. Shares are of the worth that was asked for, 0 to 1; the first broken rule stands first.
- * Counts are of tries by how they ended; twice is the number of keyed orders that took effect more than once,
- * by their clients' own retries.
+ * The result of a day. Shares are of the requested worth, 0 to 1; violations are sorted by time.
+ * Counts are of tries by how they ended; duplicateEffects is the number of keyed orders that took effect more
+ * than once, by their clients' own retries.
  */
 public record Verdict(
-        List<Broken> broken,
+        List<RuleViolation> violations,
         double service,
         double worst10s,
         long worstFromNs,
@@ -17,8 +17,8 @@
         String worstClassName,
         Map<String, Integer> counts,
         int orders,
-        int twice) {
-    public boolean kept() {
-        return broken.isEmpty();
+        int duplicateEffects) {
+    public boolean hasNoViolations() {
+        return violations.isEmpty();
     }
 }
--- a/src/main/java/gullspar/rehearse/net/Liar.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -20,73 +20,76 @@
 import java.util.function.Supplier;
 
 /**
- * Makes a member of the fleet a mad one: behind each of its datagrams go others, numbered as its own, that
- * speak of members which never were. A life that has lied once stays renumbered, since its numbers must not
- * go back.
+ * Makes a member faulty: follows each of its datagrams by others, numbered as its own, with rumors about members
+ * that do not exist. A life that has once sent false rumors stays renumbered, since its numbers must not
+ * decrease.
  */
-public final class Liar {
-    /** Numbers between two true datagrams: within the window that a receiver keeps of repeated ones. */
-    private static final int ROOM = 32;
+public final class FalseRumorInjector {
+    /** Sequence numbers reserved per genuine datagram: fewer than the receiver's replay window. */
+    private static final int NUMBERS_PER_DATAGRAM = 32;
 
-    private static final int MOST_RUMOUR_BYTES = 160;
-    private static final int IN_ONE =
-            (Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES - 100) / MOST_RUMOUR_BYTES;
+    private static final int MAX_RUMOR_BYTES = 160;
+    private static final int RUMORS_PER_DATAGRAM =
+            (Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES - 100) / MAX_RUMOR_BYTES;
 
     private final Supplier<Envelope> keys;
     private final SplittableRandom random;
-    private final Set<Long> lied = new HashSet<>();
-    private int forEach;
+    private final Set<Long> renumberedLives = new HashSet<>();
+    private int falseRumorsPerDatagram;
     private int invented;
 
-    /** keys: those that the member has at the moment. */
-    public Liar(Supplier<Envelope> keys, long seed) {
+    /** keys: supplies the member's current keys. */
+    public FalseRumorInjector(Supplier<Envelope> keys, long seed) {
         this.keys = keys;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Speaks of so many with each datagram from now on. */
-    public void lies(int count) {
-        forEach = count;
+    /** Sets the number of false rumors that follow each datagram; 0 sends none. */
+    public void setFalseRumorsPerDatagram(int rumorsPerDatagram) {
+        falseRumorsPerDatagram = rumorsPerDatagram;
     }
 
-    /** What becomes of a datagram of the member. */
-    List<byte[]> of(byte[] datagram) {
+    /** Returns the datagrams to send in place of one from the member. */
+    List<byte[]> rewrite(byte[] datagram) {
         Message m;
         try {
-            if (forEach == 0 && lied.isEmpty() || keys.get().open(datagram) != null) {
+            if (falseRumorsPerDatagram == 0 && renumberedLives.isEmpty()
+                    || keys.get().open(datagram) != null) {
                 return List.of(datagram);
             }
             m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
         } catch (IOException e) {
-            throw new UncheckedIOException("a member has sent what is no message", e);
+            throw new UncheckedIOException("a member sent a datagram that cannot be decoded as a message", e);
         }
         long life = m.header().from().life();
-        if (forEach > 0) {
-            lied.add(life);
+        if (falseRumorsPerDatagram > 0) {
+            renumberedLives.add(life);
         }
-        if (!lied.contains(life)) {
+        if (!renumberedLives.contains(life)) {
             return List.of(datagram);
         }
-        long number = m.header().number() * ROOM;
+        long number = m.header().number() * NUMBERS_PER_DATAGRAM;
         List<byte[]> out = new ArrayList<>();
-        out.add(sealed(TamperedMessages.numbered(m, number)));
-        for (int left = forEach; left > 0 && out.size() < ROOM; left -= IN_ONE) {
+        out.add(seal(TamperedMessages.withNumber(m, number)));
+        for (int left = falseRumorsPerDatagram;
+                left > 0 && out.size() < NUMBERS_PER_DATAGRAM;
+                left -= RUMORS_PER_DATAGRAM) {
             List<Rumor> rumors = new ArrayList<>();
-            for (int i = 0; i < Math.min(left, IN_ONE); i++) {
+            for (int i = 0; i < Math.min(left, RUMORS_PER_DATAGRAM); i++) {
                 rumors.add(invented());
             }
-            out.add(sealed(TamperedMessages.numbered(new Message.News(m.header(), rumors), number + out.size())));
+            out.add(seal(TamperedMessages.withNumber(new Message.News(m.header(), rumors), number + out.size())));
         }
         return out;
     }
 
-    private byte[] sealed(Message m) {
+    private byte[] seal(Message m) {
         return keys.get().seal(Codec.encode(m));
     }
 
     private Rumor invented() {
         Identity id = new Identity("ghost" + ++invented, random.nextLong());
-        // Nobody is there, but on a live day it must be an address of this machine.
+        // No member has this address, but on a live day it must be one of the local machine.
         Statement s = new Statement(
                 id,
                 1,
--- a/src/main/java/gullspar/rehearse/net/MemoryId.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannelId.java
@@ -2,8 +2,8 @@
 
 import io.netty.channel.ChannelId;
 
-/** The library's own ids hold the machine, the process and chance; this one only counts. */
-record MemoryId(int number) implements ChannelId {
+/** A sequential channel id: Netty's own ids contain the host, the process and a random part, so they vary by run. */
+record MemoryChannelId(int number) implements ChannelId {
     private static final long serialVersionUID = 1L;
 
     @Override
@@ -18,7 +18,7 @@
 
     @Override
     public int compareTo(ChannelId o) {
-        return o instanceof MemoryId m
+        return o instanceof MemoryChannelId m
                 ? Integer.compare(number, m.number)
                 : asLongText().compareTo(o.asLongText());
     }
--- a/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryDatagramChannel.java
@@ -14,7 +14,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** A socket for datagrams in memory. */
+/** An in-memory datagram socket. */
 final class MemoryDatagramChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
@@ -25,7 +25,7 @@
     private boolean open = true;
 
     MemoryDatagramChannel(Network network, Host host) {
-        super(null, new MemoryId(network.number()));
+        super(null, new MemoryChannelId(network.nextChannelNumber()));
         this.network = network;
         this.host = host;
     }
@@ -34,10 +34,10 @@
         return host;
     }
 
-    /** A datagram has come to this machine: its process reads it when it runs. */
-    void arrived(InetSocketAddress from, byte[] bytes) {
+    /** Queues an arrived datagram as input of the host's process. */
+    void receive(InetSocketAddress from, byte[] bytes) {
         if (host.loop != null) {
-            host.loop.input(() -> {
+            host.loop.addInput(() -> {
                 if (open) {
                     pipeline().fireChannelRead(new DatagramPacket(Unpooled.wrappedBuffer(bytes), address, from));
                     pipeline().fireChannelReadComplete();
@@ -56,12 +56,12 @@
     protected void doWrite(ChannelOutboundBuffer in) {
         for (Object m = in.current(); m != null; m = in.current()) {
             DatagramPacket p = (DatagramPacket) m;
-            network.datagram(this, address, p.recipient(), ByteBufUtil.getBytes(p.content()));
+            network.sendDatagram(this, address, p.recipient(), ByteBufUtil.getBytes(p.content()));
             in.remove();
         }
     }
 
-    /** Its process has ended, or it is closed. */
+    /** Called when the channel is closed or its process has ended. */
     @Override
     protected void doClose() {
         open = false;
@@ -73,14 +73,14 @@
         return new AbstractUnsafe() {
             @Override
             public void connect(SocketAddress remote, SocketAddress local, ChannelPromise promise) {
-                promise.setFailure(new UnsupportedOperationException("datagrams go to an address each"));
+                promise.setFailure(new UnsupportedOperationException("datagram channels cannot be connected"));
             }
         };
     }
 
     @Override
     protected void doBeginRead() {
-        // what comes is read
+        // datagrams are read as they arrive
     }
 
     @Override
--- a/src/main/java/gullspar/rehearse/report/Seconds.java
+++ b/src/main/java/gullspar/rehearse/report/Seconds.java
@@ -30,7 +30,7 @@
             return o.isInTime() ? Kind.SERVED : Kind.LATE;
         }
         ClientRequest last = o.requests.get(o.requests.size() - 1);
-        return Judge.ended(last).equals("refused") ? Kind.REFUSED : Kind.FAILED;
+        return Judge.endingName(last).equals("refused") ? Kind.REFUSED : Kind.FAILED;
     }
 
     int length() {
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -161,7 +161,7 @@
 
     /** Sends the first request of an order, or a retry. */
     private void sendRequest(Order o, SplittableRandom draw) {
-        double timeoutFactor = script.clients().patience().draw(draw);
+        double timeoutFactor = script.clients().giveUpShare().draw(draw);
         long now = environment.now();
         ClientRequest t = new ClientRequest(
                 o, "r" + ++requests + "-" + o.number, now + (long) (o.requestClass.giveUpMs() * 1e6 * timeoutFactor));
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -100,7 +100,7 @@
         this.speed = speed;
         this.cpu = new CpuModel(kind.cores(), speed, kind.slots(), kind.queue(), now);
         this.connectWorkNs = kind.connectMs().draw(random) * 1e6;
-        this.keyCache = new KeyCache((long) (kind.keyMemoryS().draw(random) * 1e9), kind.keysMost());
+        this.keyCache = new KeyCache((long) (kind.keyMemoryS().draw(random) * 1e9), kind.maxKeys());
         this.cachedKeySavings = kind.keySaves().draw(random);
         this.reportPeriodNs = (long) (kind.reportPeriodMs().draw(random) * 1e6);
         this.reportDelayNs = (long) (kind.reportDelayMs().draw(random) * 1e6);
--- a/src/main/java/gullspar/rehearse/time/Agenda.java
+++ b/src/main/java/gullspar/rehearse/time/Agenda.java
@@ -3,67 +3,67 @@
 import java.util.PriorityQueue;
 
 /**
- * What is still to happen, in virtual time. The order is defined: by time; at one instant by lot, drawn from
- * the seed for each source of events and instant; of one source in the order in which it was entered. So what
- * crosses at one instant (an answer and a time-out, a drain notice and a send) goes now this way and now that
- * with the seed, and for one seed always the same way.
+ * The event queue of a simulation in virtual time. Events are ordered by time; at one instant by a tie-break
+ * derived from the seed, the source and the instant; within one source in insertion order. So the order of
+ * simultaneous events of different sources (a response and a time-out, a drain notice and a send) varies with
+ * the seed and is the same for the same seed.
  */
 public final class Agenda {
-    private record Entry(long at, long lot, long number, Runnable what) {}
+    private record Entry(long timeNs, long tieBreak, long sequence, Runnable action) {}
 
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024, (a, b) -> {
-        int order = Long.compare(a.at, b.at);
-        order = order != 0 ? order : Long.compare(a.lot, b.lot);
-        return order != 0 ? order : Long.compare(a.number, b.number);
+        int order = Long.compare(a.timeNs, b.timeNs);
+        order = order != 0 ? order : Long.compare(a.tieBreak, b.tieBreak);
+        return order != 0 ? order : Long.compare(a.sequence, b.sequence);
     });
     private final long seed;
     private long now;
-    private long numbers;
-    private int sources;
+    private long nextSequence;
+    private int lastSource;
 
-    /** Begins at a time in ns, from any origin. */
+    /** Starts at a time in ns, from any origin. */
     public Agenda(long seed, long start) {
         this.seed = seed;
         this.now = start;
     }
 
-    /** The time of what is happening, in ns. */
+    /** The current virtual time, in ns. */
     public long now() {
         return now;
     }
 
     /**
-     * A number for whoever enters events whose own order must be kept: a timer wheel, one way of a
-     * connection.
+     * Returns a new source id. Events of one source keep their order: those of a timer wheel, or of one direction of
+     * a connection.
      */
-    public int source() {
-        return ++sources;
+    public int newSource() {
+        return ++lastSource;
     }
 
-    /** Enters an event; one that is late happens now. */
-    public void at(long time, int source, Runnable what) {
+    /** Schedules an event; one whose time has passed runs at the current time. */
+    public void schedule(long time, int source, Runnable action) {
         long t = Math.max(time, now);
-        entries.add(new Entry(t, lot(source, t), numbers++, what));
+        entries.add(new Entry(t, tieBreak(source, t), nextSequence++, action));
     }
 
-    /** Is anything entered up to that time? */
-    public boolean due(long until) {
-        return !entries.isEmpty() && entries.peek().at <= until;
+    /** Returns whether an event is scheduled at or before the time. */
+    public boolean hasEventBy(long until) {
+        return !entries.isEmpty() && entries.peek().timeNs <= until;
     }
 
-    /** Lets the next event happen. */
-    public void step() {
+    /** Advances to the next event and runs it. */
+    public void runNext() {
         Entry e = entries.remove();
-        now = e.at;
-        e.what.run();
+        now = e.timeNs;
+        e.action.run();
     }
 
-    /** Goes on to a time up to which nothing is entered. */
-    public void skipTo(long time) {
+    /** Advances to a time before which no event is scheduled. */
+    public void advanceTo(long time) {
         now = Math.max(now, time);
     }
 
-    private long lot(int source, long time) {
+    private long tieBreak(int source, long time) {
         return mix(seed ^ mix(time) + source * 0x9e3779b97f4a7c15L);
     }
 
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -19,12 +19,12 @@
 import java.util.function.Consumer;
 
 /**
- * An event loop on the agenda's clock, one for each process of a rehearsal. A wake-up is one input, or all
- * that have piled up while it was paused, followed by the timers that are due and every task these leave.
+ * An event loop in virtual time, one for each process of a rehearsal. A wake-up runs one input, or all that were
+ * queued while it was paused, then the timers that are due and every task that these submit.
  */
 public final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
     private final Agenda agenda;
-    private final Consumer<Throwable> slips;
+    private final Consumer<Throwable> errorHandler;
     private final int source;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final Queue<Runnable> inputs = new ArrayDeque<>();
@@ -41,118 +41,118 @@
 
         @Override
         public void sleep(long delay, TimeUnit unit) {
-            throw new UnsupportedOperationException("nothing sleeps on a virtual clock");
+            throw new UnsupportedOperationException("cannot sleep on a virtual clock");
         }
     };
     private final Promise<Void> termination = new DefaultPromise<>(this);
     private boolean paused;
-    private long pausedAt;
-    private long resumedAt = Long.MIN_VALUE;
-    private boolean ended;
+    private long pausedAtNs;
+    private long resumedAtNs = Long.MIN_VALUE;
+    private boolean hasEnded;
     private boolean running;
-    /** The earliest wake-up that is entered for timers; MAX_VALUE if none is. */
-    private long armed = Long.MAX_VALUE;
+    /** The earliest wake-up scheduled for timers; MAX_VALUE if there is none. */
+    private long armedForNs = Long.MAX_VALUE;
 
-    /** slips hears of what tasks throw; the loop goes on, as real ones do. */
-    public VirtualLoop(Agenda agenda, Consumer<Throwable> slips) {
+    /** errorHandler: receives what tasks throw; the loop continues, as real event loops do. */
+    public VirtualLoop(Agenda agenda, Consumer<Throwable> errorHandler) {
         this.agenda = agenda;
-        this.slips = slips;
-        this.source = agenda.source();
+        this.errorHandler = errorHandler;
+        this.source = agenda.newSource();
     }
 
-    /** What a socket brings: a wake-up, or one more thing that waits while the process stands still. */
-    public void input(Runnable input) {
-        if (!ended) {
+    /** Adds input from a socket and wakes the loop; it stays queued while the process is paused. */
+    public void addInput(Runnable input) {
+        if (!hasEnded) {
             inputs.add(input);
             wake();
         }
     }
 
-    /** Stops the process as SIGSTOP does, or lets it go on. */
+    /** Pauses the process as SIGSTOP does, or resumes it. */
     public void pause(boolean on) {
         paused = on;
         if (on) {
-            pausedAt = agenda.now();
+            pausedAtNs = agenda.now();
         } else {
-            resumedAt = agenda.now();
-            agenda.at(agenda.now(), source, this::wake);
+            resumedAtNs = agenda.now();
+            agenda.schedule(agenda.now(), source, this::wake);
         }
     }
 
-    /** How long what is read now may have waited, in ns: since the beginning of a pause that has just ended. */
-    public long unreadNs() {
-        return agenda.now() == resumedAt ? resumedAt - pausedAt : 0;
+    /** Maximum time that input read now may have waited: the length of a pause that has just ended, else 0. */
+    public long inputDelayNs() {
+        return agenda.now() == resumedAtNs ? resumedAtNs - pausedAtNs : 0;
     }
 
-    /** Ends the process as SIGKILL does: nothing that it meant to do happens any more. */
+    /** Ends the process as SIGKILL does: pending inputs, tasks and timers are discarded. */
     public void end() {
-        ended = true;
+        hasEnded = true;
         inputs.clear();
         tasks.clear();
         cancelScheduledTasks();
     }
 
-    public boolean ended() {
-        return ended;
+    public boolean hasEnded() {
+        return hasEnded;
     }
 
     private void wake() {
-        if (running || paused || ended) {
-            return; // what came is seen in the wake-up that is under way, or when it goes on
+        if (running || paused || hasEnded) {
+            return; // the input is handled by the current wake-up, or on resumption
         }
         running = true;
-        while (!ended && !paused && (!inputs.isEmpty() || !tasks.isEmpty() || timersDue())) {
-            for (Runnable i = inputs.poll(); i != null && !ended; i = inputs.poll()) {
-                guarded(i);
+        while (!hasEnded && !paused && (!inputs.isEmpty() || !tasks.isEmpty() || hasDueTimers())) {
+            for (Runnable i = inputs.poll(); i != null && !hasEnded; i = inputs.poll()) {
+                runGuarded(i);
             }
-            fetchTimers();
-            // Only those that are there now: sockets are looked at in between, as a real loop does.
-            for (int n = tasks.size(); n > 0 && !ended && !tasks.isEmpty(); n--) {
-                guarded(tasks.remove());
+            moveDueTimers();
+            // Only the tasks queued now: inputs are polled in between, as a real loop does.
+            for (int n = tasks.size(); n > 0 && !hasEnded && !tasks.isEmpty(); n--) {
+                runGuarded(tasks.remove());
             }
         }
         running = false;
-        arm();
+        armTimer();
     }
 
-    private void guarded(Runnable r) {
+    private void runGuarded(Runnable r) {
         try {
             r.run();
         } catch (RuntimeException | Error e) {
-            slips.accept(e);
+            errorHandler.accept(e);
         }
     }
 
-    /** The library keeps to itself, in a future, what a timer's task throws. */
-    private Runnable heard(Runnable command) {
+    /** Reports what a timer's task throws, which Netty would keep only in the future. */
+    private Runnable reportingErrors(Runnable command) {
         return () -> {
             try {
                 command.run();
             } catch (RuntimeException | Error e) {
-                slips.accept(e);
+                errorHandler.accept(e);
                 throw e;
             }
         };
     }
 
-    private boolean timersDue() {
+    private boolean hasDueTimers() {
         long next = nextScheduledTaskDeadlineNanos();
         return next >= 0 && next <= agenda.now();
     }
 
-    private void fetchTimers() {
+    private void moveDueTimers() {
         for (Runnable r = pollScheduledTask(agenda.now()); r != null; r = pollScheduledTask(agenda.now())) {
             tasks.add(r);
         }
     }
 
-    private void arm() {
+    private void armTimer() {
         long next = nextScheduledTaskDeadlineNanos();
-        if (!ended && next >= 0 && next < armed) {
-            armed = next;
-            agenda.at(next, source, () -> {
-                if (armed == next) {
-                    armed = Long.MAX_VALUE;
+        if (!hasEnded && next >= 0 && next < armedForNs) {
+            armedForNs = next;
+            agenda.schedule(next, source, () -> {
+                if (armedForNs == next) {
+                    armedForNs = Long.MAX_VALUE;
                 }
                 wake();
             });
@@ -161,19 +161,19 @@
 
     @Override
     public void execute(Runnable task) {
-        if (ended) {
+        if (hasEnded) {
             return;
         }
         tasks.add(task);
         if (!running) {
-            agenda.at(agenda.now(), source, this::wake);
+            agenda.schedule(agenda.now(), source, this::wake);
         }
     }
 
     @Override
     public ScheduledFuture<?> schedule(Runnable command, long delay, TimeUnit unit) {
-        ScheduledFuture<?> f = super.schedule(heard(command), delay, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.schedule(reportingErrors(command), delay, unit);
+        armTimerIfIdle();
         return f;
     }
 
@@ -184,33 +184,33 @@
                     try {
                         return command.call();
                     } catch (Exception | Error e) {
-                        slips.accept(e);
+                        errorHandler.accept(e);
                         throw e;
                     }
                 },
                 delay,
                 unit);
-        armIfIdle();
+        armTimerIfIdle();
         return f;
     }
 
     @Override
     public ScheduledFuture<?> scheduleAtFixedRate(Runnable command, long first, long period, TimeUnit unit) {
-        ScheduledFuture<?> f = super.scheduleAtFixedRate(heard(command), first, period, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.scheduleAtFixedRate(reportingErrors(command), first, period, unit);
+        armTimerIfIdle();
         return f;
     }
 
     @Override
     public ScheduledFuture<?> scheduleWithFixedDelay(Runnable command, long first, long delay, TimeUnit unit) {
-        ScheduledFuture<?> f = super.scheduleWithFixedDelay(heard(command), first, delay, unit);
-        armIfIdle();
+        ScheduledFuture<?> f = super.scheduleWithFixedDelay(reportingErrors(command), first, delay, unit);
+        armTimerIfIdle();
         return f;
     }
 
-    private void armIfIdle() {
+    private void armTimerIfIdle() {
         if (!running) {
-            arm();
+            armTimer();
         }
     }
 
@@ -247,7 +247,7 @@
         return promise;
     }
 
-    /** There is one thread, and it is in whatever loop runs. */
+    /** Always true: one thread runs all loops. */
     @Override
     public boolean inEventLoop() {
         return true;
@@ -260,7 +260,7 @@
 
     @Override
     public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
-        throw new UnsupportedOperationException("a virtual loop is ended, not shut down");
+        throw new UnsupportedOperationException("a virtual loop has no graceful shutdown; use end()");
     }
 
     @Override
@@ -276,21 +276,21 @@
 
     @Override
     public boolean isShuttingDown() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean isShutdown() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean isTerminated() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
     public boolean awaitTermination(long timeout, TimeUnit unit) {
-        return ended;
+        return hasEnded;
     }
 }
--- a/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Scripts are read strictly, and all that is wrong comes at once. */
+/** Scripts are read strictly, and all problems are reported together. */
 class ScriptReaderTest {
     private static String errors(String text) {
         return assertThrows(ProblemsException.class, () -> ScriptReader.parse(text, "day.toml"))
@@ -32,14 +32,14 @@
 
     @ParameterizedTest
     @MethodSource("examples")
-    void whatIsShippedCanBeRead(Path example) throws Exception {
-        assertTrue(ScriptReader.read(example).fleet() > 0);
+    void readsEveryShippedExample(Path example) throws Exception {
+        assertTrue(ScriptReader.read(example).nodeCount() > 0);
     }
 
     @ParameterizedTest
     @EnumSource(FaultKind.class)
-    void everyFaultIsReadWithItsUsualFigures(FaultKind kind) {
-        String struck =
+    void readsEveryFaultKindWithDefaultParameters(FaultKind kind) {
+        String targets =
                 switch (kind.target()) {
                     case CLASS -> "class = \"look\"\n";
                     case LINK -> "from = \"p1\"\nto = \"nodes\"\n";
@@ -48,12 +48,12 @@
                 };
         Fault f = Days.small(
                         5,
-                        (kind.betweenProxies() ? "[peers]\n" : "")
-                                + Days.fault(kind.named(), 1, struck + (kind.momentary() ? "" : "for = 2\n")))
+                        (kind.needsPeers() ? "[peers]\n" : "")
+                                + Days.fault(kind.scriptName(), 1, targets + (kind.isMomentary() ? "" : "for = 2\n")))
                 .faults()
                 .get(0);
         assertEquals(kind, f.kind());
-        kind.figures().forEach(g -> assertEquals(g.usual(), f.figure(g.name())));
+        kind.parameters().forEach(g -> assertEquals(g.defaultValue(), f.parameter(g.name())));
     }
 
     @ParameterizedTest
@@ -66,7 +66,7 @@
         kind = "crush"                                  | kind is 'crush', not one of neighbour, rush
         kind = "crash"|nodes = 1.5                      | nodes must be a whole number, not 1.5
         kind = "crash"|nodes = ["n99"]                  | nodes names 'n99', and there is only n1 to n8
-        kind = "crash"|nodes = []                       | nodes names nobody
+        kind = "crash"|nodes = []                       | nodes is empty; it must name at least one
         kind = "twin"|for = 1                           | and there is no [peers]
         kind = "crash"|nodes = ["n1", "n1"]             | nodes holds 'n1' twice
         kind = "crash"|nodes = 9                        | nodes is 9, not 1 to 8
@@ -81,8 +81,8 @@
         kind = "spoil"|for = 1|share = 7                | share is 7, not 0.001 to 1
         kind = "spoil"|for = 1|share = "much"           | share must be a number, not a string
         """)
-    void faultsThatCannotBe(String row) {
-        // one row: lines of a fault parted by |, the message last
+    void rejectsInvalidFaults(String row) {
+        // A row holds the lines of a fault and the expected message, separated by |.
         int cut = row.lastIndexOf('|');
         String lines = (row.contains("at = ") ? "" : "at = 1\n")
                 + row.substring(0, cut).replace('|', '\n');
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void allComesAtOnceEachWithItsPlace() {
+    void reportsAllProblemsWithTheirPositions() {
         assertEquals(
                 List.of(
                         "day.toml:1:1: seconds must be a number, not a string",
@@ -101,7 +101,7 @@
                         "day.toml:6:1: class: effect is missing",
                         "day.toml:6:1: class: share is missing",
                         "day.toml:7:3: name must be 1 to 40 of a to z, 0 to 9 and -",
-                        "day.toml:8:1: give_up_ms is under promise_ms"),
+                        "day.toml:8:1: give_up_ms is below promise_ms"),
                 errors("seconds = \"5\"\nsecnods = 5\n[proxies]\ncount = 0\n\n[[class]]\n  name = \"A b\"\n"
                                 + "give_up_ms = 1\npromise_ms = 2\nwork_ms = [1, 2]\n[clients]\nrate = 1\n")
                         .lines()
@@ -109,19 +109,19 @@
     }
 
     @Test
-    void whatIsNoTomlIsSaidWithItsPlace() {
+    void reportsTomlErrorsWithTheirPositions() {
         String errors = errors("seconds = \n[clients\n");
         assertTrue(errors.startsWith("day.toml:1:11: "), errors);
     }
 
     @Test
-    void rangesRunUpwards() {
+    void rejectsDescendingRanges() {
         assertTrue(errors(Days.text(5, "").replace("speed = [1.7, 2.3]", "speed = [2.3, 1.7]"))
                 .endsWith("speed runs from the larger to the smaller"));
     }
 
     @Test
-    void aDeduplicatedClassNeedsItsWindow() {
+    void deduplicatedClassRequiresWindow() {
         assertTrue(errors(Days.text(5, "").replace("window_ms = 1200\n", "")).contains("needs window_ms"));
     }
 }
