--- a/src/main/java/gullspar/cli/ImportCommand.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -137,7 +137,7 @@
             for (Entry e : entries) {
                 counts[e.verdict().ordinal()]++;
                 if (!e.why().isEmpty()) {
-                    System.err.println(e.directive().place() + ": " + verdictText(e.verdict()) + ": "
+                    System.err.println(e.directive().position() + ": " + verdictText(e.verdict()) + ": "
                             + e.directive().name().text() + ": " + e.why());
                 }
             }
@@ -152,9 +152,9 @@
                 g.writeStartArray();
                 for (Entry e : entries) {
                     g.writeStartObject();
-                    g.writeStringField("file", e.directive().place().file().toString());
-                    g.writeNumberField("line", e.directive().place().line());
-                    g.writeNumberField("column", e.directive().place().column());
+                    g.writeStringField("file", e.directive().position().file().toString());
+                    g.writeNumberField("line", e.directive().position().line());
+                    g.writeNumberField("column", e.directive().position().column());
                     g.writeStringField("directive", e.directive().name().text());
                     g.writeStringField("verdict", verdictText(e.verdict()));
                     g.writeStringField("why", e.why());
--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -98,7 +98,7 @@
         try {
             played = live ? LivePlay.play(s, terminal) : playVirtual(s, terminal);
             if (report != null) {
-                Files.writeString(report, HtmlReport.of(played));
+                Files.writeString(report, HtmlReport.render(played));
             }
         } catch (IOException e) {
             System.err.println("the script cannot be played: " + e.getMessage());
@@ -108,7 +108,7 @@
         }
         played.notes().forEach(note -> System.err.println("note: " + note));
         if (json) {
-            System.out.println(JsonReport.of(played));
+            System.out.println(JsonReport.render(played));
         } else {
             if (terminal.isInteractive()) {
                 summaryLines(played).forEach(System.out::println);
@@ -189,10 +189,10 @@
         @Override
         public Integer call() {
             try {
-                List<String> lines = LogDiff.of(a, b);
+                List<String> lines = LogDiff.compare(a, b);
                 lines.forEach(System.out::println);
                 return lines.isEmpty() ? 0 : EXIT_FAILED;
-            } catch (LogDiff.NoLogException e) {
+            } catch (LogDiff.MalformedLogException e) {
                 System.err.println(e.getMessage());
             } catch (NoSuchFileException e) {
                 System.err.println(e.getMessage() + ": there is no such file");
--- a/src/main/java/gullspar/cli/SearchCommand.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -68,14 +68,14 @@
         Search search =
                 new Search(s, seeds, out, VirtualPlay.Options.logged(null, Progress.NONE), new Search.Listener() {
                     @Override
-                    public void at(int done, int found, int of) {
+                    public void onProgress(int done, int found, int of) {
                         terminal.status(done + " of " + of + " days played, " + found + " found");
                     }
 
                     @Override
-                    public void found(Finding f, Path file) {
+                    public void onFinding(Finding f, Path file) {
                         terminal.clear();
-                        System.out.println(file + ": " + f.what());
+                        System.out.println(file + ": " + f.description());
                     }
                 });
         Runtime.getRuntime().addShutdownHook(new Thread(search::stop));
--- a/src/main/java/gullspar/importer/Locations.java
+++ b/src/main/java/gullspar/importer/Locations.java
@@ -88,7 +88,7 @@
         String without = path.substring(0, path.length() - 1);
         if (plain.add(without)) {
             Route r = new Route();
-            r.comment = d.place() + " (as for every prefix with a slash at its end)";
+            r.comment = d.position() + " (as for every prefix with a slash at its end)";
             r.match = "exact";
             r.path = without;
             r.name = "to " + path;
@@ -103,7 +103,7 @@
         String first = a.isEmpty() ? "" : a.get(0).text();
         String path = first;
         place.match = "prefix";
-        place.comment = d.place().toString();
+        place.comment = d.position().toString();
         if (a.size() == 2) {
             path = a.get(1).text();
             place.match = switch (first) {
--- a/src/main/java/gullspar/importer/Servers.java
+++ b/src/main/java/gullspar/importer/Servers.java
@@ -33,7 +33,7 @@
 
     void declare(Directive server, Scope http) {
         Scope scope = new Scope(http, server.block());
-        Draft.Host host = new Draft.Host(server.place().toString());
+        Draft.Host host = new Draft.Host(server.position().toString());
         report.translated(server);
         listen(server, scope, host);
         if (host.listeners.isEmpty()) {
@@ -73,7 +73,7 @@
     private void listen(Directive server, Scope scope, Draft.Host host) {
         List<Directive> all = scope.own("listen");
         if (all.isEmpty()) {
-            at("0.0.0.0:80", host, false, server.place().toString());
+            at("0.0.0.0:80", host, false, server.position().toString());
         }
         for (Directive d : all) {
             try {
@@ -105,7 +105,7 @@
             }
         }
         String address = address(d.argument(0).orElse(""));
-        boolean fresh = at(address, host, isDefault, d.place().toString());
+        boolean fresh = at(address, host, isDefault, d.position().toString());
         if (!fresh) {
             report.put(d, Report.Verdict.NO_EFFECT, "0.0.0.0 hears IPv6 as well");
         } else {
@@ -200,7 +200,7 @@
                 report.all(d, Report.Verdict.NO_EFFECT, "the return of its server answers first");
             } else if (d.is("return") || d.is("rewrite")) {
                 Route r = new Route();
-                r.comment = d.place().toString();
+                r.comment = d.position().toString();
                 r.name = d.name().text() + " " + d.argument(0).orElse("");
                 try {
                     if (d.is("return")) {
--- a/src/main/java/gullspar/importer/Upstreams.java
+++ b/src/main/java/gullspar/importer/Upstreams.java
@@ -24,7 +24,7 @@
 
     void declare(Directive upstream) {
         String name = upstream.argument(0).orElse("");
-        Draft.Pool pool = new Draft.Pool(upstream.place().toString());
+        Draft.Pool pool = new Draft.Pool(upstream.position().toString());
         draft.pools.put(name, pool);
         names.put(name.toLowerCase(Locale.ROOT), name);
         report.translated(upstream);
@@ -99,7 +99,7 @@
             throw new Untranslatable("a weight of 0");
         }
         return new Draft.Server(
-                d.place().toString(), address, weight, backup, down, maxFailures, failS, slowS, connections);
+                d.position().toString(), address, weight, backup, down, maxFailures, failS, slowS, connections);
     }
 
     /** An IP address and a port; a name must be known. */
@@ -131,7 +131,7 @@
         }
         String address = address(authority, 80);
         if (!draft.pools.containsKey(authority)) {
-            Draft.Pool pool = new Draft.Pool(from.place().toString());
+            Draft.Pool pool = new Draft.Pool(from.position().toString());
             pool.servers.add(new Draft.Server(null, address, 1, false, false, 1, 10, 0, 0));
             draft.pools.put(authority, pool);
         }
--- a/src/main/java/gullspar/nginx/Directive.java
+++ b/src/main/java/gullspar/nginx/Directive.java
@@ -13,18 +13,18 @@
         block = block == null ? null : List.copyOf(block);
     }
 
-    public SourceLocation place() {
-        return name.place();
+    public SourceLocation position() {
+        return name.position();
     }
 
     /** Is that its name? */
-    public boolean is(String n) {
-        return name.text().equals(n);
+    public boolean is(String expected) {
+        return name.text().equals(expected);
     }
 
     /** The text of an argument; empty if there are not so many. */
-    public Optional<String> argument(int i) {
-        return i < arguments.size() ? Optional.of(arguments.get(i).text()) : Optional.empty();
+    public Optional<String> argument(int index) {
+        return index < arguments.size() ? Optional.of(arguments.get(index).text()) : Optional.empty();
     }
 
     /** How many directives there are in all, this one and those of its block included. */
--- a/src/main/java/gullspar/nginx/Lexer.java
+++ b/src/main/java/gullspar/nginx/Lexer.java
@@ -11,7 +11,7 @@
  */
 final class Lexer {
     /** What a token is. */
-    enum Type {
+    enum TokenType {
         WORD,
         OPEN,
         CLOSE,
@@ -20,14 +20,14 @@
     }
 
     /** A token; the word is null for all others. */
-    record Token(Type type, Word word, SourceLocation place) {}
+    record Token(TokenType type, Word word, SourceLocation position) {}
 
     private final String text;
     private final Path file;
     private final List<Problem> problems;
-    private int at;
+    private int offset;
     private int line = 1;
-    private int lineFrom;
+    private int lineStart;
 
     Lexer(String text, Path file, List<Problem> problems) {
         this.text = text;
@@ -35,111 +35,112 @@
         this.problems = problems;
     }
 
-    private SourceLocation here() {
-        return new SourceLocation(file, line, at - lineFrom + 1);
+    private SourceLocation position() {
+        return new SourceLocation(file, line, offset - lineStart + 1);
     }
 
-    void problem(SourceLocation place, String what) {
-        problems.add(new Problem(place, what, lineOf(place.line())));
+    void addProblem(SourceLocation position, String message) {
+        problems.add(new Problem(position, message, lineText(position.line())));
     }
 
-    private String lineOf(int number) {
-        int from = 0;
-        for (int n = 1; n < number; n++) {
-            from = text.indexOf('\n', from) + 1;
+    private String lineText(int lineNumber) {
+        int start = 0;
+        for (int n = 1; n < lineNumber; n++) {
+            start = text.indexOf('\n', start) + 1;
         }
-        int to = text.indexOf('\n', from);
-        String l = text.substring(from, to < 0 ? text.length() : to);
-        return l.endsWith("\r") ? l.substring(0, l.length() - 1) : l;
+        int end = text.indexOf('\n', start);
+        String result = text.substring(start, end < 0 ? text.length() : end);
+        return result.endsWith("\r") ? result.substring(0, result.length() - 1) : result;
     }
 
-    private char next() {
-        char c = text.charAt(at++);
+    private char nextChar() {
+        char c = text.charAt(offset++);
         if (c == '\n') {
             line++;
-            lineFrom = at;
+            lineStart = offset;
         }
         return c;
     }
 
-    private static boolean space(char c) {
+    private static boolean isSpace(char c) {
         return c == ' ' || c == '\t' || c == '\r' || c == '\n';
     }
 
-    private void skipSpace() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
+    private void skipSpaceAndComments() {
+        while (offset < text.length()) {
+            char c = text.charAt(offset);
             if (c == '#') {
-                while (at < text.length() && text.charAt(at) != '\n') {
-                    at++;
+                while (offset < text.length() && text.charAt(offset) != '\n') {
+                    offset++;
                 }
-            } else if (space(c)) {
-                next();
+            } else if (isSpace(c)) {
+                nextChar();
             } else {
                 return;
             }
         }
     }
 
-    Token token() {
-        skipSpace();
-        SourceLocation place = here();
-        if (at >= text.length()) {
-            return new Token(Type.EOF, null, place);
+    Token nextToken() {
+        skipSpaceAndComments();
+        SourceLocation position = position();
+        if (offset >= text.length()) {
+            return new Token(TokenType.EOF, null, position);
         }
-        char c = text.charAt(at);
+        char c = text.charAt(offset);
         if (c == '{' || c == '}' || c == ';') {
-            next();
-            return new Token(c == '{' ? Type.OPEN : c == '}' ? Type.CLOSE : Type.END, null, place);
+            nextChar();
+            return new Token(c == '{' ? TokenType.OPEN : c == '}' ? TokenType.CLOSE : TokenType.END, null, position);
         }
-        return new Token(Type.WORD, c == '"' || c == '\'' ? quoted(place) : plain(place), place);
+        return new Token(
+                TokenType.WORD, c == '"' || c == '\'' ? readQuoted(position) : readUnquoted(position), position);
     }
 
-    private Word quoted(SourceLocation place) {
-        char quote = next();
+    private Word readQuoted(SourceLocation position) {
+        char quote = nextChar();
         StringBuilder word = new StringBuilder();
-        while (at < text.length()) {
-            char c = next();
+        while (offset < text.length()) {
+            char c = nextChar();
             if (c == quote) {
-                char after = at < text.length() ? text.charAt(at) : ' ';
-                if (!space(after) && after != ';' && after != '{' && after != ')') {
-                    problem(here(), "unexpected '" + after + "' behind a closing quote");
+                char following = offset < text.length() ? text.charAt(offset) : ' ';
+                if (!isSpace(following) && following != ';' && following != '{' && following != ')') {
+                    addProblem(position(), "unexpected '" + following + "' behind a closing quote");
                 }
-                return new Word(word.toString(), true, place);
+                return new Word(word.toString(), true, position);
             }
-            if (c == '\\' && at < text.length()) {
-                escape(word);
+            if (c == '\\' && offset < text.length()) {
+                readEscape(word);
             } else {
                 word.append(c);
             }
         }
-        problem(place, "a quote that is never closed");
-        return new Word(word.toString(), true, place);
+        addProblem(position, "a quote that is never closed");
+        return new Word(word.toString(), true, position);
     }
 
-    private Word plain(SourceLocation place) {
+    private Word readUnquoted(SourceLocation position) {
         StringBuilder word = new StringBuilder();
-        boolean dollar = false;
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (space(c) || c == ';' || c == '{' && !dollar) {
+        boolean afterDollar = false;
+        while (offset < text.length()) {
+            char c = text.charAt(offset);
+            if (isSpace(c) || c == ';' || c == '{' && !afterDollar) {
                 break;
             }
-            next();
-            if (c == '\\' && at < text.length()) {
-                escape(word);
-                dollar = false;
+            nextChar();
+            if (c == '\\' && offset < text.length()) {
+                readEscape(word);
+                afterDollar = false;
             } else {
                 word.append(c);
-                dollar = c == '$';
+                afterDollar = c == '$';
             }
         }
-        return new Word(word.toString(), false, place);
+        return new Word(word.toString(), false, position);
     }
 
     /** Behind a backslash. */
-    private void escape(StringBuilder word) {
-        char c = next();
+    private void readEscape(StringBuilder word) {
+        char c = nextChar();
         switch (c) {
             case '"', '\'', '\\' -> word.append(c);
             case 't' -> word.append('\t');
@@ -153,38 +154,38 @@
      * The rest of a block that is a script, up to its closing brace; braces in it are counted, but for those
      * in quotes, in long brackets and behind --, as Lua has them.
      */
-    String raw(SourceLocation opened) {
-        int from = at;
+    String readScriptBlock(SourceLocation openingBrace) {
+        int start = offset;
         int depth = 1;
-        while (at < text.length()) {
-            char c = next();
+        while (offset < text.length()) {
+            char c = nextChar();
             if (c == '{') {
                 depth++;
             } else if (c == '}' && --depth == 0) {
-                return text.substring(from, at - 1);
+                return text.substring(start, offset - 1);
             } else if (c == '"' || c == '\'') {
                 skipString(c);
-            } else if (c == '-' && text.startsWith("-", at)) {
-                next();
-                if (!skipLong()) {
+            } else if (c == '-' && text.startsWith("-", offset)) {
+                nextChar();
+                if (!skipLongBracket()) {
                     skipLine();
                 }
             } else if (c == '[') {
-                at--;
-                if (!skipLong()) {
-                    next();
+                offset--;
+                if (!skipLongBracket()) {
+                    nextChar();
                 }
             }
         }
-        problem(opened, "a block that is never closed");
-        return text.substring(from);
+        addProblem(openingBrace, "a block that is never closed");
+        return text.substring(start);
     }
 
     private void skipString(char quote) {
-        while (at < text.length()) {
-            char c = next();
-            if (c == '\\' && at < text.length()) {
-                next();
+        while (offset < text.length()) {
+            char c = nextChar();
+            if (c == '\\' && offset < text.length()) {
+                nextChar();
             } else if (c == quote || c == '\n') {
                 return;
             }
@@ -192,14 +193,14 @@
     }
 
     private void skipLine() {
-        while (at < text.length() && text.charAt(at) != '\n') {
-            next();
+        while (offset < text.length() && text.charAt(offset) != '\n') {
+            nextChar();
         }
     }
 
     /** A long bracket of Lua, [[ ]] or [=[ ]=]; false if none begins here. */
-    private boolean skipLong() {
-        int i = at;
+    private boolean skipLongBracket() {
+        int i = offset;
         if (i >= text.length() || text.charAt(i) != '[') {
             return false;
         }
@@ -210,11 +211,11 @@
         if (i >= text.length() || text.charAt(i) != '[') {
             return false;
         }
-        String end = "]" + "=".repeat(i - at - 1) + "]";
-        int to = text.indexOf(end, i + 1);
-        int until = to < 0 ? text.length() : to + end.length();
-        while (at < until) {
-            next();
+        String closingBracket = "]" + "=".repeat(i - offset - 1) + "]";
+        int closingStart = text.indexOf(closingBracket, i + 1);
+        int end = closingStart < 0 ? text.length() : closingStart + closingBracket.length();
+        while (offset < end) {
+            nextChar();
         }
         return true;
     }
--- a/src/main/java/gullspar/nginx/Loader.java
+++ b/src/main/java/gullspar/nginx/Loader.java
@@ -20,95 +20,97 @@
  * with what it brought in right behind it.
  */
 public final class Loader {
-    private static final long LARGEST_BYTES = 16L << 20;
-    private static final int MOST_FILES = 10_000;
+    private static final long MAX_FILE_BYTES = 16L << 20;
+    private static final int MAX_FILES = 10_000;
 
-    private final Path folder;
+    private final Path mainFolder;
     /** The folder as it was given: places name files in the way in which the first one was named. */
-    private final Path given;
+    private final Path mainFolderAsGiven;
 
     private final List<Problem> problems;
-    private final Deque<Path> open = new ArrayDeque<>();
-    private int files;
+    private final Deque<Path> openFiles = new ArrayDeque<>();
+    private int fileCount;
 
     private Loader(Path file, List<Problem> problems) {
-        this.folder = file.toAbsolutePath().getParent();
-        this.given = file.getParent() == null ? Path.of("") : file.getParent();
+        this.mainFolder = file.toAbsolutePath().getParent();
+        this.mainFolderAsGiven = file.getParent() == null ? Path.of("") : file.getParent();
         this.problems = problems;
     }
 
     /** The directives of a file and of all it includes; problems are added to the list. */
     public static List<Directive> load(Path file, List<Problem> problems) {
-        return new Loader(file, problems).read(file, new SourceLocation(file, 1, 1), "");
+        return new Loader(file, problems).loadFile(file, new SourceLocation(file, 1, 1), "");
     }
 
-    private List<Directive> read(Path file, SourceLocation from, String line) {
-        Path real = file.toAbsolutePath().normalize();
-        if (open.contains(real)) {
-            problems.add(new Problem(from, "a file that includes itself: " + file, line));
+    private List<Directive> loadFile(Path file, SourceLocation includedAt, String lineText) {
+        Path absolute = file.toAbsolutePath().normalize();
+        if (openFiles.contains(absolute)) {
+            problems.add(new Problem(includedAt, "a file that includes itself: " + file, lineText));
             return List.of();
         }
-        if (++files > MOST_FILES) {
-            problems.add(new Problem(from, "more than " + MOST_FILES + " files are included", line));
+        if (++fileCount > MAX_FILES) {
+            problems.add(new Problem(includedAt, "more than " + MAX_FILES + " files are included", lineText));
             return List.of();
         }
         String text;
         try {
-            if (Files.size(real) > LARGEST_BYTES) {
-                problems.add(new Problem(from, "larger than " + (LARGEST_BYTES >> 20) + " MiB: " + file, line));
+            if (Files.size(absolute) > MAX_FILE_BYTES) {
+                problems.add(
+                        new Problem(includedAt, "larger than " + (MAX_FILE_BYTES >> 20) + " MiB: " + file, lineText));
                 return List.of();
             }
-            text = Files.readString(real);
+            text = Files.readString(absolute);
         } catch (NoSuchFileException e) {
-            problems.add(new Problem(from, "there is no such file: " + file, line));
+            problems.add(new Problem(includedAt, "there is no such file: " + file, lineText));
             return List.of();
         } catch (CharacterCodingException e) {
-            problems.add(new Problem(from, "not UTF-8: " + file, line));
+            problems.add(new Problem(includedAt, "not UTF-8: " + file, lineText));
             return List.of();
         } catch (IOException e) {
-            problems.add(new Problem(from, "cannot be read: " + file + " (" + e.getMessage() + ")", line));
+            problems.add(new Problem(includedAt, "cannot be read: " + file + " (" + e.getMessage() + ")", lineText));
             return List.of();
         }
-        open.push(real);
-        List<Directive> whole = including(Parser.parse(text, file, problems), text);
-        open.pop();
-        return whole;
+        openFiles.push(absolute);
+        List<Directive> expanded = expandIncludes(Parser.parse(text, file, problems), text);
+        openFiles.pop();
+        return expanded;
     }
 
-    private List<Directive> including(List<Directive> directives, String text) {
-        List<Directive> whole = new ArrayList<>();
+    private List<Directive> expandIncludes(List<Directive> directives, String text) {
+        List<Directive> expanded = new ArrayList<>();
         for (Directive d : directives) {
             if (d.block() != null) {
-                whole.add(new Directive(d.name(), d.arguments(), including(d.block(), text), null));
+                expanded.add(new Directive(d.name(), d.arguments(), expandIncludes(d.block(), text), null));
                 continue;
             }
-            whole.add(d);
+            expanded.add(d);
             if (d.is("include")) {
-                String line =
-                        text.lines().skip(d.place().line() - 1L).findFirst().orElse("");
+                String lineText =
+                        text.lines().skip(d.position().line() - 1L).findFirst().orElse("");
                 if (d.arguments().size() != 1) {
-                    problems.add(new Problem(d.place(), "include takes one name", line));
+                    problems.add(new Problem(d.position(), "include takes one name", lineText));
                 } else {
-                    named(d.arguments().get(0), line).forEach(f -> whole.addAll(read(asGiven(f), d.place(), line)));
+                    resolveInclude(d.arguments().get(0), lineText)
+                            .forEach(f -> expanded.addAll(loadFile(relativeToGivenFolder(f), d.position(), lineText)));
                 }
             }
         }
-        return whole;
+        return expanded;
     }
 
-    private Path asGiven(Path f) {
-        return f.startsWith(folder) ? given.resolve(folder.relativize(f)) : f;
+    private Path relativeToGivenFolder(Path file) {
+        return file.startsWith(mainFolder) ? mainFolderAsGiven.resolve(mainFolder.relativize(file)) : file;
     }
 
-    private List<Path> named(Word name, String line) {
-        Path path = folder.resolve(name.text());
+    private List<Path> resolveInclude(Word name, String lineText) {
+        Path path = mainFolder.resolve(name.text());
         if (!name.text().matches(".*[*?\\[].*")) {
             return List.of(path);
         }
         List<Path> found = new ArrayList<>(List.of(path.getRoot()));
         for (Path part : path) {
             found = part.toString().matches(".*[*?\\[].*")
-                    ? fitting(found, part.toString(), name, line)
+                    ? matchGlob(found, part.toString(), name, lineText)
                     : found.stream()
                             .map(p -> p.resolve(part))
                             .filter(Files::exists)
@@ -117,21 +119,22 @@
         return found.stream().filter(Files::isRegularFile).toList();
     }
 
-    private List<Path> fitting(List<Path> folders, String glob, Word name, String line) {
+    private List<Path> matchGlob(List<Path> folders, String glob, Word name, String lineText) {
         List<Path> found = new ArrayList<>();
-        for (Path f : folders) {
-            if (!Files.isDirectory(f)) {
+        for (Path folder : folders) {
+            if (!Files.isDirectory(folder)) {
                 continue;
             }
-            try (DirectoryStream<Path> stream = Files.newDirectoryStream(f, glob)) {
-                List<Path> here = new ArrayList<>();
-                stream.forEach(here::add);
+            try (DirectoryStream<Path> stream = Files.newDirectoryStream(folder, glob)) {
+                List<Path> matches = new ArrayList<>();
+                stream.forEach(matches::add);
                 // A star does not stand for a dot at the beginning.
-                here.removeIf(p -> p.getFileName().toString().startsWith(".") && !glob.startsWith("."));
-                here.sort(null);
-                found.addAll(here);
+                matches.removeIf(p -> p.getFileName().toString().startsWith(".") && !glob.startsWith("."));
+                matches.sort(null);
+                found.addAll(matches);
             } catch (IOException | UncheckedIOException | PatternSyntaxException e) {
-                problems.add(new Problem(name.place(), "cannot be listed: " + f + " (" + e.getMessage() + ")", line));
+                problems.add(new Problem(
+                        name.position(), "cannot be listed: " + folder + " (" + e.getMessage() + ")", lineText));
             }
         }
         return found;
--- a/src/main/java/gullspar/nginx/Parser.java
+++ b/src/main/java/gullspar/nginx/Parser.java
@@ -1,7 +1,7 @@
 package gullspar.nginx;
 
 import gullspar.nginx.Lexer.Token;
-import gullspar.nginx.Lexer.Type;
+import gullspar.nginx.Lexer.TokenType;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,9 +12,9 @@
  */
 public final class Parser {
     /** Blocks deeper than that are a slip, or an attack. */
-    private static final int DEEPEST = 100;
+    private static final int MAX_DEPTH = 100;
 
-    private static final String SCRIPT = "_by_lua_block";
+    private static final String SCRIPT_BLOCK_SUFFIX = "_by_lua_block";
 
     private final Lexer lexer;
 
@@ -24,42 +24,42 @@
 
     /** The directives of a text; problems are added to the list. */
     public static List<Directive> parse(String text, Path file, List<Problem> problems) {
-        Parser p = new Parser(text.startsWith("\ufeff") ? text.substring(1) : text, file, problems);
-        List<Directive> all = new ArrayList<>();
+        Parser parser = new Parser(text.startsWith("\ufeff") ? text.substring(1) : text, file, problems);
+        List<Directive> directives = new ArrayList<>();
         // A brace too many ends a block that is none: what follows is read as well.
-        while (p.block(all, 0, null) == Type.CLOSE) {
+        while (parser.parseBlock(directives, 0, null) == TokenType.CLOSE) {
             continue;
         }
-        return all;
+        return directives;
     }
 
     /** Up to the end of a block, or of the file; says which it was. */
-    private Type block(List<Directive> into, int depth, SourceLocation opened) {
+    private TokenType parseBlock(List<Directive> target, int depth, SourceLocation openingBrace) {
         while (true) {
-            Token t = lexer.token();
+            Token t = lexer.nextToken();
             switch (t.type()) {
                 case EOF -> {
-                    if (opened != null) {
-                        lexer.problem(opened, "a block that is never closed");
+                    if (openingBrace != null) {
+                        lexer.addProblem(openingBrace, "a block that is never closed");
                     }
-                    return Type.EOF;
+                    return TokenType.EOF;
                 }
                 case CLOSE -> {
-                    if (opened == null) {
-                        lexer.problem(t.place(), "unexpected }");
+                    if (openingBrace == null) {
+                        lexer.addProblem(t.position(), "unexpected }");
                     }
-                    return Type.CLOSE;
+                    return TokenType.CLOSE;
                 }
                 case OPEN -> {
-                    lexer.problem(t.place(), "unexpected {");
-                    block(new ArrayList<>(), depth + 1, t.place());
+                    lexer.addProblem(t.position(), "unexpected {");
+                    parseBlock(new ArrayList<>(), depth + 1, t.position());
                 }
-                case END -> lexer.problem(t.place(), "unexpected ;");
+                case END -> lexer.addProblem(t.position(), "unexpected ;");
                 default -> {
-                    Type end = directive(t.word(), into, depth);
-                    if (end != Type.END) {
-                        if (end == Type.EOF && opened != null) {
-                            lexer.problem(opened, "a block that is never closed");
+                    TokenType end = parseDirective(t.word(), target, depth);
+                    if (end != TokenType.END) {
+                        if (end == TokenType.EOF && openingBrace != null) {
+                            lexer.addProblem(openingBrace, "a block that is never closed");
                         }
                         return end;
                     }
@@ -69,34 +69,34 @@
     }
 
     /** One directive from its name on: END when it is whole, else what ended it too early. */
-    private Type directive(Word name, List<Directive> into, int depth) {
+    private TokenType parseDirective(Word name, List<Directive> target, int depth) {
         List<Word> arguments = new ArrayList<>();
         while (true) {
-            Token t = lexer.token();
+            Token t = lexer.nextToken();
             switch (t.type()) {
                 case WORD -> arguments.add(t.word());
                 case END -> {
-                    into.add(new Directive(name, arguments, null, null));
-                    return Type.END;
+                    target.add(new Directive(name, arguments, null, null));
+                    return TokenType.END;
                 }
                 case OPEN -> {
-                    if (name.text().endsWith(SCRIPT)) {
-                        into.add(new Directive(name, arguments, null, lexer.raw(t.place())));
-                        return Type.END;
+                    if (name.text().endsWith(SCRIPT_BLOCK_SUFFIX)) {
+                        target.add(new Directive(name, arguments, null, lexer.readScriptBlock(t.position())));
+                        return TokenType.END;
                     }
-                    if (depth >= DEEPEST) {
-                        lexer.problem(t.place(), "blocks are nested more than " + DEEPEST + " deep");
-                        lexer.raw(t.place());
-                        return Type.END;
+                    if (depth >= MAX_DEPTH) {
+                        lexer.addProblem(t.position(), "blocks are nested more than " + MAX_DEPTH + " deep");
+                        lexer.readScriptBlock(t.position());
+                        return TokenType.END;
                     }
                     List<Directive> block = new ArrayList<>();
-                    Type end = block(block, depth + 1, t.place());
-                    into.add(new Directive(name, arguments, block, null));
-                    return end == Type.EOF ? Type.EOF : Type.END;
+                    TokenType end = parseBlock(block, depth + 1, t.position());
+                    target.add(new Directive(name, arguments, block, null));
+                    return end == TokenType.EOF ? TokenType.EOF : TokenType.END;
                 }
                 default -> {
-                    lexer.problem(name.place(), "directive \"" + name.text() + "\" is not terminated by \";\"");
-                    into.add(new Directive(name, arguments, null, null));
+                    lexer.addProblem(name.position(), "directive \"" + name.text() + "\" is not terminated by \";\"");
+                    target.add(new Directive(name, arguments, null, null));
                     return t.type();
                 }
             }
--- a/src/main/java/gullspar/nginx/Word.java
+++ b/src/main/java/gullspar/nginx/Word.java
@@ -1,4 +1,4 @@
 package gullspar.nginx;
 
 /** One argument of a directive: its text with quotes and escapes resolved, and whether it was quoted. */
-public record Word(String text, boolean quoted, SourceLocation place) {}
+public record Word(String text, boolean quoted, SourceLocation position) {}
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -144,7 +144,7 @@
                 eventLog,
                 Judge.judge(script, eventLog, 0),
                 decisions.hash(),
-                decisions.lines(),
+                decisions.lineCount(),
                 log,
                 List.of(),
                 System.nanoTime() - began);
@@ -299,7 +299,7 @@
                     Proxy asking = Proxy.startUnopened(
                             config(name, number),
                             platform,
-                            decisions.tap(who, options.module().apply(Policy::new)));
+                            decisions.wrap(who, options.module().apply(Policy::new)));
                     life.loop.schedule(
                             () -> {
                                 life.proxy = asking;
--- a/src/main/java/gullspar/rehearse/record/DecisionLog.java
+++ b/src/main/java/gullspar/rehearse/record/DecisionLog.java
@@ -27,17 +27,17 @@
  * its figures. Decisions begin with a capital letter.
  */
 public final class DecisionLog {
-    private final LongSupplier sinceStart;
-    private final IntFunction<String> nodes;
+    private final LongSupplier elapsedNs;
+    private final IntFunction<String> nodeNames;
     private final MessageDigest digest;
-    private final Writer to;
-    private long lines;
-
-    /** nodes names the nodes by the module's numbers; to may be null: only the hash is kept. */
-    public DecisionLog(LongSupplier sinceStart, IntFunction<String> nodes, Writer to) {
-        this.sinceStart = sinceStart;
-        this.nodes = nodes;
-        this.to = to;
+    private final Writer writer;
+    private long lineCount;
+
+    /** nodeNames names the nodes by the module's numbers; writer may be null: only the hash is kept. */
+    public DecisionLog(LongSupplier elapsedNs, IntFunction<String> nodeNames, Writer writer) {
+        this.elapsedNs = elapsedNs;
+        this.nodeNames = nodeNames;
+        this.writer = writer;
         try {
             this.digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -45,21 +45,21 @@
         }
     }
 
-    private void line(String who, String what) {
-        String line = sinceStart.getAsLong() + " " + who + " " + what + "\n";
+    private void appendLine(String process, String event) {
+        String line = elapsedNs.getAsLong() + " " + process + " " + event + "\n";
         digest.update(line.getBytes(StandardCharsets.UTF_8));
-        lines++;
-        if (to != null) {
+        lineCount++;
+        if (writer != null) {
             try {
-                to.write(line);
+                writer.write(line);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    public long lines() {
-        return lines;
+    public long lineCount() {
+        return lineCount;
     }
 
     /** The SHA-256 of all lines so far, in hexadecimal; to be asked for once, at the end. */
@@ -68,169 +68,173 @@
     }
 
     /** A factory whose modules write here what they hear and do. */
-    public Balancer.Factory tap(String who, Balancer.Factory factory) {
-        return (settings, seed, now, out) -> new Heard(who, factory.create(settings, seed, now, new Done(who, out)));
+    public Balancer.Factory wrap(String process, Balancer.Factory factory) {
+        return (settings, seed, now, out) ->
+                new LoggingBalancer(process, factory.create(settings, seed, now, new LoggingActions(process, out)));
     }
 
-    private static String figure(double d) {
-        return Double.isNaN(d) ? "-" : Double.toString(d);
+    private static String formatNumber(double value) {
+        return Double.isNaN(value) ? "-" : Double.toString(value);
     }
 
     /** What a module is told, on its way in. */
-    private final class Heard implements Balancer {
-        private final String who;
-        private final Balancer module;
+    private final class LoggingBalancer implements Balancer {
+        private final String process;
+        private final Balancer delegate;
 
-        Heard(String who, Balancer module) {
-            this.who = who;
-            this.module = module;
+        LoggingBalancer(String process, Balancer delegate) {
+            this.process = process;
+            this.delegate = delegate;
         }
 
         @Override
         public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
-            StringBuilder s = new StringBuilder("list ")
+            StringBuilder event = new StringBuilder("list ")
                     .append(kind.name().toLowerCase(Locale.ROOT))
                     .append(" v=")
                     .append(version);
-            for (ListedServer m : members) {
-                s.append(' ')
-                        .append(nodes.apply(m.id()))
+            for (ListedServer member : members) {
+                event.append(' ')
+                        .append(nodeNames.apply(member.id()))
                         .append(':')
-                        .append(m.state().name().toLowerCase(Locale.ROOT))
+                        .append(member.state().name().toLowerCase(Locale.ROOT))
                         .append(':')
-                        .append(m.weight())
+                        .append(member.weight())
                         .append(':')
-                        .append(m.startedAtNs());
+                        .append(member.startedAtNs());
             }
-            line(who, s.toString());
-            module.onServerList(now, kind, version, members);
+            appendLine(process, event.toString());
+            delegate.onServerList(now, kind, version, members);
         }
 
         @Override
-        public void onRequest(long now, Request r) {
-            line(
-                    who,
-                    "request t=" + r.ticket() + " class=" + r.profile() + " key=" + Long.toHexString(r.key()) + " left="
-                            + r.timeLeftNs() + (r.isRepeat() ? " repeat" : ""));
-            module.onRequest(now, r);
+        public void onRequest(long now, Request request) {
+            appendLine(
+                    process,
+                    "request t=" + request.ticket() + " class=" + request.profile() + " key="
+                            + Long.toHexString(request.key()) + " left=" + request.timeLeftNs()
+                            + (request.isRepeat() ? " repeat" : ""));
+            delegate.onRequest(now, request);
         }
 
         @Override
         public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
-            line(who, "begun t=" + ticket + " a=" + attempt + " n=" + nodes.apply(server));
-            module.onStreamStarted(now, ticket, attempt, server, elapsedNs);
+            appendLine(process, "begun t=" + ticket + " a=" + attempt + " n=" + nodeNames.apply(server));
+            delegate.onStreamStarted(now, ticket, attempt, server, elapsedNs);
         }
 
         @Override
-        public void onOutcome(long now, Outcome o) {
-            Report r = o.report();
-            line(
-                    who,
-                    "outcome t=" + o.ticket() + " a=" + o.attempt() + " n=" + nodes.apply(o.server()) + " "
-                            + o.status().name().toLowerCase(Locale.ROOT) + " ns=" + o.elapsedNs()
-                            + (o.isFinal() ? " over" : "")
-                            + (r == null
+        public void onOutcome(long now, Outcome outcome) {
+            Report report = outcome.report();
+            appendLine(
+                    process,
+                    "outcome t=" + outcome.ticket() + " a=" + outcome.attempt() + " n="
+                            + nodeNames.apply(outcome.server()) + " "
+                            + outcome.status().name().toLowerCase(Locale.ROOT) + " ns=" + outcome.elapsedNs()
+                            + (outcome.isFinal() ? " over" : "")
+                            + (report == null
                                     ? ""
-                                    : " inflight=" + figure(r.inflight()) + " util=" + figure(r.utilization())
+                                    : " inflight=" + formatNumber(report.inflight()) + " util="
+                                            + formatNumber(report.utilization())
                                             + " eps="
-                                            + figure(r.errorsPerSecond())));
-            module.onOutcome(now, o);
+                                            + formatNumber(report.errorsPerSecond())));
+            delegate.onOutcome(now, outcome);
         }
 
         @Override
         public void onClientDisconnected(long now, int ticket) {
-            line(who, "withdrawn t=" + ticket);
-            module.onClientDisconnected(now, ticket);
+            appendLine(process, "withdrawn t=" + ticket);
+            delegate.onClientDisconnected(now, ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            module.onTimer(now, token);
+            delegate.onTimer(now, token);
         }
     }
 
     /** What a module does, on its way out. */
-    private final class Done implements Actions {
-        private final String who;
-        private final Actions out;
-        private final Map<Integer, Integer> attempts = new HashMap<>();
+    private final class LoggingActions implements Actions {
+        private final String process;
+        private final Actions delegate;
+        private final Map<Integer, Integer> attemptsByTicket = new HashMap<>();
 
-        Done(String who, Actions out) {
-            this.who = who;
-            this.out = out;
+        LoggingActions(String process, Actions delegate) {
+            this.process = process;
+            this.delegate = delegate;
         }
 
         @Override
         public void send(int ticket, int server, long timeoutNs) {
-            sends(ticket, server, timeoutNs, "");
-            out.send(ticket, server, timeoutNs);
+            logSend(ticket, server, timeoutNs, "");
+            delegate.send(ticket, server, timeoutNs);
         }
 
         @Override
         public void send(int ticket, int server, long timeoutNs, long withinNs) {
-            sends(ticket, server, timeoutNs, withinNs == Long.MAX_VALUE ? "" : " within=" + withinNs);
-            out.send(ticket, server, timeoutNs, withinNs);
+            logSend(ticket, server, timeoutNs, withinNs == Long.MAX_VALUE ? "" : " within=" + withinNs);
+            delegate.send(ticket, server, timeoutNs, withinNs);
         }
 
-        private void sends(int ticket, int server, long timeoutNs, String more) {
-            int attempt = attempts.merge(ticket, 1, Integer::sum) - 1;
-            line(
-                    who,
-                    "Send t=" + ticket + " a=" + attempt + " n=" + nodes.apply(server) + " timeout=" + timeoutNs
-                            + more);
+        private void logSend(int ticket, int server, long timeoutNs, String suffix) {
+            int attempt = attemptsByTicket.merge(ticket, 1, Integer::sum) - 1;
+            appendLine(
+                    process,
+                    "Send t=" + ticket + " a=" + attempt + " n=" + nodeNames.apply(server) + " timeout=" + timeoutNs
+                            + suffix);
         }
 
         @Override
         public void refuse(int ticket, long retryInNs) {
-            line(who, "Refuse t=" + ticket + " retry=" + retryInNs);
-            out.refuse(ticket, retryInNs);
+            appendLine(process, "Refuse t=" + ticket + " retry=" + retryInNs);
+            delegate.refuse(ticket, retryInNs);
         }
 
         @Override
         public void fail(int ticket) {
-            line(who, "Fail t=" + ticket);
-            out.fail(ticket);
+            appendLine(process, "Fail t=" + ticket);
+            delegate.fail(ticket);
         }
 
         @Override
         public void cancel(int ticket, int attempt) {
-            line(who, "Cancel t=" + ticket + " a=" + attempt);
-            out.cancel(ticket, attempt);
+            appendLine(process, "Cancel t=" + ticket + " a=" + attempt);
+            delegate.cancel(ticket, attempt);
         }
 
         @Override
         public void setTimer(long at, long token) {
-            out.setTimer(at, token);
+            delegate.setTimer(at, token);
         }
 
         @Override
         public void probe(int server) {
-            out.probe(server);
+            delegate.probe(server);
         }
 
         @Override
         public void closeIdleConnections(int server) {
-            out.closeIdleConnections(server);
+            delegate.closeIdleConnections(server);
         }
 
         @Override
         public void sendToPeer(int peer, byte[] message) {
-            out.sendToPeer(peer, message);
+            delegate.sendToPeer(peer, message);
         }
 
         @Override
         public void log(String line) {
-            out.log(line);
+            delegate.log(line);
         }
 
         @Override
         public void subscribe(boolean on) {
-            out.subscribe(on);
+            delegate.subscribe(on);
         }
 
         @Override
         public void requestList() {
-            out.requestList();
+            delegate.requestList();
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/record/LogDiff.java
+++ b/src/main/java/gullspar/rehearse/record/LogDiff.java
@@ -11,111 +11,115 @@
 /** Compares two decision logs: where they part, the first decision that differs, what each side knew then. */
 public final class LogDiff {
     /** Decisions that are looked through for one that differs once the logs have parted. */
-    private static final int MOST_DECISIONS = 1_000_000;
+    private static final int MAX_EQUAL_DECISIONS = 1_000_000;
 
     /** A file that is no decision log, with the place. */
-    public static final class NoLogException extends Exception {
+    public static final class MalformedLogException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NoLogException(Path file, long line, String what) {
-            super(file + ":" + line + ":1: " + what);
+        MalformedLogException(Path file, long line, String message) {
+            super(file + ":" + line + ":1: " + message);
         }
     }
 
     /** One side of the comparison. */
-    private static final class Side {
+    private static final class LogReader {
         private final Path file;
         private final BufferedReader in;
-        private final Knowledge knowledge = new Knowledge();
-        private long number;
+        private final ProcessStateReplay replay = new ProcessStateReplay();
+        private long lineNumber;
 
-        Side(Path file) throws IOException {
+        LogReader(Path file) throws IOException {
             this.file = file;
             this.in = Files.newBufferedReader(file);
         }
 
         /** The next line, not yet taken in; null at the end. */
-        Entry next() throws IOException, NoLogException {
+        LogEntry nextEntry() throws IOException, MalformedLogException {
             String line = in.readLine();
             if (line == null) {
                 return null;
             }
-            number++;
-            Entry e = Entry.parse(line);
-            if (e == null) {
-                throw new NoLogException(file, number, "this is no line of a decision log");
+            lineNumber++;
+            LogEntry entry = LogEntry.parse(line);
+            if (entry == null) {
+                throw new MalformedLogException(file, lineNumber, "this is no line of a decision log");
             }
-            return e;
+            return entry;
         }
 
         /** Goes on from an entry to the next decision, taking in what comes before it; null at the end. */
-        Entry decision(Entry from) throws IOException, NoLogException {
-            Entry e = from;
-            while (e != null && !e.decision()) {
-                knowledge.take(e);
-                e = next();
+        LogEntry skipToDecision(LogEntry start) throws IOException, MalformedLogException {
+            LogEntry entry = start;
+            while (entry != null && !entry.isDecision()) {
+                replay.apply(entry);
+                entry = nextEntry();
             }
-            return e;
+            return entry;
         }
     }
 
     private LogDiff() {}
 
     /** What to print; empty if the two are the same. */
-    public static List<String> of(Path a, Path b) throws IOException, NoLogException {
-        Side left = new Side(a);
-        Side right = new Side(b);
+    public static List<String> compare(Path a, Path b) throws IOException, MalformedLogException {
+        LogReader left = new LogReader(a);
+        LogReader right = new LogReader(b);
         try (left.in;
                 right.in) {
-            Entry l = left.next();
-            Entry r = right.next();
-            while (l != null && l.equals(r)) {
-                left.knowledge.take(l);
-                right.knowledge.take(r);
-                l = left.next();
-                r = right.next();
+            LogEntry leftEntry = left.nextEntry();
+            LogEntry rightEntry = right.nextEntry();
+            while (leftEntry != null && leftEntry.equals(rightEntry)) {
+                left.replay.apply(leftEntry);
+                right.replay.apply(rightEntry);
+                leftEntry = left.nextEntry();
+                rightEntry = right.nextEntry();
             }
-            if (l == null && r == null) {
+            if (leftEntry == null && rightEntry == null) {
                 return List.of();
             }
             List<String> out = new ArrayList<>();
-            out.add("The logs part at line " + Math.max(left.number, right.number) + ":");
-            out.add("  A  " + shown(l));
-            out.add("  B  " + shown(r));
-            decisions(left, l, right, r, out);
+            out.add("The logs part at line " + Math.max(left.lineNumber, right.lineNumber) + ":");
+            out.add("  A  " + format(leftEntry));
+            out.add("  B  " + format(rightEntry));
+            compareDecisions(left, leftEntry, right, rightEntry, out);
             return out;
         }
     }
 
-    private static String shown(Entry e) {
-        return e == null ? "(ends)" : String.format(Locale.ROOT, "%.6f s  %s", e.at() / 1e9, e.who() + " " + e.text());
+    private static String format(LogEntry entry) {
+        return entry == null
+                ? "(ends)"
+                : String.format(Locale.ROOT, "%.6f s  %s", entry.atNs() / 1e9, entry.process() + " " + entry.text());
     }
 
-    private static void decisions(Side left, Entry fromLeft, Side right, Entry fromRight, List<String> out)
-            throws IOException, NoLogException {
-        Entry l = left.decision(fromLeft);
-        Entry r = right.decision(fromRight);
-        for (int n = 0; l != null && l.equals(r) && n < MOST_DECISIONS; n++) {
-            left.knowledge.take(l);
-            right.knowledge.take(r);
-            l = left.decision(left.next());
-            r = right.decision(right.next());
+    private static void compareDecisions(
+            LogReader left, LogEntry leftStart, LogReader right, LogEntry rightStart, List<String> out)
+            throws IOException, MalformedLogException {
+        LogEntry leftDecision = left.skipToDecision(leftStart);
+        LogEntry rightDecision = right.skipToDecision(rightStart);
+        for (int n = 0; leftDecision != null && leftDecision.equals(rightDecision) && n < MAX_EQUAL_DECISIONS; n++) {
+            left.replay.apply(leftDecision);
+            right.replay.apply(rightDecision);
+            leftDecision = left.skipToDecision(left.nextEntry());
+            rightDecision = right.skipToDecision(right.nextEntry());
         }
-        if (l == null && r == null || l != null && l.equals(r)) {
+        if (leftDecision == null && rightDecision == null
+                || leftDecision != null && leftDecision.equals(rightDecision)) {
             out.add("What was told differs from there on, no decision does.");
             return;
         }
         out.add("The first decision that differs:");
-        out.add("  A  line " + left.number + ": " + shown(l));
-        out.add("  B  line " + right.number + ": " + shown(r));
-        knew("A", left, l, out);
-        knew("B", right, r, out);
+        out.add("  A  line " + left.lineNumber + ": " + format(leftDecision));
+        out.add("  B  line " + right.lineNumber + ": " + format(rightDecision));
+        addKnownState("A", left, leftDecision, out);
+        addKnownState("B", right, rightDecision, out);
     }
 
-    private static void knew(String name, Side side, Entry e, List<String> out) {
-        if (e != null) {
-            out.add(name + ": what " + e.who() + " knew then:");
-            side.knowledge.of(e.who(), e.at()).forEach(line -> out.add("  " + line));
+    private static void addKnownState(String label, LogReader log, LogEntry decision, List<String> out) {
+        if (decision != null) {
+            out.add(label + ": what " + decision.process() + " knew then:");
+            log.replay.describe(decision.process(), decision.atNs()).forEach(line -> out.add("  " + line));
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/record/Entry.java
+++ b/src/main/java/gullspar/rehearse/record/LogEntry.java
@@ -4,37 +4,37 @@
  * One line of a decision log: when (ns from the start), which proxy and life, and what. Decisions begin with
  * a capital letter, what the module was told with a small one.
  */
-record Entry(long at, String who, String text) {
+record LogEntry(long atNs, String process, String text) {
     /** Null if the line is none. */
-    static Entry parse(String line) {
+    static LogEntry parse(String line) {
         String[] parts = line.split(" ", 3);
         if (parts.length < 3 || parts[2].isEmpty() || !parts[0].matches("\\d{1,18}")) {
             return null;
         }
-        return new Entry(Long.parseLong(parts[0]), parts[1], parts[2]);
+        return new LogEntry(Long.parseLong(parts[0]), parts[1], parts[2]);
     }
 
-    String what() {
+    String eventName() {
         int space = text.indexOf(' ');
         return space < 0 ? text : text.substring(0, space);
     }
 
-    boolean decision() {
+    boolean isDecision() {
         return Character.isUpperCase(text.charAt(0));
     }
 
     /** The value of name=value; "" if it is not there. */
     String field(String name) {
-        int i = text.indexOf(' ' + name + '=');
-        if (i < 0) {
+        int index = text.indexOf(' ' + name + '=');
+        if (index < 0) {
             return "";
         }
-        int from = i + name.length() + 2;
-        int to = text.indexOf(' ', from);
-        return text.substring(from, to < 0 ? text.length() : to);
+        int start = index + name.length() + 2;
+        int end = text.indexOf(' ', start);
+        return text.substring(start, end < 0 ? text.length() : end);
     }
 
     String line() {
-        return at + " " + who + " " + text;
+        return atNs + " " + process + " " + text;
     }
 }
--- a/src/main/java/gullspar/rehearse/report/FleetChart.java
+++ b/src/main/java/gullspar/rehearse/report/FleetChart.java
@@ -15,7 +15,7 @@
  */
 final class FleetChart {
     /** What a process saw in a second, the worst of what it answered. */
-    enum Sight {
+    enum ViewStatus {
         /** All that live, and nobody else. */
         RIGHT,
         /** All that live, some of them suspected; or some that live no more. */
@@ -27,66 +27,68 @@
     }
 
     /** One second of one process; bytes that it sent in it. */
-    record Cell(Sight sight, int present, int living, long bytes) {}
+    record ViewSample(ViewStatus status, int presentCount, int aliveCount, long sentBytes) {}
 
     private final EventLog eventLog;
-    private final Map<String, TreeMap<Integer, Cell>> cells =
+    private final Map<String, TreeMap<Integer, ViewSample>> samplesByProcess =
             new TreeMap<>((a, b) -> a.length() != b.length() ? a.length() - b.length() : a.compareTo(b));
 
     FleetChart(EventLog eventLog, double seconds) {
         this.eventLog = eventLog;
-        Map<String, FleetSnapshot> last = new TreeMap<>();
-        for (FleetSnapshot l : eventLog.fleetSnapshots()) {
-            FleetSnapshot before = last.put(l.life(), l);
-            long sent = before == null ? 0 : l.sentBytes() - before.sentBytes();
-            int second = (int) Math.floorDiv(l.at() - eventLog.start(), 1_000_000_000L);
+        Map<String, FleetSnapshot> lastByLife = new TreeMap<>();
+        for (FleetSnapshot snapshot : eventLog.fleetSnapshots()) {
+            FleetSnapshot previous = lastByLife.put(snapshot.life(), snapshot);
+            long sentBytes = previous == null ? 0 : snapshot.sentBytes() - previous.sentBytes();
+            int second = (int) Math.floorDiv(snapshot.at() - eventLog.start(), 1_000_000_000L);
             if (second >= 0 && second < seconds) {
-                cells.computeIfAbsent(l.proxy(), p -> new TreeMap<>()).merge(second, cell(l, sent), FleetChart::worse);
+                samplesByProcess
+                        .computeIfAbsent(snapshot.proxy(), p -> new TreeMap<>())
+                        .merge(second, sample(snapshot, sentBytes), FleetChart::merge);
             }
         }
     }
 
-    private static Cell worse(Cell a, Cell b) {
-        Cell w = b.sight.compareTo(a.sight) > 0 ? b : a;
-        return new Cell(w.sight, w.present, w.living, a.bytes + b.bytes);
+    private static ViewSample merge(ViewSample a, ViewSample b) {
+        ViewSample worse = b.status.compareTo(a.status) > 0 ? b : a;
+        return new ViewSample(worse.status, worse.presentCount, worse.aliveCount, a.sentBytes + b.sentBytes);
     }
 
-    private Cell cell(FleetSnapshot l, long sent) {
-        Set<String> living = new TreeSet<>();
-        for (EventLog.Life x : eventLog.lives()) {
-            if (x.from() <= l.at() && l.at() < x.until()) {
-                living.add(x.name());
+    private ViewSample sample(FleetSnapshot snapshot, long sentBytes) {
+        Set<String> alive = new TreeSet<>();
+        for (EventLog.Life life : eventLog.lives()) {
+            if (life.from() <= snapshot.at() && snapshot.at() < life.until()) {
+                alive.add(life.name());
             }
         }
-        Set<String> present = new TreeSet<>(List.of(EventLog.baseName(l.proxy())));
-        boolean suspects = false;
-        for (FleetSnapshot.SeenMember s : l.members()) {
-            if (s.isPresent()) {
-                present.add(s.name());
-                suspects |= s.status().equals("suspected");
+        Set<String> present = new TreeSet<>(List.of(EventLog.baseName(snapshot.proxy())));
+        boolean hasSuspected = false;
+        for (FleetSnapshot.SeenMember member : snapshot.members()) {
+            if (member.isPresent()) {
+                present.add(member.name());
+                hasSuspected |= member.status().equals("suspected");
             }
         }
-        Sight sight = l.cutOff()
-                ? Sight.CUT_OFF
-                : !present.containsAll(living)
-                        ? Sight.LACKS
-                        : suspects || !living.containsAll(present) ? Sight.BEHIND : Sight.RIGHT;
-        return new Cell(sight, present.size(), living.size(), sent);
+        ViewStatus status = snapshot.cutOff()
+                ? ViewStatus.CUT_OFF
+                : !present.containsAll(alive)
+                        ? ViewStatus.LACKS
+                        : hasSuspected || !alive.containsAll(present) ? ViewStatus.BEHIND : ViewStatus.RIGHT;
+        return new ViewSample(status, present.size(), alive.size(), sentBytes);
     }
 
     /** Those that answered at any time. */
     List<String> processes() {
-        return new ArrayList<>(cells.keySet());
+        return new ArrayList<>(samplesByProcess.keySet());
     }
 
     /** By second; none for those in which it did not answer. */
-    Map<Integer, Cell> of(String process) {
-        return cells.get(process);
+    Map<Integer, ViewSample> samplesBySecond(String process) {
+        return samplesByProcess.get(process);
     }
 
     /** Bytes a second that a process sent, over the seconds in which it answered. */
     double bytesPerSecond(String process) {
-        Map<Integer, Cell> mine = cells.get(process);
-        return mine.values().stream().mapToLong(Cell::bytes).sum() / (double) Math.max(1, mine.size());
+        Map<Integer, ViewSample> samples = samplesByProcess.get(process);
+        return samples.values().stream().mapToLong(ViewSample::sentBytes).sum() / (double) Math.max(1, samples.size());
     }
 }
--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -14,45 +14,48 @@
 /** The result of a day for machines: one JSON object. Times in s from the start of the day. */
 public final class JsonReport {
     /** Broken rules that are told in full; the rest are counted. */
-    private static final int MOST_STORIES = 20;
+    private static final int MAX_DETAILED_VIOLATIONS = 20;
 
     private JsonReport() {}
 
     /** One line of JSON. */
-    public static String of(Played p) {
+    public static String render(Played day) {
         ObjectMapper mapper = new ObjectMapper();
-        Verdict v = p.verdict();
+        Verdict verdict = day.verdict();
         ObjectNode root = mapper.createObjectNode();
-        root.put("title", p.script().title())
-                .put("seed", p.script().seed())
-                .put("seconds", p.script().seconds())
-                .put("sha256", p.hash())
-                .put("decisions", p.decisions())
-                .put("played_s", p.tookNs() / 1e9)
-                .put("orders", v.orders())
-                .put("service", v.service())
-                .put("worst_10s", v.worst10s())
-                .put("worst_10s_from", v.worstFromNs() / 1e9)
-                .put("worst_class", v.worstClass())
-                .put("worst_class_name", v.worstClassName())
-                .put("ran_twice", v.duplicateEffects())
-                .put("kept", v.hasNoViolations());
+        root.put("title", day.script().title())
+                .put("seed", day.script().seed())
+                .put("seconds", day.script().seconds())
+                .put("sha256", day.hash())
+                .put("decisions", day.decisions())
+                .put("played_s", day.tookNs() / 1e9)
+                .put("orders", verdict.orders())
+                .put("service", verdict.service())
+                .put("worst_10s", verdict.worst10s())
+                .put("worst_10s_from", verdict.worstFromNs() / 1e9)
+                .put("worst_class", verdict.worstClass())
+                .put("worst_class_name", verdict.worstClassName())
+                .put("ran_twice", verdict.duplicateEffects())
+                .put("kept", verdict.hasNoViolations());
         ObjectNode tries = root.putObject("tries");
-        v.counts().forEach((name, n) -> tries.put(name.replace(' ', '_'), n));
-        root.put("broken_rules", v.violations().size());
+        verdict.counts().forEach((name, n) -> tries.put(name.replace(' ', '_'), n));
+        root.put("broken_rules", verdict.violations().size());
         ArrayNode broken = root.putArray("broken");
-        for (RuleViolation b :
-                v.violations().subList(0, Math.min(MOST_STORIES, v.violations().size()))) {
-            ObjectNode o = broken.addObject()
-                    .put("rule", b.rule().name().toLowerCase(Locale.ROOT))
-                    .put("at", (b.atNs() - p.eventLog().start()) / 1e9)
-                    .put("what", b.description());
-            List<String> story = b.request() == null ? List.of() : RequestTrace.of(b.request(), p.eventLog());
-            ArrayNode lines = o.putArray("story");
-            story.forEach(lines::add);
+        for (RuleViolation violation : verdict.violations()
+                .subList(
+                        0,
+                        Math.min(MAX_DETAILED_VIOLATIONS, verdict.violations().size()))) {
+            ObjectNode entry = broken.addObject()
+                    .put("rule", violation.rule().name().toLowerCase(Locale.ROOT))
+                    .put("at", (violation.atNs() - day.eventLog().start()) / 1e9)
+                    .put("what", violation.description());
+            List<String> trace =
+                    violation.request() == null ? List.of() : RequestTrace.of(violation.request(), day.eventLog());
+            ArrayNode lines = entry.putArray("story");
+            trace.forEach(lines::add);
         }
         ArrayNode notes = root.putArray("notes");
-        p.notes().forEach(notes::add);
+        day.notes().forEach(notes::add);
         try {
             return mapper.writeValueAsString(root);
         } catch (JsonProcessingException e) {
--- /dev/null
+++ b/src/main/java/gullspar/rehearse/search/DayGenerator.java
@@ -0,0 +1,124 @@
+package gullspar.rehearse.search;
+
+import gullspar.rehearse.script.Fault;
+import gullspar.rehearse.script.FaultKind;
+import gullspar.rehearse.script.FaultKind.Parameter;
+import gullspar.rehearse.script.Script;
+import gullspar.rehearse.time.Agenda;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+
+/** Draws the faults of a day at random, within what the script allows. */
+final class DayGenerator {
+    /** Figures are drawn from the usual value's fraction of this to its multiple, within their bounds. */
+    private static final double PARAMETER_SPREAD = 4;
+    /** The longest that a fault lasts, in s, and the part of the day in which faults begin. */
+    private static final double MAX_FAULT_S = 8, START_SHARE = 0.8;
+
+    private DayGenerator() {}
+
+    /** The script's day of that number: its seed and its faults are drawn anew, all else stays. */
+    static Script generate(Script script, int number) {
+        SplittableRandom random = new SplittableRandom(Agenda.mix(script.seed() * 31 + 10) + number);
+        List<Fault> faults = new ArrayList<>();
+        int count = 1 + random.nextInt(script.search().maxFaults());
+        for (int i = 0; i < count; i++) {
+            faults.add(randomFault(
+                    script,
+                    script.search()
+                            .kinds()
+                            .get(random.nextInt(script.search().kinds().size())),
+                    random));
+        }
+        faults.sort(Comparator.comparingDouble(Fault::startS));
+        return script.with((long) number).with(faults);
+    }
+
+    private static double roundToTenth(double value) {
+        return Math.rint(value * 10) / 10;
+    }
+
+    private static Fault randomFault(Script script, FaultKind kind, SplittableRandom random) {
+        // A day that is all calm was cut down by a search: it has faults of its own.
+        double endS = script.seconds() > script.search().faultFreeS()
+                ? script.seconds() - script.search().faultFreeS()
+                : script.seconds();
+        double startS = roundToTenth(random.nextDouble() * endS * START_SHARE);
+        double maxDurationS = Math.min(MAX_FAULT_S, endS - startS);
+        double durationS = kind.isMomentary()
+                ? 0
+                : Math.max(0.1, Math.floor(10 * maxDurationS * (0.05 + 0.95 * random.nextDouble())) / 10);
+        Map<String, Double> parameters = new LinkedHashMap<>();
+        for (Parameter parameter : kind.parameters()) {
+            double factor = StrictMath.pow(PARAMETER_SPREAD, 2 * random.nextDouble() - 1);
+            double value = Math.max(parameter.min(), Math.min(parameter.max(), parameter.defaultValue() * factor));
+            parameters.put(
+                    parameter.name(),
+                    Math.max(parameter.min(), Math.min(parameter.max(), Math.rint(value * 1000) / 1000)));
+        }
+        return switch (kind.target()) {
+            case NODES -> new Fault(
+                    kind,
+                    startS,
+                    durationS,
+                    1 + random.nextInt(Math.max(1, script.nodeCount() / 2)),
+                    List.of(),
+                    parameters);
+            case PROXIES -> new Fault(
+                    kind,
+                    startS,
+                    durationS,
+                    Math.max(
+                            kind.minTargets(),
+                            1 + random.nextInt(script.proxies().count())),
+                    List.of(),
+                    parameters);
+            case CLASS -> new Fault(
+                    kind,
+                    startS,
+                    durationS,
+                    1,
+                    List.of(script.classes()
+                            .get(random.nextInt(script.classes().size()))
+                            .name()),
+                    parameters);
+            case LINK -> new Fault(kind, startS, durationS, 1, randomLinkEnds(script, random), parameters);
+            case DATAGRAMS -> new Fault(
+                    kind,
+                    startS,
+                    durationS,
+                    1,
+                    List.of(randomProxies(script, random), randomProxies(script, random)),
+                    parameters);
+            default -> new Fault(kind, startS, durationS, 0, List.of(), parameters);
+        };
+    }
+
+    private static String randomProxies(Script script, SplittableRandom random) {
+        return random.nextInt(3) == 0
+                ? "proxies"
+                : "p" + (1 + random.nextInt(script.proxies().count()));
+    }
+
+    /** Proxies to nodes or back, or one of them to one, or the clients' way to the proxies. */
+    private static List<String> randomLinkEnds(Script script, SplittableRandom random) {
+        String proxy = random.nextBoolean()
+                ? "proxies"
+                : "p" + (1 + random.nextInt(script.proxies().count()));
+        if (script.peers() != null && random.nextBoolean()) {
+            return List.of(proxy, randomProxies(script, random));
+        }
+        String other =
+                switch (random.nextInt(4)) {
+                    case 0 -> "clients";
+                    case 1 -> "discovery";
+                    case 2 -> "nodes";
+                    default -> "n" + (1 + random.nextInt(script.nodeCount()));
+                };
+        return random.nextBoolean() ? List.of(proxy, other) : List.of(other, proxy);
+    }
+}
--- a/src/main/java/gullspar/rehearse/search/Shrink.java
+++ b/src/main/java/gullspar/rehearse/search/FindingReducer.java
@@ -13,16 +13,16 @@
  * Zeller and Hildebrandt, IEEE TSE 28 (2), 2002), then how long each lasts and how many it strikes, then the
  * day.
  */
-final class Shrink {
-    private static final int MOST_PLAYS = 150;
-    private static final double LEAST_S = 2;
+final class FindingReducer {
+    private static final int MAX_PLAYS = 150;
+    private static final double MIN_TAIL_S = 2;
 
     private final VirtualPlay.Options options;
     private final BooleanSupplier stop;
     private Finding smallest;
     private int plays;
 
-    private Shrink(Finding found, VirtualPlay.Options options, BooleanSupplier stop) {
+    private FindingReducer(Finding found, VirtualPlay.Options options, BooleanSupplier stop) {
         this.smallest = found;
         this.options = options;
         this.stop = stop;
@@ -30,53 +30,54 @@
 
     /** Stops early, with the smallest so far, when told to. */
     static Finding smallest(Finding found, VirtualPlay.Options options, BooleanSupplier stop) {
-        Shrink s = new Shrink(found, options, stop);
-        s.fewer();
-        for (int i = 0; i < s.smallest.script().faults().size(); i++) {
-            s.less(i);
+        FindingReducer reducer = new FindingReducer(found, options, stop);
+        reducer.removeFaults();
+        for (int i = 0; i < reducer.smallest.script().faults().size(); i++) {
+            reducer.reduceFault(i);
         }
-        s.shorter();
-        return s.smallest;
+        reducer.shortenDay();
+        return reducer.smallest;
     }
 
     /** Is the same still wrong? Then this is the smallest so far. */
-    private boolean still(Script candidate) {
-        if (plays >= MOST_PLAYS || stop.getAsBoolean()) {
+    private boolean reproduces(Script candidate) {
+        if (plays >= MAX_PLAYS || stop.getAsBoolean()) {
             return false;
         }
         plays++;
-        Finding f = Finding.in(candidate, VirtualPlay.play(candidate, options).verdict());
-        if (f != null && f.rule() == smallest.rule()) {
-            smallest = f;
+        Finding finding = Finding.fromVerdict(
+                candidate, VirtualPlay.play(candidate, options).verdict());
+        if (finding != null && finding.rule() == smallest.rule()) {
+            smallest = finding;
             return true;
         }
         return false;
     }
 
-    private void fewer() {
-        int parts = 2;
+    private void removeFaults() {
+        int partCount = 2;
         while (smallest.script().faults().size() >= 2) {
             List<Fault> all = smallest.script().faults();
-            int size = (all.size() + parts - 1) / parts;
-            boolean cut = false;
-            for (int from = 0; from < all.size() && !cut; from += size) {
-                List<Fault> rest = new ArrayList<>(all.subList(0, from));
-                rest.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
-                cut = !rest.isEmpty() && still(smallest.script().with(rest));
+            int size = (all.size() + partCount - 1) / partCount;
+            boolean reduced = false;
+            for (int from = 0; from < all.size() && !reduced; from += size) {
+                List<Fault> remaining = new ArrayList<>(all.subList(0, from));
+                remaining.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
+                reduced = !remaining.isEmpty() && reproduces(smallest.script().with(remaining));
             }
-            if (cut) {
-                parts = Math.max(2, parts - 1);
+            if (reduced) {
+                partCount = Math.max(2, partCount - 1);
             } else if (size == 1) {
                 return;
             } else {
-                parts = Math.min(all.size(), parts * 2);
+                partCount = Math.min(all.size(), partCount * 2);
             }
         }
     }
 
-    private void less(int i) {
-        while (change(
-                i,
+    private void reduceFault(int index) {
+        while (tryChange(
+                index,
                 f -> f.durationS() < 0.2
                         ? null
                         : new Fault(
@@ -88,8 +89,8 @@
                                 f.parameters()))) {
             continue; // half as long, while that does
         }
-        while (change(
-                i,
+        while (tryChange(
+                index,
                 f -> !f.names().isEmpty() || f.count() / 2 < f.kind().minTargets()
                         ? null
                         : new Fault(f.kind(), f.startS(), f.durationS(), f.count() / 2, f.names(), f.parameters()))) {
@@ -97,23 +98,25 @@
         }
     }
 
-    private boolean change(int i, UnaryOperator<Fault> how) {
+    private boolean tryChange(int index, UnaryOperator<Fault> change) {
         List<Fault> faults = new ArrayList<>(smallest.script().faults());
-        Fault changed = how.apply(faults.get(i));
+        Fault changed = change.apply(faults.get(index));
         if (changed == null) {
             return false;
         }
-        faults.set(i, changed);
-        return still(smallest.script().with(faults));
+        faults.set(index, changed);
+        return reproduces(smallest.script().with(faults));
     }
 
-    private void shorter() {
-        double last = smallest.script().faults().stream()
+    private void shortenDay() {
+        double lastFaultEndS = smallest.script().faults().stream()
                 .mapToDouble(f -> f.startS() + f.durationS())
                 .max()
                 .orElse(0);
-        for (double seconds = last + LEAST_S; seconds < smallest.script().seconds(); seconds += 4) {
-            if (still(smallest.script().with(Math.ceil(seconds)))) {
+        for (double seconds = lastFaultEndS + MIN_TAIL_S;
+                seconds < smallest.script().seconds();
+                seconds += 4) {
+            if (reproduces(smallest.script().with(Math.ceil(seconds)))) {
                 return;
             }
         }
--- a/src/main/java/gullspar/rehearse/search/Search.java
+++ b/src/main/java/gullspar/rehearse/search/Search.java
@@ -25,21 +25,21 @@
 public final class Search {
     /** Hears how it goes on: days done and found of all, and each finding as it is written. */
     public interface Listener {
-        void at(int done, int found, int of);
+        void onProgress(int done, int found, int total);
 
-        void found(Finding finding, Path script);
+        void onFinding(Finding finding, Path script);
     }
 
-    private static final String STATE = "search.state";
+    private static final String STATE_FILE = "search.state";
 
     private final Script script;
     private final int days;
     private final Path folder;
     private final VirtualPlay.Options options;
     private final Listener listener;
-    private final TreeSet<Integer> done = new TreeSet<>();
-    private final AtomicInteger next = new AtomicInteger(1);
-    private int found;
+    private final TreeSet<Integer> finishedDays = new TreeSet<>();
+    private final AtomicInteger nextDay = new AtomicInteger(1);
+    private int findingCount;
     private volatile boolean stopped;
 
     /** Days are numbered from 1; findings and the state go to the folder, which is made. */
@@ -64,12 +64,12 @@
         try {
             List<Future<?>> workers = new ArrayList<>();
             for (int i = 0; i < jobs; i++) {
-                workers.add(pool.submit(this::work));
+                workers.add(pool.submit(this::playDays));
             }
             for (Future<?> w : workers) {
                 w.get();
             }
-            return found;
+            return findingCount;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -81,69 +81,70 @@
         }
     }
 
-    private void work() {
-        for (int n = next.getAndIncrement(); n <= days && !stopped; n = next.getAndIncrement()) {
-            if (isDone(n)) {
+    private void playDays() {
+        for (int n = nextDay.getAndIncrement(); n <= days && !stopped; n = nextDay.getAndIncrement()) {
+            if (isFinished(n)) {
                 continue;
             }
-            Script day = Draw.day(script, n);
-            Finding f = Finding.in(day, VirtualPlay.play(day, options).verdict());
-            if (f != null) {
-                f = Shrink.smallest(f, options, () -> stopped);
+            Script day = DayGenerator.generate(script, n);
+            Finding finding =
+                    Finding.fromVerdict(day, VirtualPlay.play(day, options).verdict());
+            if (finding != null) {
+                finding = FindingReducer.smallest(finding, options, () -> stopped);
             }
             if (stopped) {
                 return; // perhaps not cut down yet: it is played again
             }
-            finished(n, f);
+            recordDay(n, finding);
         }
     }
 
-    private synchronized boolean isDone(int n) {
-        return done.contains(n);
+    private synchronized boolean isFinished(int n) {
+        return finishedDays.contains(n);
     }
 
-    private synchronized void finished(int n, Finding f) {
+    private synchronized void recordDay(int n, Finding finding) {
         try {
-            if (f != null) {
-                found++;
-                Path file = folder.resolve("found-" + f.name() + "-" + n + ".toml");
+            if (finding != null) {
+                findingCount++;
+                Path file = folder.resolve("found-" + finding.ruleName() + "-" + n + ".toml");
                 Files.writeString(
                         file,
-                        "# Day " + n + " of a search. " + f.what().replace('\n', ' ') + "\n"
+                        "# Day " + n + " of a search. " + finding.description().replace('\n', ' ') + "\n"
                                 + "# Play it again: ./gullspar rehearse " + file.getFileName() + "\n"
-                                + ScriptWriter.write(f.script()));
-                listener.found(f, file);
+                                + ScriptWriter.write(finding.script()));
+                listener.onFinding(finding, file);
             }
-            done.add(n);
+            finishedDays.add(n);
             Files.writeString(
-                    folder.resolve(STATE),
-                    n + (f == null ? " kept" : " " + f.name()) + "\n",
+                    folder.resolve(STATE_FILE),
+                    n + (finding == null ? " kept" : " " + finding.ruleName()) + "\n",
                     StandardOpenOption.CREATE,
                     StandardOpenOption.APPEND);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        listener.at(done.size(), found, days);
+        listener.onProgress(finishedDays.size(), findingCount, days);
     }
 
     /** The first line tells of which script it is the state: another one begins anew. */
     private void readState() throws IOException {
-        Path file = folder.resolve(STATE);
-        String of =
+        Path file = folder.resolve(STATE_FILE);
+        String header =
                 "search of " + Integer.toHexString(ScriptWriter.write(script).hashCode());
         String text = Files.exists(file) ? Files.readString(file) : "";
         // What the end of the process cut short is no line, and the next one must not be written behind it.
         text = text.substring(0, text.lastIndexOf('\n') + 1);
         List<String> lines = text.lines().toList();
-        if (lines.isEmpty() || !lines.get(0).equals(of)) {
-            Files.writeString(file, of + "\n");
+        if (lines.isEmpty() || !lines.get(0).equals(header)) {
+            Files.writeString(file, header + "\n");
             return;
         }
         Files.writeString(file, text);
         for (String line : lines.subList(1, lines.size())) {
             String[] parts = line.split(" ");
-            if (parts.length == 2 && parts[0].matches("\\d{1,9}") && done.add(Integer.parseInt(parts[0]))) {
-                found += parts[1].equals("kept") ? 0 : 1;
+            if (parts.length == 2 && parts[0].matches("\\d{1,9}") && finishedDays.add(Integer.parseInt(parts[0]))) {
+                findingCount += parts[1].equals("kept") ? 0 : 1;
             }
         }
     }
--- a/src/test/java/gullspar/nginx/LoaderTest.java
+++ b/src/test/java/gullspar/nginx/LoaderTest.java
@@ -19,48 +19,48 @@
 
     private final List<Problem> problems = new ArrayList<>();
 
-    private void file(String name, String text) throws IOException {
+    private void writeFile(String name, String text) throws IOException {
         Path file = folder.resolve(name);
         Files.createDirectories(file.getParent());
         Files.writeString(file, text);
     }
 
     private String load() {
-        return names(Loader.load(folder.resolve("nginx.conf"), problems));
+        return format(Loader.load(folder.resolve("nginx.conf"), problems));
     }
 
-    private static String names(List<Directive> all) {
-        return all.stream()
-                .map(d -> d.name().text() + (d.block() == null ? "" : "{" + names(d.block()) + "}"))
+    private static String format(List<Directive> directives) {
+        return directives.stream()
+                .map(d -> d.name().text() + (d.block() == null ? "" : "{" + format(d.block()) + "}"))
                 .collect(Collectors.joining(" "));
     }
 
     @Test
-    void namesCountFromTheFirstFilesFolder() throws Exception {
-        file("nginx.conf", "a;\nhttp { include conf.d/*.conf; include other/none-*.conf; z; }\n");
-        file("conf.d/2.conf", "two;");
-        file("conf.d/1.conf", "include snippets/x; one;");
-        file("conf.d/.hidden.conf", "hidden;");
-        file("conf.d/3.txt", "three;");
-        file("snippets/x", "x;");
+    void relativeNamesResolveAgainstTheMainFilesFolder() throws Exception {
+        writeFile("nginx.conf", "a;\nhttp { include conf.d/*.conf; include other/none-*.conf; z; }\n");
+        writeFile("conf.d/2.conf", "two;");
+        writeFile("conf.d/1.conf", "include snippets/x; one;");
+        writeFile("conf.d/.hidden.conf", "hidden;");
+        writeFile("conf.d/3.txt", "three;");
+        writeFile("snippets/x", "x;");
         assertEquals("a http{include include x one two include z}", load());
         assertEquals(List.of(), problems);
     }
 
     @Test
-    void starsInFoldersAndAbsoluteNames() throws Exception {
-        file("nginx.conf", "include sites/*/site-[ab].conf; include " + folder.resolve("one") + ";");
-        file("sites/y/site-a.conf", "ya;");
-        file("sites/x/site-b.conf", "xb;");
-        file("sites/x/site-c.conf", "xc;");
-        file("one", "one;");
+    void globsInFolderNamesAndAbsoluteNames() throws Exception {
+        writeFile("nginx.conf", "include sites/*/site-[ab].conf; include " + folder.resolve("one") + ";");
+        writeFile("sites/y/site-a.conf", "ya;");
+        writeFile("sites/x/site-b.conf", "xb;");
+        writeFile("sites/x/site-c.conf", "xc;");
+        writeFile("one", "one;");
         assertEquals("include xb ya include one", load());
     }
 
     @Test
-    void aFileThatIncludesItselfAndOneThatIsNotThere() throws Exception {
-        file("nginx.conf", "a;\n  include b;\ninclude missing;\ninclude x y;\n");
-        file("b", "include nginx.conf; b;");
+    void reportsCyclesMissingFilesAndWrongArguments() throws Exception {
+        writeFile("nginx.conf", "a;\n  include b;\ninclude missing;\ninclude x y;\n");
+        writeFile("b", "include nginx.conf; b;");
         assertEquals("a include include b include include", load());
         assertEquals(3, problems.size(), problems.toString());
         assertTrue(problems.get(0).toString().contains("b:1:1: a file that includes itself: "), problems.toString());
@@ -69,22 +69,22 @@
     }
 
     @Test
-    void twiceTheSameFileIsNoCircle() throws Exception {
-        file("nginx.conf", "include b; include b;");
-        file("b", "b;");
+    void includingAFileTwiceIsNotACycle() throws Exception {
+        writeFile("nginx.conf", "include b; include b;");
+        writeFile("b", "b;");
         assertEquals("include b include b", load());
         assertEquals(List.of(), problems);
     }
 
     @Test
-    void problemsOfAllFilesComeTogether() throws Exception {
-        file("nginx.conf", "include b; c");
-        file("b", "d }");
+    void reportsProblemsOfAllFiles() throws Exception {
+        writeFile("nginx.conf", "include b; c");
+        writeFile("b", "d }");
         load();
         assertEquals(
                 2,
                 problems.stream()
-                        .map(p -> p.place().file().getFileName().toString())
+                        .map(p -> p.position().file().getFileName().toString())
                         .distinct()
                         .count());
     }
--- a/src/test/java/gullspar/nginx/ParserTest.java
+++ b/src/test/java/gullspar/nginx/ParserTest.java
@@ -26,25 +26,25 @@
     }
 
     /** Directives as name(arguments){block}, quoted arguments in quotes. */
-    private static String shown(List<Directive> all) {
-        return all.stream()
+    private static String format(List<Directive> directives) {
+        return directives.stream()
                 .map(d -> d.name().text()
                         + d.arguments().stream()
                                 .map(w -> w.quoted() ? "\"" + w.text() + "\"" : w.text())
                                 .collect(Collectors.joining(",", "(", ")"))
                         + (d.raw() != null ? "<" + d.raw() + ">" : "")
-                        + (d.block() == null ? "" : "{" + shown(d.block()) + "}"))
+                        + (d.block() == null ? "" : "{" + format(d.block()) + "}"))
                 .collect(Collectors.joining(" "));
     }
 
-    private void reads(String text, String expected) {
-        assertEquals(expected, shown(parse(text)));
+    private void assertParses(String text, String expected) {
+        assertEquals(expected, format(parse(text)));
         assertEquals(List.of(), problems);
     }
 
     @Test
     void directivesBlocksAndComments() {
-        reads(
+        assertParses(
                 """
                 user  www; # a comment; with } in it
                 # another
@@ -61,23 +61,23 @@
 
     @Test
     void quotesAndEscapes() {
-        reads("a \"two words; {}\" 'it\\'s' \"a\\tb\\\\c\\d\";", "a(\"two words; {}\",\"it's\",\"a\tb\\c\\d\")");
-        reads("a x\"y'z;", "a(x\"y'z)");
-        reads("a \"\";", "a(\"\")");
-        reads("a b\\;c \\# d#e;", "a(b\\;c,\\#,d#e)");
-        reads("location ~ \\.(gif|png)$ {}", "location(~,\\.(gif|png)$){}");
-        reads("location ~ \"^/a{2,3}$\" {}", "location(~,\"^/a{2,3}$\"){}");
+        assertParses("a \"two words; {}\" 'it\\'s' \"a\\tb\\\\c\\d\";", "a(\"two words; {}\",\"it's\",\"a\tb\\c\\d\")");
+        assertParses("a x\"y'z;", "a(x\"y'z)");
+        assertParses("a \"\";", "a(\"\")");
+        assertParses("a b\\;c \\# d#e;", "a(b\\;c,\\#,d#e)");
+        assertParses("location ~ \\.(gif|png)$ {}", "location(~,\\.(gif|png)$){}");
+        assertParses("location ~ \"^/a{2,3}$\" {}", "location(~,\"^/a{2,3}$\"){}");
     }
 
     @Test
     void variablesInBraces() {
-        reads("return 301 https://${host}/x$uri;", "return(301,https://${host}/x$uri)");
-        reads("if ($a = \"b\") { set $x ${y}z; }", "if(($a,=,\"b\",)){set($x,${y}z)}");
+        assertParses("return 301 https://${host}/x$uri;", "return(301,https://${host}/x$uri)");
+        assertParses("if ($a = \"b\") { set $x ${y}z; }", "if(($a,=,\"b\",)){set($x,${y}z)}");
     }
 
     @Test
-    void scriptsArePassedOverWhole() {
-        reads(
+    void scriptBlocksAreKeptAsText() {
+        assertParses(
                 """
                 content_by_lua_block {
                   local s = "}" -- } in a comment
@@ -92,11 +92,11 @@
     }
 
     @Test
-    void everyWordKnowsItsPlace() {
+    void wordsHavePositions() {
         Directive server =
                 parse("\ufeffhttp {\r\n\tserver  name;\r\n}").get(0).block().get(0);
-        assertEquals("nginx.conf:2:2", server.place().toString());
-        assertEquals("nginx.conf:2:10", server.arguments().get(0).place().toString());
+        assertEquals("nginx.conf:2:2", server.position().toString());
+        assertEquals("nginx.conf:2:10", server.arguments().get(0).position().toString());
         assertEquals("name", server.argument(0).orElseThrow());
         assertTrue(server.is("server") && server.argument(1).isEmpty());
         assertNull(server.raw());
@@ -116,7 +116,7 @@
         a "b                 ~ 1:3: a quote that is never closed
         a "b"c;              ~ 1:6: unexpected 'c' behind a closing quote
         """)
-    void whatIsWrongIsSaidWithItsPlace(String text, String expected) {
+    void problemsHavePositions(String text, String expected) {
         parse(text);
         assertFalse(problems.isEmpty());
         String first = problems.get(0).toString();
@@ -126,16 +126,16 @@
     }
 
     @Test
-    void allComesAtOnceAndWhatIsRightIsReadAllTheSame() {
-        List<Directive> all = parse("a\nb { c }\nd;; }\ne f;\n");
+    void reportsAllProblemsAndKeepsValidDirectives() {
+        List<Directive> directives = parse("a\nb { c }\nd;; }\ne f;\n");
         // a has no semicolon, so the block is its own
         assertEquals(3, problems.size(), problems.toString());
-        assertTrue(shown(all).endsWith("e(f)"), shown(all));
+        assertTrue(format(directives).endsWith("e(f)"), format(directives));
     }
 
     /** Whatever it is given, it ends, and every problem has a place in the text. */
     @Test
-    void noTextIsTooOdd() {
+    void randomTextTerminatesWithValidPositions() {
         SplittableRandom random = new SplittableRandom(1);
         String letters = "a;{}\"'\\$#\n\t -[]=_by_lua_block";
         for (int i = 0; i < 20_000; i++) {
@@ -144,14 +144,14 @@
                 int at = random.nextInt(letters.length());
                 text.append(at > 18 && random.nextInt(8) == 0 ? " x_by_lua_block {" : letters.substring(at, at + 1));
             }
-            List<Problem> odd = new ArrayList<>();
-            assertNotNull(Parser.parse(text.toString(), FILE, odd));
+            List<Problem> randomProblems = new ArrayList<>();
+            assertNotNull(Parser.parse(text.toString(), FILE, randomProblems));
             long lines = text.chars().filter(c -> c == '\n').count() + 1;
-            for (Problem p : odd) {
+            for (Problem p : randomProblems) {
                 assertTrue(
-                        p.place().line() >= 1
-                                && p.place().line() <= lines
-                                && p.place().column() >= 1,
+                        p.position().line() >= 1
+                                && p.position().line() <= lines
+                                && p.position().column() >= 1,
                         text.toString());
             }
         }
--- a/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
@@ -153,7 +153,7 @@
         String after = inAnotherProcess(
                 script, List.of("-cp", classes + File.pathSeparator + System.getProperty("java.class.path")), b);
         assertNotEquals(before, after);
-        List<String> diff = LogDiff.of(a, b);
+        List<String> diff = LogDiff.compare(a, b);
         assertTrue(diff.contains("The first decision that differs:"), diff.toString());
         assertTrue(diff.stream().anyMatch(l -> l.startsWith("A: what p")), diff.toString());
     }
@@ -185,7 +185,7 @@
                             return other;
                         })));
         assertNotEquals(before, after);
-        List<String> diff = LogDiff.of(a, b);
+        List<String> diff = LogDiff.compare(a, b);
         int at = diff.indexOf("The first decision that differs:");
         assertTrue(at > 0, diff.toString());
         assertTrue(diff.get(at + 1).contains(" Send t="), diff.get(at + 1));
@@ -196,7 +196,7 @@
         }
         assertTrue(diff.get(at + 1).contains("line " + line + ":"), diff.get(at + 1) + ", expected line " + line);
         assertTrue(diff.stream().filter(l -> l.contains("inflight ")).count() > 8, "what each side knew");
-        assertEquals(List.of(), LogDiff.of(a, a));
+        assertEquals(List.of(), LogDiff.compare(a, a));
     }
 
     /** The call of the proxy that starts again still waits for its turn when discovery goes down. */
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -30,8 +30,8 @@
     }
 
     @Test
-    void thePageNeedsNoNetworkAndNoScriptAndEscapesWhatItIsGiven() {
-        String html = HtmlReport.of(day);
+    void htmlReportLoadsNothingAndEscapesText() {
+        String html = HtmlReport.render(day);
         assertFalse(html.matches("(?s).*(https?:|<script|<link|@import|url\\((?!#)).*"), "it loads something");
         assertTrue(html.contains("<h1>&lt;b&gt;odd &amp; old&lt;/b&gt;</h1>"));
         assertTrue(html.contains("prefers-color-scheme: dark"));
@@ -52,8 +52,8 @@
 
     /** One that dies is missed, then known to be gone; whoever is alone says so; all is well in the end. */
     @Test
-    void theViewOfTheFleetIsDrawnAsItWas() {
-        Played p = VirtualPlay.play(
+    void fleetChartShowsFailuresAndPartitions() {
+        Played fleetDay = VirtualPlay.play(
                 Days.parse(Days.text(
                                 30,
                                 "[peers]\ninterval_ms = 200\nwindow_s = 20\n"
@@ -61,38 +61,48 @@
                                         + Days.fault("partition", 18, "for = 5\nproxies = [\"p3\"]"))
                         .replace("count = 2\nstart_s", "count = 3\nstart_s")),
                 VirtualPlay.Options.plain());
-        FleetChart chart = new FleetChart(p.eventLog(), 30);
+        FleetChart chart = new FleetChart(fleetDay.eventLog(), 30);
         assertEquals(List.of("p1", "p2", "p3"), chart.processes());
-        assertEquals(FleetChart.Sight.RIGHT, chart.of("p1").get(0).sight());
-        assertEquals(FleetChart.Sight.BEHIND, chart.of("p1").get(2).sight(), "it is dead and still there");
         assertEquals(
-                new FleetChart.Cell(
-                        FleetChart.Sight.RIGHT, 2, 2, chart.of("p1").get(12).bytes()),
-                chart.of("p1").get(12));
-        assertFalse(chart.of("p2").containsKey(8), "a dead process was asked");
-        assertEquals(FleetChart.Sight.CUT_OFF, chart.of("p3").get(21).sight());
-        assertEquals(FleetChart.Sight.RIGHT, chart.of("p3").get(29).sight());
+                FleetChart.ViewStatus.RIGHT, chart.samplesBySecond("p1").get(0).status());
+        assertEquals(
+                FleetChart.ViewStatus.BEHIND,
+                chart.samplesBySecond("p1").get(2).status(),
+                "it is dead and still there");
+        assertEquals(
+                new FleetChart.ViewSample(
+                        FleetChart.ViewStatus.RIGHT,
+                        2,
+                        2,
+                        chart.samplesBySecond("p1").get(12).sentBytes()),
+                chart.samplesBySecond("p1").get(12));
+        assertFalse(chart.samplesBySecond("p2").containsKey(8), "a dead process was asked");
+        assertEquals(
+                FleetChart.ViewStatus.CUT_OFF,
+                chart.samplesBySecond("p3").get(21).status());
+        assertEquals(
+                FleetChart.ViewStatus.RIGHT, chart.samplesBySecond("p3").get(29).status());
         assertTrue(chart.bytesPerSecond("p1") > 0);
-        String html = HtmlReport.of(p);
+        String html = HtmlReport.render(fleetDay);
         assertTrue(html.contains("p3 at 21 s: has ") && html.contains("The view of the fleet"));
-        assertFalse(HtmlReport.of(day).contains("The view of the fleet"));
+        assertFalse(HtmlReport.render(day).contains("The view of the fleet"));
     }
 
     /** The plot and its table tell of the same orders, and of all. */
     @Test
     void everyOrderIsCountedOnce() {
-        Seconds seconds = new Seconds(day);
+        OutcomeTimeline outcomes = new OutcomeTimeline(day);
         int sum = 0;
-        for (int s = 0; s < seconds.length(); s++) {
-            sum += seconds.total(s);
+        for (int second = 0; second < outcomes.length(); second++) {
+            sum += outcomes.total(second);
         }
         assertEquals(day.verdict().orders(), sum);
         assertTrue(sum > 400);
     }
 
     @Test
-    void theResultForMachines() throws Exception {
-        JsonNode json = new ObjectMapper().readTree(JsonReport.of(day));
+    void jsonReportMatchesTheVerdict() throws Exception {
+        JsonNode json = new ObjectMapper().readTree(JsonReport.render(day));
         assertFalse(json.get("kept").asBoolean());
         assertEquals(day.hash(), json.get("sha256").asText());
         assertEquals("expected", json.get("broken").get(0).get("rule").asText());
