--- a/src/main/java/gullspar/rehearse/record/LogDiff.java
+++ b/src/main/java/gullspar/rehearse/record/LogDiff.java
@@ -78,12 +78,12 @@
             if (leftEntry == null && rightEntry == null) {
                 return List.of();
             }
-            List<String> out = new ArrayList<>();
-            out.add("The logs part at line " + Math.max(left.lineNumber, right.lineNumber) + ":");
-            out.add("  A  " + format(leftEntry));
-            out.add("  B  " + format(rightEntry));
-            compareDecisions(left, leftEntry, right, rightEntry, out);
-            return out;
+            List<String> lines = new ArrayList<>();
+            lines.add("The logs part at line " + Math.max(left.lineNumber, right.lineNumber) + ":");
+            lines.add("  A  " + format(leftEntry));
+            lines.add("  B  " + format(rightEntry));
+            compareDecisions(left, leftEntry, right, rightEntry, lines);
+            return lines;
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     private static void compareDecisions(
-            LogReader left, LogEntry leftStart, LogReader right, LogEntry rightStart, List<String> out)
+            LogReader left, LogEntry leftStart, LogReader right, LogEntry rightStart, List<String> lines)
             throws IOException, MalformedLogException {
         LogEntry leftDecision = left.skipToDecision(leftStart);
         LogEntry rightDecision = right.skipToDecision(rightStart);
@@ -106,20 +106,20 @@
         }
         if (leftDecision == null && rightDecision == null
                 || leftDecision != null && leftDecision.equals(rightDecision)) {
-            out.add("What was told differs from there on, no decision does.");
+            lines.add("What was told differs from there on, no decision does.");
             return;
         }
-        out.add("The first decision that differs:");
-        out.add("  A  line " + left.lineNumber + ": " + format(leftDecision));
-        out.add("  B  line " + right.lineNumber + ": " + format(rightDecision));
-        addKnownState("A", left, leftDecision, out);
-        addKnownState("B", right, rightDecision, out);
+        lines.add("The first decision that differs:");
+        lines.add("  A  line " + left.lineNumber + ": " + format(leftDecision));
+        lines.add("  B  line " + right.lineNumber + ": " + format(rightDecision));
+        addKnownState("A", left, leftDecision, lines);
+        addKnownState("B", right, rightDecision, lines);
     }
 
-    private static void addKnownState(String label, LogReader log, LogEntry decision, List<String> out) {
+    private static void addKnownState(String label, LogReader log, LogEntry decision, List<String> lines) {
         if (decision != null) {
-            out.add(label + ": what " + decision.process() + " knew then:");
-            log.replay.describe(decision.process(), decision.atNs()).forEach(line -> out.add("  " + line));
+            lines.add(label + ": what " + decision.process() + " knew then:");
+            log.replay.describe(decision.process(), decision.atNs()).forEach(line -> lines.add("  " + line));
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/record/LogEntry.java
+++ b/src/main/java/gullspar/rehearse/record/LogEntry.java
@@ -34,7 +34,7 @@
         return text.substring(start, end < 0 ? text.length() : end);
     }
 
-    String line() {
+    String toLine() {
         return atNs + " " + process + " " + text;
     }
 }
--- a/src/main/java/gullspar/rehearse/record/ProcessStateReplay.java
+++ b/src/main/java/gullspar/rehearse/record/ProcessStateReplay.java
@@ -42,28 +42,28 @@
     private static void applyList(Map<String, NodeState> nodes, String text) {
         String[] words = text.split(" ");
         if (!words[1].equals("delta")) {
-            nodes.values().forEach(n -> n.listedState = "not listed");
+            nodes.values().forEach(node -> node.listedState = "not listed");
         }
         for (int i = 3; i < words.length; i++) {
             String[] parts = words[i].split(":");
-            NodeState n = nodes.computeIfAbsent(parts[0], k -> new NodeState());
-            n.listedState = parts[1];
-            n.weight = parts[2];
+            NodeState node = nodes.computeIfAbsent(parts[0], k -> new NodeState());
+            node.listedState = parts[1];
+            node.weight = parts[2];
         }
     }
 
     private void applyOutcome(Map<String, NodeState> nodes, LogEntry entry) {
-        NodeState n = nodes.computeIfAbsent(entry.field("n"), k -> new NodeState());
+        NodeState node = nodes.computeIfAbsent(entry.field("n"), k -> new NodeState());
         if (outstandingAttempts.remove(entry.process() + ' ' + entry.field("t") + ' ' + entry.field("a"))) {
-            n.outstanding--;
+            node.outstanding--;
         }
         String duration = String.format(Locale.ROOT, "%.1f ms", Long.parseLong(entry.field("ns")) / 1e6);
-        n.lastOutcome = entry.text().split(" ")[4] + " after " + duration;
-        n.lastOutcomeAtNs = entry.atNs();
+        node.lastOutcome = entry.text().split(" ")[4] + " after " + duration;
+        node.lastOutcomeAtNs = entry.atNs();
         if (!entry.field("inflight").isEmpty()) {
-            n.lastReport = "inflight " + entry.field("inflight") + ", util " + entry.field("util") + ", eps "
+            node.lastReport = "inflight " + entry.field("inflight") + ", util " + entry.field("util") + ", eps "
                     + entry.field("eps");
-            n.lastReportAtNs = entry.atNs();
+            node.lastReportAtNs = entry.atNs();
         }
     }
 
@@ -72,17 +72,17 @@
         List<String> lines = new ArrayList<>();
         nodesByProcess
                 .getOrDefault(process, Map.of())
-                .forEach((name, n) -> lines.add(String.format(
+                .forEach((name, node) -> lines.add(String.format(
                                 Locale.ROOT,
                                 "%-8s %-10s weight %-6s out %-3d last %-24s %-9s %s %s",
                                 name,
-                                n.listedState,
-                                n.weight,
-                                n.outstanding,
-                                n.lastOutcome,
-                                formatAge(n.lastOutcomeAtNs, nowNs),
-                                n.lastReport,
-                                formatAge(n.lastReportAtNs, nowNs))
+                                node.listedState,
+                                node.weight,
+                                node.outstanding,
+                                node.lastOutcome,
+                                formatAge(node.lastOutcomeAtNs, nowNs),
+                                node.lastReport,
+                                formatAge(node.lastReportAtNs, nowNs))
                         .stripTrailing()));
         return lines;
     }
--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -40,12 +40,13 @@
         ObjectNode tries = root.putObject("tries");
         verdict.counts().forEach((name, n) -> tries.put(name.replace(' ', '_'), n));
         root.put("broken_rules", verdict.violations().size());
-        ArrayNode broken = root.putArray("broken");
+        ArrayNode violations = root.putArray("broken");
         for (RuleViolation violation : verdict.violations()
                 .subList(
                         0,
                         Math.min(MAX_DETAILED_VIOLATIONS, verdict.violations().size()))) {
-            ObjectNode entry = broken.addObject()
+            ObjectNode entry = violations
+                    .addObject()
                     .put("rule", violation.rule().name().toLowerCase(Locale.ROOT))
                     .put("at", (violation.atNs() - day.eventLog().start()) / 1e9)
                     .put("what", violation.description());
--- a/src/main/java/gullspar/rehearse/search/FindingReducer.java
+++ b/src/main/java/gullspar/rehearse/search/FindingReducer.java
@@ -22,15 +22,15 @@
     private Finding smallest;
     private int plays;
 
-    private FindingReducer(Finding found, VirtualPlay.Options options, BooleanSupplier stop) {
-        this.smallest = found;
+    private FindingReducer(Finding finding, VirtualPlay.Options options, BooleanSupplier stop) {
+        this.smallest = finding;
         this.options = options;
         this.stop = stop;
     }
 
     /** Stops early, with the smallest so far, when told to. */
-    static Finding smallest(Finding found, VirtualPlay.Options options, BooleanSupplier stop) {
-        FindingReducer reducer = new FindingReducer(found, options, stop);
+    static Finding smallest(Finding finding, VirtualPlay.Options options, BooleanSupplier stop) {
+        FindingReducer reducer = new FindingReducer(finding, options, stop);
         reducer.removeFaults();
         for (int i = 0; i < reducer.smallest.script().faults().size(); i++) {
             reducer.reduceFault(i);
@@ -57,20 +57,20 @@
     private void removeFaults() {
         int partCount = 2;
         while (smallest.script().faults().size() >= 2) {
-            List<Fault> all = smallest.script().faults();
-            int size = (all.size() + partCount - 1) / partCount;
+            List<Fault> faults = smallest.script().faults();
+            int partSize = (faults.size() + partCount - 1) / partCount;
             boolean reduced = false;
-            for (int from = 0; from < all.size() && !reduced; from += size) {
-                List<Fault> remaining = new ArrayList<>(all.subList(0, from));
-                remaining.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
+            for (int start = 0; start < faults.size() && !reduced; start += partSize) {
+                List<Fault> remaining = new ArrayList<>(faults.subList(0, start));
+                remaining.addAll(faults.subList(Math.min(faults.size(), start + partSize), faults.size()));
                 reduced = !remaining.isEmpty() && reproduces(smallest.script().with(remaining));
             }
             if (reduced) {
                 partCount = Math.max(2, partCount - 1);
-            } else if (size == 1) {
+            } else if (partSize == 1) {
                 return;
             } else {
-                partCount = Math.min(all.size(), partCount * 2);
+                partCount = Math.min(faults.size(), partCount * 2);
             }
         }
     }
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -56,13 +56,13 @@
     private static final class RecordingListener implements Search.Listener {
         private final List<Path> scripts = new ArrayList<>();
         private final List<Finding> findings = new ArrayList<>();
-        private final AtomicInteger days = new AtomicInteger();
+        private final AtomicInteger playedDays = new AtomicInteger();
         private int stopAfterDays = Integer.MAX_VALUE;
         private Search search;
 
         @Override
-        public void onProgress(int done, int found, int of) {
-            if (days.incrementAndGet() >= stopAfterDays) {
+        public void onProgress(int done, int found, int total) {
+            if (playedDays.incrementAndGet() >= stopAfterDays) {
                 search.stop();
             }
         }
@@ -88,27 +88,27 @@
         assertTrue(listener.findings.size() >= 2, "found " + listener.findings.size());
         int spoilFindings = 0;
         for (int i = 0; i < listener.scripts.size(); i++) {
-            Script s = ScriptReader.read(listener.scripts.get(i));
-            assertEquals(listener.findings.get(i).script(), s);
+            Script reducedDay = ScriptReader.read(listener.scripts.get(i));
+            assertEquals(listener.findings.get(i).script(), reducedDay);
             assertEquals(
                     Rule.NOTHING_TWICE,
                     Finding.fromVerdict(
-                                    s,
-                                    VirtualPlay.play(s, REFUSING_INSTEAD_OF_FAILING)
+                                    reducedDay,
+                                    VirtualPlay.play(reducedDay, REFUSING_INSTEAD_OF_FAILING)
                                             .verdict())
                             .rule());
-            spoilFindings += s.faults().stream().map(Fault::kind).anyMatch(FaultKind.SPOIL::equals) ? 1 : 0;
-            for (Fault f : s.faults()) { // none of them can be left out
-                List<Fault> remaining = new ArrayList<>(s.faults());
-                remaining.remove(f);
+            spoilFindings += reducedDay.faults().stream().map(Fault::kind).anyMatch(FaultKind.SPOIL::equals) ? 1 : 0;
+            for (Fault fault : reducedDay.faults()) { // none of them can be left out
+                List<Fault> remaining = new ArrayList<>(reducedDay.faults());
+                remaining.remove(fault);
                 assertNull(
                         Finding.fromVerdict(
-                                s,
-                                VirtualPlay.play(s.with(remaining), REFUSING_INSTEAD_OF_FAILING)
+                                reducedDay,
+                                VirtualPlay.play(reducedDay.with(remaining), REFUSING_INSTEAD_OF_FAILING)
                                         .verdict()),
-                        f.toString());
+                        fault.toString());
             }
-            assertTrue(s.seconds() <= SEARCH_SCRIPT.seconds());
+            assertTrue(reducedDay.seconds() <= SEARCH_SCRIPT.seconds());
         }
         assertTrue(spoilFindings > 0, "spoilt answers are the most likely to leave a request in doubt");
         assertTrue(listener.scripts.stream()
@@ -123,19 +123,21 @@
     @Test
     void resumesAfterInterruptionAndRestartsForAnotherScript() throws Exception {
         RecordingListener first = run(10, 2, VirtualPlay.Options.plain(), 4);
-        int done = first.days.get();
+        int done = first.playedDays.get();
         assertTrue(done >= 4 && done < 10, done + " days were done");
         // The end came in the midst of a line.
         Path state = folder.resolve("search.state");
         Files.writeString(state, Files.readString(state) + "10");
         RecordingListener second = run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE);
-        assertEquals(10 - done, second.days.get());
+        assertEquals(10 - done, second.playedDays.get());
         assertEquals(
                 0,
-                run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE).days.get());
+                run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE)
+                        .playedDays
+                        .get());
         RecordingListener other = new RecordingListener();
         new Search(SEARCH_SCRIPT.with(2), 3, folder, VirtualPlay.Options.plain(), other).run(1);
-        assertEquals(3, other.days.get());
+        assertEquals(3, other.playedDays.get());
     }
 
     /** The same number is the same day, whoever draws it and when. */
