--- a/src/main/java/gullspar/nginx/Directive.java
+++ b/src/main/java/gullspar/nginx/Directive.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * A directive as it was written: its name, its arguments, what stands in its braces (null for one that ends
- * with a semicolon), and the raw text of a block that is not configuration (a script), else null.
+ * A directive as written in the file: its name, its arguments, the directives in its block (null if it ends
+ * with a semicolon), and the raw text of a block that is a script rather than configuration, else null.
  */
 public record Directive(Word name, List<Word> arguments, List<Directive> block, String raw) {
     public Directive {
@@ -17,17 +17,17 @@
         return name.position();
     }
 
-    /** Is that its name? */
+    /** Whether the directive has the expected name. */
     public boolean is(String expected) {
         return name.text().equals(expected);
     }
 
-    /** The text of an argument; empty if there are not so many. */
+    /** The text of an argument; empty if there are fewer arguments. */
     public Optional<String> argument(int index) {
         return index < arguments.size() ? Optional.of(arguments.get(index).text()) : Optional.empty();
     }
 
-    /** How many directives there are in all, this one and those of its block included. */
+    /** The number of directives, including this one and all within its block. */
     public int count() {
         return 1
                 + (block == null ? 0 : block.stream().mapToInt(Directive::count).sum());
--- a/src/main/java/gullspar/nginx/Lexer.java
+++ b/src/main/java/gullspar/nginx/Lexer.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Cuts a configuration into words, braces and semicolons, as nginx reads them: a comment begins with # where
- * a word could; a quote counts only as the first character of a word; a backslash keeps the next character
- * from meaning anything, and of \t, \r, \n, \", \' and \\ only the character itself stays; ${ belongs to a
- * word.
+ * Splits a configuration into words, braces and semicolons by nginx's rules: # starts a comment where a word
+ * could start; a quote is special only as the first character of a word; a backslash escapes the next
+ * character, where \t, \r, \n, \", \' and \\ become the character they stand for and any other escape keeps
+ * its backslash; ${ is part of a word.
  */
 final class Lexer {
-    /** What a token is. */
+    /** The type of a token: END is a semicolon, EOF the end of the file. */
     enum TokenType {
         WORD,
         OPEN,
@@ -19,7 +19,7 @@
         EOF
     }
 
-    /** A token; the word is null for all others. */
+    /** A token; word is null unless the type is WORD. */
     record Token(TokenType type, Word word, SourceLocation position) {}
 
     private final String text;
@@ -104,7 +104,7 @@
             if (c == quote) {
                 char following = offset < text.length() ? text.charAt(offset) : ' ';
                 if (!isSpace(following) && following != ';' && following != '{' && following != ')') {
-                    addProblem(position(), "unexpected '" + following + "' behind a closing quote");
+                    addProblem(position(), "unexpected '" + following + "' after a closing quote");
                 }
                 return new Word(word.toString(), true, position);
             }
@@ -114,7 +114,7 @@
                 word.append(c);
             }
         }
-        addProblem(position, "a quote that is never closed");
+        addProblem(position, "unclosed quote");
         return new Word(word.toString(), true, position);
     }
 
@@ -138,7 +138,7 @@
         return new Word(word.toString(), false, position);
     }
 
-    /** Behind a backslash. */
+    /** Reads the rest of an escape sequence, after the backslash. */
     private void readEscape(StringBuilder word) {
         char c = nextChar();
         switch (c) {
@@ -151,8 +151,8 @@
     }
 
     /**
-     * The rest of a block that is a script, up to its closing brace; braces in it are counted, but for those
-     * in quotes, in long brackets and behind --, as Lua has them.
+     * Reads the rest of a script block up to its closing brace. Nested braces are counted, except in Lua's
+     * quoted strings, long brackets and comments.
      */
     String readScriptBlock(SourceLocation openingBrace) {
         int start = offset;
@@ -177,7 +177,7 @@
                 }
             }
         }
-        addProblem(openingBrace, "a block that is never closed");
+        addProblem(openingBrace, "unclosed block");
         return text.substring(start);
     }
 
@@ -198,7 +198,7 @@
         }
     }
 
-    /** A long bracket of Lua, [[ ]] or [=[ ]=]; false if none begins here. */
+    /** Skips a long bracket of Lua, [[ ]] or [=[ ]=]; returns false if none starts here. */
     private boolean skipLongBracket() {
         int i = offset;
         if (i >= text.length() || text.charAt(i) != '[') {
--- a/src/main/java/gullspar/nginx/Loader.java
+++ b/src/main/java/gullspar/nginx/Loader.java
@@ -14,17 +14,17 @@
 import java.util.regex.PatternSyntaxException;
 
 /**
- * Reads a file and all that it includes. As nginx does: a relative name counts from the folder of the first
- * file, whichever file includes it; a name with a star, a question mark or brackets may fit no file or many,
- * which are read in the order of their names; any other name must be there. An include stays as a directive,
- * with what it brought in right behind it.
+ * Reads a file and all files that it includes, by nginx's rules: a relative name is resolved against the
+ * folder of the main file, whichever file includes it; a name with *, ? or [ is a pattern that may match any
+ * number of files, which are read in the order of their names; any other name must exist. The include stays
+ * in the result as a directive, followed by the directives of the included files.
  */
 public final class Loader {
     private static final long MAX_FILE_BYTES = 16L << 20;
     private static final int MAX_FILES = 10_000;
 
     private final Path mainFolder;
-    /** The folder as it was given: places name files in the way in which the first one was named. */
+    /** The folder as the caller gave it, absolute or relative: positions name included files in the same way. */
     private final Path mainFolderAsGiven;
 
     private final List<Problem> problems;
@@ -37,7 +37,7 @@
         this.problems = problems;
     }
 
-    /** The directives of a file and of all it includes; problems are added to the list. */
+    /** Returns the directives of a file and of all files it includes; problems are added to the list. */
     public static List<Directive> load(Path file, List<Problem> problems) {
         return new Loader(file, problems).loadFile(file, new SourceLocation(file, 1, 1), "");
     }
@@ -45,7 +45,7 @@
     private List<Directive> loadFile(Path file, SourceLocation includedAt, String lineText) {
         Path absolute = file.toAbsolutePath().normalize();
         if (openFiles.contains(absolute)) {
-            problems.add(new Problem(includedAt, "a file that includes itself: " + file, lineText));
+            problems.add(new Problem(includedAt, "file includes itself: " + file, lineText));
             return List.of();
         }
         if (++fileCount > MAX_FILES) {
@@ -55,19 +55,20 @@
         String text;
         try {
             if (Files.size(absolute) > MAX_FILE_BYTES) {
-                problems.add(
-                        new Problem(includedAt, "larger than " + (MAX_FILE_BYTES >> 20) + " MiB: " + file, lineText));
+                problems.add(new Problem(
+                        includedAt, "file is larger than " + (MAX_FILE_BYTES >> 20) + " MiB: " + file, lineText));
                 return List.of();
             }
             text = Files.readString(absolute);
         } catch (NoSuchFileException e) {
-            problems.add(new Problem(includedAt, "there is no such file: " + file, lineText));
+            problems.add(new Problem(includedAt, "no such file: " + file, lineText));
             return List.of();
         } catch (CharacterCodingException e) {
-            problems.add(new Problem(includedAt, "not UTF-8: " + file, lineText));
+            problems.add(new Problem(includedAt, "file is not UTF-8: " + file, lineText));
             return List.of();
         } catch (IOException e) {
-            problems.add(new Problem(includedAt, "cannot be read: " + file + " (" + e.getMessage() + ")", lineText));
+            problems.add(
+                    new Problem(includedAt, "file cannot be read: " + file + " (" + e.getMessage() + ")", lineText));
             return List.of();
         }
         openFiles.push(absolute);
@@ -88,7 +89,7 @@
                 String lineText =
                         text.lines().skip(d.position().line() - 1L).findFirst().orElse("");
                 if (d.arguments().size() != 1) {
-                    problems.add(new Problem(d.position(), "include takes one name", lineText));
+                    problems.add(new Problem(d.position(), "include takes exactly one argument", lineText));
                 } else {
                     resolveInclude(d.arguments().get(0), lineText)
                             .forEach(f -> expanded.addAll(loadFile(relativeToGivenFolder(f), d.position(), lineText)));
@@ -128,13 +129,13 @@
             try (DirectoryStream<Path> stream = Files.newDirectoryStream(folder, glob)) {
                 List<Path> matches = new ArrayList<>();
                 stream.forEach(matches::add);
-                // A star does not stand for a dot at the beginning.
+                // A wildcard does not match a leading dot.
                 matches.removeIf(p -> p.getFileName().toString().startsWith(".") && !glob.startsWith("."));
                 matches.sort(null);
                 found.addAll(matches);
             } catch (IOException | UncheckedIOException | PatternSyntaxException e) {
                 problems.add(new Problem(
-                        name.position(), "cannot be listed: " + folder + " (" + e.getMessage() + ")", lineText));
+                        name.position(), "folder cannot be listed: " + folder + " (" + e.getMessage() + ")", lineText));
             }
         }
         return found;
--- a/src/main/java/gullspar/nginx/Parser.java
+++ b/src/main/java/gullspar/nginx/Parser.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Reads one file of nginx's configuration into directives, whatever they are called. What is wrong becomes a
- * problem at its place, and reading goes on behind it, so that all comes at once.
+ * Parses one nginx configuration file into directives, without interpreting their names. Errors become
+ * problems with their position, and parsing continues after them, so that all are reported at once.
  */
 public final class Parser {
-    /** Blocks deeper than that are a slip, or an attack. */
+    /** Limit on nested blocks: deeper nesting is a mistake or an attack. */
     private static final int MAX_DEPTH = 100;
 
     private static final String SCRIPT_BLOCK_SUFFIX = "_by_lua_block";
@@ -22,25 +22,25 @@
         this.lexer = new Lexer(text, file, problems);
     }
 
-    /** The directives of a text; problems are added to the list. */
+    /** Returns the directives of a text; problems are added to the list. */
     public static List<Directive> parse(String text, Path file, List<Problem> problems) {
         Parser parser = new Parser(text.startsWith("\ufeff") ? text.substring(1) : text, file, problems);
         List<Directive> directives = new ArrayList<>();
-        // A brace too many ends a block that is none: what follows is read as well.
+        // A surplus closing brace ends parseBlock at the top level: parse what follows it as well.
         while (parser.parseBlock(directives, 0, null) == TokenType.CLOSE) {
             continue;
         }
         return directives;
     }
 
-    /** Up to the end of a block, or of the file; says which it was. */
+    /** Parses up to the end of a block (CLOSE) or of the file (EOF) and returns which of the two it was. */
     private TokenType parseBlock(List<Directive> target, int depth, SourceLocation openingBrace) {
         while (true) {
             Token t = lexer.nextToken();
             switch (t.type()) {
                 case EOF -> {
                     if (openingBrace != null) {
-                        lexer.addProblem(openingBrace, "a block that is never closed");
+                        lexer.addProblem(openingBrace, "unclosed block");
                     }
                     return TokenType.EOF;
                 }
@@ -59,7 +59,7 @@
                     TokenType end = parseDirective(t.word(), target, depth);
                     if (end != TokenType.END) {
                         if (end == TokenType.EOF && openingBrace != null) {
-                            lexer.addProblem(openingBrace, "a block that is never closed");
+                            lexer.addProblem(openingBrace, "unclosed block");
                         }
                         return end;
                     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /** One directive from its name on: END when it is whole, else what ended it too early. */
+    /** Parses a directive after its name; returns END if it is complete, else the token that ended it early. */
     private TokenType parseDirective(Word name, List<Directive> target, int depth) {
         List<Word> arguments = new ArrayList<>();
         while (true) {
@@ -85,7 +85,7 @@
                         return TokenType.END;
                     }
                     if (depth >= MAX_DEPTH) {
-                        lexer.addProblem(t.position(), "blocks are nested more than " + MAX_DEPTH + " deep");
+                        lexer.addProblem(t.position(), "blocks are nested more than " + MAX_DEPTH + " levels deep");
                         lexer.readScriptBlock(t.position());
                         return TokenType.END;
                     }
--- a/src/main/java/gullspar/nginx/Problem.java
+++ b/src/main/java/gullspar/nginx/Problem.java
@@ -1,8 +1,8 @@
 package gullspar.nginx;
 
-/** What is wrong with a file, where, and the line it stands in. */
+/** An error in a file, with its position and the text of that line. */
 public record Problem(SourceLocation position, String message, String lineText) {
-    /** file:line:column: what, then the line, then a caret under the place. */
+    /** Formats the problem as file:line:column: message, then the line, then a caret under the position. */
     @Override
     public String toString() {
         StringBuilder caret = new StringBuilder();
--- a/src/main/java/gullspar/nginx/SourceLocation.java
+++ b/src/main/java/gullspar/nginx/SourceLocation.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** Where something stands; line and column count from 1. */
+/** A position in a file; line and column count from 1. */
 public record SourceLocation(Path file, int line, int column) {
     @Override
     public String toString() {
--- a/src/test/java/gullspar/nginx/LoaderTest.java
+++ b/src/test/java/gullspar/nginx/LoaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files that include files. */
+/** Tests includes: name resolution, patterns, cycles and missing files. */
 class LoaderTest {
     @TempDir
     Path folder;
@@ -63,9 +63,11 @@
         writeFile("b", "include nginx.conf; b;");
         assertEquals("a include include b include include", load());
         assertEquals(3, problems.size(), problems.toString());
-        assertTrue(problems.get(0).toString().contains("b:1:1: a file that includes itself: "), problems.toString());
-        assertTrue(problems.get(1).toString().contains("nginx.conf:3:1: there is no such file: "), problems.toString());
-        assertTrue(problems.get(2).toString().endsWith("include takes one name\ninclude x y;\n^"), problems.toString());
+        assertTrue(problems.get(0).toString().contains("b:1:1: file includes itself: "), problems.toString());
+        assertTrue(problems.get(1).toString().contains("nginx.conf:3:1: no such file: "), problems.toString());
+        assertTrue(
+                problems.get(2).toString().endsWith("include takes exactly one argument\ninclude x y;\n^"),
+                problems.toString());
     }
 
     @Test
--- a/src/test/java/gullspar/nginx/ParserTest.java
+++ b/src/test/java/gullspar/nginx/ParserTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Configuration as nginx reads it. */
+/** Tests that configuration files are split and nested by nginx's rules, and where problems are reported. */
 class ParserTest {
     private static final Path FILE = Path.of("nginx.conf");
 
@@ -25,7 +25,7 @@
         return Parser.parse(text, FILE, problems);
     }
 
-    /** Directives as name(arguments){block}, quoted arguments in quotes. */
+    /** Formats directives as name(arguments){block}, with quoted arguments in quotes. */
     private static String format(List<Directive> directives) {
         return directives.stream()
                 .map(d -> d.name().text()
@@ -109,12 +109,12 @@
                     """
         a b                  ~ 1:1: directive "a" is not terminated by ";"
         a { b; c }           ~ 1:8: directive "c" is not terminated by ";"
-        a { b;               ~ 1:3: a block that is never closed
+        a { b;               ~ 1:3: unclosed block
         a; }                 ~ 1:4: unexpected }
         a; ; b;              ~ 1:4: unexpected ;
         { a; }               ~ 1:1: unexpected {
-        a "b                 ~ 1:3: a quote that is never closed
-        a "b"c;              ~ 1:6: unexpected 'c' behind a closing quote
+        a "b                 ~ 1:3: unclosed quote
+        a "b"c;              ~ 1:6: unexpected 'c' after a closing quote
         """)
     void problemsHavePositions(String text, String expected) {
         parse(text);
@@ -128,12 +128,12 @@
     @Test
     void reportsAllProblemsAndKeepsValidDirectives() {
         List<Directive> directives = parse("a\nb { c }\nd;; }\ne f;\n");
-        // a has no semicolon, so the block is its own
+        // without a semicolon after a, the block belongs to a
         assertEquals(3, problems.size(), problems.toString());
         assertTrue(format(directives).endsWith("e(f)"), format(directives));
     }
 
-    /** Whatever it is given, it ends, and every problem has a place in the text. */
+    /** Random text and very deep nesting: the parser ends, and every problem has a position within the text. */
     @Test
     void randomTextTerminatesWithValidPositions() {
         SplittableRandom random = new SplittableRandom(1);
