--- a/src/main/java/gullspar/rehearse/record/DecisionLog.java
+++ b/src/main/java/gullspar/rehearse/record/DecisionLog.java
@@ -22,9 +22,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the modules were told and what they decided: one canonical line each, in the order in which it
- * happened, and the SHA-256 of all lines. A line is: time in ns from the start, proxy and its life, what, and
- * its figures. Decisions begin with a capital letter.
+ * Records the inputs and the decisions of the decision modules, one canonical line each, in the order of
+ * their occurrence, and the SHA-256 of all lines. A line holds the time in ns from the start, the proxy
+ * process, the event and its values. The names of decisions begin with a capital letter.
  */
 public final class DecisionLog {
     private final LongSupplier elapsedNs;
@@ -33,7 +33,12 @@
     private final Writer writer;
     private long lineCount;
 
-    /** nodeNames names the nodes by the module's numbers; writer may be null: only the hash is kept. */
+    /**
+     * Creates a log.
+     *
+     * @param nodeNames maps the module's node numbers to names
+     * @param writer receives the lines; null to compute the hash only
+     */
     public DecisionLog(LongSupplier elapsedNs, IntFunction<String> nodeNames, Writer writer) {
         this.elapsedNs = elapsedNs;
         this.nodeNames = nodeNames;
@@ -62,12 +67,12 @@
         return lineCount;
     }
 
-    /** The SHA-256 of all lines so far, in hexadecimal; to be asked for once, at the end. */
+    /** Returns the SHA-256 of all lines, in hexadecimal. To be called once, at the end: it resets the digest. */
     public String hash() {
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** A factory whose modules write here what they hear and do. */
+    /** Returns a factory whose modules log their inputs and decisions here. */
     public Balancer.Factory wrap(String process, Balancer.Factory factory) {
         return (settings, seed, now, out) ->
                 new LoggingBalancer(process, factory.create(settings, seed, now, new LoggingActions(process, out)));
@@ -77,7 +82,7 @@
         return Double.isNaN(value) ? "-" : Double.toString(value);
     }
 
-    /** What a module is told, on its way in. */
+    /** Logs the inputs of a module and passes them on. */
     private final class LoggingBalancer implements Balancer {
         private final String process;
         private final Balancer delegate;
@@ -153,7 +158,7 @@
         }
     }
 
-    /** What a module does, on its way out. */
+    /** Logs the decisions of a module and passes them on. */
     private final class LoggingActions implements Actions {
         private final String process;
         private final Actions delegate;
--- a/src/main/java/gullspar/rehearse/record/LogDiff.java
+++ b/src/main/java/gullspar/rehearse/record/LogDiff.java
@@ -8,12 +8,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Compares two decision logs: where they part, the first decision that differs, what each side knew then. */
+/**
+ * Compares two decision logs: the first line that differs, the first decision that differs, and what each
+ * side knew of the nodes at that decision.
+ */
 public final class LogDiff {
-    /** Decisions that are looked through for one that differs once the logs have parted. */
+    /** Equal decisions after the first difference before the search for a differing decision ends. */
     private static final int MAX_EQUAL_DECISIONS = 1_000_000;
 
-    /** A file that is no decision log, with the place. */
+    /** Thrown for a file that is not a decision log; the message has the position. */
     public static final class MalformedLogException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -22,7 +25,7 @@
         }
     }
 
-    /** One side of the comparison. */
+    /** Reads one of the two logs and replays its entries. */
     private static final class LogReader {
         private final Path file;
         private final BufferedReader in;
@@ -34,7 +37,7 @@
             this.in = Files.newBufferedReader(file);
         }
 
-        /** The next line, not yet taken in; null at the end. */
+        /** Returns the next entry without applying it; null at the end. */
         LogEntry nextEntry() throws IOException, MalformedLogException {
             String line = in.readLine();
             if (line == null) {
@@ -43,12 +46,12 @@
             lineNumber++;
             LogEntry entry = LogEntry.parse(line);
             if (entry == null) {
-                throw new MalformedLogException(file, lineNumber, "this is no line of a decision log");
+                throw new MalformedLogException(file, lineNumber, "not a line of a decision log");
             }
             return entry;
         }
 
-        /** Goes on from an entry to the next decision, taking in what comes before it; null at the end. */
+        /** Returns the first decision from an entry on and applies the entries before it; null at the end. */
         LogEntry skipToDecision(LogEntry start) throws IOException, MalformedLogException {
             LogEntry entry = start;
             while (entry != null && !entry.isDecision()) {
@@ -61,7 +64,7 @@
 
     private LogDiff() {}
 
-    /** What to print; empty if the two are the same. */
+    /** Returns the lines to print; empty if the logs are identical. */
     public static List<String> compare(Path a, Path b) throws IOException, MalformedLogException {
         LogReader left = new LogReader(a);
         LogReader right = new LogReader(b);
--- a/src/main/java/gullspar/rehearse/record/LogEntry.java
+++ b/src/main/java/gullspar/rehearse/record/LogEntry.java
@@ -1,11 +1,11 @@
 package gullspar.rehearse.record;
 
 /**
- * One line of a decision log: when (ns from the start), which proxy and life, and what. Decisions begin with
- * a capital letter, what the module was told with a small one.
+ * One line of a decision log: the time in ns from the start, the proxy process, and the event with its
+ * values. The names of decisions begin with a capital letter, those of inputs with a small one.
  */
 record LogEntry(long atNs, String process, String text) {
-    /** Null if the line is none. */
+    /** Returns null if the line is malformed. */
     static LogEntry parse(String line) {
         String[] parts = line.split(" ", 3);
         if (parts.length < 3 || parts[2].isEmpty() || !parts[0].matches("\\d{1,18}")) {
@@ -23,7 +23,7 @@
         return Character.isUpperCase(text.charAt(0));
     }
 
-    /** The value of name=value; "" if it is not there. */
+    /** The value of name=value; empty if it is absent. */
     String field(String name) {
         int index = text.indexOf(' ' + name + '=');
         if (index < 0) {
--- a/src/main/java/gullspar/rehearse/record/ProcessStateReplay.java
+++ b/src/main/java/gullspar/rehearse/record/ProcessStateReplay.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What each proxy knew at a moment, put together again from the lines of a decision log up to there. */
+/** Reconstructs from the lines of a decision log what each proxy process knew of the nodes at a given time. */
 final class ProcessStateReplay {
-    /** What one proxy knew of one node. */
+    /** What one process knew of one node. */
     private static final class NodeState {
         private String listedState = "not listed";
         private String weight = "-";
@@ -22,10 +22,10 @@
     }
 
     private final Map<String, Map<String, NodeState>> nodesByProcess = new TreeMap<>();
-    /** The attempts that are out: proxy, ticket and number. */
+    /** The attempts without a response yet: process, ticket and attempt number. */
     private final Set<String> outstandingAttempts = new HashSet<>();
 
-    /** Takes in one line. */
+    /** Updates the state with the next entry of the log. */
     void apply(LogEntry entry) {
         Map<String, NodeState> nodes = nodesByProcess.computeIfAbsent(entry.process(), w -> new TreeMap<>());
         switch (entry.eventName()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** What a proxy knows now, a line for each node. */
+    /** Formats what a process knows at the time, one line per node. */
     List<String> describe(String process, long nowNs) {
         List<String> lines = new ArrayList<>();
         nodesByProcess
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -117,7 +117,7 @@
         assertEquals(1, run("rehearse", "diff", log, other));
         assertTrue(out.contains("The first decision that differs:"), out);
         assertEquals(2, run("rehearse", "diff", log, day));
-        assertTrue(err.contains("day.toml:1:1: this is no line of a decision log"), err);
+        assertTrue(err.contains("day.toml:1:1: not a line of a decision log"), err);
         assertEquals(2, run("rehearse", "diff", log, folder.resolve("none").toString()));
     }
 
