--- a/src/main/java/gullspar/rehearse/report/FleetChart.java
+++ b/src/main/java/gullspar/rehearse/report/FleetChart.java
@@ -10,23 +10,23 @@
 import java.util.TreeSet;
 
 /**
- * How each process saw the fleet, second by second, against those that lived: what the chart of a day shows,
- * without its drawing.
+ * Compares the view that each proxy process had of the fleet with the proxies that were running, second by
+ * second: the data of the fleet chart in the HTML report.
  */
 final class FleetChart {
-    /** What a process saw in a second, the worst of what it answered. */
+    /** Accuracy of a view, from best to worst; the worst response of a second counts. */
     enum ViewStatus {
-        /** All that live, and nobody else. */
+        /** Exactly the running proxies are present. */
         RIGHT,
-        /** All that live, some of them suspected; or some that live no more. */
+        /** All running proxies are present, but some are suspected, or some are present that no longer run. */
         BEHIND,
-        /** Somebody who lives is gone, or not known yet. */
+        /** A running proxy is missing: considered gone, or not known yet. */
         LACKS,
-        /** It says itself that it sees too few. */
+        /** The process itself reports that it sees too few members. */
         CUT_OFF
     }
 
-    /** One second of one process; bytes that it sent in it. */
+    /** The view of one process in one second, and the bytes that it sent in that second. */
     record ViewSample(ViewStatus status, int presentCount, int aliveCount, long sentBytes) {}
 
     private final EventLog eventLog;
@@ -76,17 +76,17 @@
         return new ViewSample(status, present.size(), alive.size(), sentBytes);
     }
 
-    /** Those that answered at any time. */
+    /** The processes that responded at any time. */
     List<String> processes() {
         return new ArrayList<>(samplesByProcess.keySet());
     }
 
-    /** By second; none for those in which it did not answer. */
+    /** The samples of a process by second; seconds without a response are absent. */
     Map<Integer, ViewSample> samplesBySecond(String process) {
         return samplesByProcess.get(process);
     }
 
-    /** Bytes a second that a process sent, over the seconds in which it answered. */
+    /** The average of bytes sent per second, over the seconds in which the process responded. */
     double bytesPerSecond(String process) {
         Map<Integer, ViewSample> samples = samplesByProcess.get(process);
         return samples.values().stream().mapToLong(ViewSample::sentBytes).sum() / (double) Math.max(1, samples.size());
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -20,7 +20,8 @@
 import java.util.Map;
 
 /**
- * A day as a page that people look at: one HTML file that needs no network, light and dark, narrow and wide.
+ * Renders a day as a self-contained HTML page that loads nothing from the network, with light and dark colors,
+ * for narrow and wide screens.
  */
 public final class HtmlReport {
     private static final int MAX_DETAILED_VIOLATIONS = 5;
@@ -37,7 +38,7 @@
         this.outcomes = new OutcomeTimeline(day);
     }
 
-    /** The whole page. */
+    /** Returns the page. */
     public static String render(Played day) {
         return new HtmlReport(day).renderPage();
     }
@@ -79,7 +80,7 @@
         html.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 
-    // ---- parts ----
+    // ---- sections ----
 
     private void addSummary(String title) {
         Verdict verdict = day.verdict();
@@ -180,7 +181,7 @@
         addLine("</div>");
     }
 
-    /** A strip for each node: how busy it is, second by second; grey where it is down. */
+    /** Adds a strip per node with its utilization in each second; grey where it is down. */
     private void addNodes() {
         addLine("<h2>The nodes</h2>");
         addLine("<p class=\"soft\">How busy each is, and at the end of its line the share of all answers that "
@@ -239,7 +240,7 @@
         return util < 0.3 ? "low" : util < 0.7 ? "mid" : util < 0.95 ? "high" : "full";
     }
 
-    /** A strip for each process of a proxy: how it saw the others; grey where it did not answer. */
+    /** Adds a strip per proxy process with its view of the others; grey where it did not respond. */
     private void addFleet() {
         FleetChart chart = new FleetChart(eventLog, day.script().seconds());
         addLine("<h2>The view of the fleet</h2>");
--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The result of a day for machines: one JSON object. Times in s from the start of the day. */
+/** Formats the result of a day as one JSON object. Times are in s from the start of the day. */
 public final class JsonReport {
-    /** Broken rules that are told in full; the rest are counted. */
+    /** The number of violations that are listed with their request trace; the rest are only counted. */
     private static final int MAX_DETAILED_VIOLATIONS = 20;
 
     private JsonReport() {}
 
-    /** One line of JSON. */
+    /** Returns the report as one line of JSON. */
     public static String render(Played day) {
         ObjectMapper mapper = new ObjectMapper();
         Verdict verdict = day.verdict();
--- a/src/main/java/gullspar/rehearse/report/OutcomeTimeline.java
+++ b/src/main/java/gullspar/rehearse/report/OutcomeTimeline.java
@@ -5,9 +5,12 @@
 import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.Order;
 
-/** How the orders of each second of a day ended. */
+/** Counts the outcomes of the orders of each second of a day. */
 final class OutcomeTimeline {
-    /** How an order ended: served in time, served late, refused at the last, or anything else. */
+    /**
+     * Outcome of an order: served within the latency target, served late, refused in its last request, or
+     * any other ending. The lower-case names are the CSS variables of the HTML report.
+     */
     enum Outcome {
         SERVED,
         LATE,
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** What a day looks like afterwards. */
+/** Tests the HTML and JSON reports of a played day. */
 class ReportTest {
     private static Played day;
 
@@ -32,15 +32,17 @@
     @Test
     void htmlReportLoadsNothingAndEscapesText() {
         String html = HtmlReport.render(day);
-        assertFalse(html.matches("(?s).*(https?:|<script|<link|@import|url\\((?!#)).*"), "it loads something");
+        assertFalse(
+                html.matches("(?s).*(https?:|<script|<link|@import|url\\((?!#)).*"),
+                "the page refers to an external resource");
         assertTrue(html.contains("<h1>&lt;b&gt;odd &amp; old&lt;/b&gt;</h1>"));
         assertTrue(html.contains("prefers-color-scheme: dark"));
         assertTrue(html.contains("name=\"viewport\""));
         for (int i = 1; i <= 8; i++) {
-            assertTrue(html.contains("<span>n" + i + "</span>"), "no line for node " + i);
+            assertTrue(html.contains("<span>n" + i + "</span>"), "no strip for node " + i);
         }
         assertTrue(html.contains("1.0 s to 3.0 s: hang 3 nodes"));
-        assertTrue(html.contains("url(#hatch)"), "a node that drains is marked");
+        assertTrue(html.contains("url(#hatch)"), "a draining node is hatched");
         assertTrue(html.contains("the script expects 1.0000"));
         assertEquals(count(html, "<svg "), count(html, "</svg>"));
         assertEquals(count(html, "<div"), count(html, "</div>"));
@@ -50,7 +52,10 @@
         return text.split(part, -1).length - 1;
     }
 
-    /** One that dies is missed, then known to be gone; whoever is alone says so; all is well in the end. */
+    /**
+     * A killed proxy is at first still present and then removed; a partitioned one reports that it is cut off;
+     * in the end all views are accurate.
+     */
     @Test
     void fleetChartShowsFailuresAndPartitions() {
         Played fleetDay = VirtualPlay.play(
@@ -68,7 +73,7 @@
         assertEquals(
                 FleetChart.ViewStatus.BEHIND,
                 chart.samplesBySecond("p1").get(2).status(),
-                "it is dead and still there");
+                "the killed proxy is still present");
         assertEquals(
                 new FleetChart.ViewSample(
                         FleetChart.ViewStatus.RIGHT,
@@ -76,7 +81,7 @@
                         2,
                         chart.samplesBySecond("p1").get(12).sentBytes()),
                 chart.samplesBySecond("p1").get(12));
-        assertFalse(chart.samplesBySecond("p2").containsKey(8), "a dead process was asked");
+        assertFalse(chart.samplesBySecond("p2").containsKey(8), "a process that does not run responded");
         assertEquals(
                 FleetChart.ViewStatus.CUT_OFF,
                 chart.samplesBySecond("p3").get(21).status());
@@ -88,7 +93,7 @@
         assertFalse(HtmlReport.render(day).contains("The view of the fleet"));
     }
 
-    /** The plot and its table tell of the same orders, and of all. */
+    /** The plot and its table both use these counts: every order must be in exactly one of them. */
     @Test
     void everyOrderIsCountedOnce() {
         OutcomeTimeline outcomes = new OutcomeTimeline(day);
