--- a/src/main/java/gullspar/rehearse/search/DayGenerator.java
+++ b/src/main/java/gullspar/rehearse/search/DayGenerator.java
@@ -12,16 +12,18 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Draws the faults of a day at random, within what the script allows. */
+/** Generates days with random faults of the kinds and number that the script allows. */
 final class DayGenerator {
-    /** Figures are drawn from the usual value's fraction of this to its multiple, within their bounds. */
+    /** A parameter is between its default divided by this and its default times this, within its bounds. */
     private static final double PARAMETER_SPREAD = 4;
-    /** The longest that a fault lasts, in s, and the part of the day in which faults begin. */
-    private static final double MAX_FAULT_S = 8, START_SHARE = 0.8;
+    /** The longest duration of a fault. */
+    private static final double MAX_FAULT_S = 8;
+    /** The share of the day, without its fault-free end, in which faults start. */
+    private static final double START_SHARE = 0.8;
 
     private DayGenerator() {}
 
-    /** The script's day of that number: its seed and its faults are drawn anew, all else stays. */
+    /** Returns the day of that number: its seed is the number, its faults are random, the rest is the script's. */
     static Script generate(Script script, int number) {
         SplittableRandom random = new SplittableRandom(Agenda.mix(script.seed() * 31 + 10) + number);
         List<Fault> faults = new ArrayList<>();
@@ -43,7 +45,7 @@
     }
 
     private static Fault randomFault(Script script, FaultKind kind, SplittableRandom random) {
-        // A day that is all calm was cut down by a search: it has faults of its own.
+        // If the fault-free time covers the whole day, a search has shortened the day to its own faults.
         double endS = script.seconds() > script.search().faultFreeS()
                 ? script.seconds() - script.search().faultFreeS()
                 : script.seconds();
@@ -104,7 +106,7 @@
                 : "p" + (1 + random.nextInt(script.proxies().count()));
     }
 
-    /** Proxies to nodes or back, or one of them to one, or the clients' way to the proxies. */
+    /** All proxies or one of them, and nodes, clients, discovery or (with peers) proxies, in either direction. */
     private static List<String> randomLinkEnds(Script script, SplittableRandom random) {
         String proxy = random.nextBoolean()
                 ? "proxies"
--- a/src/main/java/gullspar/rehearse/search/Finding.java
+++ b/src/main/java/gullspar/rehearse/search/Finding.java
@@ -6,12 +6,11 @@
 import gullspar.rehearse.script.Script;
 import java.util.Locale;
 
-/**
- * A day on which something is wrong. The rule is null where the service was too low.
- */
+/** A day that breaks a rule or falls below the service bound; in the latter case the rule is null. */
 public record Finding(Script script, Rule rule, String description) {
     /**
-     * What is wrong with a day, if anything: the first broken rule, or service under the bound; else null.
+     * Returns the first broken rule of a day, other than the script's own expectations, or else service below
+     * the bound; null if there is neither.
      */
     static Finding fromVerdict(Script script, Verdict verdict) {
         for (RuleViolation violation : verdict.violations()) {
@@ -28,7 +27,7 @@
                 : null;
     }
 
-    /** A short name of what is wrong. */
+    /** The rule's name in file names and the state file; "service" if the service was too low. */
     public String ruleName() {
         return rule == null ? "service" : rule.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/gullspar/rehearse/search/FindingReducer.java
+++ b/src/main/java/gullspar/rehearse/search/FindingReducer.java
@@ -9,12 +9,13 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Cuts a day down to the smallest that still shows the same: first the faults themselves (delta debugging,
- * Zeller and Hildebrandt, IEEE TSE 28 (2), 2002), then how long each lasts and how many it strikes, then the
- * day.
+ * Reduces a day to the smallest one with the same finding: first removes faults (delta debugging, Zeller and
+ * Hildebrandt, IEEE TSE 28 (2), 2002), then halves the duration and the number of targets of each fault, then
+ * shortens the day.
  */
 final class FindingReducer {
     private static final int MAX_PLAYS = 150;
+    /** The shortest time from the end of the last fault to the end of the day. */
     private static final double MIN_TAIL_S = 2;
 
     private final VirtualPlay.Options options;
@@ -28,7 +29,7 @@
         this.stop = stop;
     }
 
-    /** Stops early, with the smallest so far, when told to. */
+    /** Returns the smallest day; once stop returns true, the smallest so far. */
     static Finding smallest(Finding finding, VirtualPlay.Options options, BooleanSupplier stop) {
         FindingReducer reducer = new FindingReducer(finding, options, stop);
         reducer.removeFaults();
@@ -39,7 +40,7 @@
         return reducer.smallest;
     }
 
-    /** Is the same still wrong? Then this is the smallest so far. */
+    /** Whether the candidate has the same finding; if so, it becomes the smallest so far. */
     private boolean reproduces(Script candidate) {
         if (plays >= MAX_PLAYS || stop.getAsBoolean()) {
             return false;
@@ -87,14 +88,14 @@
                                 f.count(),
                                 f.names(),
                                 f.parameters()))) {
-            continue; // half as long, while that does
+            continue; // half the duration while the finding reproduces
         }
         while (tryChange(
                 index,
                 f -> !f.names().isEmpty() || f.count() / 2 < f.kind().minTargets()
                         ? null
                         : new Fault(f.kind(), f.startS(), f.durationS(), f.count() / 2, f.names(), f.parameters()))) {
-            continue; // half as many
+            continue; // half the targets while the finding reproduces
         }
     }
 
--- a/src/main/java/gullspar/rehearse/search/Search.java
+++ b/src/main/java/gullspar/rehearse/search/Search.java
@@ -18,12 +18,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Plays days with faults drawn at random until one breaks a rule or serves too little, cuts each such day
- * down and writes it as a script. What is done is written down after each day, so that a search which was
- * interrupted goes on where it stopped.
+ * Plays days with random faults, reduces each day that breaks a rule or falls below the service bound, and
+ * writes it as a script. The state is saved after each day, so that an interrupted search resumes where it
+ * stopped.
  */
 public final class Search {
-    /** Hears how it goes on: days done and found of all, and each finding as it is written. */
+    /**
+     * Receives the progress of a search: the numbers of finished days, findings and all days after each day,
+     * and each finding once its script is written.
+     */
     public interface Listener {
         void onProgress(int done, int found, int total);
 
@@ -42,7 +45,7 @@
     private int findingCount;
     private volatile boolean stopped;
 
-    /** Days are numbered from 1; findings and the state go to the folder, which is made. */
+    /** Days are numbered from 1; findings and the state are written to the folder, which is created. */
     public Search(Script script, int days, Path folder, VirtualPlay.Options options, Listener listener) {
         this.script = script;
         this.days = days;
@@ -51,12 +54,12 @@
         this.listener = listener;
     }
 
-    /** Ends it soon: what is being played is given up and played again another time. */
+    /** Stops the search soon; days in progress are discarded and played again by the next run. */
     public void stop() {
         stopped = true;
     }
 
-    /** Returns how many days showed something, those of earlier runs included. */
+    /** Returns the number of days with a finding, including those of earlier runs. */
     public int run(int jobs) throws IOException {
         Files.createDirectories(folder);
         readState();
@@ -93,7 +96,7 @@
                 finding = FindingReducer.smallest(finding, options, () -> stopped);
             }
             if (stopped) {
-                return; // perhaps not cut down yet: it is played again
+                return; // the reduction may be incomplete: the next run plays the day again
             }
             recordDay(n, finding);
         }
@@ -127,13 +130,13 @@
         listener.onProgress(finishedDays.size(), findingCount, days);
     }
 
-    /** The first line tells of which script it is the state: another one begins anew. */
+    /** The first line identifies the script: the state of another script is discarded. */
     private void readState() throws IOException {
         Path file = folder.resolve(STATE_FILE);
         String header =
                 "search of " + Integer.toHexString(ScriptWriter.write(script).hashCode());
         String text = Files.exists(file) ? Files.readString(file) : "";
-        // What the end of the process cut short is no line, and the next one must not be written behind it.
+        // A killed process may leave a partial last line: drop it, so that the next line is not appended to it.
         text = text.substring(0, text.lastIndexOf('\n') + 1);
         List<String> lines = text.lines().toList();
         if (lines.isEmpty() || !lines.get(0).equals(header)) {
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A search finds what is wrong, cuts it down and can be interrupted. */
+/** Tests that a search finds and reduces a planted defect, and that it resumes after an interruption. */
 @Timeout(300)
 class SearchTest {
     private static final Script SEARCH_SCRIPT = Days.small(
             8,
             "[search]\nkinds = [\"spoil\", \"neighbour\", \"late-list\", \"restart\", " + "\"slow-link\"]\nmost = 4\n");
 
-    /** A module that refuses what it should fail: wrong where a request is left in doubt. */
+    /** Plants a defect: the module refuses requests that may have been executed instead of failing them. */
     private static final VirtualPlay.Options REFUSING_INSTEAD_OF_FAILING = new VirtualPlay.Options(
             null,
             real -> (settings, seed, now, out) ->
@@ -52,7 +52,7 @@
     @TempDir
     Path folder;
 
-    /** Notes what it hears; ends the search after so many days. */
+    /** Records the findings; stops the search after the given number of days. */
     private static final class RecordingListener implements Search.Listener {
         private final List<Path> scripts = new ArrayList<>();
         private final List<Finding> findings = new ArrayList<>();
@@ -98,7 +98,7 @@
                                             .verdict())
                             .rule());
             spoilFindings += reducedDay.faults().stream().map(Fault::kind).anyMatch(FaultKind.SPOIL::equals) ? 1 : 0;
-            for (Fault fault : reducedDay.faults()) { // none of them can be left out
+            for (Fault fault : reducedDay.faults()) { // every remaining fault is necessary
                 List<Fault> remaining = new ArrayList<>(reducedDay.faults());
                 remaining.remove(fault);
                 assertNull(
@@ -110,7 +110,8 @@
             }
             assertTrue(reducedDay.seconds() <= SEARCH_SCRIPT.seconds());
         }
-        assertTrue(spoilFindings > 0, "spoilt answers are the most likely to leave a request in doubt");
+        assertTrue(
+                spoilFindings > 0, "no finding has a spoil fault, the most likely one to leave an execution uncertain");
         assertTrue(listener.scripts.stream()
                 .anyMatch(p -> p.getFileName().toString().startsWith("found-nothing-twice-")));
     }
@@ -125,7 +126,7 @@
         RecordingListener first = run(10, 2, VirtualPlay.Options.plain(), 4);
         int done = first.playedDays.get();
         assertTrue(done >= 4 && done < 10, done + " days were done");
-        // The end came in the midst of a line.
+        // Simulates a process that was killed while it wrote a line.
         Path state = folder.resolve("search.state");
         Files.writeString(state, Files.readString(state) + "10");
         RecordingListener second = run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE);
@@ -140,14 +141,14 @@
         assertEquals(3, other.playedDays.get());
     }
 
-    /** The same number is the same day, whoever draws it and when. */
+    /** Days must be the same in a resumed search and on any thread. */
     @Test
     void daysDependOnlyOnScriptAndNumber() throws Exception {
         assertEquals(DayGenerator.generate(SEARCH_SCRIPT, 7), DayGenerator.generate(SEARCH_SCRIPT, 7));
         for (int i = 1; i <= 200; i++) {
             Script day = DayGenerator.generate(SEARCH_SCRIPT, i);
             assertTrue(day.faults().size() <= 4);
-            ScriptReader.parse(ScriptWriter.write(day), "day " + i); // all in bounds
+            ScriptReader.parse(ScriptWriter.write(day), "day " + i); // throws if a value is out of bounds
         }
     }
 }
