--- a/src/main/java/gullspar/nginx/Directive.java
+++ b/src/main/java/gullspar/nginx/Directive.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * A directive as it was written: its name, its arguments, what stands in its braces (null for one that ends
- * with a semicolon), and the raw text of a block that is not configuration (a script), else null.
+ * A directive as written in the file: its name, its arguments, the directives in its block (null if it ends
+ * with a semicolon), and the raw text of a block that is a script rather than configuration, else null.
  */
 public record Directive(Word name, List<Word> arguments, List<Directive> block, String raw) {
     public Directive {
@@ -13,21 +13,21 @@
         block = block == null ? null : List.copyOf(block);
     }
 
-    public SourceLocation place() {
-        return name.place();
+    public SourceLocation position() {
+        return name.position();
     }
 
-    /** Is that its name? */
-    public boolean is(String n) {
-        return name.text().equals(n);
+    /** Whether the directive has the expected name. */
+    public boolean is(String expected) {
+        return name.text().equals(expected);
     }
 
-    /** The text of an argument; empty if there are not so many. */
-    public Optional<String> argument(int i) {
-        return i < arguments.size() ? Optional.of(arguments.get(i).text()) : Optional.empty();
+    /** The text of an argument; empty if there are fewer arguments. */
+    public Optional<String> argument(int index) {
+        return index < arguments.size() ? Optional.of(arguments.get(index).text()) : Optional.empty();
     }
 
-    /** How many directives there are in all, this one and those of its block included. */
+    /** The number of directives, including this one and all within its block. */
     public int count() {
         return 1
                 + (block == null ? 0 : block.stream().mapToInt(Directive::count).sum());
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** What a day looks like afterwards. */
+/** Tests the HTML and JSON reports of a played day. */
 class ReportTest {
     private static Played day;
 
@@ -30,17 +30,19 @@
     }
 
     @Test
-    void thePageNeedsNoNetworkAndNoScriptAndEscapesWhatItIsGiven() {
-        String html = HtmlReport.of(day);
-        assertFalse(html.matches("(?s).*(https?:|<script|<link|@import|url\\((?!#)).*"), "it loads something");
+    void htmlReportLoadsNothingAndEscapesText() {
+        String html = HtmlReport.render(day);
+        assertFalse(
+                html.matches("(?s).*(https?:|<script|<link|@import|url\\((?!#)).*"),
+                "the page refers to an external resource");
         assertTrue(html.contains("<h1>&lt;b&gt;odd &amp; old&lt;/b&gt;</h1>"));
         assertTrue(html.contains("prefers-color-scheme: dark"));
         assertTrue(html.contains("name=\"viewport\""));
         for (int i = 1; i <= 8; i++) {
-            assertTrue(html.contains("<span>n" + i + "</span>"), "no line for node " + i);
+            assertTrue(html.contains("<span>n" + i + "</span>"), "no strip for node " + i);
         }
         assertTrue(html.contains("1.0 s to 3.0 s: hang 3 nodes"));
-        assertTrue(html.contains("url(#hatch)"), "a node that drains is marked");
+        assertTrue(html.contains("url(#hatch)"), "a draining node is hatched");
         assertTrue(html.contains("the script expects 1.0000"));
         assertEquals(count(html, "<svg "), count(html, "</svg>"));
         assertEquals(count(html, "<div"), count(html, "</div>"));
@@ -50,10 +52,13 @@
         return text.split(part, -1).length - 1;
     }
 
-    /** One that dies is missed, then known to be gone; whoever is alone says so; all is well in the end. */
+    /**
+     * A killed proxy is at first still present and then removed; a partitioned one reports that it is cut off;
+     * in the end all views are accurate.
+     */
     @Test
-    void theViewOfTheFleetIsDrawnAsItWas() {
-        Played p = VirtualPlay.play(
+    void fleetChartShowsFailuresAndPartitions() {
+        Played fleetDay = VirtualPlay.play(
                 Days.parse(Days.text(
                                 30,
                                 "[peers]\ninterval_ms = 200\nwindow_s = 20\n"
@@ -61,38 +66,48 @@
                                         + Days.fault("partition", 18, "for = 5\nproxies = [\"p3\"]"))
                         .replace("count = 2\nstart_s", "count = 3\nstart_s")),
                 VirtualPlay.Options.plain());
-        FleetChart chart = new FleetChart(p.eventLog(), 30);
+        FleetChart chart = new FleetChart(fleetDay.eventLog(), 30);
         assertEquals(List.of("p1", "p2", "p3"), chart.processes());
-        assertEquals(FleetChart.Sight.RIGHT, chart.of("p1").get(0).sight());
-        assertEquals(FleetChart.Sight.BEHIND, chart.of("p1").get(2).sight(), "it is dead and still there");
         assertEquals(
-                new FleetChart.Cell(
-                        FleetChart.Sight.RIGHT, 2, 2, chart.of("p1").get(12).bytes()),
-                chart.of("p1").get(12));
-        assertFalse(chart.of("p2").containsKey(8), "a dead process was asked");
-        assertEquals(FleetChart.Sight.CUT_OFF, chart.of("p3").get(21).sight());
-        assertEquals(FleetChart.Sight.RIGHT, chart.of("p3").get(29).sight());
+                FleetChart.ViewStatus.RIGHT, chart.samplesBySecond("p1").get(0).status());
+        assertEquals(
+                FleetChart.ViewStatus.BEHIND,
+                chart.samplesBySecond("p1").get(2).status(),
+                "the killed proxy is still present");
+        assertEquals(
+                new FleetChart.ViewSample(
+                        FleetChart.ViewStatus.RIGHT,
+                        2,
+                        2,
+                        chart.samplesBySecond("p1").get(12).sentBytes()),
+                chart.samplesBySecond("p1").get(12));
+        assertFalse(chart.samplesBySecond("p2").containsKey(8), "a process that does not run responded");
+        assertEquals(
+                FleetChart.ViewStatus.CUT_OFF,
+                chart.samplesBySecond("p3").get(21).status());
+        assertEquals(
+                FleetChart.ViewStatus.RIGHT, chart.samplesBySecond("p3").get(29).status());
         assertTrue(chart.bytesPerSecond("p1") > 0);
-        String html = HtmlReport.of(p);
+        String html = HtmlReport.render(fleetDay);
         assertTrue(html.contains("p3 at 21 s: has ") && html.contains("The view of the fleet"));
-        assertFalse(HtmlReport.of(day).contains("The view of the fleet"));
+        assertFalse(HtmlReport.render(day).contains("The view of the fleet"));
     }
 
-    /** The plot and its table tell of the same orders, and of all. */
+    /** The plot and its table both use these counts: every order must be in exactly one of them. */
     @Test
     void everyOrderIsCountedOnce() {
-        Seconds seconds = new Seconds(day);
+        OutcomeTimeline outcomes = new OutcomeTimeline(day);
         int sum = 0;
-        for (int s = 0; s < seconds.length(); s++) {
-            sum += seconds.total(s);
+        for (int second = 0; second < outcomes.length(); second++) {
+            sum += outcomes.total(second);
         }
         assertEquals(day.verdict().orders(), sum);
         assertTrue(sum > 400);
     }
 
     @Test
-    void theResultForMachines() throws Exception {
-        JsonNode json = new ObjectMapper().readTree(JsonReport.of(day));
+    void jsonReportMatchesTheVerdict() throws Exception {
+        JsonNode json = new ObjectMapper().readTree(JsonReport.render(day));
         assertFalse(json.get("kept").asBoolean());
         assertEquals(day.hash(), json.get("sha256").asText());
         assertEquals("expected", json.get("broken").get(0).get("rule").asText());
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -25,15 +25,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A search finds what is wrong, cuts it down and can be interrupted. */
+/** Tests that a search finds and reduces a planted defect, and that it resumes after an interruption. */
 @Timeout(300)
 class SearchTest {
-    private static final Script DRAWN_FROM = Days.small(
+    private static final Script SEARCH_SCRIPT = Days.small(
             8,
             "[search]\nkinds = [\"spoil\", \"neighbour\", \"late-list\", \"restart\", " + "\"slow-link\"]\nmost = 4\n");
 
-    /** A module that refuses what it should fail: wrong where a request is left in doubt. */
-    private static final VirtualPlay.Options REFUSES = new VirtualPlay.Options(
+    /** Plants a defect: the module refuses requests that may have been executed instead of failing them. */
+    private static final VirtualPlay.Options REFUSING_INSTEAD_OF_FAILING = new VirtualPlay.Options(
             null,
             real -> (settings, seed, now, out) ->
                     real.create(settings, seed, now, (Balancer.Actions) Proxy.newProxyInstance(
@@ -52,90 +52,103 @@
     @TempDir
     Path folder;
 
-    /** Notes what it hears; ends the search after so many days. */
-    private static final class Heard implements Search.Listener {
+    /** Records the findings; stops the search after the given number of days. */
+    private static final class RecordingListener implements Search.Listener {
         private final List<Path> scripts = new ArrayList<>();
         private final List<Finding> findings = new ArrayList<>();
-        private final AtomicInteger days = new AtomicInteger();
-        private int endAfter = Integer.MAX_VALUE;
+        private final AtomicInteger playedDays = new AtomicInteger();
+        private int stopAfterDays = Integer.MAX_VALUE;
         private Search search;
 
         @Override
-        public void at(int done, int found, int of) {
-            if (days.incrementAndGet() >= endAfter) {
+        public void onProgress(int done, int found, int total) {
+            if (playedDays.incrementAndGet() >= stopAfterDays) {
                 search.stop();
             }
         }
 
         @Override
-        public void found(Finding finding, Path script) {
+        public void onFinding(Finding finding, Path script) {
             findings.add(finding);
             scripts.add(script);
         }
     }
 
-    private Heard run(int days, int jobs, VirtualPlay.Options options, int endAfter) throws Exception {
-        Heard h = new Heard();
-        h.endAfter = endAfter;
-        h.search = new Search(DRAWN_FROM, days, folder, options, h);
-        h.search.run(jobs);
-        return h;
+    private RecordingListener run(int days, int jobs, VirtualPlay.Options options, int stopAfterDays) throws Exception {
+        RecordingListener listener = new RecordingListener();
+        listener.stopAfterDays = stopAfterDays;
+        listener.search = new Search(SEARCH_SCRIPT, days, folder, options, listener);
+        listener.search.run(jobs);
+        return listener;
     }
 
     @Test
-    void whatIsPlantedIsFoundAndCutDownToTheFaultThatShowsIt() throws Exception {
-        Heard h = run(12, 4, REFUSES, Integer.MAX_VALUE);
-        assertTrue(h.findings.size() >= 2, "found " + h.findings.size());
-        int spoilt = 0;
-        for (int i = 0; i < h.scripts.size(); i++) {
-            Script s = ScriptReader.read(h.scripts.get(i));
-            assertEquals(h.findings.get(i).script(), s);
+    void findsAPlantedDefectAndReducesItToTheNecessaryFaults() throws Exception {
+        RecordingListener listener = run(12, 4, REFUSING_INSTEAD_OF_FAILING, Integer.MAX_VALUE);
+        assertTrue(listener.findings.size() >= 2, "found " + listener.findings.size());
+        int spoilFindings = 0;
+        for (int i = 0; i < listener.scripts.size(); i++) {
+            Script reducedDay = ScriptReader.read(listener.scripts.get(i));
+            assertEquals(listener.findings.get(i).script(), reducedDay);
             assertEquals(
                     Rule.NOTHING_TWICE,
-                    Finding.in(s, VirtualPlay.play(s, REFUSES).verdict()).rule());
-            spoilt += s.faults().stream().map(Fault::kind).anyMatch(FaultKind.SPOIL::equals) ? 1 : 0;
-            for (Fault f : s.faults()) { // none of them can be left out
-                List<Fault> rest = new ArrayList<>(s.faults());
-                rest.remove(f);
-                assertNull(Finding.in(s, VirtualPlay.play(s.with(rest), REFUSES).verdict()), f.toString());
+                    Finding.fromVerdict(
+                                    reducedDay,
+                                    VirtualPlay.play(reducedDay, REFUSING_INSTEAD_OF_FAILING)
+                                            .verdict())
+                            .rule());
+            spoilFindings += reducedDay.faults().stream().map(Fault::kind).anyMatch(FaultKind.SPOIL::equals) ? 1 : 0;
+            for (Fault fault : reducedDay.faults()) { // every remaining fault is necessary
+                List<Fault> remaining = new ArrayList<>(reducedDay.faults());
+                remaining.remove(fault);
+                assertNull(
+                        Finding.fromVerdict(
+                                reducedDay,
+                                VirtualPlay.play(reducedDay.with(remaining), REFUSING_INSTEAD_OF_FAILING)
+                                        .verdict()),
+                        fault.toString());
             }
-            assertTrue(s.seconds() <= DRAWN_FROM.seconds());
+            assertTrue(reducedDay.seconds() <= SEARCH_SCRIPT.seconds());
         }
-        assertTrue(spoilt > 0, "spoilt answers are the most likely to leave a request in doubt");
-        assertTrue(h.scripts.stream().anyMatch(p -> p.getFileName().toString().startsWith("found-nothing-twice-")));
+        assertTrue(
+                spoilFindings > 0, "no finding has a spoil fault, the most likely one to leave an execution uncertain");
+        assertTrue(listener.scripts.stream()
+                .anyMatch(p -> p.getFileName().toString().startsWith("found-nothing-twice-")));
     }
 
     @Test
-    void unplantedNothingIsFound() throws Exception {
+    void findsNothingWithoutADefect() throws Exception {
         assertEquals(List.of(), run(12, 4, VirtualPlay.Options.plain(), Integer.MAX_VALUE).findings);
     }
 
     @Test
-    void aSearchThatWasInterruptedGoesOnAndAnotherScriptBeginsAnew() throws Exception {
-        Heard first = run(10, 2, VirtualPlay.Options.plain(), 4);
-        int done = first.days.get();
+    void resumesAfterInterruptionAndRestartsForAnotherScript() throws Exception {
+        RecordingListener first = run(10, 2, VirtualPlay.Options.plain(), 4);
+        int done = first.playedDays.get();
         assertTrue(done >= 4 && done < 10, done + " days were done");
-        // The end came in the midst of a line.
+        // Simulates a process that was killed while it wrote a line.
         Path state = folder.resolve("search.state");
         Files.writeString(state, Files.readString(state) + "10");
-        Heard second = run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE);
-        assertEquals(10 - done, second.days.get());
+        RecordingListener second = run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE);
+        assertEquals(10 - done, second.playedDays.get());
         assertEquals(
                 0,
-                run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE).days.get());
-        Heard other = new Heard();
-        new Search(DRAWN_FROM.with(2), 3, folder, VirtualPlay.Options.plain(), other).run(1);
-        assertEquals(3, other.days.get());
+                run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE)
+                        .playedDays
+                        .get());
+        RecordingListener other = new RecordingListener();
+        new Search(SEARCH_SCRIPT.with(2), 3, folder, VirtualPlay.Options.plain(), other).run(1);
+        assertEquals(3, other.playedDays.get());
     }
 
-    /** The same number is the same day, whoever draws it and when. */
+    /** Days must be the same in a resumed search and on any thread. */
     @Test
-    void daysAreDrawnByTheirNumber() throws Exception {
-        assertEquals(Draw.day(DRAWN_FROM, 7), Draw.day(DRAWN_FROM, 7));
+    void daysDependOnlyOnScriptAndNumber() throws Exception {
+        assertEquals(DayGenerator.generate(SEARCH_SCRIPT, 7), DayGenerator.generate(SEARCH_SCRIPT, 7));
         for (int i = 1; i <= 200; i++) {
-            Script day = Draw.day(DRAWN_FROM, i);
+            Script day = DayGenerator.generate(SEARCH_SCRIPT, i);
             assertTrue(day.faults().size() <= 4);
-            ScriptReader.parse(ScriptWriter.write(day), "day " + i); // all in bounds
+            ScriptReader.parse(ScriptWriter.write(day), "day " + i); // throws if a value is out of bounds
         }
     }
 }
