--- a/src/main/java/gullspar/cli/TryCommand.java
+++ b/src/main/java/gullspar/cli/TryCommand.java
@@ -60,7 +60,7 @@
         }
         System.out.println("starting three nodes, discovery and one proxy on loopback ...");
         try {
-            LivePlay.playOn(script(), now -> printStatus(terminal, now), stop);
+            LivePlay.playUntil(script(), now -> printStatus(terminal, now), stop);
             terminal.clear();
             return 0;
         } catch (IOException e) {
@@ -80,11 +80,11 @@
         }
     }
 
-    private void printStatus(Terminal terminal, LivePlay.Now now) {
+    private void printStatus(Terminal terminal, LivePlay.Status now) {
         if (!hasPrintedInstructions) {
             hasPrintedInstructions = true;
-            String at = "http://" + now.proxy().getAddress().getHostAddress() + ":"
-                    + now.proxy().getPort();
+            String at = "http://" + now.proxyAddress().getAddress().getHostAddress() + ":"
+                    + now.proxyAddress().getPort();
             System.out.println("ready. Requests to paste into another terminal (each needs a unique " + "id):");
             System.out.println();
             System.out.println("  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1' " + at + "/look/1");
@@ -97,8 +97,8 @@
                 Locale.ROOT,
                 "%d nodes, %.0f orders a second, %.1f %% served in time," + " %d requests by hand",
                 now.nodes(),
-                now.rate(),
-                100 * now.inTime(),
+                now.ordersPerS(),
+                100 * now.inTimeShare(),
                 now.manualRequests()));
     }
 }
--- a/src/main/java/gullspar/rehearse/live/DaemonProcess.java
+++ b/src/main/java/gullspar/rehearse/live/DaemonProcess.java
@@ -23,18 +23,18 @@
     }
 
     /** Starts one; its log lines go to the consumer, on a thread of their own. */
-    static DaemonProcess start(Path folder, String name, JsonNode settings, int memoryMb, Consumer<String> log)
+    static DaemonProcess start(Path directory, String name, JsonNode settings, int memoryMb, Consumer<String> log)
             throws IOException {
-        Path config = folder.resolve(name + ".json");
-        write(config, settings);
+        Path config = directory.resolve(name + ".json");
+        writeConfig(config, settings);
         // Its own sizes, as deploy/serve.sh sets them: what the runtime needs beside the heap is some 56 MB.
-        int heap = Math.max(16, Math.min(64, (memoryMb - 56) * 2 / 3));
+        int heapMb = Math.max(16, Math.min(64, (memoryMb - 56) * 2 / 3));
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
-                "-Xms" + heap + "m",
-                "-Xmx" + heap + "m",
+                "-Xms" + heapMb + "m",
+                "-Xmx" + heapMb + "m",
                 "-Xss512k",
                 "-cp",
                 System.getProperty("java.class.path"),
@@ -43,11 +43,11 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(Map.of("NODE_CONFIG", config.toString(), "NODE_NAME", name));
         builder.environment().keySet().removeAll(List.of("NODE_LISTEN", "NODE_DISCOVERY"));
-        Process p = builder.start();
-        p.getOutputStream().close();
+        Process process = builder.start();
+        process.getOutputStream().close();
         Thread reader = new Thread(
                 () -> {
-                    try (BufferedReader in = p.inputReader()) {
+                    try (BufferedReader in = process.inputReader()) {
                         in.lines().forEach(log);
                     } catch (IOException | UncheckedIOException e) {
                         log.accept("(its log ended: " + e.getMessage() + ")");
@@ -56,15 +56,15 @@
                 "log of " + name);
         reader.setDaemon(true);
         reader.start();
-        return new DaemonProcess(p, config);
+        return new DaemonProcess(process, config);
     }
 
-    private static void write(Path config, JsonNode settings) throws IOException {
-        Path next = Files.writeString(config.resolveSibling(config.getFileName() + ".next"), settings.toString());
-        Files.move(next, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    private static void writeConfig(Path config, JsonNode settings) throws IOException {
+        Path temporary = Files.writeString(config.resolveSibling(config.getFileName() + ".next"), settings.toString());
+        Files.move(temporary, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Runs the action, on another thread, once it has ended. */
-    void onEnd(Runnable action) {
+    void onExit(Runnable action) {
         process.onExit().thenRun(action);
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Waits until a process that was killed is gone. */
-    void awaitEnd() {
+    void awaitExit() {
         process.onExit().join();
     }
 
@@ -92,7 +92,7 @@
     }
 
     void reload(JsonNode settings) throws IOException {
-        write(config, settings);
+        writeConfig(config, settings);
         signal("HUP");
     }
 
--- a/src/main/java/gullspar/rehearse/live/Lateness.java
+++ b/src/main/java/gullspar/rehearse/live/EventLoopLag.java
@@ -8,51 +8,51 @@
 import java.util.concurrent.TimeUnit;
 
 /** How late the stand-ins' own event loop is: on a machine that is too busy a live day tells nothing. */
-final class Lateness {
-    private static final long TICK_NS = 10_000_000L;
+final class EventLoopLag {
+    private static final long TICK_INTERVAL_NS = 10_000_000L;
     /** Ticks so late are bad, and so many of them are too many. */
-    private static final long BAD_NS = 20_000_000L;
+    private static final long LATE_TICK_NS = 20_000_000L;
 
-    private static final double MOST_BAD = 0.01;
+    private static final double MAX_LATE_SHARE = 0.01;
     /** One this late spoils the day by itself. */
-    private static final long WORST_NS = 300_000_000L;
+    private static final long MAX_LAG_NS = 300_000_000L;
 
     private final EventLoop loop;
-    private ScheduledFuture<?> ticking;
-    private long due;
-    private long worst;
+    private ScheduledFuture<?> nextTick;
+    private long dueAt;
+    private long maxLag;
     private int ticks;
-    private int bad;
+    private int lateTicks;
 
-    Lateness(EventLoop loop) {
+    EventLoopLag(EventLoop loop) {
         this.loop = loop;
     }
 
     void start() {
-        due = System.nanoTime() + TICK_NS;
-        ticking = loop.schedule(this::tick, TICK_NS, TimeUnit.NANOSECONDS);
+        dueAt = System.nanoTime() + TICK_INTERVAL_NS;
+        nextTick = loop.schedule(this::tick, TICK_INTERVAL_NS, TimeUnit.NANOSECONDS);
     }
 
     private void tick() {
-        long late = System.nanoTime() - due;
+        long lag = System.nanoTime() - dueAt;
         ticks++;
-        bad += late > BAD_NS ? 1 : 0;
-        worst = Math.max(worst, late);
+        lateTicks += lag > LATE_TICK_NS ? 1 : 0;
+        maxLag = Math.max(maxLag, lag);
         start();
     }
 
     /** Why the day does not count; empty if it does. */
-    List<String> notes() {
-        ticking.cancel(false);
+    List<String> stop() {
+        nextTick.cancel(false);
         List<String> notes = new ArrayList<>();
-        if (worst > WORST_NS || bad > ticks * MOST_BAD) {
+        if (maxLag > MAX_LAG_NS || lateTicks > ticks * MAX_LATE_SHARE) {
             notes.add(String.format(
                     Locale.ROOT,
                     "the machine was too busy for this to count: %.1f of 100 looks at "
                             + "the clock were over %d ms late, the worst %d ms",
-                    100.0 * bad / Math.max(1, ticks),
-                    BAD_NS / 1_000_000,
-                    worst / 1_000_000));
+                    100.0 * lateTicks / Math.max(1, ticks),
+                    LATE_TICK_NS / 1_000_000,
+                    maxLag / 1_000_000));
         }
         return notes;
     }
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -39,87 +39,88 @@
  * The proxies' view of the fleet on a live day: their files, the relay between them, and questions to each.
  */
 final class LiveFleet {
-    private static final Duration PATIENCE = Duration.ofMillis(900);
-    private static final int SEEDS = 3;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
+    private static final int SEED_COUNT = 3;
 
     private final Script script;
     private final List<String> proxies;
-    private final Path folder;
+    private final Path directory;
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Consumer<FleetSnapshot> heard;
+    private final Consumer<FleetSnapshot> onSnapshot;
     final Relay relay;
-    private final Map<String, InetSocketAddress> operators = new HashMap<>();
-    private final Deque<Relay.Place> spare = new ArrayDeque<>();
-    private final Map<String, FalseRumorInjector> liars = new HashMap<>();
-    private final Map<String, List<Integer>> keys = new HashMap<>();
+    private final Map<String, InetSocketAddress> operatorAddresses = new HashMap<>();
+    private final Deque<Relay.Endpoint> spareEndpoints = new ArrayDeque<>();
+    private final Map<String, FalseRumorInjector> falseRumorInjectors = new HashMap<>();
+    private final Map<String, List<Integer>> setKeys = new HashMap<>();
     /** Those that have not answered yet. */
-    private final Map<String, Boolean> asked = new ConcurrentHashMap<>();
+    private final Map<String, Boolean> pendingRequests = new ConcurrentHashMap<>();
 
-    private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(PATIENCE).build();
+    private final HttpClient httpClient =
+            HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
 
-    /** Not on the loop. heard: is told, on the loop, how each proxy sees the fleet. */
+    /** Not on the loop. onSnapshot: is told, on the loop, how each proxy sees the fleet. */
     LiveFleet(
             Script script,
-            Path folder,
+            Path directory,
             EventLoop loop,
             LongSupplier clock,
             List<String> proxies,
-            Consumer<FleetSnapshot> heard)
+            Consumer<FleetSnapshot> onSnapshot)
             throws IOException {
         this.script = script;
-        this.folder = folder;
+        this.directory = directory;
         this.loop = loop;
         this.clock = clock;
-        this.heard = heard;
+        this.onSnapshot = onSnapshot;
         this.relay = new Relay(loop, script.seed() * 31 + 11);
-        List<String> all = new ArrayList<>(proxies);
+        List<String> processes = new ArrayList<>(proxies);
         if (script.faults().stream().anyMatch(f -> f.kind() == FaultKind.TWIN)) {
-            proxies.forEach(p -> all.add(p + EventLog.TWIN));
+            proxies.forEach(p -> processes.add(p + EventLog.TWIN));
         }
-        int moves = script.faults().stream()
+        int moveCount = script.faults().stream()
                 .filter(f -> f.kind() == FaultKind.MOVE)
                 .mapToInt(Fault::count)
                 .sum();
-        List<InetSocketAddress> udp = Ports.udp(2, all.size() + moves);
-        List<InetSocketAddress> tcp = Ports.tcp(3, all.size());
-        List<Relay.Place> places = new ArrayList<>();
-        udp.forEach(home -> places.add(relay.open(home)));
-        for (int i = 0; i < all.size(); i++) {
-            operators.put(all.get(i), tcp.get(i));
-            relay.move(all.get(i), places.get(i));
+        List<InetSocketAddress> udp = Ports.freeUdp(2, processes.size() + moveCount);
+        List<InetSocketAddress> tcp = Ports.freeTcp(3, processes.size());
+        List<Relay.Endpoint> endpoints = new ArrayList<>();
+        udp.forEach(home -> endpoints.add(relay.open(home)));
+        for (int i = 0; i < processes.size(); i++) {
+            operatorAddresses.put(processes.get(i), tcp.get(i));
+            relay.move(processes.get(i), endpoints.get(i));
         }
-        spare.addAll(places.subList(all.size(), places.size()));
+        spareEndpoints.addAll(endpoints.subList(processes.size(), endpoints.size()));
         this.proxies = List.copyOf(proxies);
     }
 
     /** Where the first three proxies are found. */
-    private String seeds() {
+    private String seedAddresses() {
         return proxies.stream()
-                .limit(SEEDS)
-                .map(p -> '"' + at(relay.placeOf(p).address()) + '"')
+                .limit(SEED_COUNT)
+                .map(p -> '"' + hostAndPort(relay.endpointOf(p).advertisedAddress()) + '"')
                 .collect(Collectors.joining(", "));
     }
 
-    private static String at(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** A process's configuration, with what operators have written for it. */
-    JsonNode with(String process, JsonNode settings) {
-        Path file = folder.resolve(process + ".toml");
-        Relay.Place place = relay.placeOf(process);
+    JsonNode addFleetSettings(String process, JsonNode settings) {
+        Path operatorsFile = directory.resolve(process + ".toml");
+        Relay.Endpoint endpoint = relay.endpointOf(process);
         try {
             Path keyFile = Files.writeString(
-                    folder.resolve(process + ".key"),
-                    keysOf(process).stream()
+                    directory.resolve(process + ".key"),
+                    keyNumbersOf(process).stream()
                             .map(n -> HexFormat.of().formatHex(key(n)) + "\n")
                             .collect(Collectors.joining()));
             Files.writeString(
-                    file,
+                    operatorsFile,
                     "[fleet]\nname = \"" + EventLog.baseName(process) + "\"\nbind = \""
-                            + at(place.home) + "\"\nadvertise = \"" + at(place.address()) + "\"\nseeds = [" + seeds()
+                            + hostAndPort(endpoint.bindAddress) + "\"\nadvertise = \""
+                            + hostAndPort(endpoint.advertisedAddress()) + "\"\nseeds = [" + seedAddresses()
                             + "]\nkey_file = \"" + keyFile + "\"\ninterval_ms = "
                             + script.peers().intervalMs()
                             + "\nwindow_s = " + script.peers().windowS() + "\n");
@@ -127,12 +128,12 @@
             throw new UncheckedIOException(e);
         }
         return ((ObjectNode) settings)
-                .put("operators_file", file.toString())
-                .put("operator", at(operators.get(process)));
+                .put("operators_file", operatorsFile.toString())
+                .put("operator", hostAndPort(operatorAddresses.get(process)));
     }
 
-    private List<Integer> keysOf(String process) {
-        return keys.getOrDefault(process, List.of(0));
+    private List<Integer> keyNumbersOf(String process) {
+        return setKeys.getOrDefault(process, List.of(0));
     }
 
     private byte[] key(int number) {
@@ -142,56 +143,61 @@
     }
 
     /** A process has the keys of those numbers from when it reads its files next. */
-    void keys(String process, List<Integer> numbers) {
-        keys.put(process, numbers);
+    void setKeys(String process, List<Integer> numbers) {
+        setKeys.put(process, numbers);
     }
 
     /** As {@link gullspar.rehearse.play.FaultInjector#move} says; true if a seed is found elsewhere now. */
-    boolean move(List<String> ring) {
-        String before = seeds();
-        List<Relay.Place> places = ring.size() == 1
-                ? List.of(spare.remove())
-                : ring.stream().map(relay::placeOf).toList();
+    boolean moveAddresses(List<String> ring) {
+        String before = seedAddresses();
+        List<Relay.Endpoint> endpoints = ring.size() == 1
+                ? List.of(spareEndpoints.remove())
+                : ring.stream().map(relay::endpointOf).toList();
         for (int i = 0; i < ring.size(); i++) {
-            relay.move(ring.get(i), places.get((i + 1) % places.size()));
+            relay.move(ring.get(i), endpoints.get((i + 1) % endpoints.size()));
         }
-        return !seeds().equals(before);
+        return !seedAddresses().equals(before);
     }
 
     /** As {@link gullspar.rehearse.play.FaultInjector#mad} says. */
-    void mad(String process, int forEach) {
-        liars.computeIfAbsent(process, p -> {
-                    FalseRumorInjector liar = new FalseRumorInjector(
-                            () -> new Envelope(keysOf(p).stream().map(this::key).toList()),
+    void setFalseRumors(String process, int perDatagram) {
+        falseRumorInjectors
+                .computeIfAbsent(process, p -> {
+                    FalseRumorInjector injector = new FalseRumorInjector(
+                            () -> new Envelope(
+                                    keyNumbersOf(p).stream().map(this::key).toList()),
                             script.seed() * 31 + 14 + Integer.parseInt(p.substring(1)));
-                    proxies.stream().filter(o -> !o.equals(p)).forEach(o -> relay.way(p, o)
-                            .falseRumorInjector(liar));
-                    return liar;
+                    proxies.stream().filter(o -> !o.equals(p)).forEach(o -> relay.link(p, o)
+                            .falseRumorInjector(injector));
+                    return injector;
                 })
-                .setFalseRumorsPerDatagram(forEach);
+                .setFalseRumorsPerDatagram(perDatagram);
     }
 
     /** Asks each proxy again and again, until the end; alive tells whether one can answer. On the loop. */
-    void look(Predicate<String> alive) {
-        for (String p : operators.keySet()) {
-            if (alive.test(p) && asked.putIfAbsent(p, true) == null) {
-                HttpRequest r = HttpRequest.newBuilder(URI.create("http://" + at(operators.get(p)) + "/_fleet"))
-                        .timeout(PATIENCE)
+    void poll(Predicate<String> isRunning) {
+        for (String p : operatorAddresses.keySet()) {
+            if (isRunning.test(p) && pendingRequests.putIfAbsent(p, true) == null) {
+                HttpRequest request = HttpRequest.newBuilder(
+                                URI.create("http://" + hostAndPort(operatorAddresses.get(p)) + "/_fleet"))
+                        .timeout(REQUEST_TIMEOUT)
                         .build();
-                client.sendAsync(r, HttpResponse.BodyHandlers.ofString()).whenComplete((answer, e) -> {
-                    asked.remove(p);
-                    if (e == null && answer.statusCode() == 200) {
-                        loop.execute(() -> heard(p, answer.body()));
-                    }
-                });
+                httpClient
+                        .sendAsync(request, HttpResponse.BodyHandlers.ofString())
+                        .whenComplete((response, e) -> {
+                            pendingRequests.remove(p);
+                            if (e == null && response.statusCode() == 200) {
+                                loop.execute(() -> onSnapshot(p, response.body()));
+                            }
+                        });
             }
         }
-        loop.schedule(() -> look(alive), FleetSnapshot.intervalMs(proxies.size()), TimeUnit.MILLISECONDS);
+        loop.schedule(() -> poll(isRunning), FleetSnapshot.intervalMs(proxies.size()), TimeUnit.MILLISECONDS);
     }
 
-    private void heard(String process, String answer) {
+    private void onSnapshot(String process, String response) {
         try {
-            heard.accept(FleetSnapshot.parse(clock.getAsLong(), process, answer));
+            onSnapshot.accept(FleetSnapshot.parse(clock.getAsLong(), process, response));
         } catch (IOException e) {
             throw new UncheckedIOException("a proxy answered what is no view", e);
         }
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -49,50 +49,50 @@
  */
 public final class LivePlay implements RunEnvironment, FaultInjector, AutoCloseable {
     /** How far a time that is seen here may lie from the true one. */
-    private static final long SLACK_NS = 50_000_000L;
+    private static final long TIME_TOLERANCE_NS = 50_000_000L;
     /** What is under way when a process is killed or stopped is seen up to so much later. */
-    private static final long SIGNAL_NS = 300_000_000L;
+    private static final long SIGNAL_EFFECT_NS = 300_000_000L;
 
-    private static final long READY_S = 60;
-    private static final long PROGRESS_MS = 200;
+    private static final long READY_TIMEOUT_S = 60;
+    private static final long PROGRESS_INTERVAL_MS = 200;
     /** What is told of a day without end is that of the last so long. */
-    private static final long LOOK_BACK_NS = 10_000_000_000L;
+    private static final long STATUS_WINDOW_NS = 10_000_000_000L;
 
-    private static final int MOST_LOG_LINES = 10_000;
+    private static final int MAX_LOG_LINES = 10_000;
 
     private final Script script;
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Clock clock = Clock.system();
-    private final Path folder;
-    private final LiveWays ways;
-    private final Lateness lateness = new Lateness(loop);
+    private final Path directory;
+    private final TcpLinks tcpLinks;
+    private final EventLoopLag eventLoopLag = new EventLoopLag(loop);
     private final Map<String, LiveTransport> transports = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<InetSocketAddress, String> names = new HashMap<>();
+    private final Map<InetSocketAddress, String> machinesByAddress = new HashMap<>();
     /** Also looked at from outside the loop, when all must end. */
     private final Map<String, DaemonProcess> daemons = new ConcurrentHashMap<>();
 
-    private final Map<String, Integer> lives = new HashMap<>();
+    private final Map<String, Integer> startCounts = new HashMap<>();
     /** Proxies that are meant to end. */
-    private final Set<String> ending = new HashSet<>();
+    private final Set<String> endingProxies = new HashSet<>();
 
     private final List<String> log = new ArrayList<>();
-    private final CompletableFuture<Void> begun = new CompletableFuture<>();
-    private final Thread atExit = new Thread(this::killAll, "end of the daemons");
+    private final CompletableFuture<Void> started = new CompletableFuture<>();
+    private final Thread shutdownHook = new Thread(this::killAll, "end of the daemons");
     private final StandIns standIns;
     private final LiveFleet fleet;
-    private boolean over;
+    private boolean hasEnded;
 
     private LivePlay(Script script) throws IOException {
         this.script = script;
-        this.folder = Files.createTempDirectory("gullspar-live");
-        this.ways = new LiveWays(script.seed());
-        Runtime.getRuntime().addShutdownHook(atExit);
+        this.directory = Files.createTempDirectory("gullspar-live");
+        this.tcpLinks = new TcpLinks(script.seed());
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         this.standIns = new StandIns(this, script, this);
         this.fleet = script.peers() == null
                 ? null
                 : new LiveFleet(
-                        script, folder, loop, clock::now, standIns.proxies(), standIns.eventLog()::addFleetSnapshot);
+                        script, directory, loop, clock::now, standIns.proxies(), standIns.eventLog()::addFleetSnapshot);
     }
 
     /** Plays a day to its end; an IOException if it cannot be played here. */
@@ -103,20 +103,20 @@
     }
 
     /** Starts all and waits until the day has begun; then runs, on the loop, at that moment. */
-    private void begin(Runnable then) throws IOException {
-        onLoop(() -> {
+    private void startDay(Runnable onStarted) throws IOException {
+        runOnLoop(() -> {
             standIns.open();
             standIns.begin(() -> {
-                then.run();
-                begun.complete(null);
+                onStarted.run();
+                started.complete(null);
             });
-            standIns.proxies().forEach(this::start);
+            standIns.proxies().forEach(this::startProxy);
             if (fleet != null) {
-                fleet.look(p -> daemons.containsKey(p) && daemons.get(p).alive());
+                fleet.poll(p -> daemons.containsKey(p) && daemons.get(p).isAlive());
             }
         });
         try {
-            begun.get(READY_S, TimeUnit.SECONDS);
+            started.get(READY_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -124,7 +124,7 @@
             throw new IOException(
                     (e instanceof ExecutionException
                                     ? e.getCause().getMessage()
-                                    : "the proxies were not ready within " + READY_S + " s")
+                                    : "the proxies were not ready within " + READY_TIMEOUT_S + " s")
                             + "; they said: "
                             + String.join("; ", log.subList(Math.max(0, log.size() - 5), log.size())),
                     e);
@@ -132,18 +132,18 @@
     }
 
     private Played play(Progress progress) throws IOException {
-        long began = System.nanoTime();
-        begin(lateness::start);
+        long startedAt = System.nanoTime();
+        startDay(eventLoopLag::start);
         try {
             CompletableFuture<Void> ended = new CompletableFuture<>();
-            long start = now();
+            long dayStart = now();
             loop.schedule(
                     () -> ended.complete(null),
                     (long) (script.seconds() * 1e9) + standIns.tailNs(),
                     TimeUnit.NANOSECONDS);
-            while (!over(ended)) {
+            while (!hasEnded(ended)) {
                 // Here and not on the loop: whoever shows it may be slow, and the stand-ins must not wait.
-                progress.at(Math.min(script.seconds(), (now() - start) / 1e9), script.seconds());
+                progress.at(Math.min(script.seconds(), (now() - dayStart) / 1e9), script.seconds());
             }
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
@@ -152,19 +152,26 @@
             throw new IOException("interrupted", e);
         }
         List<Played> played = new ArrayList<>();
-        onLoop(() -> {
-            over = true;
-            Verdict verdict = Judge.judge(script, standIns.eventLog(), SLACK_NS);
+        runOnLoop(() -> {
+            hasEnded = true;
+            Verdict verdict = Judge.judge(script, standIns.eventLog(), TIME_TOLERANCE_NS);
             played.add(new Played(
-                    script, standIns.eventLog(), verdict, "", 0, log, lateness.notes(), System.nanoTime() - began));
+                    script,
+                    standIns.eventLog(),
+                    verdict,
+                    "",
+                    0,
+                    log,
+                    eventLoopLag.stop(),
+                    System.nanoTime() - startedAt));
         });
         return played.get(0);
     }
 
     /** Waits for the end of a day, but no longer than until its progress is to be shown. */
-    private static boolean over(CompletableFuture<Void> ended) throws InterruptedException, ExecutionException {
+    private static boolean hasEnded(CompletableFuture<Void> ended) throws InterruptedException, ExecutionException {
         try {
-            ended.get(PROGRESS_MS, TimeUnit.MILLISECONDS);
+            ended.get(PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return true;
         } catch (TimeoutException e) {
             return false;
@@ -172,48 +179,49 @@
     }
 
     /** What one looks at while a day without end goes on. */
-    public record Now(InetSocketAddress proxy, int nodes, double rate, double inTime, int manualRequests) {}
+    public record Status(
+            InetSocketAddress proxyAddress, int nodes, double ordersPerS, double inTimeShare, int manualRequests) {}
 
     /** Plays on until it is told to end; the consumer is told how it goes, every second. */
-    public static void playOn(Script script, Consumer<Now> now, CountDownLatch end) throws IOException {
+    public static void playUntil(Script script, Consumer<Status> onStatus, CountDownLatch end) throws IOException {
         try (LivePlay p = new LivePlay(script)) {
-            p.playOn(now, end);
+            p.playUntil(onStatus, end);
         }
     }
 
-    private void playOn(Consumer<Now> now, CountDownLatch end) throws IOException {
+    private void playUntil(Consumer<Status> onStatus, CountDownLatch end) throws IOException {
         ManualRequests manualRequests = new ManualRequests(script, this);
-        begin(() -> standIns.eventLog().serveUnknownRequests(manualRequests));
+        startDay(() -> standIns.eventLog().serveUnknownRequests(manualRequests));
         try {
             do {
-                List<Now> look = new ArrayList<>(1);
-                onLoop(() -> look.add(look(manualRequests)));
-                now.accept(look.get(0));
+                List<Status> status = new ArrayList<>(1);
+                runOnLoop(() -> status.add(status(manualRequests)));
+                onStatus.accept(status.get(0));
             } while (!end.await(1, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private Now look(ManualRequests manualRequests) {
-        standIns.eventLog().discardBefore(now() - LOOK_BACK_NS);
+    private Status status(ManualRequests manualRequests) {
+        standIns.eventLog().discardBefore(now() - STATUS_WINDOW_NS);
         // The last of them are still under way.
-        long before = now() - LOOK_BACK_NS / 5;
+        long latest = now() - STATUS_WINDOW_NS / 5;
         List<Order> ended =
-                standIns.eventLog().orders().stream().filter(o -> o.at < before).toList();
-        double inTime =
+                standIns.eventLog().orders().stream().filter(o -> o.at < latest).toList();
+        double inTimeShare =
                 ended.isEmpty() ? 1 : ended.stream().filter(Order::isInTime).count() / (double) ended.size();
-        return new Now(
+        return new Status(
                 address("p1"),
                 standIns.fleet().running().size(),
-                ended.size() / (LOOK_BACK_NS / 1e9 * 4 / 5),
-                inTime,
+                ended.size() / (STATUS_WINDOW_NS / 1e9 * 4 / 5),
+                inTimeShare,
                 manualRequests.served());
     }
 
-    private void onLoop(Runnable what) throws IOException {
+    private void runOnLoop(Runnable task) throws IOException {
         try {
-            loop.submit(what).get();
+            loop.submit(task).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -229,22 +237,22 @@
     /** Ends all that is still there. */
     @Override
     public void close() throws IOException {
-        onLoop(() -> {
-            over = true;
+        runOnLoop(() -> {
+            hasEnded = true;
             killAll();
             transports.values().forEach(LiveTransport::reset);
             if (fleet != null) {
                 fleet.relay.close();
             }
         });
-        daemons.values().forEach(DaemonProcess::awaitEnd);
+        daemons.values().forEach(DaemonProcess::awaitExit);
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             killAll(); // this process is ending: the hook does the same
         }
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(p);
             }
@@ -255,9 +263,10 @@
 
     @Override
     public Platform platform(String machine) {
-        LiveTransport t = transports.computeIfAbsent(
-                machine, m -> new LiveTransport(loop, ways, m, clock::now, a -> names.getOrDefault(a, "")));
-        return new Platform(loop, clock, t, line -> {});
+        LiveTransport transport = transports.computeIfAbsent(
+                machine,
+                m -> new LiveTransport(loop, tcpLinks, m, clock::now, a -> machinesByAddress.getOrDefault(a, "")));
+        return new Platform(loop, clock, transport, line -> {});
     }
 
     @Override
@@ -270,12 +279,12 @@
     public InetSocketAddress address(String machine) {
         return addresses.computeIfAbsent(machine, m -> {
             try {
-                InetSocketAddress a = Ports.tcp(4, 1).get(0);
-                while (names.containsKey(a)) {
-                    a = Ports.tcp(4, 1).get(0);
+                InetSocketAddress address = Ports.freeTcp(4, 1).get(0);
+                while (machinesByAddress.containsKey(address)) {
+                    address = Ports.freeTcp(4, 1).get(0);
                 }
-                names.put(a, m);
-                return a;
+                machinesByAddress.put(address, m);
+                return address;
             } catch (IOException e) {
                 throw new UncheckedIOException("no free port on loopback", e);
             }
@@ -284,12 +293,12 @@
 
     @Override
     public long sentAt(Channel channel) {
-        return LinkHandler.readAt(channel, clock.now());
+        return TcpLinkHandler.readAt(channel, clock.now());
     }
 
     @Override
     public void setPeer(Channel channel, String machine) {
-        LinkHandler.peer(channel, machine);
+        TcpLinkHandler.peer(channel, machine);
     }
 
     @Override
@@ -300,7 +309,8 @@
     // ---- the proxies ----
 
     private JsonNode settings(String name) {
-        long seed = Agenda.mix(script.seed() * 31 + 9 + StandIns.index(name) * 1000L + lives.getOrDefault(name, 1));
+        long seed =
+                Agenda.mix(script.seed() * 31 + 9 + StandIns.index(name) * 1000L + startCounts.getOrDefault(name, 1));
         JsonNode settings = ProxySettings.of(
                 script,
                 StandIns.index(name),
@@ -309,87 +319,87 @@
                 standIns.fleet().discoveryAddress(name),
                 seed,
                 standIns.fleet().listJson(name));
-        return fleet == null ? settings : fleet.with(name, settings);
+        return fleet == null ? settings : fleet.addFleetSettings(name, settings);
     }
 
-    private void start(String name) {
-        if (over) {
+    private void startProxy(String name) {
+        if (hasEnded) {
             return;
         }
-        int life = lives.merge(name, 1, Integer::sum);
-        ending.remove(name);
-        String who = life == 1 ? name : name + "." + life;
+        int startCount = startCounts.merge(name, 1, Integer::sum);
+        endingProxies.remove(name);
+        String logName = startCount == 1 ? name : name + "." + startCount;
         try {
             standIns.fleet().recordStartingList(name);
-            DaemonProcess d = DaemonProcess.start(
-                    folder,
+            DaemonProcess daemon = DaemonProcess.start(
+                    directory,
                     name,
                     settings(name),
                     script.proxies().memoryMb(),
-                    line -> loop.execute(() -> say(who, line)));
-            daemons.put(name, d);
+                    line -> loop.execute(() -> appendLog(logName, line)));
+            daemons.put(name, daemon);
             standIns.eventLog().processStarted(name, now());
-            d.onEnd(() -> loop.execute(() -> ended(name, d)));
+            daemon.onExit(() -> loop.execute(() -> proxyExited(name, daemon)));
             if (standIns.proxies().contains(name)) {
                 standIns.front().proxyStarted(name); // of a twin it does not know
             }
         } catch (IOException e) {
-            begun.completeExceptionally(e);
+            started.completeExceptionally(e);
         }
     }
 
-    private void ended(String name, DaemonProcess d) {
-        if (daemons.get(name) == d) {
+    private void proxyExited(String name, DaemonProcess daemon) {
+        if (daemons.get(name) == daemon) {
             standIns.eventLog().processEnded(name, now());
         }
-        if (!over && !ending.contains(name) && daemons.get(name) == d) {
-            standIns.eventLog().addCrash(name, "exit code " + d.exitCode(), now());
+        if (!hasEnded && !endingProxies.contains(name) && daemons.get(name) == daemon) {
+            standIns.eventLog().addCrash(name, "exit code " + daemon.exitCode(), now());
             if (standIns.proxies().contains(name)) {
                 standIns.front().proxyEnded(name);
             }
-            begun.completeExceptionally(new IOException(name + " ended by itself, exit code " + d.exitCode()));
+            started.completeExceptionally(new IOException(name + " ended by itself, exit code " + daemon.exitCode()));
         }
     }
 
-    private void say(String who, String line) {
-        if (log.size() < MOST_LOG_LINES) {
-            log.add(String.format(Locale.ROOT, "%s %s", who, line));
+    private void appendLog(String logName, String line) {
+        if (log.size() < MAX_LOG_LINES) {
+            log.add(String.format(Locale.ROOT, "%s %s", logName, line));
         }
     }
 
     @Override
     public void kill(String name, double downS) {
-        DaemonProcess d = daemons.get(name);
-        if (!d.alive()) {
+        DaemonProcess daemon = daemons.get(name);
+        if (!daemon.isAlive()) {
             return;
         }
-        ending.add(name);
-        standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_NS);
+        endingProxies.add(name);
+        standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
         standIns.front().proxyEnded(name);
-        d.kill();
-        d.onEnd(() -> loop.execute(() -> startLater(name, downS)));
+        daemon.kill();
+        daemon.onExit(() -> loop.execute(() -> startProxyAfter(name, downS)));
     }
 
     @Override
     public void stop(String name, double downS) {
-        DaemonProcess d = daemons.get(name);
-        if (!d.alive()) {
+        DaemonProcess daemon = daemons.get(name);
+        if (!daemon.isAlive()) {
             return;
         }
-        ending.add(name);
+        endingProxies.add(name);
         standIns.front().proxyEnded(name);
-        d.stop();
-        d.onEnd(() -> loop.execute(() -> startLater(name, downS)));
+        daemon.stop();
+        daemon.onExit(() -> loop.execute(() -> startProxyAfter(name, downS)));
     }
 
-    private void startLater(String name, double downS) {
-        loop.schedule(() -> start(name), (long) (downS * 1e9), TimeUnit.NANOSECONDS);
+    private void startProxyAfter(String name, double downS) {
+        loop.schedule(() -> startProxy(name), (long) (downS * 1e9), TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void reload(String name) {
         try {
-            if (daemons.get(name).alive()) {
+            if (daemons.get(name).isAlive()) {
                 daemons.get(name).reload(settings(name));
             }
         } catch (IOException e) {
@@ -400,8 +410,8 @@
     @Override
     public void pause(String name, boolean on) {
         try {
-            standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_NS);
-            if (daemons.get(name).alive()) {
+            standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
+            if (daemons.get(name).isAlive()) {
                 daemons.get(name).pause(on);
             }
         } catch (IOException e) {
@@ -411,7 +421,7 @@
 
     @Override
     public void move(List<String> ring) {
-        if (fleet.move(ring)) {
+        if (fleet.moveAddresses(ring)) {
             daemons.keySet().forEach(this::reload);
         }
     }
@@ -420,16 +430,16 @@
     public void twin(String proxy, boolean on) {
         String twin = proxy + EventLog.TWIN;
         if (on) {
-            start(twin);
+            startProxy(twin);
         } else {
-            ending.add(twin);
+            endingProxies.add(twin);
             daemons.get(twin).kill();
         }
     }
 
     @Override
     public void keys(String proxy, List<Integer> numbers) {
-        fleet.keys(proxy, numbers);
+        fleet.setKeys(proxy, numbers);
         reload(proxy);
     }
 
@@ -439,48 +449,48 @@
     }
 
     @Override
-    public void mad(String proxy, int forEach) {
-        fleet.mad(proxy, forEach);
+    public void mad(String proxy, int perDatagram) {
+        fleet.setFalseRumors(proxy, perDatagram);
     }
 
     // ---- the ways ----
 
     @Override
-    public void slower(String from, String to, long byNs) {
-        ways.slower(from, to, byNs);
+    public void slower(String from, String to, long extraDelayNs) {
+        tcpLinks.setExtraDelayNs(from, to, extraDelayNs);
         if (fleet != null) {
-            fleet.relay.way(from, to).setExtraDelayNs(byNs);
+            fleet.relay.link(from, to).setExtraDelayNs(extraDelayNs);
         }
     }
 
     @Override
     public void lossy(String from, String to, double share) {
-        ways.lossy(from, to, share);
+        tcpLinks.setLoss(from, to, share);
         if (fleet != null) {
-            fleet.relay.way(from, to).setLoss(share);
+            fleet.relay.link(from, to).setLoss(share);
         }
     }
 
     @Override
     public void cut(String from, String to, boolean on) {
-        ways.cut(from, to, on);
+        tcpLinks.setCut(from, to, on);
         if (fleet != null) {
-            fleet.relay.way(from, to).cut(on);
+            fleet.relay.link(from, to).cut(on);
         }
     }
 
     @Override
-    public void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
-        fleet.relay.trouble(from, to, t, figure);
+    public void trouble(String from, String to, DatagramLink.Impairment impairment, double value) {
+        fleet.relay.setImpairment(from, to, impairment, value);
     }
 
     @Override
     public void reset(String from, String to) {
-        ways.reset(from, to);
+        tcpLinks.reset(from, to);
     }
 
     @Override
     public void vanish(String machine, boolean on) {
-        ways.vanish(machine, on);
+        tcpLinks.setUnreachable(machine, on);
     }
 }
--- a/src/main/java/gullspar/rehearse/live/LiveTransport.java
+++ b/src/main/java/gullspar/rehearse/live/LiveTransport.java
@@ -18,30 +18,30 @@
 /** The sockets of one stand-in's machine: TCP on loopback, with the ways' tricks, and all open ones known. */
 final class LiveTransport implements Transport {
     private final Transport tcp;
-    private final LiveWays ways;
+    private final TcpLinks links;
     private final String machine;
     private final LongSupplier clock;
-    private final Function<InetSocketAddress, String> names;
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final Function<InetSocketAddress, String> machineNames;
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
 
-    /** names tells whose address one is, "" if nobody's. */
+    /** machineNames tells whose address one is, "" if nobody's. */
     LiveTransport(
             EventLoop loop,
-            LiveWays ways,
+            TcpLinks links,
             String machine,
             LongSupplier clock,
-            Function<InetSocketAddress, String> names) {
+            Function<InetSocketAddress, String> machineNames) {
         this.tcp = Transport.tcp(loop);
-        this.ways = ways;
+        this.links = links;
         this.machine = machine;
         this.clock = clock;
-        this.names = names;
+        this.machineNames = machineNames;
     }
 
     /** Resets all connections and closes all listeners, as a process that dies. */
     void reset() {
-        List<Channel> all = List.copyOf(open);
-        open.clear();
+        List<Channel> all = List.copyOf(openChannels);
+        openChannels.clear();
         for (Channel c : all) {
             if (c.parent() != null) {
                 c.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -50,18 +50,18 @@
         }
     }
 
-    private void opened(Channel c) {
-        open.add(c);
-        c.closeFuture().addListener(f -> open.remove(c));
+    private void track(Channel channel) {
+        openChannels.add(channel);
+        channel.closeFuture().addListener(f -> openChannels.remove(channel));
     }
 
-    private ChannelInitializer<Channel> linked(ChannelHandler then, String peer) {
+    private ChannelInitializer<Channel> withLinkHandler(ChannelHandler handler, String peer) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel c) {
-                opened(c);
-                LinkHandler.peer(c, peer);
-                c.pipeline().addLast(new LinkHandler(ways, machine, clock), then);
+                track(c);
+                TcpLinkHandler.peer(c, peer);
+                c.pipeline().addLast(new TcpLinkHandler(links, machine, clock), handler);
             }
         };
     }
@@ -69,11 +69,11 @@
     @Override
     public Bootstrap clientBootstrap(InetSocketAddress address) {
         Bootstrap real = tcp.clientBootstrap(address);
-        String peer = names.apply(address);
+        String peer = machineNames.apply(address);
         return new Bootstrap() {
             @Override
             public Bootstrap handler(ChannelHandler handler) {
-                return real.handler(linked(handler, peer));
+                return real.handler(withLinkHandler(handler, peer));
             }
 
             @Override
@@ -89,13 +89,13 @@
         ServerBootstrap real = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
-                opened(c);
+                track(c);
             }
         });
         return new ServerBootstrap() {
             @Override
             public ServerBootstrap childHandler(ChannelHandler handler) {
-                return real.childHandler(linked(handler, ""));
+                return real.childHandler(withLinkHandler(handler, ""));
             }
         };
     }
--- a/src/main/java/gullspar/rehearse/live/Ports.java
+++ b/src/main/java/gullspar/rehearse/live/Ports.java
@@ -16,57 +16,57 @@
  * nothing from each other.
  */
 final class Ports {
-    private static final String USUAL = "127.0.0.1";
+    private static final String DEFAULT_ADDRESS = "127.0.0.1";
 
     private Ports() {}
 
     /** This process's address of that number if something can be bound there, else the usual one. */
-    private static InetAddress at(int number) throws IOException {
+    private static InetAddress processAddress(int number) throws IOException {
         long pid = ProcessHandle.current().pid();
         String address = "127." + (2 + pid % 250) + "." + pid / 250 % 250 + "." + number;
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(address))) {
             return s.getInetAddress();
         } catch (IOException e) {
-            return InetAddress.getByName(USUAL);
+            return InetAddress.getByName(DEFAULT_ADDRESS);
         }
     }
 
     /** So many free ports for connections at this process's address of that number, none twice. */
-    static List<InetSocketAddress> tcp(int number, int count) throws IOException {
-        InetAddress at = at(number);
-        List<Closeable> held = new ArrayList<>();
+    static List<InetSocketAddress> freeTcp(int number, int count) throws IOException {
+        InetAddress address = processAddress(number);
+        List<Closeable> sockets = new ArrayList<>();
         List<InetSocketAddress> ports = new ArrayList<>();
         try {
             for (int i = 0; i < count; i++) {
-                ServerSocket s = new ServerSocket(0, 1, at);
-                held.add(s);
-                ports.add((InetSocketAddress) s.getLocalSocketAddress());
+                ServerSocket socket = new ServerSocket(0, 1, address);
+                sockets.add(socket);
+                ports.add((InetSocketAddress) socket.getLocalSocketAddress());
             }
         } finally {
-            close(held);
+            close(sockets);
         }
         return ports;
     }
 
     /** So many free ports for datagrams at this process's address of that number, none twice. */
-    static List<InetSocketAddress> udp(int number, int count) throws IOException {
-        InetAddress at = at(number);
-        List<Closeable> held = new ArrayList<>();
+    static List<InetSocketAddress> freeUdp(int number, int count) throws IOException {
+        InetAddress address = processAddress(number);
+        List<Closeable> sockets = new ArrayList<>();
         List<InetSocketAddress> ports = new ArrayList<>();
         try {
             for (int i = 0; i < count; i++) {
-                DatagramSocket s = new DatagramSocket(0, at);
-                held.add(s);
-                ports.add((InetSocketAddress) s.getLocalSocketAddress());
+                DatagramSocket socket = new DatagramSocket(0, address);
+                sockets.add(socket);
+                ports.add((InetSocketAddress) socket.getLocalSocketAddress());
             }
         } finally {
-            close(held);
+            close(sockets);
         }
         return ports;
     }
 
-    private static void close(List<Closeable> held) throws IOException {
-        for (Closeable c : held) {
+    private static void close(List<Closeable> sockets) throws IOException {
+        for (Closeable c : sockets) {
             c.close();
         }
     }
--- a/src/main/java/gullspar/rehearse/live/Relay.java
+++ b/src/main/java/gullspar/rehearse/live/Relay.java
@@ -26,27 +26,27 @@
  */
 final class Relay {
     /** One address of the relay, the one behind it where a process is bound, and who that is, if anybody. */
-    static final class Place {
-        final InetSocketAddress home;
-        private Channel front;
+    static final class Endpoint {
+        final InetSocketAddress bindAddress;
+        private Channel channel;
         private String process;
 
-        private Place(InetSocketAddress home) {
-            this.home = home;
+        private Endpoint(InetSocketAddress bindAddress) {
+            this.bindAddress = bindAddress;
         }
 
         /** Where the others are to send to. */
-        InetSocketAddress address() {
-            return (InetSocketAddress) front.localAddress();
+        InetSocketAddress advertisedAddress() {
+            return (InetSocketAddress) channel.localAddress();
         }
     }
 
     private final EventLoop loop;
     private final SplittableRandom random;
     private final DatagramForger forger;
-    private final Map<Integer, Place> byHome = new HashMap<>();
-    private final Map<String, Place> byProcess = new HashMap<>();
-    private final Map<String, DatagramLink> ways = new HashMap<>();
+    private final Map<Integer, Endpoint> endpointsByBindPort = new HashMap<>();
+    private final Map<String, Endpoint> endpointsByProcess = new HashMap<>();
+    private final Map<String, DatagramLink> links = new HashMap<>();
 
     Relay(EventLoop loop, long seed) {
         this.loop = loop;
@@ -55,17 +55,17 @@
     }
 
     /** Makes a place of which nobody is yet. Not on the loop. */
-    Place open(InetSocketAddress home) {
-        Place place = new Place(home);
-        place.front = new Bootstrap()
+    Endpoint open(InetSocketAddress bindAddress) {
+        Endpoint endpoint = new Endpoint(bindAddress);
+        endpoint.channel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                        Place from = byHome.get(p.sender().getPort());
+                        Endpoint from = endpointsByBindPort.get(p.sender().getPort());
                         if (from != null && from.process != null) {
-                            came(from, place, ByteBufUtil.getBytes(p.content()));
+                            receive(from, endpoint, ByteBufUtil.getBytes(p.content()));
                         }
                     }
 
@@ -77,54 +77,56 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        loop.submit(() -> byHome.put(home.getPort(), place)).syncUninterruptibly();
-        return place;
+        loop.submit(() -> endpointsByBindPort.put(bindAddress.getPort(), endpoint))
+                .syncUninterruptibly();
+        return endpoint;
     }
 
-    private void came(Place from, Place to, byte[] datagram) {
+    private void receive(Endpoint from, Endpoint to, byte[] datagram) {
         forger.observe(datagram);
         if (to.process != null) {
-            way(from.process, to.process).send(datagram, random, (ns, d) -> later(to, ns, d));
+            link(from.process, to.process).send(datagram, random, (ns, d) -> deliver(to, ns, d));
         }
     }
 
     /** A process is found there from now on. */
-    void move(String process, Place to) {
-        Place was = byProcess.put(process, to);
-        if (was != null && process.equals(was.process)) {
-            was.process = null;
+    void move(String process, Endpoint to) {
+        Endpoint previous = endpointsByProcess.put(process, to);
+        if (previous != null && process.equals(previous.process)) {
+            previous.process = null;
         }
         to.process = process;
     }
 
-    Place placeOf(String process) {
-        return byProcess.get(process);
+    Endpoint endpointOf(String process) {
+        return endpointsByProcess.get(process);
     }
 
-    private void later(Place to, long ns, byte[] datagram) {
-        Runnable send = () -> to.front.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to.home));
-        if (ns <= 0) {
+    private void deliver(Endpoint to, long delayNs, byte[] datagram) {
+        Runnable send =
+                () -> to.channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to.bindAddress));
+        if (delayNs <= 0) {
             send.run();
         } else {
-            loop.schedule(send, ns, TimeUnit.NANOSECONDS);
+            loop.schedule(send, delayNs, TimeUnit.NANOSECONDS);
         }
     }
 
     /** The way from one process to another. */
-    DatagramLink way(String from, String to) {
-        return ways.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
+    DatagramLink link(String from, String to) {
+        return links.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
 
-    void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
-        way(from, to).setImpairment(t, figure, (ns, d) -> later(byProcess.get(to), ns, d));
+    void setImpairment(String from, String to, DatagramLink.Impairment impairment, double value) {
+        link(from, to).setImpairment(impairment, value, (ns, d) -> deliver(endpointsByProcess.get(to), ns, d));
     }
 
     /** A datagram that no process has sent goes to one. */
     void forge(String to) {
-        later(byProcess.get(to), 0, forger.next());
+        deliver(endpointsByProcess.get(to), 0, forger.next());
     }
 
     void close() {
-        List.copyOf(byHome.values()).forEach(p -> p.front.close());
+        List.copyOf(endpointsByBindPort.values()).forEach(p -> p.channel.close());
     }
 }
--- a/src/main/java/gullspar/rehearse/live/LinkHandler.java
+++ b/src/main/java/gullspar/rehearse/live/TcpLinkHandler.java
@@ -13,30 +13,30 @@
 import java.util.function.LongSupplier;
 
 /** A stand-in's end of a connection: lets bytes through as the way of that moment does, in order. */
-final class LinkHandler extends ChannelDuplexHandler {
-    private static final AttributeKey<Long> READ_AT = AttributeKey.valueOf(LinkHandler.class, "read at");
-    private static final AttributeKey<String> PEER = AttributeKey.valueOf(LinkHandler.class, "peer");
+final class TcpLinkHandler extends ChannelDuplexHandler {
+    private static final AttributeKey<Long> READ_AT = AttributeKey.valueOf(TcpLinkHandler.class, "read at");
+    private static final AttributeKey<String> PEER = AttributeKey.valueOf(TcpLinkHandler.class, "peer");
 
-    private record Held(Object message, ChannelPromise promise, long readAt, long dueAt) {}
+    private record HeldMessage(Object message, ChannelPromise promise, long readAt, long dueAt) {}
 
-    private final LiveWays ways;
+    private final TcpLinks links;
     private final String machine;
     private final LongSupplier clock;
-    private final Queue<Held> in = new ArrayDeque<>();
-    private final Queue<Held> out = new ArrayDeque<>();
+    private final Queue<HeldMessage> heldReads = new ArrayDeque<>();
+    private final Queue<HeldMessage> heldWrites = new ArrayDeque<>();
     private ChannelHandlerContext ctx;
-    private boolean ended;
+    private boolean closePending;
 
-    LinkHandler(LiveWays ways, String machine, LongSupplier clock) {
-        this.ways = ways;
+    TcpLinkHandler(TcpLinks links, String machine, LongSupplier clock) {
+        this.links = links;
         this.machine = machine;
         this.clock = clock;
     }
 
     /** When what is being read on a channel came to this machine, in ns of the day's clock. */
-    static long readAt(Channel c, long otherwise) {
-        Long at = c.attr(READ_AT).get();
-        return at == null ? otherwise : at;
+    static long readAt(Channel channel, long defaultNs) {
+        Long at = channel.attr(READ_AT).get();
+        return at == null ? defaultNs : at;
     }
 
     /** Tells whose connection it is, once that is known. */
@@ -56,7 +56,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext c) {
         ctx = c;
-        ways.opened(this);
+        links.addHandler(this);
     }
 
     void reset() {
@@ -67,75 +67,75 @@
     @Override
     public void channelRead(ChannelHandlerContext c, Object message) {
         long now = clock.getAsLong();
-        long extra = ways.extraNs(peer(), machine);
-        if (in.isEmpty() && extra == 0 && !ways.holds(peer(), machine)) {
+        long extraDelayNs = links.drawExtraDelayNs(peer(), machine);
+        if (heldReads.isEmpty() && extraDelayNs == 0 && !links.isBlocked(peer(), machine)) {
             c.channel().attr(READ_AT).set(now);
             c.fireChannelRead(message);
             return;
         }
-        in.add(new Held(message, null, now, now + extra));
-        later(extra);
+        heldReads.add(new HeldMessage(message, null, now, now + extraDelayNs));
+        scheduleRelease(extraDelayNs);
     }
 
     @Override
     public void write(ChannelHandlerContext c, Object message, ChannelPromise promise) {
         long now = clock.getAsLong();
-        long extra = ways.extraNs(machine, peer());
-        if (out.isEmpty() && extra == 0 && !ways.holds(machine, peer())) {
+        long extraDelayNs = links.drawExtraDelayNs(machine, peer());
+        if (heldWrites.isEmpty() && extraDelayNs == 0 && !links.isBlocked(machine, peer())) {
             c.write(message, promise);
             return;
         }
-        out.add(new Held(message, promise, 0, now + extra));
-        later(extra);
+        heldWrites.add(new HeldMessage(message, promise, 0, now + extraDelayNs));
+        scheduleRelease(extraDelayNs);
     }
 
     @Override
     public void close(ChannelHandlerContext c, ChannelPromise promise) {
-        if (out.isEmpty()) {
+        if (heldWrites.isEmpty()) {
             c.close(promise);
         } else {
-            ended = true; // behind what is still held
+            closePending = true; // behind what is still held
         }
     }
 
-    private void later(long ns) {
-        ctx.executor().schedule(this::release, Math.max(1, ns), TimeUnit.NANOSECONDS);
+    private void scheduleRelease(long delayNs) {
+        ctx.executor().schedule(this::release, Math.max(1, delayNs), TimeUnit.NANOSECONDS);
     }
 
     /** Lets through what is due. */
     void release() {
         long now = clock.getAsLong();
-        boolean any = false;
-        while (!in.isEmpty() && in.peek().dueAt <= now && !ways.holds(peer(), machine)) {
-            Held h = in.remove();
+        boolean released = false;
+        while (!heldReads.isEmpty() && heldReads.peek().dueAt <= now && !links.isBlocked(peer(), machine)) {
+            HeldMessage h = heldReads.remove();
             ctx.channel().attr(READ_AT).set(h.readAt);
             ctx.fireChannelRead(h.message);
-            any = true;
+            released = true;
         }
-        if (any) {
+        if (released) {
             ctx.fireChannelReadComplete();
         }
-        any = false;
-        while (!out.isEmpty() && out.peek().dueAt <= now && !ways.holds(machine, peer())) {
-            Held h = out.remove();
+        released = false;
+        while (!heldWrites.isEmpty() && heldWrites.peek().dueAt <= now && !links.isBlocked(machine, peer())) {
+            HeldMessage h = heldWrites.remove();
             ctx.write(h.message, h.promise);
-            any = true;
+            released = true;
         }
-        if (any) {
+        if (released) {
             ctx.flush();
         }
-        if (ended && out.isEmpty()) {
+        if (closePending && heldWrites.isEmpty()) {
             ctx.close();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext c) {
-        ways.closed(this);
-        in.forEach(h -> ReferenceCountUtil.release(h.message));
-        out.forEach(h -> ReferenceCountUtil.release(h.message));
-        in.clear();
-        out.clear();
+        links.removeHandler(this);
+        heldReads.forEach(h -> ReferenceCountUtil.release(h.message));
+        heldWrites.forEach(h -> ReferenceCountUtil.release(h.message));
+        heldReads.clear();
+        heldWrites.clear();
         c.fireChannelInactive();
     }
 }
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.ByteArrayOutputStream;
@@ -57,7 +57,8 @@
     }
 
     private String writeScript(String name, String more) throws Exception {
-        return Files.writeString(folder.resolve(name), Days.text(3, more)).toString();
+        return Files.writeString(folder.resolve(name), TestScripts.smallText(3, more))
+                .toString();
     }
 
     @Test
@@ -69,7 +70,8 @@
 
     @Test
     void brokenRuleIsReportedWithReplayCommand() throws Exception {
-        String day = writeScript("day.toml", Days.fault("hang", 0.5, "for = 2\nnodes = 6") + "[expect]\nservice = 1\n");
+        String day = writeScript(
+                "day.toml", TestScripts.fault("hang", 0.5, "for = 2\nnodes = 6") + "[expect]\nservice = 1\n");
         assertEquals(1, run("rehearse", day, "--seed", "5"));
         assertTrue(err.startsWith("BROKEN: the script expects it"), err);
         assertTrue(err.contains("play it again: ./gullspar rehearse " + day + " --seed 5"), err);
--- a/src/test/java/gullspar/rehearse/Days.java
+++ b/src/test/java/gullspar/rehearse/TestScripts.java
@@ -5,8 +5,8 @@
 import gullspar.toml.ProblemsException;
 
 /** Scripts of small days for tests. */
-public final class Days {
-    private static final String SMALL =
+public final class TestScripts {
+    private static final String SMALL_SCRIPT =
             """
         seconds = %s
         seed = 1
@@ -63,7 +63,7 @@
         %s
         """;
 
-    private Days() {}
+    private TestScripts() {}
 
     /** A small day with further tables, such as faults and rules. */
     public static Script small(double seconds, String tables) {
@@ -72,12 +72,12 @@
 
     /** The same with another rate, in requests per second. */
     public static Script small(double seconds, int rate, String tables) {
-        return parse(SMALL.formatted(seconds, rate, tables));
+        return parse(SMALL_SCRIPT.formatted(seconds, rate, tables));
     }
 
     /** The text of a small day. */
-    public static String text(double seconds, String tables) {
-        return SMALL.formatted(seconds, 150, tables);
+    public static String smallText(double seconds, String tables) {
+        return SMALL_SCRIPT.formatted(seconds, 150, tables);
     }
 
     public static Script parse(String text) {
@@ -89,7 +89,7 @@
     }
 
     /** The table of a fault. */
-    public static String fault(String kind, double at, String figures) {
-        return "[[fault]]\nkind = \"" + kind + "\"\nat = " + at + "\n" + figures + "\n";
+    public static String fault(String kind, double at, String settings) {
+        return "[[fault]]\nkind = \"" + kind + "\"\nat = " + at + "\n" + settings + "\n";
     }
 }
--- a/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
+++ b/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.play.Played;
@@ -43,36 +43,36 @@
         accusations_per_min = 60
         """;
 
-    private static Script day() {
-        String faults = Days.fault("take-over", 0.5, "proxies = [\"p3\", \"p6\"]\ndown_s = 2")
-                + Days.fault("new-key", 1, "for = 16")
-                + Days.fault("forged-datagrams", 1, "for = 20\nproxies = [\"p4\"]\nper_s = 200")
-                + Days.fault("mad-member", 2, "for = 15\nproxies = [\"p7\"]\nfor_each = 20")
-                + Days.fault("pause", 3, "for = 3\nproxies = [\"p2\"]")
-                + Days.fault("partition", 8, "for = 7\nproxies = [\"p1\", \"p4\"]")
-                + Days.fault("kill", 12, "proxies = [\"p5\"]\ndown_s = 0.5")
-                + Days.fault("jittery-link", 1, "for = 13\nfrom = \"proxies\"\nto = \"proxies\"\nadds_ms = 20")
-                + Days.fault("doubled-link", 2, "for = 11\nfrom = \"proxies\"\nto = \"p1\"\nshare = 0.2")
-                + Days.fault("flipped-link", 1, "for = 14\nfrom = \"proxies\"\nto = \"p7\"\nshare = 0.2")
-                + Days.fault("torn-link", 1, "for = 14\nfrom = \"p7\"\nto = \"proxies\"\nshare = 0.1");
-        return Days.parse(Days.text(27, PEERS + faults)
+    private static Script script() {
+        String faults = TestScripts.fault("take-over", 0.5, "proxies = [\"p3\", \"p6\"]\ndown_s = 2")
+                + TestScripts.fault("new-key", 1, "for = 16")
+                + TestScripts.fault("forged-datagrams", 1, "for = 20\nproxies = [\"p4\"]\nper_s = 200")
+                + TestScripts.fault("mad-member", 2, "for = 15\nproxies = [\"p7\"]\nfor_each = 20")
+                + TestScripts.fault("pause", 3, "for = 3\nproxies = [\"p2\"]")
+                + TestScripts.fault("partition", 8, "for = 7\nproxies = [\"p1\", \"p4\"]")
+                + TestScripts.fault("kill", 12, "proxies = [\"p5\"]\ndown_s = 0.5")
+                + TestScripts.fault("jittery-link", 1, "for = 13\nfrom = \"proxies\"\nto = \"proxies\"\nadds_ms = 20")
+                + TestScripts.fault("doubled-link", 2, "for = 11\nfrom = \"proxies\"\nto = \"p1\"\nshare = 0.2")
+                + TestScripts.fault("flipped-link", 1, "for = 14\nfrom = \"proxies\"\nto = \"p7\"\nshare = 0.2")
+                + TestScripts.fault("torn-link", 1, "for = 14\nfrom = \"p7\"\nto = \"proxies\"\nshare = 0.1");
+        return TestScripts.parse(TestScripts.smallText(27, PEERS + faults)
                 .replace("count = 2\nstart_s", "count = 7\nstart_s")
                 .replace("rate = 150", "rate = 20"));
     }
 
     @Test
-    void sevenProcessesKeepAViewOfEachOther() throws Exception {
-        Played p = LivePlay.play(day(), (second, of) -> {});
+    void sevenProcessesAgreeOnTheirViewOfTheFleet() throws Exception {
+        Played played = LivePlay.play(script(), (second, of) -> {});
 
         assertEquals(
                 List.of(),
-                p.verdict().violations().stream()
+                played.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET") || b.rule() == Rule.NOTHING_TWICE)
                         .map(RuleViolation::description)
                         .toList(),
-                () -> String.join("\n", p.log()));
+                () -> String.join("\n", played.log()));
         // All of it was there to be seen.
-        Map<String, Set<String>> lives = p.eventLog().fleetSnapshots().stream()
+        Map<String, Set<String>> lives = played.eventLog().fleetSnapshots().stream()
                 .collect(Collectors.groupingBy(
                         FleetSnapshot::proxy,
                         Collectors.mapping(FleetSnapshot::life, Collectors.toCollection(TreeSet::new))));
@@ -85,22 +85,22 @@
                         .toList(),
                 "lives of each");
         assertTrue(
-                p.eventLog().fleetSnapshots().stream().anyMatch(FleetSnapshot::cutOff),
+                played.eventLog().fleetSnapshots().stream().anyMatch(FleetSnapshot::cutOff),
                 "a minority said that it is one");
-        FleetSnapshot last = p.eventLog().fleetSnapshots().stream()
+        FleetSnapshot last = played.eventLog().fleetSnapshots().stream()
                 .max(Comparator.comparingLong(FleetSnapshot::at))
                 .orElseThrow();
         assertEquals(
                 6,
                 last.members().stream().filter(s -> s.status().equals("alive")).count());
-        for (String said : List.of(
+        for (String message : List.of(
                 "p3 is gone, accused by p",
                 "p2 is back",
                 "stood still for ",
                 "objected to being called gone",
                 "not cut off any more",
                 "settled")) {
-            assertTrue(p.log().stream().anyMatch(l -> l.contains("fleet: " + said)), said);
+            assertTrue(played.log().stream().anyMatch(l -> l.contains("fleet: " + message)), message);
         }
     }
 }
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.play.Played;
@@ -26,7 +26,7 @@
 @Timeout(180)
 @ResourceLock("much of the machine")
 class LivePlayTest {
-    private static List<Long> daemons() {
+    private static List<Long> childProcesses() {
         return ProcessHandle.current()
                 .children()
                 .filter(ProcessHandle::isAlive)
@@ -35,20 +35,20 @@
     }
 
     @Test
-    void faultsHappenToRealProcessesAndNoneIsLeftBehind() throws Exception {
-        List<Long> before = daemons();
-        List<Double> heard = new ArrayList<>();
+    void faultsAffectRealProcessesAndAllProcessesEnd() throws Exception {
+        List<Long> before = childProcesses();
+        List<Double> progressSeconds = new ArrayList<>();
         Played p = LivePlay.play(
-                Days.small(
+                TestScripts.small(
                         6,
-                        Days.fault("kill", 1, "proxies = [\"p1\"]\ndown_s = 0.1")
-                                + Days.fault("stop", 2, "proxies = [\"p2\"]\ndown_s = 0.1")
-                                + Days.fault("reload", 4, "proxies = [\"p1\"]")
-                                + Days.fault("pause", 4.5, "for = 0.2\nproxies = [\"p1\"]")
-                                + Days.fault(
+                        TestScripts.fault("kill", 1, "proxies = [\"p1\"]\ndown_s = 0.1")
+                                + TestScripts.fault("stop", 2, "proxies = [\"p2\"]\ndown_s = 0.1")
+                                + TestScripts.fault("reload", 4, "proxies = [\"p1\"]")
+                                + TestScripts.fault("pause", 4.5, "for = 0.2\nproxies = [\"p1\"]")
+                                + TestScripts.fault(
                                         "slow-link", 0.5, "for = 1\nfrom = \"proxies\"\nto = \"nodes\"\nadds_ms = 5")
-                                + Days.fault("crash", 3, "nodes = [\"n2\"]\ndown_s = 0.5")),
-                (second, of) -> heard.add(second));
+                                + TestScripts.fault("crash", 3, "nodes = [\"n2\"]\ndown_s = 0.5")),
+                (second, of) -> progressSeconds.add(second));
         assertTrue(p.verdict().counts().get("served") > 100, p.verdict().counts() + " " + p.log());
         assertEquals(List.of(), p.eventLog().crashes());
         assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 is back");
@@ -57,7 +57,7 @@
         assertTrue(p.eventLog().events().stream()
                 .map(EventLog.Event::description)
                 .anyMatch(w -> w.equals("n2 starts, cold")));
-        assertFalse(heard.isEmpty());
+        assertFalse(progressSeconds.isEmpty());
         // Rules that no slow machine excuses.
         assertEquals(
                 List.of(),
@@ -65,17 +65,17 @@
                         .filter(b -> b.rule() == Rule.NOTHING_TWICE)
                         .map(RuleViolation::description)
                         .toList());
-        assertEquals(before, daemons());
+        assertEquals(before, childProcesses());
     }
 
     /** The loop on which the stand-ins run is held up: that must not pass for a result. */
     @Test
-    void aMachineThatWasTooBusyIsSaid() throws Exception {
+    void anOverloadedMachineIsNoted() throws Exception {
         EventLoop loop = new DefaultEventLoop();
         try {
-            Lateness late = new Lateness(loop);
-            loop.submit(late::start).get();
-            CountDownLatch held = new CountDownLatch(1);
+            EventLoopLag lag = new EventLoopLag(loop);
+            loop.submit(lag::start).get();
+            CountDownLatch blocked = new CountDownLatch(1);
             loop.execute(() -> {
                 long until = System.nanoTime() + 400_000_000L;
                 while (System.nanoTime() < until) {
@@ -83,9 +83,9 @@
                 }
             });
             // The first tick after that sees how late it is.
-            loop.schedule(held::countDown, 50, TimeUnit.MILLISECONDS);
-            assertTrue(held.await(20, TimeUnit.SECONDS));
-            List<String> notes = loop.submit(late::notes).get();
+            loop.schedule(blocked::countDown, 50, TimeUnit.MILLISECONDS);
+            assertTrue(blocked.await(20, TimeUnit.SECONDS));
+            List<String> notes = loop.submit(lag::stop).get();
             assertTrue(notes.get(0).startsWith("the machine was too busy for this to count"), notes.toString());
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -12,7 +12,7 @@
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.io.Transport;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.net.TamperedMessages;
@@ -65,22 +65,25 @@
 
     /** Five proxies, hardly any traffic. */
     private static Script day(double seconds, String faults) {
-        return Days.parse(Days.text(seconds, PEERS + faults)
+        return TestScripts.parse(TestScripts.smallText(seconds, PEERS + faults)
                 .replace("count = 2\nstart_s", "count = 5\nstart_s")
                 .replace("rate = 150", "rate = 5"));
     }
 
-    private static final Script KILLED = day(24, Days.fault("kill", 1, "proxies = [\"p2\", \"p4\"]\ndown_s = 1"));
-    private static final Script PARTED = day(40, Days.fault("partition", 1, "for = 10\nproxies = [\"p1\", \"p2\"]"));
-    private static final Script STOPPED = day(26, Days.fault("pause", 1, "for = 5\nproxies = [\"p3\"]"));
+    private static final Script KILLED =
+            day(24, TestScripts.fault("kill", 1, "proxies = [\"p2\", \"p4\"]\ndown_s = 1"));
+    private static final Script PARTED =
+            day(40, TestScripts.fault("partition", 1, "for = 10\nproxies = [\"p1\", \"p2\"]"));
+    private static final Script STOPPED = day(26, TestScripts.fault("pause", 1, "for = 5\nproxies = [\"p3\"]"));
     /** As good as no fault; p3 counts as struck by it, since others may well accuse it while it is slow. */
-    private static final Script QUIET = day(30, Days.fault("pause", 0.1, "for = 0.001\nproxies = [\"p3\"]"));
+    private static final Script QUIET = day(30, TestScripts.fault("pause", 0.1, "for = 0.001\nproxies = [\"p3\"]"));
     /** p5 is heard and hears nobody. */
-    private static final Script DEAF = day(20, Days.fault("cut-link", 1, "for = 18\nfrom = \"proxies\"\nto = \"p5\""));
+    private static final Script DEAF =
+            day(20, TestScripts.fault("cut-link", 1, "for = 18\nfrom = \"proxies\"\nto = \"p5\""));
 
-    private static final Script TWINS = day(24, Days.fault("twin", 1, "for = 22\nproxies = [\"p2\"]"));
+    private static final Script TWINS = day(24, TestScripts.fault("twin", 1, "for = 22\nproxies = [\"p2\"]"));
     private static final Script MAD =
-            day(15, Days.fault("mad-member", 1, "for = 13\nproxies = [\"p2\"]\nfor_each = 60"));
+            day(15, TestScripts.fault("mad-member", 1, "for = 13\nproxies = [\"p2\"]\nfor_each = 60"));
 
     private static List<RuleViolation> broken(Script s, VirtualPlay.Options options) {
         return VirtualPlay.play(s, options).verdict().violations().stream()
@@ -122,14 +125,14 @@
                 MAD,
                 day(
                         24,
-                        Days.fault("move", 1, "proxies = [\"p1\", \"p2\", \"p3\"]")
-                                + Days.fault("take-over", 2, "proxies = [\"p1\", \"p3\", \"p4\"]")),
-                day(24, Days.fault("new-key", 1, "for = 16") + Days.fault("kill", 8, "proxies = 1")),
+                        TestScripts.fault("move", 1, "proxies = [\"p1\", \"p2\", \"p3\"]")
+                                + TestScripts.fault("take-over", 2, "proxies = [\"p1\", \"p3\", \"p4\"]")),
+                day(24, TestScripts.fault("new-key", 1, "for = 16") + TestScripts.fault("kill", 8, "proxies = 1")),
                 day(
                         24,
-                        Days.fault("forged-datagrams", 1, "for = 22\nproxies = 3")
-                                + Days.fault("kill", 4, "proxies = [\"p5\"]")),
-                day(24, Days.fault("starved", 1, "for = 8\nproxies = [\"p3\"]\nperiod_ms = 1500")));
+                        TestScripts.fault("forged-datagrams", 1, "for = 22\nproxies = 3")
+                                + TestScripts.fault("kill", 4, "proxies = [\"p5\"]")),
+                day(24, TestScripts.fault("starved", 1, "for = 8\nproxies = [\"p3\"]\nperiod_ms = 1500")));
     }
 
     @Test
@@ -364,7 +367,10 @@
     /** More is sent than the budget allows. */
     @Test
     void whoTalksTooMuchIsNamed() {
-        caught(Rule.FLEET_CHEAP, Days.parse(Days.text(24, PEERS.replace("60000", "300"))), VirtualPlay.Options.plain());
+        caught(
+                Rule.FLEET_CHEAP,
+                TestScripts.parse(TestScripts.smallText(24, PEERS.replace("60000", "300"))),
+                VirtualPlay.Options.plain());
     }
 
     /** Changes what goes through a proxy's socket. */
--- a/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
@@ -14,7 +14,7 @@
 import gullspar.decide.Balancer.State;
 import gullspar.decide.Balancer.Status;
 import gullspar.proxy.io.Platform;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
@@ -44,18 +44,20 @@
 /** Faults planted in the daemon and in the module: the judge names the rule that each breaks. */
 @Timeout(120)
 class JudgeSaysNoTest {
-    private static final Script QUIET = Days.small(6, "");
+    private static final Script QUIET = TestScripts.small(6, "");
     /** Nodes that crash and spoil answers: attempts that may have run come back with no answer. */
-    private static final Script HARMED = Days.small(
-            6, Days.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.2") + Days.fault("crash", 2, "nodes = 2"));
+    private static final Script HARMED = TestScripts.small(
+            6,
+            TestScripts.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.2")
+                    + TestScripts.fault("crash", 2, "nodes = 2"));
 
-    private static final Script LEAVING = Days.small(8, Days.fault("drain", 2, "nodes = 2\ngrace_s = 4"));
+    private static final Script LEAVING = TestScripts.small(8, TestScripts.fault("drain", 2, "nodes = 2\ngrace_s = 4"));
     /** What has just started can do a fiftieth. */
-    private static final Script COLD = Days.small(
+    private static final Script COLD = TestScripts.small(
             8,
             230,
             "[rules]\nstart_capacity = 0.02\ncold_s = 20\n"
-                    + Days.fault("restart", 1, "nodes = 1\ngrace_s = 0.2\ndown_s = 0.2"));
+                    + TestScripts.fault("restart", 1, "nodes = 1\ngrace_s = 0.2\ndown_s = 0.2"));
 
     private static Verdict play(Script s, VirtualPlay.Options options) {
         return VirtualPlay.play(s, options).verdict();
@@ -80,7 +82,7 @@
 
     // ---- a proxy that stands still ----
 
-    private static final Script PAUSED = Days.small(6, Days.fault("pause", 2, "for = 0.5\nproxies = 1"));
+    private static final Script PAUSED = TestScripts.small(6, TestScripts.fault("pause", 2, "for = 0.5\nproxies = 1"));
 
     /** The proxy does not know for how long what it reads has waited. */
     @Test
@@ -98,8 +100,8 @@
 
     // ---- clients that leave ----
 
-    private static final Script IMPATIENT =
-            Days.small(6, Days.fault("leaving", 0.5, "for = 5\nclass = \"pay\"\nshare = 0.5\nwithin_ms = 20"));
+    private static final Script IMPATIENT = TestScripts.small(
+            6, TestScripts.fault("leaving", 0.5, "for = 5\nclass = \"pay\"\nshare = 0.5\nwithin_ms = 20"));
 
     /**
      * The proxy hears of the end of a client only long after, and some of what it sends on it sends late: not
@@ -138,10 +140,10 @@
         caught(
                 Rule.LEFT_ALONE,
                 "after its client had left",
-                Days.small(
+                TestScripts.small(
                         6,
-                        Days.fault("leaving", 0.5, "for = 5\nclass = \"look\"\nshare = 0.5\nwithin_ms = 20")
-                                + Days.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.5")),
+                        TestScripts.fault("leaving", 0.5, "for = 5\nclass = \"look\"\nshare = 0.5\nwithin_ms = 20")
+                                + TestScripts.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.5")),
                 deaf(t -> t.startsWith("GET /look")
                         && !ids.add(t.lines()
                                 .filter(l -> l.startsWith("Request-Id"))
@@ -361,8 +363,10 @@
     }
 
     /** All watches end, and some drains come while there is none. */
-    private static final Script UNHEARD = Days.small(
-            14, Days.fault("discovery-down", 1, "for = 1") + Days.fault("drain", 3, "nodes = 2\ngrace_s = 11"));
+    private static final Script UNHEARD = TestScripts.small(
+            14,
+            TestScripts.fault("discovery-down", 1, "for = 1")
+                    + TestScripts.fault("drain", 3, "nodes = 2\ngrace_s = 11"));
 
     /** A proxy whose further calls are never written is told nothing, and has to know all the same. */
     @Test
--- a/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.decide.Balancer;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.record.LogDiff;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.script.ScriptReader;
@@ -32,19 +32,19 @@
 @Timeout(300)
 class SameEveryTimeTest {
     /** A little of everything that can go wrong, in 12 s. */
-    static final String ALL = Days.fault("neighbour", 0.5, "for = 6\nnodes = 2")
-            + Days.fault("crash", 1, "nodes = 1\ndown_s = 1")
-            + Days.fault("replace", 2, "nodes = 1")
-            + Days.fault("spoil", 3, "for = 3\nnodes = 3")
-            + Days.fault("lossy-link", 4, "for = 2\nfrom = \"nodes\"\nto = \"proxies\"\nshare = 0.02")
-            + Days.fault("rude-clients", 4, "for = 2\nproxies = 2")
-            + Days.fault("pause", 5, "for = 0.8\nproxies = 1")
-            + Days.fault("kill", 7, "proxies = 1")
-            + Days.fault("reload", 8, "proxies = 2")
-            + Days.fault("stop", 9, "proxies = 1")
-            + Days.fault("vanish", 9.5, "for = 1\nnodes = 1")
-            + Days.fault("slow-answers", 10, "for = 1\nnodes = 2")
-            + Days.fault("old-list", 7.5, "for = 2");
+    static final String ALL = TestScripts.fault("neighbour", 0.5, "for = 6\nnodes = 2")
+            + TestScripts.fault("crash", 1, "nodes = 1\ndown_s = 1")
+            + TestScripts.fault("replace", 2, "nodes = 1")
+            + TestScripts.fault("spoil", 3, "for = 3\nnodes = 3")
+            + TestScripts.fault("lossy-link", 4, "for = 2\nfrom = \"nodes\"\nto = \"proxies\"\nshare = 0.02")
+            + TestScripts.fault("rude-clients", 4, "for = 2\nproxies = 2")
+            + TestScripts.fault("pause", 5, "for = 0.8\nproxies = 1")
+            + TestScripts.fault("kill", 7, "proxies = 1")
+            + TestScripts.fault("reload", 8, "proxies = 2")
+            + TestScripts.fault("stop", 9, "proxies = 1")
+            + TestScripts.fault("vanish", 9.5, "for = 1\nnodes = 1")
+            + TestScripts.fault("slow-answers", 10, "for = 1\nnodes = 2")
+            + TestScripts.fault("old-list", 7.5, "for = 2");
 
     @TempDir
     Path folder;
@@ -87,7 +87,7 @@
     @Test
     void aDayThatIsOverIsLetGo() {
         WeakReference<EventLog> day =
-                new WeakReference<>(VirtualPlay.play(Days.small(1, "[peers]\n"), VirtualPlay.Options.plain())
+                new WeakReference<>(VirtualPlay.play(TestScripts.small(1, "[peers]\n"), VirtualPlay.Options.plain())
                         .eventLog());
         for (int i = 0; i < 100 && day.get() != null; i++) {
             System.gc();
@@ -98,7 +98,7 @@
     @Test
     void anotherHeapCompilerLocaleOrTimeZoneChangesNothing() throws Exception {
         Path script = folder.resolve("day.toml");
-        Files.writeString(script, Days.text(12, ALL));
+        Files.writeString(script, TestScripts.smallText(12, ALL));
         String out = inAnotherProcess(script, "-Xmx48m", "-XX:+UseSerialGC");
         assertTrue(out.matches("decisions \\d+ sha256 [0-9a-f]{64}"), out);
         assertEquals(
@@ -118,7 +118,7 @@
 
     @Test
     void anotherSeedIsAnotherDay() {
-        Script s = Days.small(3, "");
+        Script s = TestScripts.small(3, "");
         assertNotEquals(
                 VirtualPlay.play(s, VirtualPlay.Options.plain()).hash(),
                 VirtualPlay.play(s.with(2), VirtualPlay.Options.plain()).hash());
@@ -146,7 +146,9 @@
                                 classes.toString(),
                                 source.toString()));
         Path script = folder.resolve("day.toml");
-        Files.writeString(script, Days.text(6, Days.fault("heavy", 1, "for = 4\nclass = \"look\"\nshare = 0.2")));
+        Files.writeString(
+                script,
+                TestScripts.smallText(6, TestScripts.fault("heavy", 1, "for = 4\nclass = \"look\"\nshare = 0.2")));
         Path a = folder.resolve("as-it-is.log");
         Path b = folder.resolve("changed.log");
         String before = inAnotherProcess(script, List.of(), a);
@@ -161,7 +163,7 @@
     private String logged(Path to, UnaryOperator<Balancer.Factory> module) throws Exception {
         try (Writer w = Files.newBufferedWriter(to)) {
             return VirtualPlay.play(
-                            Days.small(4, ""),
+                            TestScripts.small(4, ""),
                             new VirtualPlay.Options(w, module, UnaryOperator.identity(), Progress.NONE))
                     .hash();
         }
@@ -202,11 +204,11 @@
     /** The call of the proxy that starts again still waits for its turn when discovery goes down. */
     @Test
     void aCallThatWaitsForItsTurnEndsWithDiscovery() throws Exception {
-        Script s = Days.small(
+        Script s = TestScripts.small(
                 5,
                 "answer_ms = 1500\n"
-                        + Days.fault("kill", 0.5, "proxies = [\"p1\"]\ndown_s = 0.1")
-                        + Days.fault("discovery-down", 1, "for = 4"));
+                        + TestScripts.fault("kill", 0.5, "proxies = [\"p1\"]\ndown_s = 0.1")
+                        + TestScripts.fault("discovery-down", 1, "for = 4"));
         StringWriter log = new StringWriter();
         VirtualPlay.play(s, VirtualPlay.Options.logged(log, Progress.NONE));
         long back = 8_000_000_000L; // the day begins after 3 s of starting; discovery is back 5 s later
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SameInstantTest.java
@@ -14,7 +14,7 @@
 import gullspar.proxy.config.Config;
 import gullspar.proxy.config.Json;
 import gullspar.proxy.io.Platform;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.net.Host;
 import gullspar.rehearse.net.Network;
 import gullspar.rehearse.time.Agenda;
@@ -79,8 +79,8 @@
             listen("discovery", DISCOVERY, ctx -> atDiscovery = ctx);
             runTo(1); // they listen before anybody asks
             JsonNode known = Json.read(list(1, "in_service").getBytes(StandardCharsets.US_ASCII));
-            Config config =
-                    Config.parse(ProxySettings.of(Days.small(1, ""), 0, "p1", PROXY, DISCOVERY, 1, known), Map.of());
+            Config config = Config.parse(
+                    ProxySettings.of(TestScripts.small(1, ""), 0, "p1", PROXY, DISCOVERY, 1, known), Map.of());
             loop.execute(() -> Proxy.startOnLoop(
                     config,
                     new Platform(loop, agenda::now, network.transport(proxy), line -> {}),
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -6,7 +6,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.play.Played;
 import gullspar.rehearse.play.VirtualPlay;
@@ -21,10 +21,11 @@
     @BeforeAll
     static void play() {
         day = VirtualPlay.play(
-                Days.parse("title = \"<b>odd & old</b>\"\n"
-                        + Days.text(
+                TestScripts.parse("title = \"<b>odd & old</b>\"\n"
+                        + TestScripts.smallText(
                                 4,
-                                Days.fault("hang", 1, "for = 2\nnodes = 3") + Days.fault("drain", 1, "nodes = [\"n1\"]")
+                                TestScripts.fault("hang", 1, "for = 2\nnodes = 3")
+                                        + TestScripts.fault("drain", 1, "nodes = [\"n1\"]")
                                         + "[expect]\nservice = 1\n")),
                 VirtualPlay.Options.plain());
     }
@@ -54,11 +55,11 @@
     @Test
     void theViewOfTheFleetIsDrawnAsItWas() {
         Played p = VirtualPlay.play(
-                Days.parse(Days.text(
+                TestScripts.parse(TestScripts.smallText(
                                 30,
                                 "[peers]\ninterval_ms = 200\nwindow_s = 20\n"
-                                        + Days.fault("kill", 2, "proxies = [\"p2\"]\ndown_s = 12")
-                                        + Days.fault("partition", 18, "for = 5\nproxies = [\"p3\"]"))
+                                        + TestScripts.fault("kill", 2, "proxies = [\"p2\"]\ndown_s = 12")
+                                        + TestScripts.fault("partition", 18, "for = 5\nproxies = [\"p3\"]"))
                         .replace("count = 2\nstart_s", "count = 3\nstart_s")),
                 VirtualPlay.Options.plain());
         FleetChart chart = new FleetChart(p.eventLog(), 30);
--- a/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.toml.ProblemsException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -46,10 +46,11 @@
                     case DATAGRAMS -> "from = \"p1\"\nto = \"proxies\"\n";
                     default -> "";
                 };
-        Fault f = Days.small(
+        Fault f = TestScripts.small(
                         5,
                         (kind.needsPeers() ? "[peers]\n" : "")
-                                + Days.fault(kind.scriptName(), 1, targets + (kind.isMomentary() ? "" : "for = 2\n")))
+                                + TestScripts.fault(
+                                        kind.scriptName(), 1, targets + (kind.isMomentary() ? "" : "for = 2\n")))
                 .faults()
                 .get(0);
         assertEquals(kind, f.kind());
@@ -86,7 +87,7 @@
         int cut = row.lastIndexOf('|');
         String lines = (row.contains("at = ") ? "" : "at = 1\n")
                 + row.substring(0, cut).replace('|', '\n');
-        String errors = errors(Days.text(5, "[[fault]]\n" + lines + "\n"));
+        String errors = errors(TestScripts.smallText(5, "[[fault]]\n" + lines + "\n"));
         assertTrue(errors.contains(row.substring(cut + 1).trim()), errors);
     }
 
@@ -116,12 +117,13 @@
 
     @Test
     void rejectsDescendingRanges() {
-        assertTrue(errors(Days.text(5, "").replace("speed = [1.7, 2.3]", "speed = [2.3, 1.7]"))
+        assertTrue(errors(TestScripts.smallText(5, "").replace("speed = [1.7, 2.3]", "speed = [2.3, 1.7]"))
                 .endsWith("speed runs from the larger to the smaller"));
     }
 
     @Test
     void deduplicatedClassRequiresWindow() {
-        assertTrue(errors(Days.text(5, "").replace("window_ms = 1200\n", "")).contains("needs window_ms"));
+        assertTrue(errors(TestScripts.smallText(5, "").replace("window_ms = 1200\n", ""))
+                .contains("needs window_ms"));
     }
 }
--- a/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,15 +19,15 @@
 
     @Test
     void faultsAndEscapedTitlesReadBackEqual() {
-        Script s = Days.parse("title = \"a \\\"quote\\\", a \\\\ and a \\u0007\"\n"
-                + Days.text(
+        Script s = TestScripts.parse("title = \"a \\\"quote\\\", a \\\\ and a \\u0007\"\n"
+                + TestScripts.smallText(
                         9,
-                        Days.fault("crash", 1, "nodes = [\"n1\", \"n3\"]\ndown_s = 0.25")
-                                + Days.fault("pause", 2.5, "for = 0.125\nproxies = 2")
-                                + Days.fault("heavy", 3, "for = 1\nclass = \"pay\"")
-                                + Days.fault("cut-link", 4, "for = 1\nfrom = \"discovery\"\nto = \"p2\"")
-                                + Days.fault("old-list", 5, "for = 1")
+                        TestScripts.fault("crash", 1, "nodes = [\"n1\", \"n3\"]\ndown_s = 0.25")
+                                + TestScripts.fault("pause", 2.5, "for = 0.125\nproxies = 2")
+                                + TestScripts.fault("heavy", 3, "for = 1\nclass = \"pay\"")
+                                + TestScripts.fault("cut-link", 4, "for = 1\nfrom = \"discovery\"\nto = \"p2\"")
+                                + TestScripts.fault("old-list", 5, "for = 1")
                                 + "[expect]\nservice = 0.5\n[search]\nkinds = [\"crash\"]\nbelow = 0.25\n"));
-        assertEquals(s, Days.parse(ScriptWriter.write(s)));
+        assertEquals(s, TestScripts.parse(ScriptWriter.write(s)));
     }
 }
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gullspar.decide.Balancer;
-import gullspar.rehearse.Days;
+import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.play.Progress;
 import gullspar.rehearse.play.VirtualPlay;
@@ -28,7 +28,7 @@
 /** A search finds what is wrong, cuts it down and can be interrupted. */
 @Timeout(300)
 class SearchTest {
-    private static final Script DRAWN_FROM = Days.small(
+    private static final Script DRAWN_FROM = TestScripts.small(
             8,
             "[search]\nkinds = [\"spoil\", \"neighbour\", \"late-list\", \"restart\", " + "\"slow-link\"]\nmost = 4\n");
 
