--- a/src/main/java/gullspar/rehearse/live/DaemonProcess.java
+++ b/src/main/java/gullspar/rehearse/live/DaemonProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One real daemon as a process of its own, with the configuration that a platform would give it. */
+/** A real daemon in a separate process, with a configuration as a platform would write it. */
 final class DaemonProcess {
     private final Process process;
     private final Path config;
@@ -22,12 +22,12 @@
         this.config = config;
     }
 
-    /** Starts one; its log lines go to the consumer, on a thread of their own. */
+    /** Starts a daemon; its log lines are passed to the consumer on a separate thread. */
     static DaemonProcess start(Path directory, String name, JsonNode settings, int memoryMb, Consumer<String> log)
             throws IOException {
         Path config = directory.resolve(name + ".json");
         writeConfig(config, settings);
-        // Its own sizes, as deploy/serve.sh sets them: what the runtime needs beside the heap is some 56 MB.
+        // Sizes as in deploy/serve.sh: the runtime needs about 56 MB in addition to the heap.
         int heapMb = Math.max(16, Math.min(64, (memoryMb - 56) * 2 / 3));
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -50,7 +50,7 @@
                     try (BufferedReader in = process.inputReader()) {
                         in.lines().forEach(log);
                     } catch (IOException | UncheckedIOException e) {
-                        log.accept("(its log ended: " + e.getMessage() + ")");
+                        log.accept("(reading the log failed: " + e.getMessage() + ")");
                     }
                 },
                 "log of " + name);
@@ -72,21 +72,21 @@
         return process.exitValue();
     }
 
-    /** Runs the action, on another thread, once it has ended. */
+    /** Runs the action on another thread once the process has exited. */
     void onExit(Runnable action) {
         process.onExit().thenRun(action);
     }
 
     void kill() {
-        process.toHandle().destroyForcibly(); // not by the process itself, which closes its log as well
+        process.toHandle().destroyForcibly(); // Process.destroyForcibly() would also close the log stream
     }
 
-    /** Waits until a process that was killed is gone. */
+    /** Waits until a killed process has exited. */
     void awaitExit() {
         process.onExit().join();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void stop() {
         process.toHandle().destroy();
     }
--- a/src/main/java/gullspar/rehearse/live/EventLoopLag.java
+++ b/src/main/java/gullspar/rehearse/live/EventLoopLag.java
@@ -7,14 +7,17 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** How late the stand-ins' own event loop is: on a machine that is too busy a live day tells nothing. */
+/**
+ * Measures how late timers fire on the event loop of the simulated machines: on an overloaded machine the result
+ * of a live day is not valid.
+ */
 final class EventLoopLag {
     private static final long TICK_INTERVAL_NS = 10_000_000L;
-    /** Ticks so late are bad, and so many of them are too many. */
+    /** A tick counts as late if its lag is longer. */
     private static final long LATE_TICK_NS = 20_000_000L;
-
+    /** A larger share of late ticks invalidates the day. */
     private static final double MAX_LATE_SHARE = 0.01;
-    /** One this late spoils the day by itself. */
+    /** A single longer lag invalidates the day. */
     private static final long MAX_LAG_NS = 300_000_000L;
 
     private final EventLoop loop;
@@ -41,15 +44,15 @@
         start();
     }
 
-    /** Why the day does not count; empty if it does. */
+    /** Stops the measurement; returns why the result of the day is not valid, an empty list if it is. */
     List<String> stop() {
         nextTick.cancel(false);
         List<String> notes = new ArrayList<>();
         if (maxLag > MAX_LAG_NS || lateTicks > ticks * MAX_LATE_SHARE) {
             notes.add(String.format(
                     Locale.ROOT,
-                    "the machine was too busy for this to count: %.1f of 100 looks at "
-                            + "the clock were over %d ms late, the worst %d ms",
+                    "the machine was too busy for a valid result: %.1f %% of the timer "
+                            + "ticks were more than %d ms late, the maximum was %d ms",
                     100.0 * lateTicks / Math.max(1, ticks),
                     LATE_TICK_NS / 1_000_000,
                     maxLag / 1_000_000));
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -36,7 +36,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The proxies' view of the fleet on a live day: their files, the relay between them, and questions to each.
+ * The fleet's membership protocol on a live day: writes the proxies' operators files and keys, relays their datagrams
+ * and polls each proxy for its view of the fleet.
  */
 final class LiveFleet {
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
@@ -52,14 +53,14 @@
     private final Map<String, InetSocketAddress> operatorAddresses = new HashMap<>();
     private final Deque<Relay.Endpoint> spareEndpoints = new ArrayDeque<>();
     private final Map<String, FalseRumorInjector> falseRumorInjectors = new HashMap<>();
-    private final Map<String, List<Integer>> setKeys = new HashMap<>();
-    /** Those that have not answered yet. */
+    private final Map<String, List<Integer>> keyNumbers = new HashMap<>();
+    /** Processes whose response is pending; the values are not used. */
     private final Map<String, Boolean> pendingRequests = new ConcurrentHashMap<>();
 
     private final HttpClient httpClient =
             HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
 
-    /** Not on the loop. onSnapshot: is told, on the loop, how each proxy sees the fleet. */
+    /** Must not be called on the loop. onSnapshot: called on the loop with the view of each polled process. */
     LiveFleet(
             Script script,
             Path directory,
@@ -85,7 +86,7 @@
         List<InetSocketAddress> udp = Ports.freeUdp(2, processes.size() + moveCount);
         List<InetSocketAddress> tcp = Ports.freeTcp(3, processes.size());
         List<Relay.Endpoint> endpoints = new ArrayList<>();
-        udp.forEach(home -> endpoints.add(relay.open(home)));
+        udp.forEach(address -> endpoints.add(relay.open(address)));
         for (int i = 0; i < processes.size(); i++) {
             operatorAddresses.put(processes.get(i), tcp.get(i));
             relay.move(processes.get(i), endpoints.get(i));
@@ -94,7 +95,7 @@
         this.proxies = List.copyOf(proxies);
     }
 
-    /** Where the first three proxies are found. */
+    /** The addresses of the seeds, as TOML strings. */
     private String seedAddresses() {
         return proxies.stream()
                 .limit(SEED_COUNT)
@@ -106,7 +107,10 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** A process's configuration, with what operators have written for it. */
+    /**
+     * Writes the operators file and the keys of a process, and adds the file and the operator address to its
+     * configuration.
+     */
     JsonNode addFleetSettings(String process, JsonNode settings) {
         Path operatorsFile = directory.resolve(process + ".toml");
         Relay.Endpoint endpoint = relay.endpointOf(process);
@@ -133,7 +137,7 @@
     }
 
     private List<Integer> keyNumbersOf(String process) {
-        return setKeys.getOrDefault(process, List.of(0));
+        return keyNumbers.getOrDefault(process, List.of(0));
     }
 
     private byte[] key(int number) {
@@ -142,12 +146,15 @@
         return key;
     }
 
-    /** A process has the keys of those numbers from when it reads its files next. */
+    /** Sets the keys of a process by number, the first for sending; takes effect at its next start or reload. */
     void setKeys(String process, List<Integer> numbers) {
-        setKeys.put(process, numbers);
+        keyNumbers.put(process, numbers);
     }
 
-    /** As {@link gullspar.rehearse.play.FaultInjector#move} says; true if a seed is found elsewhere now. */
+    /**
+     * Gives each process the endpoint of the next one in the ring, the last that of the first, and a single process
+     * a spare one; a process binds there from its next start. Returns whether the address of a seed changed.
+     */
     boolean moveAddresses(List<String> ring) {
         String before = seedAddresses();
         List<Relay.Endpoint> endpoints = ring.size() == 1
@@ -159,7 +166,7 @@
         return !seedAddresses().equals(before);
     }
 
-    /** As {@link gullspar.rehearse.play.FaultInjector#mad} says. */
+    /** Sets the number of false rumors that follow each datagram of a process; 0 sends none. */
     void setFalseRumors(String process, int perDatagram) {
         falseRumorInjectors
                 .computeIfAbsent(process, p -> {
@@ -174,7 +181,10 @@
                 .setFalseRumorsPerDatagram(perDatagram);
     }
 
-    /** Asks each proxy again and again, until the end; alive tells whether one can answer. On the loop. */
+    /**
+     * Polls each running process, and schedules the next poll, until the loop is shut down. Must be called on the
+     * loop.
+     */
     void poll(Predicate<String> isRunning) {
         for (String p : operatorAddresses.keySet()) {
             if (isRunning.test(p) && pendingRequests.putIfAbsent(p, true) == null) {
@@ -187,7 +197,7 @@
                         .whenComplete((response, e) -> {
                             pendingRequests.remove(p);
                             if (e == null && response.statusCode() == 200) {
-                                loop.execute(() -> onSnapshot(p, response.body()));
+                                loop.execute(() -> parseSnapshot(p, response.body()));
                             }
                         });
             }
@@ -195,11 +205,11 @@
         loop.schedule(() -> poll(isRunning), FleetSnapshot.intervalMs(proxies.size()), TimeUnit.MILLISECONDS);
     }
 
-    private void onSnapshot(String process, String response) {
+    private void parseSnapshot(String process, String response) {
         try {
             onSnapshot.accept(FleetSnapshot.parse(clock.getAsLong(), process, response));
         } catch (IOException e) {
-            throw new UncheckedIOException("a proxy answered what is no view", e);
+            throw new UncheckedIOException("the response of a proxy to /_fleet is not valid JSON", e);
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -44,18 +44,19 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a day live: the same script and the same stand-ins, in this process and in real time, with real
- * daemon processes on loopback sockets. All but the start and the end happens on one event loop.
+ * Plays a day in real time: the nodes, the clients and discovery are simulated in this process as in virtual time,
+ * while the proxies are real daemon processes; all communicate over loopback sockets. Everything except start and end
+ * runs on one event loop.
  */
 public final class LivePlay implements RunEnvironment, FaultInjector, AutoCloseable {
-    /** How far a time that is seen here may lie from the true one. */
+    /** Maximum error of times observed in this process. */
     private static final long TIME_TOLERANCE_NS = 50_000_000L;
-    /** What is under way when a process is killed or stopped is seen up to so much later. */
+    /** Requests in flight when a process is killed or paused may be affected for up to this long afterwards. */
     private static final long SIGNAL_EFFECT_NS = 300_000_000L;
 
     private static final long READY_TIMEOUT_S = 60;
     private static final long PROGRESS_INTERVAL_MS = 200;
-    /** What is told of a day without end is that of the last so long. */
+    /** Period that the status of a day without an end covers. */
     private static final long STATUS_WINDOW_NS = 10_000_000_000L;
 
     private static final int MAX_LOG_LINES = 10_000;
@@ -69,16 +70,16 @@
     private final Map<String, LiveTransport> transports = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<InetSocketAddress, String> machinesByAddress = new HashMap<>();
-    /** Also looked at from outside the loop, when all must end. */
+    /** Also read outside the loop, to kill all processes. */
     private final Map<String, DaemonProcess> daemons = new ConcurrentHashMap<>();
 
     private final Map<String, Integer> startCounts = new HashMap<>();
-    /** Proxies that are meant to end. */
+    /** Proxies whose process is expected to exit. */
     private final Set<String> endingProxies = new HashSet<>();
 
     private final List<String> log = new ArrayList<>();
     private final CompletableFuture<Void> started = new CompletableFuture<>();
-    private final Thread shutdownHook = new Thread(this::killAll, "end of the daemons");
+    private final Thread shutdownHook = new Thread(this::killAll, "kill daemons");
     private final StandIns standIns;
     private final LiveFleet fleet;
     private boolean hasEnded;
@@ -95,14 +96,14 @@
                         script, directory, loop, clock::now, standIns.proxies(), standIns.eventLog()::addFleetSnapshot);
     }
 
-    /** Plays a day to its end; an IOException if it cannot be played here. */
+    /** Plays a day to its end; throws an IOException if it cannot be played on this machine. */
     public static Played play(Script script, Progress progress) throws IOException {
         try (LivePlay p = new LivePlay(script)) {
             return p.play(progress);
         }
     }
 
-    /** Starts all and waits until the day has begun; then runs, on the loop, at that moment. */
+    /** Starts everything and waits until the day has started; onStarted is called on the loop at that time. */
     private void startDay(Runnable onStarted) throws IOException {
         runOnLoop(() -> {
             standIns.open();
@@ -125,7 +126,7 @@
                     (e instanceof ExecutionException
                                     ? e.getCause().getMessage()
                                     : "the proxies were not ready within " + READY_TIMEOUT_S + " s")
-                            + "; they said: "
+                            + "; last log lines: "
                             + String.join("; ", log.subList(Math.max(0, log.size() - 5), log.size())),
                     e);
         }
@@ -141,8 +142,8 @@
                     () -> ended.complete(null),
                     (long) (script.seconds() * 1e9) + standIns.tailNs(),
                     TimeUnit.NANOSECONDS);
-            while (!hasEnded(ended)) {
-                // Here and not on the loop: whoever shows it may be slow, and the stand-ins must not wait.
+            while (!awaitEnd(ended)) {
+                // Not called on the loop: a slow display of the progress must not delay the simulated machines.
                 progress.at(Math.min(script.seconds(), (now() - dayStart) / 1e9), script.seconds());
             }
         } catch (ExecutionException e) {
@@ -168,8 +169,8 @@
         return played.get(0);
     }
 
-    /** Waits for the end of a day, but no longer than until its progress is to be shown. */
-    private static boolean hasEnded(CompletableFuture<Void> ended) throws InterruptedException, ExecutionException {
+    /** Waits for the end of the day for up to the progress interval; returns whether the day has ended. */
+    private static boolean awaitEnd(CompletableFuture<Void> ended) throws InterruptedException, ExecutionException {
         try {
             ended.get(PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return true;
@@ -178,11 +179,17 @@
         }
     }
 
-    /** What one looks at while a day without end goes on. */
+    /**
+     * The state of a day without an end.
+     *
+     * @param nodes the number of nodes that are running
+     * @param inTimeShare the share of recent orders that were served in time, 0 to 1
+     * @param manualRequests the number of requests served that no simulated client sent
+     */
     public record Status(
             InetSocketAddress proxyAddress, int nodes, double ordersPerS, double inTimeShare, int manualRequests) {}
 
-    /** Plays on until it is told to end; the consumer is told how it goes, every second. */
+    /** Plays until end is counted down; onStatus is called every second. */
     public static void playUntil(Script script, Consumer<Status> onStatus, CountDownLatch end) throws IOException {
         try (LivePlay p = new LivePlay(script)) {
             p.playUntil(onStatus, end);
@@ -205,7 +212,7 @@
 
     private Status status(ManualRequests manualRequests) {
         standIns.eventLog().discardBefore(now() - STATUS_WINDOW_NS);
-        // The last of them are still under way.
+        // Later orders may still be in progress.
         long latest = now() - STATUS_WINDOW_NS / 5;
         List<Order> ended =
                 standIns.eventLog().orders().stream().filter(o -> o.at < latest).toList();
@@ -234,7 +241,7 @@
         daemons.values().forEach(DaemonProcess::kill);
     }
 
-    /** Ends all that is still there. */
+    /** Ends all processes and deletes their files. */
     @Override
     public void close() throws IOException {
         runOnLoop(() -> {
@@ -250,7 +257,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            killAll(); // this process is ending: the hook does the same
+            killAll(); // this process is shutting down, and the hook does the same
         }
         try (Stream<Path> files = Files.walk(directory)) {
             for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -259,7 +266,7 @@
         }
     }
 
-    // ---- the stage ----
+    // ---- environment of the simulated machines ----
 
     @Override
     public Platform platform(String machine) {
@@ -274,7 +281,7 @@
         return clock.now();
     }
 
-    /** One that was free when it was asked for: the kernel gives another to whoever asks next. */
+    /** Chosen at the first call, when its port was free; the kernel gives the next request for a port another one. */
     @Override
     public InetSocketAddress address(String machine) {
         return addresses.computeIfAbsent(machine, m -> {
@@ -298,7 +305,7 @@
 
     @Override
     public void setPeer(Channel channel, String machine) {
-        TcpLinkHandler.peer(channel, machine);
+        TcpLinkHandler.setPeer(channel, machine);
     }
 
     @Override
@@ -306,7 +313,7 @@
         transports.get(machine).reset();
     }
 
-    // ---- the proxies ----
+    // ---- proxies ----
 
     private JsonNode settings(String name) {
         long seed =
@@ -341,7 +348,7 @@
             standIns.eventLog().processStarted(name, now());
             daemon.onExit(() -> loop.execute(() -> proxyExited(name, daemon)));
             if (standIns.proxies().contains(name)) {
-                standIns.front().proxyStarted(name); // of a twin it does not know
+                standIns.front().proxyStarted(name); // the front balancer does not know twins
             }
         } catch (IOException e) {
             started.completeExceptionally(e);
@@ -357,7 +364,8 @@
             if (standIns.proxies().contains(name)) {
                 standIns.front().proxyEnded(name);
             }
-            started.completeExceptionally(new IOException(name + " ended by itself, exit code " + daemon.exitCode()));
+            started.completeExceptionally(
+                    new IOException(name + " exited unexpectedly, exit code " + daemon.exitCode()));
         }
     }
 
@@ -403,7 +411,7 @@
                 daemons.get(name).reload(settings(name));
             }
         } catch (IOException e) {
-            standIns.eventLog().addEvent(now(), name + " could not be told to reload: " + e.getMessage());
+            standIns.eventLog().addEvent(now(), name + " could not be reloaded: " + e.getMessage());
         }
     }
 
@@ -453,7 +461,7 @@
         fleet.setFalseRumors(proxy, perDatagram);
     }
 
-    // ---- the ways ----
+    // ---- links ----
 
     @Override
     public void slower(String from, String to, long extraDelayNs) {
--- a/src/main/java/gullspar/rehearse/live/LiveTransport.java
+++ b/src/main/java/gullspar/rehearse/live/LiveTransport.java
@@ -15,7 +15,10 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 
-/** The sockets of one stand-in's machine: TCP on loopback, with the ways' tricks, and all open ones known. */
+/**
+ * The sockets of one simulated machine: TCP on loopback, impaired by {@link TcpLinkHandler}. Tracks the open channels
+ * so that they can be reset.
+ */
 final class LiveTransport implements Transport {
     private final Transport tcp;
     private final TcpLinks links;
@@ -24,7 +27,7 @@
     private final Function<InetSocketAddress, String> machineNames;
     private final Set<Channel> openChannels = new LinkedHashSet<>();
 
-    /** machineNames tells whose address one is, "" if nobody's. */
+    /** machineNames: returns the machine of an address, "" if there is none. */
     LiveTransport(
             EventLoop loop,
             TcpLinks links,
@@ -38,7 +41,7 @@
         this.machineNames = machineNames;
     }
 
-    /** Resets all connections and closes all listeners, as a process that dies. */
+    /** Resets all connections and closes all listeners, as when a process dies. */
     void reset() {
         List<Channel> all = List.copyOf(openChannels);
         openChannels.clear();
@@ -60,7 +63,7 @@
             @Override
             protected void initChannel(Channel c) {
                 track(c);
-                TcpLinkHandler.peer(c, peer);
+                TcpLinkHandler.setPeer(c, peer);
                 c.pipeline().addLast(new TcpLinkHandler(links, machine, clock), handler);
             }
         };
@@ -68,17 +71,17 @@
 
     @Override
     public Bootstrap clientBootstrap(InetSocketAddress address) {
-        Bootstrap real = tcp.clientBootstrap(address);
+        Bootstrap delegate = tcp.clientBootstrap(address);
         String peer = machineNames.apply(address);
         return new Bootstrap() {
             @Override
             public Bootstrap handler(ChannelHandler handler) {
-                return real.handler(withLinkHandler(handler, peer));
+                return delegate.handler(withLinkHandler(handler, peer));
             }
 
             @Override
             public <T> Bootstrap option(ChannelOption<T> option, T value) {
-                real.option(option, value);
+                delegate.option(option, value);
                 return this;
             }
         };
@@ -86,7 +89,7 @@
 
     @Override
     public ServerBootstrap serverBootstrap(InetSocketAddress address) {
-        ServerBootstrap real = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
+        ServerBootstrap delegate = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
                 track(c);
@@ -95,7 +98,7 @@
         return new ServerBootstrap() {
             @Override
             public ServerBootstrap childHandler(ChannelHandler handler) {
-                return real.childHandler(withLinkHandler(handler, ""));
+                return delegate.childHandler(withLinkHandler(handler, ""));
             }
         };
     }
--- a/src/main/java/gullspar/rehearse/live/Ports.java
+++ b/src/main/java/gullspar/rehearse/live/Ports.java
@@ -10,17 +10,17 @@
 import java.util.List;
 
 /**
- * Ports for processes that are still to start. Between the asking and the binding another connection may
- * get one, since the kernel gives its own ends ports at 127.0.0.1; so these lie at other addresses of the
- * loopback interface, where it has them: of this process alone, so that two rehearsals at one time take
- * nothing from each other.
+ * Finds free ports for processes that have not started yet. Between the search and the bind, the kernel could assign
+ * such a port to an outgoing connection, which it binds to 127.0.0.1. Where possible the ports therefore use other
+ * addresses of the loopback interface. These are specific to this process, so that rehearsals running at the same
+ * time do not compete for ports.
  */
 final class Ports {
     private static final String DEFAULT_ADDRESS = "127.0.0.1";
 
     private Ports() {}
 
-    /** This process's address of that number if something can be bound there, else the usual one. */
+    /** This process's loopback address of that number if it can be bound, else the default address. */
     private static InetAddress processAddress(int number) throws IOException {
         long pid = ProcessHandle.current().pid();
         String address = "127." + (2 + pid % 250) + "." + pid / 250 % 250 + "." + number;
@@ -31,7 +31,7 @@
         }
     }
 
-    /** So many free ports for connections at this process's address of that number, none twice. */
+    /** Returns distinct free TCP ports at this process's address of that number. */
     static List<InetSocketAddress> freeTcp(int number, int count) throws IOException {
         InetAddress address = processAddress(number);
         List<Closeable> sockets = new ArrayList<>();
@@ -48,7 +48,7 @@
         return ports;
     }
 
-    /** So many free ports for datagrams at this process's address of that number, none twice. */
+    /** Returns distinct free UDP ports at this process's address of that number. */
     static List<InetSocketAddress> freeUdp(int number, int count) throws IOException {
         InetAddress address = processAddress(number);
         List<Closeable> sockets = new ArrayList<>();
--- a/src/main/java/gullspar/rehearse/live/Relay.java
+++ b/src/main/java/gullspar/rehearse/live/Relay.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the proxies send each other goes through here: each is known to the others by an address of the
- * relay, which tells by the sender's port whose way it is and does to a datagram what that way does. All on
- * the loop, but where another is said.
+ * Relays the datagrams between the proxies. Each proxy advertises an address of the relay; the relay identifies the
+ * sender of a datagram by its source port and applies the state of the link to the receiver. Methods must be called
+ * on the event loop unless stated otherwise.
  */
 final class Relay {
-    /** One address of the relay, the one behind it where a process is bound, and who that is, if anybody. */
+    /** An address of the relay, the address behind it where a process binds, and that process, if any. */
     static final class Endpoint {
         final InetSocketAddress bindAddress;
         private Channel channel;
@@ -35,7 +35,7 @@
             this.bindAddress = bindAddress;
         }
 
-        /** Where the others are to send to. */
+        /** The address to which the other processes send. */
         InetSocketAddress advertisedAddress() {
             return (InetSocketAddress) channel.localAddress();
         }
@@ -54,7 +54,7 @@
         this.forger = new DatagramForger(seed + 2);
     }
 
-    /** Makes a place of which nobody is yet. Not on the loop. */
+    /** Opens an endpoint without a process. Must not be called on the loop. */
     Endpoint open(InetSocketAddress bindAddress) {
         Endpoint endpoint = new Endpoint(bindAddress);
         endpoint.channel = new Bootstrap()
@@ -71,7 +71,7 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // nobody is there at the moment: that is what a datagram may meet
+                        // no process is bound there at the moment: the datagram is lost
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -89,7 +89,7 @@
         }
     }
 
-    /** A process is found there from now on. */
+    /** Assigns an endpoint to a process in place of its previous one. */
     void move(String process, Endpoint to) {
         Endpoint previous = endpointsByProcess.put(process, to);
         if (previous != null && process.equals(previous.process)) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** The way from one process to another. */
+    /** The link from one process to another. */
     DatagramLink link(String from, String to) {
         return links.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
@@ -121,7 +121,7 @@
         link(from, to).setImpairment(impairment, value, (ns, d) -> deliver(endpointsByProcess.get(to), ns, d));
     }
 
-    /** A datagram that no process has sent goes to one. */
+    /** Sends a forged datagram to a process. */
     void forge(String to) {
         deliver(endpointsByProcess.get(to), 0, forger.next());
     }
--- a/src/main/java/gullspar/rehearse/live/TcpLinkHandler.java
+++ b/src/main/java/gullspar/rehearse/live/TcpLinkHandler.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** A stand-in's end of a connection: lets bytes through as the way of that moment does, in order. */
+/**
+ * A simulated machine's end of a connection: delays or holds data in both directions according to the state of the
+ * link, and keeps it in order.
+ */
 final class TcpLinkHandler extends ChannelDuplexHandler {
     private static final AttributeKey<Long> READ_AT = AttributeKey.valueOf(TcpLinkHandler.class, "read at");
     private static final AttributeKey<String> PEER = AttributeKey.valueOf(TcpLinkHandler.class, "peer");
@@ -33,15 +36,15 @@
         this.clock = clock;
     }
 
-    /** When what is being read on a channel came to this machine, in ns of the day's clock. */
+    /** When the data being read on a channel arrived at this machine, in ns of the day's clock. */
     static long readAt(Channel channel, long defaultNs) {
         Long at = channel.attr(READ_AT).get();
         return at == null ? defaultNs : at;
     }
 
-    /** Tells whose connection it is, once that is known. */
-    static void peer(Channel c, String name) {
-        c.attr(PEER).set(name);
+    /** Sets the machine at the other end of a channel, once it is known. */
+    static void setPeer(Channel channel, String name) {
+        channel.attr(PEER).set(name);
     }
 
     String machine() {
@@ -94,7 +97,7 @@
         if (heldWrites.isEmpty()) {
             c.close(promise);
         } else {
-            closePending = true; // behind what is still held
+            closePending = true; // closes after the held writes
         }
     }
 
@@ -102,7 +105,7 @@
         ctx.executor().schedule(this::release, Math.max(1, delayNs), TimeUnit.NANOSECONDS);
     }
 
-    /** Lets through what is due. */
+    /** Passes on the held messages that are due. */
     void release() {
         long now = clock.getAsLong();
         boolean released = false;
--- a/src/main/java/gullspar/rehearse/live/TcpLinks.java
+++ b/src/main/java/gullspar/rehearse/live/TcpLinks.java
@@ -9,15 +9,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between the stand-ins and the proxies on real sockets, as the stand-ins' ends let them seem:
- * slower, lossy, cut. What goes on in the kernel is beyond them: a machine that has vanished still takes
+ * The state of the TCP links between simulated machines and proxies: delay, loss, cuts. The simulated machines' ends
+ * of the connections apply it, on real sockets. The kernel is not affected: an unreachable machine still accepts
  * connections.
  */
 final class TcpLinks {
-    /** As in virtual time: what a lost segment waits for. */
+    /** Delay of a lost segment, as in virtual time. */
     private static final long RETRANSMIT_NS = 200_000_000L;
 
-    /** One way. */
+    /** The state of one direction. */
     private static final class Link {
         private long extraDelayNs;
         private double loss;
@@ -51,6 +51,7 @@
         release(to);
     }
 
+    /** Makes a machine unreachable, or reachable again; its connections are reset when it is reachable again. */
     void setUnreachable(String machine, boolean on) {
         if (on) {
             unreachable.add(machine);
@@ -81,13 +82,13 @@
         handlers.getOrDefault(handler.machine(), Set.of()).remove(handler);
     }
 
-    /** Does nothing pass for now? */
+    /** Whether the link carries nothing at the moment. */
     boolean isBlocked(String from, String to) {
         Link link = links.get(from + '>' + to);
         return unreachable.contains(from) || unreachable.contains(to) || link != null && link.cut;
     }
 
-    /** How much longer than by itself something takes that sets out now. */
+    /** The additional delay of data sent now; a randomly lost segment adds the delay of a retransmission. */
     long drawExtraDelayNs(String from, String to) {
         Link link = links.get(from + '>' + to);
         if (link == null) {
--- a/src/test/java/gullspar/rehearse/TestScripts.java
+++ b/src/test/java/gullspar/rehearse/TestScripts.java
@@ -70,12 +70,12 @@
         return small(seconds, 150, tables);
     }
 
-    /** The same with another rate, in requests per second. */
+    /** A small day with another rate, in requests per second. */
     public static Script small(double seconds, int rate, String tables) {
         return parse(SMALL_SCRIPT.formatted(seconds, rate, tables));
     }
 
-    /** The text of a small day. */
+    /** The text of a small day's script. */
     public static String smallText(double seconds, String tables) {
         return SMALL_SCRIPT.formatted(seconds, 150, tables);
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The table of a fault. */
+    /** The text of a fault's table. */
     public static String fault(String kind, double at, String settings) {
         return "[[fault]]\nkind = \"" + kind + "\"\nat = " + at + "\n" + settings + "\n";
     }
--- a/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
+++ b/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.parallel.ResourceLock;
 
 /**
- * Seven real processes that keep a view of each other through a join, kills, restarts with nothing kept and
- * at each other's addresses, a stopped process, a partition and its healing, on ways that spoil datagrams,
- * while the key is replaced, somebody forges, and one speaks of others that never were.
+ * Seven real processes keep a view of each other through joins, kills, restarts without stored state and at each
+ * other's addresses, a paused process, and a partition that heals. Meanwhile links impair datagrams, the key is
+ * replaced, datagrams are forged, and one process sends rumors about members that do not exist.
  */
 @Timeout(180)
 @Execution(ExecutionMode.CONCURRENT)
 @ResourceLock("much of the machine")
 class LiveFleetTest {
-    /** Bounds as of a machine that has other things to do. */
+    /** Time limits for a machine that also runs other tests. */
     private static final String PEERS =
             """
         [peers]
@@ -71,7 +71,7 @@
                         .map(RuleViolation::description)
                         .toList(),
                 () -> String.join("\n", played.log()));
-        // All of it was there to be seen.
+        // The faults took effect: otherwise the rules would hold trivially.
         Map<String, Set<String>> lives = played.eventLog().fleetSnapshots().stream()
                 .collect(Collectors.groupingBy(
                         FleetSnapshot::proxy,
@@ -83,10 +83,10 @@
                         .sorted(Map.Entry.comparingByKey())
                         .map(e -> e.getValue().size())
                         .toList(),
-                "lives of each");
+                "lives of each proxy");
         assertTrue(
                 played.eventLog().fleetSnapshots().stream().anyMatch(FleetSnapshot::cutOff),
-                "a minority said that it is one");
+                "a process in the minority reports that it is cut off");
         FleetSnapshot last = played.eventLog().fleetSnapshots().stream()
                 .max(Comparator.comparingLong(FleetSnapshot::at))
                 .orElseThrow();
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.parallel.ResourceLock;
 
 /**
- * A day with real daemons. What it serves depends on the machine; that it was played, and how it ends, does
- * not.
+ * Plays a day with real daemon processes. The number of requests served depends on the machine; that the faults take
+ * effect and that all processes end does not.
  */
 @Timeout(180)
 @ResourceLock("much of the machine")
@@ -51,14 +51,14 @@
                 (second, of) -> progressSeconds.add(second));
         assertTrue(p.verdict().counts().get("served") > 100, p.verdict().counts() + " " + p.log());
         assertEquals(List.of(), p.eventLog().crashes());
-        assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 is back");
+        assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 restarted");
         assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
         assertTrue(p.log().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
         assertTrue(p.eventLog().events().stream()
                 .map(EventLog.Event::description)
                 .anyMatch(w -> w.equals("n2 starts, cold")));
         assertFalse(progressSeconds.isEmpty());
-        // Rules that no slow machine excuses.
+        // Must hold on a slow machine as well.
         assertEquals(
                 List.of(),
                 p.verdict().violations().stream()
@@ -68,7 +68,7 @@
         assertEquals(before, childProcesses());
     }
 
-    /** The loop on which the stand-ins run is held up: that must not pass for a result. */
+    /** Blocks the event loop of the simulated machines: the result must be marked as not valid. */
     @Test
     void anOverloadedMachineIsNoted() throws Exception {
         EventLoop loop = new DefaultEventLoop();
@@ -82,11 +82,11 @@
                     Thread.onSpinWait();
                 }
             });
-            // The first tick after that sees how late it is.
+            // Leaves time for the first tick after the blocking task, which measures the lag.
             loop.schedule(blocked::countDown, 50, TimeUnit.MILLISECONDS);
             assertTrue(blocked.await(20, TimeUnit.SECONDS));
             List<String> notes = loop.submit(lag::stop).get();
-            assertTrue(notes.get(0).startsWith("the machine was too busy for this to count"), notes.toString());
+            assertTrue(notes.get(0).startsWith("the machine was too busy for a valid result"), notes.toString());
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
