--- a/src/main/java/gullspar/rehearse/live/DaemonProcess.java
+++ b/src/main/java/gullspar/rehearse/live/DaemonProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One real daemon as a process of its own, with the configuration that a platform would give it. */
+/** A real daemon in a separate process, with a configuration as a platform would write it. */
 final class DaemonProcess {
     private final Process process;
     private final Path config;
@@ -22,19 +22,19 @@
         this.config = config;
     }
 
-    /** Starts one; its log lines go to the consumer, on a thread of their own. */
-    static DaemonProcess start(Path folder, String name, JsonNode settings, int memoryMb, Consumer<String> log)
+    /** Starts a daemon; its log lines are passed to the consumer on a separate thread. */
+    static DaemonProcess start(Path directory, String name, JsonNode settings, int memoryMb, Consumer<String> log)
             throws IOException {
-        Path config = folder.resolve(name + ".json");
-        write(config, settings);
-        // Its own sizes, as deploy/serve.sh sets them: what the runtime needs beside the heap is some 56 MB.
-        int heap = Math.max(16, Math.min(64, (memoryMb - 56) * 2 / 3));
+        Path config = directory.resolve(name + ".json");
+        writeConfig(config, settings);
+        // Sizes as in deploy/serve.sh: the runtime needs about 56 MB in addition to the heap.
+        int heapMb = Math.max(16, Math.min(64, (memoryMb - 56) * 2 / 3));
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
-                "-Xms" + heap + "m",
-                "-Xmx" + heap + "m",
+                "-Xms" + heapMb + "m",
+                "-Xmx" + heapMb + "m",
                 "-Xss512k",
                 "-cp",
                 System.getProperty("java.class.path"),
@@ -43,28 +43,28 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(Map.of("NODE_CONFIG", config.toString(), "NODE_NAME", name));
         builder.environment().keySet().removeAll(List.of("NODE_LISTEN", "NODE_DISCOVERY"));
-        Process p = builder.start();
-        p.getOutputStream().close();
+        Process process = builder.start();
+        process.getOutputStream().close();
         Thread reader = new Thread(
                 () -> {
-                    try (BufferedReader in = p.inputReader()) {
+                    try (BufferedReader in = process.inputReader()) {
                         in.lines().forEach(log);
                     } catch (IOException | UncheckedIOException e) {
-                        log.accept("(its log ended: " + e.getMessage() + ")");
+                        log.accept("(reading the log failed: " + e.getMessage() + ")");
                     }
                 },
                 "log of " + name);
         reader.setDaemon(true);
         reader.start();
-        return new DaemonProcess(p, config);
+        return new DaemonProcess(process, config);
     }
 
-    private static void write(Path config, JsonNode settings) throws IOException {
-        Path next = Files.writeString(config.resolveSibling(config.getFileName() + ".next"), settings.toString());
-        Files.move(next, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    private static void writeConfig(Path config, JsonNode settings) throws IOException {
+        Path temporary = Files.writeString(config.resolveSibling(config.getFileName() + ".next"), settings.toString());
+        Files.move(temporary, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
@@ -72,27 +72,27 @@
         return process.exitValue();
     }
 
-    /** Runs the action, on another thread, once it has ended. */
-    void onEnd(Runnable action) {
+    /** Runs the action on another thread once the process has exited. */
+    void onExit(Runnable action) {
         process.onExit().thenRun(action);
     }
 
     void kill() {
-        process.toHandle().destroyForcibly(); // not by the process itself, which closes its log as well
+        process.toHandle().destroyForcibly(); // Process.destroyForcibly() would also close the log stream
     }
 
-    /** Waits until a process that was killed is gone. */
-    void awaitEnd() {
+    /** Waits until a killed process has exited. */
+    void awaitExit() {
         process.onExit().join();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void stop() {
         process.toHandle().destroy();
     }
 
     void reload(JsonNode settings) throws IOException {
-        write(config, settings);
+        writeConfig(config, settings);
         signal("HUP");
     }
 
--- a/src/main/java/gullspar/rehearse/live/LiveTransport.java
+++ b/src/main/java/gullspar/rehearse/live/LiveTransport.java
@@ -15,33 +15,36 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 
-/** The sockets of one stand-in's machine: TCP on loopback, with the ways' tricks, and all open ones known. */
+/**
+ * The sockets of one simulated machine: TCP on loopback, impaired by {@link TcpLinkHandler}. Tracks the open channels
+ * so that they can be reset.
+ */
 final class LiveTransport implements Transport {
     private final Transport tcp;
-    private final LiveWays ways;
+    private final TcpLinks links;
     private final String machine;
     private final LongSupplier clock;
-    private final Function<InetSocketAddress, String> names;
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final Function<InetSocketAddress, String> machineNames;
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
 
-    /** names tells whose address one is, "" if nobody's. */
+    /** machineNames: returns the machine of an address, "" if there is none. */
     LiveTransport(
             EventLoop loop,
-            LiveWays ways,
+            TcpLinks links,
             String machine,
             LongSupplier clock,
-            Function<InetSocketAddress, String> names) {
+            Function<InetSocketAddress, String> machineNames) {
         this.tcp = Transport.tcp(loop);
-        this.ways = ways;
+        this.links = links;
         this.machine = machine;
         this.clock = clock;
-        this.names = names;
+        this.machineNames = machineNames;
     }
 
-    /** Resets all connections and closes all listeners, as a process that dies. */
+    /** Resets all connections and closes all listeners, as when a process dies. */
     void reset() {
-        List<Channel> all = List.copyOf(open);
-        open.clear();
+        List<Channel> all = List.copyOf(openChannels);
+        openChannels.clear();
         for (Channel c : all) {
             if (c.parent() != null) {
                 c.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -50,35 +53,35 @@
         }
     }
 
-    private void opened(Channel c) {
-        open.add(c);
-        c.closeFuture().addListener(f -> open.remove(c));
+    private void track(Channel channel) {
+        openChannels.add(channel);
+        channel.closeFuture().addListener(f -> openChannels.remove(channel));
     }
 
-    private ChannelInitializer<Channel> linked(ChannelHandler then, String peer) {
+    private ChannelInitializer<Channel> withLinkHandler(ChannelHandler handler, String peer) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel c) {
-                opened(c);
-                LinkHandler.peer(c, peer);
-                c.pipeline().addLast(new LinkHandler(ways, machine, clock), then);
+                track(c);
+                TcpLinkHandler.setPeer(c, peer);
+                c.pipeline().addLast(new TcpLinkHandler(links, machine, clock), handler);
             }
         };
     }
 
     @Override
     public Bootstrap clientBootstrap(InetSocketAddress address) {
-        Bootstrap real = tcp.clientBootstrap(address);
-        String peer = names.apply(address);
+        Bootstrap delegate = tcp.clientBootstrap(address);
+        String peer = machineNames.apply(address);
         return new Bootstrap() {
             @Override
             public Bootstrap handler(ChannelHandler handler) {
-                return real.handler(linked(handler, peer));
+                return delegate.handler(withLinkHandler(handler, peer));
             }
 
             @Override
             public <T> Bootstrap option(ChannelOption<T> option, T value) {
-                real.option(option, value);
+                delegate.option(option, value);
                 return this;
             }
         };
@@ -86,16 +89,16 @@
 
     @Override
     public ServerBootstrap serverBootstrap(InetSocketAddress address) {
-        ServerBootstrap real = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
+        ServerBootstrap delegate = tcp.serverBootstrap(address).handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
-                opened(c);
+                track(c);
             }
         });
         return new ServerBootstrap() {
             @Override
             public ServerBootstrap childHandler(ChannelHandler handler) {
-                return real.childHandler(linked(handler, ""));
+                return delegate.childHandler(withLinkHandler(handler, ""));
             }
         };
     }
--- a/src/main/java/gullspar/rehearse/live/Relay.java
+++ b/src/main/java/gullspar/rehearse/live/Relay.java
@@ -20,33 +20,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the proxies send each other goes through here: each is known to the others by an address of the
- * relay, which tells by the sender's port whose way it is and does to a datagram what that way does. All on
- * the loop, but where another is said.
+ * Relays the datagrams between the proxies. Each proxy advertises an address of the relay; the relay identifies the
+ * sender of a datagram by its source port and applies the state of the link to the receiver. Methods must be called
+ * on the event loop unless stated otherwise.
  */
 final class Relay {
-    /** One address of the relay, the one behind it where a process is bound, and who that is, if anybody. */
-    static final class Place {
-        final InetSocketAddress home;
-        private Channel front;
+    /** An address of the relay, the address behind it where a process binds, and that process, if any. */
+    static final class Endpoint {
+        final InetSocketAddress bindAddress;
+        private Channel channel;
         private String process;
 
-        private Place(InetSocketAddress home) {
-            this.home = home;
+        private Endpoint(InetSocketAddress bindAddress) {
+            this.bindAddress = bindAddress;
         }
 
-        /** Where the others are to send to. */
-        InetSocketAddress address() {
-            return (InetSocketAddress) front.localAddress();
+        /** The address to which the other processes send. */
+        InetSocketAddress advertisedAddress() {
+            return (InetSocketAddress) channel.localAddress();
         }
     }
 
     private final EventLoop loop;
     private final SplittableRandom random;
     private final DatagramForger forger;
-    private final Map<Integer, Place> byHome = new HashMap<>();
-    private final Map<String, Place> byProcess = new HashMap<>();
-    private final Map<String, DatagramLink> ways = new HashMap<>();
+    private final Map<Integer, Endpoint> endpointsByBindPort = new HashMap<>();
+    private final Map<String, Endpoint> endpointsByProcess = new HashMap<>();
+    private final Map<String, DatagramLink> links = new HashMap<>();
 
     Relay(EventLoop loop, long seed) {
         this.loop = loop;
@@ -54,77 +54,79 @@
         this.forger = new DatagramForger(seed + 2);
     }
 
-    /** Makes a place of which nobody is yet. Not on the loop. */
-    Place open(InetSocketAddress home) {
-        Place place = new Place(home);
-        place.front = new Bootstrap()
+    /** Opens an endpoint without a process. Must not be called on the loop. */
+    Endpoint open(InetSocketAddress bindAddress) {
+        Endpoint endpoint = new Endpoint(bindAddress);
+        endpoint.channel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                        Place from = byHome.get(p.sender().getPort());
+                        Endpoint from = endpointsByBindPort.get(p.sender().getPort());
                         if (from != null && from.process != null) {
-                            came(from, place, ByteBufUtil.getBytes(p.content()));
+                            receive(from, endpoint, ByteBufUtil.getBytes(p.content()));
                         }
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // nobody is there at the moment: that is what a datagram may meet
+                        // no process is bound there at the moment: the datagram is lost
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        loop.submit(() -> byHome.put(home.getPort(), place)).syncUninterruptibly();
-        return place;
+        loop.submit(() -> endpointsByBindPort.put(bindAddress.getPort(), endpoint))
+                .syncUninterruptibly();
+        return endpoint;
     }
 
-    private void came(Place from, Place to, byte[] datagram) {
+    private void receive(Endpoint from, Endpoint to, byte[] datagram) {
         forger.observe(datagram);
         if (to.process != null) {
-            way(from.process, to.process).send(datagram, random, (ns, d) -> later(to, ns, d));
+            link(from.process, to.process).send(datagram, random, (ns, d) -> deliver(to, ns, d));
         }
     }
 
-    /** A process is found there from now on. */
-    void move(String process, Place to) {
-        Place was = byProcess.put(process, to);
-        if (was != null && process.equals(was.process)) {
-            was.process = null;
+    /** Assigns an endpoint to a process in place of its previous one. */
+    void move(String process, Endpoint to) {
+        Endpoint previous = endpointsByProcess.put(process, to);
+        if (previous != null && process.equals(previous.process)) {
+            previous.process = null;
         }
         to.process = process;
     }
 
-    Place placeOf(String process) {
-        return byProcess.get(process);
+    Endpoint endpointOf(String process) {
+        return endpointsByProcess.get(process);
     }
 
-    private void later(Place to, long ns, byte[] datagram) {
-        Runnable send = () -> to.front.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to.home));
-        if (ns <= 0) {
+    private void deliver(Endpoint to, long delayNs, byte[] datagram) {
+        Runnable send =
+                () -> to.channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to.bindAddress));
+        if (delayNs <= 0) {
             send.run();
         } else {
-            loop.schedule(send, ns, TimeUnit.NANOSECONDS);
+            loop.schedule(send, delayNs, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** The way from one process to another. */
-    DatagramLink way(String from, String to) {
-        return ways.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
+    /** The link from one process to another. */
+    DatagramLink link(String from, String to) {
+        return links.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
 
-    void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
-        way(from, to).setImpairment(t, figure, (ns, d) -> later(byProcess.get(to), ns, d));
+    void setImpairment(String from, String to, DatagramLink.Impairment impairment, double value) {
+        link(from, to).setImpairment(impairment, value, (ns, d) -> deliver(endpointsByProcess.get(to), ns, d));
     }
 
-    /** A datagram that no process has sent goes to one. */
+    /** Sends a forged datagram to a process. */
     void forge(String to) {
-        later(byProcess.get(to), 0, forger.next());
+        deliver(endpointsByProcess.get(to), 0, forger.next());
     }
 
     void close() {
-        List.copyOf(byHome.values()).forEach(p -> p.front.close());
+        List.copyOf(endpointsByBindPort.values()).forEach(p -> p.channel.close());
     }
 }
