--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -4,7 +4,7 @@
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.live.LivePlay;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.play.VirtualPlay;
 import gullspar.rehearse.record.LogDiff;
 import gullspar.rehearse.report.HtmlReport;
@@ -90,7 +90,7 @@
             }
         }
         Terminal terminal = new Terminal();
-        Played played;
+        DayResult played;
         if (live && log != null) {
             throw new ParameterException(
                     spec.commandLine(), "--log requires virtual time and cannot be combined with --live");
@@ -114,19 +114,19 @@
                 summaryLines(played).forEach(System.out::println);
             }
             if (!live) {
-                System.out.println("decisions " + played.decisions() + " sha256 " + played.hash());
+                System.out.println("decisions " + played.decisionCount() + " sha256 " + played.decisionHash());
             }
         }
         return played.verdict().hasNoViolations() ? 0 : reportBroken(played);
     }
 
-    private Played playVirtual(Script s, Terminal terminal) throws IOException {
+    private DayResult playVirtual(Script s, Terminal terminal) throws IOException {
         try (Writer decisions = log == null ? null : Files.newBufferedWriter(log)) {
-            return VirtualPlay.play(s, VirtualPlay.Options.logged(decisions, terminal));
+            return VirtualPlay.play(s, VirtualPlay.Options.withDecisionLog(decisions, terminal));
         }
     }
 
-    private int reportBroken(Played played) {
+    private int reportBroken(DayResult played) {
         RuleViolation first = played.verdict().violations().get(0);
         System.err.println("BROKEN: " + first.rule().description()
                 + (played.verdict().violations().size() > 1
@@ -145,7 +145,7 @@
         return EXIT_FAILED;
     }
 
-    private static List<String> summaryLines(Played played) {
+    private static List<String> summaryLines(DayResult played) {
         Verdict v = played.verdict();
         return List.of(
                 String.format(
@@ -155,7 +155,7 @@
                         played.script().seed(),
                         v.orders(),
                         played.script().seconds(),
-                        played.tookNs() / 1e9),
+                        played.wallTimeNs() / 1e9),
                 String.format(Locale.ROOT, "  service        %.4f of the worth asked for", v.service()),
                 String.format(Locale.ROOT, "  worst 10 s     %.4f, from %.0f s", v.worst10s(), v.worstFromNs() / 1e9),
                 String.format(Locale.ROOT, "  worst class    %.4f, %s", v.worstClass(), v.worstClassName()),
--- a/src/main/java/gullspar/cli/SearchCommand.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -1,6 +1,6 @@
 package gullspar.cli;
 
-import gullspar.rehearse.play.Progress;
+import gullspar.rehearse.play.ProgressListener;
 import gullspar.rehearse.play.VirtualPlay;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.script.ScriptReader;
@@ -65,8 +65,8 @@
             return RehearseCommand.EXIT_USAGE;
         }
         Terminal terminal = new Terminal();
-        Search search =
-                new Search(s, seeds, out, VirtualPlay.Options.logged(null, Progress.NONE), new Search.Listener() {
+        Search search = new Search(
+                s, seeds, out, VirtualPlay.Options.withDecisionLog(null, ProgressListener.NONE), new Search.Listener() {
                     @Override
                     public void at(int done, int found, int of) {
                         terminal.status(done + " of " + of + " days played, " + found + " found");
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -1,11 +1,11 @@
 package gullspar.cli;
 
-import gullspar.rehearse.play.Progress;
+import gullspar.rehearse.play.ProgressListener;
 import java.io.PrintStream;
 import java.util.Locale;
 
 /** Progress output for an interactive terminal; prints nothing if there is none. */
-final class Terminal implements Progress {
+final class Terminal implements ProgressListener {
     private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
     private boolean lineOpen;
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void at(double second, double of) {
+    public void onProgress(double second, double of) {
         int filled = (int) (30 * second / of);
         status(String.format(
                 Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(filled), ".".repeat(30 - filled), second, of));
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -146,7 +146,7 @@
         keys.put(process, numbers);
     }
 
-    /** As {@link gullspar.rehearse.play.FaultInjector#move} says; true if a seed is found elsewhere now. */
+    /** As {@link gullspar.rehearse.play.FaultInjector#reassignAddresses} says; true if a seed is found elsewhere now. */
     boolean move(List<String> ring) {
         String before = seeds();
         List<Relay.Place> places = ring.size() == 1
@@ -158,7 +158,7 @@
         return !seeds().equals(before);
     }
 
-    /** As {@link gullspar.rehearse.play.FaultInjector#mad} says. */
+    /** As {@link gullspar.rehearse.play.FaultInjector#setFalseRumors} says. */
     void mad(String process, int forEach) {
         liars.computeIfAbsent(process, p -> {
                     FalseRumorInjector liar = new FalseRumorInjector(
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -6,11 +6,11 @@
 import gullspar.rehearse.judge.Judge;
 import gullspar.rehearse.judge.Verdict;
 import gullspar.rehearse.net.DatagramLink;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.play.FaultInjector;
-import gullspar.rehearse.play.Played;
-import gullspar.rehearse.play.Progress;
+import gullspar.rehearse.play.ProgressListener;
 import gullspar.rehearse.play.ProxySettings;
-import gullspar.rehearse.play.StandIns;
+import gullspar.rehearse.play.Testbed;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
 import gullspar.rehearse.stage.ManualRequests;
@@ -79,7 +79,7 @@
     private final List<String> log = new ArrayList<>();
     private final CompletableFuture<Void> begun = new CompletableFuture<>();
     private final Thread atExit = new Thread(this::killAll, "end of the daemons");
-    private final StandIns standIns;
+    private final Testbed standIns;
     private final LiveFleet fleet;
     private boolean over;
 
@@ -88,7 +88,7 @@
         this.folder = Files.createTempDirectory("gullspar-live");
         this.ways = new LiveWays(script.seed());
         Runtime.getRuntime().addShutdownHook(atExit);
-        this.standIns = new StandIns(this, script, this);
+        this.standIns = new Testbed(this, script, this);
         this.fleet = script.peers() == null
                 ? null
                 : new LiveFleet(
@@ -96,7 +96,7 @@
     }
 
     /** Plays a day to its end; an IOException if it cannot be played here. */
-    public static Played play(Script script, Progress progress) throws IOException {
+    public static DayResult play(Script script, ProgressListener progress) throws IOException {
         try (LivePlay p = new LivePlay(script)) {
             return p.play(progress);
         }
@@ -105,8 +105,8 @@
     /** Starts all and waits until the day has begun; then runs, on the loop, at that moment. */
     private void begin(Runnable then) throws IOException {
         onLoop(() -> {
-            standIns.open();
-            standIns.begin(() -> {
+            standIns.startNodes();
+            standIns.startWhenReady(() -> {
                 then.run();
                 begun.complete(null);
             });
@@ -131,7 +131,7 @@
         }
     }
 
-    private Played play(Progress progress) throws IOException {
+    private DayResult play(ProgressListener progress) throws IOException {
         long began = System.nanoTime();
         begin(lateness::start);
         try {
@@ -143,7 +143,7 @@
                     TimeUnit.NANOSECONDS);
             while (!over(ended)) {
                 // Here and not on the loop: whoever shows it may be slow, and the stand-ins must not wait.
-                progress.at(Math.min(script.seconds(), (now() - start) / 1e9), script.seconds());
+                progress.onProgress(Math.min(script.seconds(), (now() - start) / 1e9), script.seconds());
             }
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
@@ -151,11 +151,11 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
-        List<Played> played = new ArrayList<>();
+        List<DayResult> played = new ArrayList<>();
         onLoop(() -> {
             over = true;
             Verdict verdict = Judge.judge(script, standIns.eventLog(), SLACK_NS);
-            played.add(new Played(
+            played.add(new DayResult(
                     script, standIns.eventLog(), verdict, "", 0, log, lateness.notes(), System.nanoTime() - began));
         });
         return played.get(0);
@@ -300,10 +300,10 @@
     // ---- the proxies ----
 
     private JsonNode settings(String name) {
-        long seed = Agenda.mix(script.seed() * 31 + 9 + StandIns.index(name) * 1000L + lives.getOrDefault(name, 1));
+        long seed = Agenda.mix(script.seed() * 31 + 9 + Testbed.proxyIndex(name) * 1000L + lives.getOrDefault(name, 1));
         JsonNode settings = ProxySettings.of(
                 script,
-                StandIns.index(name),
+                Testbed.proxyIndex(name),
                 name,
                 address(name),
                 standIns.fleet().discoveryAddress(name),
@@ -398,7 +398,7 @@
     }
 
     @Override
-    public void pause(String name, boolean on) {
+    public void setPaused(String name, boolean on) {
         try {
             standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_NS);
             if (daemons.get(name).alive()) {
@@ -410,14 +410,14 @@
     }
 
     @Override
-    public void move(List<String> ring) {
+    public void reassignAddresses(List<String> ring) {
         if (fleet.move(ring)) {
             daemons.keySet().forEach(this::reload);
         }
     }
 
     @Override
-    public void twin(String proxy, boolean on) {
+    public void setTwinRunning(String proxy, boolean on) {
         String twin = proxy + EventLog.TWIN;
         if (on) {
             start(twin);
@@ -428,25 +428,25 @@
     }
 
     @Override
-    public void keys(String proxy, List<Integer> numbers) {
+    public void setKeys(String proxy, List<Integer> numbers) {
         fleet.keys(proxy, numbers);
         reload(proxy);
     }
 
     @Override
-    public void forge(String proxy) {
+    public void sendForgedDatagram(String proxy) {
         fleet.relay.forge(proxy);
     }
 
     @Override
-    public void mad(String proxy, int forEach) {
+    public void setFalseRumors(String proxy, int forEach) {
         fleet.mad(proxy, forEach);
     }
 
     // ---- the ways ----
 
     @Override
-    public void slower(String from, String to, long byNs) {
+    public void setExtraDelay(String from, String to, long byNs) {
         ways.slower(from, to, byNs);
         if (fleet != null) {
             fleet.relay.way(from, to).setExtraDelayNs(byNs);
@@ -454,7 +454,7 @@
     }
 
     @Override
-    public void lossy(String from, String to, double share) {
+    public void setLoss(String from, String to, double share) {
         ways.lossy(from, to, share);
         if (fleet != null) {
             fleet.relay.way(from, to).setLoss(share);
@@ -470,17 +470,17 @@
     }
 
     @Override
-    public void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
+    public void setImpairment(String from, String to, DatagramLink.Impairment t, double figure) {
         fleet.relay.trouble(from, to, t, figure);
     }
 
     @Override
-    public void reset(String from, String to) {
+    public void resetConnections(String from, String to) {
         ways.reset(from, to);
     }
 
     @Override
-    public void vanish(String machine, boolean on) {
+    public void setUnreachable(String machine, boolean on) {
         ways.vanish(machine, on);
     }
 }
--- a/src/main/java/gullspar/rehearse/play/Played.java
+++ b/src/main/java/gullspar/rehearse/play/DayResult.java
@@ -9,12 +9,12 @@
  * A day that has been played. The hash is that of its decisions, "" if it was played live; the log holds what
  * the proxies said; notes say why the result may not count.
  */
-public record Played(
+public record DayResult(
         Script script,
         EventLog eventLog,
         Verdict verdict,
-        String hash,
-        long decisions,
-        List<String> log,
+        String decisionHash,
+        long decisionCount,
+        List<String> proxyLog,
         List<String> notes,
-        long tookNs) {}
+        long wallTimeNs) {}
--- /dev/null
+++ b/src/main/java/gullspar/rehearse/play/FaultScheduler.java
@@ -0,0 +1,396 @@
+package gullspar.rehearse.play;
+
+import gullspar.proxy.io.Platform;
+import gullspar.rehearse.net.DatagramLink;
+import gullspar.rehearse.script.Fault;
+import gullspar.rehearse.script.FaultKind;
+import gullspar.rehearse.script.Script;
+import gullspar.rehearse.stage.EventLog;
+import gullspar.rehearse.stage.FrontBalancer;
+import gullspar.rehearse.stage.LoadGenerator;
+import gullspar.rehearse.stage.MisbehavingClients;
+import gullspar.rehearse.stage.NodeFleet;
+import gullspar.rehearse.stage.RunEnvironment;
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+
+/** Lets the faults of a script happen at their times. */
+final class FaultScheduler {
+    /** What still fails on a way right after it is whole again: a retransmission. */
+    private static final long LINK_RECOVERY_NS = 1_000_000_000L;
+    /** What must not make anybody's view wrong, however long it goes on. */
+    private static final Set<FaultKind> VIEW_NEUTRAL_FAULTS =
+            EnumSet.of(FaultKind.TWIN, FaultKind.FORGED_DATAGRAMS, FaultKind.MAD_MEMBER);
+
+    private final RunEnvironment environment;
+    private final Script script;
+    private final EventLog eventLog;
+    private final NodeFleet fleet;
+    private final FrontBalancer front;
+    private final LoadGenerator loadGenerator;
+    private final MisbehavingClients misbehavingClients;
+    private final FaultInjector faultInjector;
+    private final List<String> proxies;
+    private final Platform platform;
+    private final Set<String> twins = new HashSet<>();
+    /** The number of the key that all proxies use, and until when the one before it is being replaced. */
+    private int keyNumber;
+
+    private long keyChangeUntil;
+
+    FaultScheduler(
+            RunEnvironment environment,
+            Script script,
+            EventLog eventLog,
+            NodeFleet fleet,
+            FrontBalancer front,
+            LoadGenerator loadGenerator,
+            MisbehavingClients misbehavingClients,
+            FaultInjector faultInjector,
+            List<String> proxies) {
+        this.environment = environment;
+        this.script = script;
+        this.eventLog = eventLog;
+        this.fleet = fleet;
+        this.front = front;
+        this.loadGenerator = loadGenerator;
+        this.misbehavingClients = misbehavingClients;
+        this.faultInjector = faultInjector;
+        this.proxies = proxies;
+        this.platform = environment.platform("fleet");
+    }
+
+    /** The day begins: each fault happens so long from now. */
+    void start() {
+        List<Fault> faults = script.faults();
+        for (int i = 0; i < faults.size(); i++) {
+            Fault f = faults.get(i);
+            // Who is struck is drawn for each fault by itself: one that is taken out must not change the
+            // rest.
+            SplittableRandom random = new SplittableRandom(script.seed() * 31
+                    + 6
+                    + Double.hashCode(f.startS())
+                    + f.kind().ordinal() * 1_000_003L);
+            schedule(f.startS(), () -> apply(f, random));
+        }
+    }
+
+    private void schedule(double seconds, Runnable action) {
+        platform.loop().schedule(action, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    }
+
+    private void apply(Fault f, SplittableRandom random) {
+        eventLog.addEvent(environment.now(), f.toString());
+        switch (f.kind().target()) {
+            case NODES -> targets(f, fleet.running(), random).forEach(n -> applyToNode(f, n));
+            case PROXIES -> {
+                List<String> targets = targets(f, proxies, random);
+                if (f.kind() == FaultKind.PARTITION) {
+                    partition(f, targets);
+                } else {
+                    reassignAddresses(f, targets);
+                    targets.forEach(p -> applyToProxy(f, p));
+                }
+            }
+            case CLASS -> {
+                if (f.kind() == FaultKind.LEAVING) {
+                    loadGenerator.abandon(f.names().get(0), f.parameter("share"), f.parameter("within_ms"));
+                    schedule(
+                            f.durationS(), () -> loadGenerator.abandon(f.names().get(0), 0, 0));
+                    break;
+                }
+                loadGenerator.inflateWork(f.names().get(0), f.parameter("share"), f.parameter("times"));
+                schedule(
+                        f.durationS(), () -> loadGenerator.inflateWork(f.names().get(0), 0, 1));
+            }
+            case LINK -> applyToLink(f);
+            case DATAGRAMS -> applyToDatagrams(f);
+            default -> applyToFleet(f);
+        }
+        if (f.durationS() > 0) {
+            schedule(
+                    f.durationS(),
+                    () -> eventLog.addEvent(environment.now(), f.kind().scriptName() + " ends"));
+        }
+    }
+
+    /** Whom it names, or as many as it says, drawn from those there are. */
+    private static List<String> targets(Fault f, List<String> candidates, SplittableRandom random) {
+        if (!f.names().isEmpty()) {
+            return f.names();
+        }
+        List<String> remaining = new ArrayList<>(candidates);
+        List<String> drawn = new ArrayList<>();
+        while (drawn.size() < f.count() && !remaining.isEmpty()) {
+            drawn.add(remaining.remove(random.nextInt(remaining.size())));
+        }
+        return drawn;
+    }
+
+    private void applyToNode(Fault f, String node) {
+        switch (f.kind()) {
+            case NEIGHBOUR -> runNeighbour(f, node, environment.now() + (long) (f.durationS() * 1e9));
+            case CRASH -> fleet.crash(node, f.parameter("down_s"));
+            case RESTART -> fleet.restart(node, f.parameter("grace_s"), f.parameter("down_s"));
+            case REPLACE -> fleet.replace(node, f.parameter("grace_s"), f.parameter("down_s"));
+            case DRAIN -> fleet.drain(node, f.parameter("grace_s"));
+            case HANG -> applyFor(f, on -> fleet.hang(node, on));
+            case SPOIL -> applyFor(f, on -> fleet.spoilResponses(node, on ? f.parameter("share") : 0));
+            case SLOW_ANSWERS -> applyFor(f, on -> fleet.trickleResponses(node, on ? f.parameter("bytes_per_s") : 0));
+            case VANISH -> applyFor(f, on -> faultInjector.setUnreachable(node, on));
+            default -> throw new IllegalStateException(f.kind().scriptName());
+        }
+    }
+
+    private void applyFor(Fault f, Consumer<Boolean> action) {
+        action.accept(true);
+        schedule(f.durationS(), () -> action.accept(false));
+    }
+
+    /** On and off until the end. */
+    private void runNeighbour(Fault f, String node, long until) {
+        if (environment.now() >= until) {
+            return;
+        }
+        fleet.stealCpu(node, f.parameter("takes"));
+        double onS = Math.min(f.parameter("on_s"), (until - environment.now()) / 1e9);
+        schedule(onS, () -> {
+            fleet.stealCpu(node, 0);
+            schedule(Math.max(0.001, f.parameter("off_s")), () -> runNeighbour(f, node, until));
+        });
+    }
+
+    private void partition(Fault f, List<String> group) {
+        List<String> others = new ArrayList<>(proxies);
+        others.removeAll(group);
+        eventLog.partitioned(environment.now(), environment.now() + (long) (f.durationS() * 1e9), group);
+        markUnsettled(f, proxies);
+        applyFor(
+                f,
+                on -> group.forEach(a -> others.forEach(b -> {
+                    faultInjector.cut(a, b, on);
+                    faultInjector.cut(b, a, on);
+                })));
+    }
+
+    /** What these see of others, and others of them, may be wrong until it is over, and a while longer. */
+    private void markUnsettled(Fault f, List<String> affected) {
+        long now = environment.now();
+        affected.forEach(p -> eventLog.unsettled(p, now, now + (long) (f.durationS() * 1e9)));
+    }
+
+    /** What strikes several as one. */
+    private void reassignAddresses(Fault f, List<String> targets) {
+        if (f.kind() == FaultKind.MOVE) {
+            targets.forEach(p -> faultInjector.reassignAddresses(List.of(p)));
+        } else if (f.kind() == FaultKind.TAKE_OVER) {
+            faultInjector.reassignAddresses(targets);
+        }
+    }
+
+    /** On and off until the end: of each period it runs for that share. */
+    private void starve(Fault f, String proxy, long until) {
+        if (environment.now() >= until) {
+            return;
+        }
+        double periodS = f.parameter("period_ms") / 1e3;
+        double pausedS = Math.min(periodS * (1 - f.parameter("share")), (until - environment.now()) / 1e9);
+        faultInjector.setPaused(proxy, true);
+        schedule(pausedS, () -> {
+            faultInjector.setPaused(proxy, false);
+            schedule(periodS - pausedS, () -> starve(f, proxy, until));
+        });
+    }
+
+    /** Evenly spread, so many a second, until the end. */
+    private void sendForgedDatagrams(Fault f, String proxy, long until) {
+        if (environment.now() < until) {
+            faultInjector.sendForgedDatagram(proxy);
+            schedule(1 / f.parameter("per_s"), () -> sendForgedDatagrams(f, proxy, until));
+        }
+    }
+
+    /** Both know of it, then not at one time: the view of a name that two have is not wrong for that. */
+    private void runTwin(Fault f, String proxy) {
+        if (!twins.add(proxy)) {
+            return; // it has one
+        }
+        schedule(f.durationS(), () -> twins.remove(proxy));
+        applyFor(f, on -> {
+            eventLog.unsettled(proxy, environment.now(), environment.now());
+            eventLog.unsettled(proxy + EventLog.TWIN, environment.now(), environment.now());
+            faultInjector.setTwinRunning(proxy, on);
+        });
+    }
+
+    /** Three rounds over all proxies, one proxy after the other. Nobody is to notice. */
+    private void replaceKey(Fault f) {
+        if (environment.now() < keyChangeUntil) {
+            return; // one is being replaced: no operator begins with the next
+        }
+        keyChangeUntil = environment.now() + (long) (f.durationS() * 1e9);
+        int oldKey = keyNumber++;
+        List<List<Integer>> steps =
+                List.of(List.of(oldKey, oldKey + 1), List.of(oldKey + 1, oldKey), List.of(oldKey + 1));
+        for (int i = 0; i < steps.size() * proxies.size(); i++) {
+            List<Integer> keys = steps.get(i / proxies.size());
+            String p = proxies.get(i % proxies.size());
+            schedule(f.durationS() * i / (steps.size() * proxies.size()), () -> faultInjector.setKeys(p, keys));
+        }
+    }
+
+    private void applyToProxy(Fault f, String proxy) {
+        long now = environment.now();
+        long until = now + (long) (f.durationS() * 1e9);
+        if (!VIEW_NEUTRAL_FAULTS.contains(f.kind())) {
+            markUnsettled(f, List.of(proxy));
+        }
+        switch (f.kind()) {
+            case RUSH -> {
+                front.surge(proxy, f.parameter("share"));
+                schedule(f.durationS(), () -> front.surge(null, 0));
+            }
+            case LATE_LIST -> applyFor(f, on -> fleet.delayDiscovery(proxy, on ? f.parameter("by_s") : 0));
+            case SILENT_LIST -> applyFor(f, on -> fleet.silenceDiscovery(proxy, on));
+            case RUDE_CLIENTS -> applyFor(
+                    f, on -> misbehavingClients.malformedRequests(proxy, on ? f.parameter("per_s") : 0));
+            case SILENT_CLIENTS -> applyFor(
+                    f, on -> misbehavingClients.silentConnections(proxy, on ? f.parameter("per_s") : 0));
+            case KILL, MOVE, TAKE_OVER -> {
+                eventLog.addDisruption(proxy, now, now);
+                faultInjector.kill(proxy, f.parameter("down_s"));
+            }
+            case STOP -> faultInjector.stop(proxy, f.parameter("down_s"));
+            case RELOAD -> {
+                fleet.moveDiscovery(proxy);
+                faultInjector.reload(proxy);
+            }
+            case PAUSE -> {
+                eventLog.addDisruption(proxy, now, until);
+                applyFor(f, on -> faultInjector.setPaused(proxy, on));
+            }
+            case STARVED -> {
+                eventLog.addDisruption(proxy, now, until);
+                starve(f, proxy, until);
+            }
+            case TWIN -> runTwin(f, proxy);
+            case FORGED_DATAGRAMS -> sendForgedDatagrams(f, proxy, until);
+            case MAD_MEMBER -> applyFor(
+                    f, on -> faultInjector.setFalseRumors(proxy, on ? (int) f.parameter("for_each") : 0));
+            default -> throw new IllegalStateException(f.kind().scriptName());
+        }
+    }
+
+    // ---- ways ----
+
+    private List<String> machines(String endpoint) {
+        return switch (endpoint) {
+            case "nodes" -> fleet.machines();
+            case "proxies" -> proxies;
+            default -> List.of(endpoint);
+        };
+    }
+
+    private void applyToLink(Fault f) {
+        String from = f.names().get(0);
+        String to = f.names().get(1);
+        long now = environment.now();
+        if (proxies.containsAll(machines(from)) && proxies.containsAll(machines(to))) {
+            markUnsettled(f, machines(from));
+            markUnsettled(f, machines(to));
+            if (f.kind() == FaultKind.CUT_LINK && from.equals("proxies")) {
+                machines(to).forEach(p -> eventLog.isolated(p, now, now + (long) (f.durationS() * 1e9)));
+            }
+        }
+        recordClientDisruption(from, to, now, now + (long) (f.durationS() * 1e9) + LINK_RECOVERY_NS);
+        recordClientDisruption(to, from, now, now + (long) (f.durationS() * 1e9) + LINK_RECOVERY_NS);
+        switch (f.kind()) {
+            case SLOW_LINK -> applyFor(
+                    f,
+                    on -> forEachLink(
+                            from,
+                            to,
+                            (a, b) ->
+                                    faultInjector.setExtraDelay(a, b, on ? (long) (f.parameter("adds_ms") * 1e6) : 0)));
+            case LOSSY_LINK -> applyFor(
+                    f,
+                    on -> forEachLink(from, to, (a, b) -> faultInjector.setLoss(a, b, on ? f.parameter("share") : 0)));
+            case CUT_LINK -> applyFor(f, on -> forEachLink(from, to, (a, b) -> faultInjector.cut(a, b, on)));
+            case RESET_LINK -> forEachLink(from, to, faultInjector::resetConnections);
+            default -> throw new IllegalStateException(f.kind().scriptName());
+        }
+    }
+
+    private void applyToDatagrams(Fault f) {
+        String from = f.names().get(0);
+        String to = f.names().get(1);
+        markUnsettled(f, machines(from));
+        markUnsettled(f, machines(to));
+        DatagramLink.Impairment impairment =
+                switch (f.kind()) {
+                    case JITTERY_LINK -> DatagramLink.Impairment.JITTER;
+                    case DOUBLED_LINK -> DatagramLink.Impairment.TWICE;
+                    case TORN_LINK -> DatagramLink.Impairment.TORN;
+                    case FLIPPED_LINK -> DatagramLink.Impairment.FLIPPED;
+                    default -> DatagramLink.Impairment.STALLED;
+                };
+        double value = f.kind() == FaultKind.JITTERY_LINK
+                ? f.parameter("adds_ms") * 1e6
+                : f.kind() == FaultKind.STALLED_LINK ? 1 : f.parameter("share");
+        applyFor(
+                f,
+                on -> forEachLink(from, to, (a, b) -> {
+                    if (!a.equals(b)) {
+                        faultInjector.setImpairment(a, b, impairment, on ? value : 0);
+                    }
+                }));
+    }
+
+    /** What a client does not get over a way that is not sound is not the proxy's fault. */
+    private void recordClientDisruption(String from, String to, long since, long until) {
+        if (from.equals("clients")) {
+            machines(to).forEach(p -> eventLog.addDisruption(p, since, until));
+        }
+    }
+
+    private void forEachLink(String from, String to, BiConsumer<String, String> action) {
+        for (String a : machines(from)) {
+            for (String b : machines(to)) {
+                action.accept(a, b);
+            }
+        }
+    }
+
+    // ---- the fleet as a whole ----
+
+    private void applyToFleet(Fault f) {
+        switch (f.kind()) {
+            case DISCOVERY_DOWN -> applyFor(f, fleet::discoveryDown);
+            case OLD_LIST -> applyFor(f, fleet::freezeDiscovery);
+            case NEW_KEY -> replaceKey(f);
+            case SHRINK -> {
+                List<String> running = fleet.running();
+                int drainCount = (int) Math.round(running.size() * (1 - f.parameter("to")));
+                SplittableRandom random = new SplittableRandom(script.seed() * 31 + 7);
+                List<String> remaining = new ArrayList<>(running);
+                for (int i = 0; i < drainCount; i++) {
+                    String n = remaining.remove(random.nextInt(remaining.size()));
+                    schedule(f.durationS() * i / Math.max(1, drainCount), () -> fleet.drain(n, 1));
+                }
+                int steps = 10;
+                for (int i = 1; i <= steps; i++) {
+                    double factor = 1 + (f.parameter("traffic") - 1) * i / steps;
+                    schedule(f.durationS() * i / steps, () -> loadGenerator.trafficFactor(factor));
+                }
+            }
+            default -> throw new IllegalStateException(f.kind().scriptName());
+        }
+    }
+}
--- a/src/main/java/gullspar/rehearse/play/ProxySettings.java
+++ b/src/main/java/gullspar/rehearse/play/ProxySettings.java
@@ -24,19 +24,19 @@
             JsonNode known) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("name", name)
-                .put("listen", at(listen))
-                .put("discovery", at(discovery))
+                .put("listen", hostPort(listen))
+                .put("discovery", hostPort(discovery))
                 .put("seed", Long.toHexString(seed));
         root.putObject("limits")
                 .put("cores", s.proxies().cores())
                 .put("memory_mb", s.proxies().memoryMb())
                 .put("sockets", s.proxies().sockets());
         root.set("known", known);
-        settings(root.putObject("settings"), s, index);
+        addSettings(root.putObject("settings"), s, index);
         return root;
     }
 
-    private static void settings(ObjectNode settings, Script s, int index) {
+    private static void addSettings(ObjectNode settings, Script s, int index) {
         settings.put("me", index)
                 .put("balancers", s.proxies().count())
                 .put("zone", index % s.sites().size())
@@ -45,10 +45,10 @@
                 .putArray("tenants");
         ArrayNode zones = settings.putArray("zones");
         s.sites().forEach(zones::add);
-        ArrayNode kinds = settings.putArray("skus");
-        s.nodes().forEach(n -> kinds.add(n.kind()));
+        ArrayNode skus = settings.putArray("skus");
+        s.nodes().forEach(n -> skus.add(n.kind()));
         ArrayNode profiles = settings.putArray("profiles");
-        s.classes().forEach(c -> profile(profiles.addObject(), c));
+        s.classes().forEach(c -> addProfile(profiles.addObject(), c));
         settings.putObject("limits")
                 .put("cancelling", s.proxies().cancelling())
                 .put("max_attempts", s.proxies().attempts())
@@ -64,7 +64,7 @@
                 .put("drain_grace_ns", ns(s.rules().drainGraceMs()));
     }
 
-    private static void profile(ObjectNode p, RequestClass c) {
+    private static void addProfile(ObjectNode p, RequestClass c) {
         p.put("name", c.name())
                 .put("effect", c.effect().name().toLowerCase(Locale.ROOT))
                 .put("dedup_scope", c.scope().name().toLowerCase(Locale.ROOT))
@@ -78,7 +78,7 @@
         return (long) (ms * 1e6);
     }
 
-    private static String at(InetSocketAddress a) {
+    private static String hostPort(InetSocketAddress a) {
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 }
--- a/src/main/java/gullspar/rehearse/play/StandIns.java
+++ b/src/main/java/gullspar/rehearse/play/Testbed.java
@@ -12,49 +12,49 @@
 import java.util.List;
 
 /** Everybody on a day but the proxies, and the faults; the same live and in virtual time. */
-public final class StandIns {
-    private final RunEnvironment stage;
+public final class Testbed {
+    private final RunEnvironment environment;
     private final Script script;
     private final EventLog eventLog = new EventLog();
     private final List<String> proxies;
     private final NodeFleet fleet;
     private final FrontBalancer front;
     private final LoadGenerator loadGenerator;
-    private final Timeline timeline;
+    private final FaultScheduler timeline;
 
-    public StandIns(RunEnvironment stage, Script script, FaultInjector faultInjector) {
-        this.stage = stage;
+    public Testbed(RunEnvironment environment, Script script, FaultInjector faultInjector) {
+        this.environment = environment;
         this.script = script;
         List<String> names = new ArrayList<>();
         for (int i = 1; i <= script.proxies().count(); i++) {
             names.add("p" + i);
         }
         this.proxies = List.copyOf(names);
-        this.fleet = new NodeFleet(stage, script, eventLog);
-        this.front = new FrontBalancer(stage, script, proxies);
-        this.loadGenerator = new LoadGenerator(stage, script, eventLog, front);
-        MisbehavingClients rude =
-                new MisbehavingClients(stage, eventLog, script.classes().get(0).name(), script.seed());
-        this.timeline =
-                new Timeline(stage, script, eventLog, fleet, front, loadGenerator, rude, faultInjector, proxies);
+        this.fleet = new NodeFleet(environment, script, eventLog);
+        this.front = new FrontBalancer(environment, script, proxies);
+        this.loadGenerator = new LoadGenerator(environment, script, eventLog, front);
+        MisbehavingClients misbehavingClients = new MisbehavingClients(
+                environment, eventLog, script.classes().get(0).name(), script.seed());
+        this.timeline = new FaultScheduler(
+                environment, script, eventLog, fleet, front, loadGenerator, misbehavingClients, faultInjector, proxies);
     }
 
     /** Starts the nodes and discovery; the proxies may be started then. */
-    public void open() {
-        List<String> all = new ArrayList<>(proxies);
+    public void startNodes() {
+        List<String> proxyNames = new ArrayList<>(proxies);
         if (script.faults().stream().anyMatch(f -> f.kind() == FaultKind.TWIN)) {
-            proxies.forEach(p -> all.add(p + EventLog.TWIN));
+            proxies.forEach(p -> proxyNames.add(p + EventLog.TWIN));
         }
-        fleet.start(all);
+        fleet.start(proxyNames);
     }
 
     /** Begins the day once all proxies are ready, and calls that then. */
-    public void begin(Runnable then) {
+    public void startWhenReady(Runnable onStart) {
         front.onAllReady(() -> {
-            eventLog.markStart(stage.now());
+            eventLog.markStart(environment.now());
             loadGenerator.start(script.seconds());
             timeline.start();
-            then.run();
+            onStart.run();
         });
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** The place of a proxy, or of its twin, among all, from 0. */
-    public static int index(String proxy) {
+    public static int proxyIndex(String proxy) {
         return Integer.parseInt(EventLog.baseName(proxy).substring(1)) - 1;
     }
 
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -25,58 +25,59 @@
  * and who else speaks to it.
  */
 final class VirtualFleet {
-    private static final int SEEDS = 3;
+    private static final int SEED_COUNT = 3;
     private static final int PORT = 9900;
 
     private final Script script;
-    private final StandIns standIns;
+    private final Testbed testbed;
     private final Network network;
-    private final Function<String, InetSocketAddress> machines;
-    private final VirtualPlay.Peering peering;
-    private final Map<String, InetSocketAddress> homes = new HashMap<>();
-    private final Map<String, Envelope> keys = new HashMap<>();
-    private final Map<String, FalseRumorInjector> liars = new HashMap<>();
+    private final Function<String, InetSocketAddress> machineAddresses;
+    private final VirtualPlay.MembershipOptions membershipOptions;
+    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
+    private final Map<String, Envelope> envelopes = new HashMap<>();
+    private final Map<String, FalseRumorInjector> falseRumorInjectors = new HashMap<>();
     private final DatagramForger forger;
-    private int moves;
+    private int addressChanges;
 
-    /** machines: their addresses; each proxy is found at a port of its own machine at first. */
+    /** machineAddresses: of the machines; each proxy is found at a port of its own machine at first. */
     VirtualFleet(
             Script script,
-            StandIns standIns,
+            Testbed testbed,
             Network network,
-            Function<String, InetSocketAddress> machines,
-            VirtualPlay.Peering peering) {
+            Function<String, InetSocketAddress> machineAddresses,
+            VirtualPlay.MembershipOptions membershipOptions) {
         this.script = script;
-        this.standIns = standIns;
+        this.testbed = testbed;
         this.network = network;
-        this.machines = machines;
-        this.peering = peering;
+        this.machineAddresses = machineAddresses;
+        this.membershipOptions = membershipOptions;
         this.forger = new DatagramForger(script.seed() * 31 + 13);
         network.setForger(forger);
     }
 
-    /** A process begins to take part; who: its name, and which process of that name it is. On its loop. */
-    Membership join(String process, String who, Platform platform, Supplier<AuxiliaryService.Load> load) {
-        FleetSettings fleet = fleet(process);
+    /** A process begins to take part; processName: its name, and which process of that name it is. On its loop. */
+    Membership join(String process, String processName, Platform platform, Supplier<AuxiliaryService.Load> load) {
+        FleetSettings fleet = fleetSettings(process);
         return Membership.join(
                 fleet,
-                peering.settings().apply(Membership.settings(fleet)),
+                membershipOptions.settings().apply(Membership.settings(fleet)),
                 keysOf(process),
-                Agenda.mix(script.seed() * 31 + 12 + peering.lives().applyAsLong(who)),
+                Agenda.mix(
+                        script.seed() * 31 + 12 + membershipOptions.lifeSeed().applyAsLong(processName)),
                 platform,
                 load);
     }
 
-    private FleetSettings fleet(String process) {
+    private FleetSettings fleetSettings(String process) {
         Script.Peers p = script.peers();
         String name = EventLog.baseName(process);
         return new FleetSettings(
                 name,
-                home(process),
+                address(process),
                 null,
                 seeds(),
                 null,
-                standIns.front().site(name),
+                testbed.front().site(name),
                 (long) (p.intervalMs() * 1e6),
                 (long) (p.windowS() * 1e9),
                 0);
@@ -84,45 +85,45 @@
 
     /** Where the first three proxies are found. */
     List<InetSocketAddress> seeds() {
-        return standIns.proxies().stream().limit(SEEDS).map(this::home).toList();
+        return testbed.proxies().stream().limit(SEED_COUNT).map(this::address).toList();
     }
 
-    private InetSocketAddress firstHome(String process) {
-        return new InetSocketAddress(machines.apply(process).getAddress(), PORT);
+    private InetSocketAddress initialAddress(String process) {
+        return new InetSocketAddress(machineAddresses.apply(process).getAddress(), PORT);
     }
 
-    private InetSocketAddress home(String process) {
-        return homes.computeIfAbsent(process, this::firstHome);
+    private InetSocketAddress address(String process) {
+        return addresses.computeIfAbsent(process, this::initialAddress);
     }
 
-    /** As {@link FaultInjector#move} says. */
-    void move(List<String> ring) {
+    /** As {@link FaultInjector#reassignAddresses} says. */
+    void reassignAddresses(List<String> ring) {
         if (ring.size() == 1) {
-            homes.put(
+            addresses.put(
                     ring.get(0),
-                    new InetSocketAddress(machines.apply(ring.get(0)).getAddress(), PORT + ++moves));
+                    new InetSocketAddress(machineAddresses.apply(ring.get(0)).getAddress(), PORT + ++addressChanges));
             return;
         }
-        List<InetSocketAddress> were =
-                new ArrayList<>(ring.stream().map(this::home).toList());
+        List<InetSocketAddress> previous =
+                new ArrayList<>(ring.stream().map(this::address).toList());
         for (int i = 0; i < ring.size(); i++) {
-            homes.put(ring.get(i), were.get((i + 1) % were.size()));
+            addresses.put(ring.get(i), previous.get((i + 1) % previous.size()));
         }
     }
 
     private Envelope keysOf(String process) {
-        return keys.computeIfAbsent(process, p -> envelope(List.of(0)));
+        return envelopes.computeIfAbsent(process, p -> envelope(List.of(0)));
     }
 
     /** The keys of those numbers, for a process from now on. */
-    Envelope keys(String process, List<Integer> numbers) {
-        Envelope e = envelope(numbers);
-        keys.put(process, e);
+    Envelope setKeys(String process, List<Integer> keyNumbers) {
+        Envelope e = envelope(keyNumbers);
+        envelopes.put(process, e);
         return e;
     }
 
-    private static Envelope envelope(List<Integer> numbers) {
-        return new Envelope(numbers.stream()
+    private static Envelope envelope(List<Integer> keyNumbers) {
+        return new Envelope(keyNumbers.stream()
                 .map(n -> {
                     byte[] key = new byte[Envelope.MIN_KEY_BYTES];
                     Arrays.fill(key, n.byteValue());
@@ -131,19 +132,20 @@
                 .toList());
     }
 
-    /** As {@link FaultInjector#mad} says. */
-    void mad(String process, int forEach) {
-        liars.computeIfAbsent(process, p -> {
-                    FalseRumorInjector liar =
-                            new FalseRumorInjector(() -> keysOf(p), script.seed() * 31 + 14 + StandIns.index(p));
-                    standIns.proxies().stream().filter(o -> !o.equals(p)).forEach(o -> network.datagrams(p, o)
-                            .falseRumorInjector(liar));
-                    return liar;
+    /** As {@link FaultInjector#setFalseRumors} says. */
+    void setFalseRumors(String process, int perDatagram) {
+        falseRumorInjectors
+                .computeIfAbsent(process, p -> {
+                    FalseRumorInjector injector =
+                            new FalseRumorInjector(() -> keysOf(p), script.seed() * 31 + 14 + Testbed.proxyIndex(p));
+                    testbed.proxies().stream().filter(o -> !o.equals(p)).forEach(o -> network.datagrams(p, o)
+                            .falseRumorInjector(injector));
+                    return injector;
                 })
-                .setFalseRumorsPerDatagram(forEach);
+                .setFalseRumorsPerDatagram(perDatagram);
     }
 
-    void forge(String process) {
+    void sendForgedDatagram(String process) {
         network.inject(process, forger.next());
     }
 }
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -47,46 +47,51 @@
     /** When every day begins, Unix time in ns: 2027-01-15T08:00:00Z. */
     private static final long EPOCH_NS = 1_800_000_000L * 1_000_000_000L;
     /** Proxies that are not ready by then never will be. */
-    private static final long READY_NS = 60_000_000_000L;
+    private static final long READY_TIMEOUT_NS = 60_000_000_000L;
     /** The share of a start after which the daemon asks for the list: 0.7 of 2.5 s as seen on half a core. */
-    private static final double ASKS_AFTER = 0.3;
+    private static final double LIST_REQUEST_SHARE = 0.3;
 
-    private static final int MOST_LOG_LINES = 10_000;
+    private static final int MAX_LOG_LINES = 10_000;
 
     /**
-     * How a day is to be played. decisions gets the decision log, or is null; module and platform stand
+     * How a day is to be played. decisionLog gets the decision log, or is null; moduleWrapper and platformWrapper stand
      * between a proxy and its decision module, and between it and its machine: the identity, but where a test
      * plants a fault.
      */
     public record Options(
-            Writer decisions,
-            UnaryOperator<Balancer.Factory> module,
-            UnaryOperator<Platform> platform,
-            Progress progress,
-            Peering peering) {
+            Writer decisionLog,
+            UnaryOperator<Balancer.Factory> moduleWrapper,
+            UnaryOperator<Platform> platformWrapper,
+            ProgressListener progressListener,
+            MembershipOptions membership) {
         public Options(
-                Writer decisions,
-                UnaryOperator<Balancer.Factory> module,
-                UnaryOperator<Platform> platform,
-                Progress progress) {
-            this(decisions, module, platform, progress, new Peering(Fnv::hash, UnaryOperator.identity()));
+                Writer decisionLog,
+                UnaryOperator<Balancer.Factory> moduleWrapper,
+                UnaryOperator<Platform> platformWrapper,
+                ProgressListener progressListener) {
+            this(
+                    decisionLog,
+                    moduleWrapper,
+                    platformWrapper,
+                    progressListener,
+                    new MembershipOptions(Fnv::hash, UnaryOperator.identity()));
         }
 
         /** Nothing but the day. */
-        public static Options plain() {
-            return logged(null, Progress.NONE);
+        public static Options defaults() {
+            return withDecisionLog(null, ProgressListener.NONE);
         }
 
         /** With its decisions written down and its progress heard. */
-        public static Options logged(Writer decisions, Progress progress) {
-            return new Options(decisions, UnaryOperator.identity(), UnaryOperator.identity(), progress);
+        public static Options withDecisionLog(Writer decisionLog, ProgressListener progressListener) {
+            return new Options(decisionLog, UnaryOperator.identity(), UnaryOperator.identity(), progressListener);
         }
     }
 
     /**
      * How a process of that name draws its life, and how it watches the fleet; for tests that plant faults.
      */
-    public record Peering(ToLongFunction<String> lives, UnaryOperator<Settings> settings) {}
+    public record MembershipOptions(ToLongFunction<String> lifeSeed, UnaryOperator<Settings> settings) {}
 
     private final Script script;
     private final Options options;
@@ -94,102 +99,105 @@
     private final Network network;
     private final VirtualLoop loop;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, Life> lives = new LinkedHashMap<>();
+    private final Map<String, ProxyProcess> processes = new LinkedHashMap<>();
     private final Map<Integer, String> nodeNames = new HashMap<>();
-    private final List<String> log = new ArrayList<>();
-    private final DecisionLog decisions;
-    private final StandIns standIns;
+    private final List<String> proxyLog = new ArrayList<>();
+    private final DecisionLog decisionLog;
+    private final Testbed testbed;
     private final EventLog eventLog;
     private final VirtualFleet fleet;
-    private Throwable slip;
+    private Throwable failure;
 
     private VirtualPlay(Script script, Options options) {
         this.script = script;
         this.options = options;
         this.agenda = new Agenda(script.seed(), EPOCH_NS);
-        this.network = new Network(agenda, script.seed() * 31 + 8, this::distance);
-        this.loop = new VirtualLoop(agenda, e -> slip = slip == null ? e : slip);
-        this.decisions = new DecisionLog(() -> agenda.now() - EPOCH_NS, this::nodeName, options.decisions());
-        this.standIns = new StandIns(this, script, this);
-        this.eventLog = standIns.eventLog();
+        this.network = new Network(agenda, script.seed() * 31 + 8, this::oneWayDelayNs);
+        this.loop = new VirtualLoop(agenda, e -> failure = failure == null ? e : failure);
+        this.decisionLog = new DecisionLog(() -> agenda.now() - EPOCH_NS, this::nodeName, options.decisionLog());
+        this.testbed = new Testbed(this, script, this);
+        this.eventLog = testbed.eventLog();
         this.fleet = script.peers() == null
                 ? null
-                : new VirtualFleet(script, standIns, network, this::address, options.peering());
+                : new VirtualFleet(script, testbed, network, this::address, options.membership());
     }
 
     /** Plays a day to its end. */
-    public static Played play(Script script, Options options) {
+    public static DayResult play(Script script, Options options) {
         return new VirtualPlay(script, options).play();
     }
 
-    private Played play() {
-        long began = System.nanoTime(); // only to say how long it took
-        standIns.open();
-        standIns.proxies().forEach(this::start);
+    private DayResult play() {
+        long startedAtNs = System.nanoTime(); // only to say how long it took
+        testbed.startNodes();
+        testbed.proxies().forEach(this::start);
         if (fleet != null) {
-            look();
+            takeFleetSnapshots();
         }
-        long[] end = {EPOCH_NS + READY_NS};
-        standIns.begin(() -> end[0] = agenda.now() + (long) (script.seconds() * 1e9));
-        run(end);
+        long[] endNs = {EPOCH_NS + READY_TIMEOUT_NS};
+        testbed.startWhenReady(() -> endNs[0] = agenda.now() + (long) (script.seconds() * 1e9));
+        runUntil(endNs);
         if (eventLog.start() == 0) {
             throw new IllegalStateException(
-                    "the proxies were not ready within " + READY_NS / 1_000_000_000L + " s: " + log);
+                    "the proxies were not ready within " + READY_TIMEOUT_NS / 1_000_000_000L + " s: " + proxyLog);
         }
-        end[0] = agenda.now() + standIns.tailNs();
-        run(end);
-        options.progress().at(script.seconds(), script.seconds());
-        return new Played(
+        endNs[0] = agenda.now() + testbed.tailNs();
+        runUntil(endNs);
+        options.progressListener().onProgress(script.seconds(), script.seconds());
+        return new DayResult(
                 script,
                 eventLog,
                 Judge.judge(script, eventLog, 0),
-                decisions.hash(),
-                decisions.lines(),
-                log,
+                decisionLog.hash(),
+                decisionLog.lines(),
+                proxyLog,
                 List.of(),
-                System.nanoTime() - began);
+                System.nanoTime() - startedAtNs);
     }
 
     /** Up to a time that may be moved meanwhile. */
-    private void run(long[] end) {
-        long next = agenda.now();
-        while (agenda.hasEventBy(end[0])) {
+    private void runUntil(long[] endNs) {
+        long nextProgressNs = agenda.now();
+        while (agenda.hasEventBy(endNs[0])) {
             agenda.runNext();
-            if (slip != null) {
+            if (failure != null) {
                 throw new IllegalStateException(
-                        "the rehearsal itself failed at " + (agenda.now() - eventLog.start()) / 1e9 + " s", slip);
+                        "the rehearsal itself failed at " + (agenda.now() - eventLog.start()) / 1e9 + " s", failure);
             }
-            if (agenda.now() >= next && eventLog.start() != 0) {
-                options.progress()
-                        .at(Math.min(script.seconds(), (agenda.now() - eventLog.start()) / 1e9), script.seconds());
-                next = agenda.now() + 1_000_000_000L;
+            if (agenda.now() >= nextProgressNs && eventLog.start() != 0) {
+                options.progressListener()
+                        .onProgress(
+                                Math.min(script.seconds(), (agenda.now() - eventLog.start()) / 1e9), script.seconds());
+                nextProgressNs = agenda.now() + 1_000_000_000L;
             }
         }
-        agenda.advanceTo(end[0]);
+        agenda.advanceTo(endNs[0]);
     }
 
     // ---- the stage ----
 
     private String siteOf(String machine) {
         if (machine.startsWith("n")) {
-            return standIns.fleet().site(machine);
+            return testbed.fleet().site(machine);
         }
-        return machine.startsWith("p") ? standIns.front().site(EventLog.baseName(machine)) : null;
+        return machine.startsWith("p") ? testbed.front().site(EventLog.baseName(machine)) : null;
     }
 
-    private long distance(String from, String to) {
-        String a = siteOf(from);
-        String b = siteOf(to);
+    private long oneWayDelayNs(String from, String to) {
+        String fromSite = siteOf(from);
+        String toSite = siteOf(to);
         // Clients come from the proxy's own site, discovery has an agent there.
-        boolean near = a == null || b == null || a.equals(b);
-        if (near) {
+        boolean sameSite = fromSite == null || toSite == null || fromSite.equals(toSite);
+        if (sameSite) {
             return (long) (script.localDelayMs().midpoint() * 1e6);
         }
         // One draw for each pair of sites, the same both ways.
-        String pair = a.compareTo(b) < 0 ? a + ' ' + b : b + ' ' + a;
-        double at = (Agenda.mix(script.seed() + Fnv.hash(pair)) >>> 11) * 0x1p-53;
+        String pair = fromSite.compareTo(toSite) < 0 ? fromSite + ' ' + toSite : toSite + ' ' + fromSite;
+        double position = (Agenda.mix(script.seed() + Fnv.hash(pair)) >>> 11) * 0x1p-53;
         return (long) ((script.siteDelayMs().from()
-                        + at * (script.siteDelayMs().to() - script.siteDelayMs().from()))
+                        + position
+                                * (script.siteDelayMs().to()
+                                        - script.siteDelayMs().from()))
                 * 1e6);
     }
 
@@ -226,9 +234,9 @@
     /** The name of a node by the number under which the module knows it. */
     private String nodeName(int number) {
         return nodeNames.computeIfAbsent(number, n -> {
-            for (String machine : standIns.fleet().machines()) {
-                for (int life = 1; life <= standIns.fleet().instanceCount(machine); life++) {
-                    String id = life == 1 ? machine : machine + "-" + life;
+            for (String machine : testbed.fleet().machines()) {
+                for (int instance = 1; instance <= testbed.fleet().instanceCount(machine); instance++) {
+                    String id = instance == 1 ? machine : machine + "-" + instance;
                     if ((int) (Fnv.hash(id) >>> 32) == n) {
                         return id;
                     }
@@ -241,31 +249,31 @@
     // ---- the proxies ----
 
     /** One process of a proxy. */
-    private static final class Life {
+    private static final class ProxyProcess {
         private final int number;
         private final VirtualLoop loop;
         private Proxy proxy;
-        private Membership member;
+        private Membership membership;
         private boolean paused;
 
-        Life(int number, VirtualLoop loop) {
+        ProxyProcess(int number, VirtualLoop loop) {
             this.number = number;
             this.loop = loop;
         }
     }
 
-    private Config config(String name, int life) {
-        long seed = Agenda.mix(script.seed() * 31 + 9 + StandIns.index(name) * 1000L + life);
+    private Config config(String name, int processNumber) {
+        long seed = Agenda.mix(script.seed() * 31 + 9 + Testbed.proxyIndex(name) * 1000L + processNumber);
         try {
             return Config.parse(
                     ProxySettings.of(
                             script,
-                            StandIns.index(name),
+                            Testbed.proxyIndex(name),
                             name,
                             address(name),
-                            standIns.fleet().discoveryAddress(name),
+                            testbed.fleet().discoveryAddress(name),
                             seed,
-                            standIns.fleet().listJson(name)),
+                            testbed.fleet().listJson(name)),
                     Map.of());
         } catch (ConfigException e) {
             throw new IllegalStateException(e);
@@ -273,116 +281,126 @@
     }
 
     private void start(String name) {
-        int number = lives.get(name) == null ? 1 : lives.get(name).number + 1;
-        String who = number == 1 ? name : name + "." + number;
-        Life life = new Life(number, new VirtualLoop(agenda, e -> say(who, "uncaught: " + e)));
-        lives.put(name, life);
+        int number = processes.get(name) == null ? 1 : processes.get(name).number + 1;
+        String processName = number == 1 ? name : name + "." + number;
+        ProxyProcess process =
+                new ProxyProcess(number, new VirtualLoop(agenda, e -> addLogLine(processName, "uncaught: " + e)));
+        processes.put(name, process);
         Host host = network.host(name);
-        host.setProcess(life.loop);
-        Platform platform = options.platform()
+        host.setProcess(process.loop);
+        Platform platform = options.platformWrapper()
                 .apply(new Platform(
-                        life.loop,
+                        process.loop,
                         agenda::now,
                         network.transport(host),
-                        line -> say(who, line),
-                        life.loop::inputDelayNs,
+                        line -> addLogLine(processName, line),
+                        process.loop::inputDelayNs,
                         null));
-        long warm = (long) (script.proxies().startS() * 1e9);
+        long startUpNs = (long) (script.proxies().startS() * 1e9);
         if (fleet != null) {
             eventLog.processStarted(name, agenda.now());
-            life.loop.execute(() -> life.member = fleet.join(
-                    name, who, platform, () -> life.proxy == null ? AuxiliaryService.Load.NONE : life.proxy.load()));
+            process.loop.execute(() -> process.membership = fleet.join(
+                    name,
+                    processName,
+                    platform,
+                    () -> process.proxy == null ? AuxiliaryService.Load.NONE : process.proxy.load()));
         }
-        life.loop.schedule(
+        process.loop.schedule(
                 () -> {
-                    standIns.fleet().recordStartingList(name);
-                    Proxy asking = Proxy.startUnopened(
+                    testbed.fleet().recordStartingList(name);
+                    Proxy proxy = Proxy.startUnopened(
                             config(name, number),
                             platform,
-                            decisions.tap(who, options.module().apply(Policy::new)));
-                    life.loop.schedule(
+                            decisionLog.tap(processName, options.moduleWrapper().apply(Policy::new)));
+                    process.loop.schedule(
                             () -> {
-                                life.proxy = asking;
-                                asking.open();
-                                if (life.member != null) {
-                                    life.member.onStage(AuxiliaryService.Stage.SERVING);
+                                process.proxy = proxy;
+                                proxy.open();
+                                if (process.membership != null) {
+                                    process.membership.onStage(AuxiliaryService.Stage.SERVING);
                                 }
-                                if (standIns.proxies().contains(name)) {
+                                if (testbed.proxies().contains(name)) {
                                     // The front looks at it from now on; at a twin nobody does.
-                                    loop.execute(() -> standIns.front().proxyStarted(name));
+                                    loop.execute(() -> testbed.front().proxyStarted(name));
                                 }
                             },
-                            warm - (long) (warm * ASKS_AFTER),
+                            startUpNs - (long) (startUpNs * LIST_REQUEST_SHARE),
                             TimeUnit.NANOSECONDS);
                 },
-                (long) (warm * ASKS_AFTER),
+                (long) (startUpNs * LIST_REQUEST_SHARE),
                 TimeUnit.NANOSECONDS);
     }
 
     /** Asks each that runs how it sees the fleet, again and again. */
-    private void look() {
-        lives.forEach((name, life) -> {
-            String answer =
-                    life.member == null || life.loop.hasEnded() || life.paused ? null : life.member.query("/_fleet");
-            if (answer != null) {
+    private void takeFleetSnapshots() {
+        processes.forEach((name, process) -> {
+            String view = process.membership == null || process.loop.hasEnded() || process.paused
+                    ? null
+                    : process.membership.query("/_fleet");
+            if (view != null) {
                 try {
-                    eventLog.addFleetSnapshot(FleetSnapshot.parse(agenda.now(), name, answer));
+                    eventLog.addFleetSnapshot(FleetSnapshot.parse(agenda.now(), name, view));
                 } catch (IOException e) {
                     throw new UncheckedIOException("a proxy answered what is no view", e);
                 }
             }
         });
-        loop.schedule(this::look, FleetSnapshot.intervalMs(standIns.proxies().size()), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                this::takeFleetSnapshots,
+                FleetSnapshot.intervalMs(testbed.proxies().size()),
+                TimeUnit.MILLISECONDS);
     }
 
-    private void say(String who, String line) {
-        if (log.size() < MOST_LOG_LINES) {
-            log.add(String.format(Locale.ROOT, "%.6f %s %s", (agenda.now() - EPOCH_NS) / 1e9, who, line));
+    private void addLogLine(String processName, String line) {
+        if (proxyLog.size() < MAX_LOG_LINES) {
+            proxyLog.add(String.format(Locale.ROOT, "%.6f %s %s", (agenda.now() - EPOCH_NS) / 1e9, processName, line));
         }
     }
 
-    private void endNow(String name, Life life) {
-        life.loop.end();
+    private void endProcess(String name, ProxyProcess process) {
+        process.loop.end();
         if (fleet != null) {
             eventLog.processEnded(name, agenda.now());
         }
         network.closeSockets(network.host(name));
     }
 
-    private void startLater(String name, double downS) {
+    private void scheduleStart(String name, double downS) {
         loop.schedule(() -> start(name), (long) (downS * 1e9), TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void kill(String name, double downS) {
-        Life life = lives.get(name);
-        if (life.loop.hasEnded()) {
+        ProxyProcess process = processes.get(name);
+        if (process.loop.hasEnded()) {
             return;
         }
-        endNow(name, life);
-        standIns.front().proxyEnded(name);
-        startLater(name, downS);
+        endProcess(name, process);
+        testbed.front().proxyEnded(name);
+        scheduleStart(name, downS);
     }
 
     @Override
     public void stop(String name, double downS) {
-        Life life = lives.get(name);
-        if (life.loop.hasEnded() || life.proxy == null) {
+        ProxyProcess process = processes.get(name);
+        if (process.loop.hasEnded() || process.proxy == null) {
             return;
         }
-        standIns.front().proxyEnded(name);
-        if (life.member != null) {
-            life.loop.execute(() -> life.member.onStage(AuxiliaryService.Stage.DRAINING));
+        testbed.front().proxyEnded(name);
+        if (process.membership != null) {
+            process.loop.execute(() -> process.membership.onStage(AuxiliaryService.Stage.DRAINING));
         }
-        life.proxy
+        process.proxy
                 .drain()
-                .thenCompose(v -> life.member == null ? CompletableFuture.completedFuture(null) : life.member.leave())
+                .thenCompose(v -> process.membership == null
+                        ? CompletableFuture.completedFuture(null)
+                        : process.membership.leave())
                 .thenRun(() -> {
-                    if (!life.loop.hasEnded()) {
+                    if (!process.loop.hasEnded()) {
                         // Not from inside its own wake-up.
                         loop.execute(() -> {
-                            endNow(name, life);
-                            startLater(name, downS);
+                            endProcess(name, process);
+                            scheduleStart(name, downS);
                         });
                     }
                 });
@@ -390,66 +408,66 @@
 
     @Override
     public void reload(String name) {
-        Life life = lives.get(name);
-        if (!life.loop.hasEnded() && life.proxy != null) {
-            Config config = config(name, life.number);
-            life.loop.execute(() -> life.proxy.reload(config));
+        ProxyProcess process = processes.get(name);
+        if (!process.loop.hasEnded() && process.proxy != null) {
+            Config config = config(name, process.number);
+            process.loop.execute(() -> process.proxy.reload(config));
         }
     }
 
     @Override
-    public void pause(String name, boolean on) {
-        lives.get(name).paused = on;
-        lives.get(name).loop.pause(on);
+    public void setPaused(String name, boolean on) {
+        processes.get(name).paused = on;
+        processes.get(name).loop.pause(on);
     }
 
     @Override
-    public void move(List<String> ring) {
-        List<InetSocketAddress> before = fleet.seeds();
-        fleet.move(ring);
+    public void reassignAddresses(List<String> ring) {
+        List<InetSocketAddress> previousSeeds = fleet.seeds();
+        fleet.reassignAddresses(ring);
         List<InetSocketAddress> seeds = fleet.seeds();
-        if (!seeds.equals(before)) {
-            lives.values().forEach(life -> life.loop.execute(() -> life.member.setSeeds(seeds)));
+        if (!seeds.equals(previousSeeds)) {
+            processes.values().forEach(process -> process.loop.execute(() -> process.membership.setSeeds(seeds)));
         }
     }
 
     @Override
-    public void twin(String proxy, boolean on) {
+    public void setTwinRunning(String proxy, boolean on) {
         String twin = proxy + EventLog.TWIN;
         if (on) {
             start(twin);
         } else {
-            endNow(twin, lives.get(twin));
+            endProcess(twin, processes.get(twin));
         }
     }
 
     @Override
-    public void keys(String proxy, List<Integer> numbers) {
-        Life life = lives.get(proxy);
-        Envelope e = fleet.keys(proxy, numbers);
-        life.loop.execute(() -> life.member.setKeys(e));
+    public void setKeys(String proxy, List<Integer> keyNumbers) {
+        ProxyProcess process = processes.get(proxy);
+        Envelope keys = fleet.setKeys(proxy, keyNumbers);
+        process.loop.execute(() -> process.membership.setKeys(keys));
     }
 
     @Override
-    public void forge(String proxy) {
-        fleet.forge(proxy);
+    public void sendForgedDatagram(String proxy) {
+        fleet.sendForgedDatagram(proxy);
     }
 
     @Override
-    public void mad(String proxy, int forEach) {
-        fleet.mad(proxy, forEach);
+    public void setFalseRumors(String proxy, int perDatagram) {
+        fleet.setFalseRumors(proxy, perDatagram);
     }
 
     // ---- the ways ----
 
     @Override
-    public void slower(String from, String to, long byNs) {
-        network.link(from, to).setExtraDelayNs(byNs);
-        network.datagrams(from, to).setExtraDelayNs(byNs);
+    public void setExtraDelay(String from, String to, long extraNs) {
+        network.link(from, to).setExtraDelayNs(extraNs);
+        network.datagrams(from, to).setExtraDelayNs(extraNs);
     }
 
     @Override
-    public void lossy(String from, String to, double share) {
+    public void setLoss(String from, String to, double share) {
         network.link(from, to).setLoss(share);
         network.datagrams(from, to).setLoss(share);
     }
@@ -461,17 +479,17 @@
     }
 
     @Override
-    public void trouble(String from, String to, DatagramLink.Impairment t, double figure) {
-        network.setImpairment(from, to, t, figure);
+    public void setImpairment(String from, String to, DatagramLink.Impairment impairment, double value) {
+        network.setImpairment(from, to, impairment, value);
     }
 
     @Override
-    public void reset(String from, String to) {
+    public void resetConnections(String from, String to) {
         network.reset(network.host(from), network.host(to));
     }
 
     @Override
-    public void vanish(String machine, boolean on) {
+    public void setUnreachable(String machine, boolean on) {
         network.setUnreachable(network.host(machine), on);
     }
 }
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -4,7 +4,7 @@
 import gullspar.rehearse.judge.RequestTrace;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.script.Fault;
 import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.EventLog;
@@ -26,19 +26,19 @@
     private static final int MOST_STORIES = 5;
     private static final long WORST_NS = 10_000_000_000L;
 
-    private final Played day;
+    private final DayResult day;
     private final EventLog eventLog;
     private final Seconds seconds;
     private final StringBuilder html = new StringBuilder(1 << 16);
 
-    private HtmlReport(Played day) {
+    private HtmlReport(DayResult day) {
         this.day = day;
         this.eventLog = day.eventLog();
         this.seconds = new Seconds(day);
     }
 
     /** The whole page. */
-    public static String of(Played day) {
+    public static String of(DayResult day) {
         return new HtmlReport(day).page();
     }
 
@@ -92,8 +92,10 @@
                         : "broken: " + v.violations().size(),
                 day.script().seed(),
                 day.script().seconds(),
-                day.hash().isEmpty() ? "played live" : "in virtual time",
-                day.hash().isEmpty() ? "" : ", decisions " + day.hash().substring(0, 12));
+                day.decisionHash().isEmpty() ? "played live" : "in virtual time",
+                day.decisionHash().isEmpty()
+                        ? ""
+                        : ", decisions " + day.decisionHash().substring(0, 12));
         day.notes().forEach(n -> add("<p><strong>Note:</strong> %s</p>", escaped(n)));
         add("<dl class=\"figures\">");
         figure("service, of the worth asked for", "%.2f %%", 100 * v.service());
--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -7,7 +7,7 @@
 import gullspar.rehearse.judge.RequestTrace;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import java.util.List;
 import java.util.Locale;
 
@@ -19,16 +19,16 @@
     private JsonReport() {}
 
     /** One line of JSON. */
-    public static String of(Played p) {
+    public static String of(DayResult p) {
         ObjectMapper mapper = new ObjectMapper();
         Verdict v = p.verdict();
         ObjectNode root = mapper.createObjectNode();
         root.put("title", p.script().title())
                 .put("seed", p.script().seed())
                 .put("seconds", p.script().seconds())
-                .put("sha256", p.hash())
-                .put("decisions", p.decisions())
-                .put("played_s", p.tookNs() / 1e9)
+                .put("sha256", p.decisionHash())
+                .put("decisions", p.decisionCount())
+                .put("played_s", p.wallTimeNs() / 1e9)
                 .put("orders", v.orders())
                 .put("service", v.service())
                 .put("worst_10s", v.worst10s())
--- a/src/main/java/gullspar/rehearse/report/Seconds.java
+++ b/src/main/java/gullspar/rehearse/report/Seconds.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.report;
 
 import gullspar.rehearse.judge.Judge;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.Order;
 
@@ -17,7 +17,7 @@
 
     private final int[][] counts;
 
-    Seconds(Played p) {
+    Seconds(DayResult p) {
         counts = new int[Math.max(1, (int) Math.ceil(p.script().seconds()))][Kind.values().length];
         for (Order o : p.eventLog().orders()) {
             int second = (int) ((o.at - p.eventLog().start()) / 1_000_000_000L);
--- a/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
+++ b/src/test/java/gullspar/rehearse/live/LiveFleetTest.java
@@ -6,7 +6,7 @@
 import gullspar.rehearse.Days;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.FleetSnapshot;
 import java.util.Comparator;
@@ -62,7 +62,7 @@
 
     @Test
     void sevenProcessesKeepAViewOfEachOther() throws Exception {
-        Played p = LivePlay.play(day(), (second, of) -> {});
+        DayResult p = LivePlay.play(day(), (second, of) -> {});
 
         assertEquals(
                 List.of(),
@@ -70,7 +70,7 @@
                         .filter(b -> b.rule().name().startsWith("FLEET") || b.rule() == Rule.NOTHING_TWICE)
                         .map(RuleViolation::description)
                         .toList(),
-                () -> String.join("\n", p.log()));
+                () -> String.join("\n", p.proxyLog()));
         // All of it was there to be seen.
         Map<String, Set<String>> lives = p.eventLog().fleetSnapshots().stream()
                 .collect(Collectors.groupingBy(
@@ -100,7 +100,7 @@
                 "objected to being called gone",
                 "not cut off any more",
                 "settled")) {
-            assertTrue(p.log().stream().anyMatch(l -> l.contains("fleet: " + said)), said);
+            assertTrue(p.proxyLog().stream().anyMatch(l -> l.contains("fleet: " + said)), said);
         }
     }
 }
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -7,7 +7,7 @@
 import gullspar.rehearse.Days;
 import gullspar.rehearse.judge.Rule;
 import gullspar.rehearse.judge.RuleViolation;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.stage.EventLog;
 import io.netty.channel.DefaultEventLoop;
 import io.netty.channel.EventLoop;
@@ -38,7 +38,7 @@
     void faultsHappenToRealProcessesAndNoneIsLeftBehind() throws Exception {
         List<Long> before = daemons();
         List<Double> heard = new ArrayList<>();
-        Played p = LivePlay.play(
+        DayResult p = LivePlay.play(
                 Days.small(
                         6,
                         Days.fault("kill", 1, "proxies = [\"p1\"]\ndown_s = 0.1")
@@ -49,11 +49,11 @@
                                         "slow-link", 0.5, "for = 1\nfrom = \"proxies\"\nto = \"nodes\"\nadds_ms = 5")
                                 + Days.fault("crash", 3, "nodes = [\"n2\"]\ndown_s = 0.5")),
                 (second, of) -> heard.add(second));
-        assertTrue(p.verdict().counts().get("served") > 100, p.verdict().counts() + " " + p.log());
+        assertTrue(p.verdict().counts().get("served") > 100, p.verdict().counts() + " " + p.proxyLog());
         assertEquals(List.of(), p.eventLog().crashes());
-        assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 is back");
-        assertTrue(p.log().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
-        assertTrue(p.log().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
+        assertTrue(p.proxyLog().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 is back");
+        assertTrue(p.proxyLog().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
+        assertTrue(p.proxyLog().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
         assertTrue(p.eventLog().events().stream()
                 .map(EventLog.Event::description)
                 .anyMatch(w -> w.equals("n2 starts, cold")));
--- a/src/test/java/gullspar/rehearse/play/SameEveryTimeTest.java
+++ b/src/test/java/gullspar/rehearse/play/DeterminismTest.java
@@ -30,9 +30,9 @@
 
 /** A script and a seed give one day, whatever plays it; anything else gives another. */
 @Timeout(300)
-class SameEveryTimeTest {
+class DeterminismTest {
     /** A little of everything that can go wrong, in 12 s. */
-    static final String ALL = Days.fault("neighbour", 0.5, "for = 6\nnodes = 2")
+    static final String ALL_FAULTS = Days.fault("neighbour", 0.5, "for = 6\nnodes = 2")
             + Days.fault("crash", 1, "nodes = 1\ndown_s = 1")
             + Days.fault("replace", 2, "nodes = 1")
             + Days.fault("spoil", 3, "for = 3\nnodes = 3")
@@ -52,20 +52,21 @@
     /** The four faults that were asked for, as they are shipped; each twice. */
     @ParameterizedTest
     @ValueSource(strings = {"neighbour", "rush", "heavy", "shrink"})
-    void theFaultScriptsKeepAllRulesAndPlayTheSameTwice(String name) throws Exception {
+    void shippedFaultScriptsKeepAllRulesAndAreDeterministic(String name) throws Exception {
         Script s = ScriptReader.read(Path.of("examples/rehearsals", name + ".toml"));
-        Played once = VirtualPlay.play(s, VirtualPlay.Options.plain());
-        assertEquals(List.of(), once.verdict().violations());
-        assertTrue(once.decisions() > 10_000, "only " + once.decisions() + " decisions");
+        DayResult result = VirtualPlay.play(s, VirtualPlay.Options.defaults());
+        assertEquals(List.of(), result.verdict().violations());
+        assertTrue(result.decisionCount() > 10_000, "only " + result.decisionCount() + " decisions");
         assertEquals(
-                once.hash(), VirtualPlay.play(s, VirtualPlay.Options.plain()).hash());
+                result.decisionHash(),
+                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash());
     }
 
-    private static String inAnotherProcess(Path script, String... options) throws Exception {
-        return inAnotherProcess(script, List.of(options), null);
+    private static String playInNewProcess(Path script, String... options) throws Exception {
+        return playInNewProcess(script, List.of(options), null);
     }
 
-    private static String inAnotherProcess(Path script, List<String> options, Path log) throws Exception {
+    private static String playInNewProcess(Path script, List<String> options, Path log) throws Exception {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(options.contains("-cp") ? List.of() : List.of("-cp", System.getProperty("java.class.path")));
@@ -85,9 +86,9 @@
     /** Wall time, heap, compiler, locale and time zone are not the day's. */
     /** A search plays thousands: none may stay in memory, held by what outlives it in this process. */
     @Test
-    void aDayThatIsOverIsLetGo() {
+    void playedDayCanBeGarbageCollected() {
         WeakReference<EventLog> day =
-                new WeakReference<>(VirtualPlay.play(Days.small(1, "[peers]\n"), VirtualPlay.Options.plain())
+                new WeakReference<>(VirtualPlay.play(Days.small(1, "[peers]\n"), VirtualPlay.Options.defaults())
                         .eventLog());
         for (int i = 0; i < 100 && day.get() != null; i++) {
             System.gc();
@@ -96,37 +97,37 @@
     }
 
     @Test
-    void anotherHeapCompilerLocaleOrTimeZoneChangesNothing() throws Exception {
+    void resultDoesNotDependOnHeapCompilerLocaleOrTimeZone() throws Exception {
         Path script = folder.resolve("day.toml");
-        Files.writeString(script, Days.text(12, ALL));
-        String out = inAnotherProcess(script, "-Xmx48m", "-XX:+UseSerialGC");
+        Files.writeString(script, Days.text(12, ALL_FAULTS));
+        String out = playInNewProcess(script, "-Xmx48m", "-XX:+UseSerialGC");
         assertTrue(out.matches("decisions \\d+ sha256 [0-9a-f]{64}"), out);
         assertEquals(
                 out,
-                inAnotherProcess(
+                playInNewProcess(
                         script,
                         "-Xmx1g",
                         "-XX:+UseParallelGC",
                         "-Duser.language=tr",
                         "-Duser.country=TR",
                         "-Duser.timezone=Asia/Kathmandu"));
-        assertEquals(out, inAnotherProcess(script, "-Xint"));
-        Played here = VirtualPlay.play(ScriptReader.read(script), VirtualPlay.Options.plain());
-        assertEquals(out, "decisions " + here.decisions() + " sha256 " + here.hash());
-        assertEquals(List.of(), here.verdict().violations());
+        assertEquals(out, playInNewProcess(script, "-Xint"));
+        DayResult result = VirtualPlay.play(ScriptReader.read(script), VirtualPlay.Options.defaults());
+        assertEquals(out, "decisions " + result.decisionCount() + " sha256 " + result.decisionHash());
+        assertEquals(List.of(), result.verdict().violations());
     }
 
     @Test
-    void anotherSeedIsAnotherDay() {
+    void anotherSeedChangesDecisions() {
         Script s = Days.small(3, "");
         assertNotEquals(
-                VirtualPlay.play(s, VirtualPlay.Options.plain()).hash(),
-                VirtualPlay.play(s.with(2), VirtualPlay.Options.plain()).hash());
+                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash(),
+                VirtualPlay.play(s.with(2), VirtualPlay.Options.defaults()).decisionHash());
     }
 
     /** The module with one constant changed, compiled and put ahead on the class path of another process. */
     @Test
-    void oneConstantOfThePolicyIsAnotherDay() throws Exception {
+    void changedPolicyConstantChangesDecisions() throws Exception {
         Path source = Files.createDirectories(folder.resolve("src")).resolve("Rotation.java");
         String policy = Files.readString(Path.of("src/main/java/gullspar/decide/Rotation.java"));
         assertTrue(policy.contains("MAX_WORK_SHARE = 0.25;"));
@@ -149,8 +150,8 @@
         Files.writeString(script, Days.text(6, Days.fault("heavy", 1, "for = 4\nclass = \"look\"\nshare = 0.2")));
         Path a = folder.resolve("as-it-is.log");
         Path b = folder.resolve("changed.log");
-        String before = inAnotherProcess(script, List.of(), a);
-        String after = inAnotherProcess(
+        String before = playInNewProcess(script, List.of(), a);
+        String after = playInNewProcess(
                 script, List.of("-cp", classes + File.pathSeparator + System.getProperty("java.class.path")), b);
         assertNotEquals(before, after);
         List<String> diff = LogDiff.of(a, b);
@@ -158,31 +159,31 @@
         assertTrue(diff.stream().anyMatch(l -> l.startsWith("A: what p")), diff.toString());
     }
 
-    private String logged(Path to, UnaryOperator<Balancer.Factory> module) throws Exception {
+    private String playLogged(Path to, UnaryOperator<Balancer.Factory> module) throws Exception {
         try (Writer w = Files.newBufferedWriter(to)) {
             return VirtualPlay.play(
                             Days.small(4, ""),
-                            new VirtualPlay.Options(w, module, UnaryOperator.identity(), Progress.NONE))
-                    .hash();
+                            new VirtualPlay.Options(w, module, UnaryOperator.identity(), ProgressListener.NONE))
+                    .decisionHash();
         }
     }
 
     /** As after a change of one constant in the module: here the time that it leaves an attempt. */
     @Test
-    void oneConstantOfTheModuleIsAnotherDayAndDiffFindsWhereTheyPart() throws Exception {
+    void diffFindsFirstDifferentDecision() throws Exception {
         Path a = folder.resolve("a.log");
         Path b = folder.resolve("b.log");
         int[] sends = {0};
-        String before = logged(a, UnaryOperator.identity());
-        String after = logged(
+        String before = playLogged(a, UnaryOperator.identity());
+        String after = playLogged(
                 b,
                 real -> (settings, seed, now, out) ->
-                        real.create(settings, seed, now, Planted.instead(out, "send", args -> {
-                            boolean other = ++sends[0] > 200;
-                            if (other) {
+                        real.create(settings, seed, now, PlantedFaults.intercept(out, "send", args -> {
+                            boolean changed = ++sends[0] > 200;
+                            if (changed) {
                                 out.send((Integer) args[0], (Integer) args[1], (Long) args[2] + 1);
                             }
-                            return other;
+                            return changed;
                         })));
         assertNotEquals(before, after);
         List<String> diff = LogDiff.of(a, b);
@@ -201,18 +202,19 @@
 
     /** The call of the proxy that starts again still waits for its turn when discovery goes down. */
     @Test
-    void aCallThatWaitsForItsTurnEndsWithDiscovery() throws Exception {
+    void queuedDiscoveryCallFailsWhenDiscoveryGoesDown() throws Exception {
         Script s = Days.small(
                 5,
                 "answer_ms = 1500\n"
                         + Days.fault("kill", 0.5, "proxies = [\"p1\"]\ndown_s = 0.1")
                         + Days.fault("discovery-down", 1, "for = 4"));
         StringWriter log = new StringWriter();
-        VirtualPlay.play(s, VirtualPlay.Options.logged(log, Progress.NONE));
-        long back = 8_000_000_000L; // the day begins after 3 s of starting; discovery is back 5 s later
+        VirtualPlay.play(s, VirtualPlay.Options.withDecisionLog(log, ProgressListener.NONE));
+        long discoveryBackNs = 8_000_000_000L; // the day begins after 3 s of starting; discovery is back 5 s later
         List<String> lists = log.toString()
                 .lines()
-                .filter(l -> l.contains(" p1.2 list ") && Long.parseLong(l.substring(0, l.indexOf(' '))) < back)
+                .filter(l ->
+                        l.contains(" p1.2 list ") && Long.parseLong(l.substring(0, l.indexOf(' '))) < discoveryBackNs)
                 .toList();
         assertEquals(1, lists.size(), lists.toString());
         assertTrue(lists.get(0).contains(" list cached "), lists.get(0));
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -50,7 +50,7 @@
 @Timeout(120)
 class FleetDayTest {
     /** Numbers between two datagrams, for those that a test makes up. */
-    private static final long ROOM = 1000;
+    private static final long NUMBER_SPACING = 1000;
 
     private static final String PEERS =
             """
@@ -71,55 +71,58 @@
     }
 
     private static final Script KILLED = day(24, Days.fault("kill", 1, "proxies = [\"p2\", \"p4\"]\ndown_s = 1"));
-    private static final Script PARTED = day(40, Days.fault("partition", 1, "for = 10\nproxies = [\"p1\", \"p2\"]"));
-    private static final Script STOPPED = day(26, Days.fault("pause", 1, "for = 5\nproxies = [\"p3\"]"));
+    private static final Script PARTITIONED =
+            day(40, Days.fault("partition", 1, "for = 10\nproxies = [\"p1\", \"p2\"]"));
+    private static final Script PAUSED = day(26, Days.fault("pause", 1, "for = 5\nproxies = [\"p3\"]"));
     /** As good as no fault; p3 counts as struck by it, since others may well accuse it while it is slow. */
     private static final Script QUIET = day(30, Days.fault("pause", 0.1, "for = 0.001\nproxies = [\"p3\"]"));
     /** p5 is heard and hears nobody. */
-    private static final Script DEAF = day(20, Days.fault("cut-link", 1, "for = 18\nfrom = \"proxies\"\nto = \"p5\""));
+    private static final Script ONE_WAY_CUT =
+            day(20, Days.fault("cut-link", 1, "for = 18\nfrom = \"proxies\"\nto = \"p5\""));
 
     private static final Script TWINS = day(24, Days.fault("twin", 1, "for = 22\nproxies = [\"p2\"]"));
-    private static final Script MAD =
+    private static final Script FALSE_MEMBERS =
             day(15, Days.fault("mad-member", 1, "for = 13\nproxies = [\"p2\"]\nfor_each = 60"));
 
-    private static List<RuleViolation> broken(Script s, VirtualPlay.Options options) {
-        return VirtualPlay.play(s, options).verdict().violations().stream()
+    private static List<RuleViolation> fleetViolations(Script script, VirtualPlay.Options options) {
+        return VirtualPlay.play(script, options).verdict().violations().stream()
                 .filter(b -> b.rule().name().startsWith("FLEET"))
                 .toList();
     }
 
-    private static void caught(Rule rule, Script s, VirtualPlay.Options options) {
-        List<RuleViolation> broken = broken(s, options);
-        assertTrue(broken.stream().anyMatch(b -> b.rule() == rule), () -> rule + " was not caught, but " + broken);
+    private static void assertDetected(Rule rule, Script s, VirtualPlay.Options options) {
+        List<RuleViolation> violations = fleetViolations(s, options);
+        assertTrue(
+                violations.stream().anyMatch(b -> b.rule() == rule), () -> rule + " was not caught, but " + violations);
     }
 
     @Test
-    void unplantedTheSameDaysKeepAllRules() {
-        for (Script s : List.of(QUIET, KILLED, PARTED, STOPPED, DEAF)) {
+    void daysWithoutPlantedFaultsKeepAllRules() {
+        for (Script s : List.of(QUIET, KILLED, PARTITIONED, PAUSED, ONE_WAY_CUT)) {
             assertEquals(
                     List.of(),
-                    broken(s, VirtualPlay.Options.plain()),
+                    fleetViolations(s, VirtualPlay.Options.defaults()),
                     s.faults().toString());
         }
     }
 
     /** Where somebody is found changes, or the key, or there is somebody who should not be. */
     @ParameterizedTest
-    @MethodSource("strange")
-    void whateverTheOthersAreToldTheViewHolds(Script s) {
-        Played p = VirtualPlay.play(s, VirtualPlay.Options.plain());
+    @MethodSource("identityFaultDays")
+    void viewsStayCorrectAcrossAddressKeyAndIdentityFaults(Script s) {
+        DayResult p = VirtualPlay.play(s, VirtualPlay.Options.defaults());
         assertEquals(
                 List.of(),
                 p.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET"))
                         .toList());
-        assertTrue(p.log().stream().noneMatch(l -> l.contains("uncaught")), "nothing throws");
+        assertTrue(p.proxyLog().stream().noneMatch(l -> l.contains("uncaught")), "nothing throws");
     }
 
-    static List<Script> strange() {
+    static List<Script> identityFaultDays() {
         return List.of(
                 TWINS,
-                MAD,
+                FALSE_MEMBERS,
                 day(
                         24,
                         Days.fault("move", 1, "proxies = [\"p1\", \"p2\", \"p3\"]")
@@ -133,35 +136,37 @@
     }
 
     @Test
-    void theShippedDayKeepsAllRulesAndReadsBack() throws Exception {
+    void shippedDayKeepsAllRulesAndRoundTrips() throws Exception {
         Script s = ScriptReader.read(Path.of("examples/rehearsals/peers.toml"));
-        Played p = VirtualPlay.play(s, VirtualPlay.Options.plain());
+        DayResult p = VirtualPlay.play(s, VirtualPlay.Options.defaults());
         assertEquals(List.of(), p.verdict().violations());
         assertTrue(
                 p.eventLog().fleetSnapshots().size() > 500,
                 "looked " + p.eventLog().fleetSnapshots().size());
-        assertTrue(p.log().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")), "who is cut off says so");
+        assertTrue(p.proxyLog().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")), "who is cut off says so");
         assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "again"));
-        assertEquals(p.hash(), VirtualPlay.play(s, VirtualPlay.Options.plain()).hash());
+        assertEquals(
+                p.decisionHash(),
+                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash());
     }
 
     // ---- planted ----
 
-    private static VirtualPlay.Options datagrams(Supplier<Filter> filters) {
+    private static VirtualPlay.Options filteredDatagrams(Supplier<DatagramFilter> filters) {
         return new VirtualPlay.Options(
                 null,
                 UnaryOperator.identity(),
-                p -> new Platform(p.loop(), p.clock(), new Filtered(p.transport(), filters), p.log()),
-                Progress.NONE);
+                p -> new Platform(p.loop(), p.clock(), new FilteringTransport(p.transport(), filters), p.log()),
+                ProgressListener.NONE);
     }
 
     /** p3 has so little of a processor that it reads each datagram late. */
-    private static VirtualPlay.Options starved(UnaryOperator<Settings> settings) {
-        VirtualPlay.Options o = datagrams(() -> new Filter() {
+    private static VirtualPlay.Options slowReader(UnaryOperator<Settings> settings) {
+        VirtualPlay.Options o = filteredDatagrams(() -> new DatagramFilter() {
             private boolean p3;
 
             @Override
-            Message out(Message m) {
+            Message onSend(Message m) {
                 p3 = m.header().from().name().equals("p3");
                 return m;
             }
@@ -176,17 +181,21 @@
             }
         });
         return new VirtualPlay.Options(
-                null, o.module(), o.platform(), Progress.NONE, new VirtualPlay.Peering(String::hashCode, settings));
+                null,
+                o.moduleWrapper(),
+                o.platformWrapper(),
+                ProgressListener.NONE,
+                new VirtualPlay.MembershipOptions(String::hashCode, settings));
     }
 
     /** Whoever is accused does not hear of it, so it does not object. */
     @Test
-    void withoutObjectionsWhoLivesStaysGone() {
-        caught(Rule.FLEET_TRUE, STOPPED, datagrams(() -> new Filter() {
+    void withoutRefutationsLiveMembersStayGone() {
+        assertDetected(Rule.FLEET_TRUE, PAUSED, filteredDatagrams(() -> new DatagramFilter() {
             private String self;
 
             @Override
-            Message in(Message m) {
+            Message onReceive(Message m) {
                 return TamperedMessages.withRumors(
                         m,
                         m.rumors().stream()
@@ -195,7 +204,7 @@
             }
 
             @Override
-            Message out(Message m) {
+            Message onSend(Message m) {
                 self = m.header().from().name();
                 return m;
             }
@@ -204,24 +213,25 @@
 
     /** What tells one life of a process from the next is kept in memory only, and begins anew. */
     @Test
-    void withTheSameLifeAfterARestartWhoIsBackStaysGone() {
-        caught(
+    void withSameLifeAfterRestartMembersStayGone() {
+        assertDetected(
                 Rule.FLEET_TRUE,
                 KILLED,
                 new VirtualPlay.Options(
                         null,
                         UnaryOperator.identity(),
                         UnaryOperator.identity(),
-                        Progress.NONE,
-                        new VirtualPlay.Peering(who -> who.split("\\.")[0].hashCode(), UnaryOperator.identity())));
+                        ProgressListener.NONE,
+                        new VirtualPlay.MembershipOptions(
+                                who -> who.split("\\.")[0].hashCode(), UnaryOperator.identity())));
     }
 
     /** Nobody knocks at those that are gone, nor at seeds. */
     @Test
-    void withoutKnocksTwoPartsStayApart() {
-        caught(Rule.FLEET_AGREES, PARTED, datagrams(() -> new Filter() {
+    void withoutReconnectProbesPartitionsStayApart() {
+        assertDetected(Rule.FLEET_AGREES, PARTITIONED, filteredDatagrams(() -> new DatagramFilter() {
             @Override
-            Message out(Message m) {
+            Message onSend(Message m) {
                 boolean knock = m instanceof Message.Ping p
                         && (p.targetLife() == 0
                                 || m.rumors().stream()
@@ -234,14 +244,15 @@
 
     /** Who has no processor trusts his own hearing all the same. */
     @Test
-    void withoutOwnHealthWhoIsStarvedBlamesOthers() {
+    void withoutLocalHealthSlowMembersAccuseOthers() {
         assertTrue(
-                broken(QUIET, starved(UnaryOperator.identity())).stream().noneMatch(b -> b.rule() == Rule.FLEET_TRUE),
+                fleetViolations(QUIET, slowReader(UnaryOperator.identity())).stream()
+                        .noneMatch(b -> b.rule() == Rule.FLEET_TRUE),
                 "with it, it blames nobody");
-        caught(
+        assertDetected(
                 Rule.FLEET_TRUE,
                 QUIET,
-                starved(s -> new Settings(
+                slowReader(s -> new Settings(
                         s.intervalNs(),
                         s.timeoutNs(),
                         s.indirectProbes(),
@@ -262,30 +273,31 @@
 
     /** Whoever is heard is taken for one that answers. */
     @Test
-    void withOneWayLinksCountedAsHealthyWhoHearsNobodyIsNotNoticed() {
-        caught(Rule.FLEET_TRUE, DEAF, datagrams(() -> new Filter() {
+    void withReceivedDatagramsCountedAsAcksOneWayCutIsDetected() {
+        assertDetected(Rule.FLEET_TRUE, ONE_WAY_CUT, filteredDatagrams(() -> new DatagramFilter() {
             /** The last datagram of each life; made-up ones take the numbers up to the next. */
-            private final Map<Long, Message.Header> heard = new HashMap<>();
+            private final Map<Long, Message.Header> lastHeaders = new HashMap<>();
 
             @Override
-            Message in(Message m) {
-                heard.put(m.header().from().life(), m.header());
+            Message onReceive(Message m) {
+                lastHeaders.put(m.header().from().life(), m.header());
                 return m;
             }
 
             @Override
-            Message out(Message m) {
-                return TamperedMessages.withNumber(m, ROOM * m.header().number());
+            Message onSend(Message m) {
+                return TamperedMessages.withNumber(
+                        m, NUMBER_SPACING * m.header().number());
             }
 
             @Override
-            Message answerTo(Message m) {
-                Message.Header h = m instanceof Message.Ping p ? heard.get(p.targetLife()) : null;
+            Message forgedReply(Message m) {
+                Message.Header h = m instanceof Message.Ping p ? lastHeaders.get(p.targetLife()) : null;
                 if (h == null) {
                     return null;
                 }
                 Message.Header next = new Message.Header(h.from(), h.incarnation(), h.address(), h.number() + 1);
-                heard.put(h.from().life(), next);
+                lastHeaders.put(h.from().life(), next);
                 return new Message.Ack(next, ((Message.Ping) m).nonce(), h.from(), h.incarnation(), List.of());
             }
         }));
@@ -293,10 +305,10 @@
 
     /** Whoever has found its namesake keeps it to itself. */
     @Test
-    void twinsOfWhomNobodyIsToldAreNamed() {
-        caught(Rule.FLEET_TWINS, TWINS, datagrams(() -> new Filter() {
+    void unannouncedTwinsAreDetected() {
+        assertDetected(Rule.FLEET_TWINS, TWINS, filteredDatagrams(() -> new DatagramFilter() {
             @Override
-            Message out(Message m) {
+            Message onSend(Message m) {
                 return TamperedMessages.withRumors(
                         m,
                         m.rumors().stream()
@@ -333,22 +345,22 @@
 
     /** Whoever is only spoken of is taken for one that has proved that it lives. */
     @Test
-    void membersThatNeverWereAreNamed() {
-        caught(Rule.FLEET_TRUE, MAD, datagrams(() -> new Filter() {
-            private final Map<Long, Rumor> addUnconfirmed = new HashMap<>();
+    void nonexistentMembersAreDetected() {
+        assertDetected(Rule.FLEET_TRUE, FALSE_MEMBERS, filteredDatagrams(() -> new DatagramFilter() {
+            private final Map<Long, Rumor> ghosts = new HashMap<>();
             private long made;
 
             @Override
-            Message in(Message m) {
+            Message onReceive(Message m) {
                 m.rumors().stream()
                         .filter(r -> r.id().name().startsWith("ghost"))
-                        .forEach(r -> addUnconfirmed.put(r.id().life(), r));
+                        .forEach(r -> ghosts.put(r.id().life(), r));
                 return m;
             }
 
             @Override
-            Message answerTo(Message m) {
-                Rumor r = m instanceof Message.Ping p ? addUnconfirmed.get(p.targetLife()) : null;
+            Message forgedReply(Message m) {
+                Rumor r = m instanceof Message.Ping p ? ghosts.get(p.targetLife()) : null;
                 return r == null
                         ? null
                         : new Message.Ack(
@@ -363,28 +375,31 @@
 
     /** More is sent than the budget allows. */
     @Test
-    void whoTalksTooMuchIsNamed() {
-        caught(Rule.FLEET_CHEAP, Days.parse(Days.text(24, PEERS.replace("60000", "300"))), VirtualPlay.Options.plain());
+    void exceededBandwidthBudgetIsDetected() {
+        assertDetected(
+                Rule.FLEET_CHEAP,
+                Days.parse(Days.text(24, PEERS.replace("60000", "300"))),
+                VirtualPlay.Options.defaults());
     }
 
     /** Changes what goes through a proxy's socket. */
-    abstract static class Filter extends ChannelDuplexHandler {
+    abstract static class DatagramFilter extends ChannelDuplexHandler {
         private final Envelope envelope = new Envelope(List.of(new byte[Envelope.MIN_KEY_BYTES]));
 
-        Message in(Message m) {
+        Message onReceive(Message m) {
             return m;
         }
 
-        Message out(Message m) {
+        Message onSend(Message m) {
             return m;
         }
 
         /** What seems to have come in answer to what went out; null for nothing. */
-        Message answerTo(Message m) {
+        Message forgedReply(Message m) {
             return null;
         }
 
-        private Message read(DatagramPacket p) {
+        private Message decode(DatagramPacket p) {
             byte[] d = ByteBufUtil.getBytes(p.content());
             try {
                 return Codec.decode(d, Envelope.messageOffset(), d.length - Envelope.messageOffset());
@@ -393,7 +408,7 @@
             }
         }
 
-        private DatagramPacket written(Message m, DatagramPacket like) {
+        private DatagramPacket encode(Message m, DatagramPacket like) {
             return new DatagramPacket(
                     Unpooled.wrappedBuffer(envelope.seal(Codec.encode(m))), like.recipient(), like.sender());
         }
@@ -401,44 +416,44 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             DatagramPacket p = (DatagramPacket) message;
-            Message m = read(p);
-            ctx.fireChannelRead(written(in(m), p));
+            Message m = decode(p);
+            ctx.fireChannelRead(encode(onReceive(m), p));
         }
 
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             DatagramPacket p = (DatagramPacket) message;
-            Message m = out(read(p));
+            Message m = onSend(decode(p));
             if (m == null) {
                 promise.setSuccess();
             } else {
-                ctx.write(written(m, p), promise);
-                Message answer = answerTo(m);
+                ctx.write(encode(m, p), promise);
+                Message answer = forgedReply(m);
                 if (answer != null) {
-                    ctx.executor().schedule(() -> ctx.fireChannelRead(written(answer, p)), 2, TimeUnit.MILLISECONDS);
+                    ctx.executor().schedule(() -> ctx.fireChannelRead(encode(answer, p)), 2, TimeUnit.MILLISECONDS);
                 }
             }
         }
     }
 
-    private record Filtered(Transport real, Supplier<Filter> filters) implements Transport {
+    private record FilteringTransport(Transport delegate, Supplier<DatagramFilter> filters) implements Transport {
         @Override
         public Bootstrap clientBootstrap(InetSocketAddress address) {
-            return real.clientBootstrap(address);
+            return delegate.clientBootstrap(address);
         }
 
         @Override
         public ServerBootstrap serverBootstrap(InetSocketAddress address) {
-            return real.serverBootstrap(address);
+            return delegate.serverBootstrap(address);
         }
 
         @Override
         public Bootstrap datagramBootstrap(InetSocketAddress address) {
-            Bootstrap bare = real.datagramBootstrap(address);
+            Bootstrap bootstrap = delegate.datagramBootstrap(address);
             return new Bootstrap() {
                 @Override
                 public Bootstrap handler(ChannelHandler handler) {
-                    return bare.handler(new ChannelInitializer<Channel>() {
+                    return bootstrap.handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
                             c.pipeline().addLast(filters.get(), handler);
@@ -448,7 +463,7 @@
 
                 @Override
                 public <T> Bootstrap option(ChannelOption<T> option, T value) {
-                    bare.option(option, value);
+                    bootstrap.option(option, value);
                     return this;
                 }
             };
--- a/src/test/java/gullspar/rehearse/play/JudgeSaysNoTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
@@ -43,15 +43,15 @@
 
 /** Faults planted in the daemon and in the module: the judge names the rule that each breaks. */
 @Timeout(120)
-class JudgeSaysNoTest {
-    private static final Script QUIET = Days.small(6, "");
+class JudgeDetectionTest {
+    private static final Script NO_FAULTS = Days.small(6, "");
     /** Nodes that crash and spoil answers: attempts that may have run come back with no answer. */
-    private static final Script HARMED = Days.small(
+    private static final Script FAILING_NODES = Days.small(
             6, Days.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.2") + Days.fault("crash", 2, "nodes = 2"));
 
-    private static final Script LEAVING = Days.small(8, Days.fault("drain", 2, "nodes = 2\ngrace_s = 4"));
+    private static final Script DRAINING_NODES = Days.small(8, Days.fault("drain", 2, "nodes = 2\ngrace_s = 4"));
     /** What has just started can do a fiftieth. */
-    private static final Script COLD = Days.small(
+    private static final Script COLD_NODES = Days.small(
             8,
             230,
             "[rules]\nstart_capacity = 0.02\ncold_s = 20\n"
@@ -62,51 +62,58 @@
     }
 
     /** Every rule that is broken is the one that was planted, and it is. */
-    private static void caught(Rule rule, String words, Script s, VirtualPlay.Options options) {
-        List<RuleViolation> broken = play(s, options).violations();
-        assertFalse(broken.isEmpty(), "nothing was caught");
+    private static void assertDetected(Rule rule, String text, Script s, VirtualPlay.Options options) {
+        List<RuleViolation> violations = play(s, options).violations();
+        assertFalse(violations.isEmpty(), "nothing was caught");
         assertTrue(
-                broken.stream()
-                        .anyMatch(b -> b.rule() == rule && b.description().contains(words)),
-                broken.get(0).description());
+                violations.stream()
+                        .anyMatch(b -> b.rule() == rule && b.description().contains(text)),
+                violations.get(0).description());
     }
 
     @Test
-    void unplantedTheSameDaysKeepAllRules() {
-        for (Script s : List.of(QUIET, HARMED, LEAVING, UNHEARD, COLD, IMPATIENT, PAUSED)) {
-            assertEquals(List.of(), play(s, VirtualPlay.Options.plain()).violations());
+    void daysWithoutPlantedFaultsKeepAllRules() {
+        for (Script s : List.of(
+                NO_FAULTS,
+                FAILING_NODES,
+                DRAINING_NODES,
+                DRAINS_DURING_OUTAGE,
+                COLD_NODES,
+                LEAVING_CLIENTS,
+                PAUSED_PROXY)) {
+            assertEquals(List.of(), play(s, VirtualPlay.Options.defaults()).violations());
         }
     }
 
     // ---- a proxy that stands still ----
 
-    private static final Script PAUSED = Days.small(6, Days.fault("pause", 2, "for = 0.5\nproxies = 1"));
+    private static final Script PAUSED_PROXY = Days.small(6, Days.fault("pause", 2, "for = 0.5\nproxies = 1"));
 
     /** The proxy does not know for how long what it reads has waited. */
     @Test
-    void anAttemptIsGivenTimeThatItsClientDoesNotHave() {
-        caught(
+    void attemptGivenMoreTimeThanItsClientHas() {
+        assertDetected(
                 Rule.TIME_TOLD,
                 "when its client had",
-                PAUSED,
+                PAUSED_PROXY,
                 new VirtualPlay.Options(
                         null,
                         UnaryOperator.identity(),
                         p -> new Platform(p.loop(), p.clock(), p.transport(), p.log()),
-                        Progress.NONE));
+                        ProgressListener.NONE));
     }
 
     // ---- clients that leave ----
 
-    private static final Script IMPATIENT =
+    private static final Script LEAVING_CLIENTS =
             Days.small(6, Days.fault("leaving", 0.5, "for = 5\nclass = \"pay\"\nshare = 0.5\nwithin_ms = 20"));
 
     /**
      * The proxy hears of the end of a client only long after, and some of what it sends on it sends late: not
      * by more than the clients leave early and the rule allows.
      */
-    private static VirtualPlay.Options deaf(Predicate<String> late) {
-        return Planted.sockets(
+    private static VirtualPlay.Options delayedSockets(Predicate<String> isDelayed) {
+        return PlantedFaults.sockets(
                 () -> new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelInactive(ChannelHandlerContext ctx) {
@@ -120,29 +127,33 @@
                         ctx.executor()
                                 .schedule(
                                         () -> ctx.writeAndFlush(message, promise),
-                                        late.test(text) ? 150 : 0,
+                                        isDelayed.test(text) ? 150 : 0,
                                         TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
     @Test
-    void aRequestWhoseClientHasLeftIsSentOn() {
-        caught(Rule.LEFT_ALONE, "after its client had left", IMPATIENT, deaf(t -> t.startsWith("POST /pay")));
+    void firstAttemptAfterClientLeft() {
+        assertDetected(
+                Rule.LEFT_ALONE,
+                "after its client had left",
+                LEAVING_CLIENTS,
+                delayedSockets(t -> t.startsWith("POST /pay")));
     }
 
     /** Only what goes out a second time is late. */
     @Test
-    void aRequestWhoseClientHasLeftIsSentAgain() {
+    void retryAfterClientLeft() {
         Set<String> ids = new HashSet<>();
-        caught(
+        assertDetected(
                 Rule.LEFT_ALONE,
                 "after its client had left",
                 Days.small(
                         6,
                         Days.fault("leaving", 0.5, "for = 5\nclass = \"look\"\nshare = 0.5\nwithin_ms = 20")
                                 + Days.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.5")),
-                deaf(t -> t.startsWith("GET /look")
+                delayedSockets(t -> t.startsWith("GET /look")
                         && !ids.add(t.lines()
                                 .filter(l -> l.startsWith("Request-Id"))
                                 .findFirst()
@@ -152,82 +163,90 @@
     // ---- one final answer ----
 
     /** Does something else with every so many answers that a proxy writes to its clients. */
-    private static VirtualPlay.Options answers(int every, Answers what) {
+    private static VirtualPlay.Options tamperedResponses(int every, ResponseTampering tampering) {
         int[] count = {0};
-        return Planted.sockets(
+        return PlantedFaults.sockets(
                 () -> new ChannelOutboundHandlerAdapter() {
-                    private final ByteBuf whole = Unpooled.buffer();
+                    private final ByteBuf buffered = Unpooled.buffer();
 
                     @Override
                     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
                         ByteBuf b = (ByteBuf) message; // a head and a body are written apart
-                        whole.writeBytes(b);
+                        buffered.writeBytes(b);
                         b.release();
                         promise.setSuccess();
                     }
 
                     @Override
                     public void flush(ChannelHandlerContext ctx) {
-                        if (!whole.isReadable()) {
+                        if (!buffered.isReadable()) {
                             return;
                         }
-                        String text = whole.toString(StandardCharsets.US_ASCII);
-                        whole.clear();
+                        String text = buffered.toString(StandardCharsets.US_ASCII);
+                        buffered.clear();
                         if (text.startsWith("HTTP/1.1 200") && !text.contains("ready") && ++count[0] % every == 0) {
-                            what.write(ctx, text);
+                            tampering.write(ctx, text);
                         } else {
-                            say(ctx, text);
+                            writeText(ctx, text);
                         }
                     }
                 },
                 null);
     }
 
-    private static void say(ChannelHandlerContext ctx, String text) {
+    private static void writeText(ChannelHandlerContext ctx, String text) {
         ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
-    private interface Answers {
-        void write(ChannelHandlerContext ctx, String answer);
+    private interface ResponseTampering {
+        void write(ChannelHandlerContext ctx, String response);
     }
 
     @Test
-    void anAnswerThatIsNeverWritten() {
-        caught(Rule.ONE_ANSWER, "no final answer when its time was up", QUIET, answers(50, (ctx, text) -> {}));
+    void responseNeverWritten() {
+        assertDetected(
+                Rule.ONE_ANSWER,
+                "no final answer when its time was up",
+                NO_FAULTS,
+                tamperedResponses(50, (ctx, text) -> {}));
     }
 
     @Test
-    void anAnswerThatIsWrittenTwice() {
-        caught(Rule.ONE_ANSWER, "unsolicited second response", QUIET, answers(50, (ctx, text) -> {
-            say(ctx, text);
-            ctx.executor().schedule(() -> say(ctx, text), 1, TimeUnit.MILLISECONDS);
+    void responseWrittenTwice() {
+        assertDetected(Rule.ONE_ANSWER, "unsolicited second response", NO_FAULTS, tamperedResponses(50, (ctx, text) -> {
+            writeText(ctx, text);
+            ctx.executor().schedule(() -> writeText(ctx, text), 1, TimeUnit.MILLISECONDS);
         }));
     }
 
     @Test
-    void anAnswerThatIsAnotherRequests() {
-        caught(
+    void responseOfAnotherRequest() {
+        assertDetected(
                 Rule.ONE_ANSWER,
                 "response body was not made by a node for this request",
-                QUIET,
-                answers(50, (ctx, text) -> say(ctx, text.replaceFirst("\r\n\r\nr", "\r\n\r\nx"))));
+                NO_FAULTS,
+                tamperedResponses(50, (ctx, text) -> writeText(ctx, text.replaceFirst("\r\n\r\nr", "\r\n\r\nx"))));
     }
 
     @Test
-    void aConnectionThatIsClosedInsteadOfAnAnswer() {
-        caught(Rule.ONE_ANSWER, "closed with no final answer", QUIET, answers(50, (ctx, text) -> ctx.close()));
+    void connectionClosedWithoutResponse() {
+        assertDetected(
+                Rule.ONE_ANSWER,
+                "closed with no final answer",
+                NO_FAULTS,
+                tamperedResponses(50, (ctx, text) -> ctx.close()));
     }
 
     /** Holds back every so many requests to nodes for longer than their clients wait. */
     @Test
-    void anAttemptThatGoesOutAfterTheAnswer() {
+    void attemptSentAfterFinalResponse() {
         int[] count = {0};
         // The module fails the request at once and the sockets send it all the same.
-        caught(
+        assertDetected(
                 Rule.ONE_ANSWER,
                 "after its final answer",
-                QUIET,
-                Planted.sockets(null, address -> new ChannelDuplexHandler() {
+                NO_FAULTS,
+                PlantedFaults.sockets(null, address -> new ChannelDuplexHandler() {
                     @Override
                     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
                         if (address.getPort() == 9000
@@ -251,27 +270,28 @@
     // ---- nothing twice ----
 
     @Test
-    void aRefusalOfWhatMayHaveRun() {
-        caught(
+    void refusalOfRequestThatMayHaveRun() {
+        assertDetected(
                 Rule.NOTHING_TWICE,
                 "it was refused",
-                HARMED,
-                Planted.module(real -> (settings, seed, now, out) ->
-                        real.create(settings, seed, now, Planted.instead(out, "fail", args -> {
+                FAILING_NODES,
+                PlantedFaults.module(real -> (settings, seed, now, out) ->
+                        real.create(settings, seed, now, PlantedFaults.intercept(out, "fail", args -> {
                             out.refuse((Integer) args[0], 0);
                             return true;
                         }))));
     }
 
     /** Sends again, to another node, what the module gives up: it may have run. */
-    private static final class SendsAgain extends Planted.Module {
+    private static final class ResendingModule extends PlantedFaults.Module {
         private final Settings settings;
         private final Balancer.Actions out;
         private final Map<Integer, Integer> classes = new HashMap<>();
         private final List<Integer> nodes = new ArrayList<>();
         private final Effect effect;
 
-        SendsAgain(Balancer.Factory real, Settings settings, long seed, long now, Balancer.Actions out, Effect effect) {
+        ResendingModule(
+                Balancer.Factory real, Settings settings, long seed, long now, Balancer.Actions out, Effect effect) {
             super(real.create(settings, seed, now, out));
             this.settings = settings;
             this.out = out;
@@ -304,26 +324,27 @@
         }
     }
 
-    private static VirtualPlay.Options sendsAgain(Effect effect) {
-        return Planted.module(
-                real -> (settings, seed, now, out) -> new SendsAgain(real, settings, seed, now, out, effect));
+    private static VirtualPlay.Options resendingModule(Effect effect) {
+        return PlantedFaults.module(
+                real -> (settings, seed, now, out) -> new ResendingModule(real, settings, seed, now, out, effect));
     }
 
     @Test
-    void anUnsafeRequestThatIsSentAgain() {
-        caught(Rule.NOTHING_TWICE, "may have run", HARMED, sendsAgain(Effect.AT_MOST_ONCE));
+    void unsafeRequestSentAgain() {
+        assertDetected(Rule.NOTHING_TWICE, "may have run", FAILING_NODES, resendingModule(Effect.AT_MOST_ONCE));
     }
 
     @Test
-    void aKeyedRequestThatIsSentWhereRepeatsAreNotDropped() {
-        caught(Rule.NOTHING_TWICE, "does not drop a repeat", HARMED, sendsAgain(Effect.DEDUPLICATED));
+    void keyedRequestSentAgainOutsideItsDeduplicationScope() {
+        assertDetected(
+                Rule.NOTHING_TWICE, "does not drop a repeat", FAILING_NODES, resendingModule(Effect.DEDUPLICATED));
     }
 
     // ---- drains ----
 
     /** News from discovery that are held back, or never reach the proxy. */
-    private static VirtualPlay.Options news(Function<String, String> spoil, long lateMs) {
-        return Planted.sockets(null, address -> new ChannelInboundHandlerAdapter() {
+    private static VirtualPlay.Options tamperedDrainNotices(Function<String, String> tampering, long delayMs) {
+        return PlantedFaults.sockets(null, address -> new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 ByteBuf b = (ByteBuf) message;
@@ -337,46 +358,47 @@
                         .schedule(
                                 () -> {
                                     ctx.fireChannelRead(
-                                            Unpooled.copiedBuffer(spoil.apply(text), StandardCharsets.US_ASCII));
+                                            Unpooled.copiedBuffer(tampering.apply(text), StandardCharsets.US_ASCII));
                                     ctx.fireChannelReadComplete();
                                 },
-                                lateMs,
+                                delayMs,
                                 TimeUnit.MILLISECONDS);
             }
         });
     }
 
     @Test
-    void newsOfADrainThatAreNotHeard() {
-        caught(
+    void drainNoticeNotReceived() {
+        assertDetected(
                 Rule.DRAINS_KEPT,
                 "was told that it leaves",
-                LEAVING,
-                news(text -> text.replace("\"terminating\"", "\"in_service\" "), 0));
+                DRAINING_NODES,
+                tamperedDrainNotices(text -> text.replace("\"terminating\"", "\"in_service\" "), 0));
     }
 
     @Test
-    void newsOfADrainThatAreHeardLate() {
-        caught(Rule.DRAINS_KEPT, "was told that it leaves", LEAVING, news(text -> text, 1500));
+    void drainNoticeReceivedLate() {
+        assertDetected(
+                Rule.DRAINS_KEPT, "was told that it leaves", DRAINING_NODES, tamperedDrainNotices(text -> text, 1500));
     }
 
     /** All watches end, and some drains come while there is none. */
-    private static final Script UNHEARD = Days.small(
+    private static final Script DRAINS_DURING_OUTAGE = Days.small(
             14, Days.fault("discovery-down", 1, "for = 1") + Days.fault("drain", 3, "nodes = 2\ngrace_s = 11"));
 
     /** A proxy whose further calls are never written is told nothing, and has to know all the same. */
     @Test
-    void noWatchWorksAgain() {
-        Set<InetSocketAddress> asked = new HashSet<>();
-        caught(
+    void noWatchReestablishedAfterOutage() {
+        Set<InetSocketAddress> watchedAddresses = new HashSet<>();
+        assertDetected(
                 Rule.LISTS_HEARD,
                 "had to know that it leaves",
-                UNHEARD,
-                Planted.sockets(null, address -> new ChannelOutboundHandlerAdapter() {
+                DRAINS_DURING_OUTAGE,
+                PlantedFaults.sockets(null, address -> new ChannelOutboundHandlerAdapter() {
                     @Override
                     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
                         String text = ((ByteBuf) message).toString(StandardCharsets.US_ASCII);
-                        if (!text.startsWith("GET /catalog/") || asked.add(address)) {
+                        if (!text.startsWith("GET /catalog/") || watchedAddresses.add(address)) {
                             ctx.write(message, promise);
                         }
                     }
@@ -386,22 +408,22 @@
     // ---- cold nodes ----
 
     /** Modules that send so many of all they send to the node that started last, while it is there. */
-    private static VirtualPlay.Options turnsToTheNewest(int modules, int every) {
-        int[] made = {0};
-        return Planted.module(real -> (settings, seed, now, out) -> {
-            if (made[0]++ >= modules) {
+    private static VirtualPlay.Options preferringNewestNode(int modules, int every) {
+        int[] created = {0};
+        return PlantedFaults.module(real -> (settings, seed, now, out) -> {
+            if (created[0]++ >= modules) {
                 return real.create(settings, seed, now, out);
             }
             int[] newest = {0};
             int[] sent = {0};
-            Balancer.Actions redirected = Planted.instead(out, "send", args -> {
-                boolean turns = newest[0] != 0 && ++sent[0] % every == 0;
-                if (turns) {
+            Balancer.Actions redirected = PlantedFaults.intercept(out, "send", args -> {
+                boolean redirect = newest[0] != 0 && ++sent[0] % every == 0;
+                if (redirect) {
                     out.send((Integer) args[0], newest[0], (Long) args[2]);
                 }
-                return turns;
+                return redirect;
             });
-            return new Planted.Module(real.create(settings, seed, now, redirected)) {
+            return new PlantedFaults.Module(real.create(settings, seed, now, redirected)) {
                 @Override
                 public void onServerList(long at, ListKind kind, long version, List<ListedServer> members) {
                     members.stream()
@@ -414,13 +436,13 @@
     }
 
     @Test
-    void everyProxyTurnsToTheNewestNode() {
-        caught(Rule.COLD_SPARED, "fell over", COLD, turnsToTheNewest(2, 4));
+    void allProxiesPreferNewestNode() {
+        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(2, 4));
     }
 
     /** The others keep the rule, and all together break it. */
     @Test
-    void oneProxyTurnsToTheNewestNode() {
-        caught(Rule.COLD_SPARED, "fell over", COLD, turnsToTheNewest(1, 1));
+    void oneProxyPrefersNewestNode() {
+        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(1, 1));
     }
 }
--- a/src/test/java/gullspar/rehearse/play/Planted.java
+++ b/src/test/java/gullspar/rehearse/play/PlantedFaults.java
@@ -21,12 +21,12 @@
 import java.util.function.UnaryOperator;
 
 /** Stands between a proxy and its module, or its sockets, so that a test can plant a fault there. */
-final class Planted {
-    private Planted() {}
+final class PlantedFaults {
+    private PlantedFaults() {}
 
     /** Options with a wrapped module. */
     static VirtualPlay.Options module(UnaryOperator<Balancer.Factory> wrapper) {
-        return new VirtualPlay.Options(null, wrapper, UnaryOperator.identity(), Progress.NONE);
+        return new VirtualPlay.Options(null, wrapper, UnaryOperator.identity(), ProgressListener.NONE);
     }
 
     /** Options with handlers ahead of what the proxy has on its connections; either may be null. */
@@ -38,57 +38,57 @@
                 p -> new Platform(
                         p.loop(),
                         p.clock(),
-                        new Sockets(p.transport(), accepted, connected),
+                        new TransportWithHandlers(p.transport(), accepted, connected),
                         p.log(),
                         p.unreadAge(),
                         p.statistics()),
-                Progress.NONE);
+                ProgressListener.NONE);
     }
 
     /** A module that passes all on; a test overrides what it spoils. */
     abstract static class Module implements Balancer {
-        final Balancer real;
+        final Balancer delegate;
 
-        Module(Balancer real) {
-            this.real = real;
+        Module(Balancer delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
-            real.onServerList(now, kind, version, members);
+            delegate.onServerList(now, kind, version, members);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            real.onRequest(now, request);
+            delegate.onRequest(now, request);
         }
 
         @Override
         public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
-            real.onStreamStarted(now, ticket, attempt, server, elapsedNs);
+            delegate.onStreamStarted(now, ticket, attempt, server, elapsedNs);
         }
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
-            real.onOutcome(now, outcome);
+            delegate.onOutcome(now, outcome);
         }
 
         @Override
         public void onClientDisconnected(long now, int ticket) {
-            real.onClientDisconnected(now, ticket);
+            delegate.onClientDisconnected(now, ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            real.onTimer(now, token);
+            delegate.onTimer(now, token);
         }
     }
 
     /** Actions of which one is another's: what a test gives instead of the method of that name. */
-    static Balancer.Actions instead(Balancer.Actions out, String method, Function<Object[], Boolean> instead) {
+    static Balancer.Actions intercept(Balancer.Actions out, String method, Function<Object[], Boolean> interceptor) {
         return (Balancer.Actions) Proxy.newProxyInstance(
-                Planted.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (self, m, args) -> {
-                    if (m.getName().equals(method) && instead.apply(args)) {
+                PlantedFaults.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (self, m, args) -> {
+                    if (m.getName().equals(method) && interceptor.apply(args)) {
                         return null;
                     }
                     try {
@@ -99,23 +99,25 @@
                 });
     }
 
-    private record Sockets(
-            Transport real, Supplier<ChannelHandler> accepted, Function<InetSocketAddress, ChannelHandler> connected)
+    private record TransportWithHandlers(
+            Transport delegate,
+            Supplier<ChannelHandler> accepted,
+            Function<InetSocketAddress, ChannelHandler> connected)
             implements Transport {
         @Override
         public Bootstrap clientBootstrap(InetSocketAddress address) {
-            Bootstrap bare = real.clientBootstrap(address);
+            Bootstrap bootstrap = delegate.clientBootstrap(address);
             return connected == null
-                    ? bare
+                    ? bootstrap
                     : new Bootstrap() {
                         @Override
                         public Bootstrap handler(ChannelHandler handler) {
-                            return bare.handler(ahead(connected.apply(address), handler));
+                            return bootstrap.handler(inSequence(connected.apply(address), handler));
                         }
 
                         @Override
                         public <T> Bootstrap option(io.netty.channel.ChannelOption<T> option, T value) {
-                            bare.option(option, value);
+                            bootstrap.option(option, value);
                             return this;
                         }
                     };
@@ -123,13 +125,13 @@
 
         @Override
         public ServerBootstrap serverBootstrap(InetSocketAddress address) {
-            ServerBootstrap bare = real.serverBootstrap(address);
+            ServerBootstrap bootstrap = delegate.serverBootstrap(address);
             return accepted == null
-                    ? bare
+                    ? bootstrap
                     : new ServerBootstrap() {
                         @Override
                         public ServerBootstrap childHandler(ChannelHandler handler) {
-                            return bare.childHandler(new ChannelInitializer<Channel>() {
+                            return bootstrap.childHandler(new ChannelInitializer<Channel>() {
                                 @Override
                                 protected void initChannel(Channel c) {
                                     c.pipeline().addLast(accepted.get(), handler);
@@ -139,13 +141,13 @@
                     };
         }
 
-        private static ChannelHandler ahead(ChannelHandler first, ChannelHandler then) {
+        private static ChannelHandler inSequence(ChannelHandler first, ChannelHandler second) {
             return first == null
-                    ? then
+                    ? second
                     : new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
-                            c.pipeline().addLast(first, then);
+                            c.pipeline().addLast(first, second);
                         }
                     };
         }
--- a/src/test/java/gullspar/rehearse/play/SameInstantTest.java
+++ b/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
@@ -40,7 +40,7 @@
  * one seed always in the same, and in each order nobody is answered twice or left without an answer. Every
  * way takes 1 ms; the module does what the test says.
  */
-class SameInstantTest {
+class SimultaneousEventsTest {
     private static final long MS = 1_000_000;
     private static final long START = 1_000_000_000_000L;
     private static final InetSocketAddress PROXY = new InetSocketAddress("127.1.0.1", 9000);
@@ -51,32 +51,32 @@
     private static final int SEEDS = 100;
 
     /** A proxy between a client, a node and discovery, on an agenda of its own. */
-    private static final class Table {
+    private static final class Fixture {
         private final Agenda agenda;
         private final Network network;
-        private final List<String> seen = new ArrayList<>();
-        private final List<Throwable> slips = new ArrayList<>();
-        private final VirtualLoop others;
+        private final List<String> events = new ArrayList<>();
+        private final List<Throwable> errors = new ArrayList<>();
+        private final VirtualLoop endpointLoop;
         private Balancer.Actions actions;
         private int node;
-        private ChannelHandlerContext atNode;
-        private ChannelHandlerContext atDiscovery;
-        private ChannelHandlerContext atClient;
+        private ChannelHandlerContext nodeContext;
+        private ChannelHandlerContext discoveryContext;
+        private ChannelHandlerContext clientContext;
         private long timeoutNs = 500 * MS;
         private long sentAt;
 
-        Table(long seed) throws Exception {
+        Fixture(long seed) throws Exception {
             agenda = new Agenda(seed, START);
             network = new Network(agenda, seed, (a, b) -> MS);
-            others = new VirtualLoop(agenda, slips::add);
-            VirtualLoop loop = new VirtualLoop(agenda, slips::add);
+            endpointLoop = new VirtualLoop(agenda, errors::add);
+            VirtualLoop loop = new VirtualLoop(agenda, errors::add);
             Host proxy = network.host("proxy");
             proxy.setProcess(loop);
             for (String name : List.of("client", "node", "discovery")) {
-                network.host(name).setProcess(others);
+                network.host(name).setProcess(endpointLoop);
             }
-            listen("node", NODE, ctx -> atNode = ctx);
-            listen("discovery", DISCOVERY, ctx -> atDiscovery = ctx);
+            listen("node", NODE, ctx -> nodeContext = ctx);
+            listen("discovery", DISCOVERY, ctx -> discoveryContext = ctx);
             runTo(1); // they listen before anybody asks
             JsonNode known = Json.read(list(1, "in_service").getBytes(StandardCharsets.US_ASCII));
             Config config =
@@ -90,13 +90,15 @@
                     }));
             runTo(10);
             // Until discovery has spoken nobody is sent to.
-            write(atDiscovery, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(1, "in_service")));
+            write(
+                    discoveryContext,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(1, "in_service")));
             network.transport(network.host("client"))
                     .clientBootstrap(PROXY)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
-                            c.pipeline().addLast(new Peer("client", ctx -> atClient = ctx));
+                            c.pipeline().addLast(new Endpoint("client", ctx -> clientContext = ctx));
                         }
                     })
                     .connect();
@@ -113,13 +115,13 @@
                     + "\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1,\"startedAtMs\":0}]}";
         }
 
-        private void listen(String name, InetSocketAddress at, Consumer<ChannelHandlerContext> to) {
+        private void listen(String name, InetSocketAddress at, Consumer<ChannelHandlerContext> onActive) {
             network.transport(network.host(name))
                     .serverBootstrap(at)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel c) {
-                            c.pipeline().addLast(new Peer(name, to));
+                            c.pipeline().addLast(new Endpoint(name, onActive));
                         }
                     })
                     .bind();
@@ -131,12 +133,12 @@
                 agenda.runNext();
             }
             agenda.advanceTo(START + ms * MS);
-            assertEquals(List.of(), slips);
+            assertEquals(List.of(), errors);
         }
 
         /** At a time in ns on the agenda. */
-        void at(long ns, Runnable what) {
-            others.schedule(what, ns - agenda.now(), TimeUnit.NANOSECONDS);
+        void scheduleAt(long ns, Runnable action) {
+            endpointLoop.schedule(action, ns - agenda.now(), TimeUnit.NANOSECONDS);
         }
 
         static void write(ChannelHandlerContext to, String text) {
@@ -144,25 +146,25 @@
         }
 
         /** Notes what it reads, by its first word or two. */
-        private final class Peer extends SimpleChannelInboundHandler<ByteBuf> {
+        private final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
             private final String name;
-            private final Consumer<ChannelHandlerContext> active;
+            private final Consumer<ChannelHandlerContext> onActive;
 
-            Peer(String name, Consumer<ChannelHandlerContext> active) {
+            Endpoint(String name, Consumer<ChannelHandlerContext> onActive) {
                 this.name = name;
-                this.active = active;
+                this.onActive = onActive;
             }
 
             @Override
             public void channelActive(ChannelHandlerContext ctx) {
-                active.accept(ctx);
+                onActive.accept(ctx);
             }
 
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf b) {
                 String text = b.toString(StandardCharsets.US_ASCII);
                 if (text.startsWith("HTTP/1.1 ") || text.startsWith("GET /look")) {
-                    seen.add(name + " reads " + text.substring(0, 12).trim());
+                    events.add(name + " reads " + text.substring(0, 12).trim());
                 }
             }
         }
@@ -175,12 +177,12 @@
             public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
                 node = members.get(0).id();
                 ready = members.get(0).state() == State.READY;
-                seen.add(ready ? "ready" : "drains");
+                events.add(ready ? "ready" : "drains");
             }
 
             @Override
             public void onRequest(long now, Request r) {
-                seen.add("request");
+                events.add("request");
                 if (ready) {
                     sentAt = now;
                     actions.send(r.ticket(), node, timeoutNs);
@@ -194,7 +196,7 @@
 
             @Override
             public void onOutcome(long now, Outcome o) {
-                seen.add(o.status().name());
+                events.add(o.status().name());
                 if (!o.isFinal()) {
                     actions.fail(o.ticket());
                 }
@@ -202,7 +204,7 @@
 
             @Override
             public void onClientDisconnected(long now, int ticket) {
-                seen.add("withdrawn");
+                events.add("withdrawn");
             }
 
             @Override
@@ -210,38 +212,40 @@
         }
     }
 
-    private interface Scene {
-        List<String> play(Table t) throws Exception;
+    private interface Scenario {
+        List<String> run(Fixture fixture) throws Exception;
     }
 
     /** Plays a scene with many seeds, each twice; how often each course of events was met. */
-    private static Map<String, Integer> courses(Scene scene) throws Exception {
-        Map<String, Integer> met = new TreeMap<>();
+    private static Map<String, Integer> countOutcomes(Scenario scenario) throws Exception {
+        Map<String, Integer> counts = new TreeMap<>();
         for (long seed = 0; seed < SEEDS; seed++) {
-            List<String> once = scene.play(new Table(seed));
-            assertEquals(once, scene.play(new Table(seed)), "seed " + seed);
-            met.merge(String.join(", ", once), 1, Integer::sum);
+            List<String> events = scenario.run(new Fixture(seed));
+            assertEquals(events, scenario.run(new Fixture(seed)), "seed " + seed);
+            counts.merge(String.join(", ", events), 1, Integer::sum);
         }
-        return met;
+        return counts;
     }
 
-    private static void bothOften(Map<String, Integer> met, String one, String other) {
-        assertEquals(2, met.size(), met.toString());
-        assertTrue(met.getOrDefault(one, 0) > SEEDS / 4 && met.getOrDefault(other, 0) > SEEDS / 4, met.toString());
+    private static void assertBothOrdersOccur(Map<String, Integer> counts, String one, String other) {
+        assertEquals(2, counts.size(), counts.toString());
+        assertTrue(
+                counts.getOrDefault(one, 0) > SEEDS / 4 && counts.getOrDefault(other, 0) > SEEDS / 4,
+                counts.toString());
     }
 
     /** The node's answer comes at the very ns at which its time is up. */
     @Test
-    void anAnswerAndATimeOut() throws Exception {
-        bothOften(
-                courses(t -> {
+    void responseAndTimeout() throws Exception {
+        assertBothOrdersOccur(
+                countOutcomes(t -> {
                     t.timeoutNs = 50 * MS;
-                    Table.write(t.atClient, GET);
+                    Fixture.write(t.clientContext, GET);
                     t.runTo(40);
-                    t.seen.clear();
-                    t.at(t.sentAt + 49 * MS, () -> Table.write(t.atNode, OK));
+                    t.events.clear();
+                    t.scheduleAt(t.sentAt + 49 * MS, () -> Fixture.write(t.nodeContext, OK));
                     t.runTo(2000);
-                    return t.seen;
+                    return t.events;
                 }),
                 "OK, client reads HTTP/1.1 200",
                 "TIMEOUT, client reads HTTP/1.1 502");
@@ -249,14 +253,16 @@
 
     /** The news that the node drains and a request come at the same ns: once told, nothing goes there. */
     @Test
-    void aDrainNoticeAndARequest() throws Exception {
-        bothOften(
-                courses(t -> {
-                    t.seen.clear();
-                    t.at(START + 30 * MS, () -> Table.write(t.atClient, GET));
-                    t.at(START + 30 * MS, () -> Table.write(t.atDiscovery, Table.chunk(Table.list(2, "terminating"))));
+    void drainNoticeAndRequest() throws Exception {
+        assertBothOrdersOccur(
+                countOutcomes(t -> {
+                    t.events.clear();
+                    t.scheduleAt(START + 30 * MS, () -> Fixture.write(t.clientContext, GET));
+                    t.scheduleAt(
+                            START + 30 * MS,
+                            () -> Fixture.write(t.discoveryContext, Fixture.chunk(Fixture.list(2, "terminating"))));
                     t.runTo(40);
-                    return t.seen;
+                    return t.events;
                 }),
                 "drains, request, client reads HTTP/1.1 503",
                 "request, drains, node reads GET /look/1");
@@ -264,16 +270,16 @@
 
     /** The client goes away at the very ns at which the answer is there for it. */
     @Test
-    void aClientsCloseAndAnAnswer() throws Exception {
-        bothOften(
-                courses(t -> {
-                    Table.write(t.atClient, GET);
+    void clientCloseAndResponse() throws Exception {
+        assertBothOrdersOccur(
+                countOutcomes(t -> {
+                    Fixture.write(t.clientContext, GET);
                     t.runTo(40);
-                    t.seen.clear();
-                    t.at(START + 59 * MS, () -> Table.write(t.atNode, OK));
-                    t.at(START + 59 * MS, () -> t.atClient.close());
+                    t.events.clear();
+                    t.scheduleAt(START + 59 * MS, () -> Fixture.write(t.nodeContext, OK));
+                    t.scheduleAt(START + 59 * MS, () -> t.clientContext.close());
                     t.runTo(2000);
-                    return t.seen;
+                    return t.events;
                 }),
                 "OK",
                 "withdrawn, CANCELLED");
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import gullspar.rehearse.Days;
 import gullspar.rehearse.judge.Rule;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.play.VirtualPlay;
 import java.util.List;
 import org.junit.jupiter.api.BeforeAll;
@@ -16,7 +16,7 @@
 
 /** What a day looks like afterwards. */
 class ReportTest {
-    private static Played day;
+    private static DayResult day;
 
     @BeforeAll
     static void play() {
@@ -26,7 +26,7 @@
                                 4,
                                 Days.fault("hang", 1, "for = 2\nnodes = 3") + Days.fault("drain", 1, "nodes = [\"n1\"]")
                                         + "[expect]\nservice = 1\n")),
-                VirtualPlay.Options.plain());
+                VirtualPlay.Options.defaults());
     }
 
     @Test
@@ -53,14 +53,14 @@
     /** One that dies is missed, then known to be gone; whoever is alone says so; all is well in the end. */
     @Test
     void theViewOfTheFleetIsDrawnAsItWas() {
-        Played p = VirtualPlay.play(
+        DayResult p = VirtualPlay.play(
                 Days.parse(Days.text(
                                 30,
                                 "[peers]\ninterval_ms = 200\nwindow_s = 20\n"
                                         + Days.fault("kill", 2, "proxies = [\"p2\"]\ndown_s = 12")
                                         + Days.fault("partition", 18, "for = 5\nproxies = [\"p3\"]"))
                         .replace("count = 2\nstart_s", "count = 3\nstart_s")),
-                VirtualPlay.Options.plain());
+                VirtualPlay.Options.defaults());
         FleetChart chart = new FleetChart(p.eventLog(), 30);
         assertEquals(List.of("p1", "p2", "p3"), chart.processes());
         assertEquals(FleetChart.Sight.RIGHT, chart.of("p1").get(0).sight());
@@ -94,7 +94,7 @@
     void theResultForMachines() throws Exception {
         JsonNode json = new ObjectMapper().readTree(JsonReport.of(day));
         assertFalse(json.get("kept").asBoolean());
-        assertEquals(day.hash(), json.get("sha256").asText());
+        assertEquals(day.decisionHash(), json.get("sha256").asText());
         assertEquals("expected", json.get("broken").get(0).get("rule").asText());
         assertEquals(Rule.EXPECTED, day.verdict().violations().get(0).rule());
         assertTrue(json.get("service").asDouble() < 1);
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -7,7 +7,7 @@
 import gullspar.decide.Balancer;
 import gullspar.rehearse.Days;
 import gullspar.rehearse.judge.Rule;
-import gullspar.rehearse.play.Progress;
+import gullspar.rehearse.play.ProgressListener;
 import gullspar.rehearse.play.VirtualPlay;
 import gullspar.rehearse.script.Fault;
 import gullspar.rehearse.script.FaultKind;
@@ -47,7 +47,7 @@
                                 return m.invoke(out, args);
                             })),
             UnaryOperator.identity(),
-            Progress.NONE);
+            ProgressListener.NONE);
 
     @TempDir
     Path folder;
@@ -107,24 +107,26 @@
 
     @Test
     void unplantedNothingIsFound() throws Exception {
-        assertEquals(List.of(), run(12, 4, VirtualPlay.Options.plain(), Integer.MAX_VALUE).findings);
+        assertEquals(List.of(), run(12, 4, VirtualPlay.Options.defaults(), Integer.MAX_VALUE).findings);
     }
 
     @Test
     void aSearchThatWasInterruptedGoesOnAndAnotherScriptBeginsAnew() throws Exception {
-        Heard first = run(10, 2, VirtualPlay.Options.plain(), 4);
+        Heard first = run(10, 2, VirtualPlay.Options.defaults(), 4);
         int done = first.days.get();
         assertTrue(done >= 4 && done < 10, done + " days were done");
         // The end came in the midst of a line.
         Path state = folder.resolve("search.state");
         Files.writeString(state, Files.readString(state) + "10");
-        Heard second = run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE);
+        Heard second = run(10, 2, VirtualPlay.Options.defaults(), Integer.MAX_VALUE);
         assertEquals(10 - done, second.days.get());
         assertEquals(
                 0,
-                run(10, 2, VirtualPlay.Options.plain(), Integer.MAX_VALUE).days.get());
+                run(10, 2, VirtualPlay.Options.defaults(), Integer.MAX_VALUE)
+                        .days
+                        .get());
         Heard other = new Heard();
-        new Search(DRAWN_FROM.with(2), 3, folder, VirtualPlay.Options.plain(), other).run(1);
+        new Search(DRAWN_FROM.with(2), 3, folder, VirtualPlay.Options.defaults(), other).run(1);
         assertEquals(3, other.days.get());
     }
 
