--- a/src/main/java/gullspar/rehearse/play/DayResult.java
+++ b/src/main/java/gullspar/rehearse/play/DayResult.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A day that has been played. The hash is that of its decisions, "" if it was played live; the log holds what
- * the proxies said; notes say why the result may not count.
+ * The result of a day that was played. decisionHash is the hash of the decision log, or "" if the day was played
+ * live; proxyLog holds the proxies' log lines; notes give reasons why the result may be invalid.
  */
 public record DayResult(
         Script script,
--- a/src/main/java/gullspar/rehearse/play/FaultScheduler.java
+++ b/src/main/java/gullspar/rehearse/play/FaultScheduler.java
@@ -21,11 +21,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Lets the faults of a script happen at their times. */
+/** Schedules the faults of a script, and records the effects for which the judge must make allowance. */
 final class FaultScheduler {
-    /** What still fails on a way right after it is whole again: a retransmission. */
+    /** Requests may still fail this long after a link is restored, until lost segments are retransmitted. */
     private static final long LINK_RECOVERY_NS = 1_000_000_000L;
-    /** What must not make anybody's view wrong, however long it goes on. */
+    /** Faults during which every view of the fleet must stay correct, however long they last. */
     private static final Set<FaultKind> VIEW_NEUTRAL_FAULTS =
             EnumSet.of(FaultKind.TWIN, FaultKind.FORGED_DATAGRAMS, FaultKind.MAD_MEMBER);
 
@@ -40,7 +40,7 @@
     private final List<String> proxies;
     private final Platform platform;
     private final Set<String> twins = new HashSet<>();
-    /** The number of the key that all proxies use, and until when the one before it is being replaced. */
+    /** The number of the current key; until keyChangeUntil the proxies are being changed over to it. */
     private int keyNumber;
 
     private long keyChangeUntil;
@@ -67,13 +67,13 @@
         this.platform = environment.platform("fleet");
     }
 
-    /** The day begins: each fault happens so long from now. */
+    /** Schedules all faults, relative to the current time as the start of the day. */
     void start() {
         List<Fault> faults = script.faults();
         for (int i = 0; i < faults.size(); i++) {
             Fault f = faults.get(i);
-            // Who is struck is drawn for each fault by itself: one that is taken out must not change the
-            // rest.
+            // Each fault draws its targets from its own generator: removing a fault from the script must not
+            // change the targets of the others.
             SplittableRandom random = new SplittableRandom(script.seed() * 31
                     + 6
                     + Double.hashCode(f.startS())
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Whom it names, or as many as it says, drawn from those there are. */
+    /** Returns the targets that the fault names, or else draws the given number from the candidates. */
     private static List<String> targets(Fault f, List<String> candidates, SplittableRandom random) {
         if (!f.names().isEmpty()) {
             return f.names();
@@ -149,12 +149,13 @@
         }
     }
 
+    /** Runs the action with true now, and with false at the end of the fault. */
     private void applyFor(Fault f, Consumer<Boolean> action) {
         action.accept(true);
         schedule(f.durationS(), () -> action.accept(false));
     }
 
-    /** On and off until the end. */
+    /** Takes processor time on a node, on and off, until the given time. */
     private void runNeighbour(Fault f, String node, long until) {
         if (environment.now() >= until) {
             return;
@@ -180,13 +181,13 @@
                 })));
     }
 
-    /** What these see of others, and others of them, may be wrong until it is over, and a while longer. */
+    /** Records that these proxies' views, and others' views of them, may be wrong until some time after the fault. */
     private void markUnsettled(Fault f, List<String> affected) {
         long now = environment.now();
         affected.forEach(p -> eventLog.unsettled(p, now, now + (long) (f.durationS() * 1e9)));
     }
 
-    /** What strikes several as one. */
+    /** Changes the addresses of all targets of a move or take-over together, before they are killed. */
     private void reassignAddresses(Fault f, List<String> targets) {
         if (f.kind() == FaultKind.MOVE) {
             targets.forEach(p -> faultInjector.reassignAddresses(List.of(p)));
@@ -195,7 +196,7 @@
         }
     }
 
-    /** On and off until the end: of each period it runs for that share. */
+    /** Until the given time, lets a proxy run for its share of each period and pauses it for the rest. */
     private void starve(Fault f, String proxy, long until) {
         if (environment.now() >= until) {
             return;
@@ -209,7 +210,7 @@
         });
     }
 
-    /** Evenly spread, so many a second, until the end. */
+    /** Sends per_s datagrams a second, evenly spaced, until the given time. */
     private void sendForgedDatagrams(Fault f, String proxy, long until) {
         if (environment.now() < until) {
             faultInjector.sendForgedDatagram(proxy);
@@ -217,10 +218,13 @@
         }
     }
 
-    /** Both know of it, then not at one time: the view of a name that two have is not wrong for that. */
+    /**
+     * Runs a second process under the proxy's name. Both count as unsettled only at the moments when the twin starts
+     * and ends, not while both run: two processes under one name do not make the view of that name wrong.
+     */
     private void runTwin(Fault f, String proxy) {
         if (!twins.add(proxy)) {
-            return; // it has one
+            return; // it already has a twin
         }
         schedule(f.durationS(), () -> twins.remove(proxy));
         applyFor(f, on -> {
@@ -230,10 +234,13 @@
         });
     }
 
-    /** Three rounds over all proxies, one proxy after the other. Nobody is to notice. */
+    /**
+     * Replaces the fleet's key in three rounds over all proxies, one proxy after the other: the new key is accepted,
+     * then used, then the old one is removed. Communication must not be disturbed at any step.
+     */
     private void replaceKey(Fault f) {
         if (environment.now() < keyChangeUntil) {
-            return; // one is being replaced: no operator begins with the next
+            return; // a key change is in progress, and operators do not start another meanwhile
         }
         keyChangeUntil = environment.now() + (long) (f.durationS() * 1e9);
         int oldKey = keyNumber++;
@@ -288,7 +295,7 @@
         }
     }
 
-    // ---- ways ----
+    // ---- links ----
 
     private List<String> machines(String endpoint) {
         return switch (endpoint) {
@@ -353,7 +360,7 @@
                 }));
     }
 
-    /** What a client does not get over a way that is not sound is not the proxy's fault. */
+    /** Records a disruption for links to or from clients: responses lost there are not the proxy's fault. */
     private void recordClientDisruption(String from, String to, long since, long until) {
         if (from.equals("clients")) {
             machines(to).forEach(p -> eventLog.addDisruption(p, since, until));
--- a/src/main/java/gullspar/rehearse/play/ProgressListener.java
+++ b/src/main/java/gullspar/rehearse/play/ProgressListener.java
@@ -1,8 +1,8 @@
 package gullspar.rehearse.play;
 
-/** Hears how far a day has been played, in seconds of the day. */
+/** Is notified of the progress of a day, in seconds of the day. */
 public interface ProgressListener {
-    /** Nobody wants to know. */
+    /** Ignores progress. */
     ProgressListener NONE = (at, of) -> {};
 
     void onProgress(double second, double totalSeconds);
--- a/src/main/java/gullspar/rehearse/play/ProxySettings.java
+++ b/src/main/java/gullspar/rehearse/play/ProxySettings.java
@@ -9,11 +9,11 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** The configuration of a proxy, as a platform would write it. */
+/** Builds the configuration of a proxy, as a deployment platform would write it. */
 public final class ProxySettings {
     private ProxySettings() {}
 
-    /** The whole file; known is the list in discovery's form. */
+    /** Returns the complete configuration; known is the list of nodes in discovery's format. */
     public static JsonNode of(
             Script s,
             int index,
--- a/src/main/java/gullspar/rehearse/play/Testbed.java
+++ b/src/main/java/gullspar/rehearse/play/Testbed.java
@@ -11,7 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Everybody on a day but the proxies, and the faults; the same live and in virtual time. */
+/**
+ * Everything on a day except the proxies under test: the simulated nodes, discovery, front balancer and clients, and
+ * the schedule of faults. The same in virtual time and on a live day.
+ */
 public final class Testbed {
     private final RunEnvironment environment;
     private final Script script;
@@ -39,7 +42,7 @@
                 environment, script, eventLog, fleet, front, loadGenerator, misbehavingClients, faultInjector, proxies);
     }
 
-    /** Starts the nodes and discovery; the proxies may be started then. */
+    /** Starts the nodes and discovery; must be called before the proxies are started. */
     public void startNodes() {
         List<String> proxyNames = new ArrayList<>(proxies);
         if (script.faults().stream().anyMatch(f -> f.kind() == FaultKind.TWIN)) {
@@ -48,7 +51,7 @@
         fleet.start(proxyNames);
     }
 
-    /** Begins the day once all proxies are ready, and calls that then. */
+    /** Starts the load and the faults once all proxies are ready, then runs the callback. */
     public void startWhenReady(Runnable onStart) {
         front.onAllReady(() -> {
             eventLog.markStart(environment.now());
@@ -58,7 +61,7 @@
         });
     }
 
-    /** How long after the day's end everything that is still open has ended, in ns. */
+    /** The time after the end of the day within which all open requests have ended, in ns. */
     public long tailNs() {
         double longest = script.classes().stream()
                 .mapToDouble(Script.RequestClass::giveUpMs)
@@ -67,7 +70,7 @@
         return (long) ((longest * 2 + 4000) * 1e6);
     }
 
-    /** The place of a proxy, or of its twin, among all, from 0. */
+    /** The index of a proxy, or of its twin, among all proxies, from 0. */
     public static int proxyIndex(String proxy) {
         return Integer.parseInt(EventLog.baseName(proxy).substring(1)) - 1;
     }
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -21,8 +21,8 @@
 import java.util.function.Supplier;
 
 /**
- * The proxies' view of the fleet on a day in virtual time: where each process is found, which keys it has,
- * and who else speaks to it.
+ * Fleet membership of the proxies on a day in virtual time: the address and the keys of each process, and the sources
+ * of false rumors and forged datagrams.
  */
 final class VirtualFleet {
     private static final int SEED_COUNT = 3;
@@ -39,7 +39,7 @@
     private final DatagramForger forger;
     private int addressChanges;
 
-    /** machineAddresses: of the machines; each proxy is found at a port of its own machine at first. */
+    /** machineAddresses: the address of each machine; initially each proxy uses a port of its own machine. */
     VirtualFleet(
             Script script,
             Testbed testbed,
@@ -55,7 +55,7 @@
         network.setForger(forger);
     }
 
-    /** A process begins to take part; processName: its name, and which process of that name it is. On its loop. */
+    /** Joins a process to the fleet; called on its loop. processName: its name and number among those of that name. */
     Membership join(String process, String processName, Platform platform, Supplier<AuxiliaryService.Load> load) {
         FleetSettings fleet = fleetSettings(process);
         return Membership.join(
@@ -83,7 +83,7 @@
                 0);
     }
 
-    /** Where the first three proxies are found. */
+    /** The current addresses of the first three proxies. */
     List<InetSocketAddress> seeds() {
         return testbed.proxies().stream().limit(SEED_COUNT).map(this::address).toList();
     }
@@ -96,7 +96,7 @@
         return addresses.computeIfAbsent(process, this::initialAddress);
     }
 
-    /** As {@link FaultInjector#reassignAddresses} says. */
+    /** See {@link FaultInjector#reassignAddresses}. */
     void reassignAddresses(List<String> ring) {
         if (ring.size() == 1) {
             addresses.put(
@@ -115,7 +115,7 @@
         return envelopes.computeIfAbsent(process, p -> envelope(List.of(0)));
     }
 
-    /** The keys of those numbers, for a process from now on. */
+    /** Sets the keys of a process, by number, and returns an envelope with them. */
     Envelope setKeys(String process, List<Integer> keyNumbers) {
         Envelope e = envelope(keyNumbers);
         envelopes.put(process, e);
@@ -132,7 +132,7 @@
                 .toList());
     }
 
-    /** As {@link FaultInjector#setFalseRumors} says. */
+    /** See {@link FaultInjector#setFalseRumors}. */
     void setFalseRumors(String process, int perDatagram) {
         falseRumorInjectors
                 .computeIfAbsent(process, p -> {
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -40,23 +40,22 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Plays a day in virtual time: the daemon's own code on a virtual clock and a network in memory, all in the
- * calling thread. The same script gives the same decisions, whatever machine it is played on.
+ * Plays a day in virtual time: the daemon's own code on a virtual clock and an in-memory network, all in the calling
+ * thread. The same script gives the same decisions on any machine.
  */
 public final class VirtualPlay implements RunEnvironment, FaultInjector {
-    /** When every day begins, Unix time in ns: 2027-01-15T08:00:00Z. */
+    /** The virtual time at which every run begins, Unix time in ns: 2027-01-15T08:00:00Z. */
     private static final long EPOCH_NS = 1_800_000_000L * 1_000_000_000L;
-    /** Proxies that are not ready by then never will be. */
+    /** Virtual time within which all proxies must be ready; after that the day fails. */
     private static final long READY_TIMEOUT_NS = 60_000_000_000L;
-    /** The share of a start after which the daemon asks for the list: 0.7 of 2.5 s as seen on half a core. */
+    /** The share of the start-up time after which the daemon requests the list: 0.7 s of 2.5 s on half a core. */
     private static final double LIST_REQUEST_SHARE = 0.3;
 
     private static final int MAX_LOG_LINES = 10_000;
 
     /**
-     * How a day is to be played. decisionLog gets the decision log, or is null; moduleWrapper and platformWrapper stand
-     * between a proxy and its decision module, and between it and its machine: the identity, but where a test
-     * plants a fault.
+     * Options for playing a day. decisionLog receives the decision log, or is null; moduleWrapper and platformWrapper
+     * wrap each proxy's decision module and its platform: the identity, except where a test plants a fault.
      */
     public record Options(
             Writer decisionLog,
@@ -77,19 +76,20 @@
                     new MembershipOptions(Fnv::hash, UnaryOperator.identity()));
         }
 
-        /** Nothing but the day. */
+        /** Without a decision log, progress notifications or wrappers. */
         public static Options defaults() {
             return withDecisionLog(null, ProgressListener.NONE);
         }
 
-        /** With its decisions written down and its progress heard. */
+        /** With a decision log, which may be null, and progress notifications. */
         public static Options withDecisionLog(Writer decisionLog, ProgressListener progressListener) {
             return new Options(decisionLog, UnaryOperator.identity(), UnaryOperator.identity(), progressListener);
         }
     }
 
     /**
-     * How a process of that name draws its life, and how it watches the fleet; for tests that plant faults.
+     * Options of fleet membership, for tests that plant faults: lifeSeed gives the seed of a process's life from its
+     * name and number, settings changes the settings of each member.
      */
     public record MembershipOptions(ToLongFunction<String> lifeSeed, UnaryOperator<Settings> settings) {}
 
@@ -128,7 +128,7 @@
     }
 
     private DayResult play() {
-        long startedAtNs = System.nanoTime(); // only to say how long it took
+        long startedAtNs = System.nanoTime(); // wall time, only for the report
         testbed.startNodes();
         testbed.proxies().forEach(this::start);
         if (fleet != null) {
@@ -155,7 +155,7 @@
                 System.nanoTime() - startedAtNs);
     }
 
-    /** Up to a time that may be moved meanwhile. */
+    /** Runs all events up to endNs[0], which an event may change. */
     private void runUntil(long[] endNs) {
         long nextProgressNs = agenda.now();
         while (agenda.hasEventBy(endNs[0])) {
@@ -174,7 +174,7 @@
         agenda.advanceTo(endNs[0]);
     }
 
-    // ---- the stage ----
+    // ---- the environment ----
 
     private String siteOf(String machine) {
         if (machine.startsWith("n")) {
@@ -186,12 +186,12 @@
     private long oneWayDelayNs(String from, String to) {
         String fromSite = siteOf(from);
         String toSite = siteOf(to);
-        // Clients come from the proxy's own site, discovery has an agent there.
+        // Clients and discovery's agents are in the proxy's own site.
         boolean sameSite = fromSite == null || toSite == null || fromSite.equals(toSite);
         if (sameSite) {
             return (long) (script.localDelayMs().midpoint() * 1e6);
         }
-        // One draw for each pair of sites, the same both ways.
+        // One draw for each pair of sites, the same in both directions.
         String pair = fromSite.compareTo(toSite) < 0 ? fromSite + ' ' + toSite : toSite + ' ' + fromSite;
         double position = (Agenda.mix(script.seed() + Fnv.hash(pair)) >>> 11) * 0x1p-53;
         return (long) ((script.siteDelayMs().from()
@@ -231,7 +231,7 @@
         network.closeSockets(network.host(machine));
     }
 
-    /** The name of a node by the number under which the module knows it. */
+    /** The name of the node that the decision module knows by this number. */
     private String nodeName(int number) {
         return nodeNames.computeIfAbsent(number, n -> {
             for (String machine : testbed.fleet().machines()) {
@@ -320,7 +320,7 @@
                                     process.membership.onStage(AuxiliaryService.Stage.SERVING);
                                 }
                                 if (testbed.proxies().contains(name)) {
-                                    // The front looks at it from now on; at a twin nobody does.
+                                    // The front balancer checks its health from now on; it does not know twins.
                                     loop.execute(() -> testbed.front().proxyStarted(name));
                                 }
                             },
@@ -331,7 +331,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Asks each that runs how it sees the fleet, again and again. */
+    /** Periodically records the view of the fleet of each running proxy. */
     private void takeFleetSnapshots() {
         processes.forEach((name, process) -> {
             String view = process.membership == null || process.loop.hasEnded() || process.paused
@@ -341,7 +341,7 @@
                 try {
                     eventLog.addFleetSnapshot(FleetSnapshot.parse(agenda.now(), name, view));
                 } catch (IOException e) {
-                    throw new UncheckedIOException("a proxy answered what is no view", e);
+                    throw new UncheckedIOException("a proxy returned an invalid view of the fleet", e);
                 }
             }
         });
@@ -397,7 +397,7 @@
                         : process.membership.leave())
                 .thenRun(() -> {
                     if (!process.loop.hasEnded()) {
-                        // Not from inside its own wake-up.
+                        // On the shared loop: a process must not be ended from a task of its own loop.
                         loop.execute(() -> {
                             endProcess(name, process);
                             scheduleStart(name, downS);
@@ -458,7 +458,7 @@
         fleet.setFalseRumors(proxy, perDatagram);
     }
 
-    // ---- the ways ----
+    // ---- the links ----
 
     @Override
     public void setExtraDelay(String from, String to, long extraNs) {
