--- a/src/test/java/gullspar/rehearse/play/DeterminismTest.java
+++ b/src/test/java/gullspar/rehearse/play/DeterminismTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A script and a seed give one day, whatever plays it; anything else gives another. */
+/** A script and a seed give the same day in any JVM; another seed or another module gives a different one. */
 @Timeout(300)
 class DeterminismTest {
-    /** A little of everything that can go wrong, in 12 s. */
+    /** Faults of most kinds, within 12 s. */
     static final String ALL_FAULTS = Days.fault("neighbour", 0.5, "for = 6\nnodes = 2")
             + Days.fault("crash", 1, "nodes = 1\ndown_s = 1")
             + Days.fault("replace", 2, "nodes = 1")
@@ -49,7 +49,7 @@
     @TempDir
     Path folder;
 
-    /** The four faults that were asked for, as they are shipped; each twice. */
+    /** The shipped scripts of the four required faults, each played twice. */
     @ParameterizedTest
     @ValueSource(strings = {"neighbour", "rush", "heavy", "shrink"})
     void shippedFaultScriptsKeepAllRulesAndAreDeterministic(String name) throws Exception {
@@ -83,8 +83,7 @@
         return out.trim();
     }
 
-    /** Wall time, heap, compiler, locale and time zone are not the day's. */
-    /** A search plays thousands: none may stay in memory, held by what outlives it in this process. */
+    /** A search plays thousands of days in one process: none may be held in memory by objects that outlive it. */
     @Test
     void playedDayCanBeGarbageCollected() {
         WeakReference<EventLog> day =
@@ -96,6 +95,7 @@
         assertNull(day.get());
     }
 
+    /** The result must not depend on wall time, heap size, compiler, locale or time zone. */
     @Test
     void resultDoesNotDependOnHeapCompilerLocaleOrTimeZone() throws Exception {
         Path script = folder.resolve("day.toml");
@@ -125,7 +125,7 @@
                 VirtualPlay.play(s.with(2), VirtualPlay.Options.defaults()).decisionHash());
     }
 
-    /** The module with one constant changed, compiled and put ahead on the class path of another process. */
+    /** The module is compiled with one constant changed and put first on the class path of another process. */
     @Test
     void changedPolicyConstantChangesDecisions() throws Exception {
         Path source = Files.createDirectories(folder.resolve("src")).resolve("Rotation.java");
@@ -168,7 +168,7 @@
         }
     }
 
-    /** As after a change of one constant in the module: here the time that it leaves an attempt. */
+    /** From the 201st on, each attempt gets 1 ns more, as after a change of one constant in the module. */
     @Test
     void diffFindsFirstDifferentDecision() throws Exception {
         Path a = folder.resolve("a.log");
@@ -196,11 +196,13 @@
             n += lines.get(line).contains(" Send ") ? 1 : 0;
         }
         assertTrue(diff.get(at + 1).contains("line " + line + ":"), diff.get(at + 1) + ", expected line " + line);
-        assertTrue(diff.stream().filter(l -> l.contains("inflight ")).count() > 8, "what each side knew");
+        assertTrue(
+                diff.stream().filter(l -> l.contains("inflight ")).count() > 8,
+                "the diff lacks the state of each side");
         assertEquals(List.of(), LogDiff.of(a, a));
     }
 
-    /** The call of the proxy that starts again still waits for its turn when discovery goes down. */
+    /** The call of the restarted proxy is still queued when discovery goes down. */
     @Test
     void queuedDiscoveryCallFailsWhenDiscoveryGoesDown() throws Exception {
         Script s = Days.small(
@@ -210,7 +212,7 @@
                         + Days.fault("discovery-down", 1, "for = 4"));
         StringWriter log = new StringWriter();
         VirtualPlay.play(s, VirtualPlay.Options.withDecisionLog(log, ProgressListener.NONE));
-        long discoveryBackNs = 8_000_000_000L; // the day begins after 3 s of starting; discovery is back 5 s later
+        long discoveryBackNs = 8_000_000_000L; // the day starts after 3 s of start-up; discovery is back 5 s later
         List<String> lists = log.toString()
                 .lines()
                 .filter(l ->
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -46,10 +46,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Days with a view of the fleet: kept as it is, and broken by name where a fault is planted. */
+/** Days with a view of the fleet: they keep the rules, and the judge detects each fault planted in a proxy. */
 @Timeout(120)
 class FleetDayTest {
-    /** Numbers between two datagrams, for those that a test makes up. */
+    /** Sequence numbers per genuine datagram; those in between are free for forged ones. */
     private static final long NUMBER_SPACING = 1000;
 
     private static final String PEERS =
@@ -63,7 +63,7 @@
         bytes_per_s = 60000
         """;
 
-    /** Five proxies, hardly any traffic. */
+    /** A day with five proxies and little traffic. */
     private static Script day(double seconds, String faults) {
         return Days.parse(Days.text(seconds, PEERS + faults)
                 .replace("count = 2\nstart_s", "count = 5\nstart_s")
@@ -74,9 +74,9 @@
     private static final Script PARTITIONED =
             day(40, Days.fault("partition", 1, "for = 10\nproxies = [\"p1\", \"p2\"]"));
     private static final Script PAUSED = day(26, Days.fault("pause", 1, "for = 5\nproxies = [\"p3\"]"));
-    /** As good as no fault; p3 counts as struck by it, since others may well accuse it while it is slow. */
+    /** Practically no fault: it only marks p3 as unsettled, since others may accuse it while it is slow. */
     private static final Script QUIET = day(30, Days.fault("pause", 0.1, "for = 0.001\nproxies = [\"p3\"]"));
-    /** p5 is heard and hears nobody. */
+    /** p5 receives nothing from the other proxies, while they receive its datagrams. */
     private static final Script ONE_WAY_CUT =
             day(20, Days.fault("cut-link", 1, "for = 18\nfrom = \"proxies\"\nto = \"p5\""));
 
@@ -93,7 +93,8 @@
     private static void assertDetected(Rule rule, Script s, VirtualPlay.Options options) {
         List<RuleViolation> violations = fleetViolations(s, options);
         assertTrue(
-                violations.stream().anyMatch(b -> b.rule() == rule), () -> rule + " was not caught, but " + violations);
+                violations.stream().anyMatch(b -> b.rule() == rule),
+                () -> rule + " was not detected, only " + violations);
     }
 
     @Test
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Where somebody is found changes, or the key, or there is somebody who should not be. */
+    /** Addresses or the key change, or there are twins, nonexistent members, forged datagrams or a slow process. */
     @ParameterizedTest
     @MethodSource("identityFaultDays")
     void viewsStayCorrectAcrossAddressKeyAndIdentityFaults(Script s) {
@@ -116,7 +117,7 @@
                 p.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET"))
                         .toList());
-        assertTrue(p.proxyLog().stream().noneMatch(l -> l.contains("uncaught")), "nothing throws");
+        assertTrue(p.proxyLog().stream().noneMatch(l -> l.contains("uncaught")), "uncaught exception in a proxy");
     }
 
     static List<Script> identityFaultDays() {
@@ -142,15 +143,17 @@
         assertEquals(List.of(), p.verdict().violations());
         assertTrue(
                 p.eventLog().fleetSnapshots().size() > 500,
-                "looked " + p.eventLog().fleetSnapshots().size());
-        assertTrue(p.proxyLog().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")), "who is cut off says so");
+                "fleet snapshots: " + p.eventLog().fleetSnapshots().size());
+        assertTrue(
+                p.proxyLog().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")),
+                "no proxy logged that it is cut off");
         assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "again"));
         assertEquals(
                 p.decisionHash(),
                 VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash());
     }
 
-    // ---- planted ----
+    // ---- planted faults ----
 
     private static VirtualPlay.Options filteredDatagrams(Supplier<DatagramFilter> filters) {
         return new VirtualPlay.Options(
@@ -160,7 +163,7 @@
                 ProgressListener.NONE);
     }
 
-    /** p3 has so little of a processor that it reads each datagram late. */
+    /** p3 reads each datagram late, as a process that gets too little processor time does. */
     private static VirtualPlay.Options slowReader(UnaryOperator<Settings> settings) {
         VirtualPlay.Options o = filteredDatagrams(() -> new DatagramFilter() {
             private boolean p3;
@@ -188,7 +191,7 @@
                 new VirtualPlay.MembershipOptions(String::hashCode, settings));
     }
 
-    /** Whoever is accused does not hear of it, so it does not object. */
+    /** Members do not receive accusations of themselves and so cannot refute them. */
     @Test
     void withoutRefutationsLiveMembersStayGone() {
         assertDetected(Rule.FLEET_TRUE, PAUSED, filteredDatagrams(() -> new DatagramFilter() {
@@ -211,7 +214,7 @@
         }));
     }
 
-    /** What tells one life of a process from the next is kept in memory only, and begins anew. */
+    /** A restarted process has the same life again, as if lives were counted in memory only. */
     @Test
     void withSameLifeAfterRestartMembersStayGone() {
         assertDetected(
@@ -223,32 +226,32 @@
                         UnaryOperator.identity(),
                         ProgressListener.NONE,
                         new VirtualPlay.MembershipOptions(
-                                who -> who.split("\\.")[0].hashCode(), UnaryOperator.identity())));
+                                processName -> processName.split("\\.")[0].hashCode(), UnaryOperator.identity())));
     }
 
-    /** Nobody knocks at those that are gone, nor at seeds. */
+    /** No probes are sent to members that are gone, nor to seeds. */
     @Test
     void withoutReconnectProbesPartitionsStayApart() {
         assertDetected(Rule.FLEET_AGREES, PARTITIONED, filteredDatagrams(() -> new DatagramFilter() {
             @Override
             Message onSend(Message m) {
-                boolean knock = m instanceof Message.Ping p
+                boolean isReconnectProbe = m instanceof Message.Ping p
                         && (p.targetLife() == 0
                                 || m.rumors().stream()
                                         .anyMatch(r ->
                                                 r.id().life() == p.targetLife() && r.status() == MemberStatus.GONE));
-                return knock ? null : m;
+                return isReconnectProbe ? null : m;
             }
         }));
     }
 
-    /** Who has no processor trusts his own hearing all the same. */
+    /** A process without processor time does not allow for its own slowness when it accuses others. */
     @Test
     void withoutLocalHealthSlowMembersAccuseOthers() {
         assertTrue(
                 fleetViolations(QUIET, slowReader(UnaryOperator.identity())).stream()
                         .noneMatch(b -> b.rule() == Rule.FLEET_TRUE),
-                "with it, it blames nobody");
+                "accuses others in spite of the allowance for its own slowness");
         assertDetected(
                 Rule.FLEET_TRUE,
                 QUIET,
@@ -271,11 +274,11 @@
                         s.bytesPerSecond())));
     }
 
-    /** Whoever is heard is taken for one that answers. */
+    /** Members from which anything is received are taken to answer probes. */
     @Test
     void withReceivedDatagramsCountedAsAcksOneWayCutIsDetected() {
         assertDetected(Rule.FLEET_TRUE, ONE_WAY_CUT, filteredDatagrams(() -> new DatagramFilter() {
-            /** The last datagram of each life; made-up ones take the numbers up to the next. */
+            /** The header of the last datagram of each life; forged ones use the numbers up to the next genuine one. */
             private final Map<Long, Message.Header> lastHeaders = new HashMap<>();
 
             @Override
@@ -303,7 +306,7 @@
         }));
     }
 
-    /** Whoever has found its namesake keeps it to itself. */
+    /** A process that has detected its twin does not report it to others. */
     @Test
     void unannouncedTwinsAreDetected() {
         assertDetected(Rule.FLEET_TWINS, TWINS, filteredDatagrams(() -> new DatagramFilter() {
@@ -320,12 +323,12 @@
                                                 r.status(),
                                                 r.accuser(),
                                                 r.statusAgeMs(),
-                                                unnamed(r.statement()),
+                                                withoutTwin(r.statement()),
                                                 r.statementAgeMs()))
                                 .toList());
             }
 
-            private Statement unnamed(Statement s) {
+            private Statement withoutTwin(Statement s) {
                 return new Statement(
                         s.id(),
                         s.revision(),
@@ -343,12 +346,12 @@
         }));
     }
 
-    /** Whoever is only spoken of is taken for one that has proved that it lives. */
+    /** Members known only from rumors are taken as confirmed alive. */
     @Test
     void nonexistentMembersAreDetected() {
         assertDetected(Rule.FLEET_TRUE, FALSE_MEMBERS, filteredDatagrams(() -> new DatagramFilter() {
             private final Map<Long, Rumor> ghosts = new HashMap<>();
-            private long made;
+            private long lastNumber;
 
             @Override
             Message onReceive(Message m) {
@@ -364,7 +367,7 @@
                 return r == null
                         ? null
                         : new Message.Ack(
-                                new Message.Header(r.id(), 0, r.statement().address(), ++made),
+                                new Message.Header(r.id(), 0, r.statement().address(), ++lastNumber),
                                 ((Message.Ping) m).nonce(),
                                 r.id(),
                                 0,
@@ -373,7 +376,7 @@
         }));
     }
 
-    /** More is sent than the budget allows. */
+    /** The members send more than the budget of the day allows. */
     @Test
     void exceededBandwidthBudgetIsDetected() {
         assertDetected(
@@ -382,7 +385,7 @@
                 VirtualPlay.Options.defaults());
     }
 
-    /** Changes what goes through a proxy's socket. */
+    /** Rewrites the datagrams that a proxy sends and receives. */
     abstract static class DatagramFilter extends ChannelDuplexHandler {
         private final Envelope envelope = new Envelope(List.of(new byte[Envelope.MIN_KEY_BYTES]));
 
@@ -394,7 +397,7 @@
             return m;
         }
 
-        /** What seems to have come in answer to what went out; null for nothing. */
+        /** The reply that the proxy receives to a message it sent, or null for none. */
         Message forgedReply(Message m) {
             return null;
         }
--- a/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
@@ -41,16 +41,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Faults planted in the daemon and in the module: the judge names the rule that each breaks. */
+/** Faults planted in the daemon and in the decision module: the judge detects the violated rule of each. */
 @Timeout(120)
 class JudgeDetectionTest {
     private static final Script NO_FAULTS = Days.small(6, "");
-    /** Nodes that crash and spoil answers: attempts that may have run come back with no answer. */
+    /** Nodes that crash and corrupt responses, so that attempts fail that may have run. */
     private static final Script FAILING_NODES = Days.small(
             6, Days.fault("spoil", 0.5, "for = 5\nnodes = 8\nshare = 0.2") + Days.fault("crash", 2, "nodes = 2"));
 
     private static final Script DRAINING_NODES = Days.small(8, Days.fault("drain", 2, "nodes = 2\ngrace_s = 4"));
-    /** What has just started can do a fiftieth. */
+    /** Cold nodes have a fiftieth of their capacity. */
     private static final Script COLD_NODES = Days.small(
             8,
             230,
@@ -61,10 +61,10 @@
         return VirtualPlay.play(s, options).verdict();
     }
 
-    /** Every rule that is broken is the one that was planted, and it is. */
+    /** Asserts that playing the script yields a violation of the rule whose description contains the text. */
     private static void assertDetected(Rule rule, String text, Script s, VirtualPlay.Options options) {
         List<RuleViolation> violations = play(s, options).violations();
-        assertFalse(violations.isEmpty(), "nothing was caught");
+        assertFalse(violations.isEmpty(), "no violation was detected");
         assertTrue(
                 violations.stream()
                         .anyMatch(b -> b.rule() == rule && b.description().contains(text)),
@@ -85,11 +85,11 @@
         }
     }
 
-    // ---- a proxy that stands still ----
+    // ---- a paused proxy ----
 
     private static final Script PAUSED_PROXY = Days.small(6, Days.fault("pause", 2, "for = 0.5\nproxies = 1"));
 
-    /** The proxy does not know for how long what it reads has waited. */
+    /** The proxy does not know how long its input has waited before it was read. */
     @Test
     void attemptGivenMoreTimeThanItsClientHas() {
         assertDetected(
@@ -109,8 +109,8 @@
             Days.small(6, Days.fault("leaving", 0.5, "for = 5\nclass = \"pay\"\nshare = 0.5\nwithin_ms = 20"));
 
     /**
-     * The proxy hears of the end of a client only long after, and some of what it sends on it sends late: not
-     * by more than the clients leave early and the rule allows.
+     * The proxy is notified of a client's disconnect only long after it, and some of its requests to nodes are sent
+     * late, by no more than the time that clients leave early plus what the rule allows.
      */
     private static VirtualPlay.Options delayedSockets(Predicate<String> isDelayed) {
         return PlantedFaults.sockets(
@@ -142,7 +142,7 @@
                 delayedSockets(t -> t.startsWith("POST /pay")));
     }
 
-    /** Only what goes out a second time is late. */
+    /** Only further attempts of a request are delayed. */
     @Test
     void retryAfterClientLeft() {
         Set<String> ids = new HashSet<>();
@@ -160,9 +160,9 @@
                                 .orElse(""))));
     }
 
-    // ---- one final answer ----
+    // ---- one final response ----
 
-    /** Does something else with every so many answers that a proxy writes to its clients. */
+    /** Applies the tampering to every n-th response that a proxy writes to its clients. */
     private static VirtualPlay.Options tamperedResponses(int every, ResponseTampering tampering) {
         int[] count = {0};
         return PlantedFaults.sockets(
@@ -171,7 +171,7 @@
 
                     @Override
                     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-                        ByteBuf b = (ByteBuf) message; // a head and a body are written apart
+                        ByteBuf b = (ByteBuf) message; // head and body are written separately
                         buffered.writeBytes(b);
                         b.release();
                         promise.setSuccess();
@@ -237,11 +237,11 @@
                 tamperedResponses(50, (ctx, text) -> ctx.close()));
     }
 
-    /** Holds back every so many requests to nodes for longer than their clients wait. */
+    /** Sends every 40th request to a node only after its client's deadline. */
     @Test
     void attemptSentAfterFinalResponse() {
         int[] count = {0};
-        // The module fails the request at once and the sockets send it all the same.
+        // The proxy fails the request in time, and the socket still sends it afterwards.
         assertDetected(
                 Rule.ONE_ANSWER,
                 "after its final answer",
@@ -267,7 +267,7 @@
                 }));
     }
 
-    // ---- nothing twice ----
+    // ---- no duplicate effects ----
 
     @Test
     void refusalOfRequestThatMayHaveRun() {
@@ -282,7 +282,7 @@
                         }))));
     }
 
-    /** Sends again, to another node, what the module gives up: it may have run. */
+    /** Sends a request again, to another node, where the real module gives up because it may have run. */
     private static final class ResendingModule extends PlantedFaults.Module {
         private final Settings settings;
         private final Balancer.Actions out;
@@ -316,7 +316,7 @@
             if (o.status() == Status.RESET
                     && c != null
                     && settings.profiles().get(c).effect() == effect) {
-                // Nodes are listed by turns of the sites: the next one is of another.
+                // Nodes are listed alternating between the sites: the next one is of another site.
                 out.send(o.ticket(), nodes.get((nodes.indexOf(o.server()) + 1) % nodes.size()), 0);
             } else {
                 super.onOutcome(now, o);
@@ -342,7 +342,7 @@
 
     // ---- drains ----
 
-    /** News from discovery that are held back, or never reach the proxy. */
+    /** Delays or rewrites the drain notices that discovery sends to a proxy. */
     private static VirtualPlay.Options tamperedDrainNotices(Function<String, String> tampering, long delayMs) {
         return PlantedFaults.sockets(null, address -> new ChannelInboundHandlerAdapter() {
             @Override
@@ -382,11 +382,11 @@
                 Rule.DRAINS_KEPT, "was told that it leaves", DRAINING_NODES, tamperedDrainNotices(text -> text, 1500));
     }
 
-    /** All watches end, and some drains come while there is none. */
+    /** All watches end; drains follow after discovery is back, when a proxy may have no watch. */
     private static final Script DRAINS_DURING_OUTAGE = Days.small(
             14, Days.fault("discovery-down", 1, "for = 1") + Days.fault("drain", 3, "nodes = 2\ngrace_s = 11"));
 
-    /** A proxy whose further calls are never written is told nothing, and has to know all the same. */
+    /** A proxy whose later calls to discovery are never sent gets no notices, but must still know of drains. */
     @Test
     void noWatchReestablishedAfterOutage() {
         Set<InetSocketAddress> watchedAddresses = new HashSet<>();
@@ -407,7 +407,7 @@
 
     // ---- cold nodes ----
 
-    /** Modules that send so many of all they send to the node that started last, while it is there. */
+    /** The given number of modules send every n-th attempt to the node that started last, while it is listed. */
     private static VirtualPlay.Options preferringNewestNode(int modules, int every) {
         int[] created = {0};
         return PlantedFaults.module(real -> (settings, seed, now, out) -> {
@@ -440,7 +440,7 @@
         assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(2, 4));
     }
 
-    /** The others keep the rule, and all together break it. */
+    /** Only one proxy overloads the node; the rule applies to all proxies together. */
     @Test
     void oneProxyPrefersNewestNode() {
         assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(1, 1));
--- a/src/test/java/gullspar/rehearse/play/PlantedFaults.java
+++ b/src/test/java/gullspar/rehearse/play/PlantedFaults.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
-/** Stands between a proxy and its module, or its sockets, so that a test can plant a fault there. */
+/** Options that wrap a proxy's decision module or its sockets, so that a test can plant a fault there. */
 final class PlantedFaults {
     private PlantedFaults() {}
 
@@ -29,7 +29,7 @@
         return new VirtualPlay.Options(null, wrapper, UnaryOperator.identity(), ProgressListener.NONE);
     }
 
-    /** Options with handlers ahead of what the proxy has on its connections; either may be null. */
+    /** Options with handlers ahead of the proxy's own on accepted and on outgoing connections; either may be null. */
     static VirtualPlay.Options sockets(
             Supplier<ChannelHandler> accepted, Function<InetSocketAddress, ChannelHandler> connected) {
         return new VirtualPlay.Options(
@@ -45,7 +45,7 @@
                 ProgressListener.NONE);
     }
 
-    /** A module that passes all on; a test overrides what it spoils. */
+    /** A module that delegates all calls; a test overrides those to tamper with. */
     abstract static class Module implements Balancer {
         final Balancer delegate;
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Actions of which one is another's: what a test gives instead of the method of that name. */
+    /** Actions that pass calls of one method to the interceptor first, and delegate them if it returns false. */
     static Balancer.Actions intercept(Balancer.Actions out, String method, Function<Object[], Boolean> interceptor) {
         return (Balancer.Actions) Proxy.newProxyInstance(
                 PlantedFaults.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (self, m, args) -> {
--- a/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
+++ b/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
@@ -36,9 +36,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two things that reach a proxy at the same virtual instant: over the seeds they happen in both orders, for
- * one seed always in the same, and in each order nobody is answered twice or left without an answer. Every
- * way takes 1 ms; the module does what the test says.
+ * Two events that reach a proxy at the same virtual instant: across seeds they occur in both orders, with one seed
+ * always in the same order, and in either order each client gets exactly one response. Every link has a delay of 1 ms;
+ * the decision module is a stub.
  */
 class SimultaneousEventsTest {
     private static final long MS = 1_000_000;
@@ -50,7 +50,7 @@
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     private static final int SEEDS = 100;
 
-    /** A proxy between a client, a node and discovery, on an agenda of its own. */
+    /** A proxy with a client, a node and discovery, on its own event queue. */
     private static final class Fixture {
         private final Agenda agenda;
         private final Network network;
@@ -77,7 +77,7 @@
             }
             listen("node", NODE, ctx -> nodeContext = ctx);
             listen("discovery", DISCOVERY, ctx -> discoveryContext = ctx);
-            runTo(1); // they listen before anybody asks
+            runTo(1); // the listeners are open before the proxy connects
             JsonNode known = Json.read(list(1, "in_service").getBytes(StandardCharsets.US_ASCII));
             Config config =
                     Config.parse(ProxySettings.of(Days.small(1, ""), 0, "p1", PROXY, DISCOVERY, 1, known), Map.of());
@@ -89,7 +89,7 @@
                         return new Module();
                     }));
             runTo(10);
-            // Until discovery has spoken nobody is sent to.
+            // The proxy sends nothing to a node before the first list from discovery.
             write(
                     discoveryContext,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(1, "in_service")));
@@ -127,7 +127,7 @@
                     .bind();
         }
 
-        /** Up to so many ms from the start. */
+        /** Runs up to that many ms from the start. */
         void runTo(long ms) {
             while (agenda.hasEventBy(START + ms * MS)) {
                 agenda.runNext();
@@ -136,7 +136,7 @@
             assertEquals(List.of(), errors);
         }
 
-        /** At a time in ns on the agenda. */
+        /** Runs an action at a virtual time in ns. */
         void scheduleAt(long ns, Runnable action) {
             endpointLoop.schedule(action, ns - agenda.now(), TimeUnit.NANOSECONDS);
         }
@@ -145,7 +145,7 @@
             to.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
         }
 
-        /** Notes what it reads, by its first word or two. */
+        /** Records the first characters of what it reads. */
         private final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
             private final String name;
             private final Consumer<ChannelHandlerContext> onActive;
@@ -169,7 +169,7 @@
             }
         }
 
-        /** Sends everything to the one node while that is ready, and fails what does not come back. */
+        /** Sends every request to the one node while it is ready, and fails requests whose attempt fails. */
         private final class Module implements Balancer {
             private boolean ready;
 
@@ -204,7 +204,7 @@
 
             @Override
             public void onClientDisconnected(long now, int ticket) {
-                events.add("withdrawn");
+                events.add("disconnected");
             }
 
             @Override
@@ -216,7 +216,7 @@
         List<String> run(Fixture fixture) throws Exception;
     }
 
-    /** Plays a scene with many seeds, each twice; how often each course of events was met. */
+    /** Runs a scenario with many seeds, twice each, and counts each observed sequence of events. */
     private static Map<String, Integer> countOutcomes(Scenario scenario) throws Exception {
         Map<String, Integer> counts = new TreeMap<>();
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -234,7 +234,7 @@
                 counts.toString());
     }
 
-    /** The node's answer comes at the very ns at which its time is up. */
+    /** The node's response arrives at the same ns as the time-out of its attempt. */
     @Test
     void responseAndTimeout() throws Exception {
         assertBothOrdersOccur(
@@ -251,7 +251,7 @@
                 "TIMEOUT, client reads HTTP/1.1 502");
     }
 
-    /** The news that the node drains and a request come at the same ns: once told, nothing goes there. */
+    /** A drain notice and a request arrive at the same ns: after the notice nothing is sent to the node. */
     @Test
     void drainNoticeAndRequest() throws Exception {
         assertBothOrdersOccur(
@@ -268,7 +268,7 @@
                 "request, drains, node reads GET /look/1");
     }
 
-    /** The client goes away at the very ns at which the answer is there for it. */
+    /** The client disconnects at the same ns as its response arrives. */
     @Test
     void clientCloseAndResponse() throws Exception {
         assertBothOrdersOccur(
@@ -282,6 +282,6 @@
                     return t.events;
                 }),
                 "OK",
-                "withdrawn, CANCELLED");
+                "disconnected, CANCELLED");
     }
 }
