--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -146,7 +146,7 @@
         keys.put(process, numbers);
     }
 
-    /** As {@link gullspar.rehearse.play.FaultInjector#reassignAddresses} says; true if a seed is found elsewhere now. */
+    /** See {@link gullspar.rehearse.play.FaultInjector#reassignAddresses}; true if the address of a seed changed. */
     boolean move(List<String> ring) {
         String before = seeds();
         List<Relay.Place> places = ring.size() == 1
