--- a/src/main/java/gullspar/rehearse/report/JsonReport.java
+++ b/src/main/java/gullspar/rehearse/report/JsonReport.java
@@ -7,7 +7,7 @@
 import gullspar.rehearse.judge.RequestTrace;
 import gullspar.rehearse.judge.RuleViolation;
 import gullspar.rehearse.judge.Verdict;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import java.util.List;
 import java.util.Locale;
 
@@ -19,16 +19,16 @@
     private JsonReport() {}
 
     /** Returns the report as one line of JSON. */
-    public static String render(Played day) {
+    public static String render(DayResult day) {
         ObjectMapper mapper = new ObjectMapper();
         Verdict verdict = day.verdict();
         ObjectNode root = mapper.createObjectNode();
         root.put("title", day.script().title())
                 .put("seed", day.script().seed())
                 .put("seconds", day.script().seconds())
-                .put("sha256", day.hash())
-                .put("decisions", day.decisions())
-                .put("played_s", day.tookNs() / 1e9)
+                .put("sha256", day.decisionHash())
+                .put("decisions", day.decisionCount())
+                .put("played_s", day.wallTimeNs() / 1e9)
                 .put("orders", verdict.orders())
                 .put("service", verdict.service())
                 .put("worst_10s", verdict.worst10s())
--- a/src/main/java/gullspar/rehearse/report/OutcomeTimeline.java
+++ b/src/main/java/gullspar/rehearse/report/OutcomeTimeline.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.report;
 
 import gullspar.rehearse.judge.Judge;
-import gullspar.rehearse.play.Played;
+import gullspar.rehearse.play.DayResult;
 import gullspar.rehearse.stage.ClientRequest;
 import gullspar.rehearse.stage.Order;
 
@@ -20,7 +20,7 @@
 
     private final int[][] counts;
 
-    OutcomeTimeline(Played day) {
+    OutcomeTimeline(DayResult day) {
         counts = new int[Math.max(1, (int) Math.ceil(day.script().seconds()))][Outcome.values().length];
         for (Order order : day.eventLog().orders()) {
             int second = (int) ((order.at - day.eventLog().start()) / 1_000_000_000L);
