--- a/src/main/java/gullspar/cli/ImportCommand.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -85,7 +85,7 @@
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            Importer.Imported imported = Importer.read(files, hosts, problems);
+            Importer.Result imported = Importer.read(files, hosts, problems);
             if (imported == null) {
                 problems.forEach(System.err::println);
                 return 2;
@@ -96,7 +96,7 @@
             } else {
                 printReport(entries);
             }
-            if (!imported.report().complete() && !partial) {
+            if (!imported.report().isComplete() && !partial) {
                 System.err.println(
                         "nothing is written: directives above cannot be translated; use --partial to write the rest");
                 return 3;
@@ -136,9 +136,9 @@
             int[] counts = new int[Verdict.values().length];
             for (Entry e : entries) {
                 counts[e.verdict().ordinal()]++;
-                if (!e.why().isEmpty()) {
+                if (!e.reason().isEmpty()) {
                     System.err.println(e.directive().place() + ": " + verdictText(e.verdict()) + ": "
-                            + e.directive().name().text() + ": " + e.why());
+                            + e.directive().name().text() + ": " + e.reason());
                 }
             }
             System.err.println(entries.size() + " directives: " + counts[Verdict.TRANSLATED.ordinal()]
@@ -157,7 +157,7 @@
                     g.writeNumberField("column", e.directive().place().column());
                     g.writeStringField("directive", e.directive().name().text());
                     g.writeStringField("verdict", verdictText(e.verdict()));
-                    g.writeStringField("why", e.why());
+                    g.writeStringField("why", e.reason());
                     g.writeEndObject();
                 }
                 g.writeEndArray();
--- a/src/main/java/gullspar/importer/Tables.java
+++ b/src/main/java/gullspar/importer/DirectiveTables.java
@@ -7,13 +7,13 @@
 /**
  * What directives come to that mean the same wherever they stand. docs/import-nginx.md has the whole list.
  */
-final class Tables {
+final class DirectiveTables {
     /** Without effect here, and why. */
     static final Map<String, String> NO_EFFECT = new HashMap<>();
     /** Not translatable, why, and what to do where there is a way. */
-    static final Map<String, String> NOT = new HashMap<>();
+    static final Map<String, String> NOT_TRANSLATABLE = new HashMap<>();
     /** Translated where a request that is passed on comes under them. */
-    static final Set<String> WHERE_USED = Set.of(
+    static final Set<String> ROUTE_DIRECTIVES = Set.of(
             "proxy_connect_timeout",
             "proxy_read_timeout",
             "proxy_send_timeout",
@@ -29,20 +29,20 @@
             "proxy_pass_request_headers",
             "proxy_pass_request_body");
 
-    private static void none(String why, String... names) {
+    private static void noEffect(String reason, String... names) {
         for (String n : names) {
-            NO_EFFECT.put(n, why);
+            NO_EFFECT.put(n, reason);
         }
     }
 
-    private static void not(String why, String... names) {
+    private static void notTranslatable(String reason, String... names) {
         for (String n : names) {
-            NOT.put(n, why);
+            NOT_TRANSLATABLE.put(n, reason);
         }
     }
 
     static {
-        none(
+        noEffect(
                 "the process is run by whoever starts it",
                 "user",
                 "worker_processes",
@@ -62,7 +62,7 @@
                 "thread_pool",
                 "debug_points",
                 "load_module");
-        none(
+        noEffect(
                 "one event loop, and limits.sockets for all connections",
                 "events",
                 "worker_connections",
@@ -72,7 +72,7 @@
                 "accept_mutex_delay",
                 "debug_connection",
                 "worker_aio_requests");
-        none(
+        noEffect(
                 "the log is on standard error; there is none of each request",
                 "error_log",
                 "access_log",
@@ -82,7 +82,7 @@
                 "open_log_file_cache",
                 "rewrite_log",
                 "uninitialized_variable_warn");
-        none(
+        noEffect(
                 "no files are served",
                 "sendfile",
                 "sendfile_max_chunk",
@@ -106,7 +106,7 @@
                 "charset_types",
                 "source_charset",
                 "override_charset");
-        none(
+        noEffect(
                 "always so",
                 "tcp_nodelay",
                 "reset_timedout_connection",
@@ -122,12 +122,12 @@
                 "port_in_redirect",
                 "server_name_in_redirect",
                 "recursive_error_pages");
-        none(
+        noEffect(
                 "connections of clients end by idleness alone",
                 "keepalive_requests",
                 "keepalive_time",
                 "keepalive_disable");
-        none(
+        noEffect(
                 "memory is kept small in other ways: bodies under limits.bodies_mb, answers streamed",
                 "client_body_buffer_size",
                 "client_body_in_single_buffer",
@@ -149,7 +149,7 @@
                 "proxy_headers_hash_max_size",
                 "proxy_headers_hash_bucket_size",
                 "subrequest_output_buffer_size");
-        none(
+        noEffect(
                 "tables grow as they need",
                 "server_names_hash_max_size",
                 "server_names_hash_bucket_size",
@@ -159,7 +159,7 @@
                 "variables_hash_bucket_size",
                 "map_hash_max_size",
                 "map_hash_bucket_size");
-        none(
+        noEffect(
                 "answers are passed on as servers made them: let those compress",
                 "gzip",
                 "gzip_types",
@@ -173,9 +173,9 @@
                 "gzip_static",
                 "gunzip",
                 "gunzip_buffers");
-        none("this proxy does not say what it is", "server_tokens");
-        none("nobody looks up names", "resolver", "resolver_timeout");
-        none(
+        noEffect("this proxy does not say what it is", "server_tokens");
+        noEffect("nobody looks up names", "resolver", "resolver_timeout");
+        noEffect(
                 "nothing is cached, so this is of no use",
                 "proxy_cache_bypass",
                 "proxy_cache_key",
@@ -193,9 +193,9 @@
                 "proxy_cache_convert_head",
                 "proxy_cache_max_range_offset",
                 "proxy_no_cache");
-        none("headers of answers have no meaning to this proxy", "proxy_ignore_headers", "proxy_pass_header");
-        none("a client that leaves always takes its attempt along", "proxy_ignore_client_abort");
-        not(
+        noEffect("headers of answers have no meaning to this proxy", "proxy_ignore_headers", "proxy_pass_header");
+        noEffect("a client that leaves always takes its attempt along", "proxy_ignore_client_abort");
+        notTranslatable(
                 "clients are not encrypted here: put something that ends TLS before it",
                 "ssl_certificate",
                 "ssl_certificate_key",
@@ -225,7 +225,7 @@
                 "http3",
                 "quic_retry",
                 "ssl_preread");
-        not(
+        notTranslatable(
                 "only plain HTTP is spoken to servers",
                 "proxy_ssl_certificate",
                 "proxy_ssl_certificate_key",
@@ -237,14 +237,14 @@
                 "proxy_ssl_trusted_certificate",
                 "proxy_ssl_verify",
                 "proxy_ssl_verify_depth");
-        not(
+        notTranslatable(
                 "a client does not stay with one server here; keep sessions where all servers find them",
                 "ip_hash",
                 "hash",
                 "sticky",
                 "sticky_cookie_insert");
-        not("conditions are written as routes with header or when", "if");
-        not(
+        notTranslatable("conditions are written as routes with header or when", "if");
+        notTranslatable(
                 "no files are served here: put a file server behind it and pass to that",
                 "try_files",
                 "root",
@@ -265,11 +265,11 @@
                 "image_filter",
                 "xslt_stylesheet",
                 "ssi");
-        not(
+        notTranslatable(
                 "what an error looks like is left to servers; a route can answer by itself",
                 "error_page",
                 "proxy_intercept_errors");
-        not(
+        notTranslatable(
                 "who may come is not decided here: put that before it, or in the servers",
                 "auth_request",
                 "auth_request_set",
@@ -284,7 +284,7 @@
                 "geo",
                 "geoip_country",
                 "geoip2");
-        not(
+        notTranslatable(
                 "no rate is limited by client; the module refuses what servers cannot do",
                 "limit_req",
                 "limit_req_zone",
@@ -295,12 +295,12 @@
                 "limit_conn_status",
                 "limit_rate",
                 "limit_rate_after");
-        not(
+        notTranslatable(
                 "the address of a client is that of its connection; see forwarded",
                 "set_real_ip_from",
                 "real_ip_header",
                 "real_ip_recursive");
-        not(
+        notTranslatable(
                 "answers are passed on as they are",
                 "sub_filter",
                 "sub_filter_once",
@@ -318,11 +318,11 @@
                 "mirror_request_body",
                 "proxy_store",
                 "proxy_store_access");
-        not("nothing is cached here: put a cache behind it", "proxy_cache");
-        not("the method of a request always goes on", "proxy_method", "proxy_set_body");
-        not("connections to servers start at whatever address the system gives", "proxy_bind");
-        not("not HTTP", "stream", "mail");
-        not(
+        notTranslatable("nothing is cached here: put a cache behind it", "proxy_cache");
+        notTranslatable("the method of a request always goes on", "proxy_method", "proxy_set_body");
+        notTranslatable("connections to servers start at whatever address the system gives", "proxy_bind");
+        notTranslatable("not HTTP", "stream", "mail");
+        notTranslatable(
                 "only HTTP/1.1 is spoken to servers",
                 "grpc_pass",
                 "fastcgi_pass",
@@ -339,7 +339,7 @@
                 "fastcgi_buffers",
                 "fastcgi_buffer_size",
                 "fastcgi_cache");
-        not(
+        notTranslatable(
                 "scripts are not run",
                 "js_import",
                 "js_content",
@@ -356,15 +356,15 @@
                 "content_by_lua_file",
                 "rewrite_by_lua_file",
                 "init_by_lua_file");
-        not("use a route of its own with an answer", "stub_status", "empty_gif", "status", "api");
-        not("it looks for a location anew", "break");
-        not("slashes in a path are always merged", "merge_slashes");
+        notTranslatable("use a route of its own with an answer", "stub_status", "empty_gif", "status", "api");
+        notTranslatable("it looks for a location anew", "break");
+        notTranslatable("slashes in a path are always merged", "merge_slashes");
     }
 
-    private Tables() {}
+    private DirectiveTables() {}
 
     /** Directives that run scripts in a block. */
-    static boolean script(String name) {
+    static boolean isScript(String name) {
         return name.contains("_by_lua");
     }
 }
--- a/src/main/java/gullspar/importer/Importer.java
+++ b/src/main/java/gullspar/importer/Importer.java
@@ -13,158 +13,163 @@
  * Makes an operator's file of nginx's configuration. Every directive ends in the report, in exactly one way.
  */
 public final class Importer {
-    private static final String SCRIPT = "scripts are not run";
+    private static final String SCRIPT_REASON = "scripts are not run";
 
     private final Report report = new Report();
-    private final Draft draft = new Draft();
-    private final Map<String, Chosen> chosen = new HashMap<>();
-    private final Upstreams upstreams;
+    private final TranslatedSite site = new TranslatedSite();
+    private final Map<String, ConditionalVariable> conditionalVariables = new HashMap<>();
+    private final UpstreamTranslator upstreamTranslator;
 
     private Importer(Map<String, String> hosts) {
-        this.upstreams = new Upstreams(draft, report, hosts);
+        this.upstreamTranslator = new UpstreamTranslator(site, report, hosts);
     }
 
     /** What came out: all directives as read, what became of each, and the file; null on problems. */
-    public record Imported(List<Directive> directives, Report report, String toml) {}
+    public record Result(List<Directive> directives, Report report, String toml) {}
 
     /**
      * Reads files and all that they include, one after another, and translates them. hosts: the addresses of
      * names, which nobody looks up. Null if there are problems, which are added to the list.
      */
-    public static Imported read(List<Path> files, Map<String, String> hosts, List<Problem> problems) {
-        List<Directive> all = new ArrayList<>();
-        files.forEach(f -> all.addAll(Loader.load(f, problems)));
-        return problems.isEmpty() ? translate(all, hosts) : null;
+    public static Result read(List<Path> files, Map<String, String> hosts, List<Problem> problems) {
+        List<Directive> directives = new ArrayList<>();
+        files.forEach(f -> directives.addAll(Loader.load(f, problems)));
+        return problems.isEmpty() ? translate(directives, hosts) : null;
     }
 
     /** Translates what has been read. */
-    public static Imported translate(List<Directive> all, Map<String, String> hosts) {
-        Importer i = new Importer(hosts);
-        i.main(all);
-        return new Imported(all, i.report, new TomlWriter().write(i.draft));
+    public static Result translate(List<Directive> directives, Map<String, String> hosts) {
+        Importer importer = new Importer(hosts);
+        importer.translateAll(directives);
+        return new Result(directives, importer.report, new TomlWriter().write(importer.site));
     }
 
-    private void main(List<Directive> all) {
-        all.forEach(this::beyond);
-        List<Directive> http = new ArrayList<>();
-        for (Directive d : all) {
+    private void translateAll(List<Directive> directives) {
+        directives.forEach(this::reportUnsupportedBlocks);
+        List<Directive> httpDirectives = new ArrayList<>();
+        for (Directive d : directives) {
             if (d.is("http") && d.block() != null) {
                 report.translated(d);
-                http.addAll(d.block());
+                httpDirectives.addAll(d.block());
             } else {
-                http.add(d); // files of a folder that a main file would include
+                httpDirectives.add(d); // files of a folder that a main file would include
             }
         }
-        http(http);
-        all.forEach(this::rest);
+        translateHttp(httpDirectives);
+        directives.forEach(this::reportRemaining);
     }
 
     /** What has no counterpart as a whole, with all that is in it. */
-    private void beyond(Directive d) {
+    private void reportUnsupportedBlocks(Directive d) {
         String name = d.name().text();
-        if (d.raw() != null || Tables.script(name)) {
-            report.all(d, Report.Verdict.NOT_TRANSLATABLE, SCRIPT);
+        if (d.raw() != null || DirectiveTables.isScript(name)) {
+            report.putAll(d, Report.Verdict.NOT_TRANSLATABLE, SCRIPT_REASON);
         } else if (d.is("stream") || d.is("mail") || d.is("if") || d.is("limit_except")) {
-            report.all(d, Report.Verdict.NOT_TRANSLATABLE, Tables.NOT.get(name));
+            report.putAll(d, Report.Verdict.NOT_TRANSLATABLE, DirectiveTables.NOT_TRANSLATABLE.get(name));
         } else if (d.is("events") || d.is("types")) {
-            report.all(d, Report.Verdict.NO_EFFECT, Tables.NO_EFFECT.get(name));
+            report.putAll(d, Report.Verdict.NO_EFFECT, DirectiveTables.NO_EFFECT.get(name));
         } else if (d.block() != null) {
-            d.block().forEach(this::beyond);
+            d.block().forEach(this::reportUnsupportedBlocks);
         }
     }
 
-    private void http(List<Directive> block) {
+    private void translateHttp(List<Directive> block) {
         Scope scope = new Scope(null, block);
         for (Directive d : block) {
             if (d.block() != null && !d.arguments().isEmpty()) {
                 try {
-                    chosen(d);
-                } catch (Untranslatable e) {
-                    report.all(d, Report.Verdict.NOT_TRANSLATABLE, e.getMessage());
+                    declareVariable(d);
+                } catch (UntranslatableException e) {
+                    report.putAll(d, Report.Verdict.NOT_TRANSLATABLE, e.getMessage());
                 }
             }
         }
         for (Directive d : block) {
             if (d.is("upstream") && d.block() != null) {
-                upstreams.declare(d);
+                upstreamTranslator.translate(d);
             }
         }
-        limits(scope);
-        Servers servers = new Servers(draft, report, upstreams, new Locations(draft, report, upstreams, chosen));
+        translateTimeouts(scope);
+        ServerTranslator serverTranslator = new ServerTranslator(
+                site,
+                report,
+                upstreamTranslator,
+                new LocationTranslator(site, report, upstreamTranslator, conditionalVariables));
         for (Directive d : block) {
             if (d.is("server") && d.block() != null) {
-                servers.declare(d, scope);
+                serverTranslator.translate(d, scope);
             }
         }
-        servers.finish();
+        serverTranslator.setImplicitDefaults();
     }
 
-    private void chosen(Directive d) throws Untranslatable {
+    private void declareVariable(Directive d) throws UntranslatableException {
         String variable = d.argument(1).orElse("").replaceFirst("^\\$", "");
         if (d.is("map")) {
-            chosen.put(variable, Chosen.map(d, report));
+            conditionalVariables.put(variable, ConditionalVariable.fromMap(d, report));
         } else if (d.is("split_clients")) {
-            chosen.put(variable, Chosen.split(d, report));
+            conditionalVariables.put(variable, ConditionalVariable.fromSplitClients(d, report));
         }
     }
 
     /** Times that are one value for the process here. */
-    private void limits(Scope http) {
-        draft.idleS = seconds(http, "keepalive_timeout");
-        draft.requestS = Math.max(seconds(http, "client_header_timeout"), seconds(http, "client_body_timeout"));
-        draft.stallS = seconds(http, "send_timeout");
+    private void translateTimeouts(Scope http) {
+        site.idleTimeoutS = timeoutSeconds(http, "keepalive_timeout");
+        site.requestTimeoutS =
+                Math.max(timeoutSeconds(http, "client_header_timeout"), timeoutSeconds(http, "client_body_timeout"));
+        site.stallTimeoutS = timeoutSeconds(http, "send_timeout");
     }
 
-    private double seconds(Scope http, String name) {
+    private double timeoutSeconds(Scope http, String name) {
         Directive d = http.last(name);
         if (d == null) {
             return -1;
         }
         try {
-            double s = Units.millis(d.argument(0).orElse("")) / 1000.0;
+            double s = NginxValues.parseMillis(d.argument(0).orElse("")) / 1000.0;
             report.translated(d, "one value for all that is served here");
             return Math.max(0.001, s);
-        } catch (Untranslatable e) {
-            report.not(d, e.getMessage());
+        } catch (UntranslatableException e) {
+            report.notTranslatable(d, e.getMessage());
             return -1;
         }
     }
 
     // ---- what nobody has looked at ----
 
-    private void rest(Directive d) {
-        if (!report.has(d)) {
-            left(d);
+    private void reportRemaining(Directive d) {
+        if (!report.contains(d)) {
+            reportUnvisited(d);
         }
         if (d.block() != null) {
-            d.block().forEach(this::rest);
+            d.block().forEach(this::reportRemaining);
         }
     }
 
-    private void left(Directive d) {
+    private void reportUnvisited(Directive d) {
         String name = d.name().text();
         if (d.is("include")) {
             report.translated(d, "what it names was read");
-        } else if (Tables.NO_EFFECT.containsKey(name)) {
-            report.put(d, Report.Verdict.NO_EFFECT, Tables.NO_EFFECT.get(name));
-        } else if (off(d)) {
+        } else if (DirectiveTables.NO_EFFECT.containsKey(name)) {
+            report.put(d, Report.Verdict.NO_EFFECT, DirectiveTables.NO_EFFECT.get(name));
+        } else if (isOff(d)) {
             report.put(d, Report.Verdict.NO_EFFECT, "it is off, as always here");
-        } else if (Tables.WHERE_USED.contains(name)) {
+        } else if (DirectiveTables.ROUTE_DIRECTIVES.contains(name)) {
             report.put(d, Report.Verdict.NO_EFFECT, "nothing that is passed on or answered comes under it");
         } else if (List.of("keepalive_timeout", "client_header_timeout", "client_body_timeout", "send_timeout")
                 .contains(name)) {
             report.put(d, Report.Verdict.NO_EFFECT, "one value for all that is served here, that of http");
         } else if (d.is("map") || d.is("split_clients")) {
-            report.all(d, Report.Verdict.NO_EFFECT, "nothing that is translated uses its variable");
-        } else if (Tables.NOT.containsKey(name)) {
-            report.not(d, Tables.NOT.get(name));
+            report.putAll(d, Report.Verdict.NO_EFFECT, "nothing that is translated uses its variable");
+        } else if (DirectiveTables.NOT_TRANSLATABLE.containsKey(name)) {
+            report.notTranslatable(d, DirectiveTables.NOT_TRANSLATABLE.get(name));
         } else {
-            report.not(d, "not known to this importer");
+            report.notTranslatable(d, "not known to this importer");
         }
     }
 
-    private static boolean off(Directive d) {
-        return Tables.NOT.containsKey(d.name().text())
+    private static boolean isOff(Directive d) {
+        return DirectiveTables.NOT_TRANSLATABLE.containsKey(d.name().text())
                         && d.arguments().size() == 1
                         && d.argument(0).orElse("").equals("off")
                 || d.is("proxy_redirect") && d.argument(0).orElse("").equals("off");
--- a/src/main/java/gullspar/importer/Units.java
+++ b/src/main/java/gullspar/importer/NginxValues.java
@@ -4,14 +4,14 @@
 import java.util.regex.Pattern;
 
 /** Times and sizes as nginx writes them. */
-final class Units {
+final class NginxValues {
     private static final Pattern TIME = Pattern.compile("(\\d+)(ms|[smhdwMy]?)\\s*");
     private static final Pattern SIZE = Pattern.compile("(\\d+)([kKmMgG]?)");
 
-    private Units() {}
+    private NginxValues() {}
 
     /** A time in ms: 500ms, 10s, 1h30m, and seconds where no unit is written. */
-    static long millis(String text) throws Untranslatable {
+    static long parseMillis(String text) throws UntranslatableException {
         Matcher m = TIME.matcher(text);
         long sum = 0;
         int at = 0;
@@ -31,16 +31,16 @@
             at = m.end();
         }
         if (text.isEmpty() || at < text.length()) {
-            throw new Untranslatable("'" + text + "' is no time");
+            throw new UntranslatableException("'" + text + "' is no time");
         }
         return sum;
     }
 
     /** A size in KiB. */
-    static double kilobytes(String text) throws Untranslatable {
+    static double parseKilobytes(String text) throws UntranslatableException {
         Matcher m = SIZE.matcher(text);
         if (!m.matches() || m.group(1).length() > 12) {
-            throw new Untranslatable("'" + text + "' is no size");
+            throw new UntranslatableException("'" + text + "' is no size");
         }
         long n = Long.parseLong(m.group(1));
         return switch (m.group(2)) {
@@ -52,9 +52,9 @@
     }
 
     /** A whole number. */
-    static int whole(String text) throws Untranslatable {
+    static int parseInteger(String text) throws UntranslatableException {
         if (!text.matches("\\d{1,6}")) {
-            throw new Untranslatable("'" + text + "' is no number");
+            throw new UntranslatableException("'" + text + "' is no number");
         }
         return Integer.parseInt(text);
     }
--- a/src/main/java/gullspar/importer/Report.java
+++ b/src/main/java/gullspar/importer/Report.java
@@ -16,7 +16,7 @@
     }
 
     /** What became of one; why is empty where a translation needs no remark. */
-    public record Entry(Directive directive, Verdict verdict, String why) {}
+    public record Entry(Directive directive, Verdict verdict, String reason) {}
 
     private final Map<Directive, Entry> entries = new IdentityHashMap<>();
 
@@ -24,12 +24,12 @@
      * Says what became of a directive. One that is used in several places may be translated in one and not in
      * another: the worse counts.
      */
-    void put(Directive d, Verdict verdict, String why) {
-        Entry known = entries.get(d);
-        if (known == null
-                || known.verdict().ordinal() < verdict.ordinal()
-                || known.verdict() == verdict && known.why().isEmpty()) {
-            entries.put(d, new Entry(d, verdict, why));
+    void put(Directive d, Verdict verdict, String reason) {
+        Entry previous = entries.get(d);
+        if (previous == null
+                || previous.verdict().ordinal() < verdict.ordinal()
+                || previous.verdict() == verdict && previous.reason().isEmpty()) {
+            entries.put(d, new Entry(d, verdict, reason));
         }
     }
 
@@ -41,34 +41,34 @@
         put(d, Verdict.TRANSLATED, remark);
     }
 
-    void not(Directive d, String why) {
-        put(d, Verdict.NOT_TRANSLATABLE, why);
+    void notTranslatable(Directive d, String reason) {
+        put(d, Verdict.NOT_TRANSLATABLE, reason);
     }
 
-    boolean has(Directive d) {
+    boolean contains(Directive d) {
         return entries.containsKey(d);
     }
 
     /** The same for a directive and all in its block. */
-    void all(Directive d, Verdict verdict, String why) {
-        put(d, verdict, why);
+    void putAll(Directive d, Verdict verdict, String reason) {
+        put(d, verdict, reason);
         if (d.block() != null) {
-            d.block().forEach(inner -> all(inner, verdict, why));
+            d.block().forEach(inner -> putAll(inner, verdict, reason));
         }
     }
 
     /** All entries, in the order of the files. */
-    public List<Entry> entries(List<Directive> tree) {
-        return tree.stream()
+    public List<Entry> entries(List<Directive> directives) {
+        return directives.stream()
                 .flatMap(d -> {
-                    List<Entry> below = d.block() == null ? List.of() : entries(d.block());
-                    return Stream.concat(Stream.of(entries.get(d)), below.stream());
+                    List<Entry> nested = d.block() == null ? List.of() : entries(d.block());
+                    return Stream.concat(Stream.of(entries.get(d)), nested.stream());
                 })
                 .toList();
     }
 
     /** Is there anything that could not be translated? */
-    public boolean complete() {
+    public boolean isComplete() {
         return entries.values().stream().noneMatch(e -> e.verdict() == Verdict.NOT_TRANSLATABLE);
     }
 }
--- a/src/main/java/gullspar/importer/Scope.java
+++ b/src/main/java/gullspar/importer/Scope.java
@@ -35,8 +35,8 @@
     }
 
     /** The first argument of the last one; otherwise what is usual. */
-    String value(String name, String usual) {
+    String value(String name, String defaultValue) {
         Directive d = last(name);
-        return d == null ? usual : d.argument(0).orElse(usual);
+        return d == null ? defaultValue : d.argument(0).orElse(defaultValue);
     }
 }
--- a/src/main/java/gullspar/importer/TomlWriter.java
+++ b/src/main/java/gullspar/importer/TomlWriter.java
@@ -1,214 +1,216 @@
 package gullspar.importer;
 
-import gullspar.importer.Draft.Host;
-import gullspar.importer.Draft.Pool;
-import gullspar.importer.Draft.Route;
-import gullspar.importer.Draft.When;
+import gullspar.importer.TranslatedSite.Condition;
+import gullspar.importer.TranslatedSite.Host;
+import gullspar.importer.TranslatedSite.Pool;
+import gullspar.importer.TranslatedSite.Route;
 import java.util.Collection;
 import java.util.Map;
 import java.util.stream.Collectors;
 
 /** Writes a draft as a person would: what is usual is left out, comments say where each part comes from. */
 final class TomlWriter {
-    private final StringBuilder s = new StringBuilder();
-
-    String write(Draft d) {
-        s.append("# Made by gullspar import nginx. Comments name the file, line and column of origin.\n");
-        s.append("forwarded = \"pass\"\n");
-        if (d.idleS > 0 || d.requestS > 0 || d.stallS > 0 || d.bodiesMb > 0) {
-            s.append("\n[limits]\n");
-            number("idle_s", d.idleS, -1);
-            number("request_s", d.requestS, -1);
-            number("stall_s", d.stallS, -1);
-            number("bodies_mb", d.bodiesMb, 0);
-        }
-        d.listeners.forEach((address, comment) -> {
-            head(comment, "[[listener]]");
-            text("address", address);
+    private final StringBuilder out = new StringBuilder();
+
+    String write(TranslatedSite site) {
+        out.append("# Made by gullspar import nginx. Comments name the file, line and column of origin.\n");
+        out.append("forwarded = \"pass\"\n");
+        if (site.idleTimeoutS > 0 || site.requestTimeoutS > 0 || site.stallTimeoutS > 0 || site.maxBodiesMb > 0) {
+            out.append("\n[limits]\n");
+            number("idle_s", site.idleTimeoutS, -1);
+            number("request_s", site.requestTimeoutS, -1);
+            number("stall_s", site.stallTimeoutS, -1);
+            number("bodies_mb", site.maxBodiesMb, 0);
+        }
+        site.listeners.forEach((address, comment) -> {
+            tableHeader(comment, "[[listener]]");
+            string("address", address);
         });
-        d.pools.forEach(this::pool);
-        d.hosts.forEach(this::host);
-        return s.toString();
+        site.pools.forEach(this::pool);
+        site.hosts.forEach(this::host);
+        return out.toString();
     }
 
-    private void head(String comment, String table) {
-        s.append('\n');
+    private void tableHeader(String comment, String table) {
+        out.append('\n');
         if (comment != null) {
-            s.append("# ").append(comment.replaceAll("\\p{Cntrl}", "?")).append('\n');
+            out.append("# ").append(comment.replaceAll("\\p{Cntrl}", "?")).append('\n');
         }
-        s.append(table).append('\n');
+        out.append(table).append('\n');
     }
 
     private void pool(String name, Pool p) {
-        head(p.comment, "[[pool]]");
-        text("name", name);
-        if (p.learnt) {
-            text("balance", "learnt");
-        }
-        number("connect_ms", p.connectMs, 0);
-        number("keep_alive", p.keepAlive, -1);
-        number("keep_alive_s", p.keepAliveS, -1);
-        for (Draft.Server v : p.servers) {
-            s.append(v.comment() == null ? "" : "# " + v.comment() + "\n").append("[[pool.server]]\n");
-            text("address", v.address());
-            number("weight", v.weight(), 1);
-            flag("backup", v.backup());
-            flag("down", v.down());
-            number("max_failures", v.maxFailures(), 1);
-            number("fail_s", v.failS(), 10);
-            number("slow_start_s", v.slowStartS(), 0);
-            number("max_connections", v.maxConnections(), 0);
+        tableHeader(p.comment, "[[pool]]");
+        string("name", name);
+        if (p.learntBalance) {
+            string("balance", "learnt");
+        }
+        number("connect_ms", p.connectTimeoutMs, 0);
+        number("keep_alive", p.maxIdle, -1);
+        number("keep_alive_s", p.idleTimeoutS, -1);
+        for (TranslatedSite.Server server : p.servers) {
+            out.append(server.comment() == null ? "" : "# " + server.comment() + "\n")
+                    .append("[[pool.server]]\n");
+            string("address", server.address());
+            number("weight", server.weight(), 1);
+            flag("backup", server.backup());
+            flag("down", server.down());
+            number("max_failures", server.maxFailures(), 1);
+            number("fail_s", server.failTimeoutS(), 10);
+            number("slow_start_s", server.slowStartS(), 0);
+            number("max_connections", server.maxConnections(), 0);
         }
     }
 
     private void host(Host h) {
         // A default that is one at some of its listeners only is written as two hosts with the same routes.
-        if (!h.defaultAt.isEmpty() && !h.defaultAt.containsAll(h.listeners)) {
-            Collection<String> others =
-                    h.listeners.stream().filter(l -> !h.defaultAt.contains(l)).toList();
-            host(h, h.defaultAt, true);
-            host(h, others, false);
+        if (!h.defaultListeners.isEmpty() && !h.defaultListeners.containsAll(h.listeners)) {
+            Collection<String> otherListeners = h.listeners.stream()
+                    .filter(l -> !h.defaultListeners.contains(l))
+                    .toList();
+            host(h, h.defaultListeners, true);
+            host(h, otherListeners, false);
         } else {
-            host(h, h.listeners, !h.defaultAt.isEmpty());
+            host(h, h.listeners, !h.defaultListeners.isEmpty());
         }
     }
 
     private void host(Host h, Collection<String> listeners, boolean isDefault) {
-        head(h.comment, "[[host]]");
-        s.append("names = ").append(list(h.names)).append('\n');
-        s.append("listeners = ").append(list(listeners)).append('\n');
+        tableHeader(h.comment, "[[host]]");
+        out.append("names = ").append(array(h.names)).append('\n');
+        out.append("listeners = ").append(array(listeners)).append('\n');
         flag("default", isDefault);
-        h.first.forEach(r -> route(r, "host.first"));
+        h.priorityRoutes.forEach(r -> route(r, "host.first"));
         h.routes.forEach(r -> route(r, "host.route"));
     }
 
     private void route(Route r, String table) {
-        head(r.comment, "[[" + table + "]]");
-        text("name", r.name);
+        tableHeader(r.comment, "[[" + table + "]]");
+        string("name", r.name);
         if (r.path != null) {
             if (!r.match.equals("prefix")) {
-                text("match", r.match);
+                string("match", r.match);
             }
-            text("path", r.path);
+            string("path", r.path);
         }
         if (r.pool == null) {
-            answer(r);
+            fixedResponse(r);
         } else {
-            passed(r);
-        }
-        for (When w : r.when) {
-            s.append("[[").append(table).append(".when]]\n");
-            text("of", w.of());
-            if (w.is() != null) {
-                text("is", w.is());
-            } else if (w.matches() != null) {
-                text("matches", w.matches());
+            poolTarget(r);
+        }
+        for (Condition condition : r.conditions) {
+            out.append("[[").append(table).append(".when]]\n");
+            string("of", condition.template());
+            if (condition.equalTo() != null) {
+                string("is", condition.equalTo());
+            } else if (condition.regex() != null) {
+                string("matches", condition.regex());
             } else {
-                s.append("share = [")
-                        .append(plain(w.from()))
+                out.append("share = [")
+                        .append(formatNumber(condition.fromPercent()))
                         .append(", ")
-                        .append(plain(w.to()))
+                        .append(formatNumber(condition.toPercent()))
                         .append("]\n");
             }
         }
         r.nested.forEach(n -> route(n, table + ".route"));
     }
 
-    private void passed(Route r) {
-        text("pool", r.pool);
+    private void poolTarget(Route r) {
+        string("pool", r.pool);
         if (r.safe) {
-            text("class", "safe");
+            string("class", "safe");
         }
         number("deadline_ms", r.deadlineMs, 60_000);
-        number("attempts", r.attempts, 3);
-        number("attempt_ms", r.attemptMs, 0);
-        number("body_kb", r.bodyKb, 1024);
-        s.append("retry_on = ").append(list(r.retryOn)).append('\n');
+        number("attempts", r.maxAttempts, 3);
+        number("attempt_ms", r.attemptTimeoutMs, 0);
+        number("body_kb", r.maxBodyKb, 1024);
+        out.append("retry_on = ").append(array(r.retryStatuses)).append('\n');
         if (r.rewritePattern != null) {
-            s.append("rewrite = { pattern = ")
+            out.append("rewrite = { pattern = ")
                     .append(quoted(r.rewritePattern))
                     .append(", to = ")
-                    .append(quoted(r.rewriteTo))
+                    .append(quoted(r.rewriteReplacement))
                     .append(" }\n");
-        } else if (r.rewriteTo != null) {
-            s.append("rewrite = { to = ").append(quoted(r.rewriteTo)).append(" }\n");
+        } else if (r.rewriteReplacement != null) {
+            out.append("rewrite = { to = ").append(quoted(r.rewriteReplacement)).append(" }\n");
         }
-        headers("request_headers", r.request);
-        headers("answer_headers", r.answerHeaders);
+        headers("request_headers", r.requestHeaders);
+        headers("answer_headers", r.responseHeaders);
     }
 
-    private void answer(Route r) {
-        s.append("answer = { status = ").append(r.status);
+    private void fixedResponse(Route r) {
+        out.append("answer = { status = ").append(r.status);
         if (r.location != null) {
-            s.append(", location = ").append(quoted(r.location));
+            out.append(", location = ").append(quoted(r.location));
         }
         if (r.body != null) {
-            s.append(", body = ").append(quoted(r.body)).append(", type = ").append(quoted(r.type));
+            out.append(", body = ").append(quoted(r.body)).append(", type = ").append(quoted(r.contentType));
         }
-        if (!r.answerHeaders.isEmpty()) {
-            s.append(", headers = ").append(changes(r.answerHeaders));
+        if (!r.responseHeaders.isEmpty()) {
+            out.append(", headers = ").append(headerChanges(r.responseHeaders));
         }
-        s.append(" }\n");
+        out.append(" }\n");
     }
 
-    private void headers(String key, Draft.Headers h) {
-        if (!h.isEmpty()) {
-            s.append(key).append(" = ").append(changes(h)).append('\n');
+    private void headers(String key, TranslatedSite.HeaderChanges changes) {
+        if (!changes.isEmpty()) {
+            out.append(key).append(" = ").append(headerChanges(changes)).append('\n');
         }
     }
 
-    private static String changes(Draft.Headers h) {
+    private static String headerChanges(TranslatedSite.HeaderChanges changes) {
         StringBuilder b = new StringBuilder("{ ");
-        String between = "";
+        String separator = "";
         for (Map.Entry<String, Map<String, String>> e :
-                Map.of("set", h.set, "add", h.add, "add_ok", h.addOk).entrySet().stream()
+                Map.of("set", changes.set, "add", changes.add, "add_ok", changes.addOk).entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
                         .toList()) {
             if (!e.getValue().isEmpty()) {
-                b.append(between)
+                b.append(separator)
                         .append(e.getKey())
                         .append(" = { ")
                         .append(e.getValue().entrySet().stream()
                                 .map(v -> quoted(v.getKey()) + " = " + quoted(v.getValue()))
                                 .collect(Collectors.joining(", ")))
                         .append(" }");
-                between = ", ";
+                separator = ", ";
             }
         }
-        if (!h.remove.isEmpty()) {
-            b.append(between).append("remove = ").append(list(h.remove));
+        if (!changes.remove.isEmpty()) {
+            b.append(separator).append("remove = ").append(array(changes.remove));
         }
         return b.append(" }").toString();
     }
 
-    private void text(String key, String value) {
-        s.append(key).append(" = ").append(quoted(value)).append('\n');
+    private void string(String key, String value) {
+        out.append(key).append(" = ").append(quoted(value)).append('\n');
     }
 
-    private void number(String key, double value, double usual) {
-        if (value != usual) {
-            s.append(key).append(" = ").append(plain(value)).append('\n');
+    private void number(String key, double value, double defaultValue) {
+        if (value != defaultValue) {
+            out.append(key).append(" = ").append(formatNumber(value)).append('\n');
         }
     }
 
-    private static String plain(double v) {
+    private static String formatNumber(double v) {
         return v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v);
     }
 
     private void flag(String key, boolean value) {
         if (value) {
-            s.append(key).append(" = true\n");
+            out.append(key).append(" = true\n");
         }
     }
 
-    private static String list(Collection<String> texts) {
+    private static String array(Collection<String> texts) {
         return texts.stream().map(TomlWriter::quoted).collect(Collectors.joining(", ", "[", "]"));
     }
 
     /** Backslashes stay as they are where a literal string can hold the text. */
     private static String quoted(String text) {
-        boolean odd = text.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127);
-        if (text.contains("\\") && !text.contains("'") && !odd) {
+        boolean hasControlCharacters = text.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127);
+        if (text.contains("\\") && !text.contains("'") && !hasControlCharacters) {
             return "'" + text + "'";
         }
         StringBuilder b = new StringBuilder("\"");
--- a/src/main/java/gullspar/importer/Draft.java
+++ b/src/main/java/gullspar/importer/TranslatedSite.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /** The configuration as far as it is translated; comments say where each part comes from. */
-final class Draft {
+final class TranslatedSite {
     /** A condition on a text made of the request: is, or matches, or a share in percent from and to. */
-    record When(String of, String is, String matches, double from, double to) {
-        static When is(String of, String value) {
-            return new When(of, value, null, 0, 0);
+    record Condition(String template, String equalTo, String regex, double fromPercent, double toPercent) {
+        static Condition equalTo(String template, String value) {
+            return new Condition(template, value, null, 0, 0);
         }
 
-        static When matches(String of, String regex) {
-            return new When(of, null, regex, 0, 0);
+        static Condition regex(String template, String regex) {
+            return new Condition(template, null, regex, 0, 0);
         }
 
-        static When share(String of, double from, double to) {
-            return new When(of, null, null, from, to);
+        static Condition share(String template, double fromPercent, double toPercent) {
+            return new Condition(template, null, null, fromPercent, toPercent);
         }
     }
 
@@ -32,7 +32,7 @@
             boolean backup,
             boolean down,
             int maxFailures,
-            double failS,
+            double failTimeoutS,
             double slowStartS,
             int maxConnections) {}
 
@@ -40,10 +40,10 @@
     static final class Pool {
         final String comment;
         final List<Server> servers = new ArrayList<>();
-        boolean learnt;
-        int keepAlive = -1;
-        double keepAliveS = -1;
-        long connectMs;
+        boolean learntBalance;
+        int maxIdle = -1;
+        double idleTimeoutS = -1;
+        long connectTimeoutMs;
 
         Pool(String comment) {
             this.comment = comment;
@@ -51,7 +51,7 @@
     }
 
     /** Headers that change on the way. */
-    static final class Headers {
+    static final class HeaderChanges {
         final Map<String, String> set = new LinkedHashMap<>();
         final Map<String, String> add = new LinkedHashMap<>();
         final Map<String, String> addOk = new LinkedHashMap<>();
@@ -68,21 +68,21 @@
         String name;
         String match;
         String path;
-        final List<When> when = new ArrayList<>();
+        final List<Condition> conditions = new ArrayList<>();
         String pool;
         boolean safe;
         long deadlineMs;
-        long attemptMs;
-        int attempts;
-        double bodyKb;
-        List<String> retryOn = List.of();
+        long attemptTimeoutMs;
+        int maxAttempts;
+        double maxBodyKb;
+        List<String> retryStatuses = List.of();
         String rewritePattern;
-        String rewriteTo;
-        Headers request = new Headers();
-        Headers answerHeaders = new Headers();
+        String rewriteReplacement;
+        HeaderChanges requestHeaders = new HeaderChanges();
+        HeaderChanges responseHeaders = new HeaderChanges();
         int status;
         String body;
-        String type;
+        String contentType;
         String location;
         final List<Route> nested = new ArrayList<>();
     }
@@ -92,8 +92,8 @@
         final String comment;
         final List<String> names = new ArrayList<>();
         final Set<String> listeners = new LinkedHashSet<>();
-        final Set<String> defaultAt = new LinkedHashSet<>();
-        final List<Route> first = new ArrayList<>();
+        final Set<String> defaultListeners = new LinkedHashSet<>();
+        final List<Route> priorityRoutes = new ArrayList<>();
         final List<Route> routes = new ArrayList<>();
 
         Host(String comment) {
@@ -106,9 +106,9 @@
 
     final Map<String, Pool> pools = new LinkedHashMap<>();
     final List<Host> hosts = new ArrayList<>();
-    double idleS = -1;
-    double requestS = -1;
-    double stallS = -1;
+    double idleTimeoutS = -1;
+    double requestTimeoutS = -1;
+    double stallTimeoutS = -1;
     /** Where a body may be larger than all of them together usually are: twice the largest. */
-    double bodiesMb;
+    double maxBodiesMb;
 }
--- a/src/main/java/gullspar/importer/Untranslatable.java
+++ b/src/main/java/gullspar/importer/UntranslatableException.java
@@ -3,10 +3,10 @@
 /**
  * Something of a directive has no counterpart; the message says what, and what to do where there is a way.
  */
-final class Untranslatable extends Exception {
+final class UntranslatableException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Untranslatable(String why) {
-        super(why);
+    UntranslatableException(String reason) {
+        super(reason);
     }
 }
--- a/src/main/java/gullspar/importer/Known.java
+++ b/src/main/java/gullspar/importer/VariableTemplates.java
@@ -10,13 +10,13 @@
 import java.util.regex.PatternSyntaxException;
 
 /** Texts of nginx with variables, as templates of ours. What a variable stands for must be known. */
-final class Known {
+final class VariableTemplates {
     private static final Pattern VARIABLE = Pattern.compile("\\$(?:\\{(\\w+)\\}|([1-9]|\\w+))");
     /** What is escaped, a class of characters, or a group: 1 is ? of one that may not count, 2 its name. */
     private static final Pattern GROUP =
             Pattern.compile("\\\\.|\\[(?:\\\\.|[^\\]])*\\]|\\((\\?)?(?:P?<([A-Za-z]\\w*)>)?");
 
-    private static final Map<String, String> SAME = Map.ofEntries(
+    private static final Map<String, String> EQUIVALENTS = Map.ofEntries(
             Map.entry("host", "host"),
             Map.entry("http_host", "host_header"),
             Map.entry("remote_addr", "client"),
@@ -32,29 +32,29 @@
             Map.entry("request_id", "request_id"));
 
     /** Names that have a fixed text here: set, chosen by a map, or of the place. */
-    private final Map<String, String> fixed = new HashMap<>();
+    private final Map<String, String> defined = new HashMap<>();
 
-    Known() {}
+    VariableTemplates() {}
 
-    Known(Known outer) {
-        fixed.putAll(outer.fixed);
+    VariableTemplates(VariableTemplates outer) {
+        defined.putAll(outer.defined);
     }
 
     /** From here on a variable stands for that template. */
-    Known with(String variable, String template) {
-        fixed.put(variable, template);
+    VariableTemplates define(String variable, String template) {
+        defined.put(variable, template);
         return this;
     }
 
     /** The named groups of a regular expression stand for the groups of their number. */
-    Known groups(String regex) {
+    VariableTemplates defineNamedGroups(String regex) {
         Matcher m = GROUP.matcher(regex);
         int group = 0;
         while (m.find()) {
             if (m.group().startsWith("(") && (m.group(1) == null || m.group(2) != null)) {
                 group++;
                 if (m.group(2) != null && group <= 9) {
-                    fixed.put(m.group(2), "${" + group + "}");
+                    defined.put(m.group(2), "${" + group + "}");
                 }
             }
         }
@@ -62,7 +62,7 @@
     }
 
     /** The variables in a text. */
-    static Set<String> used(List<String> texts) {
+    static Set<String> referenced(List<String> texts) {
         Set<String> names = new TreeSet<>();
         for (String text : texts) {
             Matcher m = VARIABLE.matcher(text);
@@ -74,29 +74,29 @@
     }
 
     /** The text of a variable where it is the same for every request; else null. */
-    String text(String variable) {
-        String t = fixed.get(variable);
-        return t == null || t.contains("${") ? null : t;
+    String constantValue(String variable) {
+        String template = defined.get(variable);
+        return template == null || template.contains("${") ? null : template;
     }
 
     /** The template that a text becomes. */
-    String template(String text) throws Untranslatable {
+    String translate(String text) throws UntranslatableException {
         Matcher m = VARIABLE.matcher(text.replace("$is_args$args", "${is_args_and_args}")
                 .replace("$is_args$query_string", "${is_args_and_args}"));
         StringBuilder s = new StringBuilder();
         while (m.find()) {
-            m.appendReplacement(s, Matcher.quoteReplacement(variable(m.group(1) != null ? m.group(1) : m.group(2))));
+            m.appendReplacement(s, Matcher.quoteReplacement(templateOf(m.group(1) != null ? m.group(1) : m.group(2))));
         }
         m.appendTail(s);
         return s.toString();
     }
 
-    private String variable(String name) throws Untranslatable {
-        if (fixed.containsKey(name)) {
-            return fixed.get(name);
+    private String templateOf(String name) throws UntranslatableException {
+        if (defined.containsKey(name)) {
+            return defined.get(name);
         }
-        if (SAME.containsKey(name)) {
-            return "${" + SAME.get(name) + "}";
+        if (EQUIVALENTS.containsKey(name)) {
+            return "${" + EQUIVALENTS.get(name) + "}";
         }
         if (name.equals("is_args_and_args")) {
             return "${args}";
@@ -115,27 +115,27 @@
                         : "${" + kind.substring(0, kind.length() - 1) + "." + rest + "}";
             }
         }
-        throw new Untranslatable("what $" + name + " stands for is not known here");
+        throw new UntranslatableException("what $" + name + " stands for is not known here");
     }
 
     /** A regular expression as Java writes it: PCRE's other way to name groups, and names with _. */
-    static String regex(String pcre) throws Untranslatable {
+    static String toJavaRegex(String pcre) throws UntranslatableException {
         Matcher m = Pattern.compile("\\(\\?P?<([A-Za-z]\\w*)>").matcher(pcre);
         StringBuilder s = new StringBuilder();
         while (m.find()) {
             m.appendReplacement(s, Matcher.quoteReplacement("(?<" + m.group(1).replace("_", "") + ">"));
         }
-        String java = m.appendTail(s).toString();
+        String javaRegex = m.appendTail(s).toString();
         try {
-            Pattern.compile(java);
+            Pattern.compile(javaRegex);
         } catch (PatternSyntaxException e) {
-            throw new Untranslatable("this regular expression means nothing here: " + e.getDescription());
+            throw new UntranslatableException("this regular expression means nothing here: " + e.getDescription());
         }
-        return java;
+        return javaRegex;
     }
 
     /** One that is found if the other is, and spans the whole text: what nginx's rewrite replaces. */
-    static String whole(String regex) {
+    static String matchWholeText(String regex) {
         return "^.*?(?:" + regex + ").*$";
     }
 }
--- a/src/test/java/gullspar/importer/PropertiesTest.java
+++ b/src/test/java/gullspar/importer/ImporterPropertiesTest.java
@@ -27,14 +27,14 @@
 import net.jqwik.api.Provide;
 
 /** Places and texts that nobody thought of. Seeds are fixed: the verdict is the same every time. */
-class PropertiesTest {
+class ImporterPropertiesTest {
     /** A location: what stands before its block, and those in it. */
-    record Place(String head, List<Place> nested) {}
+    record Location(String arguments, List<Location> nested) {}
 
     private static final List<String> PATHS = List.of("/", "/a", "/a/", "/a/b", "/ab", "/b/", "/a/b/", "/b");
     private static final List<String> REGEXES = List.of("^/a", "b$", "/b/", "^/(a|b)/b", "a", "^/$", "\\.x$");
 
-    private static Arbitrary<String> heads(boolean regexes) {
+    private static Arbitrary<String> locationArguments(boolean regexes) {
         Arbitrary<String> paths = Arbitraries.of(PATHS);
         Arbitrary<String> plain =
                 Combinators.combine(Arbitraries.of("", "= ", "^~ ", ""), paths).as((kind, path) -> kind + path);
@@ -46,18 +46,21 @@
                 : plain;
     }
 
-    private static Arbitrary<List<Place>> places(int depth) {
-        Arbitrary<List<Place>> below = depth == 0 ? Arbitraries.just(List.of()) : places(depth - 1);
-        return Combinators.combine(heads(true), below).as(Place::new).list().ofMaxSize(5);
+    private static Arbitrary<List<Location>> locations(int depth) {
+        Arbitrary<List<Location>> nested = depth == 0 ? Arbitraries.just(List.of()) : locations(depth - 1);
+        return Combinators.combine(locationArguments(true), nested)
+                .as(Location::new)
+                .list()
+                .ofMaxSize(5);
     }
 
     @Provide
-    Arbitrary<List<Place>> sets() {
-        return places(2);
+    Arbitrary<List<Location>> locationLists() {
+        return locations(2);
     }
 
     @Provide
-    Arbitrary<String> asked() {
+    Arbitrary<String> requestPaths() {
         return Combinators.combine(
                         Arbitraries.strings().withChars("/ab").ofMaxLength(7), Arbitraries.of("", "", ".x", "/"))
                 .as((path, end) -> "/" + path + end);
@@ -67,34 +70,37 @@
      * Writes those that nginx would take: nested ones begin as the one round them, exact ones hold none, none
      * comes twice.
      */
-    private static void write(List<Place> places, String within, StringBuilder conf, int[] count) {
+    private static void writeLocations(
+            List<Location> locations, String requiredPrefix, StringBuilder conf, int[] serverCount) {
         Set<String> seen = new HashSet<>();
-        for (Place p : places) {
-            String[] h = p.head().split(" ");
-            String path = h[h.length - 1];
-            boolean regex = p.head().startsWith("~");
-            if (!regex && !path.startsWith(within) || !seen.add(p.head().startsWith("^~ ") ? path : p.head())) {
+        for (Location location : locations) {
+            String[] arguments = location.arguments().split(" ");
+            String path = arguments[arguments.length - 1];
+            boolean regex = location.arguments().startsWith("~");
+            if (!regex && !path.startsWith(requiredPrefix)
+                    || !seen.add(location.arguments().startsWith("^~ ") ? path : location.arguments())) {
                 continue;
             }
             conf.append("location ")
-                    .append(p.head())
+                    .append(location.arguments())
                     .append(" {\nproxy_pass http://10.0.")
-                    .append(count[0] / 250)
+                    .append(serverCount[0] / 250)
                     .append('.')
-                    .append(count[0]++ % 250 + 1)
+                    .append(serverCount[0]++ % 250 + 1)
                     .append(":80;\n");
-            if (!p.head().startsWith("=")) {
+            if (!location.arguments().startsWith("=")) {
                 // A regular expression holds anything, a prefix what begins with it.
-                write(p.nested(), regex ? within : path, conf, count);
+                writeLocations(location.nested(), regex ? requiredPrefix : path, conf, serverCount);
             }
             conf.append("}\n");
         }
     }
 
     @Property(tries = 1500, seed = "4711")
-    void placesAreThoseOfTheModel(@ForAll("sets") List<Place> places, @ForAll("asked") String path) throws Exception {
+    void routerFindsLocationOfModel(
+            @ForAll("locationLists") List<Location> locations, @ForAll("requestPaths") String path) throws Exception {
         StringBuilder conf = new StringBuilder("server {\nlisten 80;\n");
-        write(places, "/", conf, new int[] {0});
+        writeLocations(locations, "/", conf, new int[] {0});
         conf.append("location = /there { return 204; }\n}\n");
         List<Problem> problems = new ArrayList<>();
         List<Directive> read = Parser.parse(conf.toString(), Path.of("x"), problems);
@@ -103,20 +109,21 @@
         Path file = Files.createTempFile("model", ".conf");
         try {
             Files.writeString(file, conf);
-            NginxModel.Done want = new NginxModel(file).done(new NginxModel.Asked("GET", "h", 80, path, Map.of()));
-            String clean = path.replaceAll("/+", "/");
-            Router.Result got = site.router(80).find(new Request("GET", "h", clean, null, n -> List.of()));
-            String pool = got.route() == null || got.route().pool() == null
+            NginxModel.Outcome expected =
+                    new NginxModel(file).evaluate(new NginxModel.Request("GET", "h", 80, path, Map.of()));
+            String normalizedPath = path.replaceAll("/+", "/");
+            Router.Result actual = site.router(80).find(new Request("GET", "h", normalizedPath, null, n -> List.of()));
+            String pool = actual.route() == null || actual.route().pool() == null
                     ? null
-                    : got.route().pool().pool();
-            assertEquals(want.upstream(), pool, path + " in\n" + conf);
+                    : actual.route().pool().pool();
+            assertEquals(expected.upstream(), pool, path + " in\n" + conf);
             assertEquals(
-                    want.status(),
+                    expected.status(),
                     pool != null
                             ? 200
-                            : got.route() == null
-                                    ? got.status()
-                                    : got.route().fixedResponse().status(),
+                            : actual.route() == null
+                                    ? actual.status()
+                                    : actual.route().fixedResponse().status(),
                     path + " in\n" + conf);
         } finally {
             Files.delete(file);
@@ -133,28 +140,28 @@
     }
 
     /** A directive as it is written; block null for one that has none. */
-    record Tree(String name, List<String> arguments, List<Tree> block) {}
+    record DirectiveTree(String name, List<String> arguments, List<DirectiveTree> block) {}
 
-    private static Arbitrary<List<Tree>> trees(int depth) {
-        Arbitrary<List<Tree>> below = depth == 0
-                ? Arbitraries.just((List<Tree>) null)
+    private static Arbitrary<List<DirectiveTree>> trees(int depth) {
+        Arbitrary<List<DirectiveTree>> nested = depth == 0
+                ? Arbitraries.just((List<DirectiveTree>) null)
                 : trees(depth - 1).injectNull(0.5);
         return Combinators.combine(
                         Arbitraries.strings().alpha().ofMinLength(1).ofMaxLength(5),
                         words().list().ofMaxSize(3),
-                        below)
-                .as(Tree::new)
+                        nested)
+                .as(DirectiveTree::new)
                 .list()
                 .ofMaxSize(4);
     }
 
     @Provide
-    Arbitrary<List<Tree>> files() {
+    Arbitrary<List<DirectiveTree>> files() {
         return trees(3);
     }
 
-    private static void print(List<Tree> trees, StringBuilder s) {
-        for (Tree t : trees) {
+    private static void print(List<DirectiveTree> trees, StringBuilder s) {
+        for (DirectiveTree t : trees) {
             s.append(t.name());
             for (String a : t.arguments()) {
                 s.append(" \"")
@@ -171,9 +178,9 @@
         }
     }
 
-    private static List<Tree> trees(List<Directive> read) {
-        return read.stream()
-                .map(d -> new Tree(
+    private static List<DirectiveTree> trees(List<Directive> directives) {
+        return directives.stream()
+                .map(d -> new DirectiveTree(
                         d.name().text(),
                         d.arguments().stream().map(w -> w.text()).toList(),
                         d.block() == null ? null : trees(d.block())))
@@ -181,29 +188,29 @@
     }
 
     @Property(tries = 1000, seed = "4712")
-    void whatIsPrintedIsWhatIsRead(@ForAll("files") List<Tree> written) {
+    void parserReadsPrintedDirectives(@ForAll("files") List<DirectiveTree> trees) {
         StringBuilder s = new StringBuilder();
-        print(written, s);
+        print(trees, s);
         List<Problem> problems = new ArrayList<>();
         List<Directive> read = Parser.parse(s.toString(), Path.of("x"), problems);
         assertEquals(List.of(), problems, s.toString());
-        assertEquals(written, trees(read), s.toString());
+        assertEquals(trees, trees(read), s.toString());
     }
 
     /** Whatever is read, every directive ends in the report exactly once. */
     @Property(tries = 1000, seed = "4713")
-    void whateverIsReadIsReported(@ForAll("odd") String text) throws IOException {
+    void everyDirectiveIsReportedOnce(@ForAll("arbitraryTexts") String text) throws IOException {
         List<Problem> problems = new ArrayList<>();
         List<Directive> read = Parser.parse(text, Path.of("x"), problems);
-        Importer.Imported made = Importer.translate(read, Map.of());
-        List<Report.Entry> entries = made.report().entries(read);
+        Importer.Result result = Importer.translate(read, Map.of());
+        List<Report.Entry> entries = result.report().entries(read);
         assertEquals(read.stream().mapToInt(Directive::count).sum(), entries.size());
         entries.forEach(e -> assertNotNull(e, text));
     }
 
     @Provide
-    Arbitrary<String> odd() {
-        Arbitrary<String> known = Arbitraries.of(
+    Arbitrary<String> arbitraryTexts() {
+        Arbitrary<String> tokens = Arbitraries.of(
                 "server",
                 "location",
                 "http",
@@ -253,6 +260,6 @@
                 .array(byte[].class)
                 .ofMaxSize(200)
                 .map(b -> new String(b, StandardCharsets.ISO_8859_1));
-        return Arbitraries.oneOf(known.list().ofMaxSize(60).map(l -> String.join(" ", l)), bytes);
+        return Arbitraries.oneOf(tokens.list().ofMaxSize(60).map(l -> String.join(" ", l)), bytes);
     }
 }
--- a/src/test/java/gullspar/importer/ImporterTest.java
+++ b/src/test/java/gullspar/importer/ImporterTest.java
@@ -21,15 +21,15 @@
 
 /** What becomes of each directive. */
 class ImporterTest {
-    private static Importer.Imported made(String text) {
+    private static Importer.Result translate(String text) {
         List<Problem> problems = new ArrayList<>();
         List<Directive> read = Parser.parse(text, Path.of("x.conf"), problems);
         assertEquals(List.of(), problems);
         return Importer.translate(read, Map.of("app", "10.9.9.9"));
     }
 
-    private static Report.Entry entry(Importer.Imported made, String directive) {
-        return made.report().entries(made.directives()).stream()
+    private static Report.Entry entry(Importer.Result result, String directive) {
+        return result.report().entries(result.directives()).stream()
                 .filter(e -> e.directive().is(directive))
                 .findFirst()
                 .orElseThrow();
@@ -41,16 +41,16 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void asManyDirectivesAreReportedAsWereRead(Path folder) {
+    void everyDirectiveReadIsReported(Path folder) {
         List<Problem> problems = new ArrayList<>();
-        Importer.Imported made = Importer.read(List.of(folder.resolve("nginx.conf")), Map.of(), problems);
+        Importer.Result result = Importer.read(List.of(folder.resolve("nginx.conf")), Map.of(), problems);
         assertEquals(
-                made.directives().stream().mapToInt(Directive::count).sum(),
-                made.report().entries(made.directives()).size());
+                result.directives().stream().mapToInt(Directive::count).sum(),
+                result.report().entries(result.directives()).size());
     }
 
-    private static String location(String inner) {
-        return "server { location / { proxy_pass http://10.0.0.1; " + inner + " } }";
+    private static String serverWithLocation(String directives) {
+        return "server { location / { proxy_pass http://10.0.0.1; " + directives + " } }";
     }
 
     @ParameterizedTest
@@ -76,11 +76,11 @@
                 "server_name|server { server_name $hostname; }",
                 "server_name|server { server_name ~^(?<who>.*)$; }"
             })
-    void whatHasNoCounterpartIsSaid(String directive, String text) {
-        Importer.Imported made = made(text);
-        assertEquals(Verdict.NOT_TRANSLATABLE, entry(made, directive).verdict());
-        assertFalse(entry(made, directive).why().isEmpty());
-        assertFalse(made.report().complete());
+    void reportsUntranslatableDirective(String directive, String text) {
+        Importer.Result result = translate(text);
+        assertEquals(Verdict.NOT_TRANSLATABLE, entry(result, directive).verdict());
+        assertFalse(entry(result, directive).reason().isEmpty());
+        assertFalse(result.report().isComplete());
     }
 
     @ParameterizedTest
@@ -105,10 +105,10 @@
                 "client_max_body_size|client_max_body_size big;",
                 "proxy_read_timeout|proxy_read_timeout soon;"
             })
-    void norWithinALocation(String directive, String inner) {
+    void reportsUntranslatableDirectiveInLocation(String directive, String directives) {
         assertEquals(
                 Verdict.NOT_TRANSLATABLE,
-                entry(made(location(inner)), directive).verdict());
+                entry(translate(serverWithLocation(directives)), directive).verdict());
     }
 
     @ParameterizedTest
@@ -124,39 +124,39 @@
                 "proxy_cache|proxy_cache off;",
                 "auth_basic|auth_basic off;"
             })
-    void whatIsWithoutEffectIsSaidWithTheReason(String directive, String inner) {
-        Importer.Imported made = made(location(inner));
-        assertEquals(Verdict.NO_EFFECT, entry(made, directive).verdict());
-        assertFalse(entry(made, directive).why().isEmpty());
-        assertTrue(made.report().complete());
+    void reportsReasonOfDirectiveWithoutEffect(String directive, String directives) {
+        Importer.Result result = translate(serverWithLocation(directives));
+        assertEquals(Verdict.NO_EFFECT, entry(result, directive).verdict());
+        assertFalse(entry(result, directive).reason().isEmpty());
+        assertTrue(result.report().isComplete());
     }
 
     @Test
-    void whatComesUnderAReturnHasNoEffect() {
-        Importer.Imported made = made("server { return 301 https://a$request_uri; location / { root /x; } }");
-        assertEquals(Verdict.NO_EFFECT, entry(made, "root").verdict());
-        assertTrue(made.report().complete());
+    void locationAfterServerReturnHasNoEffect() {
+        Importer.Result result = translate("server { return 301 https://a$request_uri; location / { root /x; } }");
+        assertEquals(Verdict.NO_EFFECT, entry(result, "root").verdict());
+        assertTrue(result.report().isComplete());
     }
 
     @Test
-    void aNameMayBeGivenItsAddress() {
-        Importer.Imported made = made("server { location / { proxy_pass http://app:8080; } }");
-        assertTrue(made.report().complete());
-        assertTrue(made.toml().contains("10.9.9.9:8080"), made.toml());
-        assertTrue(made.toml().contains("Host\" = \"app:8080"), made.toml());
+    void usesGivenAddressOfHostName() {
+        Importer.Result result = translate("server { location / { proxy_pass http://app:8080; } }");
+        assertTrue(result.report().isComplete());
+        assertTrue(result.toml().contains("10.9.9.9:8080"), result.toml());
+        assertTrue(result.toml().contains("Host\" = \"app:8080"), result.toml());
     }
 
     @Test
-    void itIsSaidWhatBecomesOfAClassAndOfAWayToChoose() {
-        Importer.Imported made = made("upstream u { least_conn; server 10.0.0.1; } server { location / "
+    void reportsSafeClassAndLearntBalance() {
+        Importer.Result result = translate("upstream u { least_conn; server 10.0.0.1; } server { location / "
                 + "{ proxy_pass http://u; proxy_next_upstream error non_idempotent; } }");
-        assertTrue(entry(made, "proxy_next_upstream").why().contains("may run twice"));
-        assertTrue(entry(made, "least_conn").why().contains("module's own choice"));
-        assertTrue(made.toml().contains("class = \"safe\"") && made.toml().contains("balance = \"learnt\""));
+        assertTrue(entry(result, "proxy_next_upstream").reason().contains("may run twice"));
+        assertTrue(entry(result, "least_conn").reason().contains("module's own choice"));
+        assertTrue(result.toml().contains("class = \"safe\"") && result.toml().contains("balance = \"learnt\""));
     }
 
     @Test
-    void commentsNameTheOrigin() throws IOException {
+    void commentsNameSourceLocation() throws IOException {
         String toml = Importer.read(
                         List.of(Path.of("src/test/resources/nginx/07-multi-file/nginx.conf")),
                         Map.of(),
--- a/src/test/java/gullspar/importer/NginxModel.java
+++ b/src/test/java/gullspar/importer/NginxModel.java
@@ -23,12 +23,12 @@
  */
 final class NginxModel {
     /** A directive. */
-    static final class Node {
+    static final class ConfigNode {
         final String name;
         final List<String> args;
-        final List<Node> block;
+        final List<ConfigNode> block;
 
-        Node(String name, List<String> args, List<Node> block) {
+        ConfigNode(String name, List<String> args, List<ConfigNode> block) {
             this.name = name;
             this.args = args;
             this.block = block;
@@ -38,98 +38,100 @@
             return i < args.size() ? args.get(i) : "";
         }
 
-        List<Node> all(String n) {
+        List<ConfigNode> children(String n) {
             return block.stream().filter(x -> x.name.equals(n)).toList();
         }
     }
 
     /** A request: port is that of the listener; uri as it came. */
-    record Asked(String method, String host, int port, String uri, Map<String, String> headers) {}
+    record Request(String method, String host, int port, String uri, Map<String, String> headers) {}
 
     /** An answer of its own (upstream null), or what goes to an upstream. */
-    record Done(int status, String location, String upstream, String uri, String host) {}
+    record Outcome(int status, String location, String upstream, String uri, String host) {}
 
     /** A server of an upstream, and what the smooth weighted rotation keeps of it. */
-    static final class Peer {
+    static final class UpstreamServer {
         final String address;
         final int weight;
         final int maxFails;
-        final double failS;
+        final double failTimeoutS;
         final boolean backup;
         final boolean down;
-        int current;
-        int fails;
-        double checked = -1e9;
+        int currentWeight;
+        int failures;
+        double lastCheckedS = -1e9;
 
-        Peer(Node server) {
-            this.address = server.arg(0);
-            Map<String, String> p = new HashMap<>();
-            server.args.forEach(a -> p.put(a.split("=")[0], a.contains("=") ? a.split("=")[1] : ""));
-            this.weight = Integer.parseInt(p.getOrDefault("weight", "1"));
-            this.maxFails = Integer.parseInt(p.getOrDefault("max_fails", "1"));
-            this.failS =
-                    Double.parseDouble(p.getOrDefault("fail_timeout", "10s").replace("s", ""));
-            this.backup = p.containsKey("backup");
-            this.down = p.containsKey("down");
+        UpstreamServer(ConfigNode node) {
+            this.address = node.arg(0);
+            Map<String, String> parameters = new HashMap<>();
+            node.args.forEach(a -> parameters.put(a.split("=")[0], a.contains("=") ? a.split("=")[1] : ""));
+            this.weight = Integer.parseInt(parameters.getOrDefault("weight", "1"));
+            this.maxFails = Integer.parseInt(parameters.getOrDefault("max_fails", "1"));
+            this.failTimeoutS = Double.parseDouble(
+                    parameters.getOrDefault("fail_timeout", "10s").replace("s", ""));
+            this.backup = parameters.containsKey("backup");
+            this.down = parameters.containsKey("down");
         }
 
-        private boolean out(double now) {
-            return down || maxFails > 0 && fails >= maxFails && now - checked <= failS;
+        private boolean isUnavailable(double nowS) {
+            return down || maxFails > 0 && failures >= maxFails && nowS - lastCheckedS <= failTimeoutS;
         }
     }
 
     private final Path folder;
-    private final List<Node> http = new ArrayList<>();
-    final Map<String, List<Peer>> upstreams = new LinkedHashMap<>();
+    private final List<ConfigNode> http = new ArrayList<>();
+    final Map<String, List<UpstreamServer>> upstreams = new LinkedHashMap<>();
     private String text;
-    private int at;
+    private int position;
 
-    NginxModel(Path main) throws IOException {
-        this.folder = main.getParent();
-        for (Node n : read(main)) {
+    NginxModel(Path mainFile) throws IOException {
+        this.folder = mainFile.getParent();
+        for (ConfigNode n : read(mainFile)) {
             http.addAll(n.name.equals("http") ? n.block : List.of(n));
         }
-        for (Node n : http) {
+        for (ConfigNode n : http) {
             if (n.name.equals("upstream")) {
-                upstreams.put(n.arg(0), n.all("server").stream().map(Peer::new).toList());
+                upstreams.put(
+                        n.arg(0),
+                        n.children("server").stream().map(UpstreamServer::new).toList());
             }
         }
     }
 
     // ---- reading ----
 
-    private List<Node> read(Path file) throws IOException {
-        String before = text;
-        int was = at;
+    private List<ConfigNode> read(Path file) throws IOException {
+        String outerText = text;
+        int outerPosition = position;
         text = Files.readString(file);
-        at = 0;
-        List<Node> nodes = block();
-        text = before;
-        at = was;
+        position = 0;
+        List<ConfigNode> nodes = block();
+        text = outerText;
+        position = outerPosition;
         return nodes;
     }
 
-    private List<Node> block() throws IOException {
-        List<Node> nodes = new ArrayList<>();
+    private List<ConfigNode> block() throws IOException {
+        List<ConfigNode> nodes = new ArrayList<>();
         List<String> words = new ArrayList<>();
-        while (at < text.length()) {
-            char c = text.charAt(at);
+        while (position < text.length()) {
+            char c = text.charAt(position);
             if (c == '#') {
-                at = text.indexOf('\n', at);
+                position = text.indexOf('\n', position);
             } else if (Character.isWhitespace(c)) {
-                at++;
+                position++;
             } else if (c == ';' || c == '{') {
-                at++;
-                Node n = new Node(
+                position++;
+                ConfigNode n = new ConfigNode(
                         words.get(0), List.copyOf(words.subList(1, words.size())), c == '{' ? block() : List.of());
                 words.clear();
                 if (n.name.equals("include")) {
-                    nodes.addAll(included(n.arg(0)));
+                    nodes.addAll(readIncluded(n.arg(0)));
                 } else {
                     nodes.add(n);
                 }
             } else if (c == '}') {
-                at++;
+                position++;
                 return nodes;
             } else {
                 words.add(word());
@@ -138,13 +140,13 @@
         return nodes;
     }
 
-    private List<Node> included(String name) throws IOException {
-        List<Node> nodes = new ArrayList<>();
+    private List<ConfigNode> readIncluded(String name) throws IOException {
+        List<ConfigNode> nodes = new ArrayList<>();
         if (!name.contains("*")) {
             return read(folder.resolve(name));
         }
-        Path in = folder.resolve(name).getParent();
-        try (Stream<Path> files = Files.list(in)) {
+        Path directory = folder.resolve(name).getParent();
+        try (Stream<Path> files = Files.list(directory)) {
             for (Path f : files.sorted().toList()) {
                 nodes.addAll(read(f));
             }
@@ -154,17 +156,17 @@
 
     private String word() {
         StringBuilder w = new StringBuilder();
-        char quote = text.charAt(at) == '"' || text.charAt(at) == '\'' ? text.charAt(at++) : 0;
+        char quote = text.charAt(position) == '"' || text.charAt(position) == '\'' ? text.charAt(position++) : 0;
         while (true) {
-            char c = text.charAt(at);
-            boolean variable = c == '{' && at > 0 && text.charAt(at - 1) == '$';
+            char c = text.charAt(position);
+            boolean variable = c == '{' && position > 0 && text.charAt(position - 1) == '$';
             if (quote != 0 ? c == quote : Character.isWhitespace(c) || c == ';' || c == '{' && !variable) {
-                at += quote != 0 ? 1 : 0;
+                position += quote != 0 ? 1 : 0;
                 return w.toString();
             }
-            at++;
-            if (c == '\\' && "nrt\"'\\".indexOf(text.charAt(at)) >= 0) {
-                w.append("\n\r\t\"'\\".charAt("nrt\"'\\".indexOf(text.charAt(at++))));
+            position++;
+            if (c == '\\' && "nrt\"'\\".indexOf(text.charAt(position)) >= 0) {
+                w.append("\n\r\t\"'\\".charAt("nrt\"'\\".indexOf(text.charAt(position++))));
             } else {
                 w.append(c);
             }
@@ -182,93 +184,96 @@
                 .toList();
     }
 
-    List<Node> servers() {
+    List<ConfigNode> servers() {
         return http.stream().filter(n -> n.name.equals("server")).toList();
     }
 
-    private static List<Integer> ports(Node server) {
-        List<Integer> ports = server.all("listen").stream()
+    private static List<Integer> ports(ConfigNode server) {
+        List<Integer> ports = server.children("listen").stream()
                 .map(l -> Integer.parseInt(l.arg(0).replaceAll("^.*[:\\]]", "")))
                 .distinct()
                 .toList();
         return ports.isEmpty() ? List.of(80) : ports;
     }
 
-    static List<String> names(Node server) {
-        return server.all("server_name").stream().flatMap(n -> n.args.stream()).toList();
+    static List<String> serverNames(ConfigNode server) {
+        return server.children("server_name").stream()
+                .flatMap(n -> n.args.stream())
+                .toList();
     }
 
-    private Node server(Asked r) {
-        String host = r.host.replaceFirst(":\\d+$", "").toLowerCase(Locale.ROOT);
-        List<Node> here =
-                servers().stream().filter(s -> ports(s).contains(r.port)).toList();
-        Map<Integer, Node> best = new TreeMap<>(); // the least rank wins
-        for (Node s : here) {
-            for (String name : names(s)) {
+    private ConfigNode selectServer(Request request) {
+        String host = request.host.replaceFirst(":\\d+$", "").toLowerCase(Locale.ROOT);
+        List<ConfigNode> candidates =
+                servers().stream().filter(s -> ports(s).contains(request.port)).toList();
+        Map<Integer, ConfigNode> serversByRank = new TreeMap<>(); // the least rank wins
+        for (ConfigNode s : candidates) {
+            for (String name : serverNames(s)) {
                 int rank = rank(name, host);
                 if (rank < Integer.MAX_VALUE) {
-                    best.putIfAbsent(rank, s);
+                    serversByRank.putIfAbsent(rank, s);
                 }
             }
         }
-        if (!best.isEmpty()) {
-            return best.values().iterator().next();
+        if (!serversByRank.isEmpty()) {
+            return serversByRank.values().iterator().next();
         }
-        return here.stream()
-                .filter(s -> s.all("listen").stream().anyMatch(l -> l.args.contains("default_server")))
+        return candidates.stream()
+                .filter(s -> s.children("listen").stream().anyMatch(l -> l.args.contains("default_server")))
                 .findFirst()
-                .orElse(here.get(0));
+                .orElse(candidates.get(0));
     }
 
     /** Exact, then the longest wildcard in front, the longest at the end, the first regular expression. */
     private static int rank(String name, String host) {
-        String n = name.toLowerCase(Locale.ROOT);
-        if (n.startsWith("~")) {
+        String lowerCaseName = name.toLowerCase(Locale.ROOT);
+        if (lowerCaseName.startsWith("~")) {
             return Pattern.compile(name.substring(1), Pattern.CASE_INSENSITIVE)
                             .matcher(host)
                             .find()
                     ? 3_000_000
                     : Integer.MAX_VALUE;
         }
-        if (n.equals(host) || n.startsWith(".") && host.equals(n.substring(1))) {
+        if (lowerCaseName.equals(host) || lowerCaseName.startsWith(".") && host.equals(lowerCaseName.substring(1))) {
             return 0;
         }
-        if (n.startsWith("*.") && host.endsWith(n.substring(1)) || n.startsWith(".") && host.endsWith(n)) {
-            return 1_000_000 - n.replace("*", "").length();
+        if (lowerCaseName.startsWith("*.") && host.endsWith(lowerCaseName.substring(1))
+                || lowerCaseName.startsWith(".") && host.endsWith(lowerCaseName)) {
+            return 1_000_000 - lowerCaseName.replace("*", "").length();
         }
-        return n.endsWith(".*") && host.startsWith(n.substring(0, n.length() - 1))
-                ? 2_000_000 - n.length()
+        return lowerCaseName.endsWith(".*") && host.startsWith(lowerCaseName.substring(0, lowerCaseName.length() - 1))
+                ? 2_000_000 - lowerCaseName.length()
                 : Integer.MAX_VALUE;
     }
 
     // ---- what becomes of a request ----
 
     /** The groups and variables as they are while one is looked at. */
-    private final class Run {
-        final Asked r;
-        final Map<String, String> set = new HashMap<>();
+    private final class Evaluation {
+        final Request request;
+        final Map<String, String> variables = new HashMap<>();
         String path;
         String args;
         Matcher groups;
         /** An exact location or a regular expression, however deep, was found: the search is over. */
-        boolean ended;
+        boolean searchEnded;
 
-        Run(Asked r) {
-            this.r = r;
-            int q = r.uri.indexOf('?');
-            this.args = q < 0 ? "" : r.uri.substring(q + 1);
-            this.path = normal(q < 0 ? r.uri : r.uri.substring(0, q));
+        Evaluation(Request request) {
+            this.request = request;
+            int q = request.uri.indexOf('?');
+            this.args = q < 0 ? "" : request.uri.substring(q + 1);
+            this.path = normalizePath(q < 0 ? request.uri : request.uri.substring(0, q));
         }
 
-        boolean find(String regex, boolean anyCase, String in) {
-            Matcher m = Pattern.compile(regex, anyCase ? Pattern.CASE_INSENSITIVE : 0)
-                    .matcher(in);
+        boolean find(String regex, boolean ignoreCase, String input) {
+            Matcher m = Pattern.compile(regex, ignoreCase ? Pattern.CASE_INSENSITIVE : 0)
+                    .matcher(input);
             boolean found = m.find();
             groups = found ? m : groups;
             return found;
         }
 
-        String fill(String template) {
+        String expand(String template) {
             Matcher m = Pattern.compile("\\$(?:\\{(\\w+)\\}|(\\w+))").matcher(template);
             StringBuilder s = new StringBuilder();
             while (m.find()) {
@@ -282,22 +287,22 @@
                 String g = groups.group(Integer.parseInt(name));
                 return g == null ? "" : g;
             }
-            if (set.containsKey(name)) {
-                return set.get(name);
+            if (variables.containsKey(name)) {
+                return variables.get(name);
             }
-            for (Node n : http) {
+            for (ConfigNode n : http) {
                 if (n.name.equals("map") && n.arg(1).equals("$" + name)) {
-                    return mapped(n);
+                    return mapValue(n);
                 }
                 if (n.name.equals("split_clients") && n.arg(1).equals("$" + name)) {
-                    return split(n);
+                    return splitClientsValue(n);
                 }
             }
             if (name.startsWith("http_")) {
-                return name.equals("http_host") ? r.host : r.headers.getOrDefault(name.substring(5), "");
+                return name.equals("http_host") ? request.host : request.headers.getOrDefault(name.substring(5), "");
             }
             if (name.startsWith("cookie_")) {
-                return Stream.of(r.headers.getOrDefault("cookie", "").split(";"))
+                return Stream.of(request.headers.getOrDefault("cookie", "").split(";"))
                         .map(String::trim)
                         .filter(c -> c.startsWith(name.substring(7) + "="))
                         .findFirst()
@@ -313,11 +318,11 @@
             }
             switch (name) {
                 case "host":
-                    return r.host.replaceFirst(":\\d+$", "").toLowerCase(Locale.ROOT);
+                    return request.host.replaceFirst(":\\d+$", "").toLowerCase(Locale.ROOT);
                 case "uri":
                     return path;
                 case "request_uri":
-                    return r.uri;
+                    return request.uri;
                 case "args":
                     return args;
                 case "is_args":
@@ -325,9 +330,9 @@
                 case "scheme":
                     return "http";
                 case "request_method":
-                    return r.method;
+                    return request.method;
                 case "server_port":
-                    return Integer.toString(r.port);
+                    return Integer.toString(request.port);
                 case "remote_addr":
                 case "proxy_add_x_forwarded_for":
                     return "127.0.0.1";
@@ -339,32 +344,33 @@
             }
         }
 
-        private String mapped(Node map) {
-            String v = fill(map.arg(0));
-            String otherwise = "";
-            for (Node e : map.block) {
+        private String mapValue(ConfigNode map) {
+            String v = expand(map.arg(0));
+            String defaultValue = "";
+            for (ConfigNode e : map.block) {
                 if (e.name.equalsIgnoreCase(v) && !e.name.startsWith("~") && !e.name.equals("default")) {
-                    return fill(e.arg(0));
+                    return expand(e.arg(0));
                 }
-                otherwise = e.name.equals("default") ? e.arg(0) : otherwise;
+                defaultValue = e.name.equals("default") ? e.arg(0) : defaultValue;
             }
-            for (Node e : map.block) {
-                boolean anyCase = e.name.startsWith("~*");
+            for (ConfigNode e : map.block) {
+                boolean ignoreCase = e.name.startsWith("~*");
                 if (e.name.startsWith("~")
-                        && Pattern.compile(e.name.substring(anyCase ? 2 : 1), anyCase ? Pattern.CASE_INSENSITIVE : 0)
+                        && Pattern.compile(
+                                        e.name.substring(ignoreCase ? 2 : 1), ignoreCase ? Pattern.CASE_INSENSITIVE : 0)
                                 .matcher(v)
                                 .find()) {
-                    return fill(e.arg(0));
+                    return expand(e.arg(0));
                 }
             }
-            return fill(otherwise);
+            return expand(defaultValue);
         }
 
         /** By MurmurHash2, as the documentation of split_clients says. */
-        private String split(Node n) {
-            long hash = murmur(fill(n.arg(0)).getBytes(StandardCharsets.UTF_8));
+        private String splitClientsValue(ConfigNode n) {
+            long hash = murmurHash2(expand(n.arg(0)).getBytes(StandardCharsets.UTF_8));
             double sum = 0;
-            for (Node e : n.block) {
+            for (ConfigNode e : n.block) {
                 if (e.name.equals("*")) {
                     return e.arg(0);
                 }
@@ -377,7 +383,7 @@
         }
     }
 
-    private static long murmur(byte[] d) {
+    private static long murmurHash2(byte[] d) {
         long mask = 0xffffffffL;
         long m = 0x5bd1e995L;
         long h = d.length;
@@ -390,14 +396,14 @@
             h = (h * m & mask) ^ k;
             i += 4;
         }
-        int left = d.length - i;
-        if (left == 3) {
+        int remaining = d.length - i;
+        if (remaining == 3) {
             h ^= (d[i + 2] & 0xffL) << 16;
         }
-        if (left >= 2) {
+        if (remaining >= 2) {
             h ^= (d[i + 1] & 0xffL) << 8;
         }
-        if (left >= 1) {
+        if (remaining >= 1) {
             h = (h ^ (d[i] & 0xffL)) * m & mask;
         }
         h ^= h >> 13;
@@ -405,86 +411,92 @@
         return h ^ h >> 15;
     }
 
-    private static String normal(String raw) {
+    private static String normalizePath(String raw) {
         String p = URLDecoder.decode(raw.replace("+", "%2B"), StandardCharsets.UTF_8)
                 .replaceAll("/+", "/");
-        String before = "";
-        while (!before.equals(p)) {
-            before = p;
+        String previous = "";
+        while (!previous.equals(p)) {
+            previous = p;
             p = p.replaceAll("/\\./", "/").replaceFirst("/[^/]+/\\.\\.(/|$)", "/");
         }
         return p;
     }
 
     /** What becomes of a request. */
-    Done done(Asked asked) {
-        Run run = new Run(asked);
-        Node server = server(asked);
-        Done first = steps(server, run);
-        if (first != null) {
-            return first;
-        }
-        List<Node> way = new ArrayList<>();
-        Object found = locate(server.block, run, way);
-        if (found instanceof Done d) {
-            return d;
+    Outcome evaluate(Request request) {
+        Evaluation evaluation = new Evaluation(request);
+        ConfigNode server = selectServer(request);
+        Outcome serverOutcome = runRewriteDirectives(server, evaluation);
+        if (serverOutcome != null) {
+            return serverOutcome;
+        }
+        List<ConfigNode> enclosing = new ArrayList<>();
+        Object found = findLocation(server.block, evaluation, enclosing);
+        if (found instanceof Outcome redirect) {
+            return redirect;
         }
         if (found == null) {
-            return new Done(404, null, null, null, null);
+            return new Outcome(404, null, null, null, null);
         }
-        Node location = (Node) found;
-        String came = run.path;
-        Done own = steps(location, run);
-        if (own != null) {
-            return own;
+        ConfigNode location = (ConfigNode) found;
+        String originalPath = evaluation.path;
+        Outcome locationOutcome = runRewriteDirectives(location, evaluation);
+        if (locationOutcome != null) {
+            return locationOutcome;
         }
-        List<Node> scopes = new ArrayList<>(List.of(location));
-        for (int i = way.size() - 1; i >= 0; i--) {
-            scopes.add(way.get(i));
+        List<ConfigNode> scopes = new ArrayList<>(List.of(location));
+        for (int i = enclosing.size() - 1; i >= 0; i--) {
+            scopes.add(enclosing.get(i));
         }
         scopes.add(server);
-        scopes.add(new Node("http", List.of(), http));
-        return pass(location, scopes, run, !came.equals(run.path));
+        scopes.add(new ConfigNode("http", List.of(), http));
+        return proxyPass(location, scopes, evaluation, !originalPath.equals(evaluation.path));
     }
 
     /** Sets, rewrites and returns, in their order; null if none of them answers. */
-    private Done steps(Node block, Run run) {
-        for (Node n : block.block) {
+    private Outcome runRewriteDirectives(ConfigNode block, Evaluation evaluation) {
+        for (ConfigNode n : block.block) {
             if (n.name.equals("set")) {
-                run.set.put(n.arg(0).substring(1), run.fill(n.arg(1)));
+                evaluation.variables.put(n.arg(0).substring(1), evaluation.expand(n.arg(1)));
             } else if (n.name.equals("return")) {
-                boolean code = n.arg(0).matches("\\d{3}");
-                int status = code ? Integer.parseInt(n.arg(0)) : 302;
-                boolean goes = !code || List.of(301, 302, 303, 307, 308).contains(status);
-                return new Done(status, goes ? full(run.fill(n.arg(code ? 1 : 0)), run) : null, null, null, null);
-            } else if (n.name.equals("rewrite") && run.find(n.arg(0), false, run.path)) {
-                String to = run.fill(n.arg(1));
+                boolean hasStatus = n.arg(0).matches("\\d{3}");
+                int status = hasStatus ? Integer.parseInt(n.arg(0)) : 302;
+                boolean isRedirect =
+                        !hasStatus || List.of(301, 302, 303, 307, 308).contains(status);
+                return new Outcome(
+                        status,
+                        isRedirect ? absoluteUrl(evaluation.expand(n.arg(hasStatus ? 1 : 0)), evaluation) : null,
+                        null,
+                        null,
+                        null);
+            } else if (n.name.equals("rewrite") && evaluation.find(n.arg(0), false, evaluation.path)) {
+                String to = evaluation.expand(n.arg(1));
                 if (n.arg(2).equals("permanent") || n.arg(2).equals("redirect")) {
-                    return new Done(
+                    return new Outcome(
                             n.arg(2).equals("permanent") ? 301 : 302,
-                            full(to + (run.args.isEmpty() ? "" : "?" + run.args), run),
+                            absoluteUrl(to + (evaluation.args.isEmpty() ? "" : "?" + evaluation.args), evaluation),
                             null,
                             null,
                             null);
                 }
-                run.path = to;
+                evaluation.path = to;
                 return null; // break
             }
         }
         return null;
     }
 
-    private static String full(String location, Run run) {
-        return location.startsWith("/") ? "http://" + run.r.host + location : location;
+    private static String absoluteUrl(String location, Evaluation evaluation) {
+        return location.startsWith("/") ? "http://" + evaluation.request.host + location : location;
     }
 
     /** A location, or the redirect to one that a slash is missing for; null if there is none. */
-    private Object locate(List<Node> block, Run run, List<Node> way) {
-        Node best = null;
+    private Object findLocation(List<ConfigNode> block, Evaluation evaluation, List<ConfigNode> enclosing) {
+        ConfigNode best = null;
         int longest = -1;
-        boolean plain = false;
-        Node slash = null;
-        for (Node n : block) {
+        boolean textEqualsPath = false;
+        ConfigNode slashLocation = null;
+        for (ConfigNode n : block) {
             if (!n.name.equals("location")) {
                 continue;
             }
@@ -493,98 +505,101 @@
             if (kind.startsWith("~")) {
                 continue;
             }
-            plain |= text.equals(run.path);
+            textEqualsPath |= text.equals(evaluation.path);
             // Of all that are defined by a prefix string, also with =, not by a regular expression.
-            if (text.equals(run.path + "/") && !n.all("proxy_pass").isEmpty()) {
-                slash = n;
+            if (text.equals(evaluation.path + "/") && !n.children("proxy_pass").isEmpty()) {
+                slashLocation = n;
             }
             if (kind.equals("=")) {
-                if (text.equals(run.path)) {
-                    run.ended = true;
+                if (text.equals(evaluation.path)) {
+                    evaluation.searchEnded = true;
                     return n;
                 }
                 continue;
             }
-            if (run.path.startsWith(text) && text.length() > longest) {
+            if (evaluation.path.startsWith(text) && text.length() > longest) {
                 best = n;
                 longest = text.length();
             }
         }
-        if (slash != null && !plain) {
-            run.ended = true;
-            return new Done(
+        if (slashLocation != null && !textEqualsPath) {
+            evaluation.searchEnded = true;
+            return new Outcome(
                     301,
-                    "http://" + run.r.host + run.path + "/" + (run.args.isEmpty() ? "" : "?" + run.args),
+                    "http://" + evaluation.request.host + evaluation.path + "/"
+                            + (evaluation.args.isEmpty() ? "" : "?" + evaluation.args),
                     null,
                     null,
                     null);
         }
         Object found = best;
         if (best != null) {
-            way.add(best);
-            Object below = locate(best.block, run, way);
-            if (below != null) {
-                if (run.ended) {
-                    return below;
+            enclosing.add(best);
+            Object nested = findLocation(best.block, evaluation, enclosing);
+            if (nested != null) {
+                if (evaluation.searchEnded) {
+                    return nested;
                 }
-                found = below;
+                found = nested;
             } else {
-                way.remove(best);
+                enclosing.remove(best);
             }
             if (best.arg(0).equals("^~")) {
                 return found;
             }
         }
-        for (Node n : block) {
+        for (ConfigNode n : block) {
             if (n.name.equals("location")
                     && n.arg(0).startsWith("~")
-                    && run.find(n.arg(1), n.arg(0).equals("~*"), run.path)) {
-                way.clear();
-                way.add(n);
-                Object below = locate(n.block, run, way);
-                way.remove(n);
-                run.ended = true;
-                return below == null ? n : below;
+                    && evaluation.find(n.arg(1), n.arg(0).equals("~*"), evaluation.path)) {
+                enclosing.clear();
+                enclosing.add(n);
+                Object nested = findLocation(n.block, evaluation, enclosing);
+                enclosing.remove(n);
+                evaluation.searchEnded = true;
+                return nested == null ? n : nested;
             }
         }
         return found;
     }
 
-    private Done pass(Node location, List<Node> scopes, Run run, boolean rewritten) {
-        String written = location.all("proxy_pass").get(0).arg(0);
-        Matcher url = Pattern.compile("http://([^/]+)(.*)").matcher(run.fill(written));
+    private Outcome proxyPass(ConfigNode location, List<ConfigNode> scopes, Evaluation evaluation, boolean rewritten) {
+        String argument = location.children("proxy_pass").get(0).arg(0);
+        Matcher url = Pattern.compile("http://([^/]+)(.*)").matcher(evaluation.expand(argument));
         if (!url.matches()) {
-            throw new AssertionError(written);
+            throw new AssertionError(argument);
         }
         String upstream = url.group(1);
-        String to = url.group(2);
+        String uriPart = url.group(2);
         String kind = location.args.size() > 1 ? location.arg(0) : "";
-        String query = run.args.isEmpty() ? "" : "?" + run.args;
+        String query = evaluation.args.isEmpty() ? "" : "?" + evaluation.args;
         String uri;
         if (rewritten) {
-            uri = escaped(run.path) + query;
-        } else if (to.isEmpty()) {
-            uri = run.r.uri;
-        } else if (written.contains("$")) {
-            uri = to.equals(run.r.uri) ? to : escaped(to.replaceFirst("\\?.*", "")) + query;
+            uri = escapePath(evaluation.path) + query;
+        } else if (uriPart.isEmpty()) {
+            uri = evaluation.request.uri;
+        } else if (argument.contains("$")) {
+            uri = uriPart.equals(evaluation.request.uri)
+                    ? uriPart
+                    : escapePath(uriPart.replaceFirst("\\?.*", "")) + query;
         } else {
             String text = location.arg(location.args.size() - 1);
-            uri = escaped(to + run.path.substring(kind.startsWith("~") ? 0 : text.length())) + query;
+            uri = escapePath(uriPart + evaluation.path.substring(kind.startsWith("~") ? 0 : text.length())) + query;
         }
         String host = upstream;
-        for (Node scope : scopes) {
-            List<Node> headers = scope.all("proxy_set_header");
+        for (ConfigNode scope : scopes) {
+            List<ConfigNode> headers = scope.children("proxy_set_header");
             if (!headers.isEmpty()) {
-                for (Node h : headers) {
-                    host = h.arg(0).equals("Host") ? run.fill(h.arg(1)) : host;
+                for (ConfigNode h : headers) {
+                    host = h.arg(0).equals("Host") ? evaluation.expand(h.arg(1)) : host;
                 }
                 break;
             }
         }
-        return new Done(200, null, upstream, uri, host);
+        return new Outcome(200, null, upstream, uri, host);
     }
 
-    private static String escaped(String path) {
+    private static String escapePath(String path) {
         StringBuilder s = new StringBuilder();
         for (byte b : path.getBytes(StandardCharsets.UTF_8)) {
             s.append(
@@ -598,39 +613,39 @@
     // ---- the rotation ----
 
     /** The peer of an upstream that the next request goes to, at a time in seconds; null if there is none. */
-    Peer pick(String upstream, double now) {
-        List<Peer> all = upstreams.get(upstream);
-        Peer best = pick(all, false, now);
-        return best == null ? pick(all, true, now) : best;
+    UpstreamServer selectUpstreamServer(String upstream, double nowS) {
+        List<UpstreamServer> all = upstreams.get(upstream);
+        UpstreamServer best = selectUpstreamServer(all, false, nowS);
+        return best == null ? selectUpstreamServer(all, true, nowS) : best;
     }
 
-    private static Peer pick(List<Peer> all, boolean backup, double now) {
-        Peer best = null;
+    private static UpstreamServer selectUpstreamServer(List<UpstreamServer> all, boolean backup, double nowS) {
+        UpstreamServer best = null;
         int total = 0;
-        for (Peer p : all) {
-            if (p.backup == backup && !p.out(now)) {
-                p.current += p.weight;
+        for (UpstreamServer p : all) {
+            if (p.backup == backup && !p.isUnavailable(nowS)) {
+                p.currentWeight += p.weight;
                 total += p.weight;
-                best = best == null || p.current > best.current ? p : best;
+                best = best == null || p.currentWeight > best.currentWeight ? p : best;
             }
         }
         if (best != null) {
-            best.current -= total;
-            if (now - best.checked > best.failS) {
-                best.checked = now;
+            best.currentWeight -= total;
+            if (nowS - best.lastCheckedS > best.failTimeoutS) {
+                best.lastCheckedS = nowS;
             }
         }
         return best;
     }
 
     /** A request to a peer failed. */
-    static void failed(Peer p, double now) {
-        p.fails = now - p.checked > p.failS ? 1 : p.fails + 1;
-        p.checked = now;
+    static void recordFailure(UpstreamServer server, double nowS) {
+        server.failures = nowS - server.lastCheckedS > server.failTimeoutS ? 1 : server.failures + 1;
+        server.lastCheckedS = nowS;
     }
 
     /** A request to a peer was answered. */
-    static void answered(Peer p) {
-        p.fails = 0;
+    static void recordSuccess(UpstreamServer server) {
+        server.failures = 0;
     }
 }
--- a/src/test/java/gullspar/importer/ReplayTest.java
+++ b/src/test/java/gullspar/importer/ReplayTest.java
@@ -31,7 +31,7 @@
 @ResourceLock("much of the machine")
 class ReplayTest {
     private static final Path CASES = Path.of("src/test/resources/nginx");
-    private static final int REQUESTS = 10_000, CLIENTS = 4;
+    private static final int REQUEST_COUNT = 10_000, CLIENT_COUNT = 4;
 
     static Stream<Path> cases() throws IOException {
         try (Stream<Path> all = Files.list(CASES)) {
@@ -40,23 +40,23 @@
     }
 
     /** A configuration as it is served here: listeners and servers have other addresses. */
-    private static final class Setting implements AutoCloseable {
-        final StandIns standIns = new StandIns();
+    private static final class ImportedProxy implements AutoCloseable {
+        final StubServers stubServers = new StubServers();
         final NginxModel model;
         final Map<Integer, InetSocketAddress> listeners = new HashMap<>();
-        final ProxyFixture served;
+        final ProxyFixture fixture;
 
-        Setting(Path conf) throws Exception {
+        ImportedProxy(Path conf) throws Exception {
             model = new NginxModel(conf);
             List<Problem> problems = new ArrayList<>();
-            Importer.Imported made = Importer.read(List.of(conf), Map.of(), problems);
+            Importer.Result result = Importer.read(List.of(conf), Map.of(), problems);
             assertEquals(List.of(), problems);
             assertEquals(
                     List.of(),
-                    made.report().entries(made.directives()).stream()
+                    result.report().entries(result.directives()).stream()
                             .filter(e -> e.verdict() == Report.Verdict.NOT_TRANSLATABLE)
                             .toList());
-            String toml = made.toml();
+            String toml = result.toml();
             int n = 0;
             for (int port : model.ports()) {
                 listeners.put(port, new InetSocketAddress("127.0.0." + ++n, 0));
@@ -67,19 +67,20 @@
                     .map(l -> l.split("\"")[1])
                     .distinct()
                     .toList()) {
-                toml = toml.replace("address = \"" + address + "\"", "address = \"" + standIns.at(address) + "\"");
+                toml = toml.replace(
+                        "address = \"" + address + "\"", "address = \"" + stubServers.addressOf(address) + "\"");
             }
-            served = new ProxyFixture(toml);
+            fixture = new ProxyFixture(toml);
         }
 
         Wire connect(int port) throws IOException {
-            return Wire.to(served.proxy().address(listeners.get(port)));
+            return Wire.to(fixture.proxy().address(listeners.get(port)));
         }
 
         @Override
         public void close() {
-            served.close();
-            standIns.close();
+            fixture.close();
+            stubServers.close();
         }
     }
 
@@ -88,7 +89,7 @@
     }
 
     /** Requests round all that the configuration names: hosts, paths, and what the case adds to them. */
-    private static List<NginxModel.Asked> requests(Path folder, NginxModel model) throws IOException {
+    private static List<NginxModel.Request> requests(Path folder, NginxModel model) throws IOException {
         List<String> hosts = new ArrayList<>(List.of(
                 "unknown.test",
                 "127.0.0.1",
@@ -100,61 +101,62 @@
                 "two.net",
                 "www.example.com"));
         List<String> paths = new ArrayList<>(List.of("/", "/a", "/a/b.php?x=1", "/x.JPG", "/a//b/./c/../d"));
-        for (NginxModel.Node s : model.servers()) {
-            NginxModel.names(s).stream()
+        for (NginxModel.ConfigNode s : model.servers()) {
+            NginxModel.serverNames(s).stream()
                     .filter(n -> n.matches("[\\w.*-]+"))
                     .forEach(n -> hosts.add(n.startsWith(".") ? "sub" + n : n.replace("*", "any")));
-            paths(s, paths);
+            addPaths(s, paths);
         }
         paths.addAll(lines(folder.resolve("paths")));
-        List<String> headers = lines(folder.resolve("headers"));
+        List<String> headerLines = lines(folder.resolve("headers"));
         Random random = new Random(11);
-        List<NginxModel.Asked> all = new ArrayList<>();
-        for (int i = 0; i < REQUESTS; i++) {
-            Map<String, String> own = new HashMap<>();
-            if (!headers.isEmpty() && random.nextInt(10) > 0) {
-                String[] h = headers.get(random.nextInt(headers.size())).split(": ", 2);
-                own.put(h[0].toLowerCase(Locale.ROOT).replace('-', '_'), h[1]);
+        List<NginxModel.Request> requests = new ArrayList<>();
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            Map<String, String> headers = new HashMap<>();
+            if (!headerLines.isEmpty() && random.nextInt(10) > 0) {
+                String[] h = headerLines.get(random.nextInt(headerLines.size())).split(": ", 2);
+                headers.put(h[0].toLowerCase(Locale.ROOT).replace('-', '_'), h[1]);
             }
-            all.add(new NginxModel.Asked(
+            requests.add(new NginxModel.Request(
                     random.nextInt(4) == 0 ? "HEAD" : "GET",
                     hosts.get(random.nextInt(hosts.size())),
                     model.ports().get(random.nextInt(model.ports().size())),
                     paths.get(random.nextInt(paths.size())),
-                    own));
+                    headers));
         }
-        return all;
+        return requests;
     }
 
-    private static void paths(NginxModel.Node block, List<String> paths) {
-        for (NginxModel.Node l : block.all("location")) {
+    private static void addPaths(NginxModel.ConfigNode block, List<String> paths) {
+        for (NginxModel.ConfigNode l : block.children("location")) {
             String text = l.arg(l.args.size() - 1).replace(" ", "%20");
             if (text.startsWith("/")) {
                 paths.addAll(List.of(text, text + "x", text + "/deep/a.png?q=1"));
             }
-            paths(l, paths);
+            addPaths(l, paths);
         }
     }
 
     /** What came of a request: who answered, and what the server was asked. */
-    private record Seen(int status, String location, String who, String uri, String host) {}
+    private record Response(int status, String location, String server, String uri, String host) {}
 
-    private static Seen ask(Wire w, NginxModel.Asked r) throws IOException {
+    private static Response send(Wire w, NginxModel.Request r) throws IOException {
         StringBuilder s = new StringBuilder(r.method() + " " + r.uri() + " HTTP/1.1\r\nHost: " + r.host() + "\r\n");
         r.headers()
                 .forEach((n, v) ->
                         s.append(n.replace('_', '-')).append(": ").append(v).append("\r\n"));
         w.write(s.append("\r\n").toString());
-        String answer = r.method().equals("HEAD") ? w.until("\r\n\r\n") : w.read();
-        Map<String, String> h = answer.lines()
+        String responseText = r.method().equals("HEAD") ? w.until("\r\n\r\n") : w.read();
+        Map<String, String> h = responseText
+                .lines()
                 .skip(1)
                 .filter(l -> l.contains(": "))
                 .collect(Collectors.toMap(
                         l -> l.substring(0, l.indexOf(':')).toLowerCase(Locale.ROOT),
                         l -> l.substring(l.indexOf(':') + 2),
                         (a, b) -> a));
-        return new Seen(
-                Integer.parseInt(answer.substring(9, 12)),
+        return new Response(
+                Integer.parseInt(responseText.substring(9, 12)),
                 h.get("location"),
                 h.get("x-who"),
                 h.get("x-uri"),
@@ -162,25 +164,26 @@
     }
 
     /** All answers, in the order of the requests; several clients ask side by side. */
-    private static List<Seen> replay(Setting s, List<NginxModel.Asked> requests) throws Exception {
-        Seen[] seen = new Seen[requests.size()];
+    private static List<Response> replay(ImportedProxy importedProxy, List<NginxModel.Request> requests)
+            throws Exception {
+        Response[] responses = new Response[requests.size()];
         List<Thread> threads = new ArrayList<>();
-        List<Throwable> wrong = new ArrayList<>();
-        for (int c = 0; c < CLIENTS; c++) {
-            int me = c;
+        List<Throwable> failures = new ArrayList<>();
+        for (int c = 0; c < CLIENT_COUNT; c++) {
+            int firstRequest = c;
             Thread t = new Thread(() -> {
-                Map<Integer, Wire> wires = new HashMap<>();
+                Map<Integer, Wire> connections = new HashMap<>();
                 try {
-                    for (int i = me; i < seen.length; i += CLIENTS) {
+                    for (int i = firstRequest; i < responses.length; i += CLIENT_COUNT) {
                         int port = requests.get(i).port();
-                        if (!wires.containsKey(port)) {
-                            wires.put(port, s.connect(port));
+                        if (!connections.containsKey(port)) {
+                            connections.put(port, importedProxy.connect(port));
                         }
-                        seen[i] = ask(wires.get(port), requests.get(i));
+                        responses[i] = send(connections.get(port), requests.get(i));
                     }
                 } catch (IOException | RuntimeException e) {
-                    synchronized (wrong) {
-                        wrong.add(e);
+                    synchronized (failures) {
+                        failures.add(e);
                     }
                 }
             });
@@ -190,56 +193,64 @@
         for (Thread t : threads) {
             t.join();
         }
-        assertEquals(List.of(), wrong);
-        return List.of(seen);
+        assertEquals(List.of(), failures);
+        return List.of(responses);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void everyRequestGoesWhereNginxSendsIt(Path folder) throws Exception {
-        try (Setting s = new Setting(folder.resolve("nginx.conf"))) {
-            List<NginxModel.Asked> requests = requests(folder, s.model);
-            List<Seen> seen = replay(s, requests);
-            Map<String, Map<String, Integer>> got = new TreeMap<>();
-            Map<String, Map<String, Integer>> want = new TreeMap<>();
+    void requestsAreRoutedAsByNginx(Path folder) throws Exception {
+        try (ImportedProxy importedProxy = new ImportedProxy(folder.resolve("nginx.conf"))) {
+            List<NginxModel.Request> requests = requests(folder, importedProxy.model);
+            List<Response> responses = replay(importedProxy, requests);
+            Map<String, Map<String, Integer>> actualCounts = new TreeMap<>();
+            Map<String, Map<String, Integer>> expectedCounts = new TreeMap<>();
             for (int i = 0; i < requests.size(); i++) {
-                NginxModel.Asked r = requests.get(i);
-                NginxModel.Done d = s.model.done(r);
-                Seen o = seen.get(i);
-                assertEquals(d.status(), o.status(), r + " should be " + d + ", is " + o);
-                if (d.upstream() == null) {
-                    assertEquals(d.location(), o.location(), r.toString());
-                    assertEquals(null, o.who(), r + " should be " + d);
+                NginxModel.Request request = requests.get(i);
+                NginxModel.Outcome expected = importedProxy.model.evaluate(request);
+                Response actual = responses.get(i);
+                assertEquals(expected.status(), actual.status(), request + " should be " + expected + ", is " + actual);
+                if (expected.upstream() == null) {
+                    assertEquals(expected.location(), actual.location(), request.toString());
+                    assertEquals(null, actual.server(), request + " should be " + expected);
                     continue;
                 }
-                assertEquals(d.uri(), o.uri(), r + " should be " + d);
-                assertEquals(d.host(), o.host(), r + " should be " + d);
-                List<NginxModel.Peer> peers = s.model.upstreams.get(d.upstream());
-                if (peers == null) {
-                    assertEquals(d.upstream(), o.who(), r.toString());
+                assertEquals(expected.uri(), actual.uri(), request + " should be " + expected);
+                assertEquals(expected.host(), actual.host(), request + " should be " + expected);
+                List<NginxModel.UpstreamServer> servers = importedProxy.model.upstreams.get(expected.upstream());
+                if (servers == null) {
+                    assertEquals(expected.upstream(), actual.server(), request.toString());
                     continue;
                 }
-                assertTrue(peers.stream().anyMatch(p -> p.address.equals(o.who())), r + " went to " + o.who());
-                got.computeIfAbsent(d.upstream(), u -> new TreeMap<>()).merge(o.who(), 1, Integer::sum);
-                want.computeIfAbsent(d.upstream(), u -> new TreeMap<>())
-                        .merge(s.model.pick(d.upstream(), i / 1e4).address, 1, Integer::sum);
+                assertTrue(
+                        servers.stream().anyMatch(p -> p.address.equals(actual.server())),
+                        request + " went to " + actual.server());
+                actualCounts
+                        .computeIfAbsent(expected.upstream(), u -> new TreeMap<>())
+                        .merge(actual.server(), 1, Integer::sum);
+                expectedCounts
+                        .computeIfAbsent(expected.upstream(), u -> new TreeMap<>())
+                        .merge(
+                                importedProxy.model.selectUpstreamServer(expected.upstream(), i / 1e4).address,
+                                1,
+                                Integer::sum);
             }
             if (!folder.getFileName().toString().contains("least-conn")) {
-                want.forEach((u, shares) -> near(shares, got.get(u), u));
+                expectedCounts.forEach((u, shares) -> assertSharesClose(shares, actualCounts.get(u), u));
             }
         }
     }
 
     /** The same shares, within two in a hundred of all. */
-    private static void near(Map<String, Integer> want, Map<String, Integer> got, String upstream) {
-        double all = want.values().stream().mapToInt(n -> n).sum();
-        Stream.concat(want.keySet().stream(), got.keySet().stream())
+    private static void assertSharesClose(Map<String, Integer> expected, Map<String, Integer> actual, String upstream) {
+        double total = expected.values().stream().mapToInt(n -> n).sum();
+        Stream.concat(expected.keySet().stream(), actual.keySet().stream())
                 .distinct()
-                .forEach(who -> assertEquals(
-                        want.getOrDefault(who, 0) / all,
-                        got.getOrDefault(who, 0) / all,
+                .forEach(server -> assertEquals(
+                        expected.getOrDefault(server, 0) / total,
+                        actual.getOrDefault(server, 0) / total,
                         0.02,
-                        who + " of " + upstream + ": " + want + " and " + got));
+                        server + " of " + upstream + ": " + expected + " and " + actual));
     }
 
     /**
@@ -247,55 +258,64 @@
      * and a server that is back is taken up once its time is over.
      */
     @Test
-    void sharesAreTheSameWhileServersAreGoneAndOnceTheyAreBack() throws Exception {
+    void sharesMatchNginxWhileServerFailsAndAfterRecovery() throws Exception {
         Path conf = CASES.resolve("28-fail-and-come-back/nginx.conf");
-        try (Setting s = new Setting(conf)) {
-            List<NginxModel.Asked> some = new ArrayList<>();
+        try (ImportedProxy importedProxy = new ImportedProxy(conf)) {
+            List<NginxModel.Request> requests = new ArrayList<>();
             for (int i = 0; i < 900; i++) {
-                some.add(new NginxModel.Asked("GET", "a", 80, "/", Map.of()));
+                requests.add(new NginxModel.Request("GET", "a", 80, "/", Map.of()));
             }
-            near(model(s.model, 900, 0, null), counts(replay(s, some)), "all are there");
-            s.standIns.stop("10.0.0.2:8080");
-            transition(s, "10.0.0.2:8080", false);
-            near(model(s.model, 900, 100, "10.0.0.2:8080"), counts(replay(s, some)), "one is gone");
-            s.standIns.start("10.0.0.2:8080");
-            transition(s, "10.0.0.2:8080", true);
-            near(model(s.model, 900, 200, null), counts(replay(s, some)), "it is back");
+            assertSharesClose(
+                    modelCounts(importedProxy.model, 900, 0, null),
+                    counts(replay(importedProxy, requests)),
+                    "all are there");
+            importedProxy.stubServers.stop("10.0.0.2:8080");
+            awaitTransition(importedProxy, "10.0.0.2:8080", false);
+            assertSharesClose(
+                    modelCounts(importedProxy.model, 900, 100, "10.0.0.2:8080"),
+                    counts(replay(importedProxy, requests)),
+                    "one is gone");
+            importedProxy.stubServers.start("10.0.0.2:8080");
+            awaitTransition(importedProxy, "10.0.0.2:8080", true);
+            assertSharesClose(
+                    modelCounts(importedProxy.model, 900, 200, null),
+                    counts(replay(importedProxy, requests)),
+                    "it is back");
         }
     }
 
     /** Asks on until a server is not asked any more for a while, or is again. */
-    private static void transition(Setting s, String who, boolean back) throws Exception {
-        try (Wire w = s.connect(80)) {
-            int without = 0;
-            long until = System.nanoTime() + 30_000_000_000L;
-            while (back ? without >= 0 : without < 100) {
-                Seen o = ask(w, new NginxModel.Asked("GET", "a", 80, "/", Map.of()));
-                assertEquals(200, o.status());
-                without = who.equals(o.who()) ? back ? -1 : 0 : without + 1;
-                assertTrue(System.nanoTime() < until, "it stays as it was");
+    private static void awaitTransition(ImportedProxy importedProxy, String server, boolean recovery) throws Exception {
+        try (Wire w = importedProxy.connect(80)) {
+            int responsesWithout = 0;
+            long deadlineNs = System.nanoTime() + 30_000_000_000L;
+            while (recovery ? responsesWithout >= 0 : responsesWithout < 100) {
+                Response response = send(w, new NginxModel.Request("GET", "a", 80, "/", Map.of()));
+                assertEquals(200, response.status());
+                responsesWithout = server.equals(response.server()) ? recovery ? -1 : 0 : responsesWithout + 1;
+                assertTrue(System.nanoTime() < deadlineNs, "it stays as it was");
             }
         }
     }
 
-    private static Map<String, Integer> counts(List<Seen> seen) {
-        return seen.stream().collect(Collectors.toMap(Seen::who, o -> 1, Integer::sum));
+    private static Map<String, Integer> counts(List<Response> responses) {
+        return responses.stream().collect(Collectors.toMap(Response::server, o -> 1, Integer::sum));
     }
 
     /** What the model picks in so many requests from a time on, with one that answers nothing. */
-    private static Map<String, Integer> model(NginxModel m, int requests, double from, String gone) {
+    private static Map<String, Integer> modelCounts(NginxModel m, int requests, double startS, String stoppedServer) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < requests + 50; i++) {
-            double now = from + i / 1e4;
-            NginxModel.Peer p = m.pick("app", now);
-            if (p.address.equals(gone)) {
-                NginxModel.failed(p, now);
-                p = m.pick("app", now);
+            double nowS = startS + i / 1e4;
+            NginxModel.UpstreamServer server = m.selectUpstreamServer("app", nowS);
+            if (server.address.equals(stoppedServer)) {
+                NginxModel.recordFailure(server, nowS);
+                server = m.selectUpstreamServer("app", nowS);
             } else {
-                NginxModel.answered(p);
+                NginxModel.recordSuccess(server);
             }
             if (i >= 50) {
-                counts.merge(p.address, 1, Integer::sum);
+                counts.merge(server.address, 1, Integer::sum);
             }
         }
         return counts;
--- a/src/test/java/gullspar/importer/StandIns.java
+++ b/src/test/java/gullspar/importer/StubServers.java
@@ -25,14 +25,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** Servers that say in their answers who they are and what they were asked. */
-final class StandIns implements AutoCloseable {
+final class StubServers implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Map<String, Channel> listening = new LinkedHashMap<>();
+    private final Map<String, Channel> listeners = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new LinkedHashMap<>();
-    private final Map<String, ChannelGroup> open = new LinkedHashMap<>();
+    private final Map<String, ChannelGroup> connections = new LinkedHashMap<>();
 
     /** Where the server of a declared address is; it is started if it was not. */
-    String at(String declared) {
+    String addressOf(String declared) {
         if (!ports.containsKey(declared)) {
             start(declared, 0);
         }
@@ -55,21 +55,23 @@
                         channels.add(child);
                         child.pipeline()
                                 .addLast(
-                                        new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Answer(declared));
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(1 << 16),
+                                        new EchoHandler(declared));
                     }
                 })
                 .bind(new InetSocketAddress("127.0.0.1", port))
                 .syncUninterruptibly()
                 .channel();
-        listening.put(declared, c);
-        open.put(declared, channels);
+        listeners.put(declared, c);
+        connections.put(declared, channels);
         ports.put(declared, ((InetSocketAddress) c.localAddress()).getPort());
     }
 
     /** It is gone: nobody listens there and its connections are closed. */
     void stop(String declared) {
-        listening.get(declared).close().syncUninterruptibly();
-        open.get(declared).close().awaitUninterruptibly();
+        listeners.get(declared).close().syncUninterruptibly();
+        connections.get(declared).close().awaitUninterruptibly();
     }
 
     @Override
@@ -77,23 +79,23 @@
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final String who;
+    private static final class EchoHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final String declared;
 
-        Answer(String who) {
-            this.who = who;
+        EchoHandler(String declared) {
+            this.declared = declared;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER);
-            answer.headers()
-                    .set("X-Who", who)
+            response.headers()
+                    .set("X-Who", declared)
                     .set("X-Uri", r.uri())
                     .set("X-Host", r.headers().get("Host", ""));
-            HttpUtil.setContentLength(answer, 0);
-            ctx.writeAndFlush(answer);
+            HttpUtil.setContentLength(response, 0);
+            ctx.writeAndFlush(response);
         }
 
         @Override
