--- a/src/main/java/gullspar/importer/ConditionalVariable.java
+++ b/src/main/java/gullspar/importer/ConditionalVariable.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A variable whose text is chosen by a request: by map or split_clients. */
+/** A variable that map or split_clients defines: its value depends on conditions on the request. */
 final class ConditionalVariable {
-    /** One of the texts, and when it is chosen; null for whatever is left. */
+    /** A value and its condition; the condition is null for the default. */
     record Case(TranslatedSite.Condition condition, String value) {}
 
     final Directive directive;
@@ -19,7 +19,7 @@
         this.report = report;
     }
 
-    /** It is used: all its entries are translated. */
+    /** Reports the directive and its entries as translated. */
     void markUsed() {
         if (!used) {
             used = true;
@@ -27,7 +27,10 @@
         }
     }
 
-    /** A map: texts first, in any case, then the regular expressions in their order, then the default. */
+    /**
+     * Reads a map. The cases are in the order in which nginx tries them: strings, which ignore case, regular
+     * expressions in the order of the file, the default.
+     */
     static ConditionalVariable fromMap(Directive d, Report report) throws UntranslatableException {
         ConditionalVariable variable = new ConditionalVariable(d, report);
         String source = new VariableTemplates().translate(d.arguments().get(0).text());
@@ -65,7 +68,7 @@
         return variable;
     }
 
-    /** Shares of the clients, in percent. */
+    /** Reads a split_clients, whose conditions are shares in percent. */
     static ConditionalVariable fromSplitClients(Directive d, Report report) throws UntranslatableException {
         ConditionalVariable variable = new ConditionalVariable(d, report);
         String source = new VariableTemplates().translate(d.arguments().get(0).text());
--- a/src/main/java/gullspar/importer/DirectiveTables.java
+++ b/src/main/java/gullspar/importer/DirectiveTables.java
@@ -4,15 +4,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * What directives come to that mean the same wherever they stand. docs/import-nginx.md has the whole list.
- */
+/** The verdicts on directives that do not depend on their context; docs/import-nginx.md lists all directives. */
 final class DirectiveTables {
-    /** Without effect here, and why. */
+    /** The reason for each directive without effect. */
     static final Map<String, String> NO_EFFECT = new HashMap<>();
-    /** Not translatable, why, and what to do where there is a way. */
+    /** The reason for each directive that is not translatable, with an alternative if there is one. */
     static final Map<String, String> NOT_TRANSLATABLE = new HashMap<>();
-    /** Translated where a request that is passed on comes under them. */
+    /** Directives that are translated as part of the routes to which they apply. */
     static final Set<String> ROUTE_DIRECTIVES = Set.of(
             "proxy_connect_timeout",
             "proxy_read_timeout",
@@ -43,7 +41,7 @@
 
     static {
         noEffect(
-                "the process is run by whoever starts it",
+                "left to the service manager that runs the process",
                 "user",
                 "worker_processes",
                 "worker_cpu_affinity",
@@ -73,7 +71,7 @@
                 "debug_connection",
                 "worker_aio_requests");
         noEffect(
-                "the log is on standard error; there is none of each request",
+                "the log is on standard error; there is no access log",
                 "error_log",
                 "access_log",
                 "log_format",
@@ -107,7 +105,7 @@
                 "source_charset",
                 "override_charset");
         noEffect(
-                "always so",
+                "the behavior is fixed here",
                 "tcp_nodelay",
                 "reset_timedout_connection",
                 "proxy_http_version",
@@ -123,12 +121,12 @@
                 "server_name_in_redirect",
                 "recursive_error_pages");
         noEffect(
-                "connections of clients end by idleness alone",
+                "client connections are closed only after their idle timeout",
                 "keepalive_requests",
                 "keepalive_time",
                 "keepalive_disable");
         noEffect(
-                "memory is kept small in other ways: bodies under limits.bodies_mb, answers streamed",
+                "memory is limited in other ways: limits.bodies_mb for request bodies, streaming for responses",
                 "client_body_buffer_size",
                 "client_body_in_single_buffer",
                 "client_body_temp_path",
@@ -150,7 +148,7 @@
                 "proxy_headers_hash_bucket_size",
                 "subrequest_output_buffer_size");
         noEffect(
-                "tables grow as they need",
+                "tables are sized automatically",
                 "server_names_hash_max_size",
                 "server_names_hash_bucket_size",
                 "types_hash_max_size",
@@ -160,7 +158,7 @@
                 "map_hash_max_size",
                 "map_hash_bucket_size");
         noEffect(
-                "answers are passed on as servers made them: let those compress",
+                "responses are forwarded unchanged: enable compression in the servers",
                 "gzip",
                 "gzip_types",
                 "gzip_vary",
@@ -173,10 +171,10 @@
                 "gzip_static",
                 "gunzip",
                 "gunzip_buffers");
-        noEffect("this proxy does not say what it is", "server_tokens");
-        noEffect("nobody looks up names", "resolver", "resolver_timeout");
+        noEffect("the proxy does not identify itself in responses", "server_tokens");
+        noEffect("host names are not resolved", "resolver", "resolver_timeout");
         noEffect(
-                "nothing is cached, so this is of no use",
+                "nothing is cached, so this does nothing",
                 "proxy_cache_bypass",
                 "proxy_cache_key",
                 "proxy_cache_lock",
@@ -193,10 +191,10 @@
                 "proxy_cache_convert_head",
                 "proxy_cache_max_range_offset",
                 "proxy_no_cache");
-        noEffect("headers of answers have no meaning to this proxy", "proxy_ignore_headers", "proxy_pass_header");
-        noEffect("a client that leaves always takes its attempt along", "proxy_ignore_client_abort");
+        noEffect("response headers do not control the proxy", "proxy_ignore_headers", "proxy_pass_header");
+        noEffect("a client that disconnects always aborts its attempt", "proxy_ignore_client_abort");
         notTranslatable(
-                "clients are not encrypted here: put something that ends TLS before it",
+                "TLS to clients is not supported: put a TLS terminator in front",
                 "ssl_certificate",
                 "ssl_certificate_key",
                 "ssl",
@@ -238,14 +236,14 @@
                 "proxy_ssl_verify",
                 "proxy_ssl_verify_depth");
         notTranslatable(
-                "a client does not stay with one server here; keep sessions where all servers find them",
+                "session affinity is not supported; keep sessions in a store that all servers share",
                 "ip_hash",
                 "hash",
                 "sticky",
                 "sticky_cookie_insert");
         notTranslatable("conditions are written as routes with header or when", "if");
         notTranslatable(
-                "no files are served here: put a file server behind it and pass to that",
+                "files are not served; forward these requests to a file server",
                 "try_files",
                 "root",
                 "alias",
@@ -266,11 +264,11 @@
                 "xslt_stylesheet",
                 "ssi");
         notTranslatable(
-                "what an error looks like is left to servers; a route can answer by itself",
+                "error pages are left to servers; a route can have a fixed answer",
                 "error_page",
                 "proxy_intercept_errors");
         notTranslatable(
-                "who may come is not decided here: put that before it, or in the servers",
+                "access control is not supported: put it in front, or in the servers",
                 "auth_request",
                 "auth_request_set",
                 "auth_basic",
@@ -285,7 +283,7 @@
                 "geoip_country",
                 "geoip2");
         notTranslatable(
-                "no rate is limited by client; the module refuses what servers cannot do",
+                "there is no limit per client; the decision module refuses requests beyond the capacity of the servers",
                 "limit_req",
                 "limit_req_zone",
                 "limit_req_status",
@@ -319,8 +317,8 @@
                 "proxy_store",
                 "proxy_store_access");
         notTranslatable("nothing is cached here: put a cache behind it", "proxy_cache");
-        notTranslatable("the method of a request always goes on", "proxy_method", "proxy_set_body");
-        notTranslatable("connections to servers start at whatever address the system gives", "proxy_bind");
+        notTranslatable("method and body of a request are always forwarded", "proxy_method", "proxy_set_body");
+        notTranslatable("the operating system selects the local address of connections to servers", "proxy_bind");
         notTranslatable("not HTTP", "stream", "mail");
         notTranslatable(
                 "only HTTP/1.1 is spoken to servers",
@@ -356,14 +354,14 @@
                 "content_by_lua_file",
                 "rewrite_by_lua_file",
                 "init_by_lua_file");
-        notTranslatable("use a route of its own with an answer", "stub_status", "empty_gif", "status", "api");
+        notTranslatable("use a separate route with a fixed answer", "stub_status", "empty_gif", "status", "api");
         notTranslatable("it looks for a location anew", "break");
         notTranslatable("slashes in a path are always merged", "merge_slashes");
     }
 
     private DirectiveTables() {}
 
-    /** Directives that run scripts in a block. */
+    /** Returns whether a directive runs a Lua script. */
     static boolean isScript(String name) {
         return name.contains("_by_lua");
     }
--- a/src/main/java/gullspar/importer/Importer.java
+++ b/src/main/java/gullspar/importer/Importer.java
@@ -9,9 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Makes an operator's file of nginx's configuration. Every directive ends in the report, in exactly one way.
- */
+/** Translates nginx's configuration to an operators' file. Each directive has exactly one entry in the report. */
 public final class Importer {
     private static final String SCRIPT_REASON = "scripts are not run";
 
@@ -24,12 +22,12 @@
         this.upstreamTranslator = new UpstreamTranslator(site, report, hosts);
     }
 
-    /** What came out: all directives as read, what became of each, and the file; null on problems. */
+    /** The directives as read, the report on them, and the text of the operators' file. */
     public record Result(List<Directive> directives, Report report, String toml) {}
 
     /**
-     * Reads files and all that they include, one after another, and translates them. hosts: the addresses of
-     * names, which nobody looks up. Null if there are problems, which are added to the list.
+     * Reads files with all files that they include, in order, and translates them. hosts: the addresses of host
+     * names, which are not resolved. Returns null if there are problems, which are added to the list.
      */
     public static Result read(List<Path> files, Map<String, String> hosts, List<Problem> problems) {
         List<Directive> directives = new ArrayList<>();
@@ -37,7 +35,7 @@
         return problems.isEmpty() ? translate(directives, hosts) : null;
     }
 
-    /** Translates what has been read. */
+    /** Translates directives that have been read. */
     public static Result translate(List<Directive> directives, Map<String, String> hosts) {
         Importer importer = new Importer(hosts);
         importer.translateAll(directives);
@@ -52,14 +50,14 @@
                 report.translated(d);
                 httpDirectives.addAll(d.block());
             } else {
-                httpDirectives.add(d); // files of a folder that a main file would include
+                httpDirectives.add(d); // a file that the http block of a main file would include
             }
         }
         translateHttp(httpDirectives);
         directives.forEach(this::reportRemaining);
     }
 
-    /** What has no counterpart as a whole, with all that is in it. */
+    /** Reports blocks that are not translated, with all directives in them. */
     private void reportUnsupportedBlocks(Directive d) {
         String name = d.name().text();
         if (d.raw() != null || DirectiveTables.isScript(name)) {
@@ -112,7 +110,7 @@
         }
     }
 
-    /** Times that are one value for the process here. */
+    /** Translates the timeouts of which the process has one value each. */
     private void translateTimeouts(Scope http) {
         site.idleTimeoutS = timeoutSeconds(http, "keepalive_timeout");
         site.requestTimeoutS =
@@ -127,7 +125,7 @@
         }
         try {
             double s = NginxValues.parseMillis(d.argument(0).orElse("")) / 1000.0;
-            report.translated(d, "one value for all that is served here");
+            report.translated(d, "one value for all servers");
             return Math.max(0.001, s);
         } catch (UntranslatableException e) {
             report.notTranslatable(d, e.getMessage());
@@ -135,7 +133,7 @@
         }
     }
 
-    // ---- what nobody has looked at ----
+    // ---- directives without an entry ----
 
     private void reportRemaining(Directive d) {
         if (!report.contains(d)) {
@@ -149,16 +147,16 @@
     private void reportUnvisited(Directive d) {
         String name = d.name().text();
         if (d.is("include")) {
-            report.translated(d, "what it names was read");
+            report.translated(d, "its files were read");
         } else if (DirectiveTables.NO_EFFECT.containsKey(name)) {
             report.put(d, Report.Verdict.NO_EFFECT, DirectiveTables.NO_EFFECT.get(name));
         } else if (isOff(d)) {
             report.put(d, Report.Verdict.NO_EFFECT, "it is off, as always here");
         } else if (DirectiveTables.ROUTE_DIRECTIVES.contains(name)) {
-            report.put(d, Report.Verdict.NO_EFFECT, "nothing that is passed on or answered comes under it");
+            report.put(d, Report.Verdict.NO_EFFECT, "it applies to no translated route");
         } else if (List.of("keepalive_timeout", "client_header_timeout", "client_body_timeout", "send_timeout")
                 .contains(name)) {
-            report.put(d, Report.Verdict.NO_EFFECT, "one value for all that is served here, that of http");
+            report.put(d, Report.Verdict.NO_EFFECT, "one value for all servers: the one in http");
         } else if (d.is("map") || d.is("split_clients")) {
             report.putAll(d, Report.Verdict.NO_EFFECT, "nothing that is translated uses its variable");
         } else if (DirectiveTables.NOT_TRANSLATABLE.containsKey(name)) {
--- a/src/main/java/gullspar/importer/LocationTranslator.java
+++ b/src/main/java/gullspar/importer/LocationTranslator.java
@@ -14,12 +14,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The routes of a server: its places, and for each what becomes of its requests. */
+/** Translates the location blocks of a server to routes. */
 final class LocationTranslator {
     private static final Pattern PROXY_PASS_URL = Pattern.compile("(\\w+)://([^/?$]+)(.*)");
     private static final int MAX_COMBINATIONS = 64;
     private static final String AFTER_RETURN = "the return of this block answers first";
-    /** Headers that belong to one connection, or to the framing on it. */
+    /** Headers that apply to one connection or to the framing of its messages. */
     private static final Set<String> CONNECTION_HEADERS =
             Set.of("Connection", "Upgrade", "Content-Length", "Transfer-Encoding", "TE", "Keep-Alive", "Trailer");
 
@@ -39,7 +39,7 @@
         this.conditionalVariables = conditionalVariables;
     }
 
-    /** The places of a block, in their order; a place may have several routes. */
+    /** Returns the routes of the locations in a block, in order; a location may have several. */
     List<Route> translateLocations(List<Directive> block, Scope scope, VariableTemplates variables) {
         List<Route> routes = new ArrayList<>();
         Set<String> locationTexts = new HashSet<>();
@@ -94,7 +94,7 @@
         }
     }
 
-    /** A location whose prefix ends with a slash and is passed on sends there what comes without it. */
+    /** Adds the redirect that nginx sends for the path without the final slash of a location with a proxy_pass. */
     private static void addSlashRedirect(Directive d, String path, List<Route> routes, Set<String> locationTexts) {
         String pathWithoutSlash = path.substring(0, path.length() - 1);
         if (locationTexts.add(pathWithoutSlash)) {
@@ -136,13 +136,13 @@
         locationRoute.path = locationRoute.match.startsWith("regex") ? VariableTemplates.toJavaRegex(path) : path;
         locationRoute.name = String.join(" ", arguments.stream().map(Word::text).toList());
         if (!locationRoute.match.startsWith("regex") && !path.startsWith("/")) {
-            throw new UntranslatableException("a path that does not begin with /: no request fits it");
+            throw new UntranslatableException("a path that does not begin with /: no request matches it");
         }
     }
 
-    // ---- what becomes of a request of a place ----
+    // ---- the content of a location ----
 
-    /** The routes of one place: one for each text that its variables can have. */
+    /** Returns the routes of one location: one for each combination of values of its variables. */
     private List<Route> translateBlock(
             Directive directive, Scope scope, VariableTemplates variables, Route locationRoute)
             throws UntranslatableException {
@@ -182,7 +182,7 @@
         return routes;
     }
 
-    /** Does a rewrite that sends clients elsewhere fit every path? */
+    /** Returns whether a redirecting rewrite matches every path. */
     private static boolean redirectsEveryPath(Scope scope) {
         return scope.own("rewrite").stream()
                 .anyMatch(d -> isRedirect(d)
@@ -201,13 +201,13 @@
                 "stub_status",
                 "empty_gif")) {
             if (!scope.own(other).isEmpty()) {
-                return other + " is not spoken here; put an HTTP server before it and pass to that";
+                return other + " is not supported; use an HTTP server for it and forward requests to that";
             }
         }
-        return "it serves files from disk, which is not done here; put a file server behind it and pass to " + "that";
+        return "it serves files from disk, which is not supported; forward its requests to a file server";
     }
 
-    /** One combination of the texts that chosen variables have, and when it is. */
+    /** One combination of the values of conditional variables, and its conditions. */
     private record Combination(List<Condition> conditions, VariableTemplates variables) {}
 
     private List<Combination> combinations(List<String> texts, VariableTemplates variables)
@@ -237,7 +237,7 @@
         return all;
     }
 
-    /** The chosen variables that texts use, those first that others' texts use. */
+    /** Returns the conditional variables in texts, each after those that its own values use. */
     private Set<String> referencedVariables(List<String> texts) {
         Set<String> names = new TreeSet<>(VariableTemplates.referenced(texts));
         names.retainAll(conditionalVariables.keySet());
@@ -274,7 +274,7 @@
         return variables;
     }
 
-    /** The variables that a server sets for all its places. */
+    /** Returns the variables that a server sets for all its locations. */
     VariableTemplates serverVariables(Scope scope, VariableTemplates outer) {
         return applySet(scope, outer);
     }
@@ -291,7 +291,6 @@
 
     // ---- return and rewrite ----
 
-    /** What a return says. */
     void translateReturn(Directive d, Scope scope, VariableTemplates variables, Route r)
             throws UntranslatableException {
         String first = d.argument(0).orElse("");
@@ -317,7 +316,7 @@
         applyAddHeader(scope, variables, r);
     }
 
-    /** A place to go to; one on this host is said in full. */
+    /** Adds scheme and host to a Location that is only a path. */
     private static String absoluteUrl(String location) {
         return location.startsWith("/") ? "${scheme}://${host_header}" + location : location;
     }
@@ -345,16 +344,16 @@
             } else {
                 throw new UntranslatableException(
                         flag.equals("break")
-                                ? "a rewrite that nothing is passed on after"
-                                : "it looks for a location anew with the new path; name that location's pool here "
-                                        + "and end it with break");
+                                ? "a rewrite with break in a location without proxy_pass"
+                                : "it searches for a location again with the new path; use that location's "
+                                        + "proxy_pass here and end the rewrite with break");
             }
         } catch (UntranslatableException e) {
             report.notTranslatable(d, e.getMessage());
         }
     }
 
-    /** Does a rewrite send the client elsewhere? */
+    /** Returns whether a rewrite answers with a redirect. */
     static boolean isRedirect(Directive d) {
         String flag = d.argument(2).orElse("");
         return flag.equals("permanent")
@@ -362,19 +361,20 @@
                 || d.argument(1).orElse("").matches("(https?://|\\$scheme).*");
     }
 
-    /** A rewrite that sends the client elsewhere, where its expression is found in the path. */
+    /** Fills in a route that redirects if the expression of the rewrite is found in the path. */
     Route translateRedirect(Directive d, Scope scope, VariableTemplates variables, Route r)
             throws UntranslatableException {
         String regex = VariableTemplates.toJavaRegex(d.argument(0).orElse(""));
         String replacement = d.argument(1).orElse("");
         r.conditions.add(0, Condition.regex("${path}", regex));
         r.status = d.argument(2).orElse("").equals("permanent") ? 301 : 302;
-        // The arguments go on, unless the replacement ends with a question mark; behind its own with &.
+        // nginx appends the arguments of the request unless the replacement ends with a question mark; after
+        // arguments of the replacement it does so with &, for which templates have no counterpart.
         boolean dropQuery = replacement.endsWith("?");
         String target = dropQuery ? replacement.substring(0, replacement.length() - 1) : replacement;
         if (!dropQuery && target.contains("?")) {
             throw new UntranslatableException(
-                    "arguments of its own and the request's behind them; end it with ? if " + "those need not go on");
+                    "its arguments are followed by those of the request; end it with ? to " + "drop the latter");
         }
         boolean includesQuery =
                 target.contains("$request_uri") || target.contains("$args") || target.contains("$is_args");
@@ -412,7 +412,9 @@
             throw new UntranslatableException("its proxy_pass could not be translated");
         }
         for (String files : List.of("root", "index")) {
-            scope.own(files).forEach(d -> report.put(d, Report.Verdict.NO_EFFECT, "what comes here is passed on"));
+            scope.own(files)
+                    .forEach(
+                            d -> report.put(d, Report.Verdict.NO_EFFECT, "all requests of its location are forwarded"));
         }
         report.translated(proxyPass);
     }
@@ -431,7 +433,9 @@
         Matcher m = PROXY_PASS_URL.matcher(url);
         if (!m.matches()) {
             throw new UntranslatableException(
-                    url.contains("$") ? "where " + url + " leads is not known here" : "'" + url + "' is no URL");
+                    url.contains("$")
+                            ? "the target of " + url + " is not known to this importer"
+                            : "'" + url + "' is no URL");
         }
         if (!m.group(1).equals("http")) {
             throw new UntranslatableException(m.group(1) + " to servers: only plain HTTP is spoken to them");
@@ -445,7 +449,7 @@
         translateLimits(scope, r);
     }
 
-    /** How the path changes on the way. */
+    /** Sets the rewrite of the path, by the URI of proxy_pass or by a rewrite. */
     private static void translatePath(
             String uri, boolean hasVariables, Route r, Directive rewrite, String regex, VariableTemplates variables)
             throws UntranslatableException {
@@ -462,11 +466,11 @@
             return;
         } else if (!hasVariables) {
             if (regex != null) {
-                throw new UntranslatableException("a path behind the address, in a location by regular expression");
+                throw new UntranslatableException("a URI in proxy_pass, in a location by regular expression");
             }
             r.rewriteReplacement = uri;
             if (uri.contains("?")) {
-                throw new UntranslatableException("arguments behind the path");
+                throw new UntranslatableException("arguments in the URI of proxy_pass");
             }
         } else if (uri.endsWith("$is_args$args") || uri.endsWith("$is_args$query_string")) {
             String replacement = toJavaReplacement(variables.translate(uri.substring(0, uri.indexOf("$is_args"))));
@@ -476,10 +480,11 @@
             r.rewriteReplacement = replacement.replace("${path}", "$1");
         } else {
             throw new UntranslatableException(
-                    "with variables in its path the arguments do not go on; end it with " + "$is_args$args");
+                    "with variables in its URI the arguments of the request are dropped; end it with "
+                            + "$is_args$args");
         }
         if (r.rewriteReplacement.contains("${")) {
-            throw new UntranslatableException("the path is made of " + r.rewriteReplacement);
+            throw new UntranslatableException("the path depends on variables: " + r.rewriteReplacement);
         }
     }
 
@@ -511,7 +516,7 @@
         for (String flag : List.of("proxy_pass_request_headers", "proxy_pass_request_body")) {
             Directive d = scope.last(flag);
             if (d != null && !d.argument(0).orElse("").equals("on")) {
-                report.notTranslatable(d, "what a request has always goes on");
+                report.notTranslatable(d, "headers and body of a request are always forwarded");
             }
         }
     }
@@ -549,7 +554,7 @@
         }
     }
 
-    // ---- limits and further attempts ----
+    // ---- limits and retries ----
 
     private void translateLimits(Scope scope, Route r) throws UntranslatableException {
         long connectMs = timeMs(scope, "proxy_connect_timeout", "60s");
@@ -588,8 +593,7 @@
                             + "may run twice";
                 }
                 default -> {
-                    report.notTranslatable(
-                            d, w.text() + ": here that answer tells nothing of the server and is passed on");
+                    report.notTranslatable(d, w.text() + ": such a response is forwarded, not retried");
                     return;
                 }
             }
@@ -634,8 +638,8 @@
                 report.translated(
                         d,
                         kb == 0
-                                ? "0 is no limit there; here it is 1 GB, and all bodies in hand "
-                                        + "share limits.bodies_mb"
+                                ? "0 means no limit in nginx; here the limit is 1 GB, and all bodies "
+                                        + "held at a time share limits.bodies_mb"
                                 : "");
             }
             if (kb > 16 * 1024) {
--- a/src/main/java/gullspar/importer/NginxValues.java
+++ b/src/main/java/gullspar/importer/NginxValues.java
@@ -3,14 +3,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times and sizes as nginx writes them. */
+/** Parses times, sizes and numbers in nginx's syntax. */
 final class NginxValues {
     private static final Pattern TIME = Pattern.compile("(\\d+)(ms|[smhdwMy]?)\\s*");
     private static final Pattern SIZE = Pattern.compile("(\\d+)([kKmMgG]?)");
 
     private NginxValues() {}
 
-    /** A time in ms: 500ms, 10s, 1h30m, and seconds where no unit is written. */
+    /** Parses a time such as 500ms, 10s or 1h30m; without a unit it is in seconds. */
     static long parseMillis(String text) throws UntranslatableException {
         Matcher m = TIME.matcher(text);
         long sum = 0;
@@ -36,7 +36,7 @@
         return sum;
     }
 
-    /** A size in KiB. */
+    /** Parses a size such as 512, 8k or 1m and returns it in KiB. */
     static double parseKilobytes(String text) throws UntranslatableException {
         Matcher m = SIZE.matcher(text);
         if (!m.matches() || m.group(1).length() > 12) {
@@ -51,7 +51,6 @@
         };
     }
 
-    /** A whole number. */
     static int parseInteger(String text) throws UntranslatableException {
         if (!text.matches("\\d{1,6}")) {
             throw new UntranslatableException("'" + text + "' is no number");
--- a/src/main/java/gullspar/importer/Report.java
+++ b/src/main/java/gullspar/importer/Report.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** What became of each directive: exactly one of three, and why. */
+/** The verdict on each directive, and its reason. */
 public final class Report {
-    /** What can become of a directive. */
+    /** The verdict on a directive, from best to worst. */
     public enum Verdict {
         NO_EFFECT,
         TRANSLATED,
         NOT_TRANSLATABLE
     }
 
-    /** What became of one; why is empty where a translation needs no remark. */
+    /** The verdict on a directive; the reason is empty for a translation without a remark. */
     public record Entry(Directive directive, Verdict verdict, String reason) {}
 
     private final Map<Directive, Entry> entries = new IdentityHashMap<>();
 
     /**
-     * Says what became of a directive. One that is used in several places may be translated in one and not in
-     * another: the worse counts.
+     * Sets the verdict on a directive. A directive that applies to several blocks may get several verdicts, of
+     * which the worst is kept.
      */
     void put(Directive d, Verdict verdict, String reason) {
         Entry previous = entries.get(d);
@@ -49,7 +49,7 @@
         return entries.containsKey(d);
     }
 
-    /** The same for a directive and all in its block. */
+    /** Sets the verdict on a directive and on all directives in its block. */
     void putAll(Directive d, Verdict verdict, String reason) {
         put(d, verdict, reason);
         if (d.block() != null) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** All entries, in the order of the files. */
+    /** Returns the entries of directives and of those in their blocks, in order. */
     public List<Entry> entries(List<Directive> directives) {
         return directives.stream()
                 .flatMap(d -> {
@@ -67,7 +67,7 @@
                 .toList();
     }
 
-    /** Is there anything that could not be translated? */
+    /** Returns whether no directive is NOT_TRANSLATABLE. */
     public boolean isComplete() {
         return entries.values().stream().noneMatch(e -> e.verdict() == Verdict.NOT_TRANSLATABLE);
     }
--- a/src/main/java/gullspar/importer/Scope.java
+++ b/src/main/java/gullspar/importer/Scope.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A block with those round it: a directive holds in the blocks below unless one there has its own. */
+/**
+ * The directives that apply to a block: a block inherits the directives of a name from the enclosing block unless
+ * it has directives of that name itself.
+ */
 final class Scope {
     private final Scope outer;
     private final Map<String, List<Directive>> own = new LinkedHashMap<>();
@@ -17,24 +20,24 @@
                 own.computeIfAbsent(d.name().text(), n -> new ArrayList<>()).add(d));
     }
 
-    /** Those of this block alone, in their order. */
+    /** Returns the directives of that name in this block, in order. */
     List<Directive> own(String name) {
         return own.getOrDefault(name, List.of());
     }
 
-    /** Those of the nearest block that has any; with several of a name all of that block, none of others. */
+    /** Returns the directives of that name that apply: all those of the nearest block with any. */
     List<Directive> find(String name) {
         List<Directive> here = own(name);
         return !here.isEmpty() || outer == null ? here : outer.find(name);
     }
 
-    /** The last of the nearest block; null if there is none. */
+    /** Returns the last directive that applies; null if there is none. */
     Directive last(String name) {
         List<Directive> all = find(name);
         return all.isEmpty() ? null : all.get(all.size() - 1);
     }
 
-    /** The first argument of the last one; otherwise what is usual. */
+    /** Returns the first argument of the last directive that applies; else the default. */
     String value(String name, String defaultValue) {
         Directive d = last(name);
         return d == null ? defaultValue : d.argument(0).orElse(defaultValue);
--- a/src/main/java/gullspar/importer/ServerTranslator.java
+++ b/src/main/java/gullspar/importer/ServerTranslator.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Virtual hosts: where each listens, under which names, and what it does before its places are looked at. */
+/**
+ * Translates server blocks to virtual hosts: their listeners, their names, and the routes that apply before a
+ * location is searched.
+ */
 final class ServerTranslator {
     private static final Set<String> SOCKET_OPTIONS = Set.of("reuseport", "deferred", "bind", "fastopen", "setfib");
 
@@ -19,7 +22,7 @@
     private final UpstreamTranslator upstreamTranslator;
     private final LocationTranslator locationTranslator;
     private final Set<String> usedNames = new HashSet<>();
-    /** By listener, the first host there; it is the default unless another says that it is. */
+    /** The first host of each listener: its default unless another one is declared as such. */
     private final Map<String, TranslatedSite.Host> firstHosts = new LinkedHashMap<>();
 
     private final Set<String> listenersWithDefault = new HashSet<>();
@@ -41,7 +44,7 @@
         report.translated(server);
         translateListen(server, scope, host);
         if (host.listeners.isEmpty()) {
-            report.putAll(server, Report.Verdict.NOT_TRANSLATABLE, "its server listens nowhere that is translated");
+            report.putAll(server, Report.Verdict.NOT_TRANSLATABLE, "no listen of its server could be translated");
             return;
         }
         String firstName = translateServerNames(scope, host);
@@ -60,11 +63,11 @@
             }
         }
         if (host.priorityRoutes.isEmpty() && host.routes.isEmpty()) {
-            report.notTranslatable(server, "nothing of it is passed on or answered");
+            report.notTranslatable(server, "it has no location, return or redirect that could be translated");
         }
     }
 
-    /** Those that no host says to be the default of get the first host that listens there. */
+    /** Makes the first host of a listener its default unless one is declared. */
     void setImplicitDefaults() {
         firstHosts.forEach((listener, host) -> {
             if (listenersWithDefault.add(listener)) {
@@ -96,10 +99,9 @@
                 .subList(Math.min(1, d.arguments().size()), d.arguments().size())) {
             String parameter = w.text();
             if (parameter.equals("ssl") || parameter.equals("quic") || parameter.equals("spdy")) {
-                throw new UntranslatableException(
-                        "clients are not encrypted here: put something that ends TLS before " + "it");
+                throw new UntranslatableException("TLS to clients is not supported: put a TLS terminator in front");
             } else if (parameter.equals("http2")) {
-                throw new UntranslatableException("HTTP/2 is not spoken here: put something that speaks it before it");
+                throw new UntranslatableException("HTTP/2 is not supported: put a proxy that supports it in front");
             } else if (parameter.equals("proxy_protocol")) {
                 throw new UntranslatableException("the PROXY protocol is not spoken here");
             } else if (parameter.equals("default_server") || parameter.equals("default")) {
@@ -113,10 +115,13 @@
         String address = listenAddress(d.argument(0).orElse(""));
         boolean added = addListener(address, host, isDefault, d.place().toString());
         if (!added) {
-            report.put(d, Report.Verdict.NO_EFFECT, "0.0.0.0 hears IPv6 as well");
+            report.put(d, Report.Verdict.NO_EFFECT, "0.0.0.0 also accepts IPv6 connections");
         } else {
             report.translated(
-                    d, ignored.isEmpty() ? "" : "without " + String.join(", ", ignored) + ", which the system decides");
+                    d,
+                    ignored.isEmpty()
+                            ? ""
+                            : "without " + String.join(", ", ignored) + ", which is left to the operating system");
         }
     }
 
@@ -129,13 +134,14 @@
         boolean isWildcard = address.startsWith("0.0.0.0:");
         for (String other : site.listeners.keySet()) {
             if (other.endsWith(port) && !other.equals(address) && (isWildcard || other.startsWith("0.0.0.0:"))) {
-                throw new UntranslatableException("one address and all addresses with one port: name the addresses");
+                throw new UntranslatableException(
+                        "one port both on one address and on all addresses: list the addresses");
             }
         }
         return address;
     }
 
-    /** False if the host listens there already. */
+    /** Returns false if the host has that listener already. */
     private boolean addListener(String listener, TranslatedSite.Host host, boolean isDefault, String comment) {
         site.listeners.putIfAbsent(listener, comment);
         boolean added = host.listeners.add(listener);
@@ -148,7 +154,7 @@
 
     // ---- server_name ----
 
-    /** Returns the first name, which $server_name stands for. */
+    /** Returns the first name, which is the value of $server_name. */
     private String translateServerNames(Scope scope, TranslatedSite.Host host) {
         String first = "";
         for (Directive d : scope.own("server_name")) {
@@ -180,7 +186,7 @@
             }
         }
         if (host.names.isEmpty()) {
-            // Nothing leads to it but where it is the default.
+            // A host needs a name; this one is reached only as the default of a listener.
             host.names.add("nameless-" + site.hosts.size() + ".invalid");
         }
         return first;
@@ -192,15 +198,14 @@
         }
         if (text.startsWith("~")) {
             if (text.contains("(?<") || text.contains("(?P<")) {
-                throw new UntranslatableException(
-                        "a name that is caught in server_name; list the hosts, or use " + "${host}");
+                throw new UntranslatableException("a named group in server_name; list the hosts, or use ${host}");
             }
             return "~(?i)" + VariableTemplates.toJavaRegex(text.substring(1));
         }
         return text;
     }
 
-    // ---- what a server does before its places are looked at ----
+    // ---- routes that apply before a location is searched ----
 
     private void translatePriorityRoutes(
             Directive server, Scope scope, VariableTemplates variables, TranslatedSite.Host host) {
@@ -220,8 +225,8 @@
                     } else if (LocationTranslator.isRedirect(d)) {
                         locationTranslator.translateRedirect(d, scope, variables, r);
                     } else {
-                        throw new UntranslatableException("a rewrite of a server that sends nobody elsewhere; rewrite "
-                                + "in the location that passes on");
+                        throw new UntranslatableException("a rewrite of a server that is not a redirect; move it to "
+                                + "the location with the proxy_pass");
                     }
                     host.priorityRoutes.add(r);
                 } catch (UntranslatableException e) {
--- a/src/main/java/gullspar/importer/TomlWriter.java
+++ b/src/main/java/gullspar/importer/TomlWriter.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Writes a draft as a person would: what is usual is left out, comments say where each part comes from. */
+/** Writes a translated site as TOML. Defaults are left out, and comments name the nginx directive of each part. */
 final class TomlWriter {
     private final StringBuilder out = new StringBuilder();
 
@@ -63,7 +63,7 @@
     }
 
     private void host(Host h) {
-        // A default that is one at some of its listeners only is written as two hosts with the same routes.
+        // A host that is the default of only some of its listeners is written as two hosts with the same routes.
         if (!h.defaultListeners.isEmpty() && !h.defaultListeners.containsAll(h.listeners)) {
             Collection<String> otherListeners = h.listeners.stream()
                     .filter(l -> !h.defaultListeners.contains(l))
@@ -207,7 +207,7 @@
         return texts.stream().map(TomlWriter::quoted).collect(Collectors.joining(", ", "[", "]"));
     }
 
-    /** Backslashes stay as they are where a literal string can hold the text. */
+    /** Writes a literal string, which needs no escapes, if the text has backslashes and allows it. */
     private static String quoted(String text) {
         boolean hasControlCharacters = text.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127);
         if (text.contains("\\") && !text.contains("'") && !hasControlCharacters) {
--- a/src/main/java/gullspar/importer/TranslatedSite.java
+++ b/src/main/java/gullspar/importer/TranslatedSite.java
@@ -7,9 +7,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The configuration as far as it is translated; comments say where each part comes from. */
+/**
+ * The content of the operators' file as translated so far. Each comment names the nginx directive from which a
+ * part comes. A negative time or number is not set.
+ */
 final class TranslatedSite {
-    /** A condition on a text made of the request: is, or matches, or a share in percent from and to. */
+    /**
+     * A condition on an expanded template: it equals a text, a regular expression is found in it, or its hash is
+     * in a share from and to a percentage; the other two are null or 0.
+     */
     record Condition(String template, String equalTo, String regex, double fromPercent, double toPercent) {
         static Condition equalTo(String template, String value) {
             return new Condition(template, value, null, 0, 0);
@@ -24,7 +30,6 @@
         }
     }
 
-    /** A server of a pool. */
     record Server(
             String comment,
             String address,
@@ -36,7 +41,6 @@
             double slowStartS,
             int maxConnections) {}
 
-    /** A pool. */
     static final class Pool {
         final String comment;
         final List<Server> servers = new ArrayList<>();
@@ -50,7 +54,7 @@
         }
     }
 
-    /** Headers that change on the way. */
+    /** Changes to header fields; addOk holds those of add_header without always. */
     static final class HeaderChanges {
         final Map<String, String> set = new LinkedHashMap<>();
         final Map<String, String> add = new LinkedHashMap<>();
@@ -62,7 +66,7 @@
         }
     }
 
-    /** A route; without a path it is one of those that are looked at first. */
+    /** A route; one of the priority routes of a host has no path, and a fixed response has no pool. */
     static final class Route {
         String comment;
         String name;
@@ -87,7 +91,7 @@
         final List<Route> nested = new ArrayList<>();
     }
 
-    /** A virtual host. */
+    /** A virtual host: priority routes are tried before the routes by path. */
     static final class Host {
         final String comment;
         final List<String> names = new ArrayList<>();
@@ -101,7 +105,7 @@
         }
     }
 
-    /** By address; the comment of each. */
+    /** The comment of each listener, by address. */
     final Map<String, String> listeners = new LinkedHashMap<>();
 
     final Map<String, Pool> pools = new LinkedHashMap<>();
@@ -109,6 +113,6 @@
     double idleTimeoutS = -1;
     double requestTimeoutS = -1;
     double stallTimeoutS = -1;
-    /** Where a body may be larger than all of them together usually are: twice the largest. */
+    /** Twice the largest body if one may exceed the 16 MB that all bodies share by default; else 0. */
     double maxBodiesMb;
 }
--- a/src/main/java/gullspar/importer/UntranslatableException.java
+++ b/src/main/java/gullspar/importer/UntranslatableException.java
@@ -1,8 +1,6 @@
 package gullspar.importer;
 
-/**
- * Something of a directive has no counterpart; the message says what, and what to do where there is a way.
- */
+/** Part of a directive has no counterpart. The message names the part and, if there is one, an alternative. */
 final class UntranslatableException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/importer/UpstreamTranslator.java
+++ b/src/main/java/gullspar/importer/UpstreamTranslator.java
@@ -7,15 +7,15 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Pools: those that an upstream declares, and those of one address that a proxy_pass names. */
+/** Translates upstream blocks to pools, and addresses in proxy_pass to pools of one server. */
 final class UpstreamTranslator {
     private final TranslatedSite site;
     private final Report report;
     private final Map<String, String> hosts;
-    /** By the name in small letters, the name of the pool. */
+    /** Pool names by their lower-case form. */
     private final Map<String, String> poolNames = new HashMap<>();
 
-    /** hosts: the addresses of names, which nobody looks up. */
+    /** hosts: the addresses of host names, which are not resolved. */
     UpstreamTranslator(TranslatedSite site, Report report, Map<String, String> hosts) {
         this.site = site;
         this.report = report;
@@ -55,14 +55,15 @@
                 report.translated(d);
             }
             case "keepalive_requests", "keepalive_time" -> report.put(
-                    d, Report.Verdict.NO_EFFECT, "connections to servers end by idleness alone");
-            case "zone" -> report.put(d, Report.Verdict.NO_EFFECT, "one process knows all there is to know");
+                    d, Report.Verdict.NO_EFFECT, "connections to servers are closed only after their idle timeout");
+            case "zone" -> report.put(
+                    d, Report.Verdict.NO_EFFECT, "no shared memory is needed: the proxy is one process");
             case "least_conn", "random", "least_time" -> {
                 pool.learntBalance = true;
                 report.translated(
                         d,
-                        "becomes the module's own choice (balance = \"learnt\"): by what servers "
-                                + "have in hand and how quick they are");
+                        "becomes balance = \"learnt\": the decision module selects servers by their "
+                                + "open requests and their speed");
             }
             default -> {
                 String reason = DirectiveTables.NOT_TRANSLATABLE.get(d.name().text());
@@ -110,7 +111,7 @@
                 maxConnections);
     }
 
-    /** An IP address and a port; a name must be known. */
+    /** Returns an IP address with a port. Throws if a host name has no given address. */
     String resolveAddress(String text, int defaultPort) throws UntranslatableException {
         if (text.startsWith("unix:")) {
             throw new UntranslatableException("a UNIX socket: servers are reached by TCP alone");
@@ -120,18 +121,18 @@
         String host = colon < 0 ? text : text.substring(0, colon);
         String port = colon < 0 ? Integer.toString(defaultPort) : text.substring(colon + 1);
         if (!port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
-            throw new UntranslatableException("'" + text + "' has no port that can be");
+            throw new UntranslatableException("'" + text + "' has no valid port");
         }
         String name = host.startsWith("[") ? host.substring(1, host.length() - 1) : host;
         String ip = name.equals("localhost") ? "127.0.0.1" : hosts.getOrDefault(name, name);
         if (NetUtil.createInetAddressFromIpAddressString(ip) == null) {
-            throw new UntranslatableException("the address of '" + name + "' is not known: nobody looks up names "
-                    + "here; give it with --host " + name + "=ADDRESS");
+            throw new UntranslatableException("the address of '" + name + "' is not known: host names are not "
+                    + "resolved; give it with --host " + name + "=ADDRESS");
         }
         return (ip.contains(":") ? "[" + ip + "]" : ip) + ":" + port;
     }
 
-    /** The pool that a proxy_pass leads to by what stands between // and the path. */
+    /** Returns the pool of a proxy_pass by its URL's authority, and adds a pool if that is no upstream's name. */
     String poolName(String authority, Directive proxyPass) throws UntranslatableException {
         String existing = poolNames.get(authority.toLowerCase(Locale.ROOT));
         if (existing != null) {
--- a/src/main/java/gullspar/importer/VariableTemplates.java
+++ b/src/main/java/gullspar/importer/VariableTemplates.java
@@ -9,13 +9,17 @@
 import java.util.regex.Pattern;
 import java.util.regex.PatternSyntaxException;
 
-/** Texts of nginx with variables, as templates of ours. What a variable stands for must be known. */
+/** Translates texts with nginx's variables to templates of routes. Variables without a counterpart are rejected. */
 final class VariableTemplates {
     private static final Pattern VARIABLE = Pattern.compile("\\$(?:\\{(\\w+)\\}|([1-9]|\\w+))");
-    /** What is escaped, a class of characters, or a group: 1 is ? of one that may not count, 2 its name. */
+    /**
+     * An escaped character, a character class or a group. Group 1 is the ? of a group that is named or does not
+     * capture, group 2 is its name.
+     */
     private static final Pattern GROUP =
             Pattern.compile("\\\\.|\\[(?:\\\\.|[^\\]])*\\]|\\((\\?)?(?:P?<([A-Za-z]\\w*)>)?");
 
+    /** nginx's variables and those of templates with the same value. */
     private static final Map<String, String> EQUIVALENTS = Map.ofEntries(
             Map.entry("host", "host"),
             Map.entry("http_host", "host_header"),
@@ -31,7 +35,7 @@
             Map.entry("request_method", "method"),
             Map.entry("request_id", "request_id"));
 
-    /** Names that have a fixed text here: set, chosen by a map, or of the place. */
+    /** The templates of variables that depend on the context: by set, map, named groups, server_name and so on. */
     private final Map<String, String> defined = new HashMap<>();
 
     VariableTemplates() {}
@@ -40,13 +44,13 @@
         defined.putAll(outer.defined);
     }
 
-    /** From here on a variable stands for that template. */
+    /** Sets the template of a variable and returns this. */
     VariableTemplates define(String variable, String template) {
         defined.put(variable, template);
         return this;
     }
 
-    /** The named groups of a regular expression stand for the groups of their number. */
+    /** Sets the templates of named groups to those of the groups by number and returns this. */
     VariableTemplates defineNamedGroups(String regex) {
         Matcher m = GROUP.matcher(regex);
         int group = 0;
@@ -61,7 +65,7 @@
         return this;
     }
 
-    /** The variables in a text. */
+    /** Returns the names of the variables in texts. */
     static Set<String> referenced(List<String> texts) {
         Set<String> names = new TreeSet<>();
         for (String text : texts) {
@@ -73,13 +77,13 @@
         return names;
     }
 
-    /** The text of a variable where it is the same for every request; else null. */
+    /** Returns the value of a variable that is the same for every request; else null. */
     String constantValue(String variable) {
         String template = defined.get(variable);
         return template == null || template.contains("${") ? null : template;
     }
 
-    /** The template that a text becomes. */
+    /** Returns the template for a text. */
     String translate(String text) throws UntranslatableException {
         Matcher m = VARIABLE.matcher(text.replace("$is_args$args", "${is_args_and_args}")
                 .replace("$is_args$query_string", "${is_args_and_args}"));
@@ -115,10 +119,10 @@
                         : "${" + kind.substring(0, kind.length() - 1) + "." + rest + "}";
             }
         }
-        throw new UntranslatableException("what $" + name + " stands for is not known here");
+        throw new UntranslatableException("the variable $" + name + " has no counterpart");
     }
 
-    /** A regular expression as Java writes it: PCRE's other way to name groups, and names with _. */
+    /** Converts PCRE's syntax (?P<name>) of named groups, and removes _ from their names, which Java rejects. */
     static String toJavaRegex(String pcre) throws UntranslatableException {
         Matcher m = Pattern.compile("\\(\\?P?<([A-Za-z]\\w*)>").matcher(pcre);
         StringBuilder s = new StringBuilder();
@@ -129,12 +133,15 @@
         try {
             Pattern.compile(javaRegex);
         } catch (PatternSyntaxException e) {
-            throw new UntranslatableException("this regular expression means nothing here: " + e.getDescription());
+            throw new UntranslatableException("not a valid Java regular expression: " + e.getDescription());
         }
         return javaRegex;
     }
 
-    /** One that is found if the other is, and spans the whole text: what nginx's rewrite replaces. */
+    /**
+     * Returns an expression that matches the whole text if the given one is found in it, since nginx's rewrite
+     * replaces the whole path.
+     */
     static String matchWholeText(String regex) {
         return "^.*?(?:" + regex + ").*$";
     }
--- a/src/test/java/gullspar/importer/ImporterPropertiesTest.java
+++ b/src/test/java/gullspar/importer/ImporterPropertiesTest.java
@@ -26,9 +26,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Places and texts that nobody thought of. Seeds are fixed: the verdict is the same every time. */
+/** Properties of the parser and the importer with generated configurations. Seeds are fixed for repeatable runs. */
 class ImporterPropertiesTest {
-    /** A location: what stands before its block, and those in it. */
+    /** A location: its arguments and the locations in its block. */
     record Location(String arguments, List<Location> nested) {}
 
     private static final List<String> PATHS = List.of("/", "/a", "/a/", "/a/b", "/ab", "/b/", "/a/b/", "/b");
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Writes those that nginx would take: nested ones begin as the one round them, exact ones hold none, none
-     * comes twice.
+     * Writes the locations that nginx accepts: a nested location begins with the prefix of the enclosing one, an
+     * exact location has no nested ones, and there are no duplicates.
      */
     private static void writeLocations(
             List<Location> locations, String requiredPrefix, StringBuilder conf, int[] serverCount) {
@@ -89,7 +89,7 @@
                     .append(serverCount[0]++ % 250 + 1)
                     .append(":80;\n");
             if (!location.arguments().startsWith("=")) {
-                // A regular expression holds anything, a prefix what begins with it.
+                // Any location may be nested in a regular expression.
                 writeLocations(location.nested(), regex ? requiredPrefix : path, conf, serverCount);
             }
             conf.append("}\n");
@@ -139,7 +139,7 @@
                 .ofMaxLength(8);
     }
 
-    /** A directive as it is written; block null for one that has none. */
+    /** A generated directive; block is null if it has none. */
     record DirectiveTree(String name, List<String> arguments, List<DirectiveTree> block) {}
 
     private static Arbitrary<List<DirectiveTree>> trees(int depth) {
@@ -197,7 +197,7 @@
         assertEquals(trees, trees(read), s.toString());
     }
 
-    /** Whatever is read, every directive ends in the report exactly once. */
+    /** Every directive that is parsed has exactly one entry in the report, whatever the input. */
     @Property(tries = 1000, seed = "4713")
     void everyDirectiveIsReportedOnce(@ForAll("arbitraryTexts") String text) throws IOException {
         List<Problem> problems = new ArrayList<>();
--- a/src/test/java/gullspar/importer/ImporterTest.java
+++ b/src/test/java/gullspar/importer/ImporterTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What becomes of each directive. */
+/** Verdicts and reasons of directives, and the resulting TOML. */
 class ImporterTest {
     private static Importer.Result translate(String text) {
         List<Problem> problems = new ArrayList<>();
@@ -151,7 +151,7 @@
         Importer.Result result = translate("upstream u { least_conn; server 10.0.0.1; } server { location / "
                 + "{ proxy_pass http://u; proxy_next_upstream error non_idempotent; } }");
         assertTrue(entry(result, "proxy_next_upstream").reason().contains("may run twice"));
-        assertTrue(entry(result, "least_conn").reason().contains("module's own choice"));
+        assertTrue(entry(result, "least_conn").reason().contains("decision module selects servers"));
         assertTrue(result.toml().contains("class = \"safe\"") && result.toml().contains("balance = \"learnt\""));
     }
 
--- a/src/test/java/gullspar/importer/NginxModel.java
+++ b/src/test/java/gullspar/importer/NginxModel.java
@@ -17,12 +17,12 @@
 import java.util.stream.Stream;
 
 /**
- * What nginx does with a request, after its published documentation: which server, which location, what is
- * sent where, and which server of an upstream is taken. It shares nothing with the importer, its reader of
- * the files included.
+ * A reference model of nginx's routing, by its published documentation: selects the server, the location, the
+ * forwarded request and the server of the upstream. It shares no code with the importer, so that an error in one
+ * is not repeated in the other; it even has its own parser.
  */
 final class NginxModel {
-    /** A directive. */
+    /** A directive with its arguments and its block, which is empty if there is none. */
     static final class ConfigNode {
         final String name;
         final List<String> args;
@@ -43,13 +43,13 @@
         }
     }
 
-    /** A request: port is that of the listener; uri as it came. */
+    /** A request: the port of the listener, the URI as received, and headers with names such as x_real_ip. */
     record Request(String method, String host, int port, String uri, Map<String, String> headers) {}
 
-    /** An answer of its own (upstream null), or what goes to an upstream. */
+    /** A response by nginx itself (upstream is null), or the request that is forwarded to an upstream. */
     record Outcome(int status, String location, String upstream, String uri, String host) {}
 
-    /** A server of an upstream, and what the smooth weighted rotation keeps of it. */
+    /** A server of an upstream, with its state in the smooth weighted round robin. */
     static final class UpstreamServer {
         final String address;
         final int weight;
@@ -98,7 +98,7 @@
         }
     }
 
-    // ---- reading ----
+    // ---- parsing ----
 
     private List<ConfigNode> read(Path file) throws IOException {
         String outerText = text;
@@ -175,7 +175,7 @@
 
     // ---- servers ----
 
-    /** The ports that anybody listens at. */
+    /** The ports of all listeners. */
     List<Integer> ports() {
         return servers().stream()
                 .flatMap(s -> ports(s).stream())
@@ -206,7 +206,7 @@
         String host = request.host.replaceFirst(":\\d+$", "").toLowerCase(Locale.ROOT);
         List<ConfigNode> candidates =
                 servers().stream().filter(s -> ports(s).contains(request.port)).toList();
-        Map<Integer, ConfigNode> serversByRank = new TreeMap<>(); // the least rank wins
+        Map<Integer, ConfigNode> serversByRank = new TreeMap<>(); // the lowest rank takes precedence
         for (ConfigNode s : candidates) {
             for (String name : serverNames(s)) {
                 int rank = rank(name, host);
@@ -224,7 +224,10 @@
                 .orElse(candidates.get(0));
     }
 
-    /** Exact, then the longest wildcard in front, the longest at the end, the first regular expression. */
+    /**
+     * Returns the precedence of a name: exact, then the longest leading wildcard, the longest trailing wildcard,
+     * the first regular expression. MAX_VALUE if the host does not match.
+     */
     private static int rank(String name, String host) {
         String lowerCaseName = name.toLowerCase(Locale.ROOT);
         if (lowerCaseName.startsWith("~")) {
@@ -246,16 +249,16 @@
                 : Integer.MAX_VALUE;
     }
 
-    // ---- what becomes of a request ----
+    // ---- evaluation of a request ----
 
-    /** The groups and variables as they are while one is looked at. */
+    /** The state while one request is evaluated: its path, variables and captured groups. */
     private final class Evaluation {
         final Request request;
         final Map<String, String> variables = new HashMap<>();
         String path;
         String args;
         Matcher groups;
-        /** An exact location or a regular expression, however deep, was found: the search is over. */
+        /** Whether an exact location or a regular expression was found at any depth, which ends the search. */
         boolean searchEnded;
 
         Evaluation(Request request) {
@@ -340,7 +343,7 @@
                     if (groups != null) {
                         return groups.group(name);
                     }
-                    throw new AssertionError("what is $" + name + "?");
+                    throw new AssertionError("unknown variable $" + name);
             }
         }
 
@@ -366,7 +369,7 @@
             return expand(defaultValue);
         }
 
-        /** By MurmurHash2, as the documentation of split_clients says. */
+        /** Selects by MurmurHash2, as documented for split_clients. */
         private String splitClientsValue(ConfigNode n) {
             long hash = murmurHash2(expand(n.arg(0)).getBytes(StandardCharsets.UTF_8));
             double sum = 0;
@@ -422,7 +425,6 @@
         return p;
     }
 
-    /** What becomes of a request. */
     Outcome evaluate(Request request) {
         Evaluation evaluation = new Evaluation(request);
         ConfigNode server = selectServer(request);
@@ -453,7 +455,7 @@
         return proxyPass(location, scopes, evaluation, !originalPath.equals(evaluation.path));
     }
 
-    /** Sets, rewrites and returns, in their order; null if none of them answers. */
+    /** Runs set, rewrite and return in order; returns null if none of them responds. */
     private Outcome runRewriteDirectives(ConfigNode block, Evaluation evaluation) {
         for (ConfigNode n : block.block) {
             if (n.name.equals("set")) {
@@ -480,7 +482,7 @@
                             null);
                 }
                 evaluation.path = to;
-                return null; // break
+                return null; // as for the flag break
             }
         }
         return null;
@@ -490,7 +492,10 @@
         return location.startsWith("/") ? "http://" + evaluation.request.host + location : location;
     }
 
-    /** A location, or the redirect to one that a slash is missing for; null if there is none. */
+    /**
+     * Returns the location, or the redirect Outcome if the path lacks the final slash of a location; null if there
+     * is neither.
+     */
     private Object findLocation(List<ConfigNode> block, Evaluation evaluation, List<ConfigNode> enclosing) {
         ConfigNode best = null;
         int longest = -1;
@@ -506,7 +511,7 @@
                 continue;
             }
             textEqualsPath |= text.equals(evaluation.path);
-            // Of all that are defined by a prefix string, also with =, not by a regular expression.
+            // The redirect applies to locations by prefix and to exact ones, not to regular expressions.
             if (text.equals(evaluation.path + "/") && !n.children("proxy_pass").isEmpty()) {
                 slashLocation = n;
             }
@@ -610,9 +615,9 @@
         return s.toString();
     }
 
-    // ---- the rotation ----
+    // ---- selection of the upstream server ----
 
-    /** The peer of an upstream that the next request goes to, at a time in seconds; null if there is none. */
+    /** Returns the server for the next request to an upstream; null if none is available. */
     UpstreamServer selectUpstreamServer(String upstream, double nowS) {
         List<UpstreamServer> all = upstreams.get(upstream);
         UpstreamServer best = selectUpstreamServer(all, false, nowS);
@@ -638,13 +643,12 @@
         return best;
     }
 
-    /** A request to a peer failed. */
+    /** Counts a failed request; the count restarts when the fail timeout has passed. */
     static void recordFailure(UpstreamServer server, double nowS) {
         server.failures = nowS - server.lastCheckedS > server.failTimeoutS ? 1 : server.failures + 1;
         server.lastCheckedS = nowS;
     }
 
-    /** A request to a peer was answered. */
     static void recordSuccess(UpstreamServer server) {
         server.failures = 0;
     }
--- a/src/test/java/gullspar/importer/ReplayTest.java
+++ b/src/test/java/gullspar/importer/ReplayTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What the daemon does with an imported configuration, request by request, against the reference model. */
+/** Compares a proxy that runs an imported configuration with the reference model of nginx, for each request. */
 @Execution(ExecutionMode.CONCURRENT)
 @ResourceLock("much of the machine")
 class ReplayTest {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A configuration as it is served here: listeners and servers have other addresses. */
+    /** A proxy with the imported configuration, in which listeners and servers have local test addresses. */
     private static final class ImportedProxy implements AutoCloseable {
         final StubServers stubServers = new StubServers();
         final NginxModel model;
@@ -88,7 +88,10 @@
         return Files.exists(file) ? Files.readAllLines(file) : List.of();
     }
 
-    /** Requests round all that the configuration names: hosts, paths, and what the case adds to them. */
+    /**
+     * Returns random requests with the hosts and paths that the configuration names, variations of them, and the
+     * paths and headers that the folder of the case adds.
+     */
     private static List<NginxModel.Request> requests(Path folder, NginxModel model) throws IOException {
         List<String> hosts = new ArrayList<>(List.of(
                 "unknown.test",
@@ -137,7 +140,7 @@
         }
     }
 
-    /** What came of a request: who answered, and what the server was asked. */
+    /** A response: the address of the server that sent it, and the URI and Host that this server received. */
     private record Response(int status, String location, String server, String uri, String host) {}
 
     private static Response send(Wire w, NginxModel.Request r) throws IOException {
@@ -163,7 +166,7 @@
                 h.get("x-host"));
     }
 
-    /** All answers, in the order of the requests; several clients ask side by side. */
+    /** Sends the requests on concurrent clients and returns the responses in the order of the requests. */
     private static List<Response> replay(ImportedProxy importedProxy, List<NginxModel.Request> requests)
             throws Exception {
         Response[] responses = new Response[requests.size()];
@@ -241,7 +244,7 @@
         }
     }
 
-    /** The same shares, within two in a hundred of all. */
+    /** Asserts that the shares of the servers differ by at most 2 % of all requests. */
     private static void assertSharesClose(Map<String, Integer> expected, Map<String, Integer> actual, String upstream) {
         double total = expected.values().stream().mapToInt(n -> n).sum();
         Stream.concat(expected.keySet().stream(), actual.keySet().stream())
@@ -254,8 +257,8 @@
     }
 
     /**
-     * Servers fail and come back. Around each change there is a transition: the module finds out by failures,
-     * and a server that is back is taken up once its time is over.
+     * A server fails and recovers. After each change the test waits for a transition: the decision module detects
+     * the failure by failed requests, and selects the server again when its fail timeout has passed.
      */
     @Test
     void sharesMatchNginxWhileServerFailsAndAfterRecovery() throws Exception {
@@ -268,23 +271,23 @@
             assertSharesClose(
                     modelCounts(importedProxy.model, 900, 0, null),
                     counts(replay(importedProxy, requests)),
-                    "all are there");
+                    "all servers are up");
             importedProxy.stubServers.stop("10.0.0.2:8080");
             awaitTransition(importedProxy, "10.0.0.2:8080", false);
             assertSharesClose(
                     modelCounts(importedProxy.model, 900, 100, "10.0.0.2:8080"),
                     counts(replay(importedProxy, requests)),
-                    "one is gone");
+                    "one server is down");
             importedProxy.stubServers.start("10.0.0.2:8080");
             awaitTransition(importedProxy, "10.0.0.2:8080", true);
             assertSharesClose(
                     modelCounts(importedProxy.model, 900, 200, null),
                     counts(replay(importedProxy, requests)),
-                    "it is back");
+                    "the server has recovered");
         }
     }
 
-    /** Asks on until a server is not asked any more for a while, or is again. */
+    /** Sends requests until a server gets none of 100 in a row, or after its recovery until it gets one. */
     private static void awaitTransition(ImportedProxy importedProxy, String server, boolean recovery) throws Exception {
         try (Wire w = importedProxy.connect(80)) {
             int responsesWithout = 0;
@@ -293,7 +296,7 @@
                 Response response = send(w, new NginxModel.Request("GET", "a", 80, "/", Map.of()));
                 assertEquals(200, response.status());
                 responsesWithout = server.equals(response.server()) ? recovery ? -1 : 0 : responsesWithout + 1;
-                assertTrue(System.nanoTime() < deadlineNs, "it stays as it was");
+                assertTrue(System.nanoTime() < deadlineNs, "no transition within 30 s");
             }
         }
     }
@@ -302,7 +305,7 @@
         return responses.stream().collect(Collectors.toMap(Response::server, o -> 1, Integer::sum));
     }
 
-    /** What the model picks in so many requests from a time on, with one that answers nothing. */
+    /** Counts the requests to each server in the model, after 50 that are not counted; stoppedServer may be null. */
     private static Map<String, Integer> modelCounts(NginxModel m, int requests, double startS, String stoppedServer) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < requests + 50; i++) {
--- a/src/test/java/gullspar/importer/StubServers.java
+++ b/src/test/java/gullspar/importer/StubServers.java
@@ -24,14 +24,14 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Servers that say in their answers who they are and what they were asked. */
+/** Servers whose responses name their declared address, and the URI and Host that they received. */
 final class StubServers implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Map<String, Channel> listeners = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new LinkedHashMap<>();
     private final Map<String, ChannelGroup> connections = new LinkedHashMap<>();
 
-    /** Where the server of a declared address is; it is started if it was not. */
+    /** Returns the local address of the server with a declared address; starts it at the first call. */
     String addressOf(String declared) {
         if (!ports.containsKey(declared)) {
             start(declared, 0);
@@ -39,7 +39,7 @@
         return "127.0.0.1:" + ports.get(declared);
     }
 
-    /** Starts one again, where it was. */
+    /** Starts a stopped server again on the same port. */
     void start(String declared) {
         start(declared, ports.get(declared));
     }
@@ -68,7 +68,7 @@
         ports.put(declared, ((InetSocketAddress) c.localAddress()).getPort());
     }
 
-    /** It is gone: nobody listens there and its connections are closed. */
+    /** Closes the listener of a server and its connections. */
     void stop(String declared) {
         listeners.get(declared).close().syncUninterruptibly();
         connections.get(declared).close().awaitUninterruptibly();
