--- a/src/main/java/gullspar/importer/LocationTranslator.java
+++ b/src/main/java/gullspar/importer/LocationTranslator.java
@@ -564,7 +564,7 @@
         pool.connectTimeoutMs = Math.max(pool.connectTimeoutMs, connectMs);
         r.attemptTimeoutMs = connectMs + Math.max(readMs, sendMs);
         r.maxBodyKb = maxBodyKb(scope);
-        int tries = integer(scope, "proxy_next_upstream_tries");
+        int tries = integerValue(scope, "proxy_next_upstream_tries");
         long nextUpstreamMs = timeMs(scope, "proxy_next_upstream_timeout", "0");
         int serverCount = Math.max(1, pool.servers.size());
         r.maxAttempts = tries == 0 ? serverCount : tries;
@@ -616,7 +616,7 @@
         }
     }
 
-    private int integer(Scope scope, String name) {
+    private int integerValue(Scope scope, String name) {
         Directive d = scope.last(name);
         try {
             int n = NginxValues.parseInteger(scope.value(name, "0"));
--- a/src/main/java/gullspar/importer/TomlWriter.java
+++ b/src/main/java/gullspar/importer/TomlWriter.java
@@ -17,21 +17,21 @@
         out.append("forwarded = \"pass\"\n");
         if (site.idleTimeoutS > 0 || site.requestTimeoutS > 0 || site.stallTimeoutS > 0 || site.maxBodiesMb > 0) {
             out.append("\n[limits]\n");
-            number("idle_s", site.idleTimeoutS, -1);
-            number("request_s", site.requestTimeoutS, -1);
-            number("stall_s", site.stallTimeoutS, -1);
-            number("bodies_mb", site.maxBodiesMb, 0);
+            writeNumber("idle_s", site.idleTimeoutS, -1);
+            writeNumber("request_s", site.requestTimeoutS, -1);
+            writeNumber("stall_s", site.stallTimeoutS, -1);
+            writeNumber("bodies_mb", site.maxBodiesMb, 0);
         }
         site.listeners.forEach((address, comment) -> {
-            tableHeader(comment, "[[listener]]");
-            string("address", address);
+            writeTableHeader(comment, "[[listener]]");
+            writeString("address", address);
         });
-        site.pools.forEach(this::pool);
-        site.hosts.forEach(this::host);
+        site.pools.forEach(this::writePool);
+        site.hosts.forEach(this::writeHost);
         return out.toString();
     }
 
-    private void tableHeader(String comment, String table) {
+    private void writeTableHeader(String comment, String table) {
         out.append('\n');
         if (comment != null) {
             out.append("# ").append(comment.replaceAll("\\p{Cntrl}", "?")).append('\n');
@@ -39,72 +39,72 @@
         out.append(table).append('\n');
     }
 
-    private void pool(String name, Pool p) {
-        tableHeader(p.comment, "[[pool]]");
-        string("name", name);
+    private void writePool(String name, Pool p) {
+        writeTableHeader(p.comment, "[[pool]]");
+        writeString("name", name);
         if (p.learntBalance) {
-            string("balance", "learnt");
+            writeString("balance", "learnt");
         }
-        number("connect_ms", p.connectTimeoutMs, 0);
-        number("keep_alive", p.maxIdle, -1);
-        number("keep_alive_s", p.idleTimeoutS, -1);
+        writeNumber("connect_ms", p.connectTimeoutMs, 0);
+        writeNumber("keep_alive", p.maxIdle, -1);
+        writeNumber("keep_alive_s", p.idleTimeoutS, -1);
         for (TranslatedSite.Server server : p.servers) {
             out.append(server.comment() == null ? "" : "# " + server.comment() + "\n")
                     .append("[[pool.server]]\n");
-            string("address", server.address());
-            number("weight", server.weight(), 1);
-            flag("backup", server.backup());
-            flag("down", server.down());
-            number("max_failures", server.maxFailures(), 1);
-            number("fail_s", server.failTimeoutS(), 10);
-            number("slow_start_s", server.slowStartS(), 0);
-            number("max_connections", server.maxConnections(), 0);
+            writeString("address", server.address());
+            writeNumber("weight", server.weight(), 1);
+            writeFlag("backup", server.backup());
+            writeFlag("down", server.down());
+            writeNumber("max_failures", server.maxFailures(), 1);
+            writeNumber("fail_s", server.failTimeoutS(), 10);
+            writeNumber("slow_start_s", server.slowStartS(), 0);
+            writeNumber("max_connections", server.maxConnections(), 0);
         }
     }
 
-    private void host(Host h) {
+    private void writeHost(Host h) {
         // A host that is the default of only some of its listeners is written as two hosts with the same routes.
         if (!h.defaultListeners.isEmpty() && !h.defaultListeners.containsAll(h.listeners)) {
             Collection<String> otherListeners = h.listeners.stream()
                     .filter(l -> !h.defaultListeners.contains(l))
                     .toList();
-            host(h, h.defaultListeners, true);
-            host(h, otherListeners, false);
+            writeHost(h, h.defaultListeners, true);
+            writeHost(h, otherListeners, false);
         } else {
-            host(h, h.listeners, !h.defaultListeners.isEmpty());
+            writeHost(h, h.listeners, !h.defaultListeners.isEmpty());
         }
     }
 
-    private void host(Host h, Collection<String> listeners, boolean isDefault) {
-        tableHeader(h.comment, "[[host]]");
+    private void writeHost(Host h, Collection<String> listeners, boolean isDefault) {
+        writeTableHeader(h.comment, "[[host]]");
         out.append("names = ").append(array(h.names)).append('\n');
         out.append("listeners = ").append(array(listeners)).append('\n');
-        flag("default", isDefault);
-        h.priorityRoutes.forEach(r -> route(r, "host.first"));
-        h.routes.forEach(r -> route(r, "host.route"));
+        writeFlag("default", isDefault);
+        h.priorityRoutes.forEach(r -> writeRoute(r, "host.first"));
+        h.routes.forEach(r -> writeRoute(r, "host.route"));
     }
 
-    private void route(Route r, String table) {
-        tableHeader(r.comment, "[[" + table + "]]");
-        string("name", r.name);
+    private void writeRoute(Route r, String table) {
+        writeTableHeader(r.comment, "[[" + table + "]]");
+        writeString("name", r.name);
         if (r.path != null) {
             if (!r.match.equals("prefix")) {
-                string("match", r.match);
+                writeString("match", r.match);
             }
-            string("path", r.path);
+            writeString("path", r.path);
         }
         if (r.pool == null) {
-            fixedResponse(r);
+            writeFixedResponse(r);
         } else {
-            poolTarget(r);
+            writePoolTarget(r);
         }
         for (Condition condition : r.conditions) {
             out.append("[[").append(table).append(".when]]\n");
-            string("of", condition.template());
+            writeString("of", condition.template());
             if (condition.equalTo() != null) {
-                string("is", condition.equalTo());
+                writeString("is", condition.equalTo());
             } else if (condition.regex() != null) {
-                string("matches", condition.regex());
+                writeString("matches", condition.regex());
             } else {
                 out.append("share = [")
                         .append(formatNumber(condition.fromPercent()))
@@ -113,18 +113,18 @@
                         .append("]\n");
             }
         }
-        r.nested.forEach(n -> route(n, table + ".route"));
+        r.nested.forEach(n -> writeRoute(n, table + ".route"));
     }
 
-    private void poolTarget(Route r) {
-        string("pool", r.pool);
+    private void writePoolTarget(Route r) {
+        writeString("pool", r.pool);
         if (r.safe) {
-            string("class", "safe");
+            writeString("class", "safe");
         }
-        number("deadline_ms", r.deadlineMs, 60_000);
-        number("attempts", r.maxAttempts, 3);
-        number("attempt_ms", r.attemptTimeoutMs, 0);
-        number("body_kb", r.maxBodyKb, 1024);
+        writeNumber("deadline_ms", r.deadlineMs, 60_000);
+        writeNumber("attempts", r.maxAttempts, 3);
+        writeNumber("attempt_ms", r.attemptTimeoutMs, 0);
+        writeNumber("body_kb", r.maxBodyKb, 1024);
         out.append("retry_on = ").append(array(r.retryStatuses)).append('\n');
         if (r.rewritePattern != null) {
             out.append("rewrite = { pattern = ")
@@ -135,11 +135,11 @@
         } else if (r.rewriteReplacement != null) {
             out.append("rewrite = { to = ").append(quoted(r.rewriteReplacement)).append(" }\n");
         }
-        headers("request_headers", r.requestHeaders);
-        headers("answer_headers", r.responseHeaders);
+        writeHeaderChanges("request_headers", r.requestHeaders);
+        writeHeaderChanges("answer_headers", r.responseHeaders);
     }
 
-    private void fixedResponse(Route r) {
+    private void writeFixedResponse(Route r) {
         out.append("answer = { status = ").append(r.status);
         if (r.location != null) {
             out.append(", location = ").append(quoted(r.location));
@@ -148,18 +148,18 @@
             out.append(", body = ").append(quoted(r.body)).append(", type = ").append(quoted(r.contentType));
         }
         if (!r.responseHeaders.isEmpty()) {
-            out.append(", headers = ").append(headerChanges(r.responseHeaders));
+            out.append(", headers = ").append(inlineHeaderChanges(r.responseHeaders));
         }
         out.append(" }\n");
     }
 
-    private void headers(String key, TranslatedSite.HeaderChanges changes) {
+    private void writeHeaderChanges(String key, TranslatedSite.HeaderChanges changes) {
         if (!changes.isEmpty()) {
-            out.append(key).append(" = ").append(headerChanges(changes)).append('\n');
+            out.append(key).append(" = ").append(inlineHeaderChanges(changes)).append('\n');
         }
     }
 
-    private static String headerChanges(TranslatedSite.HeaderChanges changes) {
+    private static String inlineHeaderChanges(TranslatedSite.HeaderChanges changes) {
         StringBuilder b = new StringBuilder("{ ");
         String separator = "";
         for (Map.Entry<String, Map<String, String>> e :
@@ -183,11 +183,11 @@
         return b.append(" }").toString();
     }
 
-    private void string(String key, String value) {
+    private void writeString(String key, String value) {
         out.append(key).append(" = ").append(quoted(value)).append('\n');
     }
 
-    private void number(String key, double value, double defaultValue) {
+    private void writeNumber(String key, double value, double defaultValue) {
         if (value != defaultValue) {
             out.append(key).append(" = ").append(formatNumber(value)).append('\n');
         }
@@ -197,7 +197,7 @@
         return v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v);
     }
 
-    private void flag(String key, boolean value) {
+    private void writeFlag(String key, boolean value) {
         if (value) {
             out.append(key).append(" = true\n");
         }
--- a/src/test/java/gullspar/importer/ImporterPropertiesTest.java
+++ b/src/test/java/gullspar/importer/ImporterPropertiesTest.java
@@ -76,8 +76,8 @@
         for (Location location : locations) {
             String[] arguments = location.arguments().split(" ");
             String path = arguments[arguments.length - 1];
-            boolean regex = location.arguments().startsWith("~");
-            if (!regex && !path.startsWith(requiredPrefix)
+            boolean isRegex = location.arguments().startsWith("~");
+            if (!isRegex && !path.startsWith(requiredPrefix)
                     || !seen.add(location.arguments().startsWith("^~ ") ? path : location.arguments())) {
                 continue;
             }
@@ -90,7 +90,7 @@
                     .append(":80;\n");
             if (!location.arguments().startsWith("=")) {
                 // Any location may be nested in a regular expression.
-                writeLocations(location.nested(), regex ? requiredPrefix : path, conf, serverCount);
+                writeLocations(location.nested(), isRegex ? requiredPrefix : path, conf, serverCount);
             }
             conf.append("}\n");
         }
@@ -103,9 +103,9 @@
         writeLocations(locations, "/", conf, new int[] {0});
         conf.append("location = /there { return 204; }\n}\n");
         List<Problem> problems = new ArrayList<>();
-        List<Directive> read = Parser.parse(conf.toString(), Path.of("x"), problems);
+        List<Directive> directives = Parser.parse(conf.toString(), Path.of("x"), problems);
         assertEquals(List.of(), problems);
-        Site site = SiteReader.parse(Importer.translate(read, Map.of()).toml(), "made");
+        Site site = SiteReader.parse(Importer.translate(directives, Map.of()).toml(), "made");
         Path file = Files.createTempFile("model", ".conf");
         try {
             Files.writeString(file, conf);
@@ -192,19 +192,19 @@
         StringBuilder s = new StringBuilder();
         print(trees, s);
         List<Problem> problems = new ArrayList<>();
-        List<Directive> read = Parser.parse(s.toString(), Path.of("x"), problems);
+        List<Directive> directives = Parser.parse(s.toString(), Path.of("x"), problems);
         assertEquals(List.of(), problems, s.toString());
-        assertEquals(trees, trees(read), s.toString());
+        assertEquals(trees, trees(directives), s.toString());
     }
 
     /** Every directive that is parsed has exactly one entry in the report, whatever the input. */
     @Property(tries = 1000, seed = "4713")
     void everyDirectiveIsReportedOnce(@ForAll("arbitraryTexts") String text) throws IOException {
         List<Problem> problems = new ArrayList<>();
-        List<Directive> read = Parser.parse(text, Path.of("x"), problems);
-        Importer.Result result = Importer.translate(read, Map.of());
-        List<Report.Entry> entries = result.report().entries(read);
-        assertEquals(read.stream().mapToInt(Directive::count).sum(), entries.size());
+        List<Directive> directives = Parser.parse(text, Path.of("x"), problems);
+        Importer.Result result = Importer.translate(directives, Map.of());
+        List<Report.Entry> entries = result.report().entries(directives);
+        assertEquals(directives.stream().mapToInt(Directive::count).sum(), entries.size());
         entries.forEach(e -> assertNotNull(e, text));
     }
 
--- a/src/test/java/gullspar/importer/ImporterTest.java
+++ b/src/test/java/gullspar/importer/ImporterTest.java
@@ -23,9 +23,9 @@
 class ImporterTest {
     private static Importer.Result translate(String text) {
         List<Problem> problems = new ArrayList<>();
-        List<Directive> read = Parser.parse(text, Path.of("x.conf"), problems);
+        List<Directive> directives = Parser.parse(text, Path.of("x.conf"), problems);
         assertEquals(List.of(), problems);
-        return Importer.translate(read, Map.of("app", "10.9.9.9"));
+        return Importer.translate(directives, Map.of("app", "10.9.9.9"));
     }
 
     private static Report.Entry entry(Importer.Result result, String directive) {
--- a/src/test/java/gullspar/importer/NginxModel.java
+++ b/src/test/java/gullspar/importer/NginxModel.java
@@ -53,7 +53,7 @@
     static final class UpstreamServer {
         final String address;
         final int weight;
-        final int maxFails;
+        final int maxFailures;
         final double failTimeoutS;
         final boolean backup;
         final boolean down;
@@ -66,7 +66,7 @@
             Map<String, String> parameters = new HashMap<>();
             node.args.forEach(a -> parameters.put(a.split("=")[0], a.contains("=") ? a.split("=")[1] : ""));
             this.weight = Integer.parseInt(parameters.getOrDefault("weight", "1"));
-            this.maxFails = Integer.parseInt(parameters.getOrDefault("max_fails", "1"));
+            this.maxFailures = Integer.parseInt(parameters.getOrDefault("max_fails", "1"));
             this.failTimeoutS = Double.parseDouble(
                     parameters.getOrDefault("fail_timeout", "10s").replace("s", ""));
             this.backup = parameters.containsKey("backup");
@@ -74,7 +74,7 @@
         }
 
         private boolean isUnavailable(double nowS) {
-            return down || maxFails > 0 && failures >= maxFails && nowS - lastCheckedS <= failTimeoutS;
+            return down || maxFailures > 0 && failures >= maxFailures && nowS - lastCheckedS <= failTimeoutS;
         }
     }
 
@@ -472,16 +472,17 @@
                         null,
                         null);
             } else if (n.name.equals("rewrite") && evaluation.find(n.arg(0), false, evaluation.path)) {
-                String to = evaluation.expand(n.arg(1));
+                String replacement = evaluation.expand(n.arg(1));
                 if (n.arg(2).equals("permanent") || n.arg(2).equals("redirect")) {
                     return new Outcome(
                             n.arg(2).equals("permanent") ? 301 : 302,
-                            absoluteUrl(to + (evaluation.args.isEmpty() ? "" : "?" + evaluation.args), evaluation),
+                            absoluteUrl(
+                                    replacement + (evaluation.args.isEmpty() ? "" : "?" + evaluation.args), evaluation),
                             null,
                             null,
                             null);
                 }
-                evaluation.path = to;
+                evaluation.path = replacement;
                 return null; // as for the flag break
             }
         }
@@ -497,8 +498,8 @@
      * is neither.
      */
     private Object findLocation(List<ConfigNode> block, Evaluation evaluation, List<ConfigNode> enclosing) {
-        ConfigNode best = null;
-        int longest = -1;
+        ConfigNode longestPrefix = null;
+        int longestLength = -1;
         boolean textEqualsPath = false;
         ConfigNode slashLocation = null;
         for (ConfigNode n : block) {
@@ -522,9 +523,9 @@
                 }
                 continue;
             }
-            if (evaluation.path.startsWith(text) && text.length() > longest) {
-                best = n;
-                longest = text.length();
+            if (evaluation.path.startsWith(text) && text.length() > longestLength) {
+                longestPrefix = n;
+                longestLength = text.length();
             }
         }
         if (slashLocation != null && !textEqualsPath) {
@@ -537,19 +538,19 @@
                     null,
                     null);
         }
-        Object found = best;
-        if (best != null) {
-            enclosing.add(best);
-            Object nested = findLocation(best.block, evaluation, enclosing);
+        Object found = longestPrefix;
+        if (longestPrefix != null) {
+            enclosing.add(longestPrefix);
+            Object nested = findLocation(longestPrefix.block, evaluation, enclosing);
             if (nested != null) {
                 if (evaluation.searchEnded) {
                     return nested;
                 }
                 found = nested;
             } else {
-                enclosing.remove(best);
+                enclosing.remove(longestPrefix);
             }
-            if (best.arg(0).equals("^~")) {
+            if (longestPrefix.arg(0).equals("^~")) {
                 return found;
             }
         }
@@ -619,19 +620,19 @@
 
     /** Returns the server for the next request to an upstream; null if none is available. */
     UpstreamServer selectUpstreamServer(String upstream, double nowS) {
-        List<UpstreamServer> all = upstreams.get(upstream);
-        UpstreamServer best = selectUpstreamServer(all, false, nowS);
-        return best == null ? selectUpstreamServer(all, true, nowS) : best;
+        List<UpstreamServer> servers = upstreams.get(upstream);
+        UpstreamServer best = selectUpstreamServer(servers, false, nowS);
+        return best == null ? selectUpstreamServer(servers, true, nowS) : best;
     }
 
-    private static UpstreamServer selectUpstreamServer(List<UpstreamServer> all, boolean backup, double nowS) {
+    private static UpstreamServer selectUpstreamServer(List<UpstreamServer> servers, boolean backup, double nowS) {
         UpstreamServer best = null;
         int total = 0;
-        for (UpstreamServer p : all) {
-            if (p.backup == backup && !p.isUnavailable(nowS)) {
-                p.currentWeight += p.weight;
-                total += p.weight;
-                best = best == null || p.currentWeight > best.currentWeight ? p : best;
+        for (UpstreamServer server : servers) {
+            if (server.backup == backup && !server.isUnavailable(nowS)) {
+                server.currentWeight += server.weight;
+                total += server.weight;
+                best = best == null || server.currentWeight > best.currentWeight ? server : best;
             }
         }
         if (best != null) {
