--- a/src/main/java/gullspar/importer/TranslatedSite.java
+++ b/src/main/java/gullspar/importer/TranslatedSite.java
@@ -30,6 +30,7 @@
         }
     }
 
+    /** A server of a pool; its comment is null if the pool is made for an address in proxy_pass. */
     record Server(
             String comment,
             String address,
@@ -41,6 +42,7 @@
             double slowStartS,
             int maxConnections) {}
 
+    /** A pool; with learntBalance it balances by learnt weights instead of the configured ones. */
     static final class Pool {
         final String comment;
         final List<Server> servers = new ArrayList<>();
