--- a/src/test/java/gullspar/importer/NginxModel.java
+++ b/src/test/java/gullspar/importer/NginxModel.java
@@ -343,7 +343,7 @@
                     if (groups != null) {
                         return groups.group(name);
                     }
-                    throw new AssertionError("unknown variable $" + name);
+                    throw new AssertionError("the variable $" + name + " is not in the model");
             }
         }
 
