--- a/src/main/java/gullspar/importer/Tables.java
+++ b/src/main/java/gullspar/importer/DirectiveTables.java
@@ -4,16 +4,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * What directives come to that mean the same wherever they stand. docs/import-nginx.md has the whole list.
- */
-final class Tables {
-    /** Without effect here, and why. */
+/** The verdicts on directives that do not depend on their context; docs/import-nginx.md lists all directives. */
+final class DirectiveTables {
+    /** The reason for each directive without effect. */
     static final Map<String, String> NO_EFFECT = new HashMap<>();
-    /** Not translatable, why, and what to do where there is a way. */
-    static final Map<String, String> NOT = new HashMap<>();
-    /** Translated where a request that is passed on comes under them. */
-    static final Set<String> WHERE_USED = Set.of(
+    /** The reason for each directive that is not translatable, with an alternative if there is one. */
+    static final Map<String, String> NOT_TRANSLATABLE = new HashMap<>();
+    /** Directives that are translated as part of the routes to which they apply. */
+    static final Set<String> ROUTE_DIRECTIVES = Set.of(
             "proxy_connect_timeout",
             "proxy_read_timeout",
             "proxy_send_timeout",
@@ -29,21 +27,21 @@
             "proxy_pass_request_headers",
             "proxy_pass_request_body");
 
-    private static void none(String why, String... names) {
+    private static void noEffect(String reason, String... names) {
         for (String n : names) {
-            NO_EFFECT.put(n, why);
+            NO_EFFECT.put(n, reason);
         }
     }
 
-    private static void not(String why, String... names) {
+    private static void notTranslatable(String reason, String... names) {
         for (String n : names) {
-            NOT.put(n, why);
+            NOT_TRANSLATABLE.put(n, reason);
         }
     }
 
     static {
-        none(
-                "the process is run by whoever starts it",
+        noEffect(
+                "left to the service manager that runs the process",
                 "user",
                 "worker_processes",
                 "worker_cpu_affinity",
@@ -62,7 +60,7 @@
                 "thread_pool",
                 "debug_points",
                 "load_module");
-        none(
+        noEffect(
                 "one event loop, and limits.sockets for all connections",
                 "events",
                 "worker_connections",
@@ -72,8 +70,8 @@
                 "accept_mutex_delay",
                 "debug_connection",
                 "worker_aio_requests");
-        none(
-                "the log is on standard error; there is none of each request",
+        noEffect(
+                "the log is on standard error; there is no access log",
                 "error_log",
                 "access_log",
                 "log_format",
@@ -82,7 +80,7 @@
                 "open_log_file_cache",
                 "rewrite_log",
                 "uninitialized_variable_warn");
-        none(
+        noEffect(
                 "no files are served",
                 "sendfile",
                 "sendfile_max_chunk",
@@ -106,8 +104,8 @@
                 "charset_types",
                 "source_charset",
                 "override_charset");
-        none(
-                "always so",
+        noEffect(
+                "the behavior is fixed here",
                 "tcp_nodelay",
                 "reset_timedout_connection",
                 "proxy_http_version",
@@ -122,13 +120,13 @@
                 "port_in_redirect",
                 "server_name_in_redirect",
                 "recursive_error_pages");
-        none(
-                "connections of clients end by idleness alone",
+        noEffect(
+                "client connections are closed only after their idle timeout",
                 "keepalive_requests",
                 "keepalive_time",
                 "keepalive_disable");
-        none(
-                "memory is kept small in other ways: bodies under limits.bodies_mb, answers streamed",
+        noEffect(
+                "memory is limited in other ways: limits.bodies_mb for request bodies, streaming for responses",
                 "client_body_buffer_size",
                 "client_body_in_single_buffer",
                 "client_body_temp_path",
@@ -149,8 +147,8 @@
                 "proxy_headers_hash_max_size",
                 "proxy_headers_hash_bucket_size",
                 "subrequest_output_buffer_size");
-        none(
-                "tables grow as they need",
+        noEffect(
+                "tables are sized automatically",
                 "server_names_hash_max_size",
                 "server_names_hash_bucket_size",
                 "types_hash_max_size",
@@ -159,8 +157,8 @@
                 "variables_hash_bucket_size",
                 "map_hash_max_size",
                 "map_hash_bucket_size");
-        none(
-                "answers are passed on as servers made them: let those compress",
+        noEffect(
+                "responses are forwarded unchanged: enable compression in the servers",
                 "gzip",
                 "gzip_types",
                 "gzip_vary",
@@ -173,10 +171,10 @@
                 "gzip_static",
                 "gunzip",
                 "gunzip_buffers");
-        none("this proxy does not say what it is", "server_tokens");
-        none("nobody looks up names", "resolver", "resolver_timeout");
-        none(
-                "nothing is cached, so this is of no use",
+        noEffect("the proxy does not identify itself in responses", "server_tokens");
+        noEffect("host names are not resolved", "resolver", "resolver_timeout");
+        noEffect(
+                "nothing is cached, so this does nothing",
                 "proxy_cache_bypass",
                 "proxy_cache_key",
                 "proxy_cache_lock",
@@ -193,10 +191,10 @@
                 "proxy_cache_convert_head",
                 "proxy_cache_max_range_offset",
                 "proxy_no_cache");
-        none("headers of answers have no meaning to this proxy", "proxy_ignore_headers", "proxy_pass_header");
-        none("a client that leaves always takes its attempt along", "proxy_ignore_client_abort");
-        not(
-                "clients are not encrypted here: put something that ends TLS before it",
+        noEffect("response headers do not control the proxy", "proxy_ignore_headers", "proxy_pass_header");
+        noEffect("a client that disconnects always aborts its attempt", "proxy_ignore_client_abort");
+        notTranslatable(
+                "TLS to clients is not supported: put a TLS terminator in front",
                 "ssl_certificate",
                 "ssl_certificate_key",
                 "ssl",
@@ -225,7 +223,7 @@
                 "http3",
                 "quic_retry",
                 "ssl_preread");
-        not(
+        notTranslatable(
                 "only plain HTTP is spoken to servers",
                 "proxy_ssl_certificate",
                 "proxy_ssl_certificate_key",
@@ -237,15 +235,15 @@
                 "proxy_ssl_trusted_certificate",
                 "proxy_ssl_verify",
                 "proxy_ssl_verify_depth");
-        not(
-                "a client does not stay with one server here; keep sessions where all servers find them",
+        notTranslatable(
+                "session affinity is not supported; keep sessions in a store that all servers share",
                 "ip_hash",
                 "hash",
                 "sticky",
                 "sticky_cookie_insert");
-        not("conditions are written as routes with header or when", "if");
-        not(
-                "no files are served here: put a file server behind it and pass to that",
+        notTranslatable("conditions are written as routes with header or when", "if");
+        notTranslatable(
+                "files are not served; forward these requests to a file server",
                 "try_files",
                 "root",
                 "alias",
@@ -265,12 +263,12 @@
                 "image_filter",
                 "xslt_stylesheet",
                 "ssi");
-        not(
-                "what an error looks like is left to servers; a route can answer by itself",
+        notTranslatable(
+                "error pages are left to servers; a route can have a fixed answer",
                 "error_page",
                 "proxy_intercept_errors");
-        not(
-                "who may come is not decided here: put that before it, or in the servers",
+        notTranslatable(
+                "access control is not supported: put it in front, or in the servers",
                 "auth_request",
                 "auth_request_set",
                 "auth_basic",
@@ -284,8 +282,8 @@
                 "geo",
                 "geoip_country",
                 "geoip2");
-        not(
-                "no rate is limited by client; the module refuses what servers cannot do",
+        notTranslatable(
+                "there is no limit per client; the decision module refuses requests beyond the capacity of the servers",
                 "limit_req",
                 "limit_req_zone",
                 "limit_req_status",
@@ -295,12 +293,12 @@
                 "limit_conn_status",
                 "limit_rate",
                 "limit_rate_after");
-        not(
+        notTranslatable(
                 "the address of a client is that of its connection; see forwarded",
                 "set_real_ip_from",
                 "real_ip_header",
                 "real_ip_recursive");
-        not(
+        notTranslatable(
                 "answers are passed on as they are",
                 "sub_filter",
                 "sub_filter_once",
@@ -318,11 +316,11 @@
                 "mirror_request_body",
                 "proxy_store",
                 "proxy_store_access");
-        not("nothing is cached here: put a cache behind it", "proxy_cache");
-        not("the method of a request always goes on", "proxy_method", "proxy_set_body");
-        not("connections to servers start at whatever address the system gives", "proxy_bind");
-        not("not HTTP", "stream", "mail");
-        not(
+        notTranslatable("nothing is cached here: put a cache behind it", "proxy_cache");
+        notTranslatable("method and body of a request are always forwarded", "proxy_method", "proxy_set_body");
+        notTranslatable("the operating system selects the local address of connections to servers", "proxy_bind");
+        notTranslatable("not HTTP", "stream", "mail");
+        notTranslatable(
                 "only HTTP/1.1 is spoken to servers",
                 "grpc_pass",
                 "fastcgi_pass",
@@ -339,7 +337,7 @@
                 "fastcgi_buffers",
                 "fastcgi_buffer_size",
                 "fastcgi_cache");
-        not(
+        notTranslatable(
                 "scripts are not run",
                 "js_import",
                 "js_content",
@@ -356,15 +354,15 @@
                 "content_by_lua_file",
                 "rewrite_by_lua_file",
                 "init_by_lua_file");
-        not("use a route of its own with an answer", "stub_status", "empty_gif", "status", "api");
-        not("it looks for a location anew", "break");
-        not("slashes in a path are always merged", "merge_slashes");
+        notTranslatable("use a separate route with a fixed answer", "stub_status", "empty_gif", "status", "api");
+        notTranslatable("it looks for a location anew", "break");
+        notTranslatable("slashes in a path are always merged", "merge_slashes");
     }
 
-    private Tables() {}
+    private DirectiveTables() {}
 
-    /** Directives that run scripts in a block. */
-    static boolean script(String name) {
+    /** Returns whether a directive runs a Lua script. */
+    static boolean isScript(String name) {
         return name.contains("_by_lua");
     }
 }
--- a/src/main/java/gullspar/importer/Report.java
+++ b/src/main/java/gullspar/importer/Report.java
@@ -6,30 +6,30 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** What became of each directive: exactly one of three, and why. */
+/** The verdict on each directive, and its reason. */
 public final class Report {
-    /** What can become of a directive. */
+    /** The verdict on a directive, from best to worst. */
     public enum Verdict {
         NO_EFFECT,
         TRANSLATED,
         NOT_TRANSLATABLE
     }
 
-    /** What became of one; why is empty where a translation needs no remark. */
-    public record Entry(Directive directive, Verdict verdict, String why) {}
+    /** The verdict on a directive; the reason is empty for a translation without a remark. */
+    public record Entry(Directive directive, Verdict verdict, String reason) {}
 
     private final Map<Directive, Entry> entries = new IdentityHashMap<>();
 
     /**
-     * Says what became of a directive. One that is used in several places may be translated in one and not in
-     * another: the worse counts.
+     * Sets the verdict on a directive. A directive that applies to several blocks may get several verdicts, of
+     * which the worst is kept.
      */
-    void put(Directive d, Verdict verdict, String why) {
-        Entry known = entries.get(d);
-        if (known == null
-                || known.verdict().ordinal() < verdict.ordinal()
-                || known.verdict() == verdict && known.why().isEmpty()) {
-            entries.put(d, new Entry(d, verdict, why));
+    void put(Directive d, Verdict verdict, String reason) {
+        Entry previous = entries.get(d);
+        if (previous == null
+                || previous.verdict().ordinal() < verdict.ordinal()
+                || previous.verdict() == verdict && previous.reason().isEmpty()) {
+            entries.put(d, new Entry(d, verdict, reason));
         }
     }
 
@@ -41,34 +41,34 @@
         put(d, Verdict.TRANSLATED, remark);
     }
 
-    void not(Directive d, String why) {
-        put(d, Verdict.NOT_TRANSLATABLE, why);
+    void notTranslatable(Directive d, String reason) {
+        put(d, Verdict.NOT_TRANSLATABLE, reason);
     }
 
-    boolean has(Directive d) {
+    boolean contains(Directive d) {
         return entries.containsKey(d);
     }
 
-    /** The same for a directive and all in its block. */
-    void all(Directive d, Verdict verdict, String why) {
-        put(d, verdict, why);
+    /** Sets the verdict on a directive and on all directives in its block. */
+    void putAll(Directive d, Verdict verdict, String reason) {
+        put(d, verdict, reason);
         if (d.block() != null) {
-            d.block().forEach(inner -> all(inner, verdict, why));
+            d.block().forEach(inner -> putAll(inner, verdict, reason));
         }
     }
 
-    /** All entries, in the order of the files. */
-    public List<Entry> entries(List<Directive> tree) {
-        return tree.stream()
+    /** Returns the entries of directives and of those in their blocks, in order. */
+    public List<Entry> entries(List<Directive> directives) {
+        return directives.stream()
                 .flatMap(d -> {
-                    List<Entry> below = d.block() == null ? List.of() : entries(d.block());
-                    return Stream.concat(Stream.of(entries.get(d)), below.stream());
+                    List<Entry> nested = d.block() == null ? List.of() : entries(d.block());
+                    return Stream.concat(Stream.of(entries.get(d)), nested.stream());
                 })
                 .toList();
     }
 
-    /** Is there anything that could not be translated? */
-    public boolean complete() {
+    /** Returns whether no directive is NOT_TRANSLATABLE. */
+    public boolean isComplete() {
         return entries.values().stream().noneMatch(e -> e.verdict() == Verdict.NOT_TRANSLATABLE);
     }
 }
--- a/src/main/java/gullspar/importer/TomlWriter.java
+++ b/src/main/java/gullspar/importer/TomlWriter.java
@@ -1,214 +1,216 @@
 package gullspar.importer;
 
-import gullspar.importer.Draft.Host;
-import gullspar.importer.Draft.Pool;
-import gullspar.importer.Draft.Route;
-import gullspar.importer.Draft.When;
+import gullspar.importer.TranslatedSite.Condition;
+import gullspar.importer.TranslatedSite.Host;
+import gullspar.importer.TranslatedSite.Pool;
+import gullspar.importer.TranslatedSite.Route;
 import java.util.Collection;
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Writes a draft as a person would: what is usual is left out, comments say where each part comes from. */
+/** Writes a translated site as TOML. Defaults are left out, and comments name the nginx directive of each part. */
 final class TomlWriter {
-    private final StringBuilder s = new StringBuilder();
-
-    String write(Draft d) {
-        s.append("# Made by gullspar import nginx. Comments name the file, line and column of origin.\n");
-        s.append("forwarded = \"pass\"\n");
-        if (d.idleS > 0 || d.requestS > 0 || d.stallS > 0 || d.bodiesMb > 0) {
-            s.append("\n[limits]\n");
-            number("idle_s", d.idleS, -1);
-            number("request_s", d.requestS, -1);
-            number("stall_s", d.stallS, -1);
-            number("bodies_mb", d.bodiesMb, 0);
-        }
-        d.listeners.forEach((address, comment) -> {
-            head(comment, "[[listener]]");
-            text("address", address);
+    private final StringBuilder out = new StringBuilder();
+
+    String write(TranslatedSite site) {
+        out.append("# Made by gullspar import nginx. Comments name the file, line and column of origin.\n");
+        out.append("forwarded = \"pass\"\n");
+        if (site.idleTimeoutS > 0 || site.requestTimeoutS > 0 || site.stallTimeoutS > 0 || site.maxBodiesMb > 0) {
+            out.append("\n[limits]\n");
+            writeNumber("idle_s", site.idleTimeoutS, -1);
+            writeNumber("request_s", site.requestTimeoutS, -1);
+            writeNumber("stall_s", site.stallTimeoutS, -1);
+            writeNumber("bodies_mb", site.maxBodiesMb, 0);
+        }
+        site.listeners.forEach((address, comment) -> {
+            writeTableHeader(comment, "[[listener]]");
+            writeString("address", address);
         });
-        d.pools.forEach(this::pool);
-        d.hosts.forEach(this::host);
-        return s.toString();
+        site.pools.forEach(this::writePool);
+        site.hosts.forEach(this::writeHost);
+        return out.toString();
     }
 
-    private void head(String comment, String table) {
-        s.append('\n');
+    private void writeTableHeader(String comment, String table) {
+        out.append('\n');
         if (comment != null) {
-            s.append("# ").append(comment.replaceAll("\\p{Cntrl}", "?")).append('\n');
-        }
-        s.append(table).append('\n');
-    }
-
-    private void pool(String name, Pool p) {
-        head(p.comment, "[[pool]]");
-        text("name", name);
-        if (p.learnt) {
-            text("balance", "learnt");
-        }
-        number("connect_ms", p.connectMs, 0);
-        number("keep_alive", p.keepAlive, -1);
-        number("keep_alive_s", p.keepAliveS, -1);
-        for (Draft.Server v : p.servers) {
-            s.append(v.comment() == null ? "" : "# " + v.comment() + "\n").append("[[pool.server]]\n");
-            text("address", v.address());
-            number("weight", v.weight(), 1);
-            flag("backup", v.backup());
-            flag("down", v.down());
-            number("max_failures", v.maxFailures(), 1);
-            number("fail_s", v.failS(), 10);
-            number("slow_start_s", v.slowStartS(), 0);
-            number("max_connections", v.maxConnections(), 0);
-        }
-    }
-
-    private void host(Host h) {
-        // A default that is one at some of its listeners only is written as two hosts with the same routes.
-        if (!h.defaultAt.isEmpty() && !h.defaultAt.containsAll(h.listeners)) {
-            Collection<String> others =
-                    h.listeners.stream().filter(l -> !h.defaultAt.contains(l)).toList();
-            host(h, h.defaultAt, true);
-            host(h, others, false);
+            out.append("# ").append(comment.replaceAll("\\p{Cntrl}", "?")).append('\n');
+        }
+        out.append(table).append('\n');
+    }
+
+    private void writePool(String name, Pool p) {
+        writeTableHeader(p.comment, "[[pool]]");
+        writeString("name", name);
+        if (p.learntBalance) {
+            writeString("balance", "learnt");
+        }
+        writeNumber("connect_ms", p.connectTimeoutMs, 0);
+        writeNumber("keep_alive", p.maxIdle, -1);
+        writeNumber("keep_alive_s", p.idleTimeoutS, -1);
+        for (TranslatedSite.Server server : p.servers) {
+            out.append(server.comment() == null ? "" : "# " + server.comment() + "\n")
+                    .append("[[pool.server]]\n");
+            writeString("address", server.address());
+            writeNumber("weight", server.weight(), 1);
+            writeFlag("backup", server.backup());
+            writeFlag("down", server.down());
+            writeNumber("max_failures", server.maxFailures(), 1);
+            writeNumber("fail_s", server.failTimeoutS(), 10);
+            writeNumber("slow_start_s", server.slowStartS(), 0);
+            writeNumber("max_connections", server.maxConnections(), 0);
+        }
+    }
+
+    private void writeHost(Host h) {
+        // A host that is the default of only some of its listeners is written as two hosts with the same routes.
+        if (!h.defaultListeners.isEmpty() && !h.defaultListeners.containsAll(h.listeners)) {
+            Collection<String> otherListeners = h.listeners.stream()
+                    .filter(l -> !h.defaultListeners.contains(l))
+                    .toList();
+            writeHost(h, h.defaultListeners, true);
+            writeHost(h, otherListeners, false);
         } else {
-            host(h, h.listeners, !h.defaultAt.isEmpty());
+            writeHost(h, h.listeners, !h.defaultListeners.isEmpty());
         }
     }
 
-    private void host(Host h, Collection<String> listeners, boolean isDefault) {
-        head(h.comment, "[[host]]");
-        s.append("names = ").append(list(h.names)).append('\n');
-        s.append("listeners = ").append(list(listeners)).append('\n');
-        flag("default", isDefault);
-        h.first.forEach(r -> route(r, "host.first"));
-        h.routes.forEach(r -> route(r, "host.route"));
+    private void writeHost(Host h, Collection<String> listeners, boolean isDefault) {
+        writeTableHeader(h.comment, "[[host]]");
+        out.append("names = ").append(array(h.names)).append('\n');
+        out.append("listeners = ").append(array(listeners)).append('\n');
+        writeFlag("default", isDefault);
+        h.priorityRoutes.forEach(r -> writeRoute(r, "host.first"));
+        h.routes.forEach(r -> writeRoute(r, "host.route"));
     }
 
-    private void route(Route r, String table) {
-        head(r.comment, "[[" + table + "]]");
-        text("name", r.name);
+    private void writeRoute(Route r, String table) {
+        writeTableHeader(r.comment, "[[" + table + "]]");
+        writeString("name", r.name);
         if (r.path != null) {
             if (!r.match.equals("prefix")) {
-                text("match", r.match);
+                writeString("match", r.match);
             }
-            text("path", r.path);
+            writeString("path", r.path);
         }
         if (r.pool == null) {
-            answer(r);
+            writeFixedResponse(r);
         } else {
-            passed(r);
-        }
-        for (When w : r.when) {
-            s.append("[[").append(table).append(".when]]\n");
-            text("of", w.of());
-            if (w.is() != null) {
-                text("is", w.is());
-            } else if (w.matches() != null) {
-                text("matches", w.matches());
+            writePoolTarget(r);
+        }
+        for (Condition condition : r.conditions) {
+            out.append("[[").append(table).append(".when]]\n");
+            writeString("of", condition.template());
+            if (condition.equalTo() != null) {
+                writeString("is", condition.equalTo());
+            } else if (condition.regex() != null) {
+                writeString("matches", condition.regex());
             } else {
-                s.append("share = [")
-                        .append(plain(w.from()))
+                out.append("share = [")
+                        .append(formatNumber(condition.fromPercent()))
                         .append(", ")
-                        .append(plain(w.to()))
+                        .append(formatNumber(condition.toPercent()))
                         .append("]\n");
             }
         }
-        r.nested.forEach(n -> route(n, table + ".route"));
+        r.nested.forEach(n -> writeRoute(n, table + ".route"));
     }
 
-    private void passed(Route r) {
-        text("pool", r.pool);
+    private void writePoolTarget(Route r) {
+        writeString("pool", r.pool);
         if (r.safe) {
-            text("class", "safe");
+            writeString("class", "safe");
         }
-        number("deadline_ms", r.deadlineMs, 60_000);
-        number("attempts", r.attempts, 3);
-        number("attempt_ms", r.attemptMs, 0);
-        number("body_kb", r.bodyKb, 1024);
-        s.append("retry_on = ").append(list(r.retryOn)).append('\n');
+        writeNumber("deadline_ms", r.deadlineMs, 60_000);
+        writeNumber("attempts", r.maxAttempts, 3);
+        writeNumber("attempt_ms", r.attemptTimeoutMs, 0);
+        writeNumber("body_kb", r.maxBodyKb, 1024);
+        out.append("retry_on = ").append(array(r.retryStatuses)).append('\n');
         if (r.rewritePattern != null) {
-            s.append("rewrite = { pattern = ")
+            out.append("rewrite = { pattern = ")
                     .append(quoted(r.rewritePattern))
                     .append(", to = ")
-                    .append(quoted(r.rewriteTo))
+                    .append(quoted(r.rewriteReplacement))
                     .append(" }\n");
-        } else if (r.rewriteTo != null) {
-            s.append("rewrite = { to = ").append(quoted(r.rewriteTo)).append(" }\n");
+        } else if (r.rewriteReplacement != null) {
+            out.append("rewrite = { to = ").append(quoted(r.rewriteReplacement)).append(" }\n");
         }
-        headers("request_headers", r.request);
-        headers("answer_headers", r.answerHeaders);
+        writeHeaderChanges("request_headers", r.requestHeaders);
+        writeHeaderChanges("answer_headers", r.responseHeaders);
     }
 
-    private void answer(Route r) {
-        s.append("answer = { status = ").append(r.status);
+    private void writeFixedResponse(Route r) {
+        out.append("answer = { status = ").append(r.status);
         if (r.location != null) {
-            s.append(", location = ").append(quoted(r.location));
+            out.append(", location = ").append(quoted(r.location));
         }
         if (r.body != null) {
-            s.append(", body = ").append(quoted(r.body)).append(", type = ").append(quoted(r.type));
+            out.append(", body = ").append(quoted(r.body)).append(", type = ").append(quoted(r.contentType));
         }
-        if (!r.answerHeaders.isEmpty()) {
-            s.append(", headers = ").append(changes(r.answerHeaders));
+        if (!r.responseHeaders.isEmpty()) {
+            out.append(", headers = ").append(inlineHeaderChanges(r.responseHeaders));
         }
-        s.append(" }\n");
+        out.append(" }\n");
     }
 
-    private void headers(String key, Draft.Headers h) {
-        if (!h.isEmpty()) {
-            s.append(key).append(" = ").append(changes(h)).append('\n');
+    private void writeHeaderChanges(String key, TranslatedSite.HeaderChanges changes) {
+        if (!changes.isEmpty()) {
+            out.append(key).append(" = ").append(inlineHeaderChanges(changes)).append('\n');
         }
     }
 
-    private static String changes(Draft.Headers h) {
+    private static String inlineHeaderChanges(TranslatedSite.HeaderChanges changes) {
         StringBuilder b = new StringBuilder("{ ");
-        String between = "";
+        String separator = "";
         for (Map.Entry<String, Map<String, String>> e :
-                Map.of("set", h.set, "add", h.add, "add_ok", h.addOk).entrySet().stream()
+                Map.of("set", changes.set, "add", changes.add, "add_ok", changes.addOk).entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
                         .toList()) {
             if (!e.getValue().isEmpty()) {
-                b.append(between)
+                b.append(separator)
                         .append(e.getKey())
                         .append(" = { ")
                         .append(e.getValue().entrySet().stream()
                                 .map(v -> quoted(v.getKey()) + " = " + quoted(v.getValue()))
                                 .collect(Collectors.joining(", ")))
                         .append(" }");
-                between = ", ";
+                separator = ", ";
             }
         }
-        if (!h.remove.isEmpty()) {
-            b.append(between).append("remove = ").append(list(h.remove));
+        if (!changes.remove.isEmpty()) {
+            b.append(separator).append("remove = ").append(array(changes.remove));
         }
         return b.append(" }").toString();
     }
 
-    private void text(String key, String value) {
-        s.append(key).append(" = ").append(quoted(value)).append('\n');
+    private void writeString(String key, String value) {
+        out.append(key).append(" = ").append(quoted(value)).append('\n');
     }
 
-    private void number(String key, double value, double usual) {
-        if (value != usual) {
-            s.append(key).append(" = ").append(plain(value)).append('\n');
+    private void writeNumber(String key, double value, double defaultValue) {
+        if (value != defaultValue) {
+            out.append(key).append(" = ").append(formatNumber(value)).append('\n');
         }
     }
 
-    private static String plain(double v) {
+    private static String formatNumber(double v) {
         return v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v);
     }
 
-    private void flag(String key, boolean value) {
+    private void writeFlag(String key, boolean value) {
         if (value) {
-            s.append(key).append(" = true\n");
+            out.append(key).append(" = true\n");
         }
     }
 
-    private static String list(Collection<String> texts) {
+    private static String array(Collection<String> texts) {
         return texts.stream().map(TomlWriter::quoted).collect(Collectors.joining(", ", "[", "]"));
     }
 
-    /** Backslashes stay as they are where a literal string can hold the text. */
+    /** Writes a literal string, which needs no escapes, if the text has backslashes and allows it. */
     private static String quoted(String text) {
-        boolean odd = text.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127);
-        if (text.contains("\\") && !text.contains("'") && !odd) {
+        boolean hasControlCharacters = text.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127);
+        if (text.contains("\\") && !text.contains("'") && !hasControlCharacters) {
             return "'" + text + "'";
         }
         StringBuilder b = new StringBuilder("\"");
