--- a/src/test/java/gullspar/scale/BackendList.java
+++ b/src/test/java/gullspar/scale/BackendList.java
@@ -12,12 +12,12 @@
 final class BackendList {
     static final int ZONES = 8;
 
-    private record Entry(String text, long version, boolean gone) {}
+    private record Entry(String json, long version, boolean terminated) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final IntFunction<String> addresses;
     private long version = 1;
-    private byte[] whole;
+    private byte[] fullList;
 
     /** So many, at those addresses by number. */
     BackendList(int count, IntFunction<String> addresses) {
@@ -36,19 +36,19 @@
         String text = "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + addresses.apply(number)
                 + "\",\"zone\":\"z" + number % ZONES + "\",\"machineType\":\"usual\",\"cell\":" + number % 40
                 + ",\"lifecycle\":\"" + lifecycle + "\",\"weight\":" + weight + ",\"startedAtMs\":0}";
-        whole = null;
+        fullList = null;
         entries.put(id, new Entry(text, version, lifecycle.equals("terminated")));
         return text;
     }
 
     /** An entry is there from now on, or gone; the line that says so. */
-    byte[] change(int number, boolean there) {
+    byte[] setPresent(int number, boolean present) {
         version++;
-        return line(version, false, List.of(put(number, there ? "in_service" : "terminated", 1.0)));
+        return line(version, false, List.of(put(number, present ? "in_service" : "terminated", 1.0)));
     }
 
     /** The weights of the first so many are told anew; the line that says so. */
-    byte[] weights(int count, double weight) {
+    byte[] setWeights(int count, double weight) {
         version++;
         return line(
                 version,
@@ -58,27 +58,27 @@
                         .toList());
     }
 
-    byte[] whole() {
-        if (whole == null) {
-            whole = line(
+    byte[] fullList() {
+        if (fullList == null) {
+            fullList = line(
                     version,
                     true,
                     entries.values().stream()
-                            .filter(e -> !e.gone)
-                            .map(Entry::text)
+                            .filter(e -> !e.terminated)
+                            .map(Entry::json)
                             .toList());
         }
-        return whole;
+        return fullList;
     }
 
     /** What changed after that version. */
-    byte[] since(long index) {
+    byte[] changesSince(long afterVersion) {
         return line(
                 version,
                 false,
                 entries.values().stream()
-                        .filter(e -> e.version > index)
-                        .map(Entry::text)
+                        .filter(e -> e.version > afterVersion)
+                        .map(Entry::json)
                         .toList());
     }
 
--- a/src/test/java/gullspar/scale/BackendStandIn.java
+++ b/src/test/java/gullspar/scale/BackendStandIn.java
@@ -44,7 +44,9 @@
                     @Override
                     protected void initChannel(Channel c) {
                         connections.incrementAndGet();
-                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Answer());
+                        c.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new RequestHandler());
                     }
                 });
         for (int i = 0; i < LISTENERS; i++) {
@@ -73,7 +75,7 @@
         loops.shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
             requests.incrementAndGet();
--- a/src/test/java/gullspar/scale/Both.java
+++ b/src/test/java/gullspar/scale/BackgroundTask.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ExecutionException;
 
 /** Work that goes on beside other work; what goes wrong with it is thrown where it is awaited. */
-final class Both {
+final class BackgroundTask {
     /** Some trials. */
-    interface Work {
+    interface ThrowingRunnable {
         void run() throws ScaleException, IOException;
     }
 
     private final CompletableFuture<Void> done = new CompletableFuture<>();
 
-    Both(Work work) {
+    BackgroundTask(ThrowingRunnable work) {
         Thread t = new Thread(
                 () -> {
                     try {
@@ -28,7 +28,7 @@
         t.start();
     }
 
-    void join() throws ScaleException, IOException {
+    void await() throws ScaleException, IOException {
         try {
             done.get();
         } catch (InterruptedException e) {
--- a/src/test/java/gullspar/scale/Child.java
+++ b/src/test/java/gullspar/scale/ChildProcess.java
@@ -13,37 +13,38 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process that this run has started, and ends by its id. */
-final class Child {
-    private static final int LINES = 20;
+final class ChildProcess {
+    private static final int MAX_BUFFERED_LINES = 20;
 
     private final String name;
     private final Process process;
-    private final LinkedBlockingDeque<String> lines = new LinkedBlockingDeque<>();
+    private final LinkedBlockingDeque<String> recentLines = new LinkedBlockingDeque<>();
     private final Writer in;
-    private volatile boolean ending;
+    private volatile boolean stopping;
 
-    private Child(String name, Process process) {
+    private ChildProcess(String name, Process process) {
         this.name = name;
         this.process = process;
         this.in = process.outputWriter(StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "words of " + name);
+        Thread reader = new Thread(this::readOutput, "words of " + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    static Child start(String name, List<String> command, Map<String, String> environment) throws ScaleException {
+    static ChildProcess start(String name, List<String> command, Map<String, String> environment)
+            throws ScaleException {
         ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
         b.environment().keySet().removeAll(List.of("NODE_LISTEN", "NODE_DISCOVERY", "JDK_JAVA_OPTIONS"));
         b.environment().putAll(environment);
         try {
-            return new Child(name, b.start());
+            return new ChildProcess(name, b.start());
         } catch (IOException e) {
             throw new ScaleException(ScaleException.CHILD, name + " cannot be started: " + e.getMessage());
         }
     }
 
     /** This runtime with the flags that deploy/serve.sh sets, and a heap of its own, young in proportion. */
-    static List<String> java(int heapMb, String... more) {
+    static List<String> javaCommand(int heapMb, String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -55,20 +56,20 @@
                 "-Xmn" + heapMb * 2 / 5 + "m",
                 "-cp",
                 System.getProperty("java.class.path")));
-        command.addAll(List.of(more));
+        command.addAll(List.of(arguments));
         return command;
     }
 
-    private void read() {
+    private void readOutput() {
         try (BufferedReader r = process.inputReader(StandardCharsets.UTF_8)) {
             for (String line = r.readLine(); line != null; line = r.readLine()) {
-                lines.add(line);
-                while (lines.size() > LINES) {
-                    lines.poll();
+                recentLines.add(line);
+                while (recentLines.size() > MAX_BUFFERED_LINES) {
+                    recentLines.poll();
                 }
             }
         } catch (IOException | UncheckedIOException e) {
-            lines.add("(" + e.getMessage() + ")");
+            recentLines.add("(" + e.getMessage() + ")");
         }
     }
 
@@ -85,20 +86,20 @@
     }
 
     /** Has it ended, though nobody told it to? */
-    boolean died() {
-        return !ending && !process.isAlive();
+    boolean diedUnexpectedly() {
+        return !stopping && !process.isAlive();
     }
 
-    ScaleException death() {
+    ScaleException deathException() {
         return new ScaleException(
                 ScaleException.CHILD,
                 name + ", pid " + process.pid()
                         + ", has died, exit code " + (process.isAlive() ? "none yet" : process.exitValue()) + ": "
-                        + (lines.isEmpty() ? "it said nothing" : lines.peekLast()));
+                        + (recentLines.isEmpty() ? "it said nothing" : recentLines.peekLast()));
     }
 
     /** Waits for a line of it that holds the text. */
-    void await(String text, int seconds) throws ScaleException {
+    void awaitLine(String text, int seconds) throws ScaleException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (System.nanoTime() < end) {
             String line = poll();
@@ -106,7 +107,7 @@
                 return;
             }
             if (line == null && !process.isAlive()) {
-                throw death();
+                throw deathException();
             }
         }
         throw new ScaleException(
@@ -116,32 +117,32 @@
 
     private String poll() throws ScaleException {
         try {
-            return lines.poll(100, TimeUnit.MILLISECONDS);
+            return recentLines.poll(100, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new ScaleException(ScaleException.TIME, "interrupted");
         }
     }
 
-    void say(String command) throws ScaleException {
+    void send(String command) throws ScaleException {
         try {
             in.write(command + "\n");
             in.flush();
         } catch (IOException e) {
-            throw death();
+            throw deathException();
         }
     }
 
     /** The one line that it answers. */
-    String answer(int seconds) throws ScaleException {
+    String awaitAnswer(int seconds) throws ScaleException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (System.nanoTime() < end) {
             String line = poll();
-            if (line != null && line.startsWith(Hollow.ANSWER)) {
-                return line.substring(Hollow.ANSWER.length());
+            if (line != null && line.startsWith(HollowProcess.ANSWER_PREFIX)) {
+                return line.substring(HollowProcess.ANSWER_PREFIX.length());
             }
             if (line == null && !process.isAlive()) {
-                throw death();
+                throw deathException();
             }
         }
         throw new ScaleException(
@@ -149,12 +150,12 @@
     }
 
     String ask(String command) throws ScaleException {
-        say(command);
-        return answer(150);
+        send(command);
+        return awaitAnswer(150);
     }
 
     /** SIGHUP. */
-    void hangUp() throws ScaleException {
+    void sendHangup() throws ScaleException {
         try {
             new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start().waitFor();
         } catch (IOException | InterruptedException e) {
@@ -163,12 +164,12 @@
     }
 
     void kill() {
-        ending = true;
+        stopping = true;
         process.toHandle().destroyForcibly();
     }
 
     /** Waits until it is gone. */
-    void awaitEnd() {
+    void awaitExit() {
         process.onExit().join();
     }
 }
--- a/src/test/java/gullspar/scale/Children.java
+++ b/src/test/java/gullspar/scale/ChildProcesses.java
@@ -10,20 +10,20 @@
 import java.util.stream.Stream;
 
 /** All processes of a run, within its limits, and the folder of their files. Closing it ends them by id. */
-final class Children implements AutoCloseable {
-    private static final int MOST = 200;
+final class ChildProcesses implements AutoCloseable {
+    private static final int MAX_PROCESSES = 200;
 
-    private final List<Child> all = new CopyOnWriteArrayList<>();
-    private final long mostBytes;
+    private final List<ChildProcess> children = new CopyOnWriteArrayList<>();
+    private final long maxBytes;
     private final Path folder;
-    private final Thread atExit = new Thread(this::killAll, "end of the children");
+    private final Thread killHook = new Thread(this::killAll, "end of the children");
     private long peakBytes;
 
     /** mostBytes: resident memory of all of them together. */
-    Children(long mostBytes) throws IOException {
-        this.mostBytes = mostBytes;
+    ChildProcesses(long maxBytes) throws IOException {
+        this.maxBytes = maxBytes;
         this.folder = Files.createTempDirectory("gullspar-scale");
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(killHook);
     }
 
     Path folder() {
@@ -31,45 +31,45 @@
     }
 
     /** Starts one, if there is room for it and for the memory that it may come to need. */
-    Child start(String name, int mayNeedMb, List<String> command, Map<String, String> environment)
+    ChildProcess start(String name, int expectedMb, List<String> command, Map<String, String> environment)
             throws ScaleException, IOException {
-        look();
-        if (all.stream().filter(Child::alive).count() >= MOST) {
-            throw new ScaleException(ScaleException.MEMORY, name + " would be one process too many: " + MOST);
+        checkHealth();
+        if (children.stream().filter(ChildProcess::alive).count() >= MAX_PROCESSES) {
+            throw new ScaleException(ScaleException.MEMORY, name + " would be one process too many: " + MAX_PROCESSES);
         }
-        long free = Math.min(mostBytes - residentBytes(), Accounts.availableBytes());
-        if (free < (long) mayNeedMb << 20) {
+        long free = Math.min(maxBytes - residentBytes(), ProcessUsage.availableBytes());
+        if (free < (long) expectedMb << 20) {
             throw new ScaleException(
                     ScaleException.MEMORY,
-                    "too little memory for " + name + ": it may need " + mayNeedMb + " MB, " + (free >> 20)
+                    "too little memory for " + name + ": it may need " + expectedMb + " MB, " + (free >> 20)
                             + " MB are left");
         }
-        Child c = Child.start(name, command, environment);
-        all.add(c);
+        ChildProcess c = ChildProcess.start(name, command, environment);
+        children.add(c);
         System.out.println("started " + name + ", pid " + c.pid());
         return c;
     }
 
     private long residentBytes() throws IOException {
         long sum = 0;
-        for (Child c : all) {
-            sum += c.alive() ? Accounts.residentBytes(c.pid()) : 0;
+        for (ChildProcess c : children) {
+            sum += c.alive() ? ProcessUsage.residentBytes(c.pid()) : 0;
         }
         peakBytes = Math.max(peakBytes, sum);
         return sum;
     }
 
     /** All of them that are meant to live do, within the memory; else says which does not. */
-    void look() throws ScaleException {
-        for (Child c : all) {
-            if (c.died()) {
-                throw c.death();
+    void checkHealth() throws ScaleException {
+        for (ChildProcess c : children) {
+            if (c.diedUnexpectedly()) {
+                throw c.deathException();
             }
         }
         try {
-            if (residentBytes() > mostBytes) {
+            if (residentBytes() > maxBytes) {
                 throw new ScaleException(
-                        ScaleException.MEMORY, "the processes hold more than " + (mostBytes >> 20) + " MB");
+                        ScaleException.MEMORY, "the processes hold more than " + (maxBytes >> 20) + " MB");
             }
         } catch (IOException e) {
             return; // one has just ended: the next look tells
@@ -81,21 +81,21 @@
     }
 
     private void killAll() {
-        all.forEach(Child::kill);
+        children.forEach(ChildProcess::kill);
     }
 
     /** Ends those. */
-    void end(List<Child> some) {
-        some.forEach(Child::kill);
-        some.forEach(Child::awaitEnd);
-        all.removeAll(some);
+    void stop(List<ChildProcess> toStop) {
+        toStop.forEach(ChildProcess::kill);
+        toStop.forEach(ChildProcess::awaitExit);
+        children.removeAll(toStop);
     }
 
     @Override
     public void close() throws IOException {
-        end(List.copyOf(all));
+        stop(List.copyOf(children));
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(killHook);
         } catch (IllegalStateException e) {
             killAll(); // this process is ending: the hook does the same
         }
--- a/src/test/java/gullspar/scale/Sweeps.java
+++ b/src/test/java/gullspar/scale/ControlPlaneSweeps.java
@@ -1,21 +1,21 @@
 package gullspar.scale;
 
-import gullspar.scale.Results.About;
+import gullspar.scale.Results.SeriesInfo;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
 /** The control part of hollow proxies along one axis, the others held small. */
-final class Sweeps {
+final class ControlPlaneSweeps {
     private static final int PER_PROCESS = 40, HEAP_MB = 300, LARGE_HEAP_MB = 800;
-    private static final double REQUESTS = 25, WARM_S = 5, LOAD_S = 15;
+    private static final double REQUESTS_PER_SECOND = 25, WARM_UP_S = 5, LOAD_S = 15;
 
     private final Options options;
-    private final Children children;
+    private final ChildProcesses children;
     private final Results results;
 
-    Sweeps(Options options, Children children, Results results) {
+    ControlPlaneSweeps(Options options, ChildProcesses children, Results results) {
         this.options = options;
         this.children = children;
         this.results = results;
@@ -24,7 +24,7 @@
     /** proxies: hollow ones; real: those beside them. */
     void backends(int[] sizes, int proxies, int real) throws ScaleException, IOException {
         for (int size : sizes) {
-            trial(
+            measure(
                     new Series("backends", size, Map.of("proxies", proxies)),
                     new Shape(proxies, 1 + proxies / PER_PROCESS, real, size, 0, heapMb(size)));
         }
@@ -32,7 +32,7 @@
 
     void proxies(int[] sizes, int backends, int real) throws ScaleException, IOException {
         for (int size : sizes) {
-            trial(
+            measure(
                     new Series("proxies", size, Map.of("backends", backends)),
                     new Shape(size, Math.max(2, size / PER_PROCESS), real, backends, 0, heapMb(backends)));
         }
@@ -42,12 +42,13 @@
     void traffic(int backends, int real) throws ScaleException, IOException {
         Series s = new Series("backends", backends, Map.of("real_proxies", real));
         System.out.println(s.axis + " " + backends + " " + s.fixed);
-        try (Trial t = new Trial(children, new Shape(0, 0, real, backends, 0, 0), options.port())) {
-            t.processes().proxies();
-            Pause.ms(2000);
-            Control.Rest rest = new Control(t).rest(6);
-            s.real(t, rest);
-            new Latency(results, s.axis, s.size, s.fixed).run(t, rest.realMs(), REQUESTS * real, WARM_S, LOAD_S);
+        try (TestFleet fleet = new TestFleet(children, new Shape(0, 0, real, backends, 0, 0), options.port())) {
+            fleet.startProcesses().startProxies();
+            Sleep.ms(2000);
+            ControlPlaneMeter.IdleCost idleCost = new ControlPlaneMeter(fleet).measureIdle(6);
+            s.addRealProxies(fleet, idleCost);
+            new LatencyTrial(results, s.axis, s.size, s.fixed)
+                    .run(fleet, idleCost.realMs(), REQUESTS_PER_SECOND * real, WARM_UP_S, LOAD_S);
         }
     }
 
@@ -58,44 +59,44 @@
     /** Changes in one go, at one trial of that shape. */
     void changes(int[] sizes, Shape shape) throws ScaleException, IOException {
         System.out.println("changes in one go: " + shape);
-        try (Trial t = new Trial(children, shape, options.port())) {
-            t.processes().proxies();
-            Control c = new Control(t);
-            c.wholes(options.full() ? 4 : 1);
-            c.changes(options.full() ? 200 : 2, 50);
-            c.rest(options.full() ? 6 : 1);
+        try (TestFleet fleet = new TestFleet(children, shape, options.port())) {
+            fleet.startProcesses().startProxies();
+            ControlPlaneMeter meter = new ControlPlaneMeter(fleet);
+            meter.measureFullLists(options.full() ? 4 : 1);
+            meter.measureChanges(options.full() ? 200 : 2, 50);
+            meter.measureIdle(options.full() ? 6 : 1);
             for (int size : sizes) {
                 new Series("changes", size, Map.of("proxies", shape.proxies(), "backends", shape.backends()))
-                        .burst(c.burst(size));
+                        .addBurst(meter.measureBurst(size));
             }
-            t.sound();
+            fleet.checkNoFailures();
         }
     }
 
     /** One size: whole lists, which also warm all up, then rest, changes, weights, memory, traffic. */
-    private void trial(Series s, Shape shape) throws ScaleException, IOException {
+    private void measure(Series s, Shape shape) throws ScaleException, IOException {
         boolean full = options.full();
         System.out.println(s.axis + " " + s.size + " " + s.fixed);
-        try (Trial t = new Trial(children, shape, options.port())) {
-            t.processes();
-            long heap = t.hollowHeap();
-            long resident = t.hollowResident();
-            t.proxies();
-            Control c = new Control(t);
-            Map<String, Tally.Sum> before = t.discovery.kinds();
-            c.wholes(full ? 3 : 1);
-            c.weights(full ? 3 : 1);
-            c.changes(full ? 40 : 2, 20);
-            Control.Rest rest = c.rest(full ? 6 : 1); // whole periods of the beats
-            s.rest(rest);
-            s.whole(c.wholes(full ? 3 : 1));
-            s.change(c.changes(full ? 60 : 6, 20));
-            s.weights(c.weights(full ? 4 : 2));
-            s.bytes(Tally.since(before, t.discovery.kinds()));
-            s.memory(
-                    (t.hollowHeap() - heap) / 1024.0 / shape.proxies(),
-                    (t.hollowResident() - resident) / 1024.0 / shape.proxies());
-            t.sound();
+        try (TestFleet fleet = new TestFleet(children, shape, options.port())) {
+            fleet.startProcesses();
+            long heap = fleet.hollowHeapBytes();
+            long resident = fleet.hollowResidentBytes();
+            fleet.startProxies();
+            ControlPlaneMeter meter = new ControlPlaneMeter(fleet);
+            Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
+            meter.measureFullLists(full ? 3 : 1);
+            meter.measureWeights(full ? 3 : 1);
+            meter.measureChanges(full ? 40 : 2, 20);
+            ControlPlaneMeter.IdleCost idleCost = meter.measureIdle(full ? 6 : 1); // whole periods of the beats
+            s.addIdle(idleCost);
+            s.addFullList(meter.measureFullLists(full ? 3 : 1));
+            s.addChange(meter.measureChanges(full ? 60 : 6, 20));
+            s.addWeights(meter.measureWeights(full ? 4 : 2));
+            s.addMessageBytes(TrafficCounter.difference(before, fleet.discovery.trafficByKind()));
+            s.addMemory(
+                    (fleet.hollowHeapBytes() - heap) / 1024.0 / shape.proxies(),
+                    (fleet.hollowResidentBytes() - resident) / 1024.0 / shape.proxies());
+            fleet.checkNoFailures();
         }
     }
 
@@ -117,28 +118,33 @@
         }
 
         private void add(String id, String unit, double value, String what) {
-            results.add(new About(id + "." + axis + suffix(), what, unit, axis, new TreeMap<>(fixed)), size, value);
+            results.add(
+                    new SeriesInfo(id + "." + axis + suffix(), what, unit, axis, new TreeMap<>(fixed)), size, value);
         }
 
-        void rest(Control.Rest r) {
+        void addIdle(ControlPlaneMeter.IdleCost idleCost) {
             add(
                     "proxy.control.cpu.rest",
                     "ms/s",
-                    r.hollowMs(),
+                    idleCost.hollowMs(),
                     "processor time of a proxy's control part at " + "rest");
-            add("proxy.control.bytes.in.rest", "B/s", r.bytes(), "bytes from discovery to a proxy at rest");
-            add("proxy.control.messages.in.rest", "1/s", r.messages(), "messages from discovery to a proxy at rest");
+            add("proxy.control.bytes.in.rest", "B/s", idleCost.bytes(), "bytes from discovery to a proxy at rest");
+            add(
+                    "proxy.control.messages.in.rest",
+                    "1/s",
+                    idleCost.messages(),
+                    "messages from discovery to a proxy at rest");
         }
 
         /** The real ones beside them, before they have traffic. */
-        void real(Trial t, Control.Rest r) throws IOException {
+        void addRealProxies(TestFleet fleet, ControlPlaneMeter.IdleCost idleCost) throws IOException {
             double heap = 0;
             double resident = 0;
-            for (RealProxy p : t.real) {
-                resident += Accounts.residentBytes(p.child().pid()) / 1024.0 / t.real.size();
-                heap += p.heap() / 1024.0 / t.real.size();
+            for (RealProxy p : fleet.realProxies) {
+                resident += ProcessUsage.residentBytes(p.child().pid()) / 1024.0 / fleet.realProxies.size();
+                heap += p.heapBytes() / 1024.0 / fleet.realProxies.size();
             }
-            add("proxy.real.cpu.rest", "ms/s", r.realMs(), "processor time of a whole real process at rest");
+            add("proxy.real.cpu.rest", "ms/s", idleCost.realMs(), "processor time of a whole real process at rest");
             add("proxy.real.heap", "KB", heap, "heap of a real proxy after a collection");
             add(
                     "proxy.real.resident",
@@ -147,81 +153,81 @@
                     "resident memory of a real proxy, its heap touched at " + "the start");
         }
 
-        void whole(Control.Cost c) {
+        void addFullList(ControlPlaneMeter.EventCost cost) {
             add(
                     "proxy.control.cpu.whole",
                     "ms",
-                    c.hollowMs(),
+                    cost.hollowMs(),
                     "processor time of a proxy for a whole list, the watch opened anew included");
             add(
                     "known.whole.all",
                     "ms",
-                    c.known().getMaxValue() / 1e3,
+                    cost.propagation().getMaxValue() / 1e3,
                     "from the end of all watches until the "
                             + "last proxy has the whole list again, the worst of some");
         }
 
-        void change(Control.Cost c) {
-            Histogram known = c.known();
+        void addChange(ControlPlaneMeter.EventCost cost) {
+            Histogram propagation = cost.propagation();
             add(
                     "proxy.control.cpu.change",
                     "ms",
-                    c.hollowMs(),
+                    cost.hollowMs(),
                     "processor time of a proxy for one backend that comes or goes");
             add(
                     "known.change.p50",
                     "ms",
-                    known.getValueAtPercentile(50) / 1e3,
+                    propagation.getValueAtPercentile(50) / 1e3,
                     "from a change at discovery " + "until a proxy knows it, median");
-            add("known.change.p99", "ms", known.getValueAtPercentile(99) / 1e3, "the same, 99 in 100");
+            add("known.change.p99", "ms", propagation.getValueAtPercentile(99) / 1e3, "the same, 99 in 100");
             add(
                     "known.change.all",
                     "ms",
-                    known.getMaxValue() / 1e3,
+                    propagation.getMaxValue() / 1e3,
                     "from a change at discovery until the last proxy knows it, the worst of all changes");
         }
 
-        void burst(Control.Cost c) {
+        void addBurst(ControlPlaneMeter.EventCost cost) {
             add(
                     "proxy.control.cpu.burst",
                     "ms",
-                    c.hollowMs() * size,
+                    cost.hollowMs() * size,
                     "processor time of a proxy for so many changes in one go");
             add(
                     "proxy.control.bytes.burst",
                     "B",
-                    c.bytes() * size,
+                    cost.bytes() * size,
                     "bytes from discovery to a proxy for so many changes in one go");
             add(
                     "known.burst.all",
                     "ms",
-                    c.known().getMaxValue() / 1e3,
+                    cost.propagation().getMaxValue() / 1e3,
                     "from each of so many changes in one go until the last proxy knows it, the worst");
         }
 
-        void weights(Control.Cost c) {
+        void addWeights(ControlPlaneMeter.EventCost cost) {
             add(
                     "proxy.control.cpu.weights",
                     "ms",
-                    c.hollowMs(),
+                    cost.hollowMs(),
                     "processor time of a proxy for all weights told anew at once");
             add(
                     "known.weights.all",
                     "ms",
-                    c.known().getMaxValue() / 1e3,
+                    cost.propagation().getMaxValue() / 1e3,
                     "from all weights told anew until the last proxy knows them, the worst of some");
         }
 
-        void bytes(Map<String, Tally.Sum> kinds) {
+        void addMessageBytes(Map<String, TrafficCounter.Total> kinds) {
             for (String kind : new String[] {"change", "whole", "weights"}) {
-                Tally.Sum sum = kinds.getOrDefault(kind, Tally.NONE);
+                TrafficCounter.Total sum = kinds.getOrDefault(kind, TrafficCounter.ZERO);
                 add(
                         "proxy.control.bytes." + kind,
                         "B",
                         (double) sum.bytes() / sum.messages(),
                         "bytes to a proxy of one message from discovery: " + kind);
             }
-            Tally.Sum calls = kinds.getOrDefault("call", Tally.NONE);
+            TrafficCounter.Total calls = kinds.getOrDefault("call", TrafficCounter.ZERO);
             add(
                     "proxy.control.bytes.out.call",
                     "B",
@@ -229,7 +235,7 @@
                     "bytes from a proxy to discovery for a watch");
         }
 
-        void memory(double heapKb, double residentKb) {
+        void addMemory(double heapKb, double residentKb) {
             add("proxy.control.heap", "KB", heapKb, "heap of a proxy's control part after a collection");
             add(
                     "proxy.control.resident",
--- a/src/test/java/gullspar/scale/DiscoveryStandIn.java
+++ b/src/test/java/gullspar/scale/DiscoveryStandIn.java
@@ -29,16 +29,16 @@
  * reads is counted by kind, as the bytes of HTTP. On one loop of its own.
  */
 final class DiscoveryStandIn implements AutoCloseable {
-    private static final long BEAT_MS = 2000;
+    private static final long HEARTBEAT_MS = 2000;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BackendList list;
-    private final Tally tally = new Tally();
+    private final TrafficCounter traffic = new TrafficCounter();
     private final InetSocketAddress[] addresses = new InetSocketAddress[BackendList.ZONES];
     private final Channel[] listeners = new Channel[BackendList.ZONES];
-    private final boolean[] cut = new boolean[BackendList.ZONES];
+    private final boolean[] cutOff = new boolean[BackendList.ZONES];
     private final Set<Watch> watches = new LinkedHashSet<>();
-    private boolean forgotten;
+    private boolean fullListsOnly;
 
     /** port: of the first zone's listener, 0 for any. */
     DiscoveryStandIn(BackendList list, int port) throws ScaleException {
@@ -86,59 +86,59 @@
     }
 
     /** A change, and what it is known by. */
-    record Told(long version, long atNs) {}
+    record PushedVersion(long version, long pushedAtNs) {}
 
     /** A backend comes or goes. */
-    Told change(int number, boolean there) {
-        return onLoop(() -> push(list.change(number, there), "change"));
+    PushedVersion pushChange(int number, boolean present) {
+        return onLoop(() -> push(list.setPresent(number, present), "change"));
     }
 
     /** The weights of so many are told anew. */
-    Told weights(int count, double weight) {
-        return onLoop(() -> push(list.weights(count, weight), "weights"));
+    PushedVersion pushWeights(int count, double weight) {
+        return onLoop(() -> push(list.setWeights(count, weight), "weights"));
     }
 
-    private Told push(byte[] line, String kind) {
+    private PushedVersion push(byte[] line, String kind) {
         long at = System.nanoTime();
         ByteBuf chunk = chunk(line);
         watches.forEach(w -> w.push(chunk, kind));
         chunk.release();
-        return new Told(list.version(), at);
+        return new PushedVersion(list.version(), at);
     }
 
     long version() {
         return onLoop(list::version);
     }
 
-    int watching() {
+    int watchCount() {
         return onLoop(watches::size);
     }
 
-    Map<String, Tally.Sum> kinds() {
-        return onLoop(tally::kinds);
+    Map<String, TrafficCounter.Total> trafficByKind() {
+        return onLoop(traffic::totalsByKind);
     }
 
-    long worstSecond(long fromNs) {
-        return onLoop(() -> tally.worstSecond(fromNs));
+    long peakBytesPerSecond(long fromNs) {
+        return onLoop(() -> traffic.peakBytesPerSecond(fromNs));
     }
 
     /** A zone hears nothing and is not heard, until it is back; connections stay open. */
-    void cut(int zone, boolean on) {
+    void setCutOff(int zone, boolean on) {
         onLoop(() -> {
-            cut[zone] = on;
+            cutOff[zone] = on;
             if (!on) {
-                watches.stream().filter(w -> w.zone == zone).toList().forEach(Watch::begin);
+                watches.stream().filter(w -> w.zone == zone).toList().forEach(Watch::sendPending);
             }
             return null;
         });
     }
 
     /** It is gone: connections end, new ones are refused; or back, at the same addresses. */
-    void down(boolean on) throws ScaleException {
+    void setDown(boolean on) throws ScaleException {
         if (on) {
             onLoop(() -> {
                 List.of(listeners).forEach(Channel::close);
-                List.copyOf(watches).forEach(Watch::end);
+                List.copyOf(watches).forEach(Watch::close);
                 return null;
             });
             return;
@@ -151,19 +151,19 @@
     }
 
     /** All watches end, and whoever comes back gets the whole list. */
-    Told startAnew() {
+    PushedVersion resetWatches() {
         return onLoop(() -> {
-            forgotten = true;
-            list.change(0, true);
+            fullListsOnly = true;
+            list.setPresent(0, true);
             long at = System.nanoTime();
-            List.copyOf(watches).forEach(Watch::end);
-            return new Told(list.version(), at);
+            List.copyOf(watches).forEach(Watch::close);
+            return new PushedVersion(list.version(), at);
         });
     }
 
     /** From now on whoever comes back gets only what changed. */
-    void remembers() {
-        onLoop(() -> forgotten = false);
+    void allowDeltas() {
+        onLoop(() -> fullListsOnly = false);
     }
 
     private static ByteBuf chunk(byte[] line) {
@@ -181,12 +181,12 @@
     /** One connection to it. */
     private final class Watch extends ChannelInboundHandlerAdapter {
         private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        private final StringBuilder call = new StringBuilder();
+        private final StringBuilder request = new StringBuilder();
         private final int zone;
         private ChannelHandlerContext ctx;
-        private long told = Long.MIN_VALUE;
-        private boolean begun;
-        private boolean spoken;
+        private long sentVersion = Long.MIN_VALUE;
+        private boolean headSent;
+        private boolean listSent;
 
         Watch(int zone) {
             this.zone = zone;
@@ -195,66 +195,66 @@
         @Override
         public void channelRead(ChannelHandlerContext c, Object message) {
             ByteBuf b = (ByteBuf) message;
-            call.append(b.toString(StandardCharsets.US_ASCII));
+            request.append(b.toString(StandardCharsets.US_ASCII));
             b.release();
-            if (ctx == null && call.indexOf("\r\n\r\n") >= 0) {
+            if (ctx == null && request.indexOf("\r\n\r\n") >= 0) {
                 ctx = c;
-                tally.add("call", call.length());
-                List<String> index = new QueryStringDecoder(call.toString().split(" ")[1])
+                traffic.add("call", request.length());
+                List<String> index = new QueryStringDecoder(request.toString().split(" ")[1])
                         .parameters()
                         .getOrDefault("index", List.of("-1"));
-                told = Long.parseLong(index.get(0));
+                sentVersion = Long.parseLong(index.get(0));
                 watches.add(this);
-                begin();
+                sendPending();
             }
         }
 
         /** What it has not been told, if it can be reached; the whole list if that is not known. */
-        void begin() {
-            if (cut[zone]) {
+        void sendPending() {
+            if (cutOff[zone]) {
                 return;
             }
-            if (!begun) {
-                begun = true;
+            if (!headSent) {
+                headSent = true;
                 write(Unpooled.copiedBuffer(HEAD, StandardCharsets.US_ASCII), "head");
-                beat();
+                scheduleHeartbeat();
             }
-            if (told < 0 || forgotten) {
-                write(chunk(list.whole()), "whole");
-            } else if (told < list.version() || !spoken) {
-                write(chunk(list.since(told)), "missed"); // the first line comes even if it holds nothing
+            if (sentVersion < 0 || fullListsOnly) {
+                write(chunk(list.fullList()), "whole");
+            } else if (sentVersion < list.version() || !listSent) {
+                write(chunk(list.changesSince(sentVersion)), "missed"); // the first line comes even if it holds nothing
             }
-            spoken = true;
-            told = list.version();
+            listSent = true;
+            sentVersion = list.version();
         }
 
         void push(ByteBuf chunk, String kind) {
-            if (begun && !cut[zone]) {
-                told = list.version();
+            if (headSent && !cutOff[zone]) {
+                sentVersion = list.version();
                 write(chunk.retainedDuplicate(), kind);
             }
         }
 
-        private void beat() {
+        private void scheduleHeartbeat() {
             loop.schedule(
                     () -> {
                         if (watches.contains(this)) {
-                            if (!cut[zone]) {
+                            if (!cutOff[zone]) {
                                 write(Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII), "beat");
                             }
-                            beat();
+                            scheduleHeartbeat();
                         }
                     },
-                    BEAT_MS,
+                    HEARTBEAT_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         private void write(ByteBuf bytes, String kind) {
-            tally.add(kind, bytes.readableBytes());
+            traffic.add(kind, bytes.readableBytes());
             ctx.writeAndFlush(bytes);
         }
 
-        void end() {
+        void close() {
             watches.remove(this);
             ctx.close();
         }
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Members of the view of the fleet, over UDP, with nothing to serve. Each is on a loop of its own. */
-final class HollowMembers implements Hollow.Part {
+final class HollowMembers implements HollowProcess.CommandHandler {
     private static final byte[] KEY = new byte[Envelope.MIN_KEY_BYTES];
 
     private record Member(EventLoop loop, Membership membership) {}
@@ -39,34 +39,34 @@
     private final AtomicLong receivedBytes = new AtomicLong();
 
     @Override
-    public String answer(String[] words) throws IOException {
-        return switch (words[0]) {
+    public String handle(String[] command) throws IOException {
+        return switch (command[0]) {
             case "start" -> start(
-                    Integer.parseInt(words[1]),
-                    Integer.parseInt(words[2]),
-                    Integer.parseInt(words[3]),
-                    Integer.parseInt(words[4]));
+                    Integer.parseInt(command[1]),
+                    Integer.parseInt(command[2]),
+                    Integer.parseInt(command[3]),
+                    Integer.parseInt(command[4]));
             case "counts" -> sent + " " + sentBytes + " " + received + " " + receivedBytes;
-            case "present" -> present();
+            case "present" -> visibleMembers();
             default -> null;
         };
     }
 
     /** Where the member of that number is, in a fleet whose number keeps it from others. */
-    private static InetSocketAddress at(int fleet, int number) {
+    private static InetSocketAddress address(int fleet, int number) {
         return new InetSocketAddress(
                 "127." + (100 + fleet % 100) + "." + fleet / 100 % 250 + "." + (1 + number / 200),
                 20_000 + number % 200);
     }
 
     private String start(int fleet, int first, int count, int intervalMs) {
-        List<InetSocketAddress> seeds = List.of(at(fleet, 0), at(fleet, 1), at(fleet, 2));
+        List<InetSocketAddress> seeds = List.of(address(fleet, 0), address(fleet, 1), address(fleet, 2));
         for (int i = first; i < first + count; i++) {
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-            Platform platform = new Platform(loop, Clock.system(), counting(loop), line -> {});
-            FleetSettings of = new FleetSettings(
+            Platform platform = new Platform(loop, Clock.system(), countingTransport(loop), line -> {});
+            FleetSettings settings = new FleetSettings(
                     "p" + i,
-                    at(fleet, i),
+                    address(fleet, i),
                     null,
                     seeds,
                     null,
@@ -74,12 +74,12 @@
                     intervalMs * 1_000_000L,
                     60_000_000_000L,
                     0);
-            long life = 0x9e3779b97f4a7c15L * (i + 1 + 1000L * fleet);
+            long incarnation = 0x9e3779b97f4a7c15L * (i + 1 + 1000L * fleet);
             Membership m = loop.submit(() -> Membership.join(
-                            of,
-                            Membership.settings(of),
+                            settings,
+                            Membership.settings(settings),
                             new Envelope(List.of(KEY)),
-                            life,
+                            incarnation,
                             platform,
                             () -> AuxiliaryService.Load.NONE))
                     .syncUninterruptibly()
@@ -91,7 +91,7 @@
     }
 
     /** How many each of them sees. */
-    private String present() throws IOException {
+    private String visibleMembers() throws IOException {
         StringBuilder all = new StringBuilder();
         for (Member m : members) {
             String page = m.loop.submit(() -> m.membership.query("/_fleet"))
@@ -103,7 +103,7 @@
         return all.toString().strip();
     }
 
-    private Transport counting(EventLoop loop) {
+    private Transport countingTransport(EventLoop loop) {
         Transport tcp = Transport.tcp(loop);
         return new Transport() {
             @Override
@@ -120,20 +120,20 @@
             public Bootstrap datagramBootstrap(InetSocketAddress address) {
                 return new Bootstrap()
                         .group(loop)
-                        .channelFactory(HollowMembers.this::counted)
+                        .channelFactory(HollowMembers.this::countingChannel)
                         .localAddress(address);
             }
         };
     }
 
-    private NioDatagramChannel counted() {
+    private NioDatagramChannel countingChannel() {
         NioDatagramChannel c = new NioDatagramChannel();
-        c.pipeline().addFirst(new Counting());
+        c.pipeline().addFirst(new DatagramCounter());
         return c;
     }
 
     /** Counts what goes to the socket and what comes from it. */
-    private final class Counting extends ChannelDuplexHandler {
+    private final class DatagramCounter extends ChannelDuplexHandler {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise done) {
             sent.incrementAndGet();
--- a/src/test/java/gullspar/scale/Hollow.java
+++ b/src/test/java/gullspar/scale/HollowProcess.java
@@ -13,47 +13,47 @@
  * A process with many hollow proxies, or many members of the view of the fleet, told what to do by lines on
  * its standard input; it answers each with one line, and ends when the input does.
  */
-public final class Hollow {
-    private static final int HEAP_LOOKS = 4, HEAP_PAUSE_MS = 30;
-    static final String ANSWER = "= ";
+public final class HollowProcess {
+    private static final int HEAP_SAMPLES = 4, HEAP_SAMPLE_INTERVAL_MS = 30;
+    static final String ANSWER_PREFIX = "= ";
 
-    private Hollow() {}
+    private HollowProcess() {}
 
     /** What is hollow here. */
-    interface Part {
+    interface CommandHandler {
         /** Answers a command; null if it knows none such. */
-        String answer(String[] words) throws IOException, ConfigException;
+        String handle(String[] words) throws IOException, ConfigException;
     }
 
     /** args: "proxies" and the file of their configuration, or "members". */
     public static void main(String[] args) throws IOException, ConfigException, InterruptedException {
         System.setProperty("io.netty.jfr.enabled", "false");
-        Part part = args[0].equals("proxies") ? new HollowProxies(Path.of(args[1])) : new HollowMembers();
-        say("here");
+        CommandHandler handler = args[0].equals("proxies") ? new HollowProxies(Path.of(args[1])) : new HollowMembers();
+        reply("here");
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String[] words = line.split(" ");
-            String answer = words[0].equals("heap") ? Long.toString(heap()) : part.answer(words);
-            say(answer != null ? answer : "unknown: " + Arrays.toString(words));
+            String[] command = line.split(" ");
+            String answer = command[0].equals("heap") ? Long.toString(heapBytes()) : handler.handle(command);
+            reply(answer != null ? answer : "unknown: " + Arrays.toString(command));
         }
         Runtime.getRuntime().halt(0);
     }
 
     /** An answer stands out from whatever else the process writes. */
-    private static void say(String answer) {
-        System.out.println(ANSWER + answer);
+    private static void reply(String answer) {
+        System.out.println(ANSWER_PREFIX + answer);
     }
 
     /** What is in use after a collection, in bytes. */
-    private static long heap() throws InterruptedException {
-        long least = Long.MAX_VALUE;
-        for (int i = 0; i < HEAP_LOOKS; i++) {
+    private static long heapBytes() throws InterruptedException {
+        long smallest = Long.MAX_VALUE;
+        for (int i = 0; i < HEAP_SAMPLES; i++) {
             System.gc(); // may be passed over, and what dies meanwhile is there still
-            least = Math.min(
-                    least,
+            smallest = Math.min(
+                    smallest,
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
-            Thread.sleep(HEAP_PAUSE_MS);
+            Thread.sleep(HEAP_SAMPLE_INTERVAL_MS);
         }
-        return least;
+        return smallest;
     }
 }
--- a/src/test/java/gullspar/scale/HollowProxies.java
+++ b/src/test/java/gullspar/scale/HollowProxies.java
@@ -28,28 +28,28 @@
  * Hollow proxies: the daemon's own {@link Proxy}, each on a loop and thread of its own as in service, with a
  * listener that nobody connects to.
  */
-final class HollowProxies implements Hollow.Part {
+final class HollowProxies implements HollowProcess.CommandHandler {
     private final ObjectNode template;
-    private final List<HearingModule> modules = new ArrayList<>();
+    private final List<RecordingBalancer> modules = new ArrayList<>();
     private final List<Proxy> proxies = new ArrayList<>();
     private final AtomicLong connects = new AtomicLong();
     private final AtomicLong failures = new AtomicLong();
-    private volatile String failure = "";
+    private volatile String lastFailure = "";
 
     HollowProxies(Path config) throws IOException {
         template = (ObjectNode) Json.read(Files.readAllBytes(config));
     }
 
     @Override
-    public String answer(String[] words) throws IOException, ConfigException {
-        return switch (words[0]) {
+    public String handle(String[] command) throws IOException, ConfigException {
+        return switch (command[0]) {
             case "start" -> start(
-                    Integer.parseInt(words[1]),
-                    Integer.parseInt(words[2]),
-                    List.of(words).subList(3, words.length));
-            case "heard" -> heard(Long.parseLong(words[1]));
+                    Integer.parseInt(command[1]),
+                    Integer.parseInt(command[2]),
+                    List.of(command).subList(3, command.length));
+            case "heard" -> receivedAt(Long.parseLong(command[1]));
             case "connects" -> Long.toString(connects.get());
-            case "failures" -> failures.get() + " " + failure;
+            case "failures" -> failures.get() + " " + lastFailure;
             default -> null;
         };
     }
@@ -57,13 +57,14 @@
     /** So many from that number on; discovery by zone. */
     private String start(int first, int count, List<String> discovery) throws IOException, ConfigException {
         for (int i = first; i < first + count; i++) {
-            NodeConfig.number(template, i);
+            NodeConfig.setNumber(template, i);
             template.put("discovery", discovery.get(i % discovery.size()));
             Config config = Config.parse(template, Map.of());
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-            Platform platform = new Platform(loop, Clock.system(), counting(Transport.tcp(loop)), this::say);
+            Platform platform =
+                    new Platform(loop, Clock.system(), countingTransport(Transport.tcp(loop)), this::onLogLine);
             proxies.add(Proxy.start(config, platform, (settings, seed, now, out) -> {
-                HearingModule m = new HearingModule(settings, seed, now, out);
+                RecordingBalancer m = new RecordingBalancer(settings, seed, now, out);
                 modules.add(m);
                 return m;
             }));
@@ -71,14 +72,14 @@
         return Integer.toString(proxies.size());
     }
 
-    private void say(String line) {
+    private void onLogLine(String line) {
         if (line.contains("failed") || line.contains("not understood")) {
             failures.incrementAndGet();
-            failure = line;
+            lastFailure = line;
         }
     }
 
-    private Transport counting(Transport tcp) {
+    private Transport countingTransport(Transport tcp) {
         return new Transport() {
             @Override
             public Bootstrap clientBootstrap(InetSocketAddress address) {
@@ -94,8 +95,8 @@
     }
 
     /** When each knew that version, -1 for not yet. */
-    private String heard(long version) {
-        return modules.stream().map(m -> Long.toString(m.heardAt(version))).collect(Collectors.joining(" "));
+    private String receivedAt(long version) {
+        return modules.stream().map(m -> Long.toString(m.receivedAtNs(version))).collect(Collectors.joining(" "));
     }
 
     /** Kept reachable: what they hold is measured. */
--- a/src/test/java/gullspar/scale/NodeConfig.java
+++ b/src/test/java/gullspar/scale/NodeConfig.java
@@ -12,14 +12,14 @@
     private NodeConfig() {}
 
     /** proxies: how many there are in all; known: the list of the start, null for none. */
-    static ObjectNode of(int proxies, int tenants, byte[] known) throws IOException {
+    static ObjectNode create(int proxies, int tenants, byte[] initialList) throws IOException {
         ObjectNode root = (ObjectNode) Json.read(Files.readAllBytes(Path.of("deploy/warm.json")));
         root.put("listen", "127.0.0.1:0").remove("operator");
         ((ObjectNode) root.get("limits")).put("memory_mb", 192).put("sockets", 1024);
-        if (known == null) {
+        if (initialList == null) {
             root.remove("known");
         } else {
-            root.set("known", Json.read(known));
+            root.set("known", Json.read(initialList));
         }
         ObjectNode settings = (ObjectNode) root.get("settings");
         settings.put("balancers", proxies);
@@ -35,7 +35,7 @@
     }
 
     /** The same for the proxy of that number. */
-    static void number(ObjectNode root, int number) {
+    static void setNumber(ObjectNode root, int number) {
         root.put("name", "p" + number).put("seed", Integer.toHexString(0x10000 + number));
         ((ObjectNode) root.get("settings")).put("me", number).put("zone", number % BackendList.ZONES);
     }
--- a/src/test/java/gullspar/scale/OpenLoop.java
+++ b/src/test/java/gullspar/scale/OpenLoopClients.java
@@ -32,47 +32,48 @@
  * counts from that time. Requests go in turn to each place of a side; connections are kept, and more are made
  * while all are busy.
  */
-final class OpenLoop implements AutoCloseable {
+final class OpenLoopClients implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final String[] urls;
-    private int ids;
+    private int requestCount;
 
     /** urls: what requests ask for in turn: a host, unless it is any, and a path. */
-    OpenLoop(String... urls) {
+    OpenLoopClients(String... urls) {
         this.urls = urls;
     }
 
     /** Where requests go, and what came of them. On the loop, but for the reading after the end. */
-    final class Side {
-        private final List<InetSocketAddress> places;
+    final class Target {
+        private final List<InetSocketAddress> addresses;
         private final List<Deque<Channel>> idle;
         final Histogram latency = new Histogram(60_000_000_000L / 1000, 3);
-        long answered;
-        long others;
+        long okResponses;
+        long otherResponses;
         final Map<Integer, Integer> statuses = new TreeMap<>();
-        long broken;
+        long failedRequests;
         private boolean counted;
 
-        Side(List<InetSocketAddress> places) {
-            this.places = places;
-            this.idle =
-                    places.stream().<Deque<Channel>>map(p -> new ArrayDeque<>()).toList();
+        Target(List<InetSocketAddress> addresses) {
+            this.addresses = addresses;
+            this.idle = addresses.stream()
+                    .<Deque<Channel>>map(p -> new ArrayDeque<>())
+                    .toList();
         }
 
         private void send(int number, long intendedNs) {
-            int place = number % places.size();
-            Channel c = idle.get(place).poll();
+            int index = number % addresses.size();
+            Channel c = idle.get(index).poll();
             while (c != null && !c.isActive()) {
-                c = idle.get(place).poll();
+                c = idle.get(index).poll();
             }
             if (c != null) {
-                write(c, place, intendedNs, false);
+                write(c, index, intendedNs, false);
                 return;
             }
-            connect(place, intendedNs);
+            connect(index, intendedNs);
         }
 
-        private void connect(int place, long intendedNs) {
+        private void connect(int index, long intendedNs) {
             ChannelFuture f = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -83,59 +84,60 @@
                             ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 16));
                         }
                     })
-                    .connect(places.get(place));
+                    .connect(addresses.get(index));
             f.addListener(done -> {
                 if (done.isSuccess()) {
-                    write(f.channel(), place, intendedNs, true);
+                    write(f.channel(), index, intendedNs, true);
                 } else {
-                    broken++;
+                    failedRequests++;
                 }
             });
         }
 
-        private void write(Channel c, int place, long intendedNs, boolean fresh) {
-            String url = urls[++ids % urls.length];
+        private void write(Channel c, int index, long intendedNs, boolean newConnection) {
+            String url = urls[++requestCount % urls.length];
             int slash = url.indexOf('/');
             String path = url.substring(slash);
             DefaultFullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             r.headers()
                     .set("Host", slash == 0 ? "api" : url.substring(0, slash))
-                    .set("Request-Id", "s" + ids)
+                    .set("Request-Id", "s" + requestCount)
                     .set("Request-Timeout", "0.600");
-            c.pipeline().addLast("answer", new Answer(this, place, intendedNs, fresh));
+            c.pipeline().addLast("answer", new ResponseHandler(this, index, intendedNs, newConnection));
             c.writeAndFlush(r);
         }
     }
 
     /** Waits for one answer. */
-    private static final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Side side;
-        private final int place;
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final Target target;
+        private final int index;
         private final long intendedNs;
-        private final boolean fresh;
-        private boolean answered;
+        private final boolean newConnection;
+        private boolean responded;
 
-        Answer(Side side, int place, long intendedNs, boolean fresh) {
-            this.fresh = fresh;
-            this.side = side;
-            this.place = place;
+        ResponseHandler(Target target, int index, long intendedNs, boolean newConnection) {
+            this.newConnection = newConnection;
+            this.target = target;
+            this.index = index;
             this.intendedNs = intendedNs;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-            answered = true;
-            if (side.counted) {
+            responded = true;
+            if (target.counted) {
                 boolean ok = r.status().equals(HttpResponseStatus.OK);
-                side.answered += ok ? 1 : 0;
-                side.statuses.merge(r.status().code(), 1, Integer::sum);
-                side.others += ok ? 0 : 1;
-                side.latency.recordValue(Math.min(
-                        side.latency.getHighestTrackableValue(), Math.max(0, (System.nanoTime() - intendedNs) / 1000)));
+                target.okResponses += ok ? 1 : 0;
+                target.statuses.merge(r.status().code(), 1, Integer::sum);
+                target.otherResponses += ok ? 0 : 1;
+                target.latency.recordValue(Math.min(
+                        target.latency.getHighestTrackableValue(),
+                        Math.max(0, (System.nanoTime() - intendedNs) / 1000)));
             }
             ctx.pipeline().remove(this);
             if (!"close".equalsIgnoreCase(r.headers().get("Connection"))) {
-                side.idle.get(place).push(ctx.channel());
+                target.idle.get(index).push(ctx.channel());
             } else {
                 ctx.close();
             }
@@ -143,10 +145,10 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!answered && !fresh) {
-                side.connect(place, intendedNs); // its end crossed this request: once more, on a new one
+            if (!responded && !newConnection) {
+                target.connect(index, intendedNs); // its end crossed this request: once more, on a new one
             } else {
-                side.broken += answered ? 0 : 1;
+                target.failedRequests += responded ? 0 : 1;
             }
         }
 
@@ -157,24 +159,24 @@
     }
 
     /** So many requests a second to each side, in turn; those of the first seconds do not count. */
-    void run(List<Side> sides, double perSecond, double warmS, double seconds) throws ScaleException {
+    void run(List<Target> targets, double perSecond, double warmUpS, double seconds) throws ScaleException {
         long start = System.nanoTime();
-        long all = (long) (perSecond * (warmS + seconds) * sides.size());
-        long counted = (long) (perSecond * warmS * sides.size());
-        for (long i = 0; i < all; i++) {
-            long intended = start + (long) (i * 1e9 / (perSecond * sides.size()));
+        long totalRequests = (long) (perSecond * (warmUpS + seconds) * targets.size());
+        long warmUpRequests = (long) (perSecond * warmUpS * targets.size());
+        for (long i = 0; i < totalRequests; i++) {
+            long intended = start + (long) (i * 1e9 / (perSecond * targets.size()));
             for (long left = intended - System.nanoTime(); left > 0; left = intended - System.nanoTime()) {
                 LockSupport.parkNanos(left);
             }
-            Side side = sides.get((int) (i % sides.size()));
-            int number = (int) (i / sides.size());
-            boolean counts = i >= counted;
+            Target target = targets.get((int) (i % targets.size()));
+            int number = (int) (i / targets.size());
+            boolean isCounted = i >= warmUpRequests;
             loop.execute(() -> {
-                side.counted = counts;
-                side.send(number, intended);
+                target.counted = isCounted;
+                target.send(number, intended);
             });
         }
-        Pause.ms(1000); // the last answers
+        Sleep.ms(1000); // the last answers
     }
 
     @Override
--- a/src/test/java/gullspar/scale/Options.java
+++ b/src/test/java/gullspar/scale/Options.java
@@ -4,29 +4,29 @@
 
 /** What a run was asked for. */
 record Options(boolean full, int port, int memoryMb, String out) {
-    private static final int LEAST_MB = 600, MOST_MB = 12_000, USUAL_MB = 6_000;
+    private static final int MIN_MB = 600, MAX_MB = 12_000, DEFAULT_MB = 6_000;
 
     static final String USAGE = "usage: bench/scale/run.sh [small|full] [--port N] [--memory-mb N] " + "[--out FILE]";
 
-    static Options of(List<String> args) throws ScaleException {
+    static Options parse(List<String> args) throws ScaleException {
         boolean full = false;
         int port = 0;
-        int memoryMb = USUAL_MB;
+        int memoryMb = DEFAULT_MB;
         String out = null;
         for (int i = 0; i < args.size(); i++) {
             switch (args.get(i)) {
                 case "small" -> full = false;
                 case "full" -> full = true;
-                case "--port" -> port = number(args, ++i, 1, 65_535);
-                case "--memory-mb" -> memoryMb = number(args, ++i, 1, MOST_MB);
-                case "--out" -> out = text(args, ++i);
-                default -> throw wrong("unknown argument '" + args.get(i) + "'");
+                case "--port" -> port = intValue(args, ++i, 1, 65_535);
+                case "--memory-mb" -> memoryMb = intValue(args, ++i, 1, MAX_MB);
+                case "--out" -> out = stringValue(args, ++i);
+                default -> throw usageError("unknown argument '" + args.get(i) + "'");
             }
         }
-        if (memoryMb < LEAST_MB) {
+        if (memoryMb < MIN_MB) {
             throw new ScaleException(
                     ScaleException.MEMORY,
-                    "too little memory: " + memoryMb + " MB, a run needs " + LEAST_MB + " at the least");
+                    "too little memory: " + memoryMb + " MB, a run needs " + MIN_MB + " at the least");
         }
         return new Options(
                 full,
@@ -35,27 +35,27 @@
                 out != null ? out : full ? "bench/scale/results/scale-full.json" : "target/scale-small.json");
     }
 
-    private static String text(List<String> args, int i) throws ScaleException {
+    private static String stringValue(List<String> args, int i) throws ScaleException {
         if (i >= args.size()) {
-            throw wrong(args.get(i - 1) + " wants a value");
+            throw usageError(args.get(i - 1) + " wants a value");
         }
         return args.get(i);
     }
 
-    private static int number(List<String> args, int i, int least, int most) throws ScaleException {
-        String t = text(args, i);
+    private static int intValue(List<String> args, int i, int min, int max) throws ScaleException {
+        String t = stringValue(args, i);
         try {
             int n = Integer.parseInt(t);
-            if (n >= least && n <= most) {
+            if (n >= min && n <= max) {
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw wrong(args.get(i - 1) + " is no number: '" + t + "'");
+            throw usageError(args.get(i - 1) + " is no number: '" + t + "'");
         }
-        throw wrong(args.get(i - 1) + " is not within " + least + " to " + most + ": " + t);
+        throw usageError(args.get(i - 1) + " is not within " + min + " to " + max + ": " + t);
     }
 
-    private static ScaleException wrong(String what) {
-        return new ScaleException(ScaleException.USAGE, what + "; " + USAGE);
+    private static ScaleException usageError(String problem) {
+        return new ScaleException(ScaleException.USAGE, problem + "; " + USAGE);
     }
 }
--- a/src/test/java/gullspar/scale/Ports.java
+++ b/src/test/java/gullspar/scale/Ports.java
@@ -13,16 +13,16 @@
     static List<String> free(int count) throws IOException {
         long pid = ProcessHandle.current().pid();
         String address = "127." + (2 + pid % 90) + "." + pid / 90 % 250 + ".1";
-        List<ServerSocket> held = new ArrayList<>();
+        List<ServerSocket> sockets = new ArrayList<>();
         List<String> ports = new ArrayList<>();
         try {
             for (int i = 0; i < count; i++) {
                 ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(address));
-                held.add(s);
+                sockets.add(s);
                 ports.add(address + ":" + s.getLocalPort());
             }
         } finally {
-            for (ServerSocket s : held) {
+            for (ServerSocket s : sockets) {
                 s.close();
             }
         }
--- a/src/test/java/gullspar/scale/Accounts.java
+++ b/src/test/java/gullspar/scale/ProcessUsage.java
@@ -9,30 +9,30 @@
 import java.util.Map;
 
 /** What the system has booked on processes: processor time and memory. */
-final class Accounts {
-    private static final int PAGE = 4096;
+final class ProcessUsage {
+    private static final int PAGE_BYTES = 4096;
     private static final long TICK_NS = 10_000_000L;
 
-    static final Booked NONE = new Booked(Map.of(), 0);
+    static final CpuTime ZERO = new CpuTime(Map.of(), 0);
 
-    private Accounts() {}
+    private ProcessUsage() {}
 
     /** Processor time of a process so far: by thread that lives, in ns, and of all there were, in ticks. */
-    record Booked(Map<String, Long> threads, long ticks) {
+    record CpuTime(Map<String, Long> nsByThread, long ticks) {
         /**
          * What has been booked since, in ns. Threads that have ended take their exact time with them, the
          * compiler's do; where that makes more than a tick, the ticks count.
          */
-        long since(Booked before) {
+        long nsSince(CpuTime before) {
             long ns = 0;
-            for (Map.Entry<String, Long> t : threads.entrySet()) {
-                ns += t.getValue() - before.threads.getOrDefault(t.getKey(), 0L);
+            for (Map.Entry<String, Long> t : nsByThread.entrySet()) {
+                ns += t.getValue() - before.nsByThread.getOrDefault(t.getKey(), 0L);
             }
             return Math.max(ns, (ticks - before.ticks - 1) * TICK_NS);
         }
     }
 
-    static Booked booked(long pid) throws IOException {
+    static CpuTime cpuTime(long pid) throws IOException {
         Map<String, Long> threads = new HashMap<>();
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path t : tasks) {
@@ -48,14 +48,14 @@
         }
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return new Booked(threads, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+        return new CpuTime(threads, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
     }
 
     /** What all of them have been booked since, in ms. */
-    static double ms(Map<Long, Booked> before) throws IOException {
+    static double cpuMsSince(Map<Long, CpuTime> before) throws IOException {
         long ns = 0;
-        for (Map.Entry<Long, Booked> b : before.entrySet()) {
-            ns += booked(b.getKey()).since(b.getValue());
+        for (Map.Entry<Long, CpuTime> b : before.entrySet()) {
+            ns += cpuTime(b.getKey()).nsSince(b.getValue());
         }
         return ns / 1e6;
     }
@@ -64,7 +64,7 @@
     static long residentBytes(long pid) throws IOException {
         return Long.parseLong(
                         Files.readString(Path.of("/proc/" + pid + "/statm")).split(" ")[1])
-                * PAGE;
+                * PAGE_BYTES;
     }
 
     /** What the machine can still give, in bytes. */
--- a/src/test/java/gullspar/scale/RealProxy.java
+++ b/src/test/java/gullspar/scale/RealProxy.java
@@ -14,17 +14,18 @@
 import java.util.Map;
 
 /** One real proxy: deploy/serve.sh where the program was built, else this runtime on the same classes. */
-record RealProxy(Child child, InetSocketAddress listen, InetSocketAddress operator, Path config) {
+record RealProxy(ChildProcess child, InetSocketAddress listen, InetSocketAddress operator, Path config) {
     /** Set by bench/scale/run.sh. */
     static final boolean DEPLOYED = Boolean.getBoolean("gullspar.scale.deployed");
 
-    static RealProxy start(Children children, int number, ObjectNode json, int mayNeedMb)
+    static RealProxy start(ChildProcesses children, int number, ObjectNode json, int expectedMb)
             throws ScaleException, IOException {
         Path config = Files.writeString(children.folder().resolve("real" + number + ".json"), json.toString());
-        List<String> command = DEPLOYED ? List.of("sh", "deploy/serve.sh") : Child.java(64, "gullspar.Main", "serve");
-        Child c = children.start(
+        List<String> command =
+                DEPLOYED ? List.of("sh", "deploy/serve.sh") : ChildProcess.javaCommand(64, "gullspar.Main", "serve");
+        ChildProcess c = children.start(
                 "real proxy " + number,
-                mayNeedMb,
+                expectedMb,
                 command,
                 Map.of("NODE_CONFIG", config.toString(), "NODE_NAME", "p" + number));
         return new RealProxy(
@@ -35,7 +36,7 @@
     }
 
     /** How many backends it lists, as it tells operators. */
-    int members() throws IOException {
+    int listedBackends() throws IOException {
         try (Socket s = new Socket(operator.getAddress(), operator.getPort())) {
             s.setSoTimeout(5000);
             s.getOutputStream().write("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -48,7 +49,7 @@
     }
 
     /** Heap in use after a collection, in bytes, by jcmd. */
-    long heap() throws IOException {
+    long heapBytes() throws IOException {
         jcmd("GC.run");
         long kb = 0;
         for (String line : jcmd("GC.heap_info")) {
--- a/src/test/java/gullspar/scale/HearingModule.java
+++ b/src/test/java/gullspar/scale/RecordingBalancer.java
@@ -6,20 +6,20 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /** The decision module as it runs in service, and beside it when each version of the list was taken in. */
-final class HearingModule implements Balancer {
-    private static final int MOST_KEPT = 2000;
+final class RecordingBalancer implements Balancer {
+    private static final int MAX_VERSIONS_KEPT = 2000;
 
     private final Policy policy;
     /** By version: the moment, in the machine's monotonic time, which all its processes share. */
-    private final ConcurrentSkipListMap<Long, Long> heard = new ConcurrentSkipListMap<>();
+    private final ConcurrentSkipListMap<Long, Long> receivedNsByVersion = new ConcurrentSkipListMap<>();
 
-    HearingModule(Settings settings, long seed, long now, Actions out) {
+    RecordingBalancer(Settings settings, long seed, long now, Actions out) {
         this.policy = new Policy(settings, seed, now, out);
     }
 
     /** When it knew that version or a later one; -1 if it does not yet. */
-    long heardAt(long version) {
-        var e = heard.ceilingEntry(version);
+    long receivedAtNs(long version) {
+        var e = receivedNsByVersion.ceilingEntry(version);
         return e == null ? -1 : e.getValue();
     }
 
@@ -27,9 +27,9 @@
     public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
         policy.onServerList(now, kind, version, members);
         if (kind == ListKind.FULL || kind == ListKind.DELTA) {
-            heard.putIfAbsent(version, System.nanoTime());
-            if (heard.size() > MOST_KEPT) {
-                heard.pollFirstEntry();
+            receivedNsByVersion.putIfAbsent(version, System.nanoTime());
+            if (receivedNsByVersion.size() > MAX_VERSIONS_KEPT) {
+                receivedNsByVersion.pollFirstEntry();
             }
         }
     }
--- a/src/test/java/gullspar/scale/Results.java
+++ b/src/test/java/gullspar/scale/Results.java
@@ -16,26 +16,26 @@
     record Point(long size, double value) {}
 
     /** What a series is about. */
-    record About(String id, String what, String unit, String axis, Map<String, Object> fixed) {}
+    record SeriesInfo(String id, String description, String unit, String axis, Map<String, Object> fixed) {}
 
     private final Map<String, List<Point>> points = new LinkedHashMap<>();
-    private final Map<String, About> abouts = new LinkedHashMap<>();
-    private final Map<String, Object> heads = new LinkedHashMap<>();
-    private final List<Map<String, Object>> alike = new ArrayList<>();
+    private final Map<String, SeriesInfo> seriesById = new LinkedHashMap<>();
+    private final Map<String, Object> properties = new LinkedHashMap<>();
+    private final List<Map<String, Object>> comparisons = new ArrayList<>();
 
-    synchronized void head(String key, Object value) {
-        heads.put(key, value);
+    synchronized void setProperty(String key, Object value) {
+        properties.put(key, value);
     }
 
-    synchronized void add(About about, long size, double value) {
-        abouts.putIfAbsent(about.id(), about);
-        points.computeIfAbsent(about.id(), i -> new ArrayList<>()).add(new Point(size, round(value)));
+    synchronized void add(SeriesInfo info, long size, double value) {
+        seriesById.putIfAbsent(info.id(), info);
+        points.computeIfAbsent(info.id(), i -> new ArrayList<>()).add(new Point(size, round(value)));
         System.out.println(
-                "  " + about.id() + "  " + about.axis() + "=" + size + "  " + round(value) + " " + about.unit());
+                "  " + info.id() + "  " + info.axis() + "=" + size + "  " + round(value) + " " + info.unit());
     }
 
     /** The same figure of a real and of a hollow proxy, and what explains a difference. */
-    synchronized void alike(String figure, String unit, double real, double hollow, String why) {
+    synchronized void addComparison(String figure, String unit, double real, double hollow, String why) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("figure", figure);
         row.put("unit", unit);
@@ -44,7 +44,7 @@
         row.put("hollow_to_real", round(hollow / real));
         row.put("within_20_percent", Math.abs(hollow / real - 1) <= 0.2);
         row.put("difference", why);
-        alike.add(row);
+        comparisons.add(row);
         System.out.println("  " + row);
     }
 
@@ -66,24 +66,24 @@
     }
 
     synchronized void write(Path file) throws IOException {
-        Map<String, Object> root = new LinkedHashMap<>(heads);
+        Map<String, Object> root = new LinkedHashMap<>(properties);
         List<Map<String, Object>> all = new ArrayList<>();
-        abouts.forEach((id, a) -> {
+        seriesById.forEach((id, a) -> {
             Map<String, Object> s = new LinkedHashMap<>();
             s.put("id", id);
-            s.put("what", a.what());
+            s.put("what", a.description());
             s.put("unit", a.unit());
             s.put("axis", a.axis());
             s.put("fixed", a.fixed());
             s.put("points", points.get(id));
-            long most = points.get(id).stream().mapToLong(Point::size).max().orElse(0);
+            long largest = points.get(id).stream().mapToLong(Point::size).max().orElse(0);
             if (points.get(id).stream().mapToLong(Point::size).distinct().count() > 2) {
-                s.put("held_out", most);
+                s.put("held_out", largest);
             }
             all.add(s);
         });
         root.put("series", all);
-        root.put("hollow_and_real", alike);
+        root.put("hollow_and_real", comparisons);
         Files.createDirectories(file.toAbsolutePath().getParent());
         String text =
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(root);
--- a/src/test/java/gullspar/scale/Sites.java
+++ b/src/test/java/gullspar/scale/RoutesFileSweeps.java
@@ -1,7 +1,7 @@
 package gullspar.scale;
 
 import gullspar.proxy.config.Config;
-import gullspar.scale.Results.About;
+import gullspar.scale.Results.SeriesInfo;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -12,15 +12,19 @@
 import java.util.TreeMap;
 
 /** Real proxies for plain HTTP by an operator's file of many services or routes: serve --config. */
-final class Sites {
-    private static final int HEAP_MB = 192, MAY_NEED_MB = 260, ROUTES_A_HOST = 100, RELOADS = 5, START_S = 120;
-    private static final double REQUESTS = 100, WARM_S = 4, LOAD_S = 8;
+final class RoutesFileSweeps {
+    private static final int HEAP_MB = 192,
+            EXPECTED_MB = 260,
+            ROUTES_PER_HOST = 100,
+            RELOADS = 5,
+            START_TIMEOUT_S = 120;
+    private static final double REQUESTS_PER_SECOND = 100, WARM_UP_S = 4, LOAD_S = 8;
 
     private final Options options;
-    private final Children children;
+    private final ChildProcesses children;
     private final Results results;
 
-    Sites(Options options, Children children, Results results) {
+    RoutesFileSweeps(Options options, ChildProcesses children, Results results) {
         this.options = options;
         this.children = children;
         this.results = results;
@@ -29,21 +33,27 @@
     /** One route to each service, each of so many servers. */
     void services(int[] sizes, int servers) throws ScaleException, IOException {
         for (int size : sizes) {
-            run("services", size, size, servers, size, Map.of("servers_a_service", servers));
+            measure("services", size, size, servers, size, Map.of("servers_a_service", servers));
         }
     }
 
     void routes(int[] sizes, int services, int servers) throws ScaleException, IOException {
         for (int size : sizes) {
-            run("routes", size, services, servers, size, Map.of("services", services, "servers_a_service", servers));
+            measure(
+                    "routes",
+                    size,
+                    services,
+                    servers,
+                    size,
+                    Map.of("services", services, "servers_a_service", servers));
         }
     }
 
     private static String url(int route) {
-        return "h" + route / ROUTES_A_HOST + ".example/r" + route + "/x";
+        return "h" + route / ROUTES_PER_HOST + ".example/r" + route + "/x";
     }
 
-    private static String file(String listen, BackendStandIn backends, int services, int servers, int routes) {
+    private static String routesFile(String listen, BackendStandIn backends, int services, int servers, int routes) {
         StringBuilder f = new StringBuilder("[[listener]]\naddress = \"" + listen + "\"\n");
         for (int s = 0; s < services; s++) {
             f.append("[[pool]]\nname = \"s").append(s).append("\"\n");
@@ -58,8 +68,8 @@
             }
         }
         for (int r = 0; r < routes; r++) {
-            if (r % ROUTES_A_HOST == 0) {
-                f.append("[[host]]\nnames = [\"h").append(r / ROUTES_A_HOST).append(".example\"]\n");
+            if (r % ROUTES_PER_HOST == 0) {
+                f.append("[[host]]\nnames = [\"h").append(r / ROUTES_PER_HOST).append(".example\"]\n");
             }
             f.append("[[host.route]]\npath = \"/r")
                     .append(r)
@@ -70,54 +80,54 @@
         return f.toString();
     }
 
-    private void run(String axis, long size, int services, int servers, int routes, Map<String, Object> fixed)
+    private void measure(String axis, long size, int services, int servers, int routes, Map<String, Object> fixed)
             throws ScaleException, IOException {
         System.out.println(axis + " " + size + " " + fixed);
         String listen = Ports.free(1).get(0);
-        InetSocketAddress at = Config.parseAddress(listen);
-        List<Child> one = new ArrayList<>();
+        InetSocketAddress address = Config.parseAddress(listen);
+        List<ChildProcess> processes = new ArrayList<>();
         try (BackendStandIn backends = new BackendStandIn()) {
             Path config = Files.writeString(
-                    children.folder().resolve("site.toml"), file(listen, backends, services, servers, routes));
-            long began = System.nanoTime();
-            Child c = children.start("real site proxy", MAY_NEED_MB, command(config), Map.of());
-            one.add(c);
-            c.await("listening on", START_S);
+                    children.folder().resolve("site.toml"), routesFile(listen, backends, services, servers, routes));
+            long startedNs = System.nanoTime();
+            ChildProcess c = children.start("real site proxy", EXPECTED_MB, command(config), Map.of());
+            processes.add(c);
+            c.awaitLine("listening on", START_TIMEOUT_S);
             Series s = new Series(axis, size, fixed);
             s.add("site.file.bytes", "B", Files.size(config), "an operator's file");
             s.add(
                     "site.start.cpu",
                     "ms",
-                    Accounts.ms(Map.of(c.pid(), Accounts.NONE)),
+                    ProcessUsage.cpuMsSince(Map.of(c.pid(), ProcessUsage.ZERO)),
                     "processor time of a start, the runtime's included");
-            s.add("site.start.known", "ms", (System.nanoTime() - began) / 1e6, "from a start until it listens");
-            reloads(s, c);
-            Map<Long, Accounts.Booked> before = Map.of(c.pid(), Accounts.booked(c.pid()));
-            long from = System.nanoTime();
-            Pause.ms(options.full() ? 5000 : 500);
-            double rest = Accounts.ms(before) / ((System.nanoTime() - from) / 1e9);
-            s.add("site.cpu.rest", "ms/s", rest, "processor time at rest");
+            s.add("site.start.known", "ms", (System.nanoTime() - startedNs) / 1e6, "from a start until it listens");
+            measureReloads(s, c);
+            Map<Long, ProcessUsage.CpuTime> before = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
+            long idleFromNs = System.nanoTime();
+            Sleep.ms(options.full() ? 5000 : 500);
+            double idleMsPerSecond = ProcessUsage.cpuMsSince(before) / ((System.nanoTime() - idleFromNs) / 1e9);
+            s.add("site.cpu.rest", "ms/s", idleMsPerSecond, "processor time at rest");
             String[] urls = new String[routes];
             for (int r = 0; r < routes; r++) {
                 urls[r] = url(r);
             }
-            new Latency(results, "site.", axis, size, fixed)
+            new LatencyTrial(results, "site.", axis, size, fixed)
                     .run(
-                            List.of(new Latency.Place(c, at)),
+                            List.of(new LatencyTrial.Endpoint(c, address)),
                             backends,
                             urls,
-                            rest,
-                            options.full() ? REQUESTS : 20,
-                            options.full() ? WARM_S : 0.5,
+                            idleMsPerSecond,
+                            options.full() ? REQUESTS_PER_SECOND : 20,
+                            options.full() ? WARM_UP_S : 0.5,
                             options.full() ? LOAD_S : 1);
-            s.add("site.resident", "KB", Accounts.residentBytes(c.pid()) / 1024.0, "resident memory, after load");
+            s.add("site.resident", "KB", ProcessUsage.residentBytes(c.pid()) / 1024.0, "resident memory, after load");
             s.add(
                     "site.heap",
                     "KB",
-                    new RealProxy(c, at, at, config).heap() / 1024.0,
+                    new RealProxy(c, address, address, config).heapBytes() / 1024.0,
                     "heap after a collection, after load");
         } finally {
-            children.end(one);
+            children.stop(processes);
         }
     }
 
@@ -134,20 +144,20 @@
                         "serve",
                         "--config",
                         config.toString())
-                : Child.java(HEAP_MB, "gullspar.Main", "serve", "--config", config.toString());
+                : ChildProcess.javaCommand(HEAP_MB, "gullspar.Main", "serve", "--config", config.toString());
     }
 
-    private void reloads(Series s, Child c) throws ScaleException, IOException {
-        Map<Long, Accounts.Booked> before = Map.of(c.pid(), Accounts.booked(c.pid()));
-        double slowest = 0;
+    private void measureReloads(Series s, ChildProcess c) throws ScaleException, IOException {
+        Map<Long, ProcessUsage.CpuTime> before = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
+        double slowestMs = 0;
         for (int i = 0; i < RELOADS; i++) {
-            long at = System.nanoTime();
-            c.hangUp();
-            c.await("a new configuration", START_S);
-            slowest = Math.max(slowest, (System.nanoTime() - at) / 1e6);
+            long sentNs = System.nanoTime();
+            c.sendHangup();
+            c.awaitLine("a new configuration", START_TIMEOUT_S);
+            slowestMs = Math.max(slowestMs, (System.nanoTime() - sentNs) / 1e6);
         }
-        s.add("site.reload.cpu", "ms", Accounts.ms(before) / RELOADS, "processor time for a SIGHUP");
-        s.add("site.reload.known", "ms", slowest, "from SIGHUP until the file is in force, the slowest");
+        s.add("site.reload.cpu", "ms", ProcessUsage.cpuMsSince(before) / RELOADS, "processor time for a SIGHUP");
+        s.add("site.reload.known", "ms", slowestMs, "from SIGHUP until the file is in force, the slowest");
     }
 
     /** Where the values of one size go. */
@@ -163,7 +173,7 @@
         }
 
         void add(String id, String unit, double value, String what) {
-            results.add(new About(id + "." + axis, what, unit, axis, new TreeMap<>(fixed)), size, value);
+            results.add(new SeriesInfo(id + "." + axis, what, unit, axis, new TreeMap<>(fixed)), size, value);
         }
     }
 }
--- a/src/test/java/gullspar/scale/Machine.java
+++ b/src/test/java/gullspar/scale/RunMetadata.java
@@ -11,29 +11,29 @@
 import java.util.Map;
 
 /** Where and when results were taken. */
-final class Machine {
-    private Machine() {}
+final class RunMetadata {
+    private RunMetadata() {}
 
-    static void describe(Results r, Options o) throws IOException {
-        r.head("script", "bench/scale/run.sh " + (o.full() ? "full" : "small"));
-        r.head("date", LocalDate.now(ZoneOffset.UTC).toString());
-        r.head("commit", commit());
+    static void addStart(Results r, Options o) throws IOException {
+        r.setProperty("script", "bench/scale/run.sh " + (o.full() ? "full" : "small"));
+        r.setProperty("date", LocalDate.now(ZoneOffset.UTC).toString());
+        r.setProperty("commit", commit());
         Map<String, Object> machine = new LinkedHashMap<>();
         machine.put("cores", Runtime.getRuntime().availableProcessors());
         machine.put("memory_gib", Math.round(memoryKb() / 1048576.0));
         machine.put("java", System.getProperty("java.version"));
         machine.put("kernel", System.getProperty("os.version"));
-        machine.put("load_average_before", load());
-        r.head("machine", machine);
-        r.head("seeds", List.of(1));
+        machine.put("load_average_before", loadAverage());
+        r.setProperty("machine", machine);
+        r.setProperty("seeds", List.of(1));
     }
 
-    static void describeEnd(Results r, Children c) throws IOException {
-        r.head("load_average_after", load());
-        r.head("peak_resident_mb_of_children", c.peakBytes() >> 20);
+    static void addEnd(Results r, ChildProcesses c) throws IOException {
+        r.setProperty("load_average_after", loadAverage());
+        r.setProperty("peak_resident_mb_of_children", c.peakBytes() >> 20);
     }
 
-    private static String load() throws IOException {
+    private static String loadAverage() throws IOException {
         return String.join(
                 " ",
                 List.of(Files.readString(Path.of("/proc/loadavg")).split(" ")).subList(0, 3));
--- /dev/null
+++ b/src/test/java/gullspar/scale/RunPlan.java
@@ -0,0 +1,105 @@
+package gullspar.scale;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
+/** What a run does, one trial after the other. */
+final class RunPlan {
+    /** No trial of a full run begins later. */
+    private static final int LAST_START_S = 540;
+
+    private final long startedNs = System.nanoTime();
+    private final List<String> notRun = new ArrayList<>();
+    private final Options options;
+    private final ChildProcesses children;
+    private final Results results;
+
+    RunPlan(Options options, ChildProcesses children, Results results) {
+        this.options = options;
+        this.children = children;
+        this.results = results;
+    }
+
+    void run() throws ScaleException, IOException {
+        if (options.full()) {
+            full();
+        } else {
+            small();
+        }
+    }
+
+    private void small() throws ScaleException, IOException {
+        // Its figures are none, so some of it goes on beside the rest.
+        BackgroundTask services = new BackgroundTask(() -> {
+            new RoutesFileSweeps(options, children, results).services(new int[] {10}, 3);
+            new TenantSweep(children, results).run(new int[] {100}, 2, 1);
+        });
+        new HollowComparison(options, children, results).run(1, 50, true);
+        MemberFleet members = MemberFleet.start(children, results, 6, 200);
+        ControlPlaneSweeps sweeps = new ControlPlaneSweeps(options, children, results);
+        sweeps.backends(new int[] {40}, 8, 0);
+        sweeps.changes(new int[] {10}, new Shape(4, 1, 0, 40, 0, 64));
+        members.addStartTraffic();
+        runFaults(new Shape(10, 2, 0, 50, 0, 64), 0.5);
+        services.await();
+        members.awaitFullView(30);
+        members.addIdleAndStop(0.5);
+    }
+
+    /** In the order of what is wanted most: where time gets short, the rest is named as not run. */
+    private void full() throws ScaleException, IOException {
+        ControlPlaneSweeps sweeps = new ControlPlaneSweeps(options, children, results);
+        for (int size : new int[] {100, 1000, 6600}) {
+            runUnlessLate(size + " backends", () -> sweeps.backends(new int[] {size}, 40, 0));
+        }
+        for (int size : new int[] {40, 160, 640}) {
+            runUnlessLate(size + " proxies", () -> sweeps.proxies(new int[] {size}, 100, 0));
+        }
+        List<MemberFleet> memberFleets = new ArrayList<>();
+        runUnlessLate("the view at 40, 160 and 640", () -> {
+            for (int size : new int[] {40, 160, 640}) {
+                memberFleets.add(MemberFleet.start(children, results, size, 1000));
+            }
+        });
+        runUnlessLate("real beside hollow, with traffic", () -> new HollowComparison(options, children, results)
+                .run(8, 1000, false));
+        for (MemberFleet v : memberFleets) {
+            v.addStartTraffic();
+        }
+        runUnlessLate(
+                "changes", () -> sweeps.changes(new int[] {1, 10, 30, 100, 300}, new Shape(40, 1, 0, 1000, 0, 300)));
+        runUnlessLate("tenants", () -> new TenantSweep(children, results).run(new int[] {440, 4400, 44_000}, 8, 1));
+        RoutesFileSweeps routesFiles = new RoutesFileSweeps(options, children, results);
+        runUnlessLate("services", () -> routesFiles.services(new int[] {10, 100, 310}, 21));
+        for (MemberFleet v : memberFleets) {
+            v.addIdleAndStop(10);
+        }
+        runUnlessLate("routes", () -> routesFiles.routes(new int[] {240, 1200, 2400}, 10, 3));
+        runUnlessLate("faults at 40", () -> runFaults(new Shape(40, 10, 0, 100, 0, 100), 6));
+        runUnlessLate("faults at 160, 8 real", () -> runFaults(new Shape(160, 10, 8, 100, 0, 150), 6));
+        runUnlessLate("faults at 640", () -> runFaults(new Shape(640, 10, 0, 100, 0, 300), 6));
+        runUnlessLate("320 proxies and 6,600 backends", () -> sweeps.proxies(new int[] {40, 320}, 6600, 0));
+        runUnlessLate("traffic at 100 and 6,600 backends, 24 real", () -> {
+            sweeps.traffic(100, 24);
+            sweeps.traffic(6600, 24);
+        });
+    }
+
+    private void runUnlessLate(String trialName, BackgroundTask.ThrowingRunnable trial)
+            throws ScaleException, IOException {
+        if ((System.nanoTime() - startedNs) / 1e9 > LAST_START_S) {
+            System.out.println("not run, for want of time: " + trialName);
+            notRun.add(trialName);
+        } else {
+            trial.run();
+        }
+        results.setProperty("not_run", notRun);
+        results.write(Path.of(options.out())); // what is there, should the rest fail
+    }
+
+    private void runFaults(Shape shape, double seconds) throws ScaleException, IOException {
+        new FaultTrials(options, children, results).run(shape, seconds);
+    }
+}
--- a/src/test/java/gullspar/scale/ScaleRun.java
+++ b/src/test/java/gullspar/scale/ScaleRun.java
@@ -14,7 +14,7 @@
  * that it started end with it.
  */
 public final class ScaleRun {
-    private static final int SMALL_S = 120, FULL_S = 840;
+    private static final int SMALL_TIMEOUT_S = 120, FULL_TIMEOUT_S = 840;
 
     private ScaleRun() {}
 
@@ -26,9 +26,9 @@
     /** The exit code. */
     static int run(List<String> args) {
         try {
-            Options o = Options.of(args);
-            try (Children children = new Children((long) o.memoryMb() << 20)) {
-                bounded(o, children);
+            Options o = Options.parse(args);
+            try (ChildProcesses children = new ChildProcesses((long) o.memoryMb() << 20)) {
+                runWithTimeout(o, children);
             }
             return 0;
         } catch (ScaleException e) {
@@ -40,17 +40,17 @@
         }
     }
 
-    private static void bounded(Options o, Children children) throws ScaleException, IOException {
+    private static void runWithTimeout(Options o, ChildProcesses children) throws ScaleException, IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
         Thread work = new Thread(
                 () -> {
                     try {
                         long began = System.nanoTime();
                         Results r = new Results();
-                        Machine.describe(r, o);
-                        new Plan(o, children, r).run();
-                        Machine.describeEnd(r, children);
-                        r.head("seconds", (System.nanoTime() - began) / 1_000_000_000L);
+                        RunMetadata.addStart(r, o);
+                        new RunPlan(o, children, r).run();
+                        RunMetadata.addEnd(r, children);
+                        r.setProperty("seconds", (System.nanoTime() - began) / 1_000_000_000L);
                         r.write(Path.of(o.out()));
                         System.out.println(
                                 "written after " + (System.nanoTime() - began) / 1_000_000_000L + " s: " + o.out());
@@ -62,7 +62,7 @@
                 "scale run");
         work.setDaemon(true);
         work.start();
-        int seconds = o.full() ? FULL_S : SMALL_S;
+        int seconds = o.full() ? FULL_TIMEOUT_S : SMALL_TIMEOUT_S;
         try {
             done.get(seconds, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
@@ -72,7 +72,7 @@
             throw new ScaleException(ScaleException.TIME, "interrupted");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof ScaleException s) {
-                children.look(); // a death behind another complaint comes first
+                children.checkHealth(); // a death behind another complaint comes first
                 throw s;
             }
             throw new IOException(e.getCause().toString(), e.getCause());
--- a/src/test/java/gullspar/scale/ScaleTest.java
+++ b/src/test/java/gullspar/scale/ScaleTest.java
@@ -31,15 +31,15 @@
     Path folder;
 
     /** What a run said and how it ended. */
-    private record Ended(int code, List<String> said) {
+    private record RunResult(int code, List<String> output) {
         private List<Long> pids() {
-            return said.stream()
+            return output.stream()
                     .filter(l -> l.startsWith("started "))
                     .map(ScaleTest::pid)
                     .toList();
         }
 
-        private void leftNothing() {
+        private void assertNoProcessesLeft() {
             // Killed, it is gone as soon as the system comes round to it: waited for, and not long.
             pids().forEach(p -> ProcessHandle.of(p)
                     .ifPresent(h -> assertDoesNotThrow(
@@ -47,10 +47,10 @@
         }
 
         /** One line says why. */
-        private String complaint() {
+        private String errorLine() {
             List<String> lines =
-                    said.stream().filter(l -> l.startsWith("scale: ")).toList();
-            assertEquals(1, lines.size(), () -> String.join("\n", said));
+                    output.stream().filter(l -> l.startsWith("scale: ")).toList();
+            assertEquals(1, lines.size(), () -> String.join("\n", output));
             return lines.get(0);
         }
     }
@@ -59,7 +59,7 @@
         return Long.parseLong(started.replaceAll(".* pid ", ""));
     }
 
-    private Ended run(Consumer<String> heard, String... args) throws IOException, InterruptedException {
+    private RunResult run(Consumer<String> onLine, String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -70,30 +70,30 @@
                 "gullspar.scale.ScaleRun"));
         command.addAll(List.of(args));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        List<String> said = new ArrayList<>();
+        List<String> output = new ArrayList<>();
         try (BufferedReader r = p.inputReader()) {
             for (String line = r.readLine(); line != null; line = r.readLine()) {
-                said.add(line);
-                heard.accept(line);
+                output.add(line);
+                onLine.accept(line);
             }
         } finally {
             p.destroy();
         }
         assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-        return new Ended(p.exitValue(), said);
+        return new RunResult(p.exitValue(), output);
     }
 
-    private Ended run(String... args) throws IOException, InterruptedException {
+    private RunResult run(String... args) throws IOException, InterruptedException {
         return run(line -> {}, args);
     }
 
     @Test
-    void allKnowEachChangeAndAllMessagesAreCountedAsForetold() throws Exception {
+    void everyProxyLearnsEachChangeAndMessageCountsMatch() throws Exception {
         Path out = folder.resolve("small.json");
-        Ended e = run("small", "--out", out.toString());
-        assertEquals(0, e.code, () -> String.join("\n", e.said));
-        assertTrue(e.pids().size() >= 5, e.pids().toString());
-        e.leftNothing();
+        RunResult result = run("small", "--out", out.toString());
+        assertEquals(0, result.code, () -> String.join("\n", result.output));
+        assertTrue(result.pids().size() >= 5, result.pids().toString());
+        result.assertNoProcessesLeft();
         JsonNode root = new ObjectMapper().readTree(Files.readString(out));
         Set<String> ids = new TreeSet<>();
         root.path("series").forEach(s -> ids.add(s.path("id").asText()));
@@ -117,8 +117,8 @@
     }
 
     @Test
-    void aChildThatDiesEndsTheRunByName() throws Exception {
-        Ended e = run(
+    void aChildThatDiesEndsTheRunWithItsName() throws Exception {
+        RunResult result = run(
                 line -> {
                     if (line.startsWith("started hollow process 0")) {
                         ProcessHandle.of(pid(line)).orElseThrow().destroyForcibly();
@@ -127,37 +127,37 @@
                 "small",
                 "--out",
                 folder.resolve("none.json").toString());
-        assertEquals(ScaleException.CHILD, e.code, () -> String.join("\n", e.said));
-        assertTrue(e.complaint().contains("hollow process 0, pid"), e.complaint());
-        assertTrue(e.complaint().contains("has died, exit code 137"), e.complaint());
-        e.leftNothing();
+        assertEquals(ScaleException.CHILD, result.code, () -> String.join("\n", result.output));
+        assertTrue(result.errorLine().contains("hollow process 0, pid"), result.errorLine());
+        assertTrue(result.errorLine().contains("has died, exit code 137"), result.errorLine());
+        result.assertNoProcessesLeft();
     }
 
     @Test
-    void badArgumentsAreNamed() throws Exception {
+    void badArgumentsAreReported() throws Exception {
         for (String[] bad : new String[][] {{"huge"}, {"--port"}, {"--port", "x"}, {"--port", "70000"}}) {
-            Ended e = run(bad);
-            assertEquals(ScaleException.USAGE, e.code, String.join(" ", bad));
-            assertTrue(e.complaint().contains("usage: bench/scale/run.sh"), e.complaint());
-            assertTrue(e.pids().isEmpty());
+            RunResult result = run(bad);
+            assertEquals(ScaleException.USAGE, result.code, String.join(" ", bad));
+            assertTrue(result.errorLine().contains("usage: bench/scale/run.sh"), result.errorLine());
+            assertTrue(result.pids().isEmpty());
         }
     }
 
     @Test
-    void tooLittleMemoryIsNamedBeforeAnythingStarts() throws Exception {
-        Ended e = run("small", "--memory-mb", "300");
-        assertEquals(ScaleException.MEMORY, e.code);
-        assertTrue(e.complaint().contains("too little memory: 300 MB"), e.complaint());
-        assertTrue(e.pids().isEmpty());
+    void tooLittleMemoryIsReportedBeforeAnythingStarts() throws Exception {
+        RunResult result = run("small", "--memory-mb", "300");
+        assertEquals(ScaleException.MEMORY, result.code);
+        assertTrue(result.errorLine().contains("too little memory: 300 MB"), result.errorLine());
+        assertTrue(result.pids().isEmpty());
     }
 
     @Test
-    void aPortThatIsTakenIsNamed() throws Exception {
+    void aPortInUseIsReported() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Ended e = run("small", "--port", Integer.toString(taken.getLocalPort()));
-            assertEquals(ScaleException.PORT, e.code, () -> String.join("\n", e.said));
-            assertTrue(e.complaint().contains("port " + taken.getLocalPort() + " is taken"), e.complaint());
-            e.leftNothing();
+            RunResult result = run("small", "--port", Integer.toString(taken.getLocalPort()));
+            assertEquals(ScaleException.PORT, result.code, () -> String.join("\n", result.output));
+            assertTrue(result.errorLine().contains("port " + taken.getLocalPort() + " is taken"), result.errorLine());
+            result.assertNoProcessesLeft();
         }
     }
 }
--- a/src/test/java/gullspar/scale/Pause.java
+++ b/src/test/java/gullspar/scale/Sleep.java
@@ -1,8 +1,8 @@
 package gullspar.scale;
 
 /** Time that passes. */
-final class Pause {
-    private Pause() {}
+final class Sleep {
+    private Sleep() {}
 
     static void ms(long ms) throws ScaleException {
         try {
--- /dev/null
+++ b/src/test/java/gullspar/scale/TrafficCounter.java
@@ -0,0 +1,53 @@
+package gullspar.scale;
+
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Messages and their bytes by kind, and the bytes of each tenth of a second. Of one thread. */
+final class TrafficCounter {
+    /** Messages of a kind, and the bytes of all of them. */
+    record Total(long messages, long bytes) {
+        Total plus(long more, long moreBytes) {
+            return new Total(messages + more, bytes + moreBytes);
+        }
+
+        Total minus(Total before) {
+            return new Total(messages - before.messages, bytes - before.bytes);
+        }
+    }
+
+    private static final long BUCKET_NS = 100_000_000L;
+    static final Total ZERO = new Total(0, 0);
+
+    private final Map<String, Total> totalsByKind = new TreeMap<>();
+    private final TreeMap<Long, Long> bytesByBucket = new TreeMap<>();
+
+    void add(String kind, long bytes) {
+        totalsByKind.merge(kind, new Total(1, bytes), (a, b) -> a.plus(b.messages, b.bytes));
+        bytesByBucket.merge(System.nanoTime() / BUCKET_NS, bytes, Long::sum);
+    }
+
+    Map<String, Total> totalsByKind() {
+        return new TreeMap<>(totalsByKind);
+    }
+
+    /** What has come to the kinds since they stood so. */
+    static Map<String, Total> difference(Map<String, Total> before, Map<String, Total> now) {
+        Map<String, Total> result = new TreeMap<>();
+        now.forEach((k, s) -> result.put(k, s.minus(before.getOrDefault(k, ZERO))));
+        return result;
+    }
+
+    /** The most bytes in any one second from that moment on. */
+    long peakBytesPerSecond(long fromNs) {
+        long peak = 0;
+        for (long t : bytesByBucket.tailMap(fromNs / BUCKET_NS).keySet()) {
+            peak = Math.max(
+                    peak,
+                    bytesByBucket.subMap(t, t + 10).values().stream()
+                            .mapToLong(b -> b)
+                            .sum());
+        }
+        return peak;
+    }
+}
--- a/src/test/java/gullspar/versions/scale/Hollow.java
+++ b/src/test/java/gullspar/versions/scale/HollowFollower.java
@@ -18,27 +18,27 @@
  * A proxy's follower without the proxy: its own code over real sockets, many in one process. It verifies each
  * version, and keeps it in memory; a real one writes it to its disk and reads the routes as well.
  */
-final class Hollow {
+final class HollowFollower {
     /** Who hears that one has a version in force. */
-    interface Heard {
-        void inForce(long number, long atNs);
+    interface Listener {
+        void onInForce(long number, long atNs);
     }
 
     final String name;
     private final EventLoop loop;
-    private final List<InetSocketAddress> order;
-    private final Heard heard;
+    private final List<InetSocketAddress> addresses;
+    private final Listener listener;
     private final SplittableRandom random;
     private FollowerNode node;
-    private Document kept;
-    private long before;
-    volatile long number;
+    private Document document;
+    private long earlierBytes;
+    volatile long versionInForce;
 
-    Hollow(String name, EventLoop loop, List<InetSocketAddress> addresses, long seed, Heard heard) {
+    HollowFollower(String name, EventLoop loop, List<InetSocketAddress> addresses, long seed, Listener listener) {
         this.name = name;
         this.loop = loop;
-        this.order = VersionedSource.orderAddresses(name, addresses);
-        this.heard = heard;
+        this.addresses = VersionedSource.orderAddresses(name, addresses);
+        this.listener = listener;
         this.random = new SplittableRandom(seed);
     }
 
@@ -50,27 +50,27 @@
                     name,
                     Message.Role.PROXY,
                     Follower.Settings.DEFAULTS,
-                    order,
+                    addresses,
                     new Platform(loop, p.clock(), p.transport(), line -> {}),
                     random,
-                    this::take,
+                    this::onDocument,
                     m -> {},
                     "");
-            node.start(kept, false);
+            node.start(document, false);
         });
     }
 
-    private void take(Document d, List<Delta> led, boolean was, Consumer<String> done) {
-        kept = d;
-        number = d.version().number();
-        heard.inForce(number, System.nanoTime());
+    private void onDocument(Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
+        document = d;
+        versionInForce = d.version().number();
+        listener.onInForce(versionInForce, System.nanoTime());
         done.accept(null);
     }
 
     /** Goes away. */
-    void end() throws InterruptedException, ExecutionException {
+    void stop() throws InterruptedException, ExecutionException {
         loop.submit(() -> {
-                    before += node.sent() + node.received();
+                    earlierBytes += node.sent() + node.received();
                     node.stop();
                     node = null;
                 })
@@ -79,7 +79,7 @@
 
     /** Bytes either way so far. */
     long bytes() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> before + (node == null ? 0 : node.sent() + node.received()))
+        return loop.submit(() -> earlierBytes + (node == null ? 0 : node.sent() + node.received()))
                 .get();
     }
 
--- a/src/test/java/gullspar/versions/scale/Relay.java
+++ b/src/test/java/gullspar/versions/scale/Relay.java
@@ -25,23 +25,23 @@
  * lost as well. TCP on loopback loses nothing; this is what it would make of it.
  */
 public final class Relay {
-    private static final int SEGMENT = 1448;
-    private static final double RETRANSMIT_LEAST_MS = 200;
-    private static final double RETRANSMIT_MORE_MS = 200;
+    private static final int SEGMENT_BYTES = 1448;
+    private static final double RETRANSMIT_MIN_MS = 200;
+    private static final double RETRANSMIT_SPREAD_MS = 200;
 
     private final long delayNs;
     private final double loss;
     private final SplittableRandom random;
     private final MultiThreadIoEventLoopGroup loops;
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     /** Connections that came, and bytes either way, since the start. */
     public final AtomicLong connections = new AtomicLong();
 
     public final AtomicLong bytes = new AtomicLong();
     private Channel listener;
 
-    public Relay(InetSocketAddress to, double delayMs, double loss, long seed, MultiThreadIoEventLoopGroup loops) {
-        this.to = to;
+    public Relay(InetSocketAddress target, double delayMs, double loss, long seed, MultiThreadIoEventLoopGroup loops) {
+        this.target = target;
         this.delayNs = (long) (delayMs * 1e6);
         this.loss = loss;
         this.random = new SplittableRandom(seed);
@@ -65,7 +65,7 @@
                     @Override
                     protected void initChannel(Channel c) {
                         connections.incrementAndGet();
-                        join(c);
+                        connect(c);
                     }
                 })
                 .bind(new InetSocketAddress("127.0.0.1", 0))
@@ -78,63 +78,63 @@
         listener.close().syncUninterruptibly();
     }
 
-    private void join(Channel near) {
+    private void connect(Channel inbound) {
         ChannelFuture f = new Bootstrap()
-                .group(near.eventLoop())
+                .group(inbound.eventLoop())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInboundHandlerAdapter())
-                .connect(to);
+                .connect(target);
         f.addListener(done -> {
             if (!done.isSuccess()) {
-                near.close();
+                inbound.close();
                 return;
             }
-            Channel far = f.channel();
-            near.pipeline().addLast(new Way(far));
-            far.pipeline().addLast(new Way(near));
-            near.config().setAutoRead(true);
-            far.config().setAutoRead(true);
+            Channel outbound = f.channel();
+            inbound.pipeline().addLast(new Direction(outbound));
+            outbound.pipeline().addLast(new Direction(inbound));
+            inbound.config().setAutoRead(true);
+            outbound.config().setAutoRead(true);
         });
     }
 
     /** How much later a segment comes than it was sent. */
-    private synchronized long travel(int length) {
+    private synchronized long transitNs(int length) {
         long ns = delayNs;
-        for (int i = 0; i < length; i += SEGMENT) {
+        for (int i = 0; i < length; i += SEGMENT_BYTES) {
             while (random.nextDouble() < loss) {
-                ns += (long) ((RETRANSMIT_LEAST_MS + random.nextDouble() * RETRANSMIT_MORE_MS) * 1e6);
+                ns += (long) ((RETRANSMIT_MIN_MS + random.nextDouble() * RETRANSMIT_SPREAD_MS) * 1e6);
             }
         }
         return ns;
     }
 
     /** One direction of a connection. */
-    private final class Way extends ChannelInboundHandlerAdapter {
+    private final class Direction extends ChannelInboundHandlerAdapter {
         private final Channel out;
-        private long last;
+        private long lastDeliveryNs;
 
-        Way(Channel out) {
+        Direction(Channel out) {
             this.out = out;
         }
 
-        private void later(EventLoop loop, int length, Runnable what) {
+        private void schedule(EventLoop loop, int length, Runnable what) {
             long now = System.nanoTime();
-            last = Math.max(last, now + travel(length));
-            loop.schedule(what, last - now, TimeUnit.NANOSECONDS);
+            lastDeliveryNs = Math.max(lastDeliveryNs, now + transitNs(length));
+            loop.schedule(what, lastDeliveryNs - now, TimeUnit.NANOSECONDS);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             int n = ((ByteBuf) message).readableBytes();
             bytes.addAndGet(n);
-            later(context.channel().eventLoop(), n, () -> out.writeAndFlush(message));
+            schedule(context.channel().eventLoop(), n, () -> out.writeAndFlush(message));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            later(context.channel().eventLoop(), 1, out::close);
+            schedule(context.channel().eventLoop(), 1, out::close);
         }
 
         @Override
--- a/src/test/java/gullspar/versions/scale/Routes.java
+++ b/src/test/java/gullspar/versions/scale/RoutesDocument.java
@@ -1,15 +1,15 @@
 package gullspar.versions.scale;
 
 /** A document of many routes, for measurements. */
-public final class Routes {
-    private static final int ROUTES_A_POOL = 8;
+public final class RoutesDocument {
+    private static final int ROUTES_PER_POOL = 8;
 
-    private Routes() {}
+    private RoutesDocument() {}
 
     /** So many routes, eight to a pool and a host; a change gives one of them another deadline. */
     public static String text(int routes, int change) {
         StringBuilder s = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n\n");
-        int pools = Math.max(1, routes / ROUTES_A_POOL);
+        int pools = Math.max(1, routes / ROUTES_PER_POOL);
         for (int p = 0; p < pools; p++) {
             s.append("[[pool]]\nname = \"service-").append(p).append("\"\n");
             for (int i = 0; i < 2; i++) {
@@ -24,8 +24,8 @@
         }
         for (int p = 0; p < pools; p++) {
             s.append("\n[[host]]\nnames = [\"service-").append(p).append(".example.org\"]\n");
-            for (int r = 0; r < ROUTES_A_POOL && p * ROUTES_A_POOL + r < routes; r++) {
-                int n = p * ROUTES_A_POOL + r;
+            for (int r = 0; r < ROUTES_PER_POOL && p * ROUTES_PER_POOL + r < routes; r++) {
+                int n = p * ROUTES_PER_POOL + r;
                 s.append("[[host.route]]\nname = \"s")
                         .append(p)
                         .append("-r")
--- a/src/test/java/gullspar/versions/scale/VersionsRun.java
+++ b/src/test/java/gullspar/versions/scale/VersionsRun.java
@@ -39,18 +39,18 @@
 public final class VersionsRun {
     private static final double DELAY_MS = 40;
     private static final double LOSS = 0.02;
-    private static final int HOUR = 158;
+    private static final int CHANGES_PER_HOUR = 158;
     private static final int OUTAGE_S = 30;
-    private static final int REST_S = 10;
-    private static final int BACK_S = 30;
-    private static final int PATIENCE_S = 120;
+    private static final int IDLE_S = 10;
+    private static final int RECONNECT_S = 30;
+    private static final int TIMEOUT_S = 120;
     /** A row of changes ends then, however many there were. */
-    private static final int ROW_S = 240;
+    private static final int SEQUENCE_LIMIT_S = 240;
 
-    private static final int TICKS_A_SECOND = 100;
+    private static final int TICKS_PER_SECOND = 100;
 
     private final int followers;
-    private final int real;
+    private final int realProxies;
     private final int changes;
     private final int routes;
     private final long seed;
@@ -60,18 +60,18 @@
     private final MultiThreadIoEventLoopGroup hollowThreads =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<Relay> relays = new ArrayList<>();
-    private final List<InetSocketAddress> controls = new ArrayList<>();
+    private final List<InetSocketAddress> controlAddresses = new ArrayList<>();
     private final List<Process> controlProcesses = new ArrayList<>();
-    private final List<Hollow> hollow = new ArrayList<>();
+    private final List<HollowFollower> hollowFollowers = new ArrayList<>();
     private final Histogram inForce = new SynchronizedHistogram(1, 600_000_000L, 3);
     private final Histogram realInForce = new Histogram(600_000_000L, 3);
-    private final Map<Long, Long> published = new ConcurrentHashMap<>();
+    private final Map<Long, Long> publishedNs = new ConcurrentHashMap<>();
     private final Map<String, Double> results = new LinkedHashMap<>();
     private int version;
 
-    private VersionsRun(int followers, int real, int changes, int routes, long seed, Path folder) {
+    private VersionsRun(int followers, int realProxies, int changes, int routes, long seed, Path folder) {
         this.followers = followers;
-        this.real = real;
+        this.realProxies = realProxies;
         this.changes = changes;
         this.routes = routes;
         this.seed = seed;
@@ -99,23 +99,24 @@
         return p;
     }
 
-    private static String text(InetSocketAddress a) {
+    private static String hostPort(InetSocketAddress a) {
         return "127.0.0.1:" + a.getPort();
     }
 
-    private void begin() throws Exception {
-        List<ServerSocket> free = new ArrayList<>();
+    private void startFleet() throws Exception {
+        List<ServerSocket> freePorts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            free.add(new ServerSocket(0));
-            controls.add(new InetSocketAddress("127.0.0.1", free.get(i).getLocalPort()));
+            freePorts.add(new ServerSocket(0));
+            controlAddresses.add(
+                    new InetSocketAddress("127.0.0.1", freePorts.get(i).getLocalPort()));
         }
-        for (ServerSocket s : free) {
+        for (ServerSocket s : freePorts) {
             s.close();
         }
-        List<InetSocketAddress> far = new ArrayList<>();
+        List<InetSocketAddress> relayAddresses = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            relays.add(new Relay(controls.get(i), DELAY_MS, LOSS, seed + i, relayThreads));
-            far.add(relays.get(i).listen());
+            relays.add(new Relay(controlAddresses.get(i), DELAY_MS, LOSS, seed + i, relayThreads));
+            relayAddresses.add(relays.get(i).listen());
         }
         for (int i = 0; i < 3; i++) {
             StringBuilder s = new StringBuilder(
@@ -124,23 +125,26 @@
                 s.append("[[control]]\nname = \"c")
                         .append(k)
                         .append("\"\naddress = \"")
-                        .append(text(k == i ? controls.get(k) : far.get(k)))
+                        .append(hostPort(k == i ? controlAddresses.get(k) : relayAddresses.get(k)))
                         .append("\"\n");
             }
             Files.writeString(folder.resolve("c" + i + ".toml"), s);
         }
         startControl();
-        for (int i = 0; i < real; i++) {
+        for (int i = 0; i < realProxies; i++) {
             Path file = Files.writeString(
                     folder.resolve("real-" + i + ".toml"),
                     "[control]\nname = \"a-real-"
                             + i + "\"\nfolder = \"" + folder.resolve("real-" + i) + "\"\naddresses = "
-                            + far.stream().map(a -> "\"" + text(a) + "\"").toList() + "\n");
+                            + relayAddresses.stream()
+                                    .map(a -> "\"" + hostPort(a) + "\"")
+                                    .toList() + "\n");
             start("real-" + i, 192, "serve", "--follow", file.toString());
         }
         for (int i = 0; i < followers; i++) {
-            Hollow h = new Hollow("hollow-" + i, hollowThreads.next(), far, seed * 1000 + i, this::heard);
-            hollow.add(h);
+            HollowFollower h = new HollowFollower(
+                    "hollow-" + i, hollowThreads.next(), relayAddresses, seed * 1000 + i, this::onInForce);
+            hollowFollowers.add(h);
             h.start();
         }
     }
@@ -157,17 +161,17 @@
         }
     }
 
-    private void heard(long number, long at) {
-        Long began = published.get(number);
+    private void onInForce(long number, long at) {
+        Long began = publishedNs.get(number);
         if (began != null) {
             inForce.recordValue(Math.max(1, (at - began) / 1000));
         }
     }
 
-    private Message.StatusResponse look(boolean whole) throws Exception {
-        for (int i = 0; i < PATIENCE_S * 10; i++) {
-            try (ControlClient c = new ControlClient(controls.get(0), 10_000)) {
-                return c.request(new Message.StatusRequest(whole), Message.StatusResponse.class);
+    private Message.StatusResponse status(boolean full) throws Exception {
+        for (int i = 0; i < TIMEOUT_S * 10; i++) {
+            try (ControlClient c = new ControlClient(controlAddresses.get(0), 10_000)) {
+                return c.request(new Message.StatusRequest(full), Message.StatusResponse.class);
             } catch (IOException e) {
                 Thread.sleep(100); // it is starting
             }
@@ -177,61 +181,62 @@
 
     private void publish(ControlClient c) throws IOException {
         version++;
-        published.put((long) version, System.nanoTime());
+        publishedNs.put((long) version, System.nanoTime());
         Message.Published p = c.request(
-                new Message.Publish(version - 1, "routes.toml", Routes.text(routes, version)), Message.Published.class);
+                new Message.Publish(version - 1, "routes.toml", RoutesDocument.text(routes, version)),
+                Message.Published.class);
         if (p.outcome() != Publisher.Outcome.ACCEPTED) {
             throw new IOException("a change was refused: " + p);
         }
     }
 
     /** Waits until all hollow ones, and the real ones as the primary knows, run the newest. */
-    private void everywhere() throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        long began = published.get((long) version);
-        boolean[] seen = new boolean[real];
-        int left = real;
+    private void awaitInForceEverywhere() throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        long began = publishedNs.get((long) version);
+        boolean[] reached = new boolean[realProxies];
+        int remaining = realProxies;
         while (System.nanoTime() < end) {
-            if (left > 0) {
-                Message.StatusResponse l = look(false); // those that are missing, by name: real ones first
+            if (remaining > 0) {
+                Message.StatusResponse status = status(false); // those that are missing, by name: real ones first
                 Set<String> missing = new HashSet<>();
-                l.states().forEach(r -> missing.add(r.name()));
-                for (int i = 0; i < real && l.followers() >= followers + real; i++) {
-                    if (!seen[i] && !missing.contains("a-real-" + i)) {
-                        seen[i] = true;
-                        left--;
+                status.states().forEach(r -> missing.add(r.name()));
+                for (int i = 0; i < realProxies && status.followers() >= followers + realProxies; i++) {
+                    if (!reached[i] && !missing.contains("a-real-" + i)) {
+                        reached[i] = true;
+                        remaining--;
                         realInForce.recordValue((System.nanoTime() - began) / 1000);
                     }
                 }
             }
-            if (left == 0 && hollow.stream().allMatch(h -> h.number >= version)) {
+            if (remaining == 0 && hollowFollowers.stream().allMatch(h -> h.versionInForce >= version)) {
                 return;
             }
-            Thread.sleep(left > 0 ? 25 : 5);
+            Thread.sleep(remaining > 0 ? 25 : 5);
         }
-        throw new IOException("version " + version + " is not everywhere after " + PATIENCE_S + " s: " + look(false));
+        throw new IOException("version " + version + " is not everywhere after " + TIMEOUT_S + " s: " + status(false));
     }
 
     // ---- what is measured ----
 
     /** Bytes of each follower, second by second, while something is done. */
-    private final class Meter {
-        private final List<long[]> seconds = new ArrayList<>();
+    private final class TrafficMeter {
+        private final List<long[]> samples = new ArrayList<>();
         /** When each was read: on a busy machine a second may be longer. */
-        private final List<Long> times = new ArrayList<>();
+        private final List<Long> sampleTimes = new ArrayList<>();
 
         private final List<Long> connections = new ArrayList<>();
         private final Thread thread = new Thread(this::run, "meter");
-        private volatile boolean over;
+        private volatile boolean stopped;
 
-        Meter() {
+        TrafficMeter() {
             thread.start();
         }
 
-        private long[] all() throws Exception {
-            long[] all = new long[hollow.size()];
+        private long[] followerBytes() throws Exception {
+            long[] all = new long[hollowFollowers.size()];
             for (int i = 0; i < all.length; i++) {
-                all[i] = hollow.get(i).bytes();
+                all[i] = hollowFollowers.get(i).bytes();
             }
             return all;
         }
@@ -239,15 +244,15 @@
         private void run() {
             try {
                 long next = System.nanoTime();
-                while (!over) {
-                    seconds.add(all());
-                    times.add(System.nanoTime());
+                while (!stopped) {
+                    samples.add(followerBytes());
+                    sampleTimes.add(System.nanoTime());
                     connections.add(
                             relays.stream().mapToLong(r -> r.connections.get()).sum());
                     next += TimeUnit.SECONDS.toNanos(1);
-                    long rest = next - System.nanoTime();
-                    if (rest > 0) {
-                        Thread.sleep(rest / 1_000_000);
+                    long waitNs = next - System.nanoTime();
+                    if (waitNs > 0) {
+                        Thread.sleep(waitNs / 1_000_000);
                     }
                 }
             } catch (Exception e) {
@@ -255,37 +260,37 @@
             }
         }
 
-        void end() throws InterruptedException {
-            over = true;
+        void stop() throws InterruptedException {
+            stopped = true;
             thread.join();
         }
 
         double mean() {
-            long[] a = seconds.get(0);
-            long[] b = seconds.get(seconds.size() - 1);
+            long[] a = samples.get(0);
+            long[] b = samples.get(samples.size() - 1);
             return (Arrays.stream(b).sum() - Arrays.stream(a).sum())
                     * 1e9
                     / a.length
-                    / (times.get(times.size() - 1) - times.get(0));
+                    / (sampleTimes.get(sampleTimes.size() - 1) - sampleTimes.get(0));
         }
 
-        double worst() {
+        double worstSecond() {
             double worst = 0;
-            for (int s = 1; s < seconds.size(); s++) {
-                double length = Math.max(1, (times.get(s) - times.get(s - 1)) / 1e9);
+            for (int s = 1; s < samples.size(); s++) {
+                double length = Math.max(1, (sampleTimes.get(s) - sampleTimes.get(s - 1)) / 1e9);
                 for (int i = 0; i < followers; i++) {
-                    worst = Math.max(worst, (seconds.get(s)[i] - seconds.get(s - 1)[i]) / length);
+                    worst = Math.max(worst, (samples.get(s)[i] - samples.get(s - 1)[i]) / length);
                 }
             }
             return worst;
         }
 
-        double mostConnections() {
-            long most = 0;
+        double worstSecondConnections() {
+            long worst = 0;
             for (int s = 1; s < connections.size(); s++) {
-                most = Math.max(most, connections.get(s) - connections.get(s - 1));
+                worst = Math.max(worst, connections.get(s) - connections.get(s - 1));
             }
-            return most;
+            return worst;
         }
     }
 
@@ -293,7 +298,7 @@
         String[] stat = Files.readString(Path.of("/proc/" + p.pid() + "/stat"))
                 .replaceFirst(".*\\) ", "")
                 .split(" ");
-        return (Double.parseDouble(stat[11]) + Double.parseDouble(stat[12])) / TICKS_A_SECOND;
+        return (Double.parseDouble(stat[11]) + Double.parseDouble(stat[12])) / TICKS_PER_SECOND;
     }
 
     private static double rssMb(Process p) throws IOException {
@@ -304,7 +309,7 @@
                 .orElse(Double.NaN);
     }
 
-    private double[] cpu(List<Process> all) throws IOException {
+    private double[] cpuSeconds(List<Process> all) throws IOException {
         double[] cpu = new double[all.size()];
         for (int i = 0; i < cpu.length; i++) {
             cpu[i] = cpuS(all.get(i));
@@ -312,7 +317,7 @@
         return cpu;
     }
 
-    private static double mean(double[] before, double[] after) {
+    private static double meanIncrease(double[] before, double[] after) {
         double sum = 0;
         for (int i = 0; i < before.length; i++) {
             sum += after[i] - before[i];
@@ -321,47 +326,47 @@
     }
 
     /** whole: bursts, absences and outages as well. */
-    private void play(boolean whole) throws Exception {
-        begin();
-        while (!look(false).inStep()) {
+    private void measure(boolean full) throws Exception {
+        startFleet();
+        while (!status(false).inStep()) {
             Thread.sleep(50);
         }
-        try (ControlClient c = new ControlClient(controls.get(0), 60_000)) {
-            say("begins");
+        try (ControlClient c = new ControlClient(controlAddresses.get(0), 60_000)) {
+            logProgress("begins");
             publish(c);
-            everywhere();
-            List<Process> proxies = processes.subList(3, 3 + real);
+            awaitInForceEverywhere();
+            List<Process> proxies = processes.subList(3, 3 + realProxies);
             Thread.sleep(3000);
             inForce.reset();
             realInForce.reset();
-            say("rest");
-            double[] cpu = cpu(proxies);
-            Meter m = new Meter();
-            TimeUnit.SECONDS.sleep(REST_S);
-            m.end();
+            logProgress("rest");
+            double[] cpu = cpuSeconds(proxies);
+            TrafficMeter m = new TrafficMeter();
+            TimeUnit.SECONDS.sleep(IDLE_S);
+            m.stop();
             results.put("rest.bytes.mean", m.mean());
-            results.put("rest.bytes.worst", m.worst());
-            results.put("rest.proxy.cpu_ms_per_s", 1000 * mean(cpu, cpu(proxies)) / REST_S);
-            say(changes + " changes in a row");
-            row(c, proxies);
-            sizes();
-            if (whole) {
-                say("a burst of " + changes);
-                burst(c);
-                say("away");
-                away(c);
+            results.put("rest.bytes.worst", m.worstSecond());
+            results.put("rest.proxy.cpu_ms_per_s", 1000 * meanIncrease(cpu, cpuSeconds(proxies)) / IDLE_S);
+            logProgress(changes + " changes in a row");
+            measureSequence(c, proxies);
+            measureSizes();
+            if (full) {
+                logProgress("a burst of " + changes);
+                measureBurst(c);
+                logProgress("away");
+                measureAbsence(c);
             }
         }
-        if (whole) {
-            say("outage");
-            outage();
+        if (full) {
+            logProgress("outage");
+            measureOutage();
         }
         for (String k : List.of("c0", "c1")) {
             results.put("rss." + k, rssMb(controlProcesses.get(k.charAt(1) - '0')));
         }
         results.put(
                 "proxy.rss",
-                processes.subList(3, 3 + real).stream()
+                processes.subList(3, 3 + realProxies).stream()
                         .mapToDouble(p -> {
                             try {
                                 return rssMb(p);
@@ -373,75 +378,76 @@
                         .orElse(Double.NaN));
     }
 
-    private void row(ControlClient c, List<Process> proxies) throws Exception {
-        double[] control = cpu(controlProcesses);
-        double[] proxy = cpu(proxies);
-        Meter m = new Meter();
+    private void measureSequence(ControlClient c, List<Process> proxies) throws Exception {
+        double[] control = cpuSeconds(controlProcesses);
+        double[] proxy = cpuSeconds(proxies);
+        TrafficMeter m = new TrafficMeter();
         int made = 0;
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ROW_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SEQUENCE_LIMIT_S);
         for (; made < changes && System.nanoTime() < end; made++) {
             publish(c);
-            everywhere();
+            awaitInForceEverywhere();
         }
         results.put("row.changes", (double) made);
-        m.end();
+        m.stop();
         results.put("row.bytes.mean", m.mean());
-        results.put("row.bytes.worst", m.worst());
-        double[] after = cpu(controlProcesses);
+        results.put("row.bytes.worst", m.worstSecond());
+        double[] after = cpuSeconds(controlProcesses);
         results.put("row.primary.cpu_ms", 1000 * (after[0] - control[0]) / made);
         results.put("row.control.cpu_ms", 1000 * (after[1] + after[2] - control[1] - control[2]) / 2 / made);
-        results.put("row.proxy.cpu_ms", 1000 * mean(proxy, cpu(proxies)) / made);
-        put("in_force", inForce);
-        put("real.in_force", realInForce);
+        results.put("row.proxy.cpu_ms", 1000 * meanIncrease(proxy, cpuSeconds(proxies)) / made);
+        putPercentiles("in_force", inForce);
+        putPercentiles("real.in_force", realInForce);
     }
 
-    private void put(String name, Histogram h) {
+    private void putPercentiles(String name, Histogram h) {
         results.put(name + ".p50", h.getValueAtPercentile(50) / 1e6);
         results.put(name + ".p99", h.getValueAtPercentile(99) / 1e6);
         results.put(name + ".p100", h.getMaxValue() / 1e6);
     }
 
-    private void burst(ControlClient c) throws Exception {
+    private void measureBurst(ControlClient c) throws Exception {
         realInForce.reset();
         long began = System.nanoTime();
-        Meter m = new Meter();
+        TrafficMeter m = new TrafficMeter();
         for (int i = 0; i < changes; i++) {
             publish(c);
         }
         results.put("burst.accepted", (System.nanoTime() - began) / 1e9);
-        everywhere();
-        results.put("burst.last_in_force", (System.nanoTime() - published.get((long) version)) / 1e9);
+        awaitInForceEverywhere();
+        results.put("burst.last_in_force", (System.nanoTime() - publishedNs.get((long) version)) / 1e9);
         TimeUnit.SECONDS.sleep(1);
-        m.end();
-        results.put("burst.bytes.worst", m.worst());
+        m.stop();
+        results.put("burst.bytes.worst", m.worstSecond());
     }
 
-    private void away(ControlClient c) throws Exception {
-        Hollow h = hollow.get(0);
-        h.end();
-        hollow.remove(h);
-        for (int i = 0; i < HOUR; i++) {
+    private void measureAbsence(ControlClient c) throws Exception {
+        HollowFollower h = hollowFollowers.get(0);
+        h.stop();
+        hollowFollowers.remove(h);
+        for (int i = 0; i < CHANGES_PER_HOUR; i++) {
             publish(c);
         }
-        everywhere();
-        long had = h.bytes();
-        long began = System.nanoTime();
+        awaitInForceEverywhere();
+        long bytesBefore = h.bytes();
+        long startedNs = System.nanoTime();
         h.start();
-        hollow.add(0, h);
-        while (h.number < version) {
+        hollowFollowers.add(0, h);
+        while (h.versionInForce < version) {
             Thread.sleep(5);
         }
-        results.put("away.in_force", (System.nanoTime() - began) / 1e9);
-        results.put("away.bytes", (double) (h.bytes() - had));
+        results.put("away.in_force", (System.nanoTime() - startedNs) / 1e9);
+        results.put("away.bytes", (double) (h.bytes() - bytesBefore));
     }
 
     /** What the program makes of the document and of an hour's changes to it; nothing is sent. */
-    private void sizes() throws Exception {
+    private void measureSizes() throws Exception {
         Document d = new Document(
-                new Version(1, 1, Checksum.of(Routes.text(routes, 0)), Checksum.NONE), Routes.text(routes, 0));
+                new Version(1, 1, Checksum.of(RoutesDocument.text(routes, 0)), Checksum.NONE),
+                RoutesDocument.text(routes, 0));
         List<Delta> hour = new ArrayList<>();
-        for (int i = 1; i <= HOUR; i++) {
-            String text = Routes.text(routes, i);
+        for (int i = 1; i <= CHANGES_PER_HOUR; i++) {
+            String text = RoutesDocument.text(routes, i);
             Document next = new Document(
                     new Version(1, i + 1, Checksum.of(text), d.version().id()), text);
             hour.add(Delta.between(d.text(), next));
@@ -450,55 +456,58 @@
         results.put("hour.bytes", (double) Frames.of(new Message.Update(d.version(), null, hour, "")).stream()
                 .mapToInt(f -> f.length)
                 .sum());
-        results.put("snapshot.bytes", (double)
-                Frames.of(new Message.Update(look(false).head(), null, List.of(), Routes.text(routes, version)))
+        results.put(
+                "snapshot.bytes", (double) Frames.of(new Message.Update(
+                                status(false).head(), null, List.of(), RoutesDocument.text(routes, version)))
                         .stream()
                         .mapToInt(f -> f.length)
                         .sum());
-        results.put("document.bytes", (double) Routes.text(routes, version).length());
+        results.put(
+                "document.bytes", (double) RoutesDocument.text(routes, version).length());
     }
 
-    private void outage() throws Exception {
+    private void measureOutage() throws Exception {
         for (Process p : controlProcesses) {
             p.destroyForcibly().waitFor();
         }
         TimeUnit.SECONDS.sleep(OUTAGE_S);
-        long before = hollow.stream().filter(h -> h.number < version).count();
-        results.put("outage.older", (double) before);
-        Meter m = new Meter();
+        long olderFollowers =
+                hollowFollowers.stream().filter(h -> h.versionInForce < version).count();
+        results.put("outage.older", (double) olderFollowers);
+        TrafficMeter m = new TrafficMeter();
         startControl();
         long began = System.nanoTime();
-        AtomicInteger back = new AtomicInteger();
-        AtomicIntegerArray seen = new AtomicIntegerArray(hollow.size());
-        while (back.get() < hollow.size() && System.nanoTime() - began < BACK_S * 2_000_000_000L) {
-            for (int i = 0; i < hollow.size(); i++) {
-                if (seen.get(i) == 0 && hollow.get(i).connected()) {
+        AtomicInteger reconnected = new AtomicInteger();
+        AtomicIntegerArray seen = new AtomicIntegerArray(hollowFollowers.size());
+        while (reconnected.get() < hollowFollowers.size() && System.nanoTime() - began < RECONNECT_S * 2_000_000_000L) {
+            for (int i = 0; i < hollowFollowers.size(); i++) {
+                if (seen.get(i) == 0 && hollowFollowers.get(i).connected()) {
                     seen.set(i, 1);
-                    back.incrementAndGet();
+                    reconnected.incrementAndGet();
                 }
             }
             Thread.sleep(20);
         }
         results.put("outage.back", (System.nanoTime() - began) / 1e9);
         TimeUnit.SECONDS.sleep(5);
-        m.end();
-        results.put("outage.connections.worst", m.mostConnections());
-        results.put("outage.bytes.worst", m.worst());
-        while (!look(false).inStep()) {
+        m.stop();
+        results.put("outage.connections.worst", m.worstSecondConnections());
+        results.put("outage.bytes.worst", m.worstSecond());
+        while (!status(false).inStep()) {
             Thread.sleep(50);
         }
-        try (ControlClient c = new ControlClient(controls.get(0), 60_000)) {
+        try (ControlClient c = new ControlClient(controlAddresses.get(0), 60_000)) {
             publish(c);
-            everywhere();
-            results.put("outage.next_in_force", (System.nanoTime() - published.get((long) version)) / 1e9);
+            awaitInForceEverywhere();
+            results.put("outage.next_in_force", (System.nanoTime() - publishedNs.get((long) version)) / 1e9);
         }
     }
 
-    private void say(String what) {
+    private void logProgress(String what) {
         System.err.println(followers + " followers: " + what);
     }
 
-    private void end() {
+    private void stop() {
         processes.forEach(Process::destroyForcibly);
         relays.forEach(Relay::close);
         hollowThreads.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -567,31 +576,32 @@
         }
     }
 
-    private static boolean run(VersionsRun run, Sweep into, int size, boolean whole) throws Exception {
-        Thread end = new Thread(() -> run.processes.forEach(Process::destroyForcibly));
-        Runtime.getRuntime().addShutdownHook(end);
+    private static boolean run(VersionsRun run, Sweep sweep, int size, boolean full) throws Exception {
+        Thread killHook = new Thread(() -> run.processes.forEach(Process::destroyForcibly));
+        Runtime.getRuntime().addShutdownHook(killHook);
         try {
-            run.play(whole);
+            run.measure(full);
         } catch (IOException e) {
             System.err.println("versions.sh: " + e.getMessage());
             return false;
         } finally {
-            run.end();
-            Runtime.getRuntime().removeShutdownHook(end);
-            run.results.forEach((k, v) -> into.points
+            run.stop();
+            Runtime.getRuntime().removeShutdownHook(killHook);
+            run.results.forEach((k, v) -> sweep.points
                     .computeIfAbsent(k, x -> new ArrayList<>())
                     .add(new LinkedHashMap<>(Map.of("size", size, "value", Math.round(v * 1000) / 1000.0))));
         }
         return true;
     }
 
-    private static void write(Sweep proxies, Sweep large, long seed, String commit, Path file) throws IOException {
-        List<Map<String, Object>> series = new ArrayList<>(proxies.series());
-        series.addAll(large.series());
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("script", "bench/scale/versions.sh");
-        all.put("date", LocalDate.now().toString());
-        all.put("commit", commit);
+    private static void write(Sweep proxiesSweep, Sweep routesSweep, long seed, String commit, Path file)
+            throws IOException {
+        List<Map<String, Object>> series = new ArrayList<>(proxiesSweep.series());
+        series.addAll(routesSweep.series());
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("script", "bench/scale/versions.sh");
+        root.put("date", LocalDate.now().toString());
+        root.put("commit", commit);
         Map<String, Object> machine = new LinkedHashMap<>();
         machine.put("cores", Runtime.getRuntime().availableProcessors());
         machine.put(
@@ -602,13 +612,13 @@
                         / (1 << 20)));
         machine.put("java", System.getProperty("java.version"));
         machine.put("kernel", System.getProperty("os.version"));
-        all.put("machine", machine);
-        all.put("seeds", List.of(seed));
-        all.put("series", series);
-        new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(file.toFile(), all);
+        root.put("machine", machine);
+        root.put("seeds", List.of(seed));
+        root.put("series", series);
+        new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(file.toFile(), root);
     }
 
-    private static List<Integer> numbers(String text) {
+    private static List<Integer> parseSizes(String text) {
         return text.isEmpty()
                 ? List.of()
                 : Arrays.stream(text.split(",")).map(Integer::parseInt).toList();
@@ -619,44 +629,53 @@
      * of the second sweep (separated by commas); proxies and changes of that; seed; folder; commit; file.
      */
     public static void main(String[] args) throws Exception {
-        int real = Integer.parseInt(args[1]);
+        int realProxies = Integer.parseInt(args[1]);
         int changes = Integer.parseInt(args[2]);
         int routes = Integer.parseInt(args[3]);
         long seed = Long.parseLong(args[7]);
         Path folder = Path.of(args[8]);
-        Map<String, Object> fixed = new LinkedHashMap<>(
-                Map.of("control", 3, "delay_ms", DELAY_MS, "loss", LOSS, "outage_s", OUTAGE_S, "real_proxies", real));
-        Sweep proxies =
-                new Sweep("proxies", "versions.", new LinkedHashMap<>(fixed), numbers(args[0]), new LinkedHashMap<>());
-        proxies.fixed.putAll(Map.of("changes", changes, "routes", routes));
-        int few = Integer.parseInt(args[5]);
-        Sweep large = new Sweep(
-                "routes", "versions.by_routes.", new LinkedHashMap<>(fixed), numbers(args[4]), new LinkedHashMap<>());
-        large.fixed.putAll(Map.of("changes", Integer.parseInt(args[6]), "proxies", few));
-        boolean well = true;
-        for (int size : proxies.sizes) {
-            well &= run(
+        Map<String, Object> fixed = new LinkedHashMap<>(Map.of(
+                "control", 3, "delay_ms", DELAY_MS, "loss", LOSS, "outage_s", OUTAGE_S, "real_proxies", realProxies));
+        Sweep proxiesSweep = new Sweep(
+                "proxies", "versions.", new LinkedHashMap<>(fixed), parseSizes(args[0]), new LinkedHashMap<>());
+        proxiesSweep.fixed.putAll(Map.of("changes", changes, "routes", routes));
+        int fewProxies = Integer.parseInt(args[5]);
+        Sweep routesSweep = new Sweep(
+                "routes",
+                "versions.by_routes.",
+                new LinkedHashMap<>(fixed),
+                parseSizes(args[4]),
+                new LinkedHashMap<>());
+        routesSweep.fixed.putAll(Map.of("changes", Integer.parseInt(args[6]), "proxies", fewProxies));
+        boolean succeeded = true;
+        for (int size : proxiesSweep.sizes) {
+            succeeded &= run(
                     new VersionsRun(
-                            size, real, changes, routes, seed, Files.createDirectories(folder.resolve("p" + size))),
-                    proxies,
+                            size,
+                            realProxies,
+                            changes,
+                            routes,
+                            seed,
+                            Files.createDirectories(folder.resolve("p" + size))),
+                    proxiesSweep,
                     size,
                     true);
-            write(proxies, large, seed, args[9], Path.of(args[10])); // whatever becomes of the rest
+            write(proxiesSweep, routesSweep, seed, args[9], Path.of(args[10])); // whatever becomes of the rest
         }
-        for (int size : large.sizes) {
-            well &= run(
+        for (int size : routesSweep.sizes) {
+            succeeded &= run(
                     new VersionsRun(
-                            few,
-                            real,
+                            fewProxies,
+                            realProxies,
                             Integer.parseInt(args[6]),
                             size,
                             seed,
                             Files.createDirectories(folder.resolve("r" + size))),
-                    large,
+                    routesSweep,
                     size,
                     false);
         }
-        write(proxies, large, seed, args[9], Path.of(args[10]));
-        System.exit(well ? 0 : 1);
+        write(proxiesSweep, routesSweep, seed, args[9], Path.of(args[10]));
+        System.exit(succeeded ? 0 : 1);
     }
 }
