--- a/bench/scale/run.sh
+++ b/bench/scale/run.sh
@@ -1,22 +1,22 @@
 #!/bin/sh
-# Scale runs: real proxies as deployed, with traffic, beside hollow ones (the daemon's own code over real loopback
-# sockets, many in one process, without clients), before a stand-in for discovery. Measured are processor time by the
-# system's accounts, messages and bytes by kind, memory, time until all know, latency added in an open loop, and faults.
-# How to read what it writes: docs/scale.md.
+# Scale runs: real proxies as deployed, with traffic, and hollow proxies (the daemon's own code over real loopback
+# sockets, many to a process, without clients), with a stand-in for discovery. They measure processor time as accounted by
+# the kernel, messages and bytes by kind, memory, the time until all proxies have a change, latency added in an open loop,
+# and faults. docs/scale.md explains how to read the results.
 #
 # usage: bench/scale/run.sh [small|full] [--port N] [--memory-mb N] [--out FILE]
-#   small         the usual: everything once at small sizes, under 40 s after the build; it shows that all works, its
-#                 figures are none. Writes target/scale-small.json
+#   small         the default: runs everything once at small sizes, under 40 s after the build, to check that all works;
+#                 its figures are not meaningful. Writes target/scale-small.json
 #   full          the sweeps, under 12 minutes. Writes bench/scale/results/scale-full.json
-#   --port N      where the stand-in for discovery listens first (any free port)
-#   --memory-mb N what all processes may hold together (6000; 600 to 12000)
-#   --out FILE    where the results go
+#   --port N      port of the first listener of the discovery stand-in (any free port)
+#   --memory-mb N limit on the memory of all processes together (6000; 600 to 12000)
+#   --out FILE    where to write the results
 #
-# Limits: 200 processes, the memory above, and time (small 2 minutes, full 14). Whatever ends a run, all processes that
-# it started end with it, by their ids; each is named with its id as it starts.
-# Exit codes: 0 done; 1 something else failed, said in one line, as are all but 0; 2 bad arguments; 3 too little memory;
-# 4 a port is taken; 5 a process that it started has died; 6 a count is not what it must be, or not all came to know a
-# change; 7 not done in time.
+# Limits: 200 processes, the memory above, and time (small 2 minutes, full 14). All processes that a run started end with
+# it, however it ends, and are killed by their ids; each is printed with its id as it starts.
+# Exit codes: 0 success; all others print a one-line error: 1 any other failure; 2 bad arguments; 3 too little memory;
+# 4 a port is taken; 5 a process that the run started has died; 6 a count is wrong, or not all proxies received a change;
+# 7 not finished in time.
 set -eu
 cd "$(dirname "$0")/../.."
 case "${1:-small}" in small | full | --*) ;; *)
--- a/src/test/java/gullspar/scale/BackendList.java
+++ b/src/test/java/gullspar/scale/BackendList.java
@@ -8,7 +8,7 @@
 import java.util.function.IntFunction;
 import java.util.stream.Collectors;
 
-/** The list of backends as discovery holds it, with the version at which each entry changed last. */
+/** The list of backends as discovery holds it, with the version of each entry's last change. */
 final class BackendList {
     static final int ZONES = 8;
 
@@ -19,7 +19,7 @@
     private long version = 1;
     private byte[] fullList;
 
-    /** So many, at those addresses by number. */
+    /** Creates a list of {@code count} backends in service; {@code addresses} gives the address by number. */
     BackendList(int count, IntFunction<String> addresses) {
         this.addresses = addresses;
         for (int i = 0; i < count; i++) {
@@ -41,13 +41,13 @@
         return text;
     }
 
-    /** An entry is there from now on, or gone; the line that says so. */
+    /** Marks a backend in service or terminated and returns the line that announces the change. */
     byte[] setPresent(int number, boolean present) {
         version++;
         return line(version, false, List.of(put(number, present ? "in_service" : "terminated", 1.0)));
     }
 
-    /** The weights of the first so many are told anew; the line that says so. */
+    /** Sets the weight of the first {@code count} backends and returns the line that announces it. */
     byte[] setWeights(int count, double weight) {
         version++;
         return line(
@@ -58,6 +58,7 @@
                         .toList());
     }
 
+    /** Returns the line with all backends in service; it resets the list of the receiver. */
     byte[] fullList() {
         if (fullList == null) {
             fullList = line(
@@ -71,7 +72,7 @@
         return fullList;
     }
 
-    /** What changed after that version. */
+    /** Returns the line with all entries that changed after the given version. */
     byte[] changesSince(long afterVersion) {
         return line(
                 version,
--- a/src/test/java/gullspar/scale/BackendStandIn.java
+++ b/src/test/java/gullspar/scale/BackendStandIn.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What stands for all backends: they share so many listeners, and each answers at once. */
+/** Stands in for all backends: they share {@link #LISTENERS} listeners, and every request is answered at once. */
 final class BackendStandIn implements AutoCloseable {
     private static final int LISTENERS = 64;
     private static final byte[] BODY = "ok".getBytes(StandardCharsets.US_ASCII);
@@ -56,12 +56,12 @@
         }
     }
 
-    /** Of the backend of that number. */
+    /** Returns the address of a backend by its number. */
     String address(int number) {
         return addresses.get(number % LISTENERS);
     }
 
-    /** So many have been made to it. */
+    /** Returns the number of connections accepted so far. */
     long connections() {
         return connections.get();
     }
--- a/src/test/java/gullspar/scale/BackgroundTask.java
+++ b/src/test/java/gullspar/scale/BackgroundTask.java
@@ -4,9 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 
-/** Work that goes on beside other work; what goes wrong with it is thrown where it is awaited. */
+/** Runs trials on a daemon thread; their exception is rethrown by {@link #await()}. */
 final class BackgroundTask {
-    /** Some trials. */
     interface ThrowingRunnable {
         void run() throws ScaleException, IOException;
     }
@@ -23,7 +22,7 @@
                         done.completeExceptionally(e);
                     }
                 },
-                "beside");
+                "background trials");
         t.setDaemon(true);
         t.start();
     }
--- a/src/test/java/gullspar/scale/ChildProcess.java
+++ b/src/test/java/gullspar/scale/ChildProcess.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.LinkedBlockingDeque;
 import java.util.concurrent.TimeUnit;
 
-/** A process that this run has started, and ends by its id. */
+/** A process that this run has started. It is killed by its own id, never by name. */
 final class ChildProcess {
     private static final int MAX_BUFFERED_LINES = 20;
 
@@ -26,7 +26,7 @@
         this.name = name;
         this.process = process;
         this.in = process.outputWriter(StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::readOutput, "words of " + name);
+        Thread reader = new Thread(this::readOutput, "output of " + name);
         reader.setDaemon(true);
         reader.start();
     }
@@ -39,11 +39,14 @@
         try {
             return new ChildProcess(name, b.start());
         } catch (IOException e) {
-            throw new ScaleException(ScaleException.CHILD, name + " cannot be started: " + e.getMessage());
+            throw new ScaleException(ScaleException.CHILD, name + " failed to start: " + e.getMessage());
         }
     }
 
-    /** This runtime with the flags that deploy/serve.sh sets, and a heap of its own, young in proportion. */
+    /**
+     * Returns the command for this Java runtime with the flags of deploy/serve.sh; 2/5 of the heap is young
+     * generation.
+     */
     static List<String> javaCommand(int heapMb, String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -85,7 +88,7 @@
         return process.isAlive();
     }
 
-    /** Has it ended, though nobody told it to? */
+    /** Returns whether the process has ended without {@link #kill()}. */
     boolean diedUnexpectedly() {
         return !stopping && !process.isAlive();
     }
@@ -95,10 +98,10 @@
                 ScaleException.CHILD,
                 name + ", pid " + process.pid()
                         + ", has died, exit code " + (process.isAlive() ? "none yet" : process.exitValue()) + ": "
-                        + (recentLines.isEmpty() ? "it said nothing" : recentLines.peekLast()));
+                        + (recentLines.isEmpty() ? "no output" : recentLines.peekLast()));
     }
 
-    /** Waits for a line of it that holds the text. */
+    /** Waits for an output line that contains the text. */
     void awaitLine(String text, int seconds) throws ScaleException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (System.nanoTime() < end) {
@@ -112,7 +115,7 @@
         }
         throw new ScaleException(
                 ScaleException.TIME,
-                name + ", pid " + process.pid() + ", has not said '" + text + "' within " + seconds + " s");
+                name + ", pid " + process.pid() + ", did not print '" + text + "' within " + seconds + " s");
     }
 
     private String poll() throws ScaleException {
@@ -133,7 +136,7 @@
         }
     }
 
-    /** The one line that it answers. */
+    /** Waits for the answer line to the last command and returns it without its prefix. */
     String awaitAnswer(int seconds) throws ScaleException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (System.nanoTime() < end) {
@@ -146,20 +149,21 @@
             }
         }
         throw new ScaleException(
-                ScaleException.TIME, name + ", pid " + process.pid() + ", has not answered within " + seconds + " s");
+                ScaleException.TIME, name + ", pid " + process.pid() + ", did not answer within " + seconds + " s");
     }
 
+    /** Sends a command and waits for its answer. */
     String ask(String command) throws ScaleException {
         send(command);
         return awaitAnswer(150);
     }
 
-    /** SIGHUP. */
+    /** Sends SIGHUP. */
     void sendHangup() throws ScaleException {
         try {
             new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start().waitFor();
         } catch (IOException | InterruptedException e) {
-            throw new ScaleException(ScaleException.CHILD, "no signal for " + name + ": " + e.getMessage());
+            throw new ScaleException(ScaleException.CHILD, "cannot signal " + name + ": " + e.getMessage());
         }
     }
 
@@ -168,7 +172,6 @@
         process.toHandle().destroyForcibly();
     }
 
-    /** Waits until it is gone. */
     void awaitExit() {
         process.onExit().join();
     }
--- a/src/test/java/gullspar/scale/ChildProcesses.java
+++ b/src/test/java/gullspar/scale/ChildProcesses.java
@@ -9,17 +9,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Stream;
 
-/** All processes of a run, within its limits, and the folder of their files. Closing it ends them by id. */
+/**
+ * All processes of a run, kept within its limits, and the folder of their files. Closing it kills them by id and
+ * deletes the folder.
+ */
 final class ChildProcesses implements AutoCloseable {
     private static final int MAX_PROCESSES = 200;
 
     private final List<ChildProcess> children = new CopyOnWriteArrayList<>();
     private final long maxBytes;
     private final Path folder;
-    private final Thread killHook = new Thread(this::killAll, "end of the children");
+    private final Thread killHook = new Thread(this::killAll, "kill children");
     private long peakBytes;
 
-    /** mostBytes: resident memory of all of them together. */
+    /** maxBytes: limit on the resident memory of all processes together. */
     ChildProcesses(long maxBytes) throws IOException {
         this.maxBytes = maxBytes;
         this.folder = Files.createTempDirectory("gullspar-scale");
@@ -30,19 +33,22 @@
         return folder;
     }
 
-    /** Starts one, if there is room for it and for the memory that it may come to need. */
+    /**
+     * Starts a process if the limits on processes and memory allow it; expectedMb is the most it may come to need.
+     */
     ChildProcess start(String name, int expectedMb, List<String> command, Map<String, String> environment)
             throws ScaleException, IOException {
         checkHealth();
         if (children.stream().filter(ChildProcess::alive).count() >= MAX_PROCESSES) {
-            throw new ScaleException(ScaleException.MEMORY, name + " would be one process too many: " + MAX_PROCESSES);
+            throw new ScaleException(
+                    ScaleException.MEMORY, name + " not started, process limit reached: " + MAX_PROCESSES);
         }
         long free = Math.min(maxBytes - residentBytes(), ProcessUsage.availableBytes());
         if (free < (long) expectedMb << 20) {
             throw new ScaleException(
                     ScaleException.MEMORY,
                     "too little memory for " + name + ": it may need " + expectedMb + " MB, " + (free >> 20)
-                            + " MB are left");
+                            + " MB are available");
         }
         ChildProcess c = ChildProcess.start(name, command, environment);
         children.add(c);
@@ -59,7 +65,7 @@
         return sum;
     }
 
-    /** All of them that are meant to live do, within the memory; else says which does not. */
+    /** Fails if a process has died unexpectedly or if all together exceed the memory limit. */
     void checkHealth() throws ScaleException {
         for (ChildProcess c : children) {
             if (c.diedUnexpectedly()) {
@@ -69,10 +75,10 @@
         try {
             if (residentBytes() > maxBytes) {
                 throw new ScaleException(
-                        ScaleException.MEMORY, "the processes hold more than " + (maxBytes >> 20) + " MB");
+                        ScaleException.MEMORY, "the processes use more than " + (maxBytes >> 20) + " MB");
             }
         } catch (IOException e) {
-            return; // one has just ended: the next look tells
+            return; // a process has just ended: the next check reports it
         }
     }
 
@@ -84,7 +90,7 @@
         children.forEach(ChildProcess::kill);
     }
 
-    /** Ends those. */
+    /** Kills the processes and waits until they have ended. */
     void stop(List<ChildProcess> toStop) {
         toStop.forEach(ChildProcess::kill);
         toStop.forEach(ChildProcess::awaitExit);
@@ -97,7 +103,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(killHook);
         } catch (IllegalStateException e) {
-            killAll(); // this process is ending: the hook does the same
+            killAll(); // this process is shutting down: the hook does the same
         }
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/test/java/gullspar/scale/ControlPlaneMeter.java
+++ b/src/test/java/gullspar/scale/ControlPlaneMeter.java
@@ -5,14 +5,17 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Measures the control part of a trial's proxies: at rest, by change, by whole list. */
+/**
+ * Measures what the control part of a fleet's proxies costs: idle, for each change, for each full list and for
+ * weights.
+ */
 final class ControlPlaneMeter {
     private static final int TIMEOUT_S = 120;
 
-    /** What a number of equal events cost, each and at each proxy. */
+    /** Cost of one event at one proxy, averaged, and the propagation delays of all events in microseconds. */
     record EventCost(double hollowMs, double realMs, double bytes, Histogram propagation) {}
 
-    /** What a second at rest costs a proxy. */
+    /** Cost of one idle second at one proxy. */
     record IdleCost(double hollowMs, double realMs, double bytes, double messages) {}
 
     private interface Trigger {
@@ -26,7 +29,7 @@
         this.fleet = fleet;
     }
 
-    /** Nothing happens for so long; what comes later is reckoned without it. */
+    /** Measures the idle cost over the given time. Later measurements subtract its processor time. */
     IdleCost measureIdle(double seconds) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
         Map<Long, ProcessUsage.CpuTime> hollow = fleet.hollowCpuTimes();
@@ -46,19 +49,20 @@
         return idle;
     }
 
-    /** So many backends come and go, one at a time. */
+    /** Adds and removes backends, one change at a time. */
     EventCost measureChanges(int count, double perSecond) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
         EventCost c = measure(
                 count, perSecond, i -> fleet.discovery.pushChange(fleet.shape.backends() + i / 2 % 2, i % 2 == 0));
         Map<String, TrafficCounter.Total> traffic = TrafficCounter.difference(before, fleet.discovery.trafficByKind());
         long received = traffic.getOrDefault("change", TrafficCounter.ZERO).messages();
-        // A watch that was opened meanwhile was told of some in another way, or beside the one before it.
+        // A watch opened meanwhile received some changes with its first list, or beside the watch that it replaces:
+        // the count is exact only if none was opened.
         if (traffic.getOrDefault("call", TrafficCounter.ZERO).messages() == 0
                 && received != (long) count * proxyCount()) {
             throw new ScaleException(
                     ScaleException.COUNT,
-                    received + " messages told " + count + " changes to " + proxyCount() + " proxies");
+                    received + " change messages sent for " + count + " changes to " + proxyCount() + " proxies");
         }
         return c;
     }
@@ -67,17 +71,17 @@
         return fleet.shape.proxies() + fleet.shape.real();
     }
 
-    /** All weights are told anew, so many times. */
+    /** Pushes the weights of all backends {@code count} times. */
     EventCost measureWeights(int count) throws ScaleException, IOException {
         return measure(count, 0, i -> fleet.discovery.pushWeights(fleet.shape.backends(), 1 + i % 2 * 0.5));
     }
 
-    /** So many changes in one go; what they cost and tell, each. */
+    /** Pushes {@code count} changes without a pause between them; the cost is that of one change. */
     EventCost measureBurst(int count) throws ScaleException, IOException {
         return measureChanges(count, 1e9);
     }
 
-    /** All watches end, and all get the whole list, so many times. */
+    /** Ends all watches {@code count} times; every proxy fetches the full list each time. */
     EventCost measureFullLists(int count) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
         EventCost c = measure(count, 0, i -> fleet.discovery.resetWatches());
@@ -88,13 +92,13 @@
         if (fullLists != calls || calls < (long) count * proxyCount()) {
             throw new ScaleException(
                     ScaleException.COUNT,
-                    fullLists + " whole lists for " + calls + " calls of " + proxyCount() + " proxies, asked " + count
-                            + " times each");
+                    fullLists + " full lists for " + calls + " watch requests of " + proxyCount() + " proxies, reset "
+                            + count + " times");
         }
         return c;
     }
 
-    /** perSecond 0: each waits until all know the one before. */
+    /** perSecond 0: each event starts once all proxies have received the one before. */
     private EventCost measure(int count, double perSecond, Trigger trigger) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
         Map<Long, ProcessUsage.CpuTime> hollow = fleet.hollowCpuTimes();
@@ -114,7 +118,7 @@
         if (perSecond > 0) {
             fleet.awaitPropagation(pushed[count - 1], TIMEOUT_S);
         }
-        Sleep.ms(200); // the real ones' last
+        Sleep.ms(200); // lets the real proxies, whose receipt is not observed, finish the last event
         double elapsedS = (System.nanoTime() - at) / 1e9;
         double hollowMs = ProcessUsage.cpuMsSince(hollow) / fleet.shape.proxies() - elapsedS * idle.hollowMs();
         double realMs = ProcessUsage.cpuMsSince(real) / Math.max(1, fleet.shape.real()) - elapsedS * idle.realMs();
@@ -126,7 +130,7 @@
                 hollowMs / count, realMs / count, (double) sum.bytes() / count / proxyCount(), propagation);
     }
 
-    /** The real ones have come back too. */
+    /** Waits until all proxies, the real ones included, watch discovery. */
     private void awaitAllWatching() throws ScaleException {
         long end = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
         while (fleet.discovery.watchCount() < proxyCount()) {
@@ -140,7 +144,6 @@
         }
     }
 
-    /** All kinds together. */
     private static TrafficCounter.Total total(Map<String, TrafficCounter.Total> kinds) {
         return kinds.values().stream().reduce(TrafficCounter.ZERO, (a, b) -> a.plus(b.messages(), b.bytes()));
     }
--- a/src/test/java/gullspar/scale/ControlPlaneSweeps.java
+++ b/src/test/java/gullspar/scale/ControlPlaneSweeps.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** The control part of hollow proxies along one axis, the others held small. */
+/** Sweeps that measure the control part of hollow proxies along one axis, with the other sizes small and fixed. */
 final class ControlPlaneSweeps {
     private static final int PER_PROCESS = 40, HEAP_MB = 300, LARGE_HEAP_MB = 800;
     private static final double REQUESTS_PER_SECOND = 25, WARM_UP_S = 5, LOAD_S = 15;
@@ -21,7 +21,7 @@
         this.results = results;
     }
 
-    /** proxies: hollow ones; real: those beside them. */
+    /** Sweeps the number of backends, with the given numbers of hollow and real proxies. */
     void backends(int[] sizes, int proxies, int real) throws ScaleException, IOException {
         for (int size : sizes) {
             measure(
@@ -30,6 +30,7 @@
         }
     }
 
+    /** Sweeps the number of hollow proxies. */
     void proxies(int[] sizes, int backends, int real) throws ScaleException, IOException {
         for (int size : sizes) {
             measure(
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Real ones with traffic, and nothing else. */
+    /** Measures real proxies alone, with traffic. */
     void traffic(int backends, int real) throws ScaleException, IOException {
         Series s = new Series("backends", backends, Map.of("real_proxies", real));
         System.out.println(s.axis + " " + backends + " " + s.fixed);
@@ -56,7 +57,7 @@
         return backends > 2000 ? LARGE_HEAP_MB : HEAP_MB;
     }
 
-    /** Changes in one go, at one trial of that shape. */
+    /** Sweeps the number of changes in a burst, on one fleet. */
     void changes(int[] sizes, Shape shape) throws ScaleException, IOException {
         System.out.println("changes in one go: " + shape);
         try (TestFleet fleet = new TestFleet(children, shape, options.port())) {
@@ -73,7 +74,10 @@
         }
     }
 
-    /** One size: whole lists, which also warm all up, then rest, changes, weights, memory, traffic. */
+    /**
+     * Measures one size: warms up with full lists, weights and changes, then measures idle cost, events and
+     * memory.
+     */
     private void measure(Series s, Shape shape) throws ScaleException, IOException {
         boolean full = options.full();
         System.out.println(s.axis + " " + s.size + " " + s.fixed);
@@ -87,7 +91,7 @@
             meter.measureFullLists(full ? 3 : 1);
             meter.measureWeights(full ? 3 : 1);
             meter.measureChanges(full ? 40 : 2, 20);
-            ControlPlaneMeter.IdleCost idleCost = meter.measureIdle(full ? 6 : 1); // whole periods of the beats
+            ControlPlaneMeter.IdleCost idleCost = meter.measureIdle(full ? 6 : 1); // whole periods of the heartbeats
             s.addIdle(idleCost);
             s.addFullList(meter.measureFullLists(full ? 3 : 1));
             s.addChange(meter.measureChanges(full ? 60 : 6, 20));
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Where the values of one trial go. */
+    /** Adds the values of one fleet size to the results. */
     private final class Series {
         private final String axis;
         private final long size;
@@ -112,7 +116,7 @@
             this.fixed = fixed;
         }
 
-        /** Sweeps before a long list have names of their own. */
+        /** Sweeps with a long list of backends get series names of their own. */
         private String suffix() {
             return fixed.get("backends") instanceof Integer b && b > 2000 ? ".before" + b : "";
         }
@@ -136,7 +140,7 @@
                     "messages from discovery to a proxy at rest");
         }
 
-        /** The real ones beside them, before they have traffic. */
+        /** Adds the figures of the real proxies before they get traffic. */
         void addRealProxies(TestFleet fleet, ControlPlaneMeter.IdleCost idleCost) throws IOException {
             double heap = 0;
             double resident = 0;
--- a/src/test/java/gullspar/scale/DiscoveryStandIn.java
+++ b/src/test/java/gullspar/scale/DiscoveryStandIn.java
@@ -25,8 +25,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery for all proxies of a run: lists are pushed, one listener for each zone. All that it writes and
- * reads is counted by kind, as the bytes of HTTP. On one loop of its own.
+ * Stands in for discovery of all proxies of a fleet: it pushes lists over HTTP watches, with one listener for each
+ * zone. Everything that it writes and reads is counted by kind, in bytes of HTTP. It runs on an event loop of its
+ * own.
  */
 final class DiscoveryStandIn implements AutoCloseable {
     private static final long HEARTBEAT_MS = 2000;
@@ -40,7 +41,7 @@
     private final Set<Watch> watches = new LinkedHashSet<>();
     private boolean fullListsOnly;
 
-    /** port: of the first zone's listener, 0 for any. */
+    /** port: where the first zone's listener binds, 0 for any free port. */
     DiscoveryStandIn(BackendList list, int port) throws ScaleException {
         this.list = list;
         for (int z = 0; z < addresses.length; z++) {
@@ -85,15 +86,15 @@
         }
     }
 
-    /** A change, and what it is known by. */
+    /** The version of a pushed change and the monotonic time of the push. */
     record PushedVersion(long version, long pushedAtNs) {}
 
-    /** A backend comes or goes. */
+    /** Adds or removes a backend and pushes the change to all watches. */
     PushedVersion pushChange(int number, boolean present) {
         return onLoop(() -> push(list.setPresent(number, present), "change"));
     }
 
-    /** The weights of so many are told anew. */
+    /** Sets the weights of the first {@code count} backends and pushes them to all watches. */
     PushedVersion pushWeights(int count, double weight) {
         return onLoop(() -> push(list.setWeights(count, weight), "weights"));
     }
@@ -122,7 +123,9 @@
         return onLoop(() -> traffic.peakBytesPerSecond(fromNs));
     }
 
-    /** A zone hears nothing and is not heard, until it is back; connections stay open. */
+    /**
+     * Cuts a zone off, or reconnects it: nothing is written to its watches meanwhile, but connections stay open.
+     */
     void setCutOff(int zone, boolean on) {
         onLoop(() -> {
             cutOff[zone] = on;
@@ -133,7 +136,7 @@
         });
     }
 
-    /** It is gone: connections end, new ones are refused; or back, at the same addresses. */
+    /** Stops discovery, so that connections end and new ones are refused, or restarts it at the same addresses. */
     void setDown(boolean on) throws ScaleException {
         if (on) {
             onLoop(() -> {
@@ -145,12 +148,12 @@
         }
         for (int z = 0; z < addresses.length; z++) {
             if (!bind(z, addresses[z]).awaitUninterruptibly().isSuccess()) {
-                throw new ScaleException(ScaleException.PORT, "discovery cannot come back at " + addresses[z]);
+                throw new ScaleException(ScaleException.PORT, "discovery cannot bind again to " + addresses[z]);
             }
         }
     }
 
-    /** All watches end, and whoever comes back gets the whole list. */
+    /** Ends all watches and answers new ones with the full list, until {@link #allowDeltas()}. */
     PushedVersion resetWatches() {
         return onLoop(() -> {
             fullListsOnly = true;
@@ -161,7 +164,7 @@
         });
     }
 
-    /** From now on whoever comes back gets only what changed. */
+    /** Answers new watches with the changes since their version again. */
     void allowDeltas() {
         onLoop(() -> fullListsOnly = false);
     }
@@ -178,7 +181,7 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** One connection to it. */
+    /** One connection of a proxy, which carries one watch. */
     private final class Watch extends ChannelInboundHandlerAdapter {
         private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         private final StringBuilder request = new StringBuilder();
@@ -209,7 +212,7 @@
             }
         }
 
-        /** What it has not been told, if it can be reached; the whole list if that is not known. */
+        /** Sends what the watch lacks: the changes since its version, or the full list if it names none. */
         void sendPending() {
             if (cutOff[zone]) {
                 return;
@@ -222,7 +225,8 @@
             if (sentVersion < 0 || fullListsOnly) {
                 write(chunk(list.fullList()), "whole");
             } else if (sentVersion < list.version() || !listSent) {
-                write(chunk(list.changesSince(sentVersion)), "missed"); // the first line comes even if it holds nothing
+                // the first line is sent even if it holds no entry
+                write(chunk(list.changesSince(sentVersion)), "missed");
             }
             listSent = true;
             sentVersion = list.version();
@@ -240,7 +244,7 @@
                     () -> {
                         if (watches.contains(this)) {
                             if (!cutOff[zone]) {
-                                write(Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII), "beat");
+                                write(Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII), "heartbeat");
                             }
                             scheduleHeartbeat();
                         }
--- a/src/test/java/gullspar/scale/FaultTrials.java
+++ b/src/test/java/gullspar/scale/FaultTrials.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What faults bring: a tenth killed and back, a zone cut off and back, discovery gone and back. */
+/**
+ * Measures faults and the recovery from them: a tenth of the proxies killed and restarted, a zone cut off from
+ * discovery and reconnected, discovery stopped and restarted.
+ */
 final class FaultTrials {
     private static final int TIMEOUT_S = 60;
 
@@ -22,7 +25,9 @@
         this.results = results;
     }
 
-    /** Ten processes of hollow ones, and some real ones; each fault lasts so long. */
+    /**
+     * Runs all faults on one fleet; each lasts {@code durationS}. The tenth is one of its ten hollow processes.
+     */
     void run(Shape fleetShape, double durationS) throws ScaleException, IOException {
         shape = fleetShape;
         System.out.println("faults: " + fleetShape);
--- a/src/test/java/gullspar/scale/HollowComparison.java
+++ b/src/test/java/gullspar/scale/HollowComparison.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** The same control figures of real and of hollow proxies, side by side before one discovery. */
+/**
+ * Measures the same control figures of real and hollow proxies at one discovery. The comparison shows how far
+ * figures of hollow proxies hold for real ones.
+ */
 final class HollowComparison {
     private static final String COMPILATION_DIFFERENCE =
             "a real one compiles for itself, and finds its caches cold, where "
@@ -18,7 +21,7 @@
         this.results = results;
     }
 
-    /** An empty process of hollow ones beside them says what a runtime costs with nothing to do. */
+    /** An empty hollow process beside them shows what an idle Java runtime costs. */
     void run(int proxiesOfEachKind, int backends, boolean quick) throws ScaleException, IOException {
         Shape shape = new Shape(proxiesOfEachKind, 1, proxiesOfEachKind, backends, 0, 256);
         System.out.println("real beside hollow: " + shape);
--- a/src/test/java/gullspar/scale/HollowMembers.java
+++ b/src/test/java/gullspar/scale/HollowMembers.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Members of the view of the fleet, over UDP, with nothing to serve. Each is on a loop of its own. */
+/** Members of the fleet view over UDP that serve no requests. Each has an event loop of its own. */
 final class HollowMembers implements HollowProcess.CommandHandler {
     private static final byte[] KEY = new byte[Envelope.MIN_KEY_BYTES];
 
@@ -52,7 +52,7 @@
         };
     }
 
-    /** Where the member of that number is, in a fleet whose number keeps it from others. */
+    /** Returns the address of a member; the fleet's number keeps fleets apart. */
     private static InetSocketAddress address(int fleet, int number) {
         return new InetSocketAddress(
                 "127." + (100 + fleet % 100) + "." + fleet / 100 % 250 + "." + (1 + number / 200),
@@ -90,7 +90,7 @@
         return Integer.toString(members.size());
     }
 
-    /** How many each of them sees. */
+    /** Returns how many members each one sees, separated by spaces. */
     private String visibleMembers() throws IOException {
         StringBuilder all = new StringBuilder();
         for (Member m : members) {
@@ -132,7 +132,7 @@
         return c;
     }
 
-    /** Counts what goes to the socket and what comes from it. */
+    /** Counts datagrams and bytes to and from the socket. */
     private final class DatagramCounter extends ChannelDuplexHandler {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise done) {
--- a/src/test/java/gullspar/scale/HollowProcess.java
+++ b/src/test/java/gullspar/scale/HollowProcess.java
@@ -10,8 +10,9 @@
 import java.util.Arrays;
 
 /**
- * A process with many hollow proxies, or many members of the view of the fleet, told what to do by lines on
- * its standard input; it answers each with one line, and ends when the input does.
+ * A process with many hollow proxies or many hollow members of the fleet view. It reads commands line by line from
+ * standard input, answers each with one line and exits at the end of the input. "Hollow" means the daemon's own
+ * code without clients, many instances to a process.
  */
 public final class HollowProcess {
     private static final int HEAP_SAMPLES = 4, HEAP_SAMPLE_INTERVAL_MS = 30;
@@ -19,36 +20,36 @@
 
     private HollowProcess() {}
 
-    /** What is hollow here. */
+    /** Handles the commands for the hollow instances of this process. */
     interface CommandHandler {
-        /** Answers a command; null if it knows none such. */
+        /** Returns the answer to a command, null if the command is unknown. */
         String handle(String[] words) throws IOException, ConfigException;
     }
 
-    /** args: "proxies" and the file of their configuration, or "members". */
+    /** args: "proxies" and the path of their configuration file, or "members". */
     public static void main(String[] args) throws IOException, ConfigException, InterruptedException {
         System.setProperty("io.netty.jfr.enabled", "false");
         CommandHandler handler = args[0].equals("proxies") ? new HollowProxies(Path.of(args[1])) : new HollowMembers();
-        reply("here");
+        reply("ready");
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String[] command = line.split(" ");
             String answer = command[0].equals("heap") ? Long.toString(heapBytes()) : handler.handle(command);
-            reply(answer != null ? answer : "unknown: " + Arrays.toString(command));
+            reply(answer != null ? answer : "unknown command: " + Arrays.toString(command));
         }
         Runtime.getRuntime().halt(0);
     }
 
-    /** An answer stands out from whatever else the process writes. */
+    /** The prefix tells an answer from other output of the process. */
     private static void reply(String answer) {
         System.out.println(ANSWER_PREFIX + answer);
     }
 
-    /** What is in use after a collection, in bytes. */
+    /** Returns the heap in use after a collection, in bytes: the smallest of several samples. */
     private static long heapBytes() throws InterruptedException {
         long smallest = Long.MAX_VALUE;
         for (int i = 0; i < HEAP_SAMPLES; i++) {
-            System.gc(); // may be passed over, and what dies meanwhile is there still
+            System.gc(); // may be ignored, and garbage of the meantime stays: hence several samples
             smallest = Math.min(
                     smallest,
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
--- a/src/test/java/gullspar/scale/HollowProxies.java
+++ b/src/test/java/gullspar/scale/HollowProxies.java
@@ -25,8 +25,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Hollow proxies: the daemon's own {@link Proxy}, each on a loop and thread of its own as in service, with a
- * listener that nobody connects to.
+ * Hollow proxies: instances of the daemon's own {@link Proxy}, each with an event loop and thread of its own as in
+ * service, and with a listener that gets no connections.
  */
 final class HollowProxies implements HollowProcess.CommandHandler {
     private final ObjectNode template;
@@ -54,7 +54,9 @@
         };
     }
 
-    /** So many from that number on; discovery by zone. */
+    /**
+     * Starts {@code count} proxies from number {@code first} on; {@code discovery} holds the address of each zone.
+     */
     private String start(int first, int count, List<String> discovery) throws IOException, ConfigException {
         for (int i = first; i < first + count; i++) {
             NodeConfig.setNumber(template, i);
@@ -94,12 +96,12 @@
         };
     }
 
-    /** When each knew that version, -1 for not yet. */
+    /** Returns when each proxy received the version, -1 if it has not, separated by spaces. */
     private String receivedAt(long version) {
         return modules.stream().map(m -> Long.toString(m.receivedAtNs(version))).collect(Collectors.joining(" "));
     }
 
-    /** Kept reachable: what they hold is measured. */
+    /** Keeps the configuration reachable, since the heap that the proxies hold is measured. */
     JsonNode template() {
         return template;
     }
--- a/src/test/java/gullspar/scale/LatencyTrial.java
+++ b/src/test/java/gullspar/scale/LatencyTrial.java
@@ -11,7 +11,10 @@
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** What real proxies add to a request, against direct calls in the same seconds, and what one costs them. */
+/**
+ * Measures the latency that real proxies add to a request, against direct requests to the backends at the same
+ * time, and the processor time of a request.
+ */
 final class LatencyTrial {
     private final Results results;
     private final Map<String, Object> fixed;
@@ -23,7 +26,7 @@
         this(results, "", axis, size, fixed);
     }
 
-    /** prefix: what all names of its series begin with. */
+    /** prefix: prepended to all series ids. */
     LatencyTrial(Results results, String prefix, String axis, long size, Map<String, Object> fixed) {
         this.prefix = prefix;
         this.results = results;
@@ -32,7 +35,7 @@
         this.fixed = fixed;
     }
 
-    /** perSecond: requests to all proxies together, and as many direct ones. */
+    /** perSecond: rate of requests to all proxies together; as many are sent directly. */
     void run(TestFleet fleet, double idleMs, double perSecond, double warmUpS, double seconds)
             throws ScaleException, IOException {
         run(
@@ -47,10 +50,10 @@
                 seconds);
     }
 
-    /** One real proxy, and where clients find it. */
+    /** A real proxy and the address where it listens for clients. */
     record Endpoint(ChildProcess child, InetSocketAddress listen) {}
 
-    /** urls: host and path, asked for in turn. */
+    /** urls: host and path of the requests, used in turn. */
     void run(
             List<Endpoint> endpoints,
             BackendStandIn backends,
@@ -68,7 +71,7 @@
         try (OpenLoopClients load = new OpenLoopClients(urls)) {
             OpenLoopClients.Target proxied = load.new Target(proxies);
             OpenLoopClients.Target direct = load.new Target(directAddresses);
-            load.run(List.of(direct), perSecond, 1, 0); // the stand-ins warm up
+            load.run(List.of(direct), perSecond, 1, 0); // warms up the stand-ins
             long connectionsBefore = backends.connections();
             Map<Long, ProcessUsage.CpuTime> cpuBefore = new HashMap<>();
             for (Endpoint p : endpoints) {
@@ -81,10 +84,10 @@
             if (proxied.okResponses == 0 || proxied.failedRequests > 0 || direct.failedRequests > 0) {
                 throw new ScaleException(
                         ScaleException.COUNT,
-                        proxied.statuses + " answered, " + proxied.failedRequests + " broken through the proxies, "
-                                + direct.failedRequests + " direct");
+                        proxied.statuses + " responses by status, " + proxied.failedRequests
+                                + " failed through the proxies, " + direct.failedRequests + " direct");
             }
-            System.out.println("  answers by status " + proxied.statuses + ", direct " + direct.statuses);
+            System.out.println("  responses by status " + proxied.statuses + ", direct " + direct.statuses);
             add(
                     "proxy.added.p50",
                     "latency that a proxy adds, median",
--- a/src/test/java/gullspar/scale/MemberFleet.java
+++ b/src/test/java/gullspar/scale/MemberFleet.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A fleet of members of the view over UDP, which runs on its own while other trials do. */
+/** A fleet of hollow members of the fleet view over UDP. It runs in processes of its own beside other trials. */
 final class MemberFleet {
     private static final int PER_PROCESS = 80, HEAP_MB = 400, START_TIMEOUT_S = 120;
 
@@ -29,7 +29,7 @@
         this.emptyHeapBytes = new long[(size + PER_PROCESS - 1) / PER_PROCESS];
     }
 
-    /** All members start at one time. */
+    /** Starts the processes, then all members at the same time. */
     static MemberFleet start(ChildProcesses children, Results results, int size, int intervalMs)
             throws ScaleException, IOException {
         MemberFleet members = new MemberFleet(children, results, size, intervalMs);
@@ -69,12 +69,11 @@
         return sum;
     }
 
-    /** Seconds since its start. */
     double ageS() {
         return (System.nanoTime() - startedNs) / 1e9;
     }
 
-    /** What it did since its start, over the time since then. */
+    /** Adds the mean traffic since the start of the members. */
     void addStartTraffic() throws ScaleException {
         startCounts = counts();
         add(
@@ -89,7 +88,7 @@
                 "bytes that a member gets a second in " + "the " + "first minute after all have started");
     }
 
-    /** What it does at rest, over so long; then it ends. All must see all. */
+    /** Adds the idle cost over the given time and the smallest view of a member, then stops the processes. */
     void addIdleAndStop(double seconds) throws ScaleException, IOException {
         try {
             long[] before = counts();
@@ -149,7 +148,7 @@
         return smallest;
     }
 
-    /** Waits until all see all. */
+    /** Waits until every member sees all members. */
     void awaitFullView(int timeoutS) throws ScaleException {
         for (long end = System.nanoTime() + timeoutS * 1_000_000_000L; smallestView() < size; ) {
             if (System.nanoTime() > end) {
--- a/src/test/java/gullspar/scale/NodeConfig.java
+++ b/src/test/java/gullspar/scale/NodeConfig.java
@@ -7,11 +7,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A proxy's configuration as a platform writes it, of the sizes of a run. */
+/** Creates a proxy's configuration as the platform would write it, with the sizes of a run. */
 final class NodeConfig {
     private NodeConfig() {}
 
-    /** proxies: how many there are in all; known: the list of the start, null for none. */
+    /** proxies: total number of proxies; initialList: the list to start with, null for none. */
     static ObjectNode create(int proxies, int tenants, byte[] initialList) throws IOException {
         ObjectNode root = (ObjectNode) Json.read(Files.readAllBytes(Path.of("deploy/warm.json")));
         root.put("listen", "127.0.0.1:0").remove("operator");
@@ -34,7 +34,7 @@
         return root;
     }
 
-    /** The same for the proxy of that number. */
+    /** Sets what differs from proxy to proxy: name, seed, number and zone. */
     static void setNumber(ObjectNode root, int number) {
         root.put("name", "p" + number).put("seed", Integer.toHexString(0x10000 + number));
         ((ObjectNode) root.get("settings")).put("me", number).put("zone", number % BackendList.ZONES);
--- a/src/test/java/gullspar/scale/OpenLoopClients.java
+++ b/src/test/java/gullspar/scale/OpenLoopClients.java
@@ -28,21 +28,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients in an open loop: each request has its time, whatever became of those before it, and its latency
- * counts from that time. Requests go in turn to each place of a side; connections are kept, and more are made
- * while all are busy.
+ * Clients in an open loop: each request has an intended send time that does not depend on earlier responses, and
+ * its latency counts from that time. Requests go to the addresses of a target in turn; connections are kept alive,
+ * and new ones are opened while all are busy.
  */
 final class OpenLoopClients implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final String[] urls;
     private int requestCount;
 
-    /** urls: what requests ask for in turn: a host, unless it is any, and a path. */
+    /** urls: what requests ask for, in turn: a path, after a host name unless the host does not matter. */
     OpenLoopClients(String... urls) {
         this.urls = urls;
     }
 
-    /** Where requests go, and what came of them. On the loop, but for the reading after the end. */
+    /**
+     * Where requests go, and their results. Used on the event loop; the results are read elsewhere once the run
+     * has ended.
+     */
     final class Target {
         private final List<InetSocketAddress> addresses;
         private final List<Deque<Channel>> idle;
@@ -103,12 +106,12 @@
                     .set("Host", slash == 0 ? "api" : url.substring(0, slash))
                     .set("Request-Id", "s" + requestCount)
                     .set("Request-Timeout", "0.600");
-            c.pipeline().addLast("answer", new ResponseHandler(this, index, intendedNs, newConnection));
+            c.pipeline().addLast("response", new ResponseHandler(this, index, intendedNs, newConnection));
             c.writeAndFlush(r);
         }
     }
 
-    /** Waits for one answer. */
+    /** Handles the response to one request. */
     private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Target target;
         private final int index;
@@ -146,7 +149,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (!responded && !newConnection) {
-                target.connect(index, intendedNs); // its end crossed this request: once more, on a new one
+                // a kept connection was closed while the request was on its way: sends it on a new one
+                target.connect(index, intendedNs);
             } else {
                 target.failedRequests += responded ? 0 : 1;
             }
@@ -158,7 +162,7 @@
         }
     }
 
-    /** So many requests a second to each side, in turn; those of the first seconds do not count. */
+    /** Sends {@code perSecond} requests to each target; those of the warm-up are not counted. */
     void run(List<Target> targets, double perSecond, double warmUpS, double seconds) throws ScaleException {
         long start = System.nanoTime();
         long totalRequests = (long) (perSecond * (warmUpS + seconds) * targets.size());
@@ -176,7 +180,7 @@
                 target.send(number, intended);
             });
         }
-        Sleep.ms(1000); // the last answers
+        Sleep.ms(1000); // waits for the last responses
     }
 
     @Override
--- a/src/test/java/gullspar/scale/Options.java
+++ b/src/test/java/gullspar/scale/Options.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a run was asked for. */
+/** The command line options of a run. */
 record Options(boolean full, int port, int memoryMb, String out) {
     private static final int MIN_MB = 600, MAX_MB = 12_000, DEFAULT_MB = 6_000;
 
@@ -26,7 +26,7 @@
         if (memoryMb < MIN_MB) {
             throw new ScaleException(
                     ScaleException.MEMORY,
-                    "too little memory: " + memoryMb + " MB, a run needs " + MIN_MB + " at the least");
+                    "too little memory: " + memoryMb + " MB, a run needs " + MIN_MB + " or more");
         }
         return new Options(
                 full,
@@ -37,7 +37,7 @@
 
     private static String stringValue(List<String> args, int i) throws ScaleException {
         if (i >= args.size()) {
-            throw usageError(args.get(i - 1) + " wants a value");
+            throw usageError(args.get(i - 1) + " requires a value");
         }
         return args.get(i);
     }
@@ -50,9 +50,9 @@
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw usageError(args.get(i - 1) + " is no number: '" + t + "'");
+            throw usageError(args.get(i - 1) + " is not a number: '" + t + "'");
         }
-        throw usageError(args.get(i - 1) + " is not within " + min + " to " + max + ": " + t);
+        throw usageError(args.get(i - 1) + " is out of range " + min + " to " + max + ": " + t);
     }
 
     private static ScaleException usageError(String problem) {
--- a/src/test/java/gullspar/scale/Ports.java
+++ b/src/test/java/gullspar/scale/Ports.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Free ports for processes still to start, at a loopback address that the kernel gives to nobody else. */
+/**
+ * Finds free ports for processes to be started. They are on a loopback address that follows from the process id,
+ * so that nothing else is given the port before the process binds it.
+ */
 final class Ports {
     private Ports() {}
 
--- a/src/test/java/gullspar/scale/ProcessUsage.java
+++ b/src/test/java/gullspar/scale/ProcessUsage.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the system has booked on processes: processor time and memory. */
+/** Processor time and memory of processes, as accounted by the kernel. */
 final class ProcessUsage {
     private static final int PAGE_BYTES = 4096;
     private static final long TICK_NS = 10_000_000L;
@@ -17,11 +17,14 @@
 
     private ProcessUsage() {}
 
-    /** Processor time of a process so far: by thread that lives, in ns, and of all there were, in ticks. */
+    /**
+     * Processor time of a process so far: of each living thread in ns, and of all threads there have been in
+     * ticks.
+     */
     record CpuTime(Map<String, Long> nsByThread, long ticks) {
         /**
-         * What has been booked since, in ns. Threads that have ended take their exact time with them, the
-         * compiler's do; where that makes more than a tick, the ticks count.
+         * Returns the processor time since an earlier reading, in ns. The exact time of threads that have ended,
+         * such as the compiler's, is lost; where that exceeds a tick, the ticks are used.
          */
         long nsSince(CpuTime before) {
             long ns = 0;
@@ -32,6 +35,7 @@
         }
     }
 
+    /** Reads the processor time of a process. */
     static CpuTime cpuTime(long pid) throws IOException {
         Map<String, Long> threads = new HashMap<>();
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
@@ -42,7 +46,7 @@
                             Long.parseLong(
                                     Files.readString(t.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    continue; // it has just ended
+                    continue; // the thread has just ended
                 }
             }
         }
@@ -51,7 +55,7 @@
         return new CpuTime(threads, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
     }
 
-    /** What all of them have been booked since, in ms. */
+    /** Returns the processor time of all processes since the given readings, by process id, in ms. */
     static double cpuMsSince(Map<Long, CpuTime> before) throws IOException {
         long ns = 0;
         for (Map.Entry<Long, CpuTime> b : before.entrySet()) {
@@ -60,20 +64,19 @@
         return ns / 1e6;
     }
 
-    /** Resident memory, in bytes. */
     static long residentBytes(long pid) throws IOException {
         return Long.parseLong(
                         Files.readString(Path.of("/proc/" + pid + "/statm")).split(" ")[1])
                 * PAGE_BYTES;
     }
 
-    /** What the machine can still give, in bytes. */
+    /** Returns the memory that the machine has available, in bytes. */
     static long availableBytes() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/meminfo"))) {
             if (line.startsWith("MemAvailable:")) {
                 return Long.parseLong(line.replaceAll("\\D", "")) << 10;
             }
         }
-        throw new IOException("/proc/meminfo does not say what is available");
+        throw new IOException("no MemAvailable in /proc/meminfo");
     }
 }
--- a/src/test/java/gullspar/scale/RealProxy.java
+++ b/src/test/java/gullspar/scale/RealProxy.java
@@ -13,9 +13,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** One real proxy: deploy/serve.sh where the program was built, else this runtime on the same classes. */
+/**
+ * A real proxy process: deploy/serve.sh if the program was built, else this Java runtime with the classes of this
+ * run.
+ */
 record RealProxy(ChildProcess child, InetSocketAddress listen, InetSocketAddress operator, Path config) {
-    /** Set by bench/scale/run.sh. */
+    /** Set by bench/scale/run.sh, which builds the program. */
     static final boolean DEPLOYED = Boolean.getBoolean("gullspar.scale.deployed");
 
     static RealProxy start(ChildProcesses children, int number, ObjectNode json, int expectedMb)
@@ -35,7 +38,7 @@
                 config);
     }
 
-    /** How many backends it lists, as it tells operators. */
+    /** Returns how many backends the proxy lists, from its operators' port. */
     int listedBackends() throws IOException {
         try (Socket s = new Socket(operator.getAddress(), operator.getPort())) {
             s.setSoTimeout(5000);
@@ -48,7 +51,7 @@
         }
     }
 
-    /** Heap in use after a collection, in bytes, by jcmd. */
+    /** Returns the heap in use after a collection, in bytes, read with jcmd. */
     long heapBytes() throws IOException {
         jcmd("GC.run");
         long kb = 0;
--- a/src/test/java/gullspar/scale/RecordingBalancer.java
+++ b/src/test/java/gullspar/scale/RecordingBalancer.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentSkipListMap;
 
-/** The decision module as it runs in service, and beside it when each version of the list was taken in. */
+/** The decision module as in service, which also records when it received each version of the list. */
 final class RecordingBalancer implements Balancer {
     private static final int MAX_VERSIONS_KEPT = 2000;
 
     private final Policy policy;
-    /** By version: the moment, in the machine's monotonic time, which all its processes share. */
+    /** Time of receipt by version, in the machine's monotonic time, which all processes on it share. */
     private final ConcurrentSkipListMap<Long, Long> receivedNsByVersion = new ConcurrentSkipListMap<>();
 
     RecordingBalancer(Settings settings, long seed, long now, Actions out) {
         this.policy = new Policy(settings, seed, now, out);
     }
 
-    /** When it knew that version or a later one; -1 if it does not yet. */
+    /** Returns when it received that version or a later one, -1 if it has not. */
     long receivedAtNs(long version) {
         var e = receivedNsByVersion.ceilingEntry(version);
         return e == null ? -1 : e.getValue();
--- a/src/test/java/gullspar/scale/Results.java
+++ b/src/test/java/gullspar/scale/Results.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What was measured: series of points, each series along one axis with the others held. */
+/** The results of a run: series of points, each along one axis with the other sizes fixed. */
 final class Results {
     /** One measured value at one size. */
     record Point(long size, double value) {}
 
-    /** What a series is about. */
+    /** Describes a series: its id, what it measures, unit, axis and fixed sizes. */
     record SeriesInfo(String id, String description, String unit, String axis, Map<String, Object> fixed) {}
 
     private final Map<String, List<Point>> points = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
                 "  " + info.id() + "  " + info.axis() + "=" + size + "  " + round(value) + " " + info.unit());
     }
 
-    /** The same figure of a real and of a hollow proxy, and what explains a difference. */
+    /** Adds a figure measured at real and at hollow proxies, with the reason for a difference. */
     synchronized void addComparison(String figure, String unit, double real, double hollow, String why) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("figure", figure);
@@ -48,7 +48,7 @@
         System.out.println("  " + row);
     }
 
-    /** The one value of a series at a size; NaN if there is none. */
+    /** Returns the value of a series at a size, NaN if there is none. */
     synchronized double value(String id, long size) {
         return points.getOrDefault(id, List.of()).stream()
                 .filter(p -> p.size() == size)
--- a/src/test/java/gullspar/scale/RoutesFileSweeps.java
+++ b/src/test/java/gullspar/scale/RoutesFileSweeps.java
@@ -11,7 +11,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Real proxies for plain HTTP by an operator's file of many services or routes: serve --config. */
+/**
+ * Sweeps over services and routes in an operator's file, which a real proxy serves as plain HTTP (serve --config).
+ */
 final class RoutesFileSweeps {
     private static final int HEAP_MB = 192,
             EXPECTED_MB = 260,
@@ -30,13 +32,14 @@
         this.results = results;
     }
 
-    /** One route to each service, each of so many servers. */
+    /** Sweeps the number of services, with one route to each and the given number of servers in each. */
     void services(int[] sizes, int servers) throws ScaleException, IOException {
         for (int size : sizes) {
             measure("services", size, size, servers, size, Map.of("servers_a_service", servers));
         }
     }
 
+    /** Sweeps the number of routes. */
     void routes(int[] sizes, int services, int servers) throws ScaleException, IOException {
         for (int size : sizes) {
             measure(
@@ -160,7 +163,7 @@
         s.add("site.reload.known", "ms", slowestMs, "from SIGHUP until the file is in force, the slowest");
     }
 
-    /** Where the values of one size go. */
+    /** Adds the values of one size to the results. */
     private final class Series {
         private final String axis;
         private final long size;
--- a/src/test/java/gullspar/scale/RunMetadata.java
+++ b/src/test/java/gullspar/scale/RunMetadata.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where and when results were taken. */
+/** Adds to the results where and when they were measured: machine, commit, date and load. */
 final class RunMetadata {
     private RunMetadata() {}
 
--- a/src/test/java/gullspar/scale/RunPlan.java
+++ b/src/test/java/gullspar/scale/RunPlan.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a run does, one trial after the other. */
+/** The trials of a run, in their order. */
 final class RunPlan {
-    /** No trial of a full run begins later. */
+    /** No trial of a full run starts later than this, so that the last one ends within the run's time limit. */
     private static final int LAST_START_S = 540;
 
     private final long startedNs = System.nanoTime();
@@ -31,7 +31,7 @@
     }
 
     private void small() throws ScaleException, IOException {
-        // Its figures are none, so some of it goes on beside the rest.
+        // A small run checks that everything works; its figures do not count, so some trials run in parallel.
         BackgroundTask services = new BackgroundTask(() -> {
             new RoutesFileSweeps(options, children, results).services(new int[] {10}, 3);
             new TenantSweep(children, results).run(new int[] {100}, 2, 1);
@@ -48,7 +48,7 @@
         members.addIdleAndStop(0.5);
     }
 
-    /** In the order of what is wanted most: where time gets short, the rest is named as not run. */
+    /** Runs the most important trials first; those left when time runs out are reported as not run. */
     private void full() throws ScaleException, IOException {
         ControlPlaneSweeps sweeps = new ControlPlaneSweeps(options, children, results);
         for (int size : new int[] {100, 1000, 6600}) {
@@ -90,13 +90,13 @@
     private void runUnlessLate(String trialName, BackgroundTask.ThrowingRunnable trial)
             throws ScaleException, IOException {
         if ((System.nanoTime() - startedNs) / 1e9 > LAST_START_S) {
-            System.out.println("not run, for want of time: " + trialName);
+            System.out.println("not run, time limit reached: " + trialName);
             notRun.add(trialName);
         } else {
             trial.run();
         }
         results.setProperty("not_run", notRun);
-        results.write(Path.of(options.out())); // what is there, should the rest fail
+        results.write(Path.of(options.out())); // keeps the results so far if a later trial fails
     }
 
     private void runFaults(Shape shape, double seconds) throws ScaleException, IOException {
--- a/src/test/java/gullspar/scale/ScaleException.java
+++ b/src/test/java/gullspar/scale/ScaleException.java
@@ -1,6 +1,6 @@
 package gullspar.scale;
 
-/** Why a scale run cannot go on: one clear line, and the exit code that stands for it. */
+/** Ends a scale run with a one-line message and an exit code. */
 final class ScaleException extends Exception {
     private static final long serialVersionUID = 1L;
     static final int USAGE = 2, MEMORY = 3, PORT = 4, CHILD = 5, COUNT = 6, TIME = 7;
--- a/src/test/java/gullspar/scale/ScaleRun.java
+++ b/src/test/java/gullspar/scale/ScaleRun.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The scale runs' driver: see bench/scale/run.sh. It is bounded in time, and whatever ends it, all processes
- * that it started end with it.
+ * Main class of the scale runs, see bench/scale/run.sh. A run has a time limit, and all processes that it started
+ * end with it, however it ends.
  */
 public final class ScaleRun {
     private static final int SMALL_TIMEOUT_S = 120, FULL_TIMEOUT_S = 840;
@@ -23,7 +23,7 @@
         System.exit(run(List.of(args)));
     }
 
-    /** The exit code. */
+    /** Runs with the given arguments and returns the exit code. */
     static int run(List<String> args) {
         try {
             Options o = Options.parse(args);
@@ -52,8 +52,8 @@
                         RunMetadata.addEnd(r, children);
                         r.setProperty("seconds", (System.nanoTime() - began) / 1_000_000_000L);
                         r.write(Path.of(o.out()));
-                        System.out.println(
-                                "written after " + (System.nanoTime() - began) / 1_000_000_000L + " s: " + o.out());
+                        System.out.println("results written after " + (System.nanoTime() - began) / 1_000_000_000L
+                                + " s: " + o.out());
                         done.complete(null);
                     } catch (ScaleException | IOException | RuntimeException e) {
                         done.completeExceptionally(e);
@@ -66,13 +66,13 @@
         try {
             done.get(seconds, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            throw new ScaleException(ScaleException.TIME, "not done after " + seconds + " s");
+            throw new ScaleException(ScaleException.TIME, "not finished after " + seconds + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new ScaleException(ScaleException.TIME, "interrupted");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof ScaleException s) {
-                children.checkHealth(); // a death behind another complaint comes first
+                children.checkHealth(); // a dead child that caused this error is reported instead of it
                 throw s;
             }
             throw new IOException(e.getCause().toString(), e.getCause());
--- a/src/test/java/gullspar/scale/ScaleTest.java
+++ b/src/test/java/gullspar/scale/ScaleTest.java
@@ -23,14 +23,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.ResourceLock;
 
-/** The small scale run: what is counted is as foretold, and whatever ends a run leaves nothing behind. */
+/**
+ * Runs the small scale run. Guards against wrong message counts, proxies that miss a change, unclear errors, and
+ * child processes left behind when a run ends early.
+ */
 @Timeout(180)
 @ResourceLock("much of the machine")
 class ScaleTest {
     @TempDir
     Path folder;
 
-    /** What a run said and how it ended. */
+    /** Output and exit code of a run. */
     private record RunResult(int code, List<String> output) {
         private List<Long> pids() {
             return output.stream()
@@ -40,13 +43,13 @@
         }
 
         private void assertNoProcessesLeft() {
-            // Killed, it is gone as soon as the system comes round to it: waited for, and not long.
+            // A killed process takes a moment to disappear: waits for it, but not long.
             pids().forEach(p -> ProcessHandle.of(p)
                     .ifPresent(h -> assertDoesNotThrow(
                             () -> h.onExit().get(5, TimeUnit.SECONDS), () -> "pid " + p + " is still there")));
         }
 
-        /** One line says why. */
+        /** Returns the error line; there must be exactly one. */
         private String errorLine() {
             List<String> lines =
                     output.stream().filter(l -> l.startsWith("scale: ")).toList();
--- a/src/test/java/gullspar/scale/Shape.java
+++ b/src/test/java/gullspar/scale/Shape.java
@@ -1,12 +1,12 @@
 package gullspar.scale;
 
 /**
- * How large a trial is.
+ * The sizes of a test fleet.
  *
- * @param proxies hollow ones
- * @param processes in so many processes
- * @param real real ones beside them
- * @param heapMb the most heap of each process of hollow ones
+ * @param proxies number of hollow proxies
+ * @param processes number of processes that hold the hollow proxies
+ * @param real number of real proxies
+ * @param heapMb heap limit of each hollow process
  */
 record Shape(int proxies, int processes, int real, int backends, int tenants, int heapMb) {
     Shape backends(int count) {
--- a/src/test/java/gullspar/scale/Sleep.java
+++ b/src/test/java/gullspar/scale/Sleep.java
@@ -1,6 +1,6 @@
 package gullspar.scale;
 
-/** Time that passes. */
+/** Sleeps; an interrupt ends the run with a {@link ScaleException}. */
 final class Sleep {
     private Sleep() {}
 
--- a/src/test/java/gullspar/scale/TenantSweep.java
+++ b/src/test/java/gullspar/scale/TenantSweep.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What tenants in a proxy's settings cost it: its configuration, memory, and reading it again. */
+/** Sweeps the number of tenants in a proxy's settings: size of the configuration, memory, and cost of a reload. */
 final class TenantSweep {
     private static final int RELOADS = 5, BACKENDS = 100, TIMEOUT_S = 60;
 
--- a/src/test/java/gullspar/scale/TestFleet.java
+++ b/src/test/java/gullspar/scale/TestFleet.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Proxies of one shape, real and hollow, before stand-ins for discovery and the backends. */
+/** The proxies of one trial, real and hollow, with stand-ins for discovery and the backends. */
 final class TestFleet implements AutoCloseable {
     private static final int REAL_PROXY_MB = 140, RUNTIME_MB = 90, START_TIMEOUT_S = 120;
 
@@ -43,7 +43,7 @@
         return NodeConfig.create(shape.proxies() + shape.real(), shape.tenants(), null);
     }
 
-    /** Starts the processes, those of the hollow proxies still empty. */
+    /** Starts the hollow processes, still without proxies. */
     TestFleet startProcesses() throws ScaleException, IOException {
         for (int p = 0; p < shape.processes(); p++) {
             firstNumbers.add((int) ((long) shape.proxies() * p / shape.processes()));
@@ -63,7 +63,7 @@
                 Map.of());
     }
 
-    /** Starts the proxies and waits until all know the list. */
+    /** Starts all proxies and waits until the hollow ones have the list and the real ones are ready. */
     TestFleet startProxies() throws ScaleException, IOException {
         List<String> ports = Ports.free(2 * shape.real());
         for (int i = 0; i < shape.real(); i++) {
@@ -101,17 +101,17 @@
         return "127.0.0.1:" + discovery.address(number).getPort();
     }
 
-    /** Kills a process of hollow proxies, as a crash would. */
+    /** Kills a hollow process, as a crash would. */
     void killProcess(int p) {
         children.stop(List.of(hollowProcesses.get(p)));
     }
 
-    /** The processes of hollow proxies that are there now. */
+    /** Returns the hollow processes that are running. */
     private List<ChildProcess> aliveProcesses() {
         return hollowProcesses.stream().filter(ChildProcess::alive).toList();
     }
 
-    /** Starts it again. */
+    /** Starts a killed hollow process and its proxies again. */
     void restartProcess(int p) throws ScaleException, IOException {
         hollowProcesses.set(p, startHollowProcess(p));
         hollowProcesses.get(p).awaitAnswer(START_TIMEOUT_S);
@@ -119,7 +119,7 @@
         hollowProcesses.get(p).awaitAnswer(START_TIMEOUT_S);
     }
 
-    /** How long after it was told each hollow proxy knew, in microseconds, once all do. */
+    /** Waits until all hollow proxies have a version and returns their delays from its push, in microseconds. */
     Histogram awaitPropagation(PushedVersion pushed, int timeoutS) throws ScaleException {
         long end = System.nanoTime() + timeoutS * 1_000_000_000L;
         Histogram delays = new Histogram(3);
@@ -129,8 +129,8 @@
                 if (System.nanoTime() > end) {
                     throw new ScaleException(
                             ScaleException.COUNT,
-                            "not all of " + c.name() + " know version " + pushed.version() + " after " + timeoutS
-                                    + " s: " + answer);
+                            "not all proxies of " + c.name() + " received version " + pushed.version() + " after "
+                                    + timeoutS + " s: " + answer);
                 }
                 children.checkHealth();
                 Sleep.ms(20);
@@ -143,12 +143,12 @@
         return delays;
     }
 
-    /** Processor time so far of the hollow ones' processes. */
+    /** Returns the processor time so far of the hollow processes, by process id. */
     Map<Long, ProcessUsage.CpuTime> hollowCpuTimes() throws IOException, ScaleException {
         return cpuTimes(aliveProcesses());
     }
 
-    /** The same of the real ones. */
+    /** Returns the processor time so far of the real proxies, by process id. */
     Map<Long, ProcessUsage.CpuTime> realCpuTimes() throws IOException, ScaleException {
         return cpuTimes(realProxies.stream().map(RealProxy::child).toList());
     }
@@ -162,7 +162,7 @@
         return all;
     }
 
-    /** Resident memory of the hollow ones' processes, in bytes. */
+    /** Returns the resident memory of all hollow processes, in bytes. */
     long hollowResidentBytes() throws IOException {
         long sum = 0;
         for (ChildProcess c : aliveProcesses()) {
@@ -171,7 +171,7 @@
         return sum;
     }
 
-    /** Heap after a collection, of all hollow ones' processes, in bytes. */
+    /** Returns the heap of all hollow processes after a collection, in bytes. */
     long hollowHeapBytes() throws ScaleException {
         long sum = 0;
         for (ChildProcess c : aliveProcesses()) {
@@ -180,7 +180,7 @@
         return sum;
     }
 
-    /** Connections to discovery that the hollow ones have begun. */
+    /** Returns the connection attempts of the hollow proxies to discovery so far. */
     long discoveryConnects() throws ScaleException {
         long sum = 0;
         for (ChildProcess c : aliveProcesses()) {
@@ -189,7 +189,7 @@
         return sum;
     }
 
-    /** Nothing may have gone wrong within the hollow ones. */
+    /** Fails if a hollow proxy has logged a failure. */
     void checkNoFailures() throws ScaleException {
         for (ChildProcess c : hollowProcesses) {
             String failures = c.ask("failures");
--- a/src/test/java/gullspar/scale/TrafficCounter.java
+++ b/src/test/java/gullspar/scale/TrafficCounter.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Messages and their bytes by kind, and the bytes of each tenth of a second. Of one thread. */
+/** Counts messages and their bytes by kind, and the bytes in each tenth of a second. Not thread-safe. */
 final class TrafficCounter {
-    /** Messages of a kind, and the bytes of all of them. */
+    /** The number of messages of a kind and their bytes in total. */
     record Total(long messages, long bytes) {
         Total plus(long more, long moreBytes) {
             return new Total(messages + more, bytes + moreBytes);
@@ -31,14 +31,14 @@
         return new TreeMap<>(totalsByKind);
     }
 
-    /** What has come to the kinds since they stood so. */
+    /** Returns the increase of each kind between two readings. */
     static Map<String, Total> difference(Map<String, Total> before, Map<String, Total> now) {
         Map<String, Total> result = new TreeMap<>();
         now.forEach((k, s) -> result.put(k, s.minus(before.getOrDefault(k, ZERO))));
         return result;
     }
 
-    /** The most bytes in any one second from that moment on. */
+    /** Returns the most bytes in any one second from the given time on. */
     long peakBytesPerSecond(long fromNs) {
         long peak = 0;
         for (long t : bytesByBucket.tailMap(fromNs / BUCKET_NS).keySet()) {
