--- a/bench/scale/versions.sh
+++ b/bench/scale/versions.sh
@@ -1,23 +1,25 @@
 #!/bin/sh
-# How configuration travels as versions: three control processes and real proxies as processes, hollow followers in one
-# more, every connection through a relay of 40 ms that loses 2 segments in 100 (see docs/versions-design.md).
-# versions.sh [small|full|routes] [SEED]: small is two sizes of a few followers and 6 changes, to see that it goes; full
-# writes bench/scale/results/versions.json, in a quarter of an hour or more; routes is its second half alone, the sweep
-# over routes, and writes versions-routes.json there.
+# Measures the distribution of configuration versions: three control processes and real proxies run as processes, hollow
+# followers in one more, and every connection goes through a relay that delays by 40 ms and loses 2 segments in 100 (see
+# docs/versions-design.md).
+# usage: versions.sh [small|full|routes] [SEED]
+#   small   two sizes of a few followers and 6 changes, to check that it works. Writes target/versions-small.json
+#   full    the default, a quarter of an hour or more. Writes bench/scale/results/versions.json
+#   routes  only the second half of full, the sweep over routes. Writes bench/scale/results/versions-routes.json
 set -eu
 cd "$(dirname "$0")/../.."
 mode=${1:-full}
 seed=${2:-1}
-case $seed in ''|*[!0-9]*) echo "versions.sh: the seed is '$seed', not a number" >&2; exit 2 ;; esac
+case $seed in ''|*[!0-9]*) echo "versions.sh: the seed is not a number: '$seed'" >&2; exit 2 ;; esac
 case $mode in
     full) sizes=40,160,640 real=8 changes=100 routes=24 large=24,240,2400 few=8 row=10 need=6 out=bench/scale/results/versions.json ;;
     routes) sizes='' real=2 changes=0 routes=0 large=24,240,2400 few=8 row=10 need=3
         out=bench/scale/results/versions-routes.json ;;
     small) sizes=4,8 real=1 changes=6 routes=24 large=24,48 few=2 row=3 need=2 out=target/versions-small.json ;;
-    *) echo "versions.sh: '$mode' is none of small, full and routes" >&2; exit 2 ;;
+    *) echo "versions.sh: unknown mode '$mode', expected small, full or routes" >&2; exit 2 ;;
 esac
 free=$(awk '/MemAvailable/ { print int($2 / 1048576) }' /proc/meminfo)
-if [ "$free" -lt "$need" ]; then echo "versions.sh: $need GiB of memory are needed, $free are free" >&2; exit 1; fi
+if [ "$free" -lt "$need" ]; then echo "versions.sh: too little memory: $need GiB needed, $free GiB available" >&2; exit 1; fi
 if [ ! -d target/test-classes/gullspar/versions/scale ] || [ -n "${BUILD:-}" ]; then
     mvn -B -ntp -q test-compile
 fi
--- a/src/test/java/gullspar/versions/scale/HollowFollower.java
+++ b/src/test/java/gullspar/versions/scale/HollowFollower.java
@@ -15,11 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * A proxy's follower without the proxy: its own code over real sockets, many in one process. It verifies each
- * version, and keeps it in memory; a real one writes it to its disk and reads the routes as well.
+ * A proxy's follower without the proxy: the same code over real sockets, many to a process. It verifies each
+ * version and keeps it in memory; a real one also writes it to disk and reads the routes.
  */
 final class HollowFollower {
-    /** Who hears that one has a version in force. */
+    /** Is notified when a follower has put a version in force. */
     interface Listener {
         void onInForce(long number, long atNs);
     }
@@ -42,7 +42,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Begins, with what it has kept. */
+    /** Starts with the document that it has kept, if any. */
     void start() {
         loop.execute(() -> {
             Platform p = Platform.of(loop);
@@ -67,7 +67,7 @@
         done.accept(null);
     }
 
-    /** Goes away. */
+    /** Stops; the document is kept for the next start. */
     void stop() throws InterruptedException, ExecutionException {
         loop.submit(() -> {
                     earlierBytes += node.sent() + node.received();
@@ -77,7 +77,7 @@
                 .get();
     }
 
-    /** Bytes either way so far. */
+    /** Returns the bytes sent and received since the first start. */
     long bytes() throws InterruptedException, ExecutionException {
         return loop.submit(() -> earlierBytes + (node == null ? 0 : node.sent() + node.received()))
                 .get();
--- a/src/test/java/gullspar/versions/scale/Relay.java
+++ b/src/test/java/gullspar/versions/scale/Relay.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A link of some length before a listener: every byte of a connection comes so much later, and a segment
- * that is lost holds up those behind it by a retransmission, drawn from 200 to 400 ms, once more if that is
- * lost as well. TCP on loopback loses nothing; this is what it would make of it.
+ * Simulates a long, lossy link in front of a listener. Every byte is delayed; a lost segment holds up those behind
+ * it by a retransmission time-out, drawn from 200 to 400 ms, and by another if the retransmission is lost too. TCP
+ * on loopback loses nothing, so that the effect of loss on a connection has to be simulated.
  */
 public final class Relay {
     private static final int SEGMENT_BYTES = 1448;
@@ -34,10 +34,12 @@
     private final SplittableRandom random;
     private final MultiThreadIoEventLoopGroup loops;
     private final InetSocketAddress target;
-    /** Connections that came, and bytes either way, since the start. */
+    /** Connections accepted since the start. */
     public final AtomicLong connections = new AtomicLong();
 
+    /** Bytes relayed in both directions since the start. */
     public final AtomicLong bytes = new AtomicLong();
+
     private Channel listener;
 
     public Relay(InetSocketAddress target, double delayMs, double loss, long seed, MultiThreadIoEventLoopGroup loops) {
@@ -48,12 +50,12 @@
         this.loops = loops;
     }
 
-    /** A group for relays, of so many threads. */
+    /** Creates an event loop group of {@code n} threads for relays. */
     public static MultiThreadIoEventLoopGroup threads(int n) {
         return new MultiThreadIoEventLoopGroup(n, NioIoHandler.newFactory());
     }
 
-    /** Listens on a port of its own. */
+    /** Listens on a free port and returns its address. */
     public InetSocketAddress listen() {
         listener = new ServerBootstrap()
                 .group(loops)
@@ -99,7 +101,7 @@
         });
     }
 
-    /** How much later a segment comes than it was sent. */
+    /** Returns the delay of so many bytes, the retransmissions of lost segments included. */
     private synchronized long transitNs(int length) {
         long ns = delayNs;
         for (int i = 0; i < length; i += SEGMENT_BYTES) {
--- a/src/test/java/gullspar/versions/scale/RoutesDocument.java
+++ b/src/test/java/gullspar/versions/scale/RoutesDocument.java
@@ -1,12 +1,15 @@
 package gullspar.versions.scale;
 
-/** A document of many routes, for measurements. */
+/** Generates a document of many routes for measurements. */
 public final class RoutesDocument {
     private static final int ROUTES_PER_POOL = 8;
 
     private RoutesDocument() {}
 
-    /** So many routes, eight to a pool and a host; a change gives one of them another deadline. */
+    /**
+     * Returns a document of {@code routes} routes, eight to a pool and a host; each change sets another deadline
+     * on one.
+     */
     public static String text(int routes, int change) {
         StringBuilder s = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n\n");
         int pools = Math.max(1, routes / ROUTES_PER_POOL);
--- a/src/test/java/gullspar/versions/scale/VersionsRun.java
+++ b/src/test/java/gullspar/versions/scale/VersionsRun.java
@@ -33,8 +33,9 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Measures how versions travel: three control processes and some real proxies as processes, hollow followers
- * in this one, all connections through relays of 40 ms that lose 2 segments in 100 (bench/scale/versions.sh).
+ * Measures the distribution of versions: three control processes and some real proxies run as processes, hollow
+ * followers in this one. All connections go through relays that delay by 40 ms and lose 2 segments in 100
+ * (bench/scale/versions.sh).
  */
 public final class VersionsRun {
     private static final double DELAY_MS = 40;
@@ -44,7 +45,7 @@
     private static final int IDLE_S = 10;
     private static final int RECONNECT_S = 30;
     private static final int TIMEOUT_S = 120;
-    /** A row of changes ends then, however many there were. */
+    /** A sequence of changes ends after this time, however many were made. */
     private static final int SEQUENCE_LIMIT_S = 240;
 
     private static final int TICKS_PER_SECOND = 100;
@@ -78,7 +79,7 @@
         this.folder = folder;
     }
 
-    // ---- the town ----
+    // ---- the processes and followers ----
 
     private Process start(String name, int heapMb, String... arguments) throws IOException {
         List<String> line = new ArrayList<>(List.of(
@@ -173,10 +174,10 @@
             try (ControlClient c = new ControlClient(controlAddresses.get(0), 10_000)) {
                 return c.request(new Message.StatusRequest(full), Message.StatusResponse.class);
             } catch (IOException e) {
-                Thread.sleep(100); // it is starting
+                Thread.sleep(100); // the primary is starting
             }
         }
-        throw new IOException("the primary does not answer");
+        throw new IOException("no answer from the primary");
     }
 
     private void publish(ControlClient c) throws IOException {
@@ -186,11 +187,14 @@
                 new Message.Publish(version - 1, "routes.toml", RoutesDocument.text(routes, version)),
                 Message.Published.class);
         if (p.outcome() != Publisher.Outcome.ACCEPTED) {
-            throw new IOException("a change was refused: " + p);
+            throw new IOException("change rejected: " + p);
         }
     }
 
-    /** Waits until all hollow ones, and the real ones as the primary knows, run the newest. */
+    /**
+     * Waits until all hollow followers, and the real ones by the primary's status, have the newest version in
+     * force.
+     */
     private void awaitInForceEverywhere() throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         long began = publishedNs.get((long) version);
@@ -198,7 +202,8 @@
         int remaining = realProxies;
         while (System.nanoTime() < end) {
             if (remaining > 0) {
-                Message.StatusResponse status = status(false); // those that are missing, by name: real ones first
+                // lists followers that lack the version, sorted by name, which puts the real ones first
+                Message.StatusResponse status = status(false);
                 Set<String> missing = new HashSet<>();
                 status.states().forEach(r -> missing.add(r.name()));
                 for (int i = 0; i < realProxies && status.followers() >= followers + realProxies; i++) {
@@ -214,15 +219,16 @@
             }
             Thread.sleep(remaining > 0 ? 25 : 5);
         }
-        throw new IOException("version " + version + " is not everywhere after " + TIMEOUT_S + " s: " + status(false));
+        throw new IOException(
+                "version " + version + " is not in force everywhere after " + TIMEOUT_S + " s: " + status(false));
     }
 
-    // ---- what is measured ----
+    // ---- measurements ----
 
-    /** Bytes of each follower, second by second, while something is done. */
+    /** Samples the bytes of each follower and the connections once a second, until stopped. */
     private final class TrafficMeter {
         private final List<long[]> samples = new ArrayList<>();
-        /** When each was read: on a busy machine a second may be longer. */
+        /** Time of each sample: on a busy machine they may be more than a second apart. */
         private final List<Long> sampleTimes = new ArrayList<>();
 
         private final List<Long> connections = new ArrayList<>();
@@ -325,21 +331,21 @@
         return sum / before.length;
     }
 
-    /** whole: bursts, absences and outages as well. */
+    /** full: measures bursts, an absent follower and an outage as well. */
     private void measure(boolean full) throws Exception {
         startFleet();
         while (!status(false).inStep()) {
             Thread.sleep(50);
         }
         try (ControlClient c = new ControlClient(controlAddresses.get(0), 60_000)) {
-            logProgress("begins");
+            logProgress("starting");
             publish(c);
             awaitInForceEverywhere();
             List<Process> proxies = processes.subList(3, 3 + realProxies);
             Thread.sleep(3000);
             inForce.reset();
             realInForce.reset();
-            logProgress("rest");
+            logProgress("idle");
             double[] cpu = cpuSeconds(proxies);
             TrafficMeter m = new TrafficMeter();
             TimeUnit.SECONDS.sleep(IDLE_S);
@@ -347,13 +353,13 @@
             results.put("rest.bytes.mean", m.mean());
             results.put("rest.bytes.worst", m.worstSecond());
             results.put("rest.proxy.cpu_ms_per_s", 1000 * meanIncrease(cpu, cpuSeconds(proxies)) / IDLE_S);
-            logProgress(changes + " changes in a row");
+            logProgress(changes + " changes in sequence");
             measureSequence(c, proxies);
             measureSizes();
             if (full) {
                 logProgress("a burst of " + changes);
                 measureBurst(c);
-                logProgress("away");
+                logProgress("absent follower");
                 measureAbsence(c);
             }
         }
@@ -440,7 +446,7 @@
         results.put("away.bytes", (double) (h.bytes() - bytesBefore));
     }
 
-    /** What the program makes of the document and of an hour's changes to it; nothing is sent. */
+    /** Encodes the document and an hour's changes to it, for their sizes; nothing is sent. */
     private void measureSizes() throws Exception {
         Document d = new Document(
                 new Version(1, 1, Checksum.of(RoutesDocument.text(routes, 0)), Checksum.NONE),
@@ -514,7 +520,7 @@
         relayThreads.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    // ---- the command ----
+    // ---- results and main ----
 
     private static final String[][] SERIES = {
         {"in_force.p50", "s", "from the operator's call until a change is in force at a follower, median"},
@@ -550,7 +556,7 @@
         {"proxy.rss", "MB", "a real proxy's"}
     };
 
-    /** What was measured along one axis. */
+    /** The results along one axis. */
     private record Sweep(
             String axis,
             String prefix,
@@ -625,8 +631,9 @@
     }
 
     /**
-     * proxies (separated by commas, empty for no such sweep); real ones; changes in a row; routes; routes
-     * of the second sweep (separated by commas); proxies and changes of that; seed; folder; commit; file.
+     * Arguments: numbers of proxies to sweep (separated by commas, empty for none); real proxies; changes in
+     * sequence; routes; numbers of routes to sweep (separated by commas); proxies and changes of that sweep; seed;
+     * folder; commit; output file.
      */
     public static void main(String[] args) throws Exception {
         int realProxies = Integer.parseInt(args[1]);
@@ -660,7 +667,8 @@
                     proxiesSweep,
                     size,
                     true);
-            write(proxiesSweep, routesSweep, seed, args[9], Path.of(args[10])); // whatever becomes of the rest
+            // keeps the results so far if a later size fails
+            write(proxiesSweep, routesSweep, seed, args[9], Path.of(args[10]));
         }
         for (int size : routesSweep.sizes) {
             succeeded &= run(
