--- a/src/test/java/gullspar/scale/BackgroundTask.java
+++ b/src/test/java/gullspar/scale/BackgroundTask.java
@@ -12,11 +12,11 @@
 
     private final CompletableFuture<Void> done = new CompletableFuture<>();
 
-    BackgroundTask(ThrowingRunnable work) {
+    BackgroundTask(ThrowingRunnable task) {
         Thread t = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                         done.complete(null);
                     } catch (ScaleException | IOException | RuntimeException e) {
                         done.completeExceptionally(e);
--- a/src/test/java/gullspar/scale/ControlPlaneMeter.java
+++ b/src/test/java/gullspar/scale/ControlPlaneMeter.java
@@ -31,15 +31,16 @@
 
     /** Measures the idle cost over the given time. Later measurements subtract its processor time. */
     IdleCost measureIdle(double seconds) throws ScaleException, IOException {
-        Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
-        Map<Long, ProcessUsage.CpuTime> hollow = fleet.hollowCpuTimes();
-        Map<Long, ProcessUsage.CpuTime> real = fleet.realCpuTimes();
-        long at = System.nanoTime();
+        Map<String, TrafficCounter.Total> trafficBefore = fleet.discovery.trafficByKind();
+        Map<Long, ProcessUsage.CpuTime> hollowCpuBefore = fleet.hollowCpuTimes();
+        Map<Long, ProcessUsage.CpuTime> realCpuBefore = fleet.realCpuTimes();
+        long startedNs = System.nanoTime();
         Sleep.ms((long) (seconds * 1000));
-        double elapsedS = (System.nanoTime() - at) / 1e9;
-        double hollowMs = ProcessUsage.cpuMsSince(hollow);
-        double realMs = ProcessUsage.cpuMsSince(real);
-        TrafficCounter.Total received = total(TrafficCounter.difference(before, fleet.discovery.trafficByKind()));
+        double elapsedS = (System.nanoTime() - startedNs) / 1e9;
+        double hollowMs = ProcessUsage.cpuMsSince(hollowCpuBefore);
+        double realMs = ProcessUsage.cpuMsSince(realCpuBefore);
+        TrafficCounter.Total received =
+                total(TrafficCounter.difference(trafficBefore, fleet.discovery.trafficByKind()));
         double proxySeconds = elapsedS * proxyCount();
         idle = new IdleCost(
                 hollowMs / elapsedS / Math.max(1, fleet.shape.proxies()),
@@ -52,7 +53,7 @@
     /** Adds and removes backends, one change at a time. */
     EventCost measureChanges(int count, double perSecond) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
-        EventCost c = measure(
+        EventCost cost = measure(
                 count, perSecond, i -> fleet.discovery.pushChange(fleet.shape.backends() + i / 2 % 2, i % 2 == 0));
         Map<String, TrafficCounter.Total> traffic = TrafficCounter.difference(before, fleet.discovery.trafficByKind());
         long received = traffic.getOrDefault("change", TrafficCounter.ZERO).messages();
@@ -64,7 +65,7 @@
                     ScaleException.COUNT,
                     received + " change messages sent for " + count + " changes to " + proxyCount() + " proxies");
         }
-        return c;
+        return cost;
     }
 
     private int proxyCount() {
@@ -84,32 +85,32 @@
     /** Ends all watches {@code count} times; every proxy fetches the full list each time. */
     EventCost measureFullLists(int count) throws ScaleException, IOException {
         Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
-        EventCost c = measure(count, 0, i -> fleet.discovery.resetWatches());
+        EventCost cost = measure(count, 0, i -> fleet.discovery.resetWatches());
         fleet.discovery.allowDeltas();
         Map<String, TrafficCounter.Total> traffic = TrafficCounter.difference(before, fleet.discovery.trafficByKind());
         long fullLists = traffic.getOrDefault("whole", TrafficCounter.ZERO).messages();
-        long calls = traffic.getOrDefault("call", TrafficCounter.ZERO).messages();
-        if (fullLists != calls || calls < (long) count * proxyCount()) {
+        long watchRequests = traffic.getOrDefault("call", TrafficCounter.ZERO).messages();
+        if (fullLists != watchRequests || watchRequests < (long) count * proxyCount()) {
             throw new ScaleException(
                     ScaleException.COUNT,
-                    fullLists + " full lists for " + calls + " watch requests of " + proxyCount() + " proxies, reset "
-                            + count + " times");
+                    fullLists + " full lists for " + watchRequests + " watch requests of " + proxyCount()
+                            + " proxies, reset " + count + " times");
         }
-        return c;
+        return cost;
     }
 
     /** perSecond 0: each event starts once all proxies have received the one before. */
     private EventCost measure(int count, double perSecond, Trigger trigger) throws ScaleException, IOException {
-        Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
-        Map<Long, ProcessUsage.CpuTime> hollow = fleet.hollowCpuTimes();
-        Map<Long, ProcessUsage.CpuTime> real = fleet.realCpuTimes();
-        long at = System.nanoTime();
+        Map<String, TrafficCounter.Total> trafficBefore = fleet.discovery.trafficByKind();
+        Map<Long, ProcessUsage.CpuTime> hollowCpuBefore = fleet.hollowCpuTimes();
+        Map<Long, ProcessUsage.CpuTime> realCpuBefore = fleet.realCpuTimes();
+        long startedNs = System.nanoTime();
         PushedVersion[] pushed = new PushedVersion[count];
         Histogram propagation = new Histogram(3);
         for (int i = 0; i < count; i++) {
             pushed[i] = trigger.fire(i);
             if (perSecond > 0) {
-                Sleep.ms((long) ((i + 1) * 1e3 / perSecond - (System.nanoTime() - at) / 1e6));
+                Sleep.ms((long) ((i + 1) * 1e3 / perSecond - (System.nanoTime() - startedNs) / 1e6));
             } else {
                 propagation.add(fleet.awaitPropagation(pushed[i], TIMEOUT_S));
                 awaitAllWatching();
@@ -119,10 +120,11 @@
             fleet.awaitPropagation(pushed[count - 1], TIMEOUT_S);
         }
         Sleep.ms(200); // lets the real proxies, whose receipt is not observed, finish the last event
-        double elapsedS = (System.nanoTime() - at) / 1e9;
-        double hollowMs = ProcessUsage.cpuMsSince(hollow) / fleet.shape.proxies() - elapsedS * idle.hollowMs();
-        double realMs = ProcessUsage.cpuMsSince(real) / Math.max(1, fleet.shape.real()) - elapsedS * idle.realMs();
-        TrafficCounter.Total sum = total(TrafficCounter.difference(before, fleet.discovery.trafficByKind()));
+        double elapsedS = (System.nanoTime() - startedNs) / 1e9;
+        double hollowMs = ProcessUsage.cpuMsSince(hollowCpuBefore) / fleet.shape.proxies() - elapsedS * idle.hollowMs();
+        double realMs =
+                ProcessUsage.cpuMsSince(realCpuBefore) / Math.max(1, fleet.shape.real()) - elapsedS * idle.realMs();
+        TrafficCounter.Total sum = total(TrafficCounter.difference(trafficBefore, fleet.discovery.trafficByKind()));
         for (int i = 0; perSecond > 0 && i < count; i++) {
             propagation.add(fleet.awaitPropagation(pushed[i], TIMEOUT_S));
         }
--- a/src/test/java/gullspar/scale/ControlPlaneSweeps.java
+++ b/src/test/java/gullspar/scale/ControlPlaneSweeps.java
@@ -83,11 +83,11 @@
         System.out.println(s.axis + " " + s.size + " " + s.fixed);
         try (TestFleet fleet = new TestFleet(children, shape, options.port())) {
             fleet.startProcesses();
-            long heap = fleet.hollowHeapBytes();
-            long resident = fleet.hollowResidentBytes();
+            long heapBefore = fleet.hollowHeapBytes();
+            long residentBefore = fleet.hollowResidentBytes();
             fleet.startProxies();
             ControlPlaneMeter meter = new ControlPlaneMeter(fleet);
-            Map<String, TrafficCounter.Total> before = fleet.discovery.trafficByKind();
+            Map<String, TrafficCounter.Total> trafficBefore = fleet.discovery.trafficByKind();
             meter.measureFullLists(full ? 3 : 1);
             meter.measureWeights(full ? 3 : 1);
             meter.measureChanges(full ? 40 : 2, 20);
@@ -96,10 +96,10 @@
             s.addFullList(meter.measureFullLists(full ? 3 : 1));
             s.addChange(meter.measureChanges(full ? 60 : 6, 20));
             s.addWeights(meter.measureWeights(full ? 4 : 2));
-            s.addMessageBytes(TrafficCounter.difference(before, fleet.discovery.trafficByKind()));
+            s.addMessageBytes(TrafficCounter.difference(trafficBefore, fleet.discovery.trafficByKind()));
             s.addMemory(
-                    (fleet.hollowHeapBytes() - heap) / 1024.0 / shape.proxies(),
-                    (fleet.hollowResidentBytes() - resident) / 1024.0 / shape.proxies());
+                    (fleet.hollowHeapBytes() - heapBefore) / 1024.0 / shape.proxies(),
+                    (fleet.hollowResidentBytes() - residentBefore) / 1024.0 / shape.proxies());
             fleet.checkNoFailures();
         }
     }
@@ -121,9 +121,11 @@
             return fixed.get("backends") instanceof Integer b && b > 2000 ? ".before" + b : "";
         }
 
-        private void add(String id, String unit, double value, String what) {
+        private void add(String id, String unit, double value, String description) {
             results.add(
-                    new SeriesInfo(id + "." + axis + suffix(), what, unit, axis, new TreeMap<>(fixed)), size, value);
+                    new SeriesInfo(id + "." + axis + suffix(), description, unit, axis, new TreeMap<>(fixed)),
+                    size,
+                    value);
         }
 
         void addIdle(ControlPlaneMeter.IdleCost idleCost) {
@@ -231,11 +233,11 @@
                         (double) sum.bytes() / sum.messages(),
                         "bytes to a proxy of one message from discovery: " + kind);
             }
-            TrafficCounter.Total calls = kinds.getOrDefault("call", TrafficCounter.ZERO);
+            TrafficCounter.Total watchRequests = kinds.getOrDefault("call", TrafficCounter.ZERO);
             add(
                     "proxy.control.bytes.out.call",
                     "B",
-                    (double) calls.bytes() / calls.messages(),
+                    (double) watchRequests.bytes() / watchRequests.messages(),
                     "bytes from a proxy to discovery for a watch");
         }
 
--- a/src/test/java/gullspar/scale/DiscoveryStandIn.java
+++ b/src/test/java/gullspar/scale/DiscoveryStandIn.java
@@ -78,9 +78,9 @@
         return addresses[zone % addresses.length];
     }
 
-    private <T> T onLoop(Callable<T> what) {
+    private <T> T onLoop(Callable<T> task) {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (InterruptedException | ExecutionException e) {
             throw new IllegalStateException(e);
         }
@@ -100,11 +100,11 @@
     }
 
     private PushedVersion push(byte[] line, String kind) {
-        long at = System.nanoTime();
+        long pushedAtNs = System.nanoTime();
         ByteBuf chunk = chunk(line);
         watches.forEach(w -> w.push(chunk, kind));
         chunk.release();
-        return new PushedVersion(list.version(), at);
+        return new PushedVersion(list.version(), pushedAtNs);
     }
 
     long version() {
@@ -126,10 +126,10 @@
     /**
      * Cuts a zone off, or reconnects it: nothing is written to its watches meanwhile, but connections stay open.
      */
-    void setCutOff(int zone, boolean on) {
+    void setCutOff(int zone, boolean isCutOff) {
         onLoop(() -> {
-            cutOff[zone] = on;
-            if (!on) {
+            cutOff[zone] = isCutOff;
+            if (!isCutOff) {
                 watches.stream().filter(w -> w.zone == zone).toList().forEach(Watch::sendPending);
             }
             return null;
@@ -137,8 +137,8 @@
     }
 
     /** Stops discovery, so that connections end and new ones are refused, or restarts it at the same addresses. */
-    void setDown(boolean on) throws ScaleException {
-        if (on) {
+    void setDown(boolean isDown) throws ScaleException {
+        if (isDown) {
             onLoop(() -> {
                 List.of(listeners).forEach(Channel::close);
                 List.copyOf(watches).forEach(Watch::close);
--- a/src/test/java/gullspar/scale/FaultTrials.java
+++ b/src/test/java/gullspar/scale/FaultTrials.java
@@ -47,8 +47,8 @@
         addPropagation("tenth.killed", fleet.discovery.pushChange(shape.backends(), true));
         Sleep.ms((long) (durationS * 1000));
         fleet.discovery.pushChange(shape.backends(), false);
-        long at = System.nanoTime();
-        PushedVersion pushed = new PushedVersion(fleet.discovery.version(), at);
+        long restartedNs = System.nanoTime();
+        PushedVersion pushed = new PushedVersion(fleet.discovery.version(), restartedNs);
         fleet.restartProcess(0);
         add(
                 "tenth.back.known",
@@ -56,7 +56,7 @@
                         + "runtime's start included",
                 "ms",
                 fleet.awaitPropagation(pushed, TIMEOUT_S).getMaxValue() / 1e3);
-        addPeakTraffic("tenth.back", at);
+        addPeakTraffic("tenth.back", restartedNs);
     }
 
     private void cutOffZone(double durationS) throws ScaleException {
@@ -64,20 +64,20 @@
         fleet.discovery.setCutOff(1, true);
         PushedVersion pushed = fleet.discovery.pushChange(shape.backends(), true);
         Sleep.ms((long) (durationS * 1000));
-        long at = System.nanoTime();
+        long reconnectedNs = System.nanoTime();
         fleet.discovery.setCutOff(1, false);
         add(
                 "zone.back.known",
                 "from the end of a zone's cut until the last proxy knows what changed in it",
                 "ms",
-                fleet.awaitPropagation(new PushedVersion(pushed.version(), at), TIMEOUT_S)
+                fleet.awaitPropagation(new PushedVersion(pushed.version(), reconnectedNs), TIMEOUT_S)
                                 .getMaxValue()
                         / 1e3);
         Sleep.ms(1500);
-        addPeakTraffic("zone.back", at);
-        TrafficCounter.Total calls = TrafficCounter.difference(before, fleet.discovery.trafficByKind())
+        addPeakTraffic("zone.back", reconnectedNs);
+        TrafficCounter.Total watchRequests = TrafficCounter.difference(before, fleet.discovery.trafficByKind())
                 .getOrDefault("call", TrafficCounter.ZERO);
-        add("zone.back.calls", "watches opened during the cut and after it, of all", "1", calls.messages());
+        add("zone.back.calls", "watches opened during the cut and after it, of all", "1", watchRequests.messages());
     }
 
     private void stopDiscovery(double durationS) throws ScaleException, IOException {
@@ -97,14 +97,14 @@
                 "ms/s",
                 cpuMs / durationS / shape.proxies());
         connects = fleet.discoveryConnects();
-        long at = System.nanoTime();
+        long restartedNs = System.nanoTime();
         fleet.discovery.setDown(false);
         PushedVersion pushed = fleet.discovery.pushChange(shape.backends(), false);
         add(
                 "discovery.back.known",
                 "from discovery's return until the last proxy knows a change since",
                 "ms",
-                fleet.awaitPropagation(new PushedVersion(pushed.version(), at), TIMEOUT_S)
+                fleet.awaitPropagation(new PushedVersion(pushed.version(), restartedNs), TIMEOUT_S)
                                 .getMaxValue()
                         / 1e3);
         Sleep.ms(1500);
@@ -113,7 +113,7 @@
                 "connections that all proxies make when discovery is back",
                 "1",
                 fleet.discoveryConnects() - connects);
-        addPeakTraffic("discovery.back", at);
+        addPeakTraffic("discovery.back", restartedNs);
         if (fleet.discovery.watchCount() < shape.proxies() + shape.real()) {
             throw new ScaleException(
                     ScaleException.COUNT,
@@ -130,18 +130,22 @@
                 fleet.awaitPropagation(pushed, TIMEOUT_S).getMaxValue() / 1e3);
     }
 
-    private void addPeakTraffic(String fault, long at) {
+    private void addPeakTraffic(String fault, long fromNs) {
         add(
                 fault + ".worst",
                 "bytes between discovery and all proxies in the worst second after it",
                 "B/s",
-                fleet.discovery.peakBytesPerSecond(at));
+                fleet.discovery.peakBytesPerSecond(fromNs));
     }
 
-    private void add(String id, String what, String unit, double value) {
+    private void add(String id, String description, String unit, double value) {
         results.add(
                 new SeriesInfo(
-                        "fault." + id, what, unit, "proxies", new TreeMap<>(Map.of("backends", shape.backends()))),
+                        "fault." + id,
+                        description,
+                        unit,
+                        "proxies",
+                        new TreeMap<>(Map.of("backends", shape.backends()))),
                 shape.proxies(),
                 value);
     }
--- a/src/test/java/gullspar/scale/HollowComparison.java
+++ b/src/test/java/gullspar/scale/HollowComparison.java
@@ -35,10 +35,10 @@
             ControlPlaneMeter meter = new ControlPlaneMeter(fleet);
             meter.measureFullLists(quick ? 1 : 20);
             meter.measureChanges(quick ? 4 : 500, quick ? 20 : 100);
-            Map<Long, ProcessUsage.CpuTime> idle = empty.hollowCpuTimes();
-            long at = System.nanoTime();
+            Map<Long, ProcessUsage.CpuTime> emptyCpuBefore = empty.hollowCpuTimes();
+            long idleFromNs = System.nanoTime();
             ControlPlaneMeter.IdleCost idleCost = meter.measureIdle(quick ? 2 : 15);
-            double idleRuntimeMs = ProcessUsage.cpuMsSince(idle) / ((System.nanoTime() - at) / 1e9);
+            double idleRuntimeMs = ProcessUsage.cpuMsSince(emptyCpuBefore) / ((System.nanoTime() - idleFromNs) / 1e9);
             ControlPlaneMeter.EventCost fullList = meter.measureFullLists(quick ? 1 : 10);
             ControlPlaneMeter.EventCost change = meter.measureChanges(quick ? 4 : 300, quick ? 20 : 50);
             ControlPlaneMeter.EventCost weights = meter.measureWeights(quick ? 1 : 20);
--- a/src/test/java/gullspar/scale/LatencyTrial.java
+++ b/src/test/java/gullspar/scale/LatencyTrial.java
@@ -123,7 +123,8 @@
         return (proxied.getValueAtPercentile(percentile) - direct.getValueAtPercentile(percentile)) / 1e3;
     }
 
-    private void add(String id, String what, String unit, double value) {
-        results.add(new SeriesInfo(prefix + id + "." + axis, what, unit, axis, new TreeMap<>(fixed)), size, value);
+    private void add(String id, String description, String unit, double value) {
+        results.add(
+                new SeriesInfo(prefix + id + "." + axis, description, unit, axis, new TreeMap<>(fixed)), size, value);
     }
 }
--- a/src/test/java/gullspar/scale/MemberFleet.java
+++ b/src/test/java/gullspar/scale/MemberFleet.java
@@ -91,34 +91,34 @@
     /** Adds the idle cost over the given time and the smallest view of a member, then stops the processes. */
     void addIdleAndStop(double seconds) throws ScaleException, IOException {
         try {
-            long[] before = counts();
+            long[] countsBefore = counts();
             Map<Long, ProcessUsage.CpuTime> cpuBefore = new TreeMap<>();
             for (ChildProcess c : processes) {
                 cpuBefore.put(c.pid(), ProcessUsage.cpuTime(c.pid()));
             }
-            long at = System.nanoTime();
+            long startedNs = System.nanoTime();
             Sleep.ms((long) (seconds * 1000));
-            long[] after = counts();
-            double passed = (System.nanoTime() - at) / 1e9 * size;
+            long[] countsAfter = counts();
+            double memberSeconds = (System.nanoTime() - startedNs) / 1e9 * size;
             add(
                     "view.cpu.rest",
                     "ms/s",
-                    ProcessUsage.cpuMsSince(cpuBefore) / passed,
+                    ProcessUsage.cpuMsSince(cpuBefore) / memberSeconds,
                     "processor time of a member, settled");
             add(
                     "view.bytes.out.rest",
                     "B/s",
-                    (after[1] - before[1]) / passed,
+                    (countsAfter[1] - countsBefore[1]) / memberSeconds,
                     "bytes that a member sends " + "a second, " + "some minutes after the start of all");
             add(
                     "view.bytes.in.rest",
                     "B/s",
-                    (after[3] - before[3]) / passed,
+                    (countsAfter[3] - countsBefore[3]) / memberSeconds,
                     "bytes that a member gets a " + "second, " + "some minutes after the start of all");
             add(
                     "view.datagrams.out.rest",
                     "1/s",
-                    (after[0] - before[0]) / passed,
+                    (countsAfter[0] - countsBefore[0]) / memberSeconds,
                     "datagrams that a member sends a " + "second, some minutes after the start of all");
             add(
                     "view.known.share",
@@ -160,10 +160,14 @@
         }
     }
 
-    private void add(String id, String unit, double value, String what) {
+    private void add(String id, String unit, double value, String description) {
         results.add(
                 new SeriesInfo(
-                        id + ".proxies", what, unit, "proxies", new TreeMap<>(Map.of("interval_ms", intervalMs))),
+                        id + ".proxies",
+                        description,
+                        unit,
+                        "proxies",
+                        new TreeMap<>(Map.of("interval_ms", intervalMs))),
                 size,
                 value);
     }
--- a/src/test/java/gullspar/scale/Results.java
+++ b/src/test/java/gullspar/scale/Results.java
@@ -35,7 +35,7 @@
     }
 
     /** Adds a figure measured at real and at hollow proxies, with the reason for a difference. */
-    synchronized void addComparison(String figure, String unit, double real, double hollow, String why) {
+    synchronized void addComparison(String figure, String unit, double real, double hollow, String reason) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("figure", figure);
         row.put("unit", unit);
@@ -43,7 +43,7 @@
         row.put("hollow", round(hollow));
         row.put("hollow_to_real", round(hollow / real));
         row.put("within_20_percent", Math.abs(hollow / real - 1) <= 0.2);
-        row.put("difference", why);
+        row.put("difference", reason);
         comparisons.add(row);
         System.out.println("  " + row);
     }
--- a/src/test/java/gullspar/scale/RoutesFileSweeps.java
+++ b/src/test/java/gullspar/scale/RoutesFileSweeps.java
@@ -105,10 +105,10 @@
                     "processor time of a start, the runtime's included");
             s.add("site.start.known", "ms", (System.nanoTime() - startedNs) / 1e6, "from a start until it listens");
             measureReloads(s, c);
-            Map<Long, ProcessUsage.CpuTime> before = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
+            Map<Long, ProcessUsage.CpuTime> cpuBefore = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
             long idleFromNs = System.nanoTime();
             Sleep.ms(options.full() ? 5000 : 500);
-            double idleMsPerSecond = ProcessUsage.cpuMsSince(before) / ((System.nanoTime() - idleFromNs) / 1e9);
+            double idleMsPerSecond = ProcessUsage.cpuMsSince(cpuBefore) / ((System.nanoTime() - idleFromNs) / 1e9);
             s.add("site.cpu.rest", "ms/s", idleMsPerSecond, "processor time at rest");
             String[] urls = new String[routes];
             for (int r = 0; r < routes; r++) {
@@ -151,7 +151,7 @@
     }
 
     private void measureReloads(Series s, ChildProcess c) throws ScaleException, IOException {
-        Map<Long, ProcessUsage.CpuTime> before = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
+        Map<Long, ProcessUsage.CpuTime> cpuBefore = Map.of(c.pid(), ProcessUsage.cpuTime(c.pid()));
         double slowestMs = 0;
         for (int i = 0; i < RELOADS; i++) {
             long sentNs = System.nanoTime();
@@ -159,7 +159,7 @@
             c.awaitLine("a new configuration", START_TIMEOUT_S);
             slowestMs = Math.max(slowestMs, (System.nanoTime() - sentNs) / 1e6);
         }
-        s.add("site.reload.cpu", "ms", ProcessUsage.cpuMsSince(before) / RELOADS, "processor time for a SIGHUP");
+        s.add("site.reload.cpu", "ms", ProcessUsage.cpuMsSince(cpuBefore) / RELOADS, "processor time for a SIGHUP");
         s.add("site.reload.known", "ms", slowestMs, "from SIGHUP until the file is in force, the slowest");
     }
 
@@ -175,8 +175,8 @@
             this.fixed = fixed;
         }
 
-        void add(String id, String unit, double value, String what) {
-            results.add(new SeriesInfo(id + "." + axis, what, unit, axis, new TreeMap<>(fixed)), size, value);
+        void add(String id, String unit, double value, String description) {
+            results.add(new SeriesInfo(id + "." + axis, description, unit, axis, new TreeMap<>(fixed)), size, value);
         }
     }
 }
--- a/src/test/java/gullspar/scale/RunPlan.java
+++ b/src/test/java/gullspar/scale/RunPlan.java
@@ -52,42 +52,42 @@
     private void full() throws ScaleException, IOException {
         ControlPlaneSweeps sweeps = new ControlPlaneSweeps(options, children, results);
         for (int size : new int[] {100, 1000, 6600}) {
-            runUnlessLate(size + " backends", () -> sweeps.backends(new int[] {size}, 40, 0));
+            runIfTimeIsLeft(size + " backends", () -> sweeps.backends(new int[] {size}, 40, 0));
         }
         for (int size : new int[] {40, 160, 640}) {
-            runUnlessLate(size + " proxies", () -> sweeps.proxies(new int[] {size}, 100, 0));
+            runIfTimeIsLeft(size + " proxies", () -> sweeps.proxies(new int[] {size}, 100, 0));
         }
         List<MemberFleet> memberFleets = new ArrayList<>();
-        runUnlessLate("the view at 40, 160 and 640", () -> {
+        runIfTimeIsLeft("the view at 40, 160 and 640", () -> {
             for (int size : new int[] {40, 160, 640}) {
                 memberFleets.add(MemberFleet.start(children, results, size, 1000));
             }
         });
-        runUnlessLate("real beside hollow, with traffic", () -> new HollowComparison(options, children, results)
+        runIfTimeIsLeft("real beside hollow, with traffic", () -> new HollowComparison(options, children, results)
                 .run(8, 1000, false));
         for (MemberFleet v : memberFleets) {
             v.addStartTraffic();
         }
-        runUnlessLate(
+        runIfTimeIsLeft(
                 "changes", () -> sweeps.changes(new int[] {1, 10, 30, 100, 300}, new Shape(40, 1, 0, 1000, 0, 300)));
-        runUnlessLate("tenants", () -> new TenantSweep(children, results).run(new int[] {440, 4400, 44_000}, 8, 1));
+        runIfTimeIsLeft("tenants", () -> new TenantSweep(children, results).run(new int[] {440, 4400, 44_000}, 8, 1));
         RoutesFileSweeps routesFiles = new RoutesFileSweeps(options, children, results);
-        runUnlessLate("services", () -> routesFiles.services(new int[] {10, 100, 310}, 21));
+        runIfTimeIsLeft("services", () -> routesFiles.services(new int[] {10, 100, 310}, 21));
         for (MemberFleet v : memberFleets) {
             v.addIdleAndStop(10);
         }
-        runUnlessLate("routes", () -> routesFiles.routes(new int[] {240, 1200, 2400}, 10, 3));
-        runUnlessLate("faults at 40", () -> runFaults(new Shape(40, 10, 0, 100, 0, 100), 6));
-        runUnlessLate("faults at 160, 8 real", () -> runFaults(new Shape(160, 10, 8, 100, 0, 150), 6));
-        runUnlessLate("faults at 640", () -> runFaults(new Shape(640, 10, 0, 100, 0, 300), 6));
-        runUnlessLate("320 proxies and 6,600 backends", () -> sweeps.proxies(new int[] {40, 320}, 6600, 0));
-        runUnlessLate("traffic at 100 and 6,600 backends, 24 real", () -> {
+        runIfTimeIsLeft("routes", () -> routesFiles.routes(new int[] {240, 1200, 2400}, 10, 3));
+        runIfTimeIsLeft("faults at 40", () -> runFaults(new Shape(40, 10, 0, 100, 0, 100), 6));
+        runIfTimeIsLeft("faults at 160, 8 real", () -> runFaults(new Shape(160, 10, 8, 100, 0, 150), 6));
+        runIfTimeIsLeft("faults at 640", () -> runFaults(new Shape(640, 10, 0, 100, 0, 300), 6));
+        runIfTimeIsLeft("320 proxies and 6,600 backends", () -> sweeps.proxies(new int[] {40, 320}, 6600, 0));
+        runIfTimeIsLeft("traffic at 100 and 6,600 backends, 24 real", () -> {
             sweeps.traffic(100, 24);
             sweeps.traffic(6600, 24);
         });
     }
 
-    private void runUnlessLate(String trialName, BackgroundTask.ThrowingRunnable trial)
+    private void runIfTimeIsLeft(String trialName, BackgroundTask.ThrowingRunnable trial)
             throws ScaleException, IOException {
         if ((System.nanoTime() - startedNs) / 1e9 > LAST_START_S) {
             System.out.println("not run, time limit reached: " + trialName);
--- a/src/test/java/gullspar/scale/ScaleRun.java
+++ b/src/test/java/gullspar/scale/ScaleRun.java
@@ -42,7 +42,7 @@
 
     private static void runWithTimeout(Options o, ChildProcesses children) throws ScaleException, IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        Thread work = new Thread(
+        Thread worker = new Thread(
                 () -> {
                     try {
                         long began = System.nanoTime();
@@ -60,8 +60,8 @@
                     }
                 },
                 "scale run");
-        work.setDaemon(true);
-        work.start();
+        worker.setDaemon(true);
+        worker.start();
         int seconds = o.full() ? FULL_TIMEOUT_S : SMALL_TIMEOUT_S;
         try {
             done.get(seconds, TimeUnit.SECONDS);
--- a/src/test/java/gullspar/scale/TenantSweep.java
+++ b/src/test/java/gullspar/scale/TenantSweep.java
@@ -47,7 +47,7 @@
         for (RealProxy r : fleet.realProxies) {
             residentKb += ProcessUsage.residentBytes(r.child().pid()) / 1024.0 / real;
             configBytes = Files.size(r.config());
-            Map<Long, ProcessUsage.CpuTime> before =
+            Map<Long, ProcessUsage.CpuTime> cpuBefore =
                     Map.of(r.child().pid(), ProcessUsage.cpuTime(r.child().pid()));
             for (int i = 0; i < RELOADS; i++) {
                 Files.copy(r.config(), r.config().resolveSibling("next"), StandardCopyOption.REPLACE_EXISTING);
@@ -57,7 +57,7 @@
                 r.child().awaitLine("a new configuration", TIMEOUT_S);
                 slowestMs = Math.max(slowestMs, (System.nanoTime() - sentNs) / 1e6);
             }
-            cpuMs += ProcessUsage.cpuMsSince(before) / RELOADS / real;
+            cpuMs += ProcessUsage.cpuMsSince(cpuBefore) / RELOADS / real;
         }
         add("proxy.config.bytes", "B", configBytes, "a proxy's configuration file");
         add("proxy.resident", "KB", residentKb, "resident memory of a real proxy");
@@ -69,9 +69,10 @@
                 "from SIGHUP until the configuration is in force, " + "the " + "slowest");
     }
 
-    private void add(String id, String unit, double value, String what) {
+    private void add(String id, String unit, double value, String description) {
         results.add(
-                new SeriesInfo(id + ".tenants", what, unit, "tenants", new TreeMap<>(Map.of("backends", BACKENDS))),
+                new SeriesInfo(
+                        id + ".tenants", description, unit, "tenants", new TreeMap<>(Map.of("backends", BACKENDS))),
                 size,
                 value);
     }
--- a/src/test/java/gullspar/scale/TrafficCounter.java
+++ b/src/test/java/gullspar/scale/TrafficCounter.java
@@ -7,8 +7,8 @@
 final class TrafficCounter {
     /** The number of messages of a kind and their bytes in total. */
     record Total(long messages, long bytes) {
-        Total plus(long more, long moreBytes) {
-            return new Total(messages + more, bytes + moreBytes);
+        Total plus(long otherMessages, long otherBytes) {
+            return new Total(messages + otherMessages, bytes + otherBytes);
         }
 
         Total minus(Total before) {
--- a/src/test/java/gullspar/versions/scale/Relay.java
+++ b/src/test/java/gullspar/versions/scale/Relay.java
@@ -121,10 +121,10 @@
             this.out = out;
         }
 
-        private void schedule(EventLoop loop, int length, Runnable what) {
+        private void schedule(EventLoop loop, int length, Runnable task) {
             long now = System.nanoTime();
             lastDeliveryNs = Math.max(lastDeliveryNs, now + transitNs(length));
-            loop.schedule(what, lastDeliveryNs - now, TimeUnit.NANOSECONDS);
+            loop.schedule(task, lastDeliveryNs - now, TimeUnit.NANOSECONDS);
         }
 
         @Override
--- a/src/test/java/gullspar/versions/scale/RoutesDocument.java
+++ b/src/test/java/gullspar/versions/scale/RoutesDocument.java
@@ -10,7 +10,7 @@
      * Returns a document of {@code routes} routes, eight to a pool and a host; each change sets another deadline
      * on one.
      */
-    public static String text(int routes, int change) {
+    public static String generate(int routes, int change) {
         StringBuilder s = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n\n");
         int pools = Math.max(1, routes / ROUTES_PER_POOL);
         for (int p = 0; p < pools; p++) {
--- a/src/test/java/gullspar/versions/scale/VersionsRun.java
+++ b/src/test/java/gullspar/versions/scale/VersionsRun.java
@@ -50,7 +50,7 @@
 
     private static final int TICKS_PER_SECOND = 100;
 
-    private final int followers;
+    private final int followerCount;
     private final int realProxies;
     private final int changes;
     private final int routes;
@@ -70,8 +70,8 @@
     private final Map<String, Double> results = new LinkedHashMap<>();
     private int version;
 
-    private VersionsRun(int followers, int realProxies, int changes, int routes, long seed, Path folder) {
-        this.followers = followers;
+    private VersionsRun(int followerCount, int realProxies, int changes, int routes, long seed, Path folder) {
+        this.followerCount = followerCount;
         this.realProxies = realProxies;
         this.changes = changes;
         this.routes = routes;
@@ -142,7 +142,7 @@
                                     .toList() + "\n");
             start("real-" + i, 192, "serve", "--follow", file.toString());
         }
-        for (int i = 0; i < followers; i++) {
+        for (int i = 0; i < followerCount; i++) {
             HollowFollower h = new HollowFollower(
                     "hollow-" + i, hollowThreads.next(), relayAddresses, seed * 1000 + i, this::onInForce);
             hollowFollowers.add(h);
@@ -162,10 +162,10 @@
         }
     }
 
-    private void onInForce(long number, long at) {
-        Long began = publishedNs.get(number);
-        if (began != null) {
-            inForce.recordValue(Math.max(1, (at - began) / 1000));
+    private void onInForce(long number, long inForceNs) {
+        Long publishedAtNs = publishedNs.get(number);
+        if (publishedAtNs != null) {
+            inForce.recordValue(Math.max(1, (inForceNs - publishedAtNs) / 1000));
         }
     }
 
@@ -184,7 +184,7 @@
         version++;
         publishedNs.put((long) version, System.nanoTime());
         Message.Published p = c.request(
-                new Message.Publish(version - 1, "routes.toml", RoutesDocument.text(routes, version)),
+                new Message.Publish(version - 1, "routes.toml", RoutesDocument.generate(routes, version)),
                 Message.Published.class);
         if (p.outcome() != Publisher.Outcome.ACCEPTED) {
             throw new IOException("change rejected: " + p);
@@ -197,7 +197,7 @@
      */
     private void awaitInForceEverywhere() throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        long began = publishedNs.get((long) version);
+        long publishedAtNs = publishedNs.get((long) version);
         boolean[] reached = new boolean[realProxies];
         int remaining = realProxies;
         while (System.nanoTime() < end) {
@@ -206,11 +206,11 @@
                 Message.StatusResponse status = status(false);
                 Set<String> missing = new HashSet<>();
                 status.states().forEach(r -> missing.add(r.name()));
-                for (int i = 0; i < realProxies && status.followers() >= followers + realProxies; i++) {
+                for (int i = 0; i < realProxies && status.followers() >= followerCount + realProxies; i++) {
                     if (!reached[i] && !missing.contains("a-real-" + i)) {
                         reached[i] = true;
                         remaining--;
-                        realInForce.recordValue((System.nanoTime() - began) / 1000);
+                        realInForce.recordValue((System.nanoTime() - publishedAtNs) / 1000);
                     }
                 }
             }
@@ -284,7 +284,7 @@
             double worst = 0;
             for (int s = 1; s < samples.size(); s++) {
                 double length = Math.max(1, (sampleTimes.get(s) - sampleTimes.get(s - 1)) / 1e9);
-                for (int i = 0; i < followers; i++) {
+                for (int i = 0; i < followerCount; i++) {
                     worst = Math.max(worst, (samples.get(s)[i] - samples.get(s - 1)[i]) / length);
                 }
             }
@@ -414,12 +414,12 @@
 
     private void measureBurst(ControlClient c) throws Exception {
         realInForce.reset();
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         TrafficMeter m = new TrafficMeter();
         for (int i = 0; i < changes; i++) {
             publish(c);
         }
-        results.put("burst.accepted", (System.nanoTime() - began) / 1e9);
+        results.put("burst.accepted", (System.nanoTime() - startedNs) / 1e9);
         awaitInForceEverywhere();
         results.put("burst.last_in_force", (System.nanoTime() - publishedNs.get((long) version)) / 1e9);
         TimeUnit.SECONDS.sleep(1);
@@ -449,11 +449,11 @@
     /** Encodes the document and an hour's changes to it, for their sizes; nothing is sent. */
     private void measureSizes() throws Exception {
         Document d = new Document(
-                new Version(1, 1, Checksum.of(RoutesDocument.text(routes, 0)), Checksum.NONE),
-                RoutesDocument.text(routes, 0));
+                new Version(1, 1, Checksum.of(RoutesDocument.generate(routes, 0)), Checksum.NONE),
+                RoutesDocument.generate(routes, 0));
         List<Delta> hour = new ArrayList<>();
         for (int i = 1; i <= CHANGES_PER_HOUR; i++) {
-            String text = RoutesDocument.text(routes, i);
+            String text = RoutesDocument.generate(routes, i);
             Document next = new Document(
                     new Version(1, i + 1, Checksum.of(text), d.version().id()), text);
             hour.add(Delta.between(d.text(), next));
@@ -462,14 +462,13 @@
         results.put("hour.bytes", (double) Frames.of(new Message.Update(d.version(), null, hour, "")).stream()
                 .mapToInt(f -> f.length)
                 .sum());
-        results.put(
-                "snapshot.bytes", (double) Frames.of(new Message.Update(
-                                status(false).head(), null, List.of(), RoutesDocument.text(routes, version)))
-                        .stream()
-                        .mapToInt(f -> f.length)
-                        .sum());
-        results.put(
-                "document.bytes", (double) RoutesDocument.text(routes, version).length());
+        results.put("snapshot.bytes", (double) Frames.of(new Message.Update(
+                        status(false).head(), null, List.of(), RoutesDocument.generate(routes, version)))
+                .stream()
+                .mapToInt(f -> f.length)
+                .sum());
+        results.put("document.bytes", (double)
+                RoutesDocument.generate(routes, version).length());
     }
 
     private void measureOutage() throws Exception {
@@ -482,10 +481,11 @@
         results.put("outage.older", (double) olderFollowers);
         TrafficMeter m = new TrafficMeter();
         startControl();
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         AtomicInteger reconnected = new AtomicInteger();
         AtomicIntegerArray seen = new AtomicIntegerArray(hollowFollowers.size());
-        while (reconnected.get() < hollowFollowers.size() && System.nanoTime() - began < RECONNECT_S * 2_000_000_000L) {
+        while (reconnected.get() < hollowFollowers.size()
+                && System.nanoTime() - startedNs < RECONNECT_S * 2_000_000_000L) {
             for (int i = 0; i < hollowFollowers.size(); i++) {
                 if (seen.get(i) == 0 && hollowFollowers.get(i).connected()) {
                     seen.set(i, 1);
@@ -494,7 +494,7 @@
             }
             Thread.sleep(20);
         }
-        results.put("outage.back", (System.nanoTime() - began) / 1e9);
+        results.put("outage.back", (System.nanoTime() - startedNs) / 1e9);
         TimeUnit.SECONDS.sleep(5);
         m.stop();
         results.put("outage.connections.worst", m.worstSecondConnections());
@@ -509,8 +509,8 @@
         }
     }
 
-    private void logProgress(String what) {
-        System.err.println(followers + " followers: " + what);
+    private void logProgress(String message) {
+        System.err.println(followerCount + " followers: " + message);
     }
 
     private void stop() {
