--- a/src/test/java/gullspar/scale/BackgroundTask.java
+++ b/src/test/java/gullspar/scale/BackgroundTask.java
@@ -6,6 +6,7 @@
 
 /** Runs trials on a daemon thread; their exception is rethrown by {@link #await()}. */
 final class BackgroundTask {
+    /** A task that may throw the exceptions of a trial. */
     interface ThrowingRunnable {
         void run() throws ScaleException, IOException;
     }
