--- a/src/test/java/gullspar/scale/Both.java
+++ b/src/test/java/gullspar/scale/BackgroundTask.java
@@ -4,31 +4,31 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 
-/** Work that goes on beside other work; what goes wrong with it is thrown where it is awaited. */
-final class Both {
-    /** Some trials. */
-    interface Work {
+/** Runs trials on a daemon thread; their exception is rethrown by {@link #await()}. */
+final class BackgroundTask {
+    /** A task that may throw the exceptions of a trial. */
+    interface ThrowingRunnable {
         void run() throws ScaleException, IOException;
     }
 
     private final CompletableFuture<Void> done = new CompletableFuture<>();
 
-    Both(Work work) {
+    BackgroundTask(ThrowingRunnable task) {
         Thread t = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                         done.complete(null);
                     } catch (ScaleException | IOException | RuntimeException e) {
                         done.completeExceptionally(e);
                     }
                 },
-                "beside");
+                "background trials");
         t.setDaemon(true);
         t.start();
     }
 
-    void join() throws ScaleException, IOException {
+    void await() throws ScaleException, IOException {
         try {
             done.get();
         } catch (InterruptedException e) {
--- a/src/test/java/gullspar/scale/NodeConfig.java
+++ b/src/test/java/gullspar/scale/NodeConfig.java
@@ -7,19 +7,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A proxy's configuration as a platform writes it, of the sizes of a run. */
+/** Creates a proxy's configuration as the platform would write it, with the sizes of a run. */
 final class NodeConfig {
     private NodeConfig() {}
 
-    /** proxies: how many there are in all; known: the list of the start, null for none. */
-    static ObjectNode of(int proxies, int tenants, byte[] known) throws IOException {
+    /** proxies: total number of proxies; initialList: the list to start with, null for none. */
+    static ObjectNode create(int proxies, int tenants, byte[] initialList) throws IOException {
         ObjectNode root = (ObjectNode) Json.read(Files.readAllBytes(Path.of("deploy/warm.json")));
         root.put("listen", "127.0.0.1:0").remove("operator");
         ((ObjectNode) root.get("limits")).put("memory_mb", 192).put("sockets", 1024);
-        if (known == null) {
+        if (initialList == null) {
             root.remove("known");
         } else {
-            root.set("known", Json.read(known));
+            root.set("known", Json.read(initialList));
         }
         ObjectNode settings = (ObjectNode) root.get("settings");
         settings.put("balancers", proxies);
@@ -34,8 +34,8 @@
         return root;
     }
 
-    /** The same for the proxy of that number. */
-    static void number(ObjectNode root, int number) {
+    /** Sets what differs from proxy to proxy: name, seed, number and zone. */
+    static void setNumber(ObjectNode root, int number) {
         root.put("name", "p" + number).put("seed", Integer.toHexString(0x10000 + number));
         ((ObjectNode) root.get("settings")).put("me", number).put("zone", number % BackendList.ZONES);
     }
--- a/src/test/java/gullspar/scale/RealProxy.java
+++ b/src/test/java/gullspar/scale/RealProxy.java
@@ -13,18 +13,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** One real proxy: deploy/serve.sh where the program was built, else this runtime on the same classes. */
-record RealProxy(Child child, InetSocketAddress listen, InetSocketAddress operator, Path config) {
-    /** Set by bench/scale/run.sh. */
+/**
+ * A real proxy process: deploy/serve.sh if the program was built, else this Java runtime with the classes of this
+ * run.
+ */
+record RealProxy(ChildProcess child, InetSocketAddress listen, InetSocketAddress operator, Path config) {
+    /** Set by bench/scale/run.sh, which builds the program. */
     static final boolean DEPLOYED = Boolean.getBoolean("gullspar.scale.deployed");
 
-    static RealProxy start(Children children, int number, ObjectNode json, int mayNeedMb)
+    static RealProxy start(ChildProcesses children, int number, ObjectNode json, int expectedMb)
             throws ScaleException, IOException {
         Path config = Files.writeString(children.folder().resolve("real" + number + ".json"), json.toString());
-        List<String> command = DEPLOYED ? List.of("sh", "deploy/serve.sh") : Child.java(64, "gullspar.Main", "serve");
-        Child c = children.start(
+        List<String> command =
+                DEPLOYED ? List.of("sh", "deploy/serve.sh") : ChildProcess.javaCommand(64, "gullspar.Main", "serve");
+        ChildProcess c = children.start(
                 "real proxy " + number,
-                mayNeedMb,
+                expectedMb,
                 command,
                 Map.of("NODE_CONFIG", config.toString(), "NODE_NAME", "p" + number));
         return new RealProxy(
@@ -34,8 +38,8 @@
                 config);
     }
 
-    /** How many backends it lists, as it tells operators. */
-    int members() throws IOException {
+    /** Returns how many backends the proxy lists, from its operators' port. */
+    int listedBackends() throws IOException {
         try (Socket s = new Socket(operator.getAddress(), operator.getPort())) {
             s.setSoTimeout(5000);
             s.getOutputStream().write("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -47,8 +51,8 @@
         }
     }
 
-    /** Heap in use after a collection, in bytes, by jcmd. */
-    long heap() throws IOException {
+    /** Returns the heap in use after a collection, in bytes, read with jcmd. */
+    long heapBytes() throws IOException {
         jcmd("GC.run");
         long kb = 0;
         for (String line : jcmd("GC.heap_info")) {
--- a/src/test/java/gullspar/scale/ScaleRun.java
+++ b/src/test/java/gullspar/scale/ScaleRun.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The scale runs' driver: see bench/scale/run.sh. It is bounded in time, and whatever ends it, all processes
- * that it started end with it.
+ * Main class of the scale runs, see bench/scale/run.sh. A run has a time limit, and all processes that it started
+ * end with it, however it ends.
  */
 public final class ScaleRun {
-    private static final int SMALL_S = 120, FULL_S = 840;
+    private static final int SMALL_TIMEOUT_S = 120, FULL_TIMEOUT_S = 840;
 
     private ScaleRun() {}
 
@@ -23,12 +23,12 @@
         System.exit(run(List.of(args)));
     }
 
-    /** The exit code. */
+    /** Runs with the given arguments and returns the exit code. */
     static int run(List<String> args) {
         try {
-            Options o = Options.of(args);
-            try (Children children = new Children((long) o.memoryMb() << 20)) {
-                bounded(o, children);
+            Options o = Options.parse(args);
+            try (ChildProcesses children = new ChildProcesses((long) o.memoryMb() << 20)) {
+                runWithTimeout(o, children);
             }
             return 0;
         } catch (ScaleException e) {
@@ -40,39 +40,39 @@
         }
     }
 
-    private static void bounded(Options o, Children children) throws ScaleException, IOException {
+    private static void runWithTimeout(Options o, ChildProcesses children) throws ScaleException, IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        Thread work = new Thread(
+        Thread worker = new Thread(
                 () -> {
                     try {
                         long began = System.nanoTime();
                         Results r = new Results();
-                        Machine.describe(r, o);
-                        new Plan(o, children, r).run();
-                        Machine.describeEnd(r, children);
-                        r.head("seconds", (System.nanoTime() - began) / 1_000_000_000L);
+                        RunMetadata.addStart(r, o);
+                        new RunPlan(o, children, r).run();
+                        RunMetadata.addEnd(r, children);
+                        r.setProperty("seconds", (System.nanoTime() - began) / 1_000_000_000L);
                         r.write(Path.of(o.out()));
-                        System.out.println(
-                                "written after " + (System.nanoTime() - began) / 1_000_000_000L + " s: " + o.out());
+                        System.out.println("results written after " + (System.nanoTime() - began) / 1_000_000_000L
+                                + " s: " + o.out());
                         done.complete(null);
                     } catch (ScaleException | IOException | RuntimeException e) {
                         done.completeExceptionally(e);
                     }
                 },
                 "scale run");
-        work.setDaemon(true);
-        work.start();
-        int seconds = o.full() ? FULL_S : SMALL_S;
+        worker.setDaemon(true);
+        worker.start();
+        int seconds = o.full() ? FULL_TIMEOUT_S : SMALL_TIMEOUT_S;
         try {
             done.get(seconds, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            throw new ScaleException(ScaleException.TIME, "not done after " + seconds + " s");
+            throw new ScaleException(ScaleException.TIME, "not finished after " + seconds + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new ScaleException(ScaleException.TIME, "interrupted");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof ScaleException s) {
-                children.look(); // a death behind another complaint comes first
+                children.checkHealth(); // a dead child that caused this error is reported instead of it
                 throw s;
             }
             throw new IOException(e.getCause().toString(), e.getCause());
--- a/src/test/java/gullspar/scale/Pause.java
+++ b/src/test/java/gullspar/scale/Sleep.java
@@ -1,8 +1,8 @@
 package gullspar.scale;
 
-/** Time that passes. */
-final class Pause {
-    private Pause() {}
+/** Sleeps; an interrupt ends the run with a {@link ScaleException}. */
+final class Sleep {
+    private Sleep() {}
 
     static void ms(long ms) throws ScaleException {
         try {
