--- a/src/main/java/gullspar/cli/PlatformCommands.java
+++ b/src/main/java/gullspar/cli/PlatformCommands.java
@@ -74,11 +74,11 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    private static int runDaemon(DaemonTask work) {
+    private static int runDaemon(DaemonTask task) {
         configureNetty();
         NonBlockingStream log = Log.makeStandardErrorNonBlocking();
         try {
-            work.run(log);
+            task.run(log);
             return 0;
         } catch (ConfigException | IOException e) {
             return reportFailure(e.getMessage());
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -212,18 +212,18 @@
         private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
             long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
-                Message.StatusResponse looked =
+                Message.StatusResponse status =
                         control.request(new Message.StatusRequest(false), Message.StatusResponse.class);
-                List<Message.FollowerState> missing = looked.states().stream()
+                List<Message.FollowerState> missing = status.states().stream()
                         .filter(r -> isOlder(r, version))
                         .toList();
                 if (missing.isEmpty()) {
-                    System.out.println("version " + version + " is in force at all " + looked.followers());
+                    System.out.println("version " + version + " is in force at all " + status.followers());
                     return 0;
                 }
                 if (System.nanoTime() > deadlineNs) {
                     System.out.println("version " + version + " is not in force at " + missing.size() + " of "
-                            + looked.followers() + ":");
+                            + status.followers() + ":");
                     missing.stream()
                             .limit(MAX_LISTED)
                             .map(VersionCommands::formatLine)
@@ -258,14 +258,14 @@
         public Integer call() {
             InetSocketAddress address = parseAddress(spec, "--at", at);
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
-                Message.StatusResponse looked =
+                Message.StatusResponse status =
                         control.request(new Message.StatusRequest(true), Message.StatusResponse.class);
-                System.out.println(looked.control() + (looked.primary() ? ", the primary" : "")
-                        + (looked.inStep() ? "" : ", which may not have the newest version") + ": version "
-                        + (looked.head() == null ? "none" : looked.head()) + " in force at " + looked.inForce() + " of "
-                        + looked.followers());
-                looked.states().stream().map(VersionCommands::formatLine).forEach(System.out::println);
-                return looked.inForce() == looked.followers() ? 0 : EXIT_NOT_IN_FORCE;
+                System.out.println(status.control() + (status.primary() ? ", the primary" : "")
+                        + (status.inStep() ? "" : ", which may not have the newest version") + ": version "
+                        + (status.head() == null ? "none" : status.head()) + " in force at " + status.inForce() + " of "
+                        + status.followers());
+                status.states().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                return status.inForce() == status.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
                 System.err.println(at + " does not respond: " + reason(e));
                 return 1;
--- a/src/main/java/gullspar/journal/Segment.java
+++ b/src/main/java/gullspar/journal/Segment.java
@@ -34,8 +34,8 @@
     public static final class UnsupportedVersionException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
-        UnsupportedVersionException(String what) {
-            super(what);
+        UnsupportedVersionException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/gullspar/journal/file/FolderDisk.java
+++ b/src/main/java/gullspar/journal/file/FolderDisk.java
@@ -70,8 +70,8 @@
             throw new IOException("this journal is open for reading only");
         }
         FileChannel c = FileChannel.open(path(number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         } catch (IOException e) {
             c.close();
             throw e;
--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -32,13 +32,13 @@
         return sendBudget.canTake((datagrams + 2.0) * Message.MAX_DATAGRAM_BYTES, now);
     }
 
-    void ping(long now, String address, Identity target, long nonce, boolean hello) {
+    void ping(long now, String address, Identity target, long nonce, boolean requestsStatement) {
         send(
                 now,
                 address,
                 target,
-                hello,
-                (h, r) -> new Message.Ping(h, nonce, target == null ? 0 : target.life(), hello, r));
+                requestsStatement,
+                (h, r) -> new Message.Ping(h, nonce, target == null ? 0 : target.life(), requestsStatement, r));
     }
 
     void ack(
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -228,13 +228,13 @@
     }
 
     /** Sets this process's own state and traffic statistics; gossips the state if it changed. */
-    public void updateSelf(long now, Phase phase, String config, TrafficStats figures, Facts facts) {
+    public void updateSelf(long now, Phase phase, String config, TrafficStats stats, Facts facts) {
         advanceClock(now);
         Statement s = self.statement();
         boolean stateChanged = phase != s.phase() || !config.equals(s.config()) || !facts.equals(s.facts());
-        currentStats = figures;
+        currentStats = stats;
         if (stateChanged) {
-            self.update(now, config, phase, s.twinLife(), digest(), figures, facts);
+            self.update(now, config, phase, s.twinLife(), digest(), stats, facts);
             gossip.enqueue(self.id, true);
             nextTickAt = Math.min(nextTickAt, nextGossip);
         }
@@ -359,7 +359,7 @@
     }
 
     private void verifyUnconfirmed(long now) {
-        int asked = 0;
+        int probed = 0;
         for (Roster.Unconfirmed h : List.copyOf(roster.unconfirmed())) {
             if (h.rumor.state().accuses() || h.rumor.status() == MemberStatus.LEFT) {
                 if (now - h.receivedAt > settings.syncNs() * 3) {
@@ -367,8 +367,8 @@
                 }
             } else if (h.probes >= MAX_VERIFICATIONS_PER_PROCESS) {
                 roster.forget(h);
-            } else if (now >= h.nextProbeAt && asked < MAX_VERIFICATIONS_PER_INTERVAL) {
-                asked++;
+            } else if (now >= h.nextProbeAt && probed < MAX_VERIFICATIONS_PER_INTERVAL) {
+                probed++;
                 h.probes++;
                 h.nextProbeAt = now + 2 * settings.intervalNs();
                 detector.verify(now, h.rumor.statement().address(), h.rumor.id());
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -140,7 +140,7 @@
     void listing(long now, Peer from, Message.Listing l) {
         NavigableMap<Long, Message.Known> mine = known();
         Map<Long, Identity> names = names();
-        List<Long> want = new ArrayList<>();
+        List<Long> toRequest = new ArrayList<>();
         List<Rumor> toSend = new ArrayList<>();
         NavigableMap<Long, Message.Known> missing = Long.compareUnsigned(l.from(), l.to()) > 0
                 ? new TreeMap<>()
@@ -149,13 +149,13 @@
             missing.remove(k.life());
             Message.Known m = mine.get(k.life());
             if (m == null) {
-                want.add(k.life());
+                toRequest.add(k.life());
                 continue;
             }
             MemberState theirs = new MemberState(k.incarnation(), k.status());
             MemberState ours = new MemberState(m.incarnation(), m.status());
             if (k.revision() > m.revision() || theirs.compareTo(ours) > 0 && k.life() != self.id.life()) {
-                want.add(k.life());
+                toRequest.add(k.life());
             } else if (theirs.compareTo(ours) > 0) {
                 members.applyRumor(now, new Rumor(self.id, k.incarnation(), k.status(), "", 0, null, 0), from);
             }
@@ -165,7 +165,7 @@
         }
         missing.keySet().forEach(life -> toSend.add(rumor(now, names.get(life), true)));
         sendRumors(now, from, toSend);
-        forEachPage(want, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, w -> {
+        forEachPage(toRequest, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, w -> {
             if (sender.canSend(1, now)) {
                 sender.sendPlain(now, from, h -> new Message.Want(h, w));
             }
--- a/src/main/java/gullspar/peers/ReconnectBackoff.java
+++ b/src/main/java/gullspar/peers/ReconnectBackoff.java
@@ -19,7 +19,7 @@
     private final Detector detector;
     private final RandomGenerator random;
     private List<String> seeds;
-    private int seed;
+    private int probeNextSeed;
     private long nextSeedProbeAt;
 
     ReconnectBackoff(
@@ -51,7 +51,7 @@
         }
         if (!seeds.isEmpty() && (alone || now >= nextSeedProbeAt)) {
             for (int i = 0; i < (alone ? Math.min(PROBES_WHEN_ISOLATED, seeds.size()) : 1); i++) {
-                seed(now);
+                probeNextSeed(now);
             }
         }
     }
@@ -73,9 +73,9 @@
         }
     }
 
-    private void seed(long now) {
+    private void probeNextSeed(long now) {
         nextSeedProbeAt = now + SEED_PROBE_INTERVALS * settings.intervalNs();
-        String address = seeds.get(seed++ % seeds.size());
+        String address = seeds.get(probeNextSeed++ % seeds.size());
         if (!address.equals(self.address())
                 && roster.present().stream().noneMatch(p -> p.address().equals(address))) {
             detector.verify(now, address, null);
--- a/src/main/java/gullspar/peers/Self.java
+++ b/src/main/java/gullspar/peers/Self.java
@@ -55,7 +55,7 @@
     }
 
     /** Makes the next revision of its statement. */
-    void update(long now, String config, Phase phase, long twin, int view, TrafficStats figures, Facts facts) {
+    void update(long now, String config, Phase phase, long twin, int view, TrafficStats stats, Facts facts) {
         statement = new Statement(
                 id,
                 statement.revision() + 1,
@@ -67,7 +67,7 @@
                 (now - startedAt) / 1_000_000,
                 twin,
                 view,
-                figures,
+                stats,
                 facts);
         statedAt = now;
     }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -210,21 +210,21 @@
     }
 
     private void logChange(Change c) {
-        String who = c.subject().name();
-        String what =
+        String subject = c.subject().name();
+        String description =
                 switch (c.kind()) {
-                    case JOINED -> who + " joined, " + c.reason();
-                    case SUSPECTED -> who + " is suspected, " + c.reason();
-                    case CLEARED -> who + " is alive, suspicion refuted";
-                    case GONE -> who + " is gone"
+                    case JOINED -> subject + " joined, " + c.reason();
+                    case SUSPECTED -> subject + " is suspected, " + c.reason();
+                    case CLEARED -> subject + " is alive, suspicion refuted";
+                    case GONE -> subject + " is gone"
                             + (c.reason().isEmpty()
                                     ? ""
                                     : Identity.isValidName(c.reason())
                                             ? ", accused by " + c.reason()
                                             : ": " + c.reason());
-                    case BACK -> who + " is back";
-                    case LEFT -> who + " left";
-                    case TWIN -> who + ": " + c.reason();
+                    case BACK -> subject + " is back";
+                    case LEFT -> subject + " left";
+                    case TWIN -> subject + ": " + c.reason();
                     case CUT_OFF -> "cut off: " + c.reason();
                     case REJOINED -> "not cut off any more: " + c.reason();
                     case OBJECTED -> "objected to being called gone"
@@ -232,7 +232,7 @@
                     case STOOD_STILL -> "stood still for " + c.reason();
                     default -> "settled";
                 };
-        platform.log().write("fleet: " + what + String.format(Locale.ROOT, " (%d present)", c.present()));
+        platform.log().write("fleet: " + description + String.format(Locale.ROOT, " (%d present)", c.present()));
     }
 
     // ---- the companion ----
@@ -253,16 +253,18 @@
     @Override
     public void reload() {
         try {
-            FleetSettings now = fleet(file, reader);
-            if (now == null || !now.bind().equals(fleet.bind()) || now.probeIntervalNs() != fleet.probeIntervalNs()) {
+            FleetSettings updated = fleet(file, reader);
+            if (updated == null
+                    || !updated.bind().equals(fleet.bind())
+                    || updated.probeIntervalNs() != fleet.probeIntervalNs()) {
                 platform.log()
                         .write("fleet: only keys and seeds are reloaded; other changes of [fleet] need a restart");
             }
-            Envelope keys = envelope(now == null ? fleet : now);
+            Envelope keys = envelope(updated == null ? fleet : updated);
             String digest = digest(file);
             platform.loop().execute(() -> {
                 setKeys(keys);
-                setSeeds((now == null ? fleet : now).seeds());
+                setSeeds((updated == null ? fleet : updated).seeds());
                 config = digest;
                 publishStats();
             });
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -176,9 +176,9 @@
             }
             byte[] datagram = new byte[p.content().readableBytes()];
             p.content().readBytes(datagram);
-            Envelope.Refusal why = envelope.open(datagram);
-            if (why != null) {
-                refused.merge(why, 1L, Long::sum);
+            Envelope.Refusal refusal = envelope.open(datagram);
+            if (refusal != null) {
+                refused.merge(refusal, 1L, Long::sum);
                 return;
             }
             Message m;
--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -39,13 +39,15 @@
 
     static List<RuleViolation> judge(Script script, EventLog eventLog, long slackNs) {
         FleetJudge j = new FleetJudge(script, eventLog, slackNs);
-        for (FleetSnapshot l : eventLog.fleetSnapshots()) {
+        for (FleetSnapshot snapshot : eventLog.fleetSnapshots()) {
             eventLog.lives().stream()
-                    .filter(x -> x.proxy().equals(l.proxy()) && x.from() <= l.at() && l.at() <= x.until())
+                    .filter(x -> x.proxy().equals(snapshot.proxy())
+                            && x.from() <= snapshot.at()
+                            && snapshot.at() <= x.until())
                     .findFirst()
                     .ifPresent(x -> {
-                        j.lives.putIfAbsent(l.life(), x);
-                        j.firstResponseAt.putIfAbsent(x, l.at());
+                        j.lives.putIfAbsent(snapshot.life(), x);
+                        j.firstResponseAt.putIfAbsent(x, snapshot.at());
                     });
         }
         eventLog.fleetSnapshots().forEach(j::checkView);
@@ -63,8 +65,8 @@
         }
     }
 
-    private boolean isRunningAt(EventLog.Life l, long at) {
-        return l.from() <= at && at + slackNs < l.until();
+    private boolean isRunningAt(EventLog.Life life, long at) {
+        return life.from() <= at && at + slackNs < life.until();
     }
 
     /** The time since both proxies were last affected by a fault or started; negative during a fault. */
@@ -78,166 +80,172 @@
         return at - since;
     }
 
-    private void checkView(FleetSnapshot l) {
-        EventLog.Life observer = lives.get(l.life());
+    private void checkView(FleetSnapshot snapshot) {
+        EventLog.Life observer = lives.get(snapshot.life());
         if (observer == null) {
             return; // the process ended during the request
         }
-        for (FleetSnapshot.SeenMember s : l.members()) {
+        for (FleetSnapshot.SeenMember s : snapshot.members()) {
             EventLog.Life other = lives.get(s.life());
-            String key = l.proxy() + " of " + s.name() + '/' + s.life();
+            String key = snapshot.proxy() + " of " + s.name() + '/' + s.life();
             if (other == null
                     && s.isPresent()
                     && eventLog.lives().stream().noneMatch(x -> x.name().equals(s.name()))) {
                 addViolation(
                         Rule.FLEET_TRUE,
-                        l.at(),
+                        snapshot.at(),
                         key,
-                        l.proxy() + " has " + s.name() + " as " + s.status() + ", which never existed");
+                        snapshot.proxy() + " has " + s.name() + " as " + s.status() + ", which never existed");
             }
-            if (other != null && isRunningAt(other, l.at())) {
+            if (other != null && isRunningAt(other, snapshot.at())) {
                 if (s.status().equals("gone")
-                        && undisturbedNs(l.proxy(), other.proxy(), l.at()) > ns(limits.quietS())) {
+                        && undisturbedNs(snapshot.proxy(), other.proxy(), snapshot.at()) > ns(limits.quietS())) {
                     addViolation(
                             Rule.FLEET_TRUE,
-                            l.at(),
+                            snapshot.at(),
                             key,
-                            l.proxy() + " calls " + s.name() + " gone, which is running and had no fault for "
+                            snapshot.proxy() + " calls " + s.name() + " gone, which is running and had no fault for "
                                     + limits.quietS() + " s");
                 }
             } else if (other != null && s.isPresent()) {
-                long endedForNs = Math.min(l.at() - other.until(), l.at() - eventLog.settledSince(l.proxy(), l.at()));
-                if (Math.min(endedForNs, l.at() - observer.from()) > ns(limits.goneS())) {
+                long endedForNs = Math.min(
+                        snapshot.at() - other.until(),
+                        snapshot.at() - eventLog.settledSince(snapshot.proxy(), snapshot.at()));
+                if (Math.min(endedForNs, snapshot.at() - observer.from()) > ns(limits.goneS())) {
                     addViolation(
                             Rule.FLEET_TRUE,
-                            l.at(),
+                            snapshot.at(),
                             key,
-                            l.proxy() + " still has " + s.name() + " (life "
+                            snapshot.proxy() + " still has " + s.name() + " (life "
                                     + s.life()
                                     + ") as " + s.status() + ", which ended more than " + limits.goneS() + " s ago");
                 }
             }
-            checkIsolatedMember(l, s, key);
-            checkForwardOnly(l, s, key);
+            checkIsolatedMember(snapshot, s, key);
+            checkForwardOnly(snapshot, s, key);
         }
-        checkAccusations(l, observer);
-        checkAgreement(l);
-        checkDuplicateNames(l, observer);
-        checkCutOffReport(l);
-        if (l.upS() > MIN_UPTIME_S && l.sentBytes() / l.upS() > limits.bytesPerS()) {
+        checkAccusations(snapshot, observer);
+        checkAgreement(snapshot);
+        checkDuplicateNames(snapshot, observer);
+        checkCutOffReport(snapshot);
+        if (snapshot.upS() > MIN_UPTIME_S && snapshot.sentBytes() / snapshot.upS() > limits.bytesPerS()) {
             addViolation(
                     Rule.FLEET_CHEAP,
-                    l.at(),
-                    l.life(),
-                    l.proxy() + " sent " + (long) (l.sentBytes() / l.upS()) + " bytes a second, over the limit of "
-                            + limits.bytesPerS());
+                    snapshot.at(),
+                    snapshot.life(),
+                    snapshot.proxy() + " sent " + (long) (snapshot.sentBytes() / snapshot.upS())
+                            + " bytes a second, over the limit of " + limits.bytesPerS());
         }
     }
 
     /** A proxy that receives nothing from the others cannot take part, even if they receive its messages. */
-    private void checkIsolatedMember(FleetSnapshot l, FleetSnapshot.SeenMember s, String key) {
+    private void checkIsolatedMember(FleetSnapshot snapshot, FleetSnapshot.SeenMember s, String key) {
         long spanNs = ns(limits.goneS());
         if (s.isPresent()
-                && eventLog.wasIsolatedThroughout(s.name(), l.at() - spanNs, l.at())
+                && eventLog.wasIsolatedThroughout(s.name(), snapshot.at() - spanNs, snapshot.at())
                 && eventLog.lives().stream()
-                        .anyMatch(x ->
-                                x.proxy().equals(l.proxy()) && x.from() < l.at() - spanNs && isRunningAt(x, l.at()))) {
+                        .anyMatch(x -> x.proxy().equals(snapshot.proxy())
+                                && x.from() < snapshot.at() - spanNs
+                                && isRunningAt(x, snapshot.at()))) {
             addViolation(
                     Rule.FLEET_TRUE,
-                    l.at(),
+                    snapshot.at(),
                     key + " deaf",
-                    l.proxy() + " has " + s.name() + " as " + s.status()
+                    snapshot.proxy() + " has " + s.name() + " as " + s.status()
                             + ", which has received nothing from the others for " + limits.goneS() + " s");
         }
     }
 
-    private void checkForwardOnly(FleetSnapshot l, FleetSnapshot.SeenMember s, String key) {
-        FleetSnapshot.SeenMember before = lastSeen.put(l.life() + key, s);
+    private void checkForwardOnly(FleetSnapshot snapshot, FleetSnapshot.SeenMember s, String key) {
+        FleetSnapshot.SeenMember before = lastSeen.put(snapshot.life() + key, s);
         if (before != null
                 && (s.incarnation() < before.incarnation()
                         || before.status().equals("left") && !s.status().equals("left"))) {
             addViolation(
                     Rule.FLEET_FORWARD,
-                    l.at(),
+                    snapshot.at(),
                     key,
-                    l.proxy() + " had " + s.name() + " as " + before.status()
+                    snapshot.proxy() + " had " + s.name() + " as " + before.status()
                             + " in incarnation " + before.incarnation() + ", and then as " + s.status() + " in "
                             + s.incarnation());
         }
     }
 
-    private void checkAccusations(FleetSnapshot l, EventLog.Life observer) {
-        double minutes = Math.max(1, l.upS() / 60);
-        boolean hadFault = eventLog.settledSince(l.proxy(), l.at()) != Long.MIN_VALUE
-                || eventLog.partitions().stream().anyMatch(p -> p.from() <= l.at());
-        if (!hadFault && l.objections() > limits.accusationsPerMin() * minutes) {
+    private void checkAccusations(FleetSnapshot snapshot, EventLog.Life observer) {
+        double minutes = Math.max(1, snapshot.upS() / 60);
+        boolean hadFault = eventLog.settledSince(snapshot.proxy(), snapshot.at()) != Long.MIN_VALUE
+                || eventLog.partitions().stream().anyMatch(p -> p.from() <= snapshot.at());
+        if (!hadFault && snapshot.objections() > limits.accusationsPerMin() * minutes) {
             addViolation(
                     Rule.FLEET_TRUE,
-                    l.at(),
-                    l.life() + " accused",
-                    l.proxy()
+                    snapshot.at(),
+                    snapshot.life() + " accused",
+                    snapshot.proxy()
                             + ", which had no fault, had to object "
-                            + l.objections() + " times in " + (l.at() - observer.from()) / 1_000_000_000
+                            + snapshot.objections() + " times in " + (snapshot.at() - observer.from()) / 1_000_000_000
                             + " s to being called gone");
         }
     }
 
     /** Long enough after the last fault anywhere, each view holds all running proxies and no other as alive. */
-    private void checkAgreement(FleetSnapshot l) {
+    private void checkAgreement(FleetSnapshot snapshot) {
         long calmNs = Long.MAX_VALUE;
-        Set<String> living = new TreeSet<>();
+        Set<String> running = new TreeSet<>();
         for (EventLog.Life x : eventLog.lives()) {
-            if (x.from() <= l.at()) {
-                calmNs = Math.min(calmNs, undisturbedNs(x.proxy(), x.proxy(), l.at()));
-                calmNs = Math.min(calmNs, x.until() <= l.at() ? l.at() - x.until() : Long.MAX_VALUE);
-                if (isRunningAt(x, l.at())) {
-                    living.add(x.name());
+            if (x.from() <= snapshot.at()) {
+                calmNs = Math.min(calmNs, undisturbedNs(x.proxy(), x.proxy(), snapshot.at()));
+                calmNs = Math.min(calmNs, x.until() <= snapshot.at() ? snapshot.at() - x.until() : Long.MAX_VALUE);
+                if (isRunningAt(x, snapshot.at())) {
+                    running.add(x.name());
                 }
             }
         }
         if (calmNs <= ns(limits.agreeS())) {
             return;
         }
-        Set<String> sees = new TreeSet<>();
-        sees.add(EventLog.baseName(l.proxy()));
-        l.members().stream().filter(s -> s.status().equals("alive")).forEach(s -> sees.add(s.name()));
-        if (!sees.equals(living)) {
+        Set<String> aliveInView = new TreeSet<>();
+        aliveInView.add(EventLog.baseName(snapshot.proxy()));
+        snapshot.members().stream().filter(s -> s.status().equals("alive")).forEach(s -> aliveInView.add(s.name()));
+        if (!aliveInView.equals(running)) {
             addViolation(
                     Rule.FLEET_AGREES,
-                    l.at(),
-                    l.proxy(),
-                    l.proxy() + " sees " + sees + " alive, but running are " + living + ", " + limits.agreeS()
-                            + " s after the last fault");
+                    snapshot.at(),
+                    snapshot.proxy(),
+                    snapshot.proxy() + " sees " + aliveInView + " alive, but running are " + running + ", "
+                            + limits.agreeS() + " s after the last fault");
         }
     }
 
     /** Two processes that run under one name are both in every view, marked as such: neither replaces the other. */
-    private void checkDuplicateNames(FleetSnapshot l, EventLog.Life observer) {
+    private void checkDuplicateNames(FleetSnapshot snapshot, EventLog.Life observer) {
         for (EventLog.Life x : eventLog.lives()) {
             String name = x.name();
-            if (x.proxy().equals(name) || !isRunningAt(x, l.at())) {
+            if (x.proxy().equals(name) || !isRunningAt(x, snapshot.at())) {
                 continue;
             }
             EventLog.Life first = eventLog.lives().stream()
-                    .filter(y -> y.proxy().equals(name) && isRunningAt(y, l.at()))
+                    .filter(y -> y.proxy().equals(name) && isRunningAt(y, snapshot.at()))
                     .findFirst()
                     .orElse(null);
             if (first == null
-                    || Math.min(undisturbedNs(l.proxy(), name, l.at()), undisturbedNs(x.proxy(), x.proxy(), l.at()))
+                    || Math.min(
+                                    undisturbedNs(snapshot.proxy(), name, snapshot.at()),
+                                    undisturbedNs(x.proxy(), x.proxy(), snapshot.at()))
                             <= ns(limits.agreeS())) {
                 continue;
             }
-            long seen = l.members().stream()
+            long seen = snapshot.members().stream()
                     .filter(s -> s.name().equals(name) && s.isPresent())
                     .count();
             long expected = observer.name().equals(name) ? 1 : 2;
-            if (seen != expected || l.members().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
+            if (seen != expected
+                    || snapshot.members().stream().noneMatch(s -> s.name().equals(name) && s.twin())) {
                 addViolation(
                         Rule.FLEET_TWINS,
-                        l.at(),
-                        l.proxy() + name,
-                        l.proxy() + " sees " + seen + " of the " + expected + " other processes under the name " + name
-                                + ", or does not mark the name as shared");
+                        snapshot.at(),
+                        snapshot.proxy() + name,
+                        snapshot.proxy() + " sees " + seen + " of the " + expected + " other processes under the name "
+                                + name + ", or does not mark the name as shared");
             }
         }
     }
@@ -246,38 +254,39 @@
      * While a minority is cut off from all others, and these were seen within the window, it reports that it is
      * cut off; the rest does not.
      */
-    private void checkCutOffReport(FleetSnapshot l) {
+    private void checkCutOffReport(FleetSnapshot snapshot) {
         List<EventLog.Partition> active = eventLog.partitions().stream()
-                .filter(p -> p.from() <= l.at() && l.at() < p.until())
+                .filter(p -> p.from() <= snapshot.at() && snapshot.at() < p.until())
                 .toList();
         if (active.size() != 1) {
             return; // with several partitions the two sides are not defined
         }
         EventLog.Partition p = active.get(0);
-        if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && isRunningAt(x, l.at()))) {
+        if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && isRunningAt(x, snapshot.at()))) {
             return; // a second process under one name belongs to neither side
         }
-        long sinceNs = l.at() - p.from();
-        long living =
-                eventLog.lives().stream().filter(x -> isRunningAt(x, l.at())).count();
+        long sinceNs = snapshot.at() - p.from();
+        long running = eventLog.lives().stream()
+                .filter(x -> isRunningAt(x, snapshot.at()))
+                .count();
         boolean isMembershipStable = eventLog.lives().stream()
                 .allMatch(x -> x.until() <= p.from() - ns(limits.windowS())
-                        || x.from() < p.from() - ns(limits.agreeS()) && x.until() > l.at());
+                        || x.from() < p.from() - ns(limits.agreeS()) && x.until() > snapshot.at());
         if (!isMembershipStable || sinceNs < ns(limits.goneS()) || sinceNs > ns(limits.windowS() * 0.9)) {
             return;
         }
-        long side = p.group().contains(l.proxy())
+        long side = p.group().contains(snapshot.proxy())
                 ? p.group().size()
-                : living - p.group().size();
-        boolean minority = 2 * side < living;
-        if (minority != l.cutOff()) {
+                : running - p.group().size();
+        boolean minority = 2 * side < running;
+        if (minority != snapshot.cutOff()) {
             addViolation(
                     Rule.FLEET_HONEST,
-                    l.at(),
-                    l.proxy(),
-                    l.proxy() + " can reach " + (side - 1) + " of "
-                            + (living - 1)
-                            + " others and reports that it is " + (l.cutOff() ? "" : "not ") + "cut off");
+                    snapshot.at(),
+                    snapshot.proxy(),
+                    snapshot.proxy() + " can reach " + (side - 1) + " of "
+                            + (running - 1)
+                            + " others and reports that it is " + (snapshot.cutOff() ? "" : "not ") + "cut off");
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -116,17 +116,18 @@
     /** The start, in s, of the ten seconds with the lowest service; -1 on a shorter day. */
     private int worstFrom() {
         int seconds = (int) script.seconds();
-        double[] asked = new double[seconds + 1];
-        double[] served = new double[seconds + 1];
+        double[] requestedWorth = new double[seconds + 1];
+        double[] servedWorth = new double[seconds + 1];
         for (Order o : eventLog.orders()) {
             int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / SECOND_NS));
-            asked[at] += o.requestClass.worth();
-            served[at] += o.isInTime() ? o.requestClass.worth() : 0;
+            requestedWorth[at] += o.requestClass.worth();
+            servedWorth[at] += o.isInTime() ? o.requestClass.worth() : 0;
         }
         int worst = -1;
         for (int from = 0; from + WORST_WINDOW_S <= seconds; from++) {
-            double a = Arrays.stream(asked, from, from + WORST_WINDOW_S).sum();
-            double s = Arrays.stream(served, from, from + WORST_WINDOW_S).sum();
+            double a =
+                    Arrays.stream(requestedWorth, from, from + WORST_WINDOW_S).sum();
+            double s = Arrays.stream(servedWorth, from, from + WORST_WINDOW_S).sum();
             windowServices.add(a == 0 ? 1 : s / a);
             worst = worst < 0 || windowServices.get(from) < windowServices.get(worst) ? from : worst;
         }
@@ -314,8 +315,8 @@
     private void checkDrains(ClientRequest t) {
         long graceNs = (long) (script.rules().drainGraceMs() * 1e6);
         for (Attempt a : t.attempts) {
-            long toldAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
-            if (toldAt != 0 && a.sentAt > toldAt + graceNs + slackNs) {
+            long notifiedAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
+            if (notifiedAt != 0 && a.sentAt > notifiedAt + graceNs + slackNs) {
                 broken(
                         Rule.DRAINS_KEPT,
                         a.sentAt,
@@ -324,7 +325,7 @@
                                 Locale.ROOT,
                                 "an attempt was sent to %s %.3f s after %s was told that it leaves",
                                 a.node,
-                                (a.sentAt - toldAt) / 1e9,
+                                (a.sentAt - notifiedAt) / 1e9,
                                 t.proxy));
             }
             long dueAt = eventLog.dueLeavingAt(t.proxy, a.node, a.sentAt);
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -30,9 +30,9 @@
             }
             for (Attempt a : t.attempts) {
                 addAttempt(lines, t, a);
-                long toldAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
-                if (toldAt != 0) {
-                    lines.add(new Line(toldAt, t.proxy + " is told that " + a.node + " leaves"));
+                long notifiedAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
+                if (notifiedAt != 0) {
+                    lines.add(new Line(notifiedAt, t.proxy + " is told that " + a.node + " leaves"));
                 }
             }
             if (t.endedAt != 0) {
--- a/src/main/java/gullspar/rehearse/judge/Rule.java
+++ b/src/main/java/gullspar/rehearse/judge/Rule.java
@@ -22,8 +22,8 @@
 
     private final String description;
 
-    Rule(String words) {
-        this.description = words;
+    Rule(String description) {
+        this.description = description;
     }
 
     public String description() {
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -53,7 +53,7 @@
     private final Map<String, InetSocketAddress> operatorAddresses = new HashMap<>();
     private final Deque<Relay.Endpoint> spareEndpoints = new ArrayDeque<>();
     private final Map<String, FalseRumorInjector> falseRumorInjectors = new HashMap<>();
-    private final Map<String, List<Integer>> keyNumbers = new HashMap<>();
+    private final Map<String, List<Integer>> keyNumbersByProcess = new HashMap<>();
     /** Processes whose response is pending; the values are not used. */
     private final Map<String, Boolean> pendingRequests = new ConcurrentHashMap<>();
 
@@ -137,7 +137,7 @@
     }
 
     private List<Integer> keyNumbersOf(String process) {
-        return keyNumbers.getOrDefault(process, List.of(0));
+        return keyNumbersByProcess.getOrDefault(process, List.of(0));
     }
 
     private byte[] key(int number) {
@@ -147,15 +147,15 @@
     }
 
     /** Sets the keys of a process by number, the first for sending; takes effect at its next start or reload. */
-    void setKeys(String process, List<Integer> numbers) {
-        keyNumbers.put(process, numbers);
+    void setKeys(String process, List<Integer> keyNumbers) {
+        keyNumbersByProcess.put(process, keyNumbers);
     }
 
     /**
      * Gives each process the endpoint of the next one in the ring, the last that of the first, and a single process
      * a spare one; a process binds there from its next start. Returns whether the address of a seed changed.
      */
-    boolean moveAddresses(List<String> ring) {
+    boolean reassignAddresses(List<String> ring) {
         String before = seedAddresses();
         List<Relay.Endpoint> endpoints = ring.size() == 1
                 ? List.of(spareEndpoints.remove())
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -16,7 +16,7 @@
 import gullspar.rehearse.stage.ManualRequests;
 import gullspar.rehearse.stage.Order;
 import gullspar.rehearse.stage.RunEnvironment;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -80,7 +80,7 @@
     private final List<String> log = new ArrayList<>();
     private final CompletableFuture<Void> started = new CompletableFuture<>();
     private final Thread shutdownHook = new Thread(this::killAll, "kill daemons");
-    private final Testbed standIns;
+    private final Testbed testbed;
     private final LiveFleet fleet;
     private boolean hasEnded;
 
@@ -89,11 +89,11 @@
         this.directory = Files.createTempDirectory("gullspar-live");
         this.tcpLinks = new TcpLinks(script.seed());
         Runtime.getRuntime().addShutdownHook(shutdownHook);
-        this.standIns = new Testbed(this, script, this);
+        this.testbed = new Testbed(this, script, this);
         this.fleet = script.peers() == null
                 ? null
                 : new LiveFleet(
-                        script, directory, loop, clock::now, standIns.proxies(), standIns.eventLog()::addFleetSnapshot);
+                        script, directory, loop, clock::now, testbed.proxies(), testbed.eventLog()::addFleetSnapshot);
     }
 
     /** Plays a day to its end; throws an IOException if it cannot be played on this machine. */
@@ -106,12 +106,12 @@
     /** Starts everything and waits until the day has started; onStarted is called on the loop at that time. */
     private void startDay(Runnable onStarted) throws IOException {
         runOnLoop(() -> {
-            standIns.startNodes();
-            standIns.startWhenReady(() -> {
+            testbed.startNodes();
+            testbed.startWhenReady(() -> {
                 onStarted.run();
                 started.complete(null);
             });
-            standIns.proxies().forEach(this::startProxy);
+            testbed.proxies().forEach(this::startProxy);
             if (fleet != null) {
                 fleet.poll(p -> daemons.containsKey(p) && daemons.get(p).isAlive());
             }
@@ -140,7 +140,7 @@
             long dayStart = now();
             loop.schedule(
                     () -> ended.complete(null),
-                    (long) (script.seconds() * 1e9) + standIns.tailNs(),
+                    (long) (script.seconds() * 1e9) + testbed.tailNs(),
                     TimeUnit.NANOSECONDS);
             while (!awaitEnd(ended)) {
                 // Not called on the loop: a slow display of the progress must not delay the simulated machines.
@@ -155,10 +155,10 @@
         List<DayResult> played = new ArrayList<>();
         runOnLoop(() -> {
             hasEnded = true;
-            Verdict verdict = Judge.judge(script, standIns.eventLog(), TIME_TOLERANCE_NS);
+            Verdict verdict = Judge.judge(script, testbed.eventLog(), TIME_TOLERANCE_NS);
             played.add(new DayResult(
                     script,
-                    standIns.eventLog(),
+                    testbed.eventLog(),
                     verdict,
                     "",
                     0,
@@ -198,7 +198,7 @@
 
     private void playUntil(Consumer<Status> onStatus, CountDownLatch end) throws IOException {
         ManualRequests manualRequests = new ManualRequests(script, this);
-        startDay(() -> standIns.eventLog().serveUnknownRequests(manualRequests));
+        startDay(() -> testbed.eventLog().serveUnknownRequests(manualRequests));
         try {
             do {
                 List<Status> status = new ArrayList<>(1);
@@ -211,16 +211,16 @@
     }
 
     private Status status(ManualRequests manualRequests) {
-        standIns.eventLog().discardBefore(now() - STATUS_WINDOW_NS);
+        testbed.eventLog().discardBefore(now() - STATUS_WINDOW_NS);
         // Later orders may still be in progress.
         long latest = now() - STATUS_WINDOW_NS / 5;
         List<Order> ended =
-                standIns.eventLog().orders().stream().filter(o -> o.at < latest).toList();
+                testbed.eventLog().orders().stream().filter(o -> o.at < latest).toList();
         double inTimeShare =
                 ended.isEmpty() ? 1 : ended.stream().filter(Order::isInTime).count() / (double) ended.size();
         return new Status(
                 address("p1"),
-                standIns.fleet().running().size(),
+                testbed.fleet().running().size(),
                 ended.size() / (STATUS_WINDOW_NS / 1e9 * 4 / 5),
                 inTimeShare,
                 manualRequests.served());
@@ -316,16 +316,16 @@
     // ---- proxies ----
 
     private JsonNode settings(String name) {
-        long seed = Agenda.mix(
+        long seed = EventQueue.mix(
                 script.seed() * 31 + 9 + Testbed.proxyIndex(name) * 1000L + startCounts.getOrDefault(name, 1));
         JsonNode settings = ProxySettings.of(
                 script,
                 Testbed.proxyIndex(name),
                 name,
                 address(name),
-                standIns.fleet().discoveryAddress(name),
+                testbed.fleet().discoveryAddress(name),
                 seed,
-                standIns.fleet().listJson(name));
+                testbed.fleet().listJson(name));
         return fleet == null ? settings : fleet.addFleetSettings(name, settings);
     }
 
@@ -337,7 +337,7 @@
         endingProxies.remove(name);
         String logName = startCount == 1 ? name : name + "." + startCount;
         try {
-            standIns.fleet().recordStartingList(name);
+            testbed.fleet().recordStartingList(name);
             DaemonProcess daemon = DaemonProcess.start(
                     directory,
                     name,
@@ -345,10 +345,10 @@
                     script.proxies().memoryMb(),
                     line -> loop.execute(() -> appendLog(logName, line)));
             daemons.put(name, daemon);
-            standIns.eventLog().processStarted(name, now());
+            testbed.eventLog().processStarted(name, now());
             daemon.onExit(() -> loop.execute(() -> proxyExited(name, daemon)));
-            if (standIns.proxies().contains(name)) {
-                standIns.front().proxyStarted(name); // the front balancer does not know twins
+            if (testbed.proxies().contains(name)) {
+                testbed.front().proxyStarted(name); // the front balancer does not know twins
             }
         } catch (IOException e) {
             started.completeExceptionally(e);
@@ -357,12 +357,12 @@
 
     private void proxyExited(String name, DaemonProcess daemon) {
         if (daemons.get(name) == daemon) {
-            standIns.eventLog().processEnded(name, now());
+            testbed.eventLog().processEnded(name, now());
         }
         if (!hasEnded && !endingProxies.contains(name) && daemons.get(name) == daemon) {
-            standIns.eventLog().addCrash(name, "exit code " + daemon.exitCode(), now());
-            if (standIns.proxies().contains(name)) {
-                standIns.front().proxyEnded(name);
+            testbed.eventLog().addCrash(name, "exit code " + daemon.exitCode(), now());
+            if (testbed.proxies().contains(name)) {
+                testbed.front().proxyEnded(name);
             }
             started.completeExceptionally(
                     new IOException(name + " exited unexpectedly, exit code " + daemon.exitCode()));
@@ -382,8 +382,8 @@
             return;
         }
         endingProxies.add(name);
-        standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
-        standIns.front().proxyEnded(name);
+        testbed.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
+        testbed.front().proxyEnded(name);
         daemon.kill();
         daemon.onExit(() -> loop.execute(() -> startProxyAfter(name, downS)));
     }
@@ -395,7 +395,7 @@
             return;
         }
         endingProxies.add(name);
-        standIns.front().proxyEnded(name);
+        testbed.front().proxyEnded(name);
         daemon.stop();
         daemon.onExit(() -> loop.execute(() -> startProxyAfter(name, downS)));
     }
@@ -411,25 +411,25 @@
                 daemons.get(name).reload(settings(name));
             }
         } catch (IOException e) {
-            standIns.eventLog().addEvent(now(), name + " could not be reloaded: " + e.getMessage());
+            testbed.eventLog().addEvent(now(), name + " could not be reloaded: " + e.getMessage());
         }
     }
 
     @Override
     public void setPaused(String name, boolean on) {
         try {
-            standIns.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
+            testbed.eventLog().addDisruption(name, now(), now() + SIGNAL_EFFECT_NS);
             if (daemons.get(name).isAlive()) {
                 daemons.get(name).pause(on);
             }
         } catch (IOException e) {
-            standIns.eventLog().addEvent(now(), name + " could not be paused: " + e.getMessage());
+            testbed.eventLog().addEvent(now(), name + " could not be paused: " + e.getMessage());
         }
     }
 
     @Override
     public void reassignAddresses(List<String> ring) {
-        if (fleet.moveAddresses(ring)) {
+        if (fleet.reassignAddresses(ring)) {
             daemons.keySet().forEach(this::reload);
         }
     }
@@ -446,8 +446,8 @@
     }
 
     @Override
-    public void setKeys(String proxy, List<Integer> numbers) {
-        fleet.setKeys(proxy, numbers);
+    public void setKeys(String proxy, List<Integer> keyNumbers) {
+        fleet.setKeys(proxy, keyNumbers);
         reload(proxy);
     }
 
@@ -464,10 +464,10 @@
     // ---- links ----
 
     @Override
-    public void setExtraDelay(String from, String to, long extraDelayNs) {
-        tcpLinks.setExtraDelayNs(from, to, extraDelayNs);
+    public void setExtraDelay(String from, String to, long extraNs) {
+        tcpLinks.setExtraDelayNs(from, to, extraNs);
         if (fleet != null) {
-            fleet.relay.link(from, to).setExtraDelayNs(extraDelayNs);
+            fleet.relay.link(from, to).setExtraDelayNs(extraNs);
         }
     }
 
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -1,7 +1,7 @@
 package gullspar.rehearse.net;
 
 import gullspar.proxy.io.Transport;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.UnpooledByteBufAllocator;
@@ -35,7 +35,7 @@
         long delayNs(String from, String to);
     }
 
-    final Agenda agenda;
+    final EventQueue agenda;
     private final SplittableRandom random;
     private final OneWayDelay oneWayDelay;
     private final Map<String, Host> hosts = new HashMap<>();
@@ -51,7 +51,7 @@
     private int lastPort = 30_000;
     private DatagramForger forger;
 
-    public Network(Agenda agenda, long seed, OneWayDelay oneWayDelay) {
+    public Network(EventQueue agenda, long seed, OneWayDelay oneWayDelay) {
         this.agenda = agenda;
         this.random = new SplittableRandom(seed);
         this.datagramRandom = new SplittableRandom(seed ^ 0x5bd1e995);
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -10,7 +10,7 @@
 import gullspar.rehearse.net.Network;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.stage.EventLog;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -62,7 +62,7 @@
                 fleet,
                 membershipOptions.settings().apply(Membership.settings(fleet)),
                 keysOf(process),
-                Agenda.mix(
+                EventQueue.mix(
                         script.seed() * 31 + 12 + membershipOptions.lifeSeed().applyAsLong(processName)),
                 platform,
                 load);
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -21,7 +21,7 @@
 import gullspar.rehearse.stage.EventLog;
 import gullspar.rehearse.stage.FleetSnapshot;
 import gullspar.rehearse.stage.RunEnvironment;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import gullspar.rehearse.time.VirtualLoop;
 import io.netty.channel.Channel;
 import java.io.IOException;
@@ -95,7 +95,7 @@
 
     private final Script script;
     private final Options options;
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Network network;
     private final VirtualLoop loop;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -111,7 +111,7 @@
     private VirtualPlay(Script script, Options options) {
         this.script = script;
         this.options = options;
-        this.agenda = new Agenda(script.seed(), EPOCH_NS);
+        this.agenda = new EventQueue(script.seed(), EPOCH_NS);
         this.network = new Network(agenda, script.seed() * 31 + 8, this::oneWayDelayNs);
         this.loop = new VirtualLoop(agenda, e -> failure = failure == null ? e : failure);
         this.decisionLog = new DecisionLog(() -> agenda.now() - EPOCH_NS, this::nodeName, options.decisionLog());
@@ -193,7 +193,7 @@
         }
         // One draw for each pair of sites, the same in both directions.
         String pair = fromSite.compareTo(toSite) < 0 ? fromSite + ' ' + toSite : toSite + ' ' + fromSite;
-        double position = (Agenda.mix(script.seed() + Fnv.hash(pair)) >>> 11) * 0x1p-53;
+        double position = (EventQueue.mix(script.seed() + Fnv.hash(pair)) >>> 11) * 0x1p-53;
         return (long) ((script.siteDelayMs().from()
                         + position
                                 * (script.siteDelayMs().to()
@@ -263,7 +263,7 @@
     }
 
     private Config config(String name, int processNumber) {
-        long seed = Agenda.mix(script.seed() * 31 + 9 + Testbed.proxyIndex(name) * 1000L + processNumber);
+        long seed = EventQueue.mix(script.seed() * 31 + 9 + Testbed.proxyIndex(name) * 1000L + processNumber);
         try {
             return Config.parse(
                     ProxySettings.of(
--- a/src/main/java/gullspar/rehearse/search/DayGenerator.java
+++ b/src/main/java/gullspar/rehearse/search/DayGenerator.java
@@ -4,7 +4,7 @@
 import gullspar.rehearse.script.FaultKind;
 import gullspar.rehearse.script.FaultKind.Parameter;
 import gullspar.rehearse.script.Script;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -25,7 +25,7 @@
 
     /** Returns the day of that number: its seed is the number, its faults are random, the rest is the script's. */
     static Script generate(Script script, int number) {
-        SplittableRandom random = new SplittableRandom(Agenda.mix(script.seed() * 31 + 10) + number);
+        SplittableRandom random = new SplittableRandom(EventQueue.mix(script.seed() * 31 + 10) + number);
         List<Fault> faults = new ArrayList<>();
         int count = 1 + random.nextInt(script.search().maxFaults());
         for (int i = 0; i < count; i++) {
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -4,7 +4,7 @@
 import gullspar.proxy.io.Platform;
 import gullspar.rehearse.script.Script;
 import gullspar.rehearse.script.Script.RequestClass;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -125,7 +125,7 @@
 
     private void arrive() {
         int number = ++orders;
-        SplittableRandom draw = new SplittableRandom(Agenda.mix(script.seed() * 31 + 4) + number);
+        SplittableRandom draw = new SplittableRandom(EventQueue.mix(script.seed() * 31 + 4) + number);
         double kind = draw.nextDouble();
         double key = draw.nextDouble();
         double site = draw.nextDouble();
--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -110,10 +110,10 @@
             platform.loop()
                     .schedule(
                             () -> {
-                                boolean owed = !responded
+                                boolean unanswered = !responded
                                         && ctx.channel().isActive()
                                         && !eventLog.disrupted(proxy, startedAt, environment.now());
-                                eventLog.addMisbehavingClient(owed, servedText);
+                                eventLog.addMisbehavingClient(unanswered, servedText);
                                 ctx.close();
                             },
                             RESPONSE_LIMIT_MS,
--- a/src/main/java/gullspar/rehearse/stage/Order.java
+++ b/src/main/java/gullspar/rehearse/stage/Order.java
@@ -19,9 +19,9 @@
     /** The number of executions that took effect, over all requests. */
     public int effects;
 
-    Order(int number, RequestClass kind, int key, double workNs, String site, long at) {
+    Order(int number, RequestClass requestClass, int key, double workNs, String site, long at) {
         this.number = number;
-        this.requestClass = kind;
+        this.requestClass = requestClass;
         this.key = key;
         this.workNs = workNs;
         this.site = site;
--- a/src/main/java/gullspar/rehearse/time/Agenda.java
+++ b/src/main/java/gullspar/rehearse/time/EventQueue.java
@@ -8,7 +8,7 @@
  * simultaneous events of different sources (a response and a time-out, a drain notice and a send) varies with
  * the seed and is the same for the same seed.
  */
-public final class Agenda {
+public final class EventQueue {
     private record Entry(long timeNs, long tieBreak, long sequence, Runnable action) {}
 
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024, (a, b) -> {
@@ -22,7 +22,7 @@
     private int lastSource;
 
     /** Starts at a time in ns, from any origin. */
-    public Agenda(long seed, long start) {
+    public EventQueue(long seed, long start) {
         this.seed = seed;
         this.now = start;
     }
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -23,7 +23,7 @@
  * queued while it was paused, then the timers that are due and every task that these submit.
  */
 public final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Consumer<Throwable> errorHandler;
     private final int source;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
@@ -54,7 +54,7 @@
     private long armedForNs = Long.MAX_VALUE;
 
     /** errorHandler: receives what tasks throw; the loop continues, as real event loops do. */
-    public VirtualLoop(Agenda agenda, Consumer<Throwable> errorHandler) {
+    public VirtualLoop(EventQueue agenda, Consumer<Throwable> errorHandler) {
         this.agenda = agenda;
         this.errorHandler = errorHandler;
         this.source = agenda.newSource();
--- a/src/main/java/gullspar/route/ServerRotation.java
+++ b/src/main/java/gullspar/route/ServerRotation.java
@@ -44,16 +44,16 @@
         private boolean full;
         private long returnedAtNs = Long.MIN_VALUE;
 
-        ServerState(ServerSpec declared) {
-            this.spec = declared;
+        ServerState(ServerSpec spec) {
+            this.spec = spec;
         }
     }
 
     private List<ServerState> servers = List.of();
     private boolean hasSingleServer;
 
-    public ServerRotation(List<ServerSpec> declared) {
-        reconfigure(declared);
+    public ServerRotation(List<ServerSpec> specs) {
+        reconfigure(specs);
     }
 
     /** Replaces the servers; those with unchanged settings keep their state. */
--- a/src/main/java/gullspar/route/Template.java
+++ b/src/main/java/gullspar/route/Template.java
@@ -38,8 +38,8 @@
     private final String source;
     private final List<Part> parts;
 
-    private Template(String written, List<Part> parts) {
-        this.source = written;
+    private Template(String source, List<Part> parts) {
+        this.source = source;
         this.parts = List.copyOf(parts);
     }
 
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -103,15 +103,16 @@
      * Applies a new declaration of the same pool and keeps all state that it does not affect. Returns false if
      * that is impossible: another balance mode or discovery service needs a new pool.
      */
-    boolean reconfigure(Site.Pool next, long newRetryAfterNs) {
-        if (declared.balance() != next.balance() || !Objects.equals(declared.discovery(), next.discovery())) {
+    boolean reconfigure(Site.Pool newDeclaration, long newRetryAfterNs) {
+        if (declared.balance() != newDeclaration.balance()
+                || !Objects.equals(declared.discovery(), newDeclaration.discovery())) {
             return false;
         }
-        boolean same = declared.servers().equals(next.servers())
-                && declared.endpoints().equals(next.endpoints());
+        boolean same = declared.servers().equals(newDeclaration.servers())
+                && declared.endpoints().equals(newDeclaration.endpoints());
         retryAfterNs = newRetryAfterNs;
-        declared = next;
-        backends.setLimits(next.connections());
+        declared = newDeclaration;
+        backends.setLimits(newDeclaration.connections());
         if (!same) {
             applyServers();
         }
@@ -227,16 +228,16 @@
     }
 
     @Override
-    public void onUpdate(ListUpdate news) {
-        if (news.kind() != ListKind.DELTA) {
+    public void onUpdate(ListUpdate update) {
+        if (update.kind() != ListKind.DELTA) {
             List<Integer> listed =
-                    news.list().stream().map(l -> l.member().id()).toList();
+                    update.list().stream().map(l -> l.member().id()).toList();
             namesById.keySet().stream()
                     .filter(id -> !listed.contains(id))
                     .toList()
                     .forEach(this::forget);
         }
-        for (ListedBackend l : news.list()) {
+        for (ListedBackend l : update.list()) {
             if (l.member().state() == State.READY) {
                 namesById.put(l.member().id(), l.address().toString());
                 backends.addServer(l.member().id(), l.address(), 0);
@@ -246,9 +247,9 @@
         }
         events.backendUpdate((now, module) -> module.onServerList(
                 now,
-                news.kind(),
-                news.version(),
-                news.list().stream().map(ListedBackend::member).toList()));
+                update.kind(),
+                update.version(),
+                update.list().stream().map(ListedBackend::member).toList()));
     }
 
     @Override
@@ -259,11 +260,11 @@
     // ---- requests ----
 
     /** Registers a request and returns its ticket. */
-    int register(PoolExchange call) {
+    int register(PoolExchange exchange) {
         do {
             lastTicket++;
         } while (lastTicket == 0 || exchanges.containsKey(lastTicket));
-        exchanges.put(lastTicket, call);
+        exchanges.put(lastTicket, exchange);
         return lastTicket;
     }
 
@@ -279,12 +280,12 @@
     }
 
     /** Reports an event of a request to the module; an exception in the module affects only that request. */
-    void tell(Events.Event event, Runnable onFailure) {
+    void notifyModule(Events.Event event, Runnable onFailure) {
         events.enqueue(event, onFailure);
     }
 
-    void forget(PoolExchange call, int ticket) {
-        exchanges.remove(ticket, call);
+    void forget(PoolExchange exchange, int ticket) {
+        exchanges.remove(ticket, exchange);
     }
 
     // ---- actions of the module ----
--- a/src/main/java/gullspar/site/PoolExchange.java
+++ b/src/main/java/gullspar/site/PoolExchange.java
@@ -69,14 +69,14 @@
             PlainRequest request,
             Router.Result found,
             Site.Forwarded forwarded,
-            Consumer<PoolExchange> ended) {
+            Consumer<PoolExchange> onEnd) {
         this.pool = pool;
         this.client = client;
         this.request = request;
         this.route = found.route().pool();
         this.values = new TemplateValues(request, found.groups(), found.route().name(), route.pool());
         this.forwarded = forwarded;
-        this.onEnd = ended;
+        this.onEnd = onEnd;
         long now = pool.platform.clock().now();
         long time = route.limits().deadlineNs();
         long margin = Math.min(DEADLINE_MARGIN_NS, time / 4);
@@ -94,7 +94,7 @@
     }
 
     private void notifyModule(Events.Event event) {
-        pool.tell(event, this::fail);
+        pool.notifyModule(event, this::fail);
     }
 
     /** Aborts a response that has made no progress for longer than stallNs. */
@@ -241,7 +241,7 @@
 
     @Override
     public void onEnd(HttpHeaders trailers) {
-        client.whole(trailers, chunked);
+        client.complete(trailers, chunked);
         endResponse();
     }
 
@@ -271,14 +271,14 @@
             reportOutcome(number, server, now, Status.MOOT, null);
             return;
         }
-        PlainAttempt.OutgoingRequest sending = new PlainAttempt.OutgoingRequest(
+        PlainAttempt.OutgoingRequest outgoing = new PlainAttempt.OutgoingRequest(
                 leftNs -> Heads.request(request, route, values, forwarded, leftNs),
                 request.body().bytes(),
                 request.trailers(),
                 request.isHead());
         attempts.add(new SentAttempt(
                 pool.backends.send(
-                        server, sending, timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs), this),
+                        server, outgoing, timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs), this),
                 server,
                 now));
     }
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -49,7 +49,7 @@
 
                     @Override
                     public void reload(ConfigReceiver to) {
-                        readAgain(file, to);
+                        reloadFile(file, to);
                     }
                 },
                 factory,
@@ -133,7 +133,7 @@
     }
 
     /** Reads the file again, outside the event loop, and passes it to the receiver. */
-    private static void readAgain(Path file, ConfigSource.ConfigReceiver receiver) {
+    private static void reloadFile(Path file, ConfigSource.ConfigReceiver receiver) {
         try {
             receiver.accept(SiteReader.read(file), why -> {});
         } catch (ProblemsException e) {
--- a/src/main/java/gullspar/site/backend/PlainAttempt.java
+++ b/src/main/java/gullspar/site/backend/PlainAttempt.java
@@ -51,9 +51,9 @@
     private boolean streaming;
     private boolean occupiesServer;
 
-    PlainAttempt(PlainBackend backend, OutgoingRequest sending, Listener listener, EventLoop loop) {
+    PlainAttempt(PlainBackend backend, OutgoingRequest request, Listener listener, EventLoop loop) {
         this.backend = backend;
-        this.request = sending;
+        this.request = request;
         this.listener = listener;
         this.loop = loop;
     }
--- a/src/main/java/gullspar/site/backend/PlainBackends.java
+++ b/src/main/java/gullspar/site/backend/PlainBackends.java
@@ -31,11 +31,14 @@
     private Site.Connections connections;
 
     public PlainBackends(
-            Platform platform, DescriptorLimits.Share sockets, Site.Connections connections, CapacityListener places) {
+            Platform platform,
+            DescriptorLimits.Share sockets,
+            Site.Connections connections,
+            CapacityListener capacityListener) {
         this.platform = platform;
         this.sockets = sockets;
         this.connections = connections;
-        this.capacityListener = places;
+        this.capacityListener = capacityListener;
     }
 
     public void setLimits(Site.Connections limits) {
@@ -108,9 +111,9 @@
 
     /** Starts an attempt; its listener is called later, never within this call. */
     public PlainAttempt send(
-            int server, PlainAttempt.OutgoingRequest sending, long timeoutNs, PlainAttempt.Listener listener) {
+            int server, PlainAttempt.OutgoingRequest request, long timeoutNs, PlainAttempt.Listener listener) {
         PlainBackend b = backends.get(server);
-        PlainAttempt a = new PlainAttempt(b, sending, listener, platform.loop());
+        PlainAttempt a = new PlainAttempt(b, request, listener, platform.loop());
         if (b == null || b.isFull()) {
             endUnsent(a); // removed since, or at its connection limit
             return a;
@@ -161,29 +164,30 @@
                         c.initChannel(channel);
                     }
                 });
-        ConnectOperation dial = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
-            @Override
-            public void onConnected() {
-                if (a.ended()) {
-                    c.close();
-                    notConnected(a, Status.CONNECT_FAILED);
-                } else {
-                    c.begin(a, deadline);
-                }
-            }
+        ConnectOperation operation =
+                ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
+                    @Override
+                    public void onConnected() {
+                        if (a.ended()) {
+                            c.close();
+                            notConnected(a, Status.CONNECT_FAILED);
+                        } else {
+                            c.begin(a, deadline);
+                        }
+                    }
 
-            @Override
-            public void onFailed(ConnectOperation.Failure failure) {
-                // A lack of local resources is not a failure of the server.
-                notConnected(a, failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED);
-            }
+                    @Override
+                    public void onFailed(ConnectOperation.Failure failure) {
+                        // A lack of local resources is not a failure of the server.
+                        notConnected(a, failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED);
+                    }
 
-            @Override
-            public void onReleased() {
-                sockets.release();
-            }
-        });
-        c.setChannel(dial.channel());
+                    @Override
+                    public void onReleased() {
+                        sockets.release();
+                    }
+                });
+        c.setChannel(operation.channel());
         a.useConnection(c);
     }
 
--- a/src/main/java/gullspar/site/backend/PlainConnection.java
+++ b/src/main/java/gullspar/site/backend/PlainConnection.java
@@ -52,10 +52,10 @@
     private boolean hasTrailingBytes;
     private boolean streaming;
 
-    PlainConnection(PlainBackend backend, Clock clock, Owner keeper) {
+    PlainConnection(PlainBackend backend, Clock clock, Owner owner) {
         this.backend = backend;
         this.clock = clock;
-        this.owner = keeper;
+        this.owner = owner;
     }
 
     void initChannel(Channel c) {
@@ -214,8 +214,8 @@
      * declared. Anything else may be the rest of a body whose declared length is too short.
      */
     @Override
-    public void onTrailingBytes(boolean again) {
-        if (!hasTrailingBytes && !again) {
+    public void onTrailingBytes(boolean startsResponse) {
+        if (!hasTrailingBytes && !startsResponse) {
             fail();
         }
         hasTrailingBytes = true;
--- a/src/main/java/gullspar/site/client/Clients.java
+++ b/src/main/java/gullspar/site/client/Clients.java
@@ -68,13 +68,13 @@
             Site.Limits limits,
             BodyBudget budget,
             long seed,
-            RequestHandler taker) {
+            RequestHandler handler) {
         this.platform = platform;
         this.sockets = sockets;
         this.limits = limits;
         this.budget = budget;
         this.ids = new Random(seed);
-        this.handler = taker;
+        this.handler = handler;
         sockets.onFull(this::closeIdleConnection);
     }
 
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -211,7 +211,7 @@
             }
             if (content instanceof LastHttpContent last) {
                 if (head != null) {
-                    whole(last.trailingHeaders());
+                    complete(last.trailingHeaders());
                 }
             }
         }
@@ -287,7 +287,7 @@
             // Answered by the head alone. If an unneeded body follows, the connection closes.
             keepAlive &= !hasBody;
             inputIncomplete = hasBody;
-            whole(new DefaultHttpHeaders());
+            complete(new DefaultHttpHeaders());
         } else if (hasBody && HttpUtil.is100ContinueExpected(r) && pipelined.isEmpty()) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -298,7 +298,7 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    private void whole(HttpHeaders trailers) {
+    private void complete(HttpHeaders trailers) {
         request =
                 new PlainRequest(head.method(), head.protocolVersion(), target, routed, head.headers(), body, trailers);
         head = null;
@@ -412,7 +412,7 @@
     }
 
     /** Completes the response. */
-    public void whole(HttpHeaders trailers, boolean chunked) {
+    public void complete(HttpHeaders trailers, boolean chunked) {
         LastHttpContent last = LastHttpContent.EMPTY_LAST_CONTENT;
         if (chunked && !trailers.isEmpty()) {
             last = new DefaultLastHttpContent();
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -225,8 +225,8 @@
         applyIfReady(now);
     }
 
-    private String forkMessage(String who, Version other) {
-        return who + " has another version with the same number: " + other + ", this follower has " + held.version()
+    private String forkMessage(String source, Version other) {
+        return source + " has another version with the same number: " + other + ", this follower has " + held.version()
                 + "; see 'forked' in docs/versions.md";
     }
 
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -10,8 +10,8 @@
     private boolean snapshotRequested;
 
     /** slots: limits concurrent snapshots of the control process. */
-    public FollowerUpdates(SnapshotSlots turns) {
-        this.slots = turns;
+    public FollowerUpdates(SnapshotSlots slots) {
+        this.slots = slots;
     }
 
     /** The follower has said hello with the version it has, or null. */
--- a/src/main/java/gullspar/versions/SnapshotSlots.java
+++ b/src/main/java/gullspar/versions/SnapshotSlots.java
@@ -15,14 +15,14 @@
     }
 
     /** Whether it holds a slot or has now acquired one; otherwise it is added to the waiting list. */
-    public boolean tryAcquire(Object who) {
-        if (holders.contains(who)) {
+    public boolean tryAcquire(Object requester) {
+        if (holders.contains(requester)) {
             return true;
         }
-        waiting.add(who);
-        if (holders.size() < capacity && waiting.iterator().next().equals(who)) {
-            waiting.remove(who);
-            holders.add(who);
+        waiting.add(requester);
+        if (holders.size() < capacity && waiting.iterator().next().equals(requester)) {
+            waiting.remove(requester);
+            holders.add(requester);
             peak = Math.max(peak, holders.size());
             return true;
         }
@@ -30,9 +30,9 @@
     }
 
     /** Releases the slot or leaves the waiting list; returns the next one that may acquire, or null. */
-    public Object release(Object who) {
-        holders.remove(who);
-        waiting.remove(who);
+    public Object release(Object requester) {
+        holders.remove(requester);
+        waiting.remove(requester);
         return holders.size() < capacity && !waiting.isEmpty()
                 ? waiting.iterator().next()
                 : null;
--- a/src/main/java/gullspar/versions/file/DiskFolder.java
+++ b/src/main/java/gullspar/versions/file/DiskFolder.java
@@ -73,8 +73,8 @@
 
     @Override
     public void sync() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -411,23 +411,23 @@
     }
 
     private void ack(Link l, Message.Ack a) {
-        Message.Hello who = sessions.helloOf(l);
-        if (who == null || who.role() == Message.Role.PRIMARY) {
+        Message.Hello hello = sessions.helloOf(l);
+        if (hello == null || hello.role() == Message.Role.PRIMARY) {
             return;
         }
-        registry.running(who.name(), who.role() == Message.Role.CONTROL, a.inForce(), a.trouble(), file.name());
+        registry.running(hello.name(), hello.role() == Message.Role.CONTROL, a.inForce(), a.trouble(), file.name());
         if (publisher != null && a.inForce() != null) {
-            recordIfAheadOrForked(who, a);
+            recordIfAheadOrForked(hello, a);
         }
         scheduleReport();
     }
 
     /** A follower with a higher version or a fork blocks further changes. */
-    private void recordIfAheadOrForked(Message.Hello who, Message.Ack a) {
+    private void recordIfAheadOrForked(Message.Hello hello, Message.Ack a) {
         History.UpdateKind kind = history.planFor(a.inForce()).kind();
         if (kind == History.UpdateKind.AHEAD || kind == History.UpdateKind.FORKED) {
             boolean before = publisher.isReady(history);
-            publisher.recordVersion(who.name(), a.inForce());
+            publisher.recordVersion(hello.name(), a.inForce());
             if (before && !publisher.isReady(history)) {
                 platform.log().write("no longer accepting changes: " + publisher.obstacle(history));
             }
@@ -437,19 +437,19 @@
     @Override
     public void closed(Link l, String why) {
         links.remove(l);
-        Message.Hello who = sessions.helloOf(l);
+        Message.Hello hello = sessions.helloOf(l);
         if (!why.equals(Link.CLOSED_BY_PEER)) {
-            platform.log().write("closed the connection of " + (who == null ? l.peer() : who.name()) + ": " + why);
+            platform.log().write("closed the connection of " + (hello == null ? l.peer() : hello.name()) + ": " + why);
         }
         sessions.remove(l);
-        if (who == null || who.role() == Message.Role.PRIMARY) {
+        if (hello == null || hello.role() == Message.Role.PRIMARY) {
             return;
         }
-        if (sessions.hellos().stream().noneMatch(h -> h.name().equals(who.name()))) {
-            registry.recordDisconnect(now(), who.name(), file.name());
+        if (sessions.hellos().stream().noneMatch(h -> h.name().equals(hello.name()))) {
+            registry.recordDisconnect(now(), hello.name(), file.name());
         }
-        if (who.role() == Message.Role.CONTROL) {
-            registry.recordControlLost(now(), who.name());
+        if (hello.role() == Message.Role.CONTROL) {
+            registry.recordControlLost(now(), hello.name());
         }
         scheduleReport();
     }
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -116,24 +116,24 @@
         if (stopped) {
             return;
         }
-        Link mine = new Link(this, MAX_UPDATE_BYTES);
-        link = mine;
+        Link newLink = new Link(this, MAX_UPDATE_BYTES);
+        link = newLink;
         Bootstrap bootstrap = platform.transport()
                 .clientBootstrap(addresses.get(controlIndex))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(mine);
-        ConnectOperation[] dial = new ConnectOperation[1];
-        dial[0] = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
+                .handler(newLink);
+        ConnectOperation[] operation = new ConnectOperation[1];
+        operation[0] = ConnectOperation.start(bootstrap, platform.loop(), new ConnectOperation.Listener() {
             @Override
             public void onConnected() {
-                if (link != mine) {
-                    dial[0].close();
+                if (link != newLink) {
+                    operation[0].close();
                 }
             }
 
             @Override
             public void onFailed(ConnectOperation.Failure failure) {
-                if (link == mine) {
+                if (link == newLink) {
                     link = null;
                     follower.closed(now(), String.valueOf(failure.cause().getMessage()));
                 }
--- a/src/main/java/gullspar/versions/net/VersionedSource.java
+++ b/src/main/java/gullspar/versions/net/VersionedSource.java
@@ -62,16 +62,16 @@
         });
         ServingLoop serving = ServingLoop.start();
         this.loop = serving.loop();
-        Follower.Settings usual = Follower.Settings.DEFAULTS;
+        Follower.Settings defaults = Follower.Settings.DEFAULTS;
         this.node = new FollowerNode(
                 file.name(),
                 Message.Role.PROXY,
                 new Follower.Settings(
                         file.startupWaitNs(),
-                        usual.silenceTimeoutNs(),
-                        usual.initialBackoffNs(),
-                        usual.maxBackoffNs(),
-                        usual.applyRetryNs()),
+                        defaults.silenceTimeoutNs(),
+                        defaults.initialBackoffNs(),
+                        defaults.maxBackoffNs(),
+                        defaults.applyRetryNs()),
                 orderAddresses(file.name(), file.addresses()),
                 Platform.of(serving),
                 new SplittableRandom(System.nanoTime()),
--- a/src/test/java/gullspar/rehearse/net/NetworkTest.java
+++ b/src/test/java/gullspar/rehearse/net/NetworkTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import gullspar.rehearse.time.VirtualLoop;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -30,7 +30,7 @@
     private static final InetSocketAddress SERVER = new InetSocketAddress("127.1.0.1", 9000);
 
     private final List<Throwable> errors = new ArrayList<>();
-    private Agenda agenda;
+    private EventQueue agenda;
     private Network network;
     private Host client;
     private Host server;
@@ -39,7 +39,7 @@
 
     @BeforeEach
     void listen() {
-        agenda = new Agenda(1, 0);
+        agenda = new EventQueue(1, 0);
         network = new Network(agenda, 1, (a, b) -> NS_PER_MS);
         client = network.host("client");
         server = network.host("server");
--- a/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
+++ b/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
@@ -17,7 +17,7 @@
 import gullspar.rehearse.TestScripts;
 import gullspar.rehearse.net.Host;
 import gullspar.rehearse.net.Network;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import gullspar.rehearse.time.VirtualLoop;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -52,7 +52,7 @@
 
     /** A proxy with a client, a node and discovery, on its own event queue. */
     private static final class Fixture {
-        private final Agenda agenda;
+        private final EventQueue agenda;
         private final Network network;
         private final List<String> events = new ArrayList<>();
         private final List<Throwable> errors = new ArrayList<>();
@@ -66,7 +66,7 @@
         private long sentAt;
 
         Fixture(long seed) throws Exception {
-            agenda = new Agenda(seed, START);
+            agenda = new EventQueue(seed, START);
             network = new Network(agenda, seed, (a, b) -> MS);
             endpointLoop = new VirtualLoop(agenda, errors::add);
             VirtualLoop loop = new VirtualLoop(agenda, errors::add);
--- a/src/test/java/gullspar/rehearse/time/AgendaTest.java
+++ b/src/test/java/gullspar/rehearse/time/EventQueueTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Event order in virtual time. */
-class AgendaTest {
+class EventQueueTest {
     private static List<String> runOrder(long seed) {
-        Agenda a = new Agenda(seed, 0);
+        EventQueue a = new EventQueue(seed, 0);
         List<String> seen = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             int source = a.newSource();
@@ -49,7 +49,7 @@
 
     @Test
     void timeNeverGoesBack() {
-        Agenda a = new Agenda(1, 100);
+        EventQueue a = new EventQueue(1, 100);
         List<Long> at = new ArrayList<>();
         a.schedule(300, 1, () -> {
             at.add(a.now());
@@ -64,7 +64,7 @@
 
     @Test
     void loopRunsItsTimersOnTheAgenda() {
-        Agenda a = new Agenda(1, 0);
+        EventQueue a = new EventQueue(1, 0);
         List<Throwable> errors = new ArrayList<>();
         VirtualLoop loop = new VirtualLoop(a, errors::add);
         List<String> seen = new ArrayList<>();
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -4,7 +4,7 @@
 import gullspar.proxy.io.Platform;
 import gullspar.rehearse.net.Host;
 import gullspar.rehearse.net.Network;
-import gullspar.rehearse.time.Agenda;
+import gullspar.rehearse.time.EventQueue;
 import gullspar.rehearse.time.VirtualLoop;
 import gullspar.versions.Delta;
 import gullspar.versions.Document;
@@ -261,7 +261,7 @@
         public void closed(Link l, String why) {}
     }
 
-    public final Agenda agenda;
+    public final EventQueue agenda;
     public final Network network;
     public final List<Control> controls = new ArrayList<>();
     public final List<Proxy> proxies = new ArrayList<>();
@@ -274,7 +274,7 @@
 
     /** Creates control processes, the first of which is the primary, and proxies, without starting them. */
     public SimulatedCluster(long seed, int controls, int proxies, long wayNs) {
-        agenda = new Agenda(seed, 0);
+        agenda = new EventQueue(seed, 0);
         network = new Network(agenda, seed, (a, b) -> wayNs);
         random = new SplittableRandom(seed);
         for (int i = 0; i < controls; i++) {
