--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -241,7 +241,7 @@
     }
 
     /** Replaces the seeds, the addresses where other members may be found. */
-    public void seeds(long now, List<String> addresses) {
+    public void setSeeds(long now, List<String> addresses) {
         advanceClock(now);
         reconnects.seeds(addresses);
     }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -278,7 +278,7 @@
     public void setSeeds(List<InetSocketAddress> seeds) {
         if (transport.isStarted()) {
             transport.withPeers(p -> {
-                p.seeds(platform.clock().now(), format(seeds));
+                p.setSeeds(platform.clock().now(), format(seeds));
                 return null;
             });
         }
--- a/src/main/java/gullspar/rehearse/net/HalfConnection.java
+++ b/src/main/java/gullspar/rehearse/net/HalfConnection.java
@@ -30,7 +30,7 @@
         this.sender = sender;
         this.from = from;
         this.to = to;
-        this.source = network.agenda.newSource();
+        this.source = network.eventQueue.newSource();
     }
 
     void setReceiver(MemoryChannel c) {
@@ -57,15 +57,15 @@
     }
 
     private void enqueue(Kind kind, ByteBuf b) {
-        long now = network.agenda.now();
+        long now = network.eventQueue.now();
         lastArrivalNs = Math.max(lastArrivalNs, now + network.travelTimeNs(from, to));
         segments.add(new Segment(kind, b, now, lastArrivalNs));
-        network.agenda.schedule(lastArrivalNs, source, this::deliverDue);
+        network.eventQueue.schedule(lastArrivalNs, source, this::deliverDue);
     }
 
     /** Delivers all segments that are due as one input: bytes that arrive together are read together. */
     private void deliverDue() {
-        if (segments.isEmpty() || segments.peek().arrivesAtNs > network.agenda.now()) {
+        if (segments.isEmpty() || segments.peek().arrivesAtNs > network.eventQueue.now()) {
             return; // already delivered with an earlier segment
         }
         if (!network.canReach(from, to)) {
@@ -86,7 +86,7 @@
 
     private void deliver(MemoryChannel r) {
         boolean delivered = false;
-        for (Segment s = segments.peek(); s != null && s.arrivesAtNs <= network.agenda.now(); s = segments.peek()) {
+        for (Segment s = segments.peek(); s != null && s.arrivesAtNs <= network.eventQueue.now(); s = segments.peek()) {
             segments.remove();
             if (s.kind == Kind.BYTES) {
                 bytes -= s.bytes.readableBytes();
--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -70,7 +70,7 @@
         local = network.nextEphemeralAddress();
         peerHost = network.hostAt(address);
         host.openConnections.add(this);
-        int source = network.agenda.newSource();
+        int source = network.eventQueue.newSource();
         int timeout = config.getConnectTimeoutMillis();
         if (timeout > 0) {
             eventLoop()
@@ -82,8 +82,8 @@
         if (peerHost == null) {
             return; // no host has the address: there is never a reply
         }
-        network.agenda.schedule(
-                network.agenda.now() + network.travelTimeNs(host, peerHost),
+        network.eventQueue.schedule(
+                network.eventQueue.now() + network.travelTimeNs(host, peerHost),
                 source,
                 () -> handleSyn(address, promise, source));
     }
@@ -112,7 +112,7 @@
     }
 
     private void scheduleReply(int source, ChannelPromise promise, Runnable reply) {
-        network.agenda.schedule(network.agenda.now() + network.travelTimeNs(peerHost, host), source, () -> {
+        network.eventQueue.schedule(network.eventQueue.now() + network.travelTimeNs(peerHost, host), source, () -> {
             if (!network.canReach(peerHost, host)) {
                 network.holdUntilRestored(() -> scheduleReply(source, promise, reply));
             } else if (host.loop != null) {
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -35,7 +35,7 @@
         long delayNs(String from, String to);
     }
 
-    final EventQueue agenda;
+    final EventQueue eventQueue;
     private final SplittableRandom random;
     private final OneWayDelay oneWayDelay;
     private final Map<String, Host> hosts = new HashMap<>();
@@ -51,8 +51,8 @@
     private int lastPort = 30_000;
     private DatagramForger forger;
 
-    public Network(EventQueue agenda, long seed, OneWayDelay oneWayDelay) {
-        this.agenda = agenda;
+    public Network(EventQueue eventQueue, long seed, OneWayDelay oneWayDelay) {
+        this.eventQueue = eventQueue;
         this.random = new SplittableRandom(seed);
         this.datagramRandom = new SplittableRandom(seed ^ 0x5bd1e995);
         this.oneWayDelay = oneWayDelay;
@@ -105,7 +105,7 @@
         datagramSockets.values().stream()
                 .filter(s -> s.host().name.equals(to))
                 .findFirst()
-                .ifPresent(s -> agenda.schedule(agenda.now(), 0, () -> {
+                .ifPresent(s -> eventQueue.schedule(eventQueue.now(), 0, () -> {
                     if (s.host().reachable && s.isOpen()) {
                         s.receive(FORGED_SOURCE, datagram);
                     }
@@ -126,7 +126,7 @@
 
     private void scheduleArrival(
             Host from, InetSocketAddress source, MemoryDatagramChannel to, long addedNs, byte[] bytes) {
-        agenda.schedule(agenda.now() + link(from.name, to.host().name).delayNs + addedNs, 0, () -> {
+        eventQueue.schedule(eventQueue.now() + link(from.name, to.host().name).delayNs + addedNs, 0, () -> {
             if (from.reachable && to.host().reachable && to.isOpen()) {
                 to.receive(source, bytes);
             }
@@ -169,7 +169,7 @@
     private void retryHeld() {
         List<Runnable> retries = new ArrayList<>(heldRetries);
         heldRetries.clear();
-        retries.forEach(r -> agenda.schedule(agenda.now() + MIN_RETRANSMIT_NS, 0, r));
+        retries.forEach(r -> eventQueue.schedule(eventQueue.now() + MIN_RETRANSMIT_NS, 0, r));
     }
 
     /** Runs the retry after a link or host is next restored. */
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -95,7 +95,7 @@
 
     private final Script script;
     private final Options options;
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final Network network;
     private final VirtualLoop loop;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -111,10 +111,10 @@
     private VirtualPlay(Script script, Options options) {
         this.script = script;
         this.options = options;
-        this.agenda = new EventQueue(script.seed(), EPOCH_NS);
-        this.network = new Network(agenda, script.seed() * 31 + 8, this::oneWayDelayNs);
-        this.loop = new VirtualLoop(agenda, e -> failure = failure == null ? e : failure);
-        this.decisionLog = new DecisionLog(() -> agenda.now() - EPOCH_NS, this::nodeName, options.decisionLog());
+        this.eventQueue = new EventQueue(script.seed(), EPOCH_NS);
+        this.network = new Network(eventQueue, script.seed() * 31 + 8, this::oneWayDelayNs);
+        this.loop = new VirtualLoop(eventQueue, e -> failure = failure == null ? e : failure);
+        this.decisionLog = new DecisionLog(() -> eventQueue.now() - EPOCH_NS, this::nodeName, options.decisionLog());
         this.testbed = new Testbed(this, script, this);
         this.eventLog = testbed.eventLog();
         this.fleet = script.peers() == null
@@ -135,13 +135,13 @@
             takeFleetSnapshots();
         }
         long[] endNs = {EPOCH_NS + READY_TIMEOUT_NS};
-        testbed.startWhenReady(() -> endNs[0] = agenda.now() + (long) (script.seconds() * 1e9));
+        testbed.startWhenReady(() -> endNs[0] = eventQueue.now() + (long) (script.seconds() * 1e9));
         runUntil(endNs);
         if (eventLog.start() == 0) {
             throw new IllegalStateException(
                     "the proxies were not ready within " + READY_TIMEOUT_NS / 1_000_000_000L + " s: " + proxyLog);
         }
-        endNs[0] = agenda.now() + testbed.tailNs();
+        endNs[0] = eventQueue.now() + testbed.tailNs();
         runUntil(endNs);
         options.progressListener().onProgress(script.seconds(), script.seconds());
         return new DayResult(
@@ -157,21 +157,23 @@
 
     /** Runs all events up to endNs[0], which an event may change. */
     private void runUntil(long[] endNs) {
-        long nextProgressNs = agenda.now();
-        while (agenda.hasEventBy(endNs[0])) {
-            agenda.runNext();
+        long nextProgressNs = eventQueue.now();
+        while (eventQueue.hasEventBy(endNs[0])) {
+            eventQueue.runNext();
             if (failure != null) {
                 throw new IllegalStateException(
-                        "the rehearsal itself failed at " + (agenda.now() - eventLog.start()) / 1e9 + " s", failure);
+                        "the rehearsal itself failed at " + (eventQueue.now() - eventLog.start()) / 1e9 + " s",
+                        failure);
             }
-            if (agenda.now() >= nextProgressNs && eventLog.start() != 0) {
+            if (eventQueue.now() >= nextProgressNs && eventLog.start() != 0) {
                 options.progressListener()
                         .onProgress(
-                                Math.min(script.seconds(), (agenda.now() - eventLog.start()) / 1e9), script.seconds());
-                nextProgressNs = agenda.now() + 1_000_000_000L;
+                                Math.min(script.seconds(), (eventQueue.now() - eventLog.start()) / 1e9),
+                                script.seconds());
+                nextProgressNs = eventQueue.now() + 1_000_000_000L;
             }
         }
-        agenda.advanceTo(endNs[0]);
+        eventQueue.advanceTo(endNs[0]);
     }
 
     // ---- the environment ----
@@ -205,12 +207,12 @@
     public Platform platform(String machine) {
         Host host = network.host(machine);
         host.setProcess(loop);
-        return new Platform(loop, agenda::now, network.transport(host), line -> {});
+        return new Platform(loop, eventQueue::now, network.transport(host), line -> {});
     }
 
     @Override
     public long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
     @Override
@@ -284,21 +286,21 @@
         int number = processes.get(name) == null ? 1 : processes.get(name).number + 1;
         String processName = number == 1 ? name : name + "." + number;
         ProxyProcess process =
-                new ProxyProcess(number, new VirtualLoop(agenda, e -> addLogLine(processName, "uncaught: " + e)));
+                new ProxyProcess(number, new VirtualLoop(eventQueue, e -> addLogLine(processName, "uncaught: " + e)));
         processes.put(name, process);
         Host host = network.host(name);
         host.setProcess(process.loop);
         Platform platform = options.platformWrapper()
                 .apply(new Platform(
                         process.loop,
-                        agenda::now,
+                        eventQueue::now,
                         network.transport(host),
                         line -> addLogLine(processName, line),
                         process.loop::inputDelayNs,
                         null));
         long startUpNs = (long) (script.proxies().startS() * 1e9);
         if (fleet != null) {
-            eventLog.processStarted(name, agenda.now());
+            eventLog.processStarted(name, eventQueue.now());
             process.loop.execute(() -> process.membership = fleet.join(
                     name,
                     processName,
@@ -340,7 +342,7 @@
                     : process.membership.query("/_fleet");
             if (view != null) {
                 try {
-                    eventLog.addFleetSnapshot(FleetSnapshot.parse(agenda.now(), name, view));
+                    eventLog.addFleetSnapshot(FleetSnapshot.parse(eventQueue.now(), name, view));
                 } catch (IOException e) {
                     throw new UncheckedIOException("a proxy returned an invalid view of the fleet", e);
                 }
@@ -354,14 +356,15 @@
 
     private void addLogLine(String processName, String line) {
         if (proxyLog.size() < MAX_LOG_LINES) {
-            proxyLog.add(String.format(Locale.ROOT, "%.6f %s %s", (agenda.now() - EPOCH_NS) / 1e9, processName, line));
+            proxyLog.add(
+                    String.format(Locale.ROOT, "%.6f %s %s", (eventQueue.now() - EPOCH_NS) / 1e9, processName, line));
         }
     }
 
     private void endProcess(String name, ProxyProcess process) {
         process.loop.end();
         if (fleet != null) {
-            eventLog.processEnded(name, agenda.now());
+            eventLog.processEnded(name, eventQueue.now());
         }
         network.closeSockets(network.host(name));
     }
--- a/src/main/java/gullspar/rehearse/time/VirtualLoop.java
+++ b/src/main/java/gullspar/rehearse/time/VirtualLoop.java
@@ -23,7 +23,7 @@
  * queued while it was paused, then the timers that are due and every task that these submit.
  */
 public final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final Consumer<Throwable> errorHandler;
     private final int source;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
@@ -36,7 +36,7 @@
 
         @Override
         public long nanoTime() {
-            return agenda.now();
+            return eventQueue.now();
         }
 
         @Override
@@ -54,10 +54,10 @@
     private long armedForNs = Long.MAX_VALUE;
 
     /** errorHandler: receives what tasks throw; the loop continues, as real event loops do. */
-    public VirtualLoop(EventQueue agenda, Consumer<Throwable> errorHandler) {
-        this.agenda = agenda;
+    public VirtualLoop(EventQueue eventQueue, Consumer<Throwable> errorHandler) {
+        this.eventQueue = eventQueue;
         this.errorHandler = errorHandler;
-        this.source = agenda.newSource();
+        this.source = eventQueue.newSource();
     }
 
     /** Adds input from a socket and wakes the loop; it stays queued while the process is paused. */
@@ -72,16 +72,16 @@
     public void pause(boolean on) {
         paused = on;
         if (on) {
-            pausedAtNs = agenda.now();
+            pausedAtNs = eventQueue.now();
         } else {
-            resumedAtNs = agenda.now();
-            agenda.schedule(agenda.now(), source, this::wake);
+            resumedAtNs = eventQueue.now();
+            eventQueue.schedule(eventQueue.now(), source, this::wake);
         }
     }
 
     /** Maximum time that input read now may have waited: the length of a pause that has just ended, else 0. */
     public long inputDelayNs() {
-        return agenda.now() == resumedAtNs ? resumedAtNs - pausedAtNs : 0;
+        return eventQueue.now() == resumedAtNs ? resumedAtNs - pausedAtNs : 0;
     }
 
     /** Ends the process as SIGKILL does: pending inputs, tasks and timers are discarded. */
@@ -137,11 +137,11 @@
 
     private boolean hasDueTimers() {
         long next = nextScheduledTaskDeadlineNanos();
-        return next >= 0 && next <= agenda.now();
+        return next >= 0 && next <= eventQueue.now();
     }
 
     private void moveDueTimers() {
-        for (Runnable r = pollScheduledTask(agenda.now()); r != null; r = pollScheduledTask(agenda.now())) {
+        for (Runnable r = pollScheduledTask(eventQueue.now()); r != null; r = pollScheduledTask(eventQueue.now())) {
             tasks.add(r);
         }
     }
@@ -150,7 +150,7 @@
         long next = nextScheduledTaskDeadlineNanos();
         if (!hasEnded && next >= 0 && next < armedForNs) {
             armedForNs = next;
-            agenda.schedule(next, source, () -> {
+            eventQueue.schedule(next, source, () -> {
                 if (armedForNs == next) {
                     armedForNs = Long.MAX_VALUE;
                 }
@@ -166,7 +166,7 @@
         }
         tasks.add(task);
         if (!running) {
-            agenda.schedule(agenda.now(), source, this::wake);
+            eventQueue.schedule(eventQueue.now(), source, this::wake);
         }
     }
 
--- a/src/main/java/gullspar/site/SiteDaemon.java
+++ b/src/main/java/gullspar/site/SiteDaemon.java
@@ -74,7 +74,7 @@
             return false;
         }
         Platform platform = Platform.of(serving);
-        OperatorEndpoint port = site.operators().operatorAddress() == null
+        OperatorEndpoint operatorEndpoint = site.operators().operatorAddress() == null
                 ? null
                 : listen(site.operators().operatorAddress(), platform);
         SiteProxy proxy = SiteProxy.start(site, platform, factory, System.nanoTime());
@@ -82,9 +82,9 @@
                 ? null
                 : fleetMembers.start(file, System.getenv("NODE_NAME"), platform, proxy::load);
         loop.execute(() -> {
-            if (port != null) {
-                port.setStatusSource(proxy);
-                port.setAuxiliaryService(fleetMember);
+            if (operatorEndpoint != null) {
+                operatorEndpoint.setStatusSource(proxy);
+                operatorEndpoint.setAuxiliaryService(fleetMember);
             }
             if (fleetMember != null) {
                 fleetMember.onStage(AuxiliaryService.Stage.SERVING);
@@ -122,14 +122,14 @@
     }
 
     private static OperatorEndpoint listen(InetSocketAddress address, Platform platform) throws IOException {
-        OperatorEndpoint port = new OperatorEndpoint(platform);
-        ChannelFuture bound = port.listen(address).awaitUninterruptibly();
+        OperatorEndpoint endpoint = new OperatorEndpoint(platform);
+        ChannelFuture bound = endpoint.listen(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen for operators on " + NetUtil.toSocketAddressString(address)
                     + ": "
                     + bound.cause().getMessage());
         }
-        return port;
+        return endpoint;
     }
 
     /** Reads the file again, outside the event loop, and passes it to the receiver. */
--- a/src/main/java/gullspar/site/SiteProxy.java
+++ b/src/main/java/gullspar/site/SiteProxy.java
@@ -112,7 +112,7 @@
     }
 
     /** Binds the new listeners; if one cannot be bound, all new ones are closed. */
-    private void listen(Site s, BindCallback then) {
+    private void listen(Site s, BindCallback callback) {
         Map<InetSocketAddress, ChannelFuture> binding = new LinkedHashMap<>();
         for (Site.Listener l : s.listeners()) {
             if (!listening.containsKey(l.address())) {
@@ -121,29 +121,29 @@
         }
         int[] remaining = {binding.size()};
         if (binding.isEmpty()) {
-            then.onBound(null);
+            callback.onBound(null);
             return;
         }
         binding.values()
                 .forEach(f -> f.addListener(done -> {
                     if (--remaining[0] == 0) {
-                        onAllBound(binding, then);
+                        onAllBound(binding, callback);
                     }
                 }));
     }
 
-    private void onAllBound(Map<InetSocketAddress, ChannelFuture> binding, BindCallback then) {
+    private void onAllBound(Map<InetSocketAddress, ChannelFuture> binding, BindCallback callback) {
         for (Map.Entry<InetSocketAddress, ChannelFuture> b : binding.entrySet()) {
             if (!b.getValue().isSuccess()) {
                 binding.values().forEach(f -> f.channel().close());
-                then.onBound(new IOException("cannot listen on "
+                callback.onBound(new IOException("cannot listen on "
                         + NetUtil.toSocketAddressString(b.getKey()) + ": "
                         + b.getValue().cause().getMessage()));
                 return;
             }
         }
         binding.forEach((address, f) -> listening.put(address, f.channel()));
-        then.onBound(null);
+        callback.onBound(null);
     }
 
     private ChannelFuture bind(InetSocketAddress address) {
--- a/src/test/java/gullspar/decide/FakeHost.java
+++ b/src/test/java/gullspar/decide/FakeHost.java
@@ -61,12 +61,12 @@
                 true);
     }
 
-    static Settings settings(boolean ask, Profile... profiles) {
-        return settings(0, 3, ask, profiles);
+    static Settings settings(boolean subscribes, Profile... profiles) {
+        return settings(0, 3, subscribes, profiles);
     }
 
-    static Settings settings(int me, int balancers, boolean ask, Profile... profiles) {
-        return settings(me, balancers, ask, false, profiles);
+    static Settings settings(int ownIndex, int balancers, boolean subscribes, Profile... profiles) {
+        return settings(ownIndex, balancers, subscribes, false, profiles);
     }
 
     /** Strict: FULL may have run, and a key is blocked for 300 ms after an attempt that may still run. */
@@ -74,13 +74,14 @@
         return settings(0, 3, false, true, profiles);
     }
 
-    private static Settings settings(int me, int balancers, boolean ask, boolean strict, Profile... profiles) {
+    private static Settings settings(
+            int ownIndex, int balancers, boolean subscribes, boolean strict, Profile... profiles) {
         return new Settings(
-                me,
+                ownIndex,
                 balancers,
                 0,
                 List.of(profiles),
-                ask,
+                subscribes,
                 true,
                 4,
                 1000 * MS,
@@ -88,7 +89,7 @@
                 9000 * MS,
                 3,
                 2000 * MS,
-                ask ? 10_000 * MS : 0,
+                subscribes ? 10_000 * MS : 0,
                 5 * MS,
                 0.1,
                 strict,
--- a/src/test/java/gullspar/decide/NoLoadTest.java
+++ b/src/test/java/gullspar/decide/NoLoadTest.java
@@ -54,7 +54,7 @@
     void aFailedConnectIsRetriedOnAnotherServer() {
         FakeHost r = healthyHost();
         int failed = 0;
-        int again = 0;
+        int retried = 0;
         for (int i = 0; i < REQUESTS; i++) {
             int t = r.request();
             r.advance(10);
@@ -65,11 +65,11 @@
             failed++;
             r.endAttempt(t, 0, Status.CONNECT_FAILED, 10, null);
             if (r.sends.get(t).size() > 1) {
-                again++;
+                retried++;
                 r.advance(10).endAttempt(t, 1, Status.OK, 10, null);
             }
         }
-        assertEquals(failed, again);
+        assertEquals(failed, retried);
     }
 
     @Test
--- a/src/test/java/gullspar/decide/OrderTest.java
+++ b/src/test/java/gullspar/decide/OrderTest.java
@@ -162,9 +162,9 @@
             }
         }
         r.advance(400).request(0, 900, 1);
-        var turns = Policy.class.getDeclaredField("keyQueues");
-        turns.setAccessible(true);
-        int size = ((java.util.Map<?, ?>) turns.get(r.policy)).size();
+        var keyQueues = Policy.class.getDeclaredField("keyQueues");
+        keyQueues.setAccessible(true);
+        int size = ((java.util.Map<?, ?>) keyQueues.get(r.policy)).size();
         assertTrue(size <= 60, size + " keys kept");
     }
 }
--- a/src/test/java/gullspar/decide/PolicyTest.java
+++ b/src/test/java/gullspar/decide/PolicyTest.java
@@ -601,7 +601,7 @@
     @Test
     void aServerThatDoesNotReportIsNotTreatedAsIdle() {
         FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        int mute = 0;
+        int toUnreporting = 0;
         for (int i = 0; i < 300; i++) {
             int newest = r.request();
             r.advance(20);
@@ -609,11 +609,13 @@
                 if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
                     boolean reports = r.serverOf(t, 0) != 2;
                     r.endAttempt(t, 0, Status.OK, 20, reports ? FakeHost.report(0.5 + 0.001 * i, 3) : null);
-                    mute += reports ? 0 : 1;
+                    toUnreporting += reports ? 0 : 1;
                 }
             }
         }
-        assertTrue(mute > 20 && mute < 240, "the server that does not report got " + mute + " of 300");
+        assertTrue(
+                toUnreporting > 20 && toUnreporting < 240,
+                "the server that does not report got " + toUnreporting + " of 300");
     }
 
     @Test
@@ -1049,11 +1051,17 @@
 
     @Test
     void aRepeatedReportWithoutUtilizationIsNotTreatedAsNew() {
-        Report[] silent = {FakeHost.report(Double.NaN, 4), FakeHost.report(Double.NaN, 0)};
+        Report[] withoutUtilization = {FakeHost.report(Double.NaN, 4), FakeHost.report(Double.NaN, 0)};
         Report[] idle = {FakeHost.report(0, 4), FakeHost.report(0, 0)};
-        int[] got = serve(host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)), 200, 2, 20, silent);
-        int[] told = serve(host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)), 200, 2, 20, idle);
-        assertEquals(Arrays.toString(told), Arrays.toString(got));
+        int[] got = serve(
+                host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)),
+                200,
+                2,
+                20,
+                withoutUtilization);
+        int[] expected =
+                serve(host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2)), 200, 2, 20, idle);
+        assertEquals(Arrays.toString(expected), Arrays.toString(got));
     }
 
     // ---- discovery ----
--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -86,22 +86,26 @@
                     List<Node> living = t.living();
                     Node victim = living.get(t.random.nextInt(living.size()));
                     long startedAt = t.now;
-                    Map<Node, Long> gone = new HashMap<>();
+                    Map<Node, Long> markedGoneAt = new HashMap<>();
                     long[] first = {0};
                     t.changeListener = (l, c) -> {
                         if (c.subject().life() == victim.life && c.kind() == Change.Kind.SUSPECTED && first[0] == 0) {
                             first[0] = t.now;
                         } else if (c.subject().life() == victim.life && c.kind() == Change.Kind.GONE) {
-                            gone.putIfAbsent(l, t.now);
+                            markedGoneAt.putIfAbsent(l, t.now);
                         }
                     };
                     victim.kill();
-                    while (gone.size() < t.living().size() && t.now - startedAt < 300 * SimulatedFleet.S) {
+                    while (markedGoneAt.size() < t.living().size() && t.now - startedAt < 300 * SimulatedFleet.S) {
                         t.run(0.5);
                     }
                     noticed.recordValue((first[0] - startedAt) / SimulatedFleet.MS);
-                    known.recordValue(
-                            (gone.values().stream().mapToLong(x -> x).max().orElse(0) - startedAt) / SimulatedFleet.MS);
+                    known.recordValue((markedGoneAt.values().stream()
+                                            .mapToLong(x -> x)
+                                            .max()
+                                            .orElse(0)
+                                    - startedAt)
+                            / SimulatedFleet.MS);
                     t.changeListener = (l, c) -> {};
                     t.run(5);
                 }
--- a/src/test/java/gullspar/peers/PeersTest.java
+++ b/src/test/java/gullspar/peers/PeersTest.java
@@ -259,7 +259,7 @@
         SimulatedFleet t = settledFleet(18, 4);
         Node far = t.start("p5", "b5:1"); // neither side knows the other
         assertTrue(t.runUntil(40, t::hasConverged) < 0);
-        t.get(2).input(() -> t.get(2).peers.seeds(t.now, List.of("b5:1")));
+        t.get(2).input(() -> t.get(2).peers.setSeeds(t.now, List.of("b5:1")));
         assertTrue(t.runUntil(10, t::hasConverged) >= 0);
         assertEquals(5, far.peers.size());
     }
--- a/src/test/java/gullspar/peers/SimulatedFleet.java
+++ b/src/test/java/gullspar/peers/SimulatedFleet.java
@@ -271,9 +271,9 @@
         List<Node> living = living();
         Set<String> names = living.stream().map(l -> l.name).collect(Collectors.toSet());
         return living.stream().allMatch(l -> {
-            Set<String> sees = l.names(View.Status.ALIVE);
-            sees.add(l.name);
-            return sees.equals(names) && l.names(View.Status.SUSPECTED).isEmpty();
+            Set<String> aliveInView = l.names(View.Status.ALIVE);
+            aliveInView.add(l.name);
+            return aliveInView.equals(names) && l.names(View.Status.SUSPECTED).isEmpty();
         });
     }
 
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -198,9 +198,9 @@
         }
     }
 
-    private void leave(LeaveMode way, Peer.Wire client) {
+    private void leave(LeaveMode mode, Peer.Wire client) {
         try {
-            way.by(client);
+            mode.by(client);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -411,12 +411,12 @@
     }
 
     /** Answers each watch opened at this peer with the list, until it is applied. */
-    private void answerUntilApplied(Peer place, String list) throws Exception {
+    private void answerUntilApplied(Peer server, String list) throws Exception {
         AtomicBoolean taken = new AtomicBoolean();
         Thread answers = new Thread(() -> {
             while (!taken.get()) {
                 try {
-                    Peer.Wire w = place.accept();
+                    Peer.Wire w = server.accept();
                     w.read();
                     w.write(HEAD + chunk(list));
                 } catch (IOException | InterruptedException | AssertionError e) {
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -55,19 +55,19 @@
     }
 
     /** Connects idle clients; the last one gets a response, so all have been accepted. */
-    private static List<Peer.Wire> connectIdleClients(InetSocketAddress door) throws IOException {
+    private static List<Peer.Wire> connectIdleClients(InetSocketAddress address) throws IOException {
         List<Peer.Wire> crowd = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            crowd.add(Peer.Wire.to(door));
+            crowd.add(Peer.Wire.to(address));
         }
-        Peer.Wire last = Peer.Wire.to(door).write("GET /none HTTP/1.1\r\n\r\n");
+        Peer.Wire last = Peer.Wire.to(address).write("GET /none HTTP/1.1\r\n\r\n");
         assertTrue(last.read().startsWith("HTTP/1.1 404 "));
         crowd.add(last);
         return crowd;
     }
 
-    private static void assertServed(InetSocketAddress door, Peer backend) throws Exception {
-        try (Peer.Wire client = Peer.Wire.to(door)) {
+    private static void assertServed(InetSocketAddress address, Peer backend) throws Exception {
+        try (Peer.Wire client = Peer.Wire.to(address)) {
             client.write(Setup.getRequest());
             try (Peer.Wire wire = backend.accept()) {
                 assertTrue(wire.read().startsWith("GET /look"));
@@ -153,10 +153,10 @@
     }
 
     /** The drain update takes effect: in the end there is no backend left to send to. */
-    private static void awaitRefusal(InetSocketAddress door) throws Exception {
+    private static void awaitRefusal(InetSocketAddress address) throws Exception {
         String answer;
         do {
-            try (Peer.Wire client = Peer.Wire.to(door)) {
+            try (Peer.Wire client = Peer.Wire.to(address)) {
                 answer = client.write(Setup.getRequest("Request-Timeout: 0.2\r\n"))
                         .read();
             }
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -44,7 +44,7 @@
         thread.start();
     }
 
-    private static JsonNode figures(ProxyProcess process) throws IOException {
+    private static JsonNode vars(ProxyProcess process) throws IOException {
         try (Peer.Wire operator = Peer.Wire.to(process.operatorAddress)) {
             String answer =
                     operator.write("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n").read();
@@ -54,7 +54,7 @@
     }
 
     private static void awaitMembers(ProxyProcess process, int count) throws Exception {
-        while (figures(process).path("members").asInt() != count) {
+        while (vars(process).path("members").asInt() != count) {
             Thread.sleep(10); // polls until the list is applied, or the test times out
         }
     }
@@ -85,7 +85,7 @@
             process.sendList(44, servers(SERVERS + 1, LONG_ID_SUFFIX, backend.hostPort()));
             awaitMembers(process, SERVERS + 1);
             assertServed(process);
-            assertEquals(0, figures(process).path("failed").path("look").asInt());
+            assertEquals(0, vars(process).path("failed").path("look").asInt());
             assertTrue(process.isAlive());
         }
     }
--- a/src/test/java/gullspar/proxy/OperatorTest.java
+++ b/src/test/java/gullspar/proxy/OperatorTest.java
@@ -71,7 +71,7 @@
         }
     }
 
-    private JsonNode figures() throws Exception {
+    private JsonNode vars() throws Exception {
         String answer = call("GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n");
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
         return new ObjectMapper().readTree(answer.substring(answer.indexOf("\r\n\r\n")));
@@ -126,7 +126,7 @@
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
-            assertEquals(1, figures().path("pending").asInt());
+            assertEquals(1, vars().path("pending").asInt());
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
@@ -141,7 +141,7 @@
             setup.runOnLoop(() -> setup.actions.fail(failed.ticket()));
             client.read();
         }
-        JsonNode f = figures();
+        JsonNode f = vars();
         assertEquals("{\"look\":1,\"order\":0,\"pay\":0}", f.path("completed").toString());
         assertEquals(1, f.at("/rejected/look").asInt());
         assertEquals(1, f.at("/failed/look").asInt());
@@ -166,15 +166,15 @@
         try (Peer.Wire client = setup.client();
                 Peer.Wire other = setup.client()) {
             client.write(Setup.getRequest());
-            Request under = setup.nextRequest();
+            Request inProgress = setup.nextRequest();
             setup.runOnLoop(() -> setup.proxy.reload(config));
             // A request in progress keeps its class and its attempts.
-            setup.runOnLoop(() -> setup.actions.send(under.ticket(), server, 0));
+            setup.runOnLoop(() -> setup.actions.send(inProgress.ticket(), server, 0));
             Peer.Wire broken = backend.accept();
             broken.read();
             broken.reset();
             assertEquals(Status.RESET, setup.nextOutcome().status());
-            setup.runOnLoop(() -> setup.actions.send(under.ticket(), server, 0));
+            setup.runOnLoop(() -> setup.actions.send(inProgress.ticket(), server, 0));
             Peer.Wire b = backend.accept();
             b.read();
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -199,16 +199,16 @@
         }
         assertEquals(
                 "{\"look\":1,\"order\":0,\"pay\":0,\"gift\":0}",
-                figures().path("completed").toString());
-        assertEquals(1, figures().path("config_reloads").asInt());
+                vars().path("completed").toString());
+        assertEquals(1, vars().path("config_reloads").asInt());
         setup.runOnLoop(() -> setup.proxy.onConfigurationRejected("it is empty"));
-        assertEquals(1, figures().path("config_reload_errors").asInt());
+        assertEquals(1, vars().path("config_reload_errors").asInt());
     }
 
     @Test
     void varsReportEventLoopAndClassArchive() throws Exception {
         setStatusSource();
-        JsonNode f = figures();
+        JsonNode f = vars();
         assertEquals("none", f.path("class_archive").asText(), "this test's process was started without an archive");
         assertTrue(f.path("loop").path("turns").asLong() > 0, f.toString());
         assertTrue(
--- a/src/test/java/gullspar/rehearse/net/NetworkTest.java
+++ b/src/test/java/gullspar/rehearse/net/NetworkTest.java
@@ -30,7 +30,7 @@
     private static final InetSocketAddress SERVER = new InetSocketAddress("127.1.0.1", 9000);
 
     private final List<Throwable> errors = new ArrayList<>();
-    private EventQueue agenda;
+    private EventQueue eventQueue;
     private Network network;
     private Host client;
     private Host server;
@@ -39,12 +39,12 @@
 
     @BeforeEach
     void listen() {
-        agenda = new EventQueue(1, 0);
-        network = new Network(agenda, 1, (a, b) -> NS_PER_MS);
+        eventQueue = new EventQueue(1, 0);
+        network = new Network(eventQueue, 1, (a, b) -> NS_PER_MS);
         client = network.host("client");
         server = network.host("server");
-        client.setProcess(new VirtualLoop(agenda, errors::add));
-        serverLoop = new VirtualLoop(agenda, errors::add);
+        client.setProcess(new VirtualLoop(eventQueue, errors::add));
+        serverLoop = new VirtualLoop(eventQueue, errors::add);
         server.setProcess(serverLoop);
         network.transport(server)
                 .serverBootstrap(SERVER)
@@ -61,10 +61,10 @@
     }
 
     private void run(long untilMs) {
-        while (agenda.hasEventBy(untilMs * NS_PER_MS)) {
-            agenda.runNext();
+        while (eventQueue.hasEventBy(untilMs * NS_PER_MS)) {
+            eventQueue.runNext();
         }
-        agenda.advanceTo(untilMs * NS_PER_MS);
+        eventQueue.advanceTo(untilMs * NS_PER_MS);
         assertEquals(List.of(), errors);
     }
 
@@ -100,7 +100,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            endedAtMs = agenda.now() / NS_PER_MS;
+            endedAtMs = eventQueue.now() / NS_PER_MS;
         }
 
         @Override
--- a/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
+++ b/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
@@ -52,7 +52,7 @@
 
     /** A proxy with a client, a node and discovery, on its own event queue. */
     private static final class Fixture {
-        private final EventQueue agenda;
+        private final EventQueue eventQueue;
         private final Network network;
         private final List<String> events = new ArrayList<>();
         private final List<Throwable> errors = new ArrayList<>();
@@ -66,10 +66,10 @@
         private long sentAt;
 
         Fixture(long seed) throws Exception {
-            agenda = new EventQueue(seed, START);
-            network = new Network(agenda, seed, (a, b) -> MS);
-            endpointLoop = new VirtualLoop(agenda, errors::add);
-            VirtualLoop loop = new VirtualLoop(agenda, errors::add);
+            eventQueue = new EventQueue(seed, START);
+            network = new Network(eventQueue, seed, (a, b) -> MS);
+            endpointLoop = new VirtualLoop(eventQueue, errors::add);
+            VirtualLoop loop = new VirtualLoop(eventQueue, errors::add);
             Host proxy = network.host("proxy");
             proxy.setProcess(loop);
             for (String name : List.of("client", "node", "discovery")) {
@@ -83,7 +83,7 @@
                     ProxySettings.of(TestScripts.small(1, ""), 0, "p1", PROXY, DISCOVERY, 1, known), Map.of());
             loop.execute(() -> Proxy.startOnLoop(
                     config,
-                    new Platform(loop, agenda::now, network.transport(proxy), line -> {}),
+                    new Platform(loop, eventQueue::now, network.transport(proxy), line -> {}),
                     (settings, s, now, out) -> {
                         actions = out;
                         return new Module();
@@ -129,16 +129,16 @@
 
         /** Runs up to that many ms from the start. */
         void runTo(long ms) {
-            while (agenda.hasEventBy(START + ms * MS)) {
-                agenda.runNext();
+            while (eventQueue.hasEventBy(START + ms * MS)) {
+                eventQueue.runNext();
             }
-            agenda.advanceTo(START + ms * MS);
+            eventQueue.advanceTo(START + ms * MS);
             assertEquals(List.of(), errors);
         }
 
         /** Runs an action at a virtual time in ns. */
         void scheduleAt(long ns, Runnable action) {
-            endpointLoop.schedule(action, ns - agenda.now(), TimeUnit.NANOSECONDS);
+            endpointLoop.schedule(action, ns - eventQueue.now(), TimeUnit.NANOSECONDS);
         }
 
         static void write(ChannelHandlerContext to, String text) {
--- a/src/test/java/gullspar/site/FailuresTest.java
+++ b/src/test/java/gullspar/site/FailuresTest.java
@@ -83,12 +83,12 @@
     @Test
     void unreachableServerIsEjectedForATime() throws Exception {
         Peer dead = new Peer();
-        String gone = dead.hostPort();
+        String deadAddress = dead.hostPort();
         dead.close();
         try (Peer a = new Peer();
                 ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
                         + ProxyFixture.poolConfig("", a)
-                                .replace("[[host]]", "[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]"));
+                                .replace("[[host]]", "[[pool.server]]\naddress = \"" + deadAddress + "\"\n[[host]]"));
                 Wire c = s.connect()) {
             for (int i = 0; i < 4; i++) {
                 c.write(POST);
@@ -185,11 +185,12 @@
     @Test
     void refusalCarriesRetryAfter() throws Exception {
         Peer dead = new Peer();
-        String gone = dead.hostPort();
+        String deadAddress = dead.hostPort();
         dead.close();
         try (ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
                         + "[limits]\nretry_after_s = 2.5\n[[pool]]\nname = \"p\"\n"
-                        + "[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]\ndefault = true\n[[host.route]]\n"
+                        + "[[pool.server]]\naddress = \"" + deadAddress
+                        + "\"\n[[host]]\ndefault = true\n[[host.route]]\n"
                         + "path = \"/\"\npool = \"p\"\n");
                 Wire c = s.connect()) {
             c.write(POST);
@@ -287,14 +288,15 @@
     @Test
     void backupsServeWhileNoPrimaryIsAvailable() throws Exception {
         Peer dead = new Peer();
-        String gone = dead.hostPort();
+        String deadAddress = dead.hostPort();
         dead.close();
         try (Peer a = new Peer();
                 ProxyFixture s = new ProxyFixture(ProxyFixture.LISTENER
                         + ProxyFixture.poolConfig("", a)
                                 .replace(
                                         "[[host]]",
-                                        "backup = true\n[[pool.server]]\naddress = \"" + gone + "\"\n[[host]]"));
+                                        "backup = true\n[[pool.server]]\naddress = \"" + deadAddress
+                                                + "\"\n[[host]]"));
                 Wire c = s.connect()) {
             c.write(GET);
             Wire w = a.accept();
@@ -324,12 +326,12 @@
         }
     }
 
-    private static void serveAndCount(Peer p, int which, AtomicIntegerArray got) {
+    private static void serveAndCount(Peer p, int index, AtomicIntegerArray got) {
         Thread t = new Thread(() -> {
             try {
                 Wire w = p.accept();
                 while (!w.read().isEmpty()) {
-                    got.incrementAndGet(which);
+                    got.incrementAndGet(index);
                     w.write(OK);
                 }
             } catch (IOException | InterruptedException e) {
--- a/src/test/java/gullspar/site/ReloadTest.java
+++ b/src/test/java/gullspar/site/ReloadTest.java
@@ -96,13 +96,14 @@
     @Test
     void poolKeepsItsStateAcrossReloads() throws Exception {
         Peer dead = new Peer();
-        String gone = dead.hostPort();
+        String deadAddress = dead.hostPort();
         dead.close();
         try (Peer a = new Peer()) {
             String toml = ProxyFixture.LISTENER
                     + ProxyFixture.poolConfig("", a)
                             .replace(
-                                    "[[host]]", "[[pool.server]]\naddress = \"" + gone + "\"\nfail_s = 3600\n[[host]]");
+                                    "[[host]]",
+                                    "[[pool.server]]\naddress = \"" + deadAddress + "\"\nfail_s = 3600\n[[host]]");
             try (ProxyFixture s = new ProxyFixture(toml);
                     Wire c = s.connect()) {
                 c.write(GET);
@@ -208,11 +209,11 @@
         });
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void start(Work work) {
+    private static void start(Task work) {
         Thread t = new Thread(() -> {
             try {
                 work.run();
--- a/src/test/java/gullspar/site/SlowReaders.java
+++ b/src/test/java/gullspar/site/SlowReaders.java
@@ -64,7 +64,7 @@
             AtomicBoolean stop = new AtomicBoolean();
             for (int i = 0; i < SLOW; i++) {
                 start(() -> {
-                    try (Wire w = ask(at)) {
+                    try (Wire w = sendRequest(at)) {
                         while (!stop.get()) {
                             w.bytes(16 << 10);
                             TimeUnit.MILLISECONDS.sleep(250);
@@ -75,16 +75,16 @@
             TimeUnit.SECONDS.sleep(3);
             System.out.println(SLOW + " slow readers: " + resident(daemon) + " kB");
             long from = System.nanoTime();
-            long most = 0;
-            try (Wire w = ask(at)) {
+            long maxKb = 0;
+            try (Wire w = sendRequest(at)) {
                 for (long got = 0; got < SIZE; got += 1 << 20) {
                     if (w.bytes(1 << 20).length() != 1 << 20) {
                         throw new IllegalStateException("the answer is cut short");
                     }
-                    most = Math.max(most, got % (32 << 20) == 0 ? resident(daemon) : 0);
+                    maxKb = Math.max(maxKb, got % (32 << 20) == 0 ? resident(daemon) : 0);
                 }
             }
-            System.out.printf("1 GB beside them: %.1f s, at most %d kB%n", (System.nanoTime() - from) / 1e9, most);
+            System.out.printf("1 GB beside them: %.1f s, at most %d kB%n", (System.nanoTime() - from) / 1e9, maxKb);
             stop.set(true);
         } finally {
             daemon.destroyForcibly();
@@ -102,7 +102,7 @@
         }
     }
 
-    private static Wire ask(InetSocketAddress at) throws IOException {
+    private static Wire sendRequest(InetSocketAddress at) throws IOException {
         Wire w = Wire.to(at).write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
         w.until("\r\n\r\n");
         return w;
@@ -125,11 +125,11 @@
                 .orElse(0);
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void start(Work work) {
+    private static void start(Task work) {
         Thread t = new Thread(() -> {
             try {
                 work.run();
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -122,13 +122,13 @@
 
         /** Starts the process. */
         public void start() throws IOException {
-            loop = new VirtualLoop(agenda, errors::add);
+            loop = new VirtualLoop(eventQueue, errors::add);
             host.setProcess(loop);
             startProcess(new Platform(
                     loop,
-                    agenda::now,
+                    eventQueue::now,
                     network.transport(host),
-                    line -> log.add(agenda.now() / NS_PER_MS + " " + name + ": " + line)));
+                    line -> log.add(eventQueue.now() / NS_PER_MS + " " + name + ": " + line)));
         }
 
         abstract void startProcess(Platform p) throws IOException;
@@ -200,7 +200,7 @@
             Store.Found found = store.read();
             Worker worker = new Worker(loop);
             inForce = null;
-            startedAtNs = agenda.now();
+            startedAtNs = eventQueue.now();
             node = new FollowerNode(
                     name,
                     Message.Role.PROXY,
@@ -261,7 +261,7 @@
         public void closed(Link l, String why) {}
     }
 
-    public final EventQueue agenda;
+    public final EventQueue eventQueue;
     public final Network network;
     public final List<Control> controls = new ArrayList<>();
     public final List<Proxy> proxies = new ArrayList<>();
@@ -273,9 +273,9 @@
     private final Host operators;
 
     /** Creates control processes, the first of which is the primary, and proxies, without starting them. */
-    public SimulatedCluster(long seed, int controls, int proxies, long wayNs) {
-        agenda = new EventQueue(seed, 0);
-        network = new Network(agenda, seed, (a, b) -> wayNs);
+    public SimulatedCluster(long seed, int controls, int proxies, long oneWayDelayNs) {
+        eventQueue = new EventQueue(seed, 0);
+        network = new Network(eventQueue, seed, (a, b) -> oneWayDelayNs);
         random = new SplittableRandom(seed);
         for (int i = 0; i < controls; i++) {
             this.controls.add(new Control("c" + (i + 1), i));
@@ -284,7 +284,7 @@
             this.proxies.add(new Proxy("p" + i));
         }
         operators = network.host("operators");
-        operators.setProcess(new VirtualLoop(agenda, errors::add));
+        operators.setProcess(new VirtualLoop(eventQueue, errors::add));
     }
 
     /** Starts all processes. */
@@ -323,24 +323,24 @@
 
     /** Runs until the given virtual time. */
     public void run(long untilNs) {
-        while (agenda.hasEventBy(untilNs)) {
-            agenda.runNext();
+        while (eventQueue.hasEventBy(untilNs)) {
+            eventQueue.runNext();
         }
-        agenda.advanceTo(untilNs);
+        eventQueue.advanceTo(untilNs);
         if (!errors.isEmpty()) {
-            throw new AssertionError("unexpected exception at " + agenda.now() / NS_PER_MS + " ms", errors.get(0));
+            throw new AssertionError("unexpected exception at " + eventQueue.now() / NS_PER_MS + " ms", errors.get(0));
         }
     }
 
     /** Runs for the given virtual time. */
     public void runFor(long ns) {
-        run(agenda.now() + ns);
+        run(eventQueue.now() + ns);
     }
 
     /** Runs until all running proxies have the version number or a later one; false if not within the time. */
     public boolean runUntilInForce(long number, long withinNs) {
-        long end = agenda.now() + withinNs;
-        while (agenda.now() < end) {
+        long end = eventQueue.now() + withinNs;
+        while (eventQueue.now() < end) {
             runFor(10 * NS_PER_MS);
             if (proxies.stream().allMatch(p -> !p.isRunning() || p.inForce != null && p.inForce.number() >= number)) {
                 return true;
--- a/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
+++ b/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
@@ -97,7 +97,7 @@
         for (SimulatedCluster.Control c : t.controls) {
             c.start();
         }
-        long before = t.agenda.now();
+        long before = t.eventQueue.now();
         long[] had = t.proxies.stream()
                 .mapToLong(p -> p.node.received() + p.node.sent())
                 .toArray();
@@ -111,7 +111,7 @@
             most = Math.max(most, all - last);
             last = all;
         }
-        assertTrue(last >= n, last + " are connected after " + (t.agenda.now() - before) / S + " s");
+        assertTrue(last >= n, last + " are connected after " + (t.eventQueue.now() - before) / S + " s");
         assertTrue(most < n * 6 / 10, most + " connected in one second");
         assertEquals(
                 0, t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum(), "snapshots");
@@ -152,7 +152,7 @@
         long all = 0;
         SimulatedCluster.Operator o = t.publish(large(1), 1);
         for (int n = 1; n < 100; ) {
-            for (long second = t.agenda.now() + S; t.agenda.now() < second; t.runFor(10 * MS)) {
+            for (long second = t.eventQueue.now() + S; t.eventQueue.now() < second; t.runFor(10 * MS)) {
                 if (o.response != null && n < 100) {
                     assertEquals(Publisher.Outcome.ACCEPTED, o.response.outcome());
                     n++;
@@ -283,7 +283,7 @@
             boolean older = before != null && v.comparePosition(before) < 0
                     || p.highestApplied != null && v.comparePosition(p.highestApplied) < 0;
             if (older) {
-                violations.add(t.agenda.now() / MS + " " + p.name + " ran " + p.highestApplied + ", now " + v);
+                violations.add(t.eventQueue.now() / MS + " " + p.name + " ran " + p.highestApplied + ", now " + v);
             }
         }
     }
