--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -45,22 +45,22 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
-    private static boolean isOlder(Message.FollowerState running, Version version) {
-        return running.epoch() < version.epoch()
-                || running.epoch() == version.epoch() && running.number() < version.number();
+    private static boolean isOlder(Message.FollowerState follower, Version version) {
+        return follower.epoch() < version.epoch()
+                || follower.epoch() == version.epoch() && follower.number() < version.number();
     }
 
-    private static String formatLine(Message.FollowerState running) {
+    private static String formatLine(Message.FollowerState follower) {
         String disconnected =
-                running.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", running.awayMs() / 1e3);
+                follower.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", follower.awayMs() / 1e3);
         return String.format(
                 Locale.ROOT,
                 "  %-24s %-10s by %s%s%s",
-                running.name(),
-                running.number() == 0 ? "nothing" : running.epoch() + "." + running.number(),
-                running.via(),
+                follower.name(),
+                follower.number() == 0 ? "nothing" : follower.epoch() + "." + follower.number(),
+                follower.via(),
                 disconnected,
-                running.trouble().isEmpty() ? "" : "; " + running.trouble().replaceAll("\\p{Cntrl}", "?"));
+                follower.trouble().isEmpty() ? "" : "; " + follower.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
     /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -146,13 +146,13 @@
     }
 
     private static double service(List<Order> orders) {
-        double asked = 0;
-        double served = 0;
+        double requestedWorth = 0;
+        double servedWorth = 0;
         for (Order o : orders) {
-            asked += o.requestClass.worth();
-            served += o.isInTime() ? o.requestClass.worth() : 0;
+            requestedWorth += o.requestClass.worth();
+            servedWorth += o.isInTime() ? o.requestClass.worth() : 0;
         }
-        return asked == 0 ? 1 : served / asked;
+        return requestedWorth == 0 ? 1 : servedWorth / requestedWorth;
     }
 
     private Map<String, Integer> counts() {
@@ -186,8 +186,8 @@
         return t.status == 429 || t.status == 503;
     }
 
-    private void broken(Rule rule, long at, ClientRequest t, String what) {
-        broken.add(new RuleViolation(rule, at, what, t));
+    private void broken(Rule rule, long at, ClientRequest t, String description) {
+        broken.add(new RuleViolation(rule, at, description, t));
     }
 
     // ---- the rules ----
--- a/src/main/java/gullspar/rehearse/stage/NodeFleet.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -83,9 +83,9 @@
             Node node = run(machine, machine, 0);
             listedInstances.put(node.id, instance(node, "in_service"));
         }
-        ServiceQueue turns = new ServiceQueue(script.discovery().answerMs());
+        ServiceQueue serviceQueue = new ServiceQueue(script.discovery().answerMs());
         for (String proxy : proxies) {
-            DiscoveryAgent a = new DiscoveryAgent(proxy, environment, eventLog, turns);
+            DiscoveryAgent a = new DiscoveryAgent(proxy, environment, eventLog, serviceQueue);
             a.initialize(List.copyOf(listedInstances.values()));
             a.open();
             agents.put(proxy, a);
--- a/src/main/java/gullspar/toml/TableReader.java
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -34,14 +34,14 @@
     private final List<Problem> problems;
     private final Set<String> readKeys = new HashSet<>();
 
-    public TableReader(TomlTable table, String name, TomlPosition place, List<Problem> problems) {
-        this(List.of(new Part(table, 0)), name, place, problems);
+    public TableReader(TomlTable table, String name, TomlPosition position, List<Problem> problems) {
+        this(List.of(new Part(table, 0)), name, position, problems);
     }
 
-    TableReader(List<Part> parts, String name, TomlPosition place, List<Problem> problems) {
+    TableReader(List<Part> parts, String name, TomlPosition position, List<Problem> problems) {
         this.parts = parts;
         this.name = name;
-        this.position = place;
+        this.position = position;
         this.problems = problems;
     }
 
@@ -69,18 +69,18 @@
         return p == null ? position : shift(p, in.lineOffset);
     }
 
-    private void addProblemAt(TomlPosition at, String what) {
-        problems.add(new Problem(at.line(), at.column(), what));
+    private void addProblemAt(TomlPosition at, String message) {
+        problems.add(new Problem(at.line(), at.column(), message));
     }
 
     /** Records a problem with the value of a key. */
-    public void addProblem(String key, String what) {
-        addProblemAt(positionOf(key), key + " " + what);
+    public void addProblem(String key, String message) {
+        addProblemAt(positionOf(key), key + " " + message);
     }
 
     /** Records a problem with the table as a whole. */
-    public void addProblem(String what) {
-        addProblemAt(position, what);
+    public void addProblem(String message) {
+        addProblemAt(position, message);
     }
 
     private Object value(String key) {
--- a/src/main/java/gullspar/versions/MismatchException.java
+++ b/src/main/java/gullspar/versions/MismatchException.java
@@ -4,7 +4,7 @@
 public final class MismatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MismatchException(String what) {
-        super(what);
+    public MismatchException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/gullspar/versions/net/ControlDaemon.java
+++ b/src/main/java/gullspar/versions/net/ControlDaemon.java
@@ -36,7 +36,7 @@
                     store,
                     worker,
                     new SplittableRandom(System.nanoTime()),
-                    new SharedDocument()::problems);
+                    new DocumentValidator()::problems);
             CompletableFuture<String> bound = new CompletableFuture<>();
             loop.execute(() -> node.start(found, bound::complete));
             String why = bound.join();
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -393,7 +393,7 @@
         } else if (m instanceof Message.SnapshotRequest) {
             sessions.requestSnapshot(l);
         } else if (m instanceof Message.Report r) {
-            r.states().forEach(one -> registry.merge(now(), one));
+            r.states().forEach(state -> registry.merge(now(), state));
         } else if (m instanceof Message.Publish p) {
             publish(l, p);
         } else if (m instanceof Message.StatusRequest k) {
--- a/src/main/java/gullspar/versions/net/SharedDocument.java
+++ b/src/main/java/gullspar/versions/net/DocumentValidator.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Validates a change before it becomes a version. Not thread-safe. */
-public final class SharedDocument {
+public final class DocumentValidator {
     private final BlockParser blocks = new BlockParser();
 
     /** Returns one line per problem: those SiteReader finds, and tables that belong to a single process. */
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -27,13 +27,13 @@
     private static final int HELLO = 1;
     private static final int HEAD = 2;
     private static final int UPDATE = 3;
-    private static final int WANT = 4;
+    private static final int SNAPSHOT_REQUEST = 4;
     private static final int ACK = 5;
     private static final int REPORT = 6;
     private static final int PUBLISH = 7;
     private static final int PUBLISHED = 8;
-    private static final int LOOK = 9;
-    private static final int LOOKED = 10;
+    private static final int STATUS_REQUEST = 9;
+    private static final int STATUS_RESPONSE = 10;
     private static final int STORED = 20;
 
     private Codec() {}
@@ -92,14 +92,14 @@
             deltas(g, u.deltas());
             g.writeString(u.text());
         } else if (m instanceof Message.SnapshotRequest) {
-            begin(g, WANT, 0);
+            begin(g, SNAPSHOT_REQUEST, 0);
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, 2);
             version(g, a.inForce());
             g.writeString(truncate(a.trouble()));
         } else if (m instanceof Message.Report r) {
             begin(g, REPORT, 1);
-            running(g, r.states());
+            followerStates(g, r.states());
         } else if (m instanceof Message.Publish p) {
             begin(g, PUBLISH, 3);
             g.writeNumber(p.baseNumber());
@@ -111,23 +111,23 @@
             version(g, p.head());
             texts(g, p.lines());
         } else if (m instanceof Message.StatusRequest l) {
-            begin(g, LOOK, 1);
+            begin(g, STATUS_REQUEST, 1);
             g.writeBoolean(l.full());
         } else if (m instanceof Message.StatusResponse l) {
-            begin(g, LOOKED, 7);
+            begin(g, STATUS_RESPONSE, 7);
             g.writeString(l.control());
             g.writeBoolean(l.primary());
             g.writeBoolean(l.inStep());
             version(g, l.head());
             g.writeNumber(l.followers());
             g.writeNumber(l.inForce());
-            running(g, l.states());
+            followerStates(g, l.states());
         }
         g.writeEndArray();
     }
 
-    private static String truncate(String why) {
-        return why.length() > Message.MAX_REASON_CHARS ? why.substring(0, Message.MAX_REASON_CHARS) : why;
+    private static String truncate(String reason) {
+        return reason.length() > Message.MAX_REASON_CHARS ? reason.substring(0, Message.MAX_REASON_CHARS) : reason;
     }
 
     private static void version(JsonGenerator g, Version v) throws IOException {
@@ -181,7 +181,7 @@
         g.writeEndArray();
     }
 
-    private static void running(JsonGenerator g, List<Message.FollowerState> all) throws IOException {
+    private static void followerStates(JsonGenerator g, List<Message.FollowerState> all) throws IOException {
         g.writeStartArray(null, all.size());
         for (Message.FollowerState r : all) {
             g.writeStartArray(null, 7);
@@ -242,21 +242,21 @@
             case HELLO -> new Message.Hello(name(p), enumValue(p, Message.Role.values()), version(p));
             case HEAD -> new Message.Head(name(p), version(p), flag(p));
             case UPDATE -> new Message.Update(require(version(p)), version(p), deltas(p), text(p, Document.MAX_CHARS));
-            case WANT -> new Message.SnapshotRequest();
+            case SNAPSHOT_REQUEST -> new Message.SnapshotRequest();
             case ACK -> new Message.Ack(version(p), text(p, Message.MAX_REASON_CHARS));
-            case REPORT -> new Message.Report(running(p));
+            case REPORT -> new Message.Report(followerStates(p));
             case PUBLISH -> new Message.Publish(
                     number(p, 0, Long.MAX_VALUE), text(p, 4096), text(p, Document.MAX_CHARS));
             case PUBLISHED -> new Message.Published(enumValue(p, Publisher.Outcome.values()), version(p), texts(p));
-            case LOOK -> new Message.StatusRequest(flag(p));
-            case LOOKED -> new Message.StatusResponse(
+            case STATUS_REQUEST -> new Message.StatusRequest(flag(p));
+            case STATUS_RESPONSE -> new Message.StatusResponse(
                     name(p),
                     flag(p),
                     flag(p),
                     version(p),
                     (int) number(p, 0, Integer.MAX_VALUE),
                     (int) number(p, 0, Integer.MAX_VALUE),
-                    running(p));
+                    followerStates(p));
             default -> null;
         };
     }
@@ -391,7 +391,7 @@
         return all;
     }
 
-    private static List<Message.FollowerState> running(JsonParser p) throws IOException {
+    private static List<Message.FollowerState> followerStates(JsonParser p) throws IOException {
         List<Message.FollowerState> all = new ArrayList<>();
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -85,7 +85,7 @@
                 store,
                 worker,
                 new SplittableRandom(1),
-                new SharedDocument()::problems);
+                new DocumentValidator()::problems);
         CompletableFuture<String> bound = new CompletableFuture<>();
         loop.execute(() -> primary.start(found, bound::complete));
         assertEquals(null, bound.get(10, TimeUnit.SECONDS));
