--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -18,7 +18,7 @@
  * without reports (recordOverload), ejection and trials (Ejection), cold budget (ColdBudget), retries (retry).
  */
 public final class Policy implements Balancer {
-    /** Initial service time with list weights, where latency targets are limits and say nothing of it. */
+    /** Initial service time with list weights, where latency targets are mere limits, unrelated to it. */
     private static final double INITIAL_SERVICE_NS = 20e6;
     /** Decay of a reported foreign load to the typical one: a server without recent reports is not idle. */
     private static final double FOREIGN_LOAD_DECAY_NS = 1e9;
--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Probes the process at an address to verify that it lives; target is null where its identity is not
+     * Probes the process at an address to verify that it is alive; target is null where its identity is not
      * known.
      */
     void verify(long now, String address, Identity target) {
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Whether the ack of a life that is not a member yet answers an open probe, and thereby proves that it lives. */
+    /** Whether the ack of a life that is not a member yet answers an open probe, which proves that it is alive. */
     boolean answersOpenProbe(Message.Ack a) {
         Probe q = open.get(a.nonce());
         return q != null && a.subject().equals(a.header().from());
@@ -261,7 +261,7 @@
         q.direct = false;
         for (Peer helper : roster.sample(settings.indirectProbes(), random, q.target, null)) {
             if (helper.status == MemberStatus.ALIVE) {
-                // A missing nack of a helper that is silent itself says nothing of the health of this process.
+                // A missing nack of a helper that is silent itself is no evidence about the health of this process.
                 q.expectedNacks += now - helper.lastReceivedAt <= recentNs() ? 1 : 0;
                 sender.pingReq(now, helper, nonce, q.target);
             }
--- a/src/main/java/gullspar/peers/MemberState.java
+++ b/src/main/java/gullspar/peers/MemberState.java
@@ -28,7 +28,7 @@
         return compareTo(o) >= 0 ? this : o;
     }
 
-    /** Whether it says that the process has failed, or may have failed, without leaving. */
+    /** Whether the process is reported as failed, or as possibly failed, without having left. */
     boolean accuses() {
         return status == MemberStatus.SUSPECTED || status == MemberStatus.GONE;
     }
--- a/src/main/java/gullspar/peers/Message.java
+++ b/src/main/java/gullspar/peers/Message.java
@@ -120,7 +120,7 @@
         }
     }
 
-    /** All that the sender knows of the lives in a range, both bounds included. */
+    /** The states of all lives in a range that the sender knows, both bounds included. */
     record Listing(Header header, long from, long to, List<Known> known) implements Message {
         @Override
         public int maxBodyBytes() {
--- a/src/main/java/gullspar/peers/Peer.java
+++ b/src/main/java/gullspar/peers/Peer.java
@@ -1,6 +1,6 @@
 package gullspar.peers;
 
-/** What this process knows of one life of another process. */
+/** The state that this process keeps about one life of another process. */
 final class Peer {
     final Identity id;
     final ReplayGuard guard = new ReplayGuard();
--- a/src/main/java/gullspar/peers/ReconnectBackoff.java
+++ b/src/main/java/gullspar/peers/ReconnectBackoff.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes members that are gone, with a pause that doubles, and seeds where no known member lives. Two parts of a
- * fleet that were partitioned find each other again without an operator.
+ * Probes members that are gone, with a pause that doubles after each probe, and seeds at whose address no member is
+ * present. So the parts of a fleet that were partitioned reconnect without an operator.
  */
 final class ReconnectBackoff {
     /** Protocol intervals between two probes of seeds while other members are present. */
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -63,7 +63,7 @@
         return present.size() + 1;
     }
 
-    /** Adds a member, if need be in place of the one not present for longest; false if all are present. */
+    /** Adds a member; a full roster drops the one absent for longest, or returns false if all are present. */
     boolean add(Peer p) {
         if (peers.size() >= maxMembers - 1) {
             Peer oldest = peers.values().stream()
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -235,7 +235,7 @@
         platform.log().write("fleet: " + description + String.format(Locale.ROOT, " (%d present)", c.present()));
     }
 
-    // ---- the companion ----
+    // ---- auxiliary service ----
 
     @Override
     public void onStage(Stage s) {
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -24,7 +24,7 @@
     public interface Listener {
         void onEnd(Attempt attempt, Status status, Report report, BackendResponse response);
 
-        /** Is the response still needed, as far as is known now? Checked before the attempt is sent. */
+        /** Whether the response is still needed, as far as is known. Checked before the attempt is sent. */
         boolean isNeeded();
     }
 
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -163,7 +163,7 @@
 
     /**
      * Starts an attempt; it ends later, never within this call. It is sent within sendWithinNs or not at all;
-     * isRepeatable: may it run twice?
+     * isRepeatable: whether it may run twice.
      */
     public Attempt send(
             int server,
--- a/src/main/java/gullspar/proxy/backend/ResponseHeads.java
+++ b/src/main/java/gullspar/proxy/backend/ResponseHeads.java
@@ -11,8 +11,8 @@
     private ResponseHeads() {}
 
     /**
-     * Does the head tell where the response ends, within the maximum length? A response that only the end of the
-     * connection delimits cannot be distinguished from a truncated one.
+     * Whether the head determines the end of the response, within the maximum length. A response that only the end
+     * of the connection delimits cannot be distinguished from a truncated one.
      */
     static boolean hasKnownLength(HttpResponse r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -280,7 +280,7 @@
         RequestClass of = classOf(path);
         // A class may have the same name as this path; its requests have an id.
         if (path.equals("/_health") && (of == null || m.id() == null)) {
-            // With an inherited listener two processes act as one proxy: the other one goes on serving.
+            // With an inherited listener two processes act as one proxy: the other one continues to serve.
             boolean up = ready.getAsBoolean() && (!draining || config.inherited());
             int status = up ? 200 : 503;
             client.respond(m.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
--- a/src/main/java/gullspar/proxy/http/BodyStream.java
+++ b/src/main/java/gullspar/proxy/http/BodyStream.java
@@ -37,7 +37,7 @@
     private State state = State.COMING;
     private Reader reader;
 
-    /** Callbacks for the writer: onResume when it may go on, onDropped when the rest is not wanted. */
+    /** Callbacks for the writer: onResume when it may continue, onDropped when the rest is not needed. */
     public BodyStream(Runnable resume, Runnable unwanted) {
         this.onResume = resume;
         this.onDropped = unwanted;
--- a/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
+++ b/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
@@ -21,7 +21,7 @@
 
     /**
      * Writes the available chunks. Returns false if a write is already in progress, which writes them too.
-     * isActive: whether the stream is still wanted; onChunk: called for each chunk.
+     * isActive: whether the stream is still needed; onChunk: called for each chunk.
      */
     public boolean write(Channel channel, BodyStream from, BooleanSupplier isActive, Runnable onChunk) {
         if (writing) {
--- a/src/main/java/gullspar/proxy/io/AcceptBackoff.java
+++ b/src/main/java/gullspar/proxy/io/AcceptBackoff.java
@@ -30,7 +30,7 @@
         return bindFuture;
     }
 
-    /** Is accepting paused, so that connections may be waiting in the kernel's accept queue? */
+    /** Whether accepting is paused, so that connections may be waiting in the kernel's accept queue. */
     public boolean isPaused() {
         return isPaused;
     }
--- a/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
+++ b/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
@@ -91,7 +91,7 @@
         return readyCount;
     }
 
-    /** Polls the sockets; returns how long the thread stood still during the poll, in ns. */
+    /** Polls the sockets; returns how long the thread was not running during the poll, in ns. */
     private long poll(IoHandlerContext loopContext, boolean canWait) {
         long startNs = clock.getAsLong();
         context.begin(loopContext, canWait);
--- a/src/main/java/gullspar/proxy/io/PollTimes.java
+++ b/src/main/java/gullspar/proxy/io/PollTimes.java
@@ -24,7 +24,7 @@
      * @param startNs when the poll started
      * @param nowNs when it ended
      * @param allowedWaitNs how long it was allowed to wait for data; 0 if it was not
-     * @return how long the thread stood still during the poll, 0 if it did not
+     * @return how long the thread was not running during the poll, in ns; 0 if it ran normally
      */
     long recordPoll(long startNs, long nowNs, long allowedWaitNs) {
         long elapsedNs = nowNs - startNs;
@@ -44,7 +44,7 @@
         return isFirstPoll ? 0 : nowNs - endedAtNs;
     }
 
-    /** May data have arrived without ending a wait, so that the next poll must not wait? */
+    /** Whether data may have arrived without ending a wait, so that the next poll must not wait. */
     boolean needsNonBlockingPoll(long nowNs) {
         return hasOverslept || workedNs(nowNs) >= SHORT_WORK_NS;
     }
--- a/src/main/java/gullspar/proxy/io/ResourceShortage.java
+++ b/src/main/java/gullspar/proxy/io/ResourceShortage.java
@@ -10,7 +10,7 @@
 
     private ResourceShortage() {}
 
-    /** Is a shortage anywhere in the chain of causes? */
+    /** Whether the chain of causes contains a shortage. */
     static boolean isCauseOf(Throwable failure) {
         for (Throwable t = failure; t != null; t = t.getCause()) {
             String message = String.valueOf(t.getMessage());
--- a/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
+++ b/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /**
- * A service that runs beside a proxy on its event loop where an operators' file asks for it, and answers
+ * A service that runs beside a proxy on its event loop if an operators' file configures it, and answers
  * queries at the operator endpoint. Without such a file none of its classes is loaded. All methods are called on the
  * event loop, except {@link #reload}.
  */
--- a/src/main/java/gullspar/rehearse/live/LivePlay.java
+++ b/src/main/java/gullspar/rehearse/live/LivePlay.java
@@ -281,7 +281,7 @@
         return clock.now();
     }
 
-    /** Chosen at the first call, when its port was free; the kernel gives the next request for a port another one. */
+    /** Assigned at the first call, with a free port; the kernel returns a different port to the next caller. */
     @Override
     public InetSocketAddress address(String machine) {
         return addresses.computeIfAbsent(machine, m -> {
--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -51,12 +51,12 @@
         this.random = new SplittableRandom(seed * 31 + 5);
     }
 
-    /** Sends that many malformed requests a second to a proxy; 0 ends it. */
+    /** Sends that many malformed requests per second to a proxy; 0 stops that. */
     public void malformedRequests(String proxy, double perSecond) {
         run(malformedRequests, proxy, perSecond, true);
     }
 
-    /** Opens that many connections a second to a proxy without sending anything; 0 ends it. */
+    /** Opens that many connections per second to a proxy without sending anything; 0 stops that. */
     public void silentConnections(String proxy, double perSecond) {
         run(silentConnections, proxy, perSecond, false);
     }
--- a/src/main/java/gullspar/rehearse/stage/NodeRequest.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeRequest.java
@@ -53,7 +53,7 @@
         attempt.state = isRepeat ? Attempt.State.REPEAT : Attempt.State.RUNS;
     }
 
-    /** Rejects it with a response that says that it was not started. */
+    /** Rejects it with a response that states that it was not started. */
     void reject(int status) {
         attempt.state = Attempt.State.TURNED_AWAY;
         attempt.endedAt = connection.reject(status);
--- a/src/main/java/gullspar/rehearse/stage/Order.java
+++ b/src/main/java/gullspar/rehearse/stage/Order.java
@@ -4,13 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a client wants done once: its first request and all retries. Times are in ns on the day's clock. */
+/**
+ * An operation that a client needs executed once, with its first request and all retries. Times are in ns on the
+ * day's clock.
+ */
 public final class Order {
     public final int number;
     public final RequestClass requestClass;
     /** The key of the data that it concerns; 0 for none. */
     public final int key;
-    /** Its work on one core of speed 1. */
+    /** Its processing time on one core of speed 1. */
     public final double workNs;
 
     public final String site;
--- a/src/main/java/gullspar/site/PoolExchange.java
+++ b/src/main/java/gullspar/site/PoolExchange.java
@@ -206,8 +206,8 @@
 
     /**
      * Maps a response to an outcome: 2xx and 3xx are OK, and a status in the retry_on of the route is a failure,
-     * unless the server states that it did not start the request. Any other status concerns the request and says
-     * nothing about the server.
+     * unless the server states that it did not start the request. Any other status concerns the request and is
+     * no evidence about the server.
      */
     private Status status(HttpResponse head) {
         int code = head.status().code();
--- a/src/main/java/gullspar/site/client/PlainClient.java
+++ b/src/main/java/gullspar/site/client/PlainClient.java
@@ -298,6 +298,7 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
+    /** Handles a request that has been received completely. */
     private void complete(HttpHeaders trailers) {
         request =
                 new PlainRequest(head.method(), head.protocolVersion(), target, routed, head.headers(), body, trailers);
--- a/src/main/java/gullspar/toml/TableReader.java
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -18,7 +18,7 @@
  * once.
  */
 public final class TableReader {
-    /** Stands in for a missing number, so that reading can continue. */
+    /** Placeholder for a missing number, so that reading can continue. */
     private static final double MISSING = Double.NaN;
 
     /** A parsed table, and the number of lines ahead of the text from which it was parsed. */
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -14,7 +14,7 @@
         this.slots = slots;
     }
 
-    /** The follower has said hello with the version it has, or null. */
+    /** The follower has sent its hello, with the version it has, or null. */
     public void hello(Version v) {
         sentVersion = v;
         helloReceived = true;
--- a/src/test/java/gullspar/decide/FakeHost.java
+++ b/src/test/java/gullspar/decide/FakeHost.java
@@ -215,7 +215,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        actions.add("tell " + peer);
+        actions.add("message to " + peer);
     }
 
     @Override
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -164,7 +164,7 @@
         });
     }
 
-    /** The client is still connected, which the proxy cannot tell: it is rejected with 503. */
+    /** The client is still connected, but the proxy cannot detect that: it rejects the request with 503. */
     @Test
     void connectedClientWithUnreadBodyIsRejected() throws Exception {
         useProductionUnreadTimeout();
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -433,7 +433,7 @@
         }
     }
 
-    /** Heartbeats of the former address say nothing about the new one; any watch there may deliver the list. */
+    /** Heartbeats of the former address are no evidence about the new one; any watch there may deliver the list. */
     @Test
     void silentNewAddressIsRetriedWhileFormerOneSendsHeartbeats() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
--- a/src/test/java/gullspar/proxy/InheritedListenerTest.java
+++ b/src/test/java/gullspar/proxy/InheritedListenerTest.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Nobody has permission to open the log by its path, neither its owner nor the proxy's user. */
+    /** Neither the owner of the log nor the proxy's user has permission to open it by its path. */
     @Test
     void startsWithALogThatItCannotReopen() throws Exception {
         Process holder = startHolder();
--- a/src/test/java/gullspar/proxy/Peer.java
+++ b/src/test/java/gullspar/proxy/Peer.java
@@ -94,7 +94,7 @@
             return this;
         }
 
-        /** Reads one message, headers and as much of a body as Content-Length says; "" at the end. */
+        /** Reads one message, headers and a body of Content-Length bytes; "" at the end. */
         public String read() throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
