--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -51,12 +51,12 @@
         this.random = new SplittableRandom(seed * 31 + 5);
     }
 
-    /** Sends that many malformed requests a second to a proxy; 0 ends it. */
+    /** Sends that many malformed requests per second to a proxy; 0 stops that. */
     public void malformedRequests(String proxy, double perSecond) {
         run(malformedRequests, proxy, perSecond, true);
     }
 
-    /** Opens that many connections a second to a proxy without sending anything; 0 ends it. */
+    /** Opens that many connections per second to a proxy without sending anything; 0 stops that. */
     public void silentConnections(String proxy, double perSecond) {
         run(silentConnections, proxy, perSecond, false);
     }
@@ -110,10 +110,10 @@
             platform.loop()
                     .schedule(
                             () -> {
-                                boolean owed = !responded
+                                boolean unanswered = !responded
                                         && ctx.channel().isActive()
                                         && !eventLog.disrupted(proxy, startedAt, environment.now());
-                                eventLog.addMisbehavingClient(owed, servedText);
+                                eventLog.addMisbehavingClient(unanswered, servedText);
                                 ctx.close();
                             },
                             RESPONSE_LIMIT_MS,
--- a/src/main/java/gullspar/rehearse/stage/Order.java
+++ b/src/main/java/gullspar/rehearse/stage/Order.java
@@ -4,13 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a client wants done once: its first request and all retries. Times are in ns on the day's clock. */
+/**
+ * An operation that a client needs executed once, with its first request and all retries. Times are in ns on the
+ * day's clock.
+ */
 public final class Order {
     public final int number;
     public final RequestClass requestClass;
     /** The key of the data that it concerns; 0 for none. */
     public final int key;
-    /** Its work on one core of speed 1. */
+    /** Its processing time on one core of speed 1. */
     public final double workNs;
 
     public final String site;
@@ -19,9 +22,9 @@
     /** The number of executions that took effect, over all requests. */
     public int effects;
 
-    Order(int number, RequestClass kind, int key, double workNs, String site, long at) {
+    Order(int number, RequestClass requestClass, int key, double workNs, String site, long at) {
         this.number = number;
-        this.requestClass = kind;
+        this.requestClass = requestClass;
         this.key = key;
         this.workNs = workNs;
         this.site = site;
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -10,11 +10,11 @@
     private boolean snapshotRequested;
 
     /** slots: limits concurrent snapshots of the control process. */
-    public FollowerUpdates(SnapshotSlots turns) {
-        this.slots = turns;
+    public FollowerUpdates(SnapshotSlots slots) {
+        this.slots = slots;
     }
 
-    /** The follower has said hello with the version it has, or null. */
+    /** The follower has sent its hello, with the version it has, or null. */
     public void hello(Version v) {
         sentVersion = v;
         helloReceived = true;
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientLeavesTest.java
@@ -164,7 +164,7 @@
         });
     }
 
-    /** The client is still connected, which the proxy cannot tell: it is rejected with 503. */
+    /** The client is still connected, but the proxy cannot detect that: it rejects the request with 503. */
     @Test
     void connectedClientWithUnreadBodyIsRejected() throws Exception {
         useProductionUnreadTimeout();
@@ -198,9 +198,9 @@
         }
     }
 
-    private void leave(LeaveMode way, Peer.Wire client) {
+    private void leave(LeaveMode mode, Peer.Wire client) {
         try {
-            way.by(client);
+            mode.by(client);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -411,12 +411,12 @@
     }
 
     /** Answers each watch opened at this peer with the list, until it is applied. */
-    private void answerUntilApplied(Peer place, String list) throws Exception {
+    private void answerUntilApplied(Peer server, String list) throws Exception {
         AtomicBoolean taken = new AtomicBoolean();
         Thread answers = new Thread(() -> {
             while (!taken.get()) {
                 try {
-                    Peer.Wire w = place.accept();
+                    Peer.Wire w = server.accept();
                     w.read();
                     w.write(HEAD + chunk(list));
                 } catch (IOException | InterruptedException | AssertionError e) {
@@ -433,7 +433,7 @@
         }
     }
 
-    /** Heartbeats of the former address say nothing about the new one; any watch there may deliver the list. */
+    /** Heartbeats of the former address are no evidence about the new one; any watch there may deliver the list. */
     @Test
     void silentNewAddressIsRetriedWhileFormerOneSendsHeartbeats() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
