--- a/src/main/java/gullspar/decide/Ejection.java
+++ b/src/main/java/gullspar/decide/Ejection.java
@@ -21,10 +21,7 @@
         this.servers = servers;
     }
 
-    /**
-     * Whether a server with open attempts has stopped answering; the gaps between any of its answers distinguish it
-     * from a slow one.
-     */
+    /** Whether a server with open attempts has stopped answering; the answer gaps distinguish it from a slow one. */
     boolean isSilent(Server s, double minLatencyTargetNs, long now) {
         return s.openAttempts > 0
                 && now - s.awaitingSince
--- a/src/main/java/gullspar/decide/Servers.java
+++ b/src/main/java/gullspar/decide/Servers.java
@@ -12,10 +12,7 @@
 
 /** The listed servers, and the subset of them that this proxy uses. */
 final class Servers {
-    /**
-     * Minimum size of the subset in the own zone, and the number of answers that each server should give per latency
-     * target.
-     */
+    /** Minimum size of the subset in the own zone, and the answers needed from each server per latency target. */
     private static final double MIN_SUBSET = 2;
 
     private static final double ANSWERS_PER_TARGET = 2;
