--- a/bench/fleet/cost.sh
+++ b/bench/fleet/cost.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# What the view of the fleet costs a process: the same quiet day of real processes with and without it, in turn, and of
-# each the share of a core and the resident memory of its proxies in the middle of the day: medians and the most. Before
-# that, starts of one proxy in turn with and without it, on one core, until it is warm. What it printed is in
-# docs/fleet.md.
+# Measures what the view of the fleet costs a process: runs the same day without faults with real processes, in turn
+# with and without the view, and prints the median and maximum of the proxies' share of a core and of their resident
+# memory in the middle of the day. Before that it starts one proxy on one core, in turn with and without the view, until
+# it is warmed up. Its output is in docs/fleet.md.
 # usage: bench/fleet/cost.sh [PROXIES [PAIRS [STARTS]]]
 set -eu
 cd "$(dirname "$0")/../.."
@@ -57,7 +57,7 @@
     with subprocess.Popen(["taskset", "-c", "0", "sh", "deploy/serve.sh"], stderr=subprocess.PIPE, text=True,
                           env=dict(os.environ, NODE_CONFIG=folder + "/config.json")) as p:
         for line in p.stderr:
-            if line.rstrip().endswith("requests to warm up"):  # what comes then waits for discovery
+            if line.rstrip().endswith("requests to warm up"):  # the rest of the start waits for discovery
                 break
         else:
             raise SystemExit("the proxy ended before it was warm")
@@ -101,7 +101,7 @@
         began = time.monotonic()
         while len(children(rig.pid)) < count and time.monotonic() - began < 60:
             time.sleep(0.5)
-        time.sleep(30)  # they are all there, and the wave of the start is over
+        time.sleep(30)  # all proxies run, and the load of their start has ended
         kids = children(rig.pid)
         before, at = {k: busy(k) for k in kids}, time.monotonic()
         time.sleep(20)
--- a/bench/fleet/figures.sh
+++ b/bench/fleet/figures.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Measures the view of the fleet in virtual time (see FleetFigures): some minutes. What it prints is in docs/fleet.md.
+# Measures the view of the fleet in virtual time (see FleetFigures) in some minutes. Its output is in docs/fleet.md.
 # usage: bench/fleet/figures.sh [deaths|partitions|accusations ...]
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/fleet/hard.sh
+++ b/bench/fleet/hard.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Plays hard cases of the view of the fleet with real processes (48 of them: some 6 GB), or in virtual time, and prints
-# a line for each play. What it printed is in docs/fleet.md. SEEDS: 3 plays seeds 1 to 3, =3 the third alone, so that
-# several runs can share a machine that is large enough.
+# Runs difficult cases of the view of the fleet with real processes (48 processes need about 6 GB) or in virtual time,
+# and prints a line for each run. The output is in docs/fleet.md. SEEDS: 3 runs seeds 1 to 3, =3 only seed 3, so that
+# several invocations can share a machine that is large enough.
 # usage: bench/fleet/hard.sh live|virtual [PROXIES [SEEDS [CASE ...]]]
 set -eu
 cd "$(dirname "$0")/../.."
@@ -16,7 +16,7 @@
 trap 'rm -rf "$folder"' EXIT
 third=$((count / 3)) half=$((count / 2)) most=$((count * 7 / 10))
 
-# names FROM TO: "pFROM", ... "pTO"
+# names FROM TO: prints "pFROM", ... "pTO"
 names() {
     i=$1 list=
     while [ "$i" -le "$2" ]; do
@@ -25,7 +25,8 @@
     echo "$list"
 }
 
-# How long a case's day is: some time after its last fault, for all to see the same again.
+# lasts CASE: prints the seconds of the case's day, which ends some time after its last fault, so that all views can
+# converge again.
 lasts() {
     case $1 in
         mass-death | taken-over) echo 55 ;;
@@ -35,7 +36,7 @@
     esac
 }
 
-# fault KIND AT [LINE ...]
+# fault KIND AT [LINE ...]: prints the table of one fault, with further keys as lines
 fault() {
     printf '[[fault]]\nkind = "%s"\nat = %s\n' "$1" "$2"
     shift 2
--- a/bench/fleet/searched.sh
+++ b/bench/fleet/searched.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Searches days in which up to eight things go wrong between 5, 12, 30 and 100 proxies, 2,000 days in all, for one that
-# breaks a rule; some 20 minutes on 8 cores. Goes on where it was interrupted; finds are in DIR/SIZE.
+# Searches 2,000 days with up to eight faults among 5, 12, 30 and 100 proxies for days that violate a rule; about 20
+# minutes on 8 cores. Resumes an interrupted search; findings are written to DIR/SIZE.
 # usage: bench/fleet/searched.sh DIR [JOBS [SIZE=DAYS ...]]
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/rehearsal/live-and-virtual.sh
+++ b/bench/rehearsal/live-and-virtual.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The four fault scripts in virtual time once and live five times each, side by side: prints the share of the worth
-# served. Takes about six minutes and eight cores.
-# usage: bench/rehearsal/live-and-virtual.sh DIR     (where the results go)
+# Runs the four fault scripts once in virtual time and five times live, the four at the same time, and prints the share
+# of the worth that was served. Takes about six minutes and eight cores.
+# usage: bench/rehearsal/live-and-virtual.sh DIR     (results are written to DIR)
 set -eu
 cd "$(dirname "$0")/../.."
 out=$1
--- a/bench/rehearsal/ten-reruns.sh
+++ b/bench/rehearsal/ten-reruns.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Ten plays of one script and seed, each in a JVM of its own with another heap, collector, compiler, locale or time
-# zone, and one with another seed: prints the time that each took and its hash.
+# Runs one script and seed ten times, each in its own JVM with a different heap, collector, compiler, locale or time
+# zone, and once with another seed; prints the duration and the hash of each run.
 # usage: bench/rehearsal/ten-reruns.sh [SCRIPT]
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/scale/common.sh
+++ b/bench/scale/common.sh
@@ -1,11 +1,11 @@
-# For the scripts beside it: builds once, and starts a class of the tests with the deployed runtime's options.
+# Sourced by the other scripts in this folder: builds, and runs a test class with the deployed runtime's options.
 flags="-XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:CompileThresholdScaling=0.4 -Xss512k"
 
 built() {
     mvn -B -ntp -q test-compile dependency:build-classpath -Dmdep.outputFile=target/test-classpath
 }
 
-# CLASS ARGUMENT...: HEAP (1500m) is the heap's limit, as JAVA_OPTIONS are further options.
+# measure CLASS ARGUMENT...: HEAP (default 1500m) is the heap limit, JAVA_OPTIONS are further options.
 measure() {
     built
     commit=$(git rev-parse --short HEAD)
--- a/bench/scale/control.sh
+++ b/bench/scale/control.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Measures what lists, settings and operators' files cost one proxy (see ControlCost), into results/NAME.json.
+# Measures what lists, settings and operators' files cost one proxy (see ControlCost), and writes results/NAME.json.
 # usage: bench/scale/control.sh lists|tenants|routes       (a minute each)
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/scale/module.sh
+++ b/bench/scale/module.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Measures the decision module alone (see ModuleCost), into results/module.json.
+# Measures the decision module alone (see ModuleCost), and writes results/module.json.
 # usage: bench/scale/module.sh       (a minute)
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/site/ratio.sh
+++ b/bench/site/ratio.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Requests a second and latency of plain HTTP by routes against the platform's way, in one run: about two minutes.
+# Compares requests per second and latency of plain HTTP through routes and through the platform's protocol in one run
+# of about two minutes.
 # usage: bench/site/ratio.sh
 set -eu
 cd "$(dirname "$0")/../.."
--- a/bench/site/slow-readers.sh
+++ b/bench/site/slow-readers.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The memory of a daemon with 64 MB of heap while 100 clients read slowly and one reads 1 GB: half a minute.
+# Measures the memory of a proxy process with 64 MB of heap while 100 clients read slowly and one reads 1 GB; half a
+# minute.
 # usage: bench/site/slow-readers.sh
 set -eu
 cd "$(dirname "$0")/../.."
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Builds, and records the classes that warming up loads: with them the proxy starts in a fraction of the time.
+# Builds the jar and a class data archive with the classes that the warm-up loads, which shortens the start of the proxy
+# to a fraction.
 set -eu
 mvn -B -ntp -q -Dmaven.test.skip=true package
 rm -f target/gullspar.jsa
--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Lays beside each deployment of ours what the operators' bench wants there and what is theirs: the names on the sockets
-# and the wire (sites/real.json and wire.json of their kit) and the lines that unlock days. None of it names a class.
-#   deploy/sites/lay.sh KIT
+# Copies the files that the operators' bench needs from their kit into the folder of each of our deployments: the names
+# on sockets and on the wire (sites/real.json and wire.json) and the lines that unlock days. No file names a class.
+# usage: deploy/sites/lay.sh KIT
 set -eu
 kit=${1:?"lay.sh KIT: the folder of the operators' kit"}
 here=$(dirname "$0")
--- a/src/main/resources/gullspar/rehearse/faults/system-calls.c
+++ b/src/main/resources/gullspar/rehearse/faults/system-calls.c
@@ -1,9 +1,9 @@
 /*
- * Preloaded into a process, makes chosen system calls fail while a control file says so.
+ * A library to be preloaded into a process; makes selected system calls fail as a control file specifies.
  *
- * The file that GULLSPAR_FAULTS names is mapped; it holds one 32-bit word for each call, in the order of
- * SystemCall.java: the error number in the low half, and in the high half N, where one call in N fails. A word of 0 lets
- * every call through.
+ * GULLSPAR_FAULTS names the control file, which is mapped into memory. It holds one 32-bit word per call, in the order
+ * of SystemCall.java: the low half is the error number, the high half is N if one call in N is to fail. With a word of
+ * 0 no call fails.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -36,7 +36,7 @@
     }
 }
 
-/* Whether this call is to fail; errno is set if so. */
+/* Returns whether this call is to fail; if so, sets errno. */
 static int fails(enum call call) {
     uint32_t word = control == NULL ? 0 : control[call];
     if (word == 0) {
--- a/src/test/resources/hold-listener.pl
+++ b/src/test/resources/hold-listener.pl
@@ -1,6 +1,6 @@
-# Holds a listening socket on loopback and starts the program of its arguments with it as descriptor 0, once for
-# each line on its own standard input, which gives the variables of the new process (NAME=value, by spaces).
-# Says "port N", and "started PID" for each. The programs' standard error is its own.
+# Keeps a listening socket on loopback open and runs the command given as arguments with the socket as descriptor 0,
+# once for each line on standard input. The line holds environment variables of the new process (NAME=value, separated
+# by spaces). Prints "port N" at the start and "started PID" for each process. The processes inherit standard error.
 use strict;
 use warnings;
 use Socket;
--- a/src/test/resources/refuse.pl
+++ b/src/test/resources/refuse.pl
@@ -1,8 +1,8 @@
-# refuse.pl [--tmp DIR] COMMAND...: runs a command under what an ordinary user may refuse itself: no further process
-# (fork and its like: ENOSYS), no io_uring, splice or sendfile, no sockets but those over IPv4, and a file system that
-# cannot be written to (Landlock where the kernel has it, otherwise no file is opened for writing at all). With --tmp
-# DIR may be written to, and sockets in the file system are let through. Threads, and exec in the same process, are let
-# through, and so is a pair of sockets: the runtime makes one at its start. x86-64 Linux.
+# refuse.pl [--tmp DIR] COMMAND...: runs a command under restrictions that an unprivileged user can set: no new
+# processes (fork and similar calls fail with ENOSYS), no io_uring, splice or sendfile, only IPv4 sockets, and a
+# read-only file system (by Landlock if the kernel has it; otherwise no file can be opened for writing at all). With
+# --tmp, DIR is writable and Unix domain sockets are allowed. Threads, exec in the same process and socketpair are
+# allowed; the runtime creates a socket pair at its start. x86-64 Linux.
 use strict;
 use warnings;
 
@@ -10,12 +10,12 @@
     ALLOW => 0x7fff0000, ERRNO => 0x00050000, ENOSYS => 38, EINVAL => 22, EROFS => 30, EAFNOSUPPORT => 97,
     X86_64 => 0xc000003e, CLONE_THREAD => 0x10000, AF_INET => 2, WRITES => 0x1 | 0x2 | 0x40 | 0x200,
     AF_UNIX => 1, O_PATH => 0x200000,
-    FS_WRITES => 0x2 | 0x1ff0,                              # write to a file; remove and make files of all kinds
+    FS_WRITES => 0x2 | 0x1ff0,                              # write to a file; remove and create files of all types
 };
 my $tmp;
 if (@ARGV && $ARGV[0] eq '--tmp') { shift; $tmp = shift; }
 
-# Only what lies below a place may be written to; false if this kernel cannot say so.
+# Allows writing only below the given paths; returns false if the kernel has no Landlock.
 sub landlock {
     my $attributes = pack('Q', FS_WRITES);
     my $rules = syscall(444, $attributes, 8, 0);
@@ -34,18 +34,18 @@
 
 my @program;
 sub op { my ($code, $jt, $jf, $k) = @_; push @program, pack('SCCL', $code, $jt, $jf, $k); }
-sub load { op(0x20, 0, 0, shift); }                        # the word at that place of struct seccomp_data
+sub load { op(0x20, 0, 0, shift); }                        # the 32-bit word at that offset of struct seccomp_data
 sub answer { op(0x06, 0, 0, shift); }
 sub unless_equal { my ($k, $skip) = @_; op(0x15, 0, $skip, $k); }
-sub when_any { my ($bits, $skip) = @_; op(0x45, 0, $skip, $bits); }    # goes on if a bit is set, else skips
+sub when_any { my ($bits, $skip) = @_; op(0x45, 0, $skip, $bits); }    # continues if a bit is set, otherwise skips
 
 load(4);
 unless_equal(X86_64, 1);
-op(0x05, 0, 0, 1);                                          # over the next one
+op(0x05, 0, 0, 1);                                          # skips the next instruction
 answer(ERRNO | ENOSYS);
 load(0);
 my %refused = (
-    57 => ENOSYS, 58 => ENOSYS, 435 => ENOSYS,              # fork, vfork, clone3: the library falls back to clone
+    57 => ENOSYS, 58 => ENOSYS, 435 => ENOSYS,              # fork, vfork, clone3: libc falls back to clone
     425 => ENOSYS, 40 => ENOSYS, 275 => EINVAL,             # io_uring_setup, sendfile, splice
     437 => ENOSYS,                                          # openat2
     $landlocked ? () : map { $_ => EROFS } (85, 83, 84, 82, 86, 87, 88, 76, 258, 263, 264, 316, 265, 266),
