--- a/src/test/java/gullspar/capacity/CapacityPage.java
+++ b/src/test/java/gullspar/capacity/CapacityPage.java
@@ -254,7 +254,7 @@
 
     private String breakingLimits() {
         return markdownTable(
-                "row | breaks at | part of the letter's | figure at the letter's size | limit | " + "carried by",
+                "row | breaks at | part of the letter's | figure at the letter's size | limit | carried by",
                 breakingPoints().stream()
                         .filter(b -> b.ratio() < 1)
                         .map(b -> List.of(
--- a/src/test/java/gullspar/capacity/ConnectionCount.java
+++ b/src/test/java/gullspar/capacity/ConnectionCount.java
@@ -247,7 +247,7 @@
         limited.run();
         results.addPoint(
                 "connections." + axis + ".handshakes.held",
-                "handshakes a second of one proxy, 1,024 " + "descriptors" + suffix,
+                "handshakes a second of one proxy, 1,024 descriptors" + suffix,
                 "1/s",
                 axis,
                 fixed,
--- a/src/test/java/gullspar/capacity/DesignParameters.java
+++ b/src/test/java/gullspar/capacity/DesignParameters.java
@@ -29,7 +29,8 @@
                 Object value = parameter.get("value");
                 String description = parameter.getString("what");
                 if (!(value instanceof Number number) || description == null) {
-                    throw new CapacityException(file.getFileName() + ": " + key + " has no value or no what");
+                    throw new CapacityException(
+                            file.getFileName() + ": " + key + " needs a number as value and a text as what");
                 }
                 all.put(key, new Parameter(number.doubleValue(), parameter.getString("unit", () -> ""), description));
             }
--- a/src/test/java/gullspar/capacity/ModuleCost.java
+++ b/src/test/java/gullspar/capacity/ModuleCost.java
@@ -158,7 +158,7 @@
                 .cpuNs()) {
             results.addPoint(
                     "module.instances.cpu",
-                    "processor time of so many instances' pulses, of one " + "second",
+                    "processor time of so many instances' pulses, of one second",
                     "ns",
                     "services",
                     Map.of("servers", SERVERS_PER_SERVICE),
@@ -171,7 +171,7 @@
                 CostMeter.measure(() -> all.get(next[0]++ % n).request()).cpuNs()) {
             results.addPoint(
                     "module.instances.request.cpu",
-                    "processor time of a request that goes to one of so " + "many instances in turn",
+                    "processor time of a request that goes to one of so many instances in turn",
                     "ns",
                     "services",
                     Map.of("servers", SERVERS_PER_SERVICE),
--- a/src/test/java/gullspar/capacity/ReloadTime.java
+++ b/src/test/java/gullspar/capacity/ReloadTime.java
@@ -163,7 +163,7 @@
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
             socket.getOutputStream()
-                    .write(("GET /mark HTTP/1.1\r\nHost: mark.example.org\r\nConnection: " + "close\r\n\r\n")
+                    .write(("GET /mark HTTP/1.1\r\nHost: mark.example.org\r\nConnection: close\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             try (InputStream in = socket.getInputStream()) {
                 return new String(in.readAllBytes(), StandardCharsets.US_ASCII);
