--- a/src/test/java/gullspar/capacity/ResultsWriter.java
+++ b/src/test/java/gullspar/capacity/ResultsWriter.java
@@ -16,14 +16,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Writes one file of results: what was measured, on which machine, of which commit. */
+/** Writes a file of measured results with the machine and the commit that they were measured on. */
 public final class ResultsWriter {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private final ObjectNode root = JSON.createObjectNode();
     private final Map<String, ObjectNode> series = new LinkedHashMap<>();
 
-    /** What a script gives, with the seeds that it drew by. */
+    /** Starts the results of a script that runs with the given seeds. */
     public ResultsWriter(String script, List<Integer> seeds) {
         root.put("script", script);
         root.put("date", LocalDate.now(ZoneOffset.UTC).toString());
@@ -39,22 +39,22 @@
         seeds.forEach(drawn::add);
     }
 
-    /** What a file holds already, so that further sizes come beside it; of the same machine and commit. */
-    public ResultsWriter onto(Path file) throws IOException {
-        JsonNode before = JSON.readTree(Files.readString(file));
-        for (String same : new String[] {"machine", "commit"}) {
-            if (!before.path(same).equals(JSON.readTree(root.get(same).toString()))) {
-                throw new IOException(file + " is of another " + same);
+    /** Adds the series of an existing file, so that more sizes can be added; machine and commit must be the same. */
+    public ResultsWriter withExisting(Path file) throws IOException {
+        JsonNode existing = JSON.readTree(Files.readString(file));
+        for (String key : new String[] {"machine", "commit"}) {
+            if (!existing.path(key).equals(JSON.readTree(root.get(key).toString()))) {
+                throw new IOException(file + " was measured on another " + key);
             }
         }
         root.put(
                 "script",
-                before.path("script").asText() + "; " + root.path("script").asText());
-        Set<Integer> seeds = new TreeSet<>();
-        before.path("seeds").forEach(x -> seeds.add(x.asInt()));
-        root.path("seeds").forEach(x -> seeds.add(x.asInt()));
-        seeds.forEach(root.putArray("seeds")::add);
-        before.path("series").forEach(s -> series.put(s.path("id").asText(), (ObjectNode) s));
+                existing.path("script").asText() + "; " + root.path("script").asText());
+        Set<Integer> allSeeds = new TreeSet<>();
+        existing.path("seeds").forEach(x -> allSeeds.add(x.asInt()));
+        root.path("seeds").forEach(x -> allSeeds.add(x.asInt()));
+        allSeeds.forEach(root.putArray("seeds")::add);
+        existing.path("series").forEach(s -> series.put(s.path("id").asText(), (ObjectNode) s));
         return this;
     }
 
@@ -69,10 +69,14 @@
         }
     }
 
-    /** One point of a series; the first names the series. heldOut: the size to foretell, 0 for none. */
-    public ResultsWriter point(
+    /**
+     * Adds one point to a series; the first point defines the series.
+     *
+     * @param heldOut the size that is excluded from the fit and predicted by it, 0 for none
+     */
+    public ResultsWriter addPoint(
             String id,
-            String what,
+            String description,
             String unit,
             String axis,
             Map<String, Integer> fixed,
@@ -81,7 +85,7 @@
             double value) {
         ObjectNode s = series.computeIfAbsent(id, i -> {
             ObjectNode n = JSON.createObjectNode();
-            n.put("id", i).put("what", what).put("unit", unit).put("axis", axis);
+            n.put("id", i).put("what", description).put("unit", unit).put("axis", axis);
             ObjectNode f = n.putObject("fixed");
             fixed.forEach(f::put);
             n.putArray("points");
@@ -95,12 +99,12 @@
         return this;
     }
 
-    /** Five digits are more than any of this is worth. */
-    private static double rounded(double v) {
-        return v == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.5g", v));
+    /** Rounds to five digits, which exceeds the precision of all measurements here. */
+    private static double rounded(double value) {
+        return value == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.5g", value));
     }
 
-    /** So far; a later call writes all again. */
+    /** Writes all points added so far; a later call writes the whole file again. */
     public void write(Path file) throws IOException {
         ArrayNode all = JSON.createArrayNode();
         series.values().forEach(all::add);
@@ -109,8 +113,8 @@
         Files.writeString(file, JSON.writeValueAsString(root) + "\n");
     }
 
-    /** What has been measured so far. */
-    public Set<String> ids() {
+    /** Returns the ids of the series with points so far. */
+    public Set<String> seriesIds() {
         return series.keySet();
     }
 }
