--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -33,8 +33,8 @@
     private static final int CLIENTS = 4, UPGRADES = 2;
     /**
      * A request that misses its latency target is refused by design, and a busy machine stalls a process for
-     * longer than the usual target of 250 ms (up to 2.4 s at a load of 20). With these values a refusal is due to
-     * an upgrade. Both are shorter than the clients' read timeout of 20 s.
+     * longer than the usual target of 250 ms. With these values a refusal is due to an upgrade. Both are shorter
+     * than the clients' read timeout of 20 s.
      */
     private static final long LATENCY_TARGET_NS = 10_000_000_000L, CLIENT_TIMEOUT_NS = 15_000_000_000L;
 
