--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -80,7 +80,7 @@
         if (s == null) {
             return EXIT_USAGE;
         }
-        s = seed == null ? s : s.with((long) seed);
+        s = seed == null ? s : s.withSeed(seed);
         for (Path p : Stream.of(log, report).filter(Objects::nonNull).toList()) {
             // Checked before the day is played, not after.
             if (!Files.isDirectory(p.toAbsolutePath().getParent()) || Files.isDirectory(p)) {
--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -38,7 +38,7 @@
     }
 
     static List<RuleViolation> judge(Script script, EventLog eventLog, long slackNs) {
-        FleetJudge j = new FleetJudge(script, eventLog, slackNs);
+        FleetJudge fleetJudge = new FleetJudge(script, eventLog, slackNs);
         for (FleetSnapshot snapshot : eventLog.fleetSnapshots()) {
             eventLog.lives().stream()
                     .filter(x -> x.proxy().equals(snapshot.proxy())
@@ -46,15 +46,15 @@
                             && snapshot.at() <= x.until())
                     .findFirst()
                     .ifPresent(x -> {
-                        j.lives.putIfAbsent(snapshot.life(), x);
-                        j.firstResponseAt.putIfAbsent(x, snapshot.at());
+                        fleetJudge.lives.putIfAbsent(snapshot.life(), x);
+                        fleetJudge.firstResponseAt.putIfAbsent(x, snapshot.at());
                     });
         }
-        eventLog.fleetSnapshots().forEach(j::checkView);
-        return j.violations;
+        eventLog.fleetSnapshots().forEach(fleetJudge::checkView);
+        return fleetJudge.violations;
     }
 
-    private static long ns(double s) {
+    private static long secondsToNs(double s) {
         return (long) (s * 1e9);
     }
 
@@ -72,9 +72,9 @@
     /** The time since both proxies were last affected by a fault or started; negative during a fault. */
     private long undisturbedNs(String a, String b, long at) {
         long since = Math.max(eventLog.settledSince(a, at), eventLog.settledSince(b, at));
-        for (EventLog.Life l : eventLog.lives()) {
-            if (l.from() <= at && (l.proxy().equals(a) || l.proxy().equals(b))) {
-                since = Math.max(since, firstResponseAt.getOrDefault(l, Math.min(l.until(), at)));
+        for (EventLog.Life life : eventLog.lives()) {
+            if (life.from() <= at && (life.proxy().equals(a) || life.proxy().equals(b))) {
+                since = Math.max(since, firstResponseAt.getOrDefault(life, Math.min(life.until(), at)));
             }
         }
         return at - since;
@@ -85,44 +85,47 @@
         if (observer == null) {
             return; // the process ended during the request
         }
-        for (FleetSnapshot.SeenMember s : snapshot.members()) {
-            EventLog.Life other = lives.get(s.life());
-            String key = snapshot.proxy() + " of " + s.name() + '/' + s.life();
+        for (FleetSnapshot.SeenMember member : snapshot.members()) {
+            EventLog.Life other = lives.get(member.life());
+            String key = snapshot.proxy() + " of " + member.name() + '/' + member.life();
             if (other == null
-                    && s.isPresent()
-                    && eventLog.lives().stream().noneMatch(x -> x.name().equals(s.name()))) {
+                    && member.isPresent()
+                    && eventLog.lives().stream().noneMatch(x -> x.name().equals(member.name()))) {
                 addViolation(
                         Rule.FLEET_TRUE,
                         snapshot.at(),
                         key,
-                        snapshot.proxy() + " has " + s.name() + " as " + s.status() + ", which never existed");
+                        snapshot.proxy() + " has " + member.name() + " as " + member.status()
+                                + ", which never existed");
             }
             if (other != null && isRunningAt(other, snapshot.at())) {
-                if (s.status().equals("gone")
-                        && undisturbedNs(snapshot.proxy(), other.proxy(), snapshot.at()) > ns(limits.quietS())) {
+                if (member.status().equals("gone")
+                        && undisturbedNs(snapshot.proxy(), other.proxy(), snapshot.at())
+                                > secondsToNs(limits.quietS())) {
                     addViolation(
                             Rule.FLEET_TRUE,
                             snapshot.at(),
                             key,
-                            snapshot.proxy() + " calls " + s.name() + " gone, which is running and had no fault for "
-                                    + limits.quietS() + " s");
+                            snapshot.proxy() + " calls " + member.name()
+                                    + " gone, which is running and had no fault for " + limits.quietS() + " s");
                 }
-            } else if (other != null && s.isPresent()) {
+            } else if (other != null && member.isPresent()) {
                 long endedForNs = Math.min(
                         snapshot.at() - other.until(),
                         snapshot.at() - eventLog.settledSince(snapshot.proxy(), snapshot.at()));
-                if (Math.min(endedForNs, snapshot.at() - observer.from()) > ns(limits.goneS())) {
+                if (Math.min(endedForNs, snapshot.at() - observer.from()) > secondsToNs(limits.goneS())) {
                     addViolation(
                             Rule.FLEET_TRUE,
                             snapshot.at(),
                             key,
-                            snapshot.proxy() + " still has " + s.name() + " (life "
-                                    + s.life()
-                                    + ") as " + s.status() + ", which ended more than " + limits.goneS() + " s ago");
+                            snapshot.proxy() + " still has " + member.name() + " (life "
+                                    + member.life()
+                                    + ") as " + member.status() + ", which ended more than " + limits.goneS()
+                                    + " s ago");
                 }
             }
-            checkIsolatedMember(snapshot, s, key);
-            checkForwardOnly(snapshot, s, key);
+            checkIsolatedMember(snapshot, member, key);
+            checkForwardOnly(snapshot, member, key);
         }
         checkAccusations(snapshot, observer);
         checkAgreement(snapshot);
@@ -139,10 +142,10 @@
     }
 
     /** A proxy that receives nothing from the others cannot take part, even if they receive its messages. */
-    private void checkIsolatedMember(FleetSnapshot snapshot, FleetSnapshot.SeenMember s, String key) {
-        long spanNs = ns(limits.goneS());
-        if (s.isPresent()
-                && eventLog.wasIsolatedThroughout(s.name(), snapshot.at() - spanNs, snapshot.at())
+    private void checkIsolatedMember(FleetSnapshot snapshot, FleetSnapshot.SeenMember member, String key) {
+        long spanNs = secondsToNs(limits.goneS());
+        if (member.isPresent()
+                && eventLog.wasIsolatedThroughout(member.name(), snapshot.at() - spanNs, snapshot.at())
                 && eventLog.lives().stream()
                         .anyMatch(x -> x.proxy().equals(snapshot.proxy())
                                 && x.from() < snapshot.at() - spanNs
@@ -151,23 +154,23 @@
                     Rule.FLEET_TRUE,
                     snapshot.at(),
                     key + " deaf",
-                    snapshot.proxy() + " has " + s.name() + " as " + s.status()
+                    snapshot.proxy() + " has " + member.name() + " as " + member.status()
                             + ", which has received nothing from the others for " + limits.goneS() + " s");
         }
     }
 
-    private void checkForwardOnly(FleetSnapshot snapshot, FleetSnapshot.SeenMember s, String key) {
-        FleetSnapshot.SeenMember before = lastSeen.put(snapshot.life() + key, s);
+    private void checkForwardOnly(FleetSnapshot snapshot, FleetSnapshot.SeenMember member, String key) {
+        FleetSnapshot.SeenMember before = lastSeen.put(snapshot.life() + key, member);
         if (before != null
-                && (s.incarnation() < before.incarnation()
-                        || before.status().equals("left") && !s.status().equals("left"))) {
+                && (member.incarnation() < before.incarnation()
+                        || before.status().equals("left") && !member.status().equals("left"))) {
             addViolation(
                     Rule.FLEET_FORWARD,
                     snapshot.at(),
                     key,
-                    snapshot.proxy() + " had " + s.name() + " as " + before.status()
-                            + " in incarnation " + before.incarnation() + ", and then as " + s.status() + " in "
-                            + s.incarnation());
+                    snapshot.proxy() + " had " + member.name() + " as " + before.status()
+                            + " in incarnation " + before.incarnation() + ", and then as " + member.status() + " in "
+                            + member.incarnation());
         }
     }
 
@@ -191,16 +194,17 @@
     private void checkAgreement(FleetSnapshot snapshot) {
         long calmNs = Long.MAX_VALUE;
         Set<String> running = new TreeSet<>();
-        for (EventLog.Life x : eventLog.lives()) {
-            if (x.from() <= snapshot.at()) {
-                calmNs = Math.min(calmNs, undisturbedNs(x.proxy(), x.proxy(), snapshot.at()));
-                calmNs = Math.min(calmNs, x.until() <= snapshot.at() ? snapshot.at() - x.until() : Long.MAX_VALUE);
-                if (isRunningAt(x, snapshot.at())) {
-                    running.add(x.name());
+        for (EventLog.Life life : eventLog.lives()) {
+            if (life.from() <= snapshot.at()) {
+                calmNs = Math.min(calmNs, undisturbedNs(life.proxy(), life.proxy(), snapshot.at()));
+                calmNs =
+                        Math.min(calmNs, life.until() <= snapshot.at() ? snapshot.at() - life.until() : Long.MAX_VALUE);
+                if (isRunningAt(life, snapshot.at())) {
+                    running.add(life.name());
                 }
             }
         }
-        if (calmNs <= ns(limits.agreeS())) {
+        if (calmNs <= secondsToNs(limits.agreeS())) {
             return;
         }
         Set<String> aliveInView = new TreeSet<>();
@@ -218,9 +222,9 @@
 
     /** Two processes that run under one name are both in every view, marked as such: neither replaces the other. */
     private void checkDuplicateNames(FleetSnapshot snapshot, EventLog.Life observer) {
-        for (EventLog.Life x : eventLog.lives()) {
-            String name = x.name();
-            if (x.proxy().equals(name) || !isRunningAt(x, snapshot.at())) {
+        for (EventLog.Life twin : eventLog.lives()) {
+            String name = twin.name();
+            if (twin.proxy().equals(name) || !isRunningAt(twin, snapshot.at())) {
                 continue;
             }
             EventLog.Life first = eventLog.lives().stream()
@@ -230,8 +234,8 @@
             if (first == null
                     || Math.min(
                                     undisturbedNs(snapshot.proxy(), name, snapshot.at()),
-                                    undisturbedNs(x.proxy(), x.proxy(), snapshot.at()))
-                            <= ns(limits.agreeS())) {
+                                    undisturbedNs(twin.proxy(), twin.proxy(), snapshot.at()))
+                            <= secondsToNs(limits.agreeS())) {
                 continue;
             }
             long seen = snapshot.members().stream()
@@ -256,28 +260,30 @@
      */
     private void checkCutOffReport(FleetSnapshot snapshot) {
         List<EventLog.Partition> active = eventLog.partitions().stream()
-                .filter(p -> p.from() <= snapshot.at() && snapshot.at() < p.until())
+                .filter(partition -> partition.from() <= snapshot.at() && snapshot.at() < partition.until())
                 .toList();
         if (active.size() != 1) {
             return; // with several partitions the two sides are not defined
         }
-        EventLog.Partition p = active.get(0);
+        EventLog.Partition partition = active.get(0);
         if (eventLog.lives().stream().anyMatch(x -> !x.proxy().equals(x.name()) && isRunningAt(x, snapshot.at()))) {
             return; // a second process under one name belongs to neither side
         }
-        long sinceNs = snapshot.at() - p.from();
+        long sinceNs = snapshot.at() - partition.from();
         long running = eventLog.lives().stream()
                 .filter(x -> isRunningAt(x, snapshot.at()))
                 .count();
         boolean isMembershipStable = eventLog.lives().stream()
-                .allMatch(x -> x.until() <= p.from() - ns(limits.windowS())
-                        || x.from() < p.from() - ns(limits.agreeS()) && x.until() > snapshot.at());
-        if (!isMembershipStable || sinceNs < ns(limits.goneS()) || sinceNs > ns(limits.windowS() * 0.9)) {
+                .allMatch(x -> x.until() <= partition.from() - secondsToNs(limits.windowS())
+                        || x.from() < partition.from() - secondsToNs(limits.agreeS()) && x.until() > snapshot.at());
+        if (!isMembershipStable
+                || sinceNs < secondsToNs(limits.goneS())
+                || sinceNs > secondsToNs(limits.windowS() * 0.9)) {
             return;
         }
-        long side = p.group().contains(snapshot.proxy())
-                ? p.group().size()
-                : running - p.group().size();
+        long side = partition.group().contains(snapshot.proxy())
+                ? partition.group().size()
+                : running - partition.group().size();
         boolean minority = 2 * side < running;
         if (minority != snapshot.cutOff()) {
             addViolation(
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -32,7 +32,7 @@
     private final Script script;
     private final EventLog eventLog;
     private final long slackNs;
-    private final List<RuleViolation> broken = new ArrayList<>();
+    private final List<RuleViolation> violations = new ArrayList<>();
     /** The service of the ten seconds that start at each second. */
     private final List<Double> windowServices = new ArrayList<>();
 
@@ -59,22 +59,23 @@
             checkEffects(o);
         });
         eventLog.collapsedAt()
-                .forEach((node, at) -> broken.add(new RuleViolation(
+                .forEach((node, at) -> violations.add(new RuleViolation(
                         Rule.COLD_SPARED,
                         at,
                         node + " was sent more than " + script.rules().tipMultiple() + " times its capacity for "
                                 + script.rules().fallS() + " s during its cold start, and fell over",
                         null)));
-        eventLog.crashes().forEach(c -> broken.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.description(), null)));
+        eventLog.crashes()
+                .forEach(c -> violations.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.description(), null)));
         eventLog.servedMalformedRequests()
-                .forEach(text -> broken.add(new RuleViolation(
+                .forEach(text -> violations.add(new RuleViolation(
                         Rule.ONE_ANSWER,
                         0,
                         "a malformed request was served: "
                                 + text.lines().findFirst().orElse(""),
                         null)));
         if (eventLog.unansweredMisbehavingClients() > 0) {
-            broken.add(new RuleViolation(
+            violations.add(new RuleViolation(
                     Rule.ONE_ANSWER,
                     0,
                     eventLog.unansweredMisbehavingClients() + " of " + eventLog.misbehavingClientCount()
@@ -82,11 +83,11 @@
                     null));
         }
         if (script.peers() != null) {
-            broken.addAll(FleetJudge.judge(script, eventLog, slackNs));
+            violations.addAll(FleetJudge.judge(script, eventLog, slackNs));
         }
         double service = service(eventLog.orders());
-        int worstFrom = worstFrom();
-        double worst = worstFrom < 0 ? service : windowServices.get(worstFrom);
+        int worstStartS = worstWindowStartS();
+        double worst = worstStartS < 0 ? service : windowServices.get(worstStartS);
         String worstClass = "";
         double worstShare = 2;
         for (Script.RequestClass c : script.classes()) {
@@ -100,12 +101,12 @@
         checkExpectation("service", service);
         checkExpectation("worst_10s", worst);
         checkExpectation("worst_class", worstShare);
-        broken.sort(Comparator.comparingLong(RuleViolation::atNs));
+        violations.sort(Comparator.comparingLong(RuleViolation::atNs));
         return new Verdict(
-                List.copyOf(broken),
+                List.copyOf(violations),
                 service,
                 worst,
-                Math.max(0, worstFrom) * SECOND_NS,
+                Math.max(0, worstStartS) * SECOND_NS,
                 worstShare,
                 worstClass,
                 counts(),
@@ -114,14 +115,14 @@
     }
 
     /** The start, in s, of the ten seconds with the lowest service; -1 on a shorter day. */
-    private int worstFrom() {
+    private int worstWindowStartS() {
         int seconds = (int) script.seconds();
         double[] requestedWorth = new double[seconds + 1];
         double[] servedWorth = new double[seconds + 1];
-        for (Order o : eventLog.orders()) {
-            int at = (int) Math.max(0, Math.min(seconds, (o.at - eventLog.start()) / SECOND_NS));
-            requestedWorth[at] += o.requestClass.worth();
-            servedWorth[at] += o.isInTime() ? o.requestClass.worth() : 0;
+        for (Order order : eventLog.orders()) {
+            int at = (int) Math.max(0, Math.min(seconds, (order.at - eventLog.start()) / SECOND_NS));
+            requestedWorth[at] += order.requestClass.worth();
+            servedWorth[at] += order.isInTime() ? order.requestClass.worth() : 0;
         }
         int worst = -1;
         for (int from = 0; from + WORST_WINDOW_S <= seconds; from++) {
@@ -137,7 +138,7 @@
     private void checkExpectation(String name, double share) {
         Double minimum = script.expect().get(name);
         if (minimum != null && share < minimum) {
-            broken.add(new RuleViolation(
+            violations.add(new RuleViolation(
                     Rule.EXPECTED,
                     eventLog.start() + (long) (script.seconds() * 1e9),
                     String.format(Locale.ROOT, "%s is %.4f, the script expects %.4f", name, share, minimum),
@@ -148,9 +149,9 @@
     private static double service(List<Order> orders) {
         double requestedWorth = 0;
         double servedWorth = 0;
-        for (Order o : orders) {
-            requestedWorth += o.requestClass.worth();
-            servedWorth += o.isInTime() ? o.requestClass.worth() : 0;
+        for (Order order : orders) {
+            requestedWorth += order.requestClass.worth();
+            servedWorth += order.isInTime() ? order.requestClass.worth() : 0;
         }
         return requestedWorth == 0 ? 1 : servedWorth / requestedWorth;
     }
@@ -160,20 +161,22 @@
         for (String name : List.of("served", "late", "refused", "failed", "given up", "left", "closed", "not taken")) {
             counts.put(name, 0);
         }
-        for (Order o : eventLog.orders()) {
-            for (ClientRequest t : o.requests) {
-                counts.merge(endingName(t), 1, Integer::sum);
+        for (Order order : eventLog.orders()) {
+            for (ClientRequest request : order.requests) {
+                counts.merge(endingName(request), 1, Integer::sum);
             }
         }
         return counts;
     }
 
     /** The name of a try's ending in counts and reports. */
-    public static String endingName(ClientRequest t) {
-        return switch (t.ending) {
-            case ANSWERED -> t.status == 200
-                    ? t.endedAt <= t.order.at + (long) (t.order.requestClass.promiseMs() * 1e6) ? "served" : "late"
-                    : isRefused(t) ? "refused" : "failed";
+    public static String endingName(ClientRequest request) {
+        return switch (request.ending) {
+            case ANSWERED -> request.status == 200
+                    ? request.endedAt <= request.order.at + (long) (request.order.requestClass.latencyTargetMs() * 1e6)
+                            ? "served"
+                            : "late"
+                    : isRefused(request) ? "refused" : "failed";
             case GIVEN_UP -> "given up";
             case LEFT -> "left";
             case CLOSED -> "closed";
@@ -182,164 +185,169 @@
         };
     }
 
-    private static boolean isRefused(ClientRequest t) {
-        return t.status == 429 || t.status == 503;
+    private static boolean isRefused(ClientRequest request) {
+        return request.status == 429 || request.status == 503;
     }
 
-    private void broken(Rule rule, long at, ClientRequest t, String description) {
-        broken.add(new RuleViolation(rule, at, description, t));
+    private void addViolation(Rule rule, long at, ClientRequest request, String description) {
+        violations.add(new RuleViolation(rule, at, description, request));
     }
 
     // ---- the rules ----
 
-    private void checkFinalResponse(ClientRequest t) {
-        if (t.status == 200 && t.attempts.stream().noneMatch(a -> a.startedAt != 0)) {
-            broken(Rule.ONE_ANSWER, t.endedAt, t, "it was served, but no node had processed it");
+    private void checkFinalResponse(ClientRequest request) {
+        if (request.status == 200 && request.attempts.stream().noneMatch(attempt -> attempt.startedAt != 0)) {
+            addViolation(Rule.ONE_ANSWER, request.endedAt, request, "it was served, but no node had processed it");
         }
-        if (t.responseError != null) {
-            broken(Rule.ONE_ANSWER, t.endedAt, t, t.responseError);
+        if (request.responseError != null) {
+            addViolation(Rule.ONE_ANSWER, request.endedAt, request, request.responseError);
         }
-        if (t.sentAt != 0 && !eventLog.disrupted(t.proxy, t.sentAt, t.endedAt)) {
-            if (t.ending == ClientRequest.Ending.GIVEN_UP) {
-                broken(Rule.ONE_ANSWER, t.endedAt, t, "it had no final answer when its time was up");
-            } else if (t.ending == ClientRequest.Ending.CLOSED && !t.attempts.isEmpty()) {
-                broken(Rule.ONE_ANSWER, t.endedAt, t, "its connection was closed with no final answer");
-            } else if (t.ending == ClientRequest.Ending.OPEN) {
-                broken(Rule.ONE_ANSWER, t.deadline, t, "it was still open at the end of the day");
+        if (request.sentAt != 0 && !eventLog.wasDisrupted(request.proxy, request.sentAt, request.endedAt)) {
+            if (request.ending == ClientRequest.Ending.GIVEN_UP) {
+                addViolation(Rule.ONE_ANSWER, request.endedAt, request, "it had no final answer when its time was up");
+            } else if (request.ending == ClientRequest.Ending.CLOSED && !request.attempts.isEmpty()) {
+                addViolation(
+                        Rule.ONE_ANSWER, request.endedAt, request, "its connection was closed with no final answer");
+            } else if (request.ending == ClientRequest.Ending.OPEN) {
+                addViolation(Rule.ONE_ANSWER, request.deadline, request, "it was still open at the end of the day");
             }
         }
-        if (t.ending == ClientRequest.Ending.ANSWERED) {
-            for (Attempt a : t.attempts) {
-                if (a.sentAt > t.respondedAt + slackNs) {
-                    broken(
+        if (request.ending == ClientRequest.Ending.ANSWERED) {
+            for (Attempt attempt : request.attempts) {
+                if (attempt.sentAt > request.respondedAt + slackNs) {
+                    addViolation(
                             Rule.ONE_ANSWER,
-                            a.sentAt,
-                            t,
-                            "an attempt was sent to " + a.node + " after its final answer");
+                            attempt.sentAt,
+                            request,
+                            "an attempt was sent to " + attempt.node + " after its final answer");
                 }
             }
         }
     }
 
-    private void checkLeftClient(ClientRequest t) {
-        for (Attempt a : t.attempts) {
-            if (t.ending == ClientRequest.Ending.LEFT && a.sentAt > t.endedAt + MAX_LEAVE_DELAY_NS + slackNs) {
-                broken(
+    private void checkLeftClient(ClientRequest request) {
+        for (Attempt attempt : request.attempts) {
+            if (request.ending == ClientRequest.Ending.LEFT
+                    && attempt.sentAt > request.endedAt + MAX_LEAVE_DELAY_NS + slackNs) {
+                addViolation(
                         Rule.LEFT_ALONE,
-                        a.sentAt,
-                        t,
+                        attempt.sentAt,
+                        request,
                         String.format(
                                 Locale.ROOT,
                                 "an attempt was sent to %s %.3f s after its client had left",
-                                a.node,
-                                (a.sentAt - t.endedAt) / 1e9));
+                                attempt.node,
+                                (attempt.sentAt - request.endedAt) / 1e9));
             }
         }
     }
 
     /** A proxy that does not know how long a request has waited gives its backend more time than the client has. */
-    private void checkTimeGiven(ClientRequest t) {
-        for (Attempt a : t.attempts) {
-            long leftNs = t.deadline - a.sentAt;
-            if (a.timeoutNs != Long.MAX_VALUE && a.timeoutNs > leftNs + MAX_EXTRA_TIME_NS + slackNs) {
-                broken(
+    private void checkTimeGiven(ClientRequest request) {
+        for (Attempt attempt : request.attempts) {
+            long remainingNs = request.deadline - attempt.sentAt;
+            if (attempt.timeoutNs != Long.MAX_VALUE && attempt.timeoutNs > remainingNs + MAX_EXTRA_TIME_NS + slackNs) {
+                addViolation(
                         Rule.TIME_TOLD,
-                        a.sentAt,
-                        t,
+                        attempt.sentAt,
+                        request,
                         String.format(
                                 Locale.ROOT,
                                 "the attempt at %s was given %.3f s when its client had %.3f s left",
-                                a.node,
-                                a.timeoutNs / 1e9,
-                                leftNs / 1e9));
+                                attempt.node,
+                                attempt.timeoutNs / 1e9,
+                                remainingNs / 1e9));
             }
         }
     }
 
-    private void checkRepeats(ClientRequest t) {
-        Effect effect = t.order.requestClass.effect();
+    private void checkRepeats(ClientRequest request) {
+        Effect effect = request.order.requestClass.effect();
         if (effect == Effect.IDEMPOTENT) {
             return;
         }
         Attempt first = null;
-        for (Attempt a : t.attempts) {
-            if (a.receivedAt == 0) {
+        for (Attempt attempt : request.attempts) {
+            if (attempt.receivedAt == 0) {
                 continue;
             }
             if (first != null && effect == Effect.AT_MOST_ONCE) {
-                broken(
+                addViolation(
                         Rule.NOTHING_TWICE,
-                        a.receivedAt,
-                        t,
-                        "an attempt at " + a.node + ", though the one at " + first.node + " may have run");
-            } else if (first != null && !isRepeatDropped(t, first, a)) {
-                broken(
+                        attempt.receivedAt,
+                        request,
+                        "an attempt at " + attempt.node + ", though the one at " + first.node + " may have run");
+            } else if (first != null && !isRepeatDropped(request, first, attempt)) {
+                addViolation(
                         Rule.NOTHING_TWICE,
-                        a.receivedAt,
-                        t,
-                        "an attempt at " + a.node
+                        attempt.receivedAt,
+                        request,
+                        "an attempt at " + attempt.node
                                 + ", which does not drop a repeat of the one at " + first.node
                                 + " or no longer does, and that one may have run");
             }
-            first = first == null && a.mayHaveRun() ? a : first;
+            first = first == null && attempt.mayHaveRun() ? attempt : first;
         }
-        boolean isRetryHarmless = effect == Effect.DEDUPLICATED && t.order.requestClass.scope() == Scope.ALL;
-        if (first != null && isRefused(t) && t.ending == ClientRequest.Ending.ANSWERED && !isRetryHarmless) {
-            broken(
+        boolean isRetryHarmless = effect == Effect.DEDUPLICATED && request.order.requestClass.scope() == Scope.ALL;
+        if (first != null
+                && isRefused(request)
+                && request.ending == ClientRequest.Ending.ANSWERED
+                && !isRetryHarmless) {
+            addViolation(
                     Rule.NOTHING_TWICE,
-                    t.endedAt,
-                    t,
+                    request.endedAt,
+                    request,
                     "it was refused, though the attempt at " + first.node + " may have run");
         }
     }
 
-    private boolean isRepeatDropped(ClientRequest t, Attempt first, Attempt next) {
+    private boolean isRepeatDropped(ClientRequest request, Attempt first, Attempt next) {
         boolean isWithinWindow =
-                next.receivedAt - first.receivedAt <= (long) (t.order.requestClass.windowMs() * 1e6) + slackNs;
-        return isWithinWindow && (t.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
+                next.receivedAt - first.receivedAt <= (long) (request.order.requestClass.windowMs() * 1e6) + slackNs;
+        return isWithinWindow && (request.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
     /** Repeated effects: a violation for a request without retries; by a client's own retries they are counted. */
-    private void checkEffects(Order o) {
-        if (o.effects <= 1 || o.requestClass.effect() == Effect.IDEMPOTENT) {
+    private void checkEffects(Order order) {
+        if (order.effects <= 1 || order.requestClass.effect() == Effect.IDEMPOTENT) {
             return;
         }
-        if (o.requestClass.effect() == Effect.AT_MOST_ONCE) {
-            ClientRequest last = o.requests.get(o.requests.size() - 1);
-            broken(Rule.NOTHING_TWICE, last.endedAt, last, "it took effect " + o.effects + " times");
+        if (order.requestClass.effect() == Effect.AT_MOST_ONCE) {
+            ClientRequest last = order.requests.get(order.requests.size() - 1);
+            addViolation(Rule.NOTHING_TWICE, last.endedAt, last, "it took effect " + order.effects + " times");
         } else {
             duplicateEffects++;
         }
     }
 
-    private void checkDrains(ClientRequest t) {
+    private void checkDrains(ClientRequest request) {
         long graceNs = (long) (script.rules().drainGraceMs() * 1e6);
-        for (Attempt a : t.attempts) {
-            long notifiedAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
-            if (notifiedAt != 0 && a.sentAt > notifiedAt + graceNs + slackNs) {
-                broken(
+        for (Attempt attempt : request.attempts) {
+            long notifiedAt = eventLog.notifiedLeavingAt(request.proxy, attempt.node, attempt.sentAt);
+            if (notifiedAt != 0 && attempt.sentAt > notifiedAt + graceNs + slackNs) {
+                addViolation(
                         Rule.DRAINS_KEPT,
-                        a.sentAt,
-                        t,
+                        attempt.sentAt,
+                        request,
                         String.format(
                                 Locale.ROOT,
                                 "an attempt was sent to %s %.3f s after %s was told that it leaves",
-                                a.node,
-                                (a.sentAt - notifiedAt) / 1e9,
-                                t.proxy));
+                                attempt.node,
+                                (attempt.sentAt - notifiedAt) / 1e9,
+                                request.proxy));
             }
-            long dueAt = eventLog.dueLeavingAt(t.proxy, a.node, a.sentAt);
-            if (dueAt != 0 && a.sentAt > dueAt + graceNs + slackNs) {
-                broken(
+            long dueAt = eventLog.dueLeavingAt(request.proxy, attempt.node, attempt.sentAt);
+            if (dueAt != 0 && attempt.sentAt > dueAt + graceNs + slackNs) {
+                addViolation(
                         Rule.LISTS_HEARD,
-                        a.sentAt,
-                        t,
+                        attempt.sentAt,
+                        request,
                         String.format(
                                 Locale.ROOT,
                                 "an attempt was sent to %s %.3f s after %s had to know that it leaves",
-                                a.node,
-                                (a.sentAt - dueAt) / 1e9,
-                                t.proxy));
+                                attempt.node,
+                                (attempt.sentAt - dueAt) / 1e9,
+                                request.proxy));
             }
         }
     }
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -21,28 +21,28 @@
                 request.order.at,
                 "order " + request.order.number + " (" + request.order.requestClass.name() + ", " + request.order.site
                         + ") comes up"));
-        for (ClientRequest t : request.order.requests) {
-            if (t.sentAt != 0) {
+        for (ClientRequest orderRequest : request.order.requests) {
+            if (orderRequest.sentAt != 0) {
                 lines.add(new Line(
-                        t.sentAt,
-                        t.id + " is sent to " + t.proxy + ", its client waits until "
-                                + seconds(t.deadline - eventLog.start())));
+                        orderRequest.sentAt,
+                        orderRequest.id + " is sent to " + orderRequest.proxy + ", its client waits until "
+                                + seconds(orderRequest.deadline - eventLog.start())));
             }
-            for (Attempt a : t.attempts) {
-                addAttempt(lines, t, a);
-                long notifiedAt = eventLog.notifiedLeavingAt(t.proxy, a.node, a.sentAt);
+            for (Attempt attempt : orderRequest.attempts) {
+                addAttempt(lines, orderRequest, attempt);
+                long notifiedAt = eventLog.notifiedLeavingAt(orderRequest.proxy, attempt.node, attempt.sentAt);
                 if (notifiedAt != 0) {
-                    lines.add(new Line(notifiedAt, t.proxy + " is told that " + a.node + " leaves"));
+                    lines.add(new Line(notifiedAt, orderRequest.proxy + " is told that " + attempt.node + " leaves"));
                 }
             }
-            if (t.endedAt != 0) {
+            if (orderRequest.endedAt != 0) {
                 lines.add(new Line(
-                        t.endedAt,
-                        t.id + " is " + Judge.endingName(t)
-                                + (t.status == 0
+                        orderRequest.endedAt,
+                        orderRequest.id + " is " + Judge.endingName(orderRequest)
+                                + (orderRequest.status == 0
                                         ? ""
-                                        : " (" + t.status + ", sent "
-                                                + seconds(t.respondedAt - eventLog.start())
+                                        : " (" + orderRequest.status + ", sent "
+                                                + seconds(orderRequest.respondedAt - eventLog.start())
                                                 + ")")));
             }
         }
@@ -61,18 +61,19 @@
         return String.format(Locale.ROOT, "%.6f s", ns / 1e9);
     }
 
-    private static void addAttempt(List<Line> lines, ClientRequest t, Attempt a) {
-        lines.add(new Line(a.sentAt, "an attempt of " + t.id + " goes out to " + a.node));
-        if (a.receivedAt != 0) {
-            lines.add(new Line(a.receivedAt, a.node + " has it whole"));
+    private static void addAttempt(List<Line> lines, ClientRequest request, Attempt attempt) {
+        lines.add(new Line(attempt.sentAt, "an attempt of " + request.id + " goes out to " + attempt.node));
+        if (attempt.receivedAt != 0) {
+            lines.add(new Line(attempt.receivedAt, attempt.node + " has it whole"));
         }
-        if (a.startedAt != 0) {
-            lines.add(new Line(a.startedAt, a.node + " begins to work on it"));
+        if (attempt.startedAt != 0) {
+            lines.add(new Line(attempt.startedAt, attempt.node + " begins to work on it"));
         }
-        if (a.endedAt != 0) {
+        if (attempt.endedAt != 0) {
             lines.add(new Line(
-                    a.endedAt,
-                    a.node + ": " + a.state.name().toLowerCase(Locale.ROOT).replace('_', ' ')));
+                    attempt.endedAt,
+                    attempt.node + ": "
+                            + attempt.state.name().toLowerCase(Locale.ROOT).replace('_', ' ')));
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -36,7 +36,7 @@
     private final SplittableRandom random;
     private final Set<Long> renumberedLives = new HashSet<>();
     private int falseRumorsPerDatagram;
-    private int invented;
+    private int inventedCount;
 
     /** keys: supplies the member's current keys. */
     public FalseRumorInjector(Supplier<Envelope> keys, long seed) {
@@ -76,7 +76,7 @@
                 left -= RUMORS_PER_DATAGRAM) {
             List<Rumor> rumors = new ArrayList<>();
             for (int i = 0; i < Math.min(left, RUMORS_PER_DATAGRAM); i++) {
-                rumors.add(invented());
+                rumors.add(inventRumor());
             }
             out.add(seal(TamperedMessages.withNumber(new Message.News(m.header(), rumors), number + out.size())));
         }
@@ -87,8 +87,8 @@
         return keys.get().seal(Codec.encode(m));
     }
 
-    private Rumor invented() {
-        Identity id = new Identity("ghost" + ++invented, random.nextLong());
+    private Rumor inventRumor() {
+        Identity id = new Identity("ghost" + ++inventedCount, random.nextLong());
         // No member has this address, but on a live day it must be one of the local machine.
         Statement s = new Statement(
                 id,
--- a/src/main/java/gullspar/rehearse/net/HalfConnection.java
+++ b/src/main/java/gullspar/rehearse/net/HalfConnection.java
@@ -22,8 +22,8 @@
     private MemoryChannel sender;
     private MemoryChannel receiver;
     private long lastArrivalNs;
-    private int bytes;
-    private boolean held;
+    private int bytesInFlight;
+    private boolean retryScheduled;
 
     HalfConnection(Network network, MemoryChannel sender, Host from, Host to) {
         this.network = network;
@@ -39,11 +39,11 @@
 
     /** Number of bytes that the sender may still send before the window is full. */
     int remainingWindowBytes() {
-        return Network.WINDOW_BYTES - bytes;
+        return Network.WINDOW_BYTES - bytesInFlight;
     }
 
-    void bytes(ByteBuf b) {
-        bytes += b.readableBytes();
+    void sendBytes(ByteBuf b) {
+        bytesInFlight += b.readableBytes();
         enqueue(Kind.BYTES, b);
     }
 
@@ -69,10 +69,10 @@
             return; // already delivered with an earlier segment
         }
         if (!network.canReach(from, to)) {
-            if (!held) {
-                held = true;
+            if (!retryScheduled) {
+                retryScheduled = true;
                 network.holdUntilRestored(() -> {
-                    held = false;
+                    retryScheduled = false;
                     deliverDue();
                 });
             }
@@ -89,7 +89,7 @@
         for (Segment s = segments.peek(); s != null && s.arrivesAtNs <= network.eventQueue.now(); s = segments.peek()) {
             segments.remove();
             if (s.kind == Kind.BYTES) {
-                bytes -= s.bytes.readableBytes();
+                bytesInFlight -= s.bytes.readableBytes();
                 delivered |= r.receive(s.bytes, s.sentAtNs);
             } else {
                 if (delivered) {
--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -228,7 +228,7 @@
                 return;
             }
             if (n > 0) {
-                outbound.bytes(b.copy(b.readerIndex(), n));
+                outbound.sendBytes(b.copy(b.readerIndex(), n));
             }
             in.removeBytes(n);
             if (n == 0) {
--- a/src/main/java/gullspar/rehearse/play/FaultScheduler.java
+++ b/src/main/java/gullspar/rehearse/play/FaultScheduler.java
@@ -71,14 +71,14 @@
     void start() {
         List<Fault> faults = script.faults();
         for (int i = 0; i < faults.size(); i++) {
-            Fault f = faults.get(i);
+            Fault fault = faults.get(i);
             // Each fault draws its targets from its own generator: removing a fault from the script must not
             // change the targets of the others.
             SplittableRandom random = new SplittableRandom(script.seed() * 31
                     + 6
-                    + Double.hashCode(f.startS())
-                    + f.kind().ordinal() * 1_000_003L);
-            schedule(f.startS(), () -> apply(f, random));
+                    + Double.hashCode(fault.startS())
+                    + fault.kind().ordinal() * 1_000_003L);
+            schedule(fault.startS(), () -> apply(fault, random));
         }
     }
 
@@ -86,95 +86,100 @@
         platform.loop().schedule(action, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    private void apply(Fault f, SplittableRandom random) {
-        eventLog.addEvent(environment.now(), f.toString());
-        switch (f.kind().target()) {
-            case NODES -> targets(f, fleet.running(), random).forEach(n -> applyToNode(f, n));
+    private void apply(Fault fault, SplittableRandom random) {
+        eventLog.addEvent(environment.now(), fault.toString());
+        switch (fault.kind().target()) {
+            case NODES -> targets(fault, fleet.running(), random).forEach(n -> applyToNode(fault, n));
             case PROXIES -> {
-                List<String> targets = targets(f, proxies, random);
-                if (f.kind() == FaultKind.PARTITION) {
-                    partition(f, targets);
+                List<String> targets = targets(fault, proxies, random);
+                if (fault.kind() == FaultKind.PARTITION) {
+                    partition(fault, targets);
                 } else {
-                    reassignAddresses(f, targets);
-                    targets.forEach(p -> applyToProxy(f, p));
+                    reassignAddresses(fault, targets);
+                    targets.forEach(p -> applyToProxy(fault, p));
                 }
             }
             case CLASS -> {
-                if (f.kind() == FaultKind.LEAVING) {
-                    loadGenerator.abandon(f.names().get(0), f.parameter("share"), f.parameter("within_ms"));
+                if (fault.kind() == FaultKind.LEAVING) {
+                    loadGenerator.setAbandonment(
+                            fault.names().get(0), fault.parameter("share"), fault.parameter("within_ms"));
                     schedule(
-                            f.durationS(), () -> loadGenerator.abandon(f.names().get(0), 0, 0));
+                            fault.durationS(),
+                            () -> loadGenerator.setAbandonment(fault.names().get(0), 0, 0));
                     break;
                 }
-                loadGenerator.inflateWork(f.names().get(0), f.parameter("share"), f.parameter("times"));
+                loadGenerator.setWorkInflation(
+                        fault.names().get(0), fault.parameter("share"), fault.parameter("times"));
                 schedule(
-                        f.durationS(), () -> loadGenerator.inflateWork(f.names().get(0), 0, 1));
+                        fault.durationS(),
+                        () -> loadGenerator.setWorkInflation(fault.names().get(0), 0, 1));
             }
-            case LINK -> applyToLink(f);
-            case DATAGRAMS -> applyToDatagrams(f);
-            default -> applyToFleet(f);
+            case LINK -> applyToLink(fault);
+            case DATAGRAMS -> applyToDatagrams(fault);
+            default -> applyToFleet(fault);
         }
-        if (f.durationS() > 0) {
+        if (fault.durationS() > 0) {
             schedule(
-                    f.durationS(),
-                    () -> eventLog.addEvent(environment.now(), f.kind().scriptName() + " ends"));
+                    fault.durationS(),
+                    () -> eventLog.addEvent(environment.now(), fault.kind().scriptName() + " ends"));
         }
     }
 
     /** Returns the targets that the fault names, or else draws the given number from the candidates. */
-    private static List<String> targets(Fault f, List<String> candidates, SplittableRandom random) {
-        if (!f.names().isEmpty()) {
-            return f.names();
+    private static List<String> targets(Fault fault, List<String> candidates, SplittableRandom random) {
+        if (!fault.names().isEmpty()) {
+            return fault.names();
         }
         List<String> remaining = new ArrayList<>(candidates);
         List<String> drawn = new ArrayList<>();
-        while (drawn.size() < f.count() && !remaining.isEmpty()) {
+        while (drawn.size() < fault.count() && !remaining.isEmpty()) {
             drawn.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return drawn;
     }
 
-    private void applyToNode(Fault f, String node) {
-        switch (f.kind()) {
-            case NEIGHBOUR -> runNeighbour(f, node, environment.now() + (long) (f.durationS() * 1e9));
-            case CRASH -> fleet.crash(node, f.parameter("down_s"));
-            case RESTART -> fleet.restart(node, f.parameter("grace_s"), f.parameter("down_s"));
-            case REPLACE -> fleet.replace(node, f.parameter("grace_s"), f.parameter("down_s"));
-            case DRAIN -> fleet.drain(node, f.parameter("grace_s"));
-            case HANG -> applyFor(f, on -> fleet.hang(node, on));
-            case SPOIL -> applyFor(f, on -> fleet.spoilResponses(node, on ? f.parameter("share") : 0));
-            case SLOW_ANSWERS -> applyFor(f, on -> fleet.trickleResponses(node, on ? f.parameter("bytes_per_s") : 0));
-            case VANISH -> applyFor(f, on -> faultInjector.setUnreachable(node, on));
-            default -> throw new IllegalStateException(f.kind().scriptName());
+    private void applyToNode(Fault fault, String node) {
+        switch (fault.kind()) {
+            case NEIGHBOUR -> runNeighbour(fault, node, environment.now() + (long) (fault.durationS() * 1e9));
+            case CRASH -> fleet.crash(node, fault.parameter("down_s"));
+            case RESTART -> fleet.restart(node, fault.parameter("grace_s"), fault.parameter("down_s"));
+            case REPLACE -> fleet.replace(node, fault.parameter("grace_s"), fault.parameter("down_s"));
+            case DRAIN -> fleet.drain(node, fault.parameter("grace_s"));
+            case HANG -> applyFor(fault, on -> fleet.setHung(node, on));
+            case SPOIL -> applyFor(fault, on -> fleet.setSpoiltShare(node, on ? fault.parameter("share") : 0));
+            case SLOW_ANSWERS -> applyFor(
+                    fault, on -> fleet.setTrickleRate(node, on ? fault.parameter("bytes_per_s") : 0));
+            case VANISH -> applyFor(fault, on -> faultInjector.setUnreachable(node, on));
+            default -> throw new IllegalStateException(fault.kind().scriptName());
         }
     }
 
     /** Runs the action with true now, and with false at the end of the fault. */
-    private void applyFor(Fault f, Consumer<Boolean> action) {
+    private void applyFor(Fault fault, Consumer<Boolean> action) {
         action.accept(true);
-        schedule(f.durationS(), () -> action.accept(false));
+        schedule(fault.durationS(), () -> action.accept(false));
     }
 
     /** Takes processor time on a node, on and off, until the given time. */
-    private void runNeighbour(Fault f, String node, long until) {
+    private void runNeighbour(Fault fault, String node, long until) {
         if (environment.now() >= until) {
             return;
         }
-        fleet.stealCpu(node, f.parameter("takes"));
-        double onS = Math.min(f.parameter("on_s"), (until - environment.now()) / 1e9);
+        fleet.stealCpu(node, fault.parameter("takes"));
+        double onS = Math.min(fault.parameter("on_s"), (until - environment.now()) / 1e9);
         schedule(onS, () -> {
             fleet.stealCpu(node, 0);
-            schedule(Math.max(0.001, f.parameter("off_s")), () -> runNeighbour(f, node, until));
+            schedule(Math.max(0.001, fault.parameter("off_s")), () -> runNeighbour(fault, node, until));
         });
     }
 
-    private void partition(Fault f, List<String> group) {
+    private void partition(Fault fault, List<String> group) {
         List<String> others = new ArrayList<>(proxies);
         others.removeAll(group);
-        eventLog.partitioned(environment.now(), environment.now() + (long) (f.durationS() * 1e9), group);
-        markUnsettled(f, proxies);
+        eventLog.addPartition(environment.now(), environment.now() + (long) (fault.durationS() * 1e9), group);
+        markUnsettled(fault, proxies);
         applyFor(
-                f,
+                fault,
                 on -> group.forEach(a -> others.forEach(b -> {
                     faultInjector.cut(a, b, on);
                     faultInjector.cut(b, a, on);
@@ -182,39 +187,39 @@
     }
 
     /** Records that these proxies' views, and others' views of them, may be wrong until some time after the fault. */
-    private void markUnsettled(Fault f, List<String> affected) {
+    private void markUnsettled(Fault fault, List<String> affected) {
         long now = environment.now();
-        affected.forEach(p -> eventLog.unsettled(p, now, now + (long) (f.durationS() * 1e9)));
+        affected.forEach(p -> eventLog.addUnsettledInterval(p, now, now + (long) (fault.durationS() * 1e9)));
     }
 
     /** Changes the addresses of all targets of a move or take-over together, before they are killed. */
-    private void reassignAddresses(Fault f, List<String> targets) {
-        if (f.kind() == FaultKind.MOVE) {
+    private void reassignAddresses(Fault fault, List<String> targets) {
+        if (fault.kind() == FaultKind.MOVE) {
             targets.forEach(p -> faultInjector.reassignAddresses(List.of(p)));
-        } else if (f.kind() == FaultKind.TAKE_OVER) {
+        } else if (fault.kind() == FaultKind.TAKE_OVER) {
             faultInjector.reassignAddresses(targets);
         }
     }
 
     /** Until the given time, lets a proxy run for its share of each period and pauses it for the rest. */
-    private void starve(Fault f, String proxy, long until) {
+    private void starve(Fault fault, String proxy, long until) {
         if (environment.now() >= until) {
             return;
         }
-        double periodS = f.parameter("period_ms") / 1e3;
-        double pausedS = Math.min(periodS * (1 - f.parameter("share")), (until - environment.now()) / 1e9);
+        double periodS = fault.parameter("period_ms") / 1e3;
+        double pausedS = Math.min(periodS * (1 - fault.parameter("share")), (until - environment.now()) / 1e9);
         faultInjector.setPaused(proxy, true);
         schedule(pausedS, () -> {
             faultInjector.setPaused(proxy, false);
-            schedule(periodS - pausedS, () -> starve(f, proxy, until));
+            schedule(periodS - pausedS, () -> starve(fault, proxy, until));
         });
     }
 
     /** Sends per_s datagrams a second, evenly spaced, until the given time. */
-    private void sendForgedDatagrams(Fault f, String proxy, long until) {
+    private void sendForgedDatagrams(Fault fault, String proxy, long until) {
         if (environment.now() < until) {
             faultInjector.sendForgedDatagram(proxy);
-            schedule(1 / f.parameter("per_s"), () -> sendForgedDatagrams(f, proxy, until));
+            schedule(1 / fault.parameter("per_s"), () -> sendForgedDatagrams(fault, proxy, until));
         }
     }
 
@@ -222,14 +227,14 @@
      * Runs a second process under the proxy's name. Both count as unsettled only at the moments when the twin starts
      * and ends, not while both run: two processes under one name do not make the view of that name wrong.
      */
-    private void runTwin(Fault f, String proxy) {
+    private void runTwin(Fault fault, String proxy) {
         if (!twins.add(proxy)) {
             return; // it already has a twin
         }
-        schedule(f.durationS(), () -> twins.remove(proxy));
-        applyFor(f, on -> {
-            eventLog.unsettled(proxy, environment.now(), environment.now());
-            eventLog.unsettled(proxy + EventLog.TWIN, environment.now(), environment.now());
+        schedule(fault.durationS(), () -> twins.remove(proxy));
+        applyFor(fault, on -> {
+            eventLog.addUnsettledInterval(proxy, environment.now(), environment.now());
+            eventLog.addUnsettledInterval(proxy + EventLog.TWIN, environment.now(), environment.now());
             faultInjector.setTwinRunning(proxy, on);
         });
     }
@@ -238,60 +243,60 @@
      * Replaces the fleet's key in three rounds over all proxies, one proxy after the other: the new key is accepted,
      * then used, then the old one is removed. Communication must not be disturbed at any step.
      */
-    private void replaceKey(Fault f) {
+    private void replaceKey(Fault fault) {
         if (environment.now() < keyChangeUntil) {
             return; // a key change is in progress, and operators do not start another meanwhile
         }
-        keyChangeUntil = environment.now() + (long) (f.durationS() * 1e9);
+        keyChangeUntil = environment.now() + (long) (fault.durationS() * 1e9);
         int oldKey = keyNumber++;
         List<List<Integer>> steps =
                 List.of(List.of(oldKey, oldKey + 1), List.of(oldKey + 1, oldKey), List.of(oldKey + 1));
         for (int i = 0; i < steps.size() * proxies.size(); i++) {
             List<Integer> keys = steps.get(i / proxies.size());
             String p = proxies.get(i % proxies.size());
-            schedule(f.durationS() * i / (steps.size() * proxies.size()), () -> faultInjector.setKeys(p, keys));
+            schedule(fault.durationS() * i / (steps.size() * proxies.size()), () -> faultInjector.setKeys(p, keys));
         }
     }
 
-    private void applyToProxy(Fault f, String proxy) {
+    private void applyToProxy(Fault fault, String proxy) {
         long now = environment.now();
-        long until = now + (long) (f.durationS() * 1e9);
-        if (!VIEW_NEUTRAL_FAULTS.contains(f.kind())) {
-            markUnsettled(f, List.of(proxy));
+        long until = now + (long) (fault.durationS() * 1e9);
+        if (!VIEW_NEUTRAL_FAULTS.contains(fault.kind())) {
+            markUnsettled(fault, List.of(proxy));
         }
-        switch (f.kind()) {
+        switch (fault.kind()) {
             case RUSH -> {
-                front.surge(proxy, f.parameter("share"));
-                schedule(f.durationS(), () -> front.surge(null, 0));
+                front.setSurge(proxy, fault.parameter("share"));
+                schedule(fault.durationS(), () -> front.setSurge(null, 0));
             }
-            case LATE_LIST -> applyFor(f, on -> fleet.delayDiscovery(proxy, on ? f.parameter("by_s") : 0));
-            case SILENT_LIST -> applyFor(f, on -> fleet.silenceDiscovery(proxy, on));
+            case LATE_LIST -> applyFor(fault, on -> fleet.setDiscoveryDelay(proxy, on ? fault.parameter("by_s") : 0));
+            case SILENT_LIST -> applyFor(fault, on -> fleet.setDiscoverySilenced(proxy, on));
             case RUDE_CLIENTS -> applyFor(
-                    f, on -> misbehavingClients.malformedRequests(proxy, on ? f.parameter("per_s") : 0));
+                    fault, on -> misbehavingClients.setMalformedRequestRate(proxy, on ? fault.parameter("per_s") : 0));
             case SILENT_CLIENTS -> applyFor(
-                    f, on -> misbehavingClients.silentConnections(proxy, on ? f.parameter("per_s") : 0));
+                    fault, on -> misbehavingClients.setSilentConnectionRate(proxy, on ? fault.parameter("per_s") : 0));
             case KILL, MOVE, TAKE_OVER -> {
                 eventLog.addDisruption(proxy, now, now);
-                faultInjector.kill(proxy, f.parameter("down_s"));
+                faultInjector.kill(proxy, fault.parameter("down_s"));
             }
-            case STOP -> faultInjector.stop(proxy, f.parameter("down_s"));
+            case STOP -> faultInjector.stop(proxy, fault.parameter("down_s"));
             case RELOAD -> {
                 fleet.moveDiscovery(proxy);
                 faultInjector.reload(proxy);
             }
             case PAUSE -> {
                 eventLog.addDisruption(proxy, now, until);
-                applyFor(f, on -> faultInjector.setPaused(proxy, on));
+                applyFor(fault, on -> faultInjector.setPaused(proxy, on));
             }
             case STARVED -> {
                 eventLog.addDisruption(proxy, now, until);
-                starve(f, proxy, until);
+                starve(fault, proxy, until);
             }
-            case TWIN -> runTwin(f, proxy);
-            case FORGED_DATAGRAMS -> sendForgedDatagrams(f, proxy, until);
+            case TWIN -> runTwin(fault, proxy);
+            case FORGED_DATAGRAMS -> sendForgedDatagrams(fault, proxy, until);
             case MAD_MEMBER -> applyFor(
-                    f, on -> faultInjector.setFalseRumors(proxy, on ? (int) f.parameter("for_each") : 0));
-            default -> throw new IllegalStateException(f.kind().scriptName());
+                    fault, on -> faultInjector.setFalseRumors(proxy, on ? (int) fault.parameter("for_each") : 0));
+            default -> throw new IllegalStateException(fault.kind().scriptName());
         }
     }
 
@@ -305,54 +310,55 @@
         };
     }
 
-    private void applyToLink(Fault f) {
-        String from = f.names().get(0);
-        String to = f.names().get(1);
+    private void applyToLink(Fault fault) {
+        String from = fault.names().get(0);
+        String to = fault.names().get(1);
         long now = environment.now();
         if (proxies.containsAll(machines(from)) && proxies.containsAll(machines(to))) {
-            markUnsettled(f, machines(from));
-            markUnsettled(f, machines(to));
-            if (f.kind() == FaultKind.CUT_LINK && from.equals("proxies")) {
-                machines(to).forEach(p -> eventLog.isolated(p, now, now + (long) (f.durationS() * 1e9)));
+            markUnsettled(fault, machines(from));
+            markUnsettled(fault, machines(to));
+            if (fault.kind() == FaultKind.CUT_LINK && from.equals("proxies")) {
+                machines(to).forEach(p -> eventLog.addIsolation(p, now, now + (long) (fault.durationS() * 1e9)));
             }
         }
-        recordClientDisruption(from, to, now, now + (long) (f.durationS() * 1e9) + LINK_RECOVERY_NS);
-        recordClientDisruption(to, from, now, now + (long) (f.durationS() * 1e9) + LINK_RECOVERY_NS);
-        switch (f.kind()) {
+        recordClientDisruption(from, to, now, now + (long) (fault.durationS() * 1e9) + LINK_RECOVERY_NS);
+        recordClientDisruption(to, from, now, now + (long) (fault.durationS() * 1e9) + LINK_RECOVERY_NS);
+        switch (fault.kind()) {
             case SLOW_LINK -> applyFor(
-                    f,
+                    fault,
                     on -> forEachLink(
                             from,
                             to,
-                            (a, b) ->
-                                    faultInjector.setExtraDelay(a, b, on ? (long) (f.parameter("adds_ms") * 1e6) : 0)));
+                            (a, b) -> faultInjector.setExtraDelay(
+                                    a, b, on ? (long) (fault.parameter("adds_ms") * 1e6) : 0)));
             case LOSSY_LINK -> applyFor(
-                    f,
-                    on -> forEachLink(from, to, (a, b) -> faultInjector.setLoss(a, b, on ? f.parameter("share") : 0)));
-            case CUT_LINK -> applyFor(f, on -> forEachLink(from, to, (a, b) -> faultInjector.cut(a, b, on)));
+                    fault,
+                    on -> forEachLink(
+                            from, to, (a, b) -> faultInjector.setLoss(a, b, on ? fault.parameter("share") : 0)));
+            case CUT_LINK -> applyFor(fault, on -> forEachLink(from, to, (a, b) -> faultInjector.cut(a, b, on)));
             case RESET_LINK -> forEachLink(from, to, faultInjector::resetConnections);
-            default -> throw new IllegalStateException(f.kind().scriptName());
+            default -> throw new IllegalStateException(fault.kind().scriptName());
         }
     }
 
-    private void applyToDatagrams(Fault f) {
-        String from = f.names().get(0);
-        String to = f.names().get(1);
-        markUnsettled(f, machines(from));
-        markUnsettled(f, machines(to));
+    private void applyToDatagrams(Fault fault) {
+        String from = fault.names().get(0);
+        String to = fault.names().get(1);
+        markUnsettled(fault, machines(from));
+        markUnsettled(fault, machines(to));
         DatagramLink.Impairment impairment =
-                switch (f.kind()) {
+                switch (fault.kind()) {
                     case JITTERY_LINK -> DatagramLink.Impairment.JITTER;
                     case DOUBLED_LINK -> DatagramLink.Impairment.TWICE;
                     case TORN_LINK -> DatagramLink.Impairment.TORN;
                     case FLIPPED_LINK -> DatagramLink.Impairment.FLIPPED;
                     default -> DatagramLink.Impairment.STALLED;
                 };
-        double value = f.kind() == FaultKind.JITTERY_LINK
-                ? f.parameter("adds_ms") * 1e6
-                : f.kind() == FaultKind.STALLED_LINK ? 1 : f.parameter("share");
+        double value = fault.kind() == FaultKind.JITTERY_LINK
+                ? fault.parameter("adds_ms") * 1e6
+                : fault.kind() == FaultKind.STALLED_LINK ? 1 : fault.parameter("share");
         applyFor(
-                f,
+                fault,
                 on -> forEachLink(from, to, (a, b) -> {
                     if (!a.equals(b)) {
                         faultInjector.setImpairment(a, b, impairment, on ? value : 0);
@@ -377,27 +383,27 @@
 
     // ---- the fleet as a whole ----
 
-    private void applyToFleet(Fault f) {
-        switch (f.kind()) {
-            case DISCOVERY_DOWN -> applyFor(f, fleet::discoveryDown);
-            case OLD_LIST -> applyFor(f, fleet::freezeDiscovery);
-            case NEW_KEY -> replaceKey(f);
+    private void applyToFleet(Fault fault) {
+        switch (fault.kind()) {
+            case DISCOVERY_DOWN -> applyFor(fault, fleet::setDiscoveryDown);
+            case OLD_LIST -> applyFor(fault, fleet::setDiscoveryFrozen);
+            case NEW_KEY -> replaceKey(fault);
             case SHRINK -> {
                 List<String> running = fleet.running();
-                int drainCount = (int) Math.round(running.size() * (1 - f.parameter("to")));
+                int drainCount = (int) Math.round(running.size() * (1 - fault.parameter("to")));
                 SplittableRandom random = new SplittableRandom(script.seed() * 31 + 7);
                 List<String> remaining = new ArrayList<>(running);
                 for (int i = 0; i < drainCount; i++) {
                     String n = remaining.remove(random.nextInt(remaining.size()));
-                    schedule(f.durationS() * i / Math.max(1, drainCount), () -> fleet.drain(n, 1));
+                    schedule(fault.durationS() * i / Math.max(1, drainCount), () -> fleet.drain(n, 1));
                 }
                 int steps = 10;
                 for (int i = 1; i <= steps; i++) {
-                    double factor = 1 + (f.parameter("traffic") - 1) * i / steps;
-                    schedule(f.durationS() * i / steps, () -> loadGenerator.trafficFactor(factor));
+                    double factor = 1 + (fault.parameter("traffic") - 1) * i / steps;
+                    schedule(fault.durationS() * i / steps, () -> loadGenerator.setTrafficFactor(factor));
                 }
             }
-            default -> throw new IllegalStateException(f.kind().scriptName());
+            default -> throw new IllegalStateException(fault.kind().scriptName());
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/play/ProxySettings.java
+++ b/src/main/java/gullspar/rehearse/play/ProxySettings.java
@@ -15,7 +15,7 @@
 
     /** Returns the complete configuration; known is the list of nodes in discovery's format. */
     public static JsonNode of(
-            Script s,
+            Script script,
             int index,
             String name,
             InetSocketAddress listen,
@@ -28,53 +28,53 @@
                 .put("discovery", hostPort(discovery))
                 .put("seed", Long.toHexString(seed));
         root.putObject("limits")
-                .put("cores", s.proxies().cores())
-                .put("memory_mb", s.proxies().memoryMb())
-                .put("sockets", s.proxies().sockets());
+                .put("cores", script.proxies().cores())
+                .put("memory_mb", script.proxies().memoryMb())
+                .put("sockets", script.proxies().sockets());
         root.set("known", known);
-        addSettings(root.putObject("settings"), s, index);
+        addSettings(root.putObject("settings"), script, index);
         return root;
     }
 
-    private static void addSettings(ObjectNode settings, Script s, int index) {
+    private static void addSettings(ObjectNode settings, Script script, int index) {
         settings.put("me", index)
-                .put("balancers", s.proxies().count())
-                .put("zone", index % s.sites().size())
+                .put("balancers", script.proxies().count())
+                .put("zone", index % script.sites().size())
                 .put("step_ns", 5_000_000)
                 .put("discovery", "pushed")
                 .putArray("tenants");
         ArrayNode zones = settings.putArray("zones");
-        s.sites().forEach(zones::add);
+        script.sites().forEach(zones::add);
         ArrayNode skus = settings.putArray("skus");
-        s.nodes().forEach(n -> skus.add(n.kind()));
+        script.nodes().forEach(n -> skus.add(n.kind()));
         ArrayNode profiles = settings.putArray("profiles");
-        s.classes().forEach(c -> addProfile(profiles.addObject(), c));
+        script.classes().forEach(c -> addProfile(profiles.addObject(), c));
         settings.putObject("limits")
-                .put("cancelling", s.proxies().cancelling())
-                .put("max_attempts", s.proxies().attempts())
-                .put("retry_after", s.proxies().retryAfterMs() > 0)
-                .put("max_retry_after_ns", ns(s.proxies().retryAfterMs()))
-                .put("connect_timeout_ns", ns(s.proxies().connectTimeoutMs()))
+                .put("cancelling", script.proxies().cancelling())
+                .put("max_attempts", script.proxies().attempts())
+                .put("retry_after", script.proxies().retryAfterMs() > 0)
+                .put("max_retry_after_ns", msToNs(script.proxies().retryAfterMs()))
+                .put("connect_timeout_ns", msToNs(script.proxies().connectTimeoutMs()))
                 .put("keepalive_ns", 15_000_000_000L);
         settings.putObject("rules")
-                .put("start_capacity", s.rules().startCapacity())
-                .put("cold_ns", ns(s.rules().coldS() * 1000))
-                .put("tip_multiple", s.rules().tipMultiple())
-                .put("fall_ns", ns(s.rules().fallS() * 1000))
-                .put("drain_grace_ns", ns(s.rules().drainGraceMs()));
+                .put("start_capacity", script.rules().startCapacity())
+                .put("cold_ns", msToNs(script.rules().coldS() * 1000))
+                .put("tip_multiple", script.rules().tipMultiple())
+                .put("fall_ns", msToNs(script.rules().fallS() * 1000))
+                .put("drain_grace_ns", msToNs(script.rules().drainGraceMs()));
     }
 
-    private static void addProfile(ObjectNode p, RequestClass c) {
-        p.put("name", c.name())
-                .put("effect", c.effect().name().toLowerCase(Locale.ROOT))
-                .put("dedup_scope", c.scope().name().toLowerCase(Locale.ROOT))
-                .put("window_ns", ns(c.windowMs()))
-                .put("promise_ns", ns(c.promiseMs()))
-                .put("give_up_ns", ns(c.giveUpMs()))
-                .put("worth", c.worth());
+    private static void addProfile(ObjectNode profile, RequestClass requestClass) {
+        profile.put("name", requestClass.name())
+                .put("effect", requestClass.effect().name().toLowerCase(Locale.ROOT))
+                .put("dedup_scope", requestClass.scope().name().toLowerCase(Locale.ROOT))
+                .put("window_ns", msToNs(requestClass.windowMs()))
+                .put("promise_ns", msToNs(requestClass.latencyTargetMs()))
+                .put("give_up_ns", msToNs(requestClass.giveUpMs()))
+                .put("worth", requestClass.worth());
     }
 
-    private static long ns(double ms) {
+    private static long msToNs(double ms) {
         return (long) (ms * 1e6);
     }
 
--- a/src/main/java/gullspar/rehearse/play/Testbed.java
+++ b/src/main/java/gullspar/rehearse/play/Testbed.java
@@ -23,7 +23,7 @@
     private final NodeFleet fleet;
     private final FrontBalancer front;
     private final LoadGenerator loadGenerator;
-    private final FaultScheduler timeline;
+    private final FaultScheduler faultScheduler;
 
     public Testbed(RunEnvironment environment, Script script, FaultInjector faultInjector) {
         this.environment = environment;
@@ -38,7 +38,7 @@
         this.loadGenerator = new LoadGenerator(environment, script, eventLog, front);
         MisbehavingClients misbehavingClients = new MisbehavingClients(
                 environment, eventLog, script.classes().get(0).name(), script.seed());
-        this.timeline = new FaultScheduler(
+        this.faultScheduler = new FaultScheduler(
                 environment, script, eventLog, fleet, front, loadGenerator, misbehavingClients, faultInjector, proxies);
     }
 
@@ -56,7 +56,7 @@
         front.onAllReady(() -> {
             eventLog.markStart(environment.now());
             loadGenerator.start(script.seconds());
-            timeline.start();
+            faultScheduler.start();
             onStart.run();
         });
     }
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -69,7 +69,7 @@
     }
 
     private FleetSettings fleetSettings(String process) {
-        Script.Peers p = script.peers();
+        Script.Peers peers = script.peers();
         String name = EventLog.baseName(process);
         return new FleetSettings(
                 name,
@@ -78,8 +78,8 @@
                 seeds(),
                 null,
                 testbed.front().site(name),
-                (long) (p.intervalMs() * 1e6),
-                (long) (p.windowS() * 1e9),
+                (long) (peers.intervalMs() * 1e6),
+                (long) (peers.windowS() * 1e9),
                 0);
     }
 
--- a/src/main/java/gullspar/rehearse/script/Fault.java
+++ b/src/main/java/gullspar/rehearse/script/Fault.java
@@ -22,14 +22,14 @@
     /** A one-line description for reports. */
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder(kind.scriptName());
+        StringBuilder text = new StringBuilder(kind.scriptName());
         String drawn = count + (kind.target() == FaultKind.Target.NODES ? " node" : " proxy");
         boolean isLink = kind.target() == FaultKind.Target.LINK || kind.target() == FaultKind.Target.DATAGRAMS;
         String targets = names.isEmpty()
                 ? count == 1 ? drawn : drawn.replace("proxy", "proxie") + "s"
                 : String.join(isLink ? " to " : ", ", names);
-        s.append(kind.target() == FaultKind.Target.FLEET ? "" : " " + targets);
-        parameters.forEach((k, v) -> s.append(' ').append(k).append('=').append(TableReader.formatNumber(v)));
-        return s.toString();
+        text.append(kind.target() == FaultKind.Target.FLEET ? "" : " " + targets);
+        parameters.forEach((k, v) -> text.append(' ').append(k).append('=').append(TableReader.formatNumber(v)));
+        return text.toString();
     }
 }
--- a/src/main/java/gullspar/rehearse/script/FaultKind.java
+++ b/src/main/java/gullspar/rehearse/script/FaultKind.java
@@ -109,9 +109,9 @@
     private final Target target;
     private final List<Parameter> parameters;
 
-    FaultKind(Target target, Parameter... figures) {
+    FaultKind(Target target, Parameter... parameters) {
         this.target = target;
-        this.parameters = List.of(figures);
+        this.parameters = List.of(parameters);
     }
 
     private static Parameter parameter(String name, double defaultValue, double min, double max) {
--- a/src/main/java/gullspar/rehearse/script/Script.java
+++ b/src/main/java/gullspar/rehearse/script/Script.java
@@ -76,7 +76,7 @@
             double windowMs,
             double share,
             Range workMs,
-            double promiseMs,
+            double latencyTargetMs,
             double giveUpMs,
             double worth,
             int bodyBytes) {}
@@ -125,7 +125,7 @@
     }
 
     /** A copy with another seed. */
-    public Script with(long otherSeed) {
+    public Script withSeed(long otherSeed) {
         return new Script(
                 title,
                 seconds,
@@ -146,7 +146,7 @@
     }
 
     /** A copy with another duration. */
-    public Script with(double otherSeconds) {
+    public Script withSeconds(double otherSeconds) {
         return new Script(
                 title,
                 otherSeconds,
@@ -167,7 +167,7 @@
     }
 
     /** A copy with other faults. */
-    public Script with(List<Fault> others) {
+    public Script withFaults(List<Fault> otherFaults) {
         return new Script(
                 title,
                 seconds,
@@ -181,7 +181,7 @@
                 clients,
                 discovery,
                 rules,
-                others,
+                otherFaults,
                 expect,
                 search,
                 peers);
--- a/src/main/java/gullspar/rehearse/script/ScriptWriter.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptWriter.java
@@ -12,10 +12,10 @@
 
     private ScriptWriter() {}
 
-    public static String write(Script s) {
-        ScriptWriter w = new ScriptWriter();
-        w.appendScript(s);
-        return w.out.toString();
+    public static String write(Script script) {
+        ScriptWriter writer = new ScriptWriter();
+        writer.appendScript(script);
+        return writer.out.toString();
     }
 
     private ScriptWriter appendEntry(String key, Object value) {
@@ -47,127 +47,128 @@
         return TableReader.formatNumber(d);
     }
 
-    private void appendScript(Script s) {
-        appendEntry("title", quote(s.title()))
-                .appendEntry("seconds", formatNumber(s.seconds()))
-                .appendEntry("seed", s.seed())
-                .appendEntry("sites", quoteAll(s.sites()))
-                .appendEntry("site_delay_ms", formatRange(s.siteDelayMs()))
-                .appendEntry("local_delay_ms", formatRange(s.localDelayMs()));
-        Script.Proxies x = s.proxies();
+    private void appendScript(Script script) {
+        appendEntry("title", quote(script.title()))
+                .appendEntry("seconds", formatNumber(script.seconds()))
+                .appendEntry("seed", script.seed())
+                .appendEntry("sites", quoteAll(script.sites()))
+                .appendEntry("site_delay_ms", formatRange(script.siteDelayMs()))
+                .appendEntry("local_delay_ms", formatRange(script.localDelayMs()));
+        Script.Proxies proxies = script.proxies();
         appendTable("[proxies]");
-        appendEntry("count", x.count())
-                .appendEntry("cores", formatNumber(x.cores()))
-                .appendEntry("memory_mb", x.memoryMb())
-                .appendEntry("sockets", x.sockets())
-                .appendEntry("attempts", x.attempts())
-                .appendEntry("cancelling", x.cancelling())
-                .appendEntry("retry_after_ms", formatNumber(x.retryAfterMs()))
-                .appendEntry("connect_timeout_ms", formatNumber(x.connectTimeoutMs()))
-                .appendEntry("start_s", formatNumber(x.startS()));
-        s.nodes().forEach(this::appendNodeKind);
-        s.classes().forEach(this::appendRequestClass);
-        Script.Clients c = s.clients();
+        appendEntry("count", proxies.count())
+                .appendEntry("cores", formatNumber(proxies.cores()))
+                .appendEntry("memory_mb", proxies.memoryMb())
+                .appendEntry("sockets", proxies.sockets())
+                .appendEntry("attempts", proxies.attempts())
+                .appendEntry("cancelling", proxies.cancelling())
+                .appendEntry("retry_after_ms", formatNumber(proxies.retryAfterMs()))
+                .appendEntry("connect_timeout_ms", formatNumber(proxies.connectTimeoutMs()))
+                .appendEntry("start_s", formatNumber(proxies.startS()));
+        script.nodes().forEach(this::appendNodeKind);
+        script.classes().forEach(this::appendRequestClass);
+        Script.Clients clients = script.clients();
         appendTable("[clients]");
-        appendEntry("rate", formatNumber(c.rate()))
-                .appendEntry("patience", formatRange(c.giveUpShare()))
-                .appendEntry("retries", c.retries())
-                .appendEntry("retry_wait_ms", formatRange(c.retryWaitMs()))
-                .appendEntry("keys", c.keys())
-                .appendEntry("key_skew", formatNumber(c.keySkew()))
-                .appendEntry("notice_s", formatRange(c.noticeS()));
+        appendEntry("rate", formatNumber(clients.rate()))
+                .appendEntry("patience", formatRange(clients.giveUpShare()))
+                .appendEntry("retries", clients.retries())
+                .appendEntry("retry_wait_ms", formatRange(clients.retryWaitMs()))
+                .appendEntry("keys", clients.keys())
+                .appendEntry("key_skew", formatNumber(clients.keySkew()))
+                .appendEntry("notice_s", formatRange(clients.noticeS()));
         appendTable("[discovery]");
-        appendEntry("delay_ms", formatRange(s.discovery().delayMs()))
-                .appendEntry("weight_period_ms", formatRange(s.discovery().weightPeriodMs()))
-                .appendEntry("notice_s", formatRange(s.discovery().noticeS()))
-                .appendEntry("answer_ms", formatNumber(s.discovery().answerMs()));
-        Script.Rules r = s.rules();
+        appendEntry("delay_ms", formatRange(script.discovery().delayMs()))
+                .appendEntry("weight_period_ms", formatRange(script.discovery().weightPeriodMs()))
+                .appendEntry("notice_s", formatRange(script.discovery().noticeS()))
+                .appendEntry("answer_ms", formatNumber(script.discovery().answerMs()));
+        Script.Rules rules = script.rules();
         appendTable("[rules]");
-        appendEntry("drain_grace_ms", formatNumber(r.drainGraceMs()))
-                .appendEntry("start_capacity", formatNumber(r.startCapacity()))
-                .appendEntry("cold_s", formatNumber(r.coldS()))
-                .appendEntry("tip_multiple", formatNumber(r.tipMultiple()))
-                .appendEntry("fall_s", formatNumber(r.fallS()));
-        if (s.peers() != null) {
-            Script.Peers p = s.peers();
+        appendEntry("drain_grace_ms", formatNumber(rules.drainGraceMs()))
+                .appendEntry("start_capacity", formatNumber(rules.startCapacity()))
+                .appendEntry("cold_s", formatNumber(rules.coldS()))
+                .appendEntry("tip_multiple", formatNumber(rules.tipMultiple()))
+                .appendEntry("fall_s", formatNumber(rules.fallS()));
+        if (script.peers() != null) {
+            Script.Peers peers = script.peers();
             appendTable("[peers]");
-            appendEntry("interval_ms", formatNumber(p.intervalMs()))
-                    .appendEntry("window_s", formatNumber(p.windowS()))
-                    .appendEntry("quiet_s", formatNumber(p.quietS()))
-                    .appendEntry("gone_s", formatNumber(p.goneS()))
-                    .appendEntry("agree_s", formatNumber(p.agreeS()))
-                    .appendEntry("bytes_per_s", p.bytesPerS())
-                    .appendEntry("accusations_per_min", formatNumber(p.accusationsPerMin()));
+            appendEntry("interval_ms", formatNumber(peers.intervalMs()))
+                    .appendEntry("window_s", formatNumber(peers.windowS()))
+                    .appendEntry("quiet_s", formatNumber(peers.quietS()))
+                    .appendEntry("gone_s", formatNumber(peers.goneS()))
+                    .appendEntry("agree_s", formatNumber(peers.agreeS()))
+                    .appendEntry("bytes_per_s", peers.bytesPerS())
+                    .appendEntry("accusations_per_min", formatNumber(peers.accusationsPerMin()));
         }
-        if (!s.expect().isEmpty()) {
+        if (!script.expect().isEmpty()) {
             appendTable("[expect]");
-            s.expect().forEach((k, v) -> appendEntry(k, formatNumber(v)));
+            script.expect().forEach((k, v) -> appendEntry(k, formatNumber(v)));
         }
         appendTable("[search]");
         appendEntry(
                         "kinds",
-                        quoteAll(s.search().kinds().stream()
+                        quoteAll(script.search().kinds().stream()
                                 .map(FaultKind::scriptName)
                                 .toList()))
-                .appendEntry("most", s.search().maxFaults())
-                .appendEntry("calm_s", formatNumber(s.search().faultFreeS()))
-                .appendEntry("below", formatNumber(s.search().minService()));
-        s.faults().forEach(this::appendFault);
+                .appendEntry("most", script.search().maxFaults())
+                .appendEntry("calm_s", formatNumber(script.search().faultFreeS()))
+                .appendEntry("below", formatNumber(script.search().minService()));
+        script.faults().forEach(this::appendFault);
     }
 
-    private void appendNodeKind(Script.NodeKind n) {
+    private void appendNodeKind(Script.NodeKind kind) {
         appendTable("[[nodes]]");
-        appendEntry("kind", quote(n.kind()))
-                .appendEntry("count", n.count())
-                .appendEntry("cores", n.cores())
-                .appendEntry("speed", formatRange(n.speed()))
-                .appendEntry("slots", n.slots())
-                .appendEntry("queue", n.queue())
-                .appendEntry("cancelled", quote(TableReader.tomlName(n.cancelled())))
-                .appendEntry("connections", n.connections())
-                .appendEntry("connect_ms", formatRange(n.connectMs()))
+        appendEntry("kind", quote(kind.kind()))
+                .appendEntry("count", kind.count())
+                .appendEntry("cores", kind.cores())
+                .appendEntry("speed", formatRange(kind.speed()))
+                .appendEntry("slots", kind.slots())
+                .appendEntry("queue", kind.queue())
+                .appendEntry("cancelled", quote(TableReader.tomlName(kind.cancelled())))
+                .appendEntry("connections", kind.connections())
+                .appendEntry("connect_ms", formatRange(kind.connectMs()))
                 .appendEntry(
                         "keys",
-                        "{ memory_s = " + formatRange(n.keyMemoryS()) + ", saves = " + formatRange(n.keySaves())
-                                + ", most = " + n.maxKeys() + " }")
+                        "{ memory_s = " + formatRange(kind.keyMemoryS()) + ", saves = " + formatRange(kind.keySaves())
+                                + ", most = " + kind.maxKeys() + " }")
                 .appendEntry(
                         "report",
-                        "{ period_ms = " + formatRange(n.reportPeriodMs()) + ", delay_ms = "
-                                + formatRange(n.reportDelayMs()) + ", noise = " + formatNumber(n.reportNoise()) + " }")
-                .appendEntry("answer_bytes", n.answerBytes());
+                        "{ period_ms = " + formatRange(kind.reportPeriodMs()) + ", delay_ms = "
+                                + formatRange(kind.reportDelayMs()) + ", noise = " + formatNumber(kind.reportNoise())
+                                + " }")
+                .appendEntry("answer_bytes", kind.answerBytes());
     }
 
-    private void appendRequestClass(Script.RequestClass c) {
+    private void appendRequestClass(Script.RequestClass requestClass) {
         appendTable("[[class]]");
-        appendEntry("name", quote(c.name()))
-                .appendEntry("effect", quote(TableReader.tomlName(c.effect())))
-                .appendEntry("scope", quote(TableReader.tomlName(c.scope())))
-                .appendEntry("window_ms", formatNumber(c.windowMs()))
-                .appendEntry("share", formatNumber(c.share()))
-                .appendEntry("work_ms", formatRange(c.workMs()))
-                .appendEntry("promise_ms", formatNumber(c.promiseMs()))
-                .appendEntry("give_up_ms", formatNumber(c.giveUpMs()))
-                .appendEntry("worth", formatNumber(c.worth()))
-                .appendEntry("body_bytes", c.bodyBytes());
+        appendEntry("name", quote(requestClass.name()))
+                .appendEntry("effect", quote(TableReader.tomlName(requestClass.effect())))
+                .appendEntry("scope", quote(TableReader.tomlName(requestClass.scope())))
+                .appendEntry("window_ms", formatNumber(requestClass.windowMs()))
+                .appendEntry("share", formatNumber(requestClass.share()))
+                .appendEntry("work_ms", formatRange(requestClass.workMs()))
+                .appendEntry("promise_ms", formatNumber(requestClass.latencyTargetMs()))
+                .appendEntry("give_up_ms", formatNumber(requestClass.giveUpMs()))
+                .appendEntry("worth", formatNumber(requestClass.worth()))
+                .appendEntry("body_bytes", requestClass.bodyBytes());
     }
 
-    private void appendFault(Fault f) {
+    private void appendFault(Fault fault) {
         appendTable("[[fault]]");
-        appendEntry("kind", quote(f.kind().scriptName())).appendEntry("at", formatNumber(f.startS()));
-        if (!f.kind().isMomentary()) {
-            appendEntry("for", formatNumber(f.durationS()));
+        appendEntry("kind", quote(fault.kind().scriptName())).appendEntry("at", formatNumber(fault.startS()));
+        if (!fault.kind().isMomentary()) {
+            appendEntry("for", formatNumber(fault.durationS()));
         }
-        Target target = f.kind().target();
+        Target target = fault.kind().target();
         if (target == Target.NODES || target == Target.PROXIES) {
             appendEntry(
                     target == Target.NODES ? "nodes" : "proxies",
-                    f.names().isEmpty() ? f.count() : quoteAll(f.names()));
+                    fault.names().isEmpty() ? fault.count() : quoteAll(fault.names()));
         } else if (target == Target.CLASS) {
-            appendEntry("class", quote(f.names().get(0)));
+            appendEntry("class", quote(fault.names().get(0)));
         } else if (target == Target.LINK || target == Target.DATAGRAMS) {
-            appendEntry("from", quote(f.names().get(0)))
-                    .appendEntry("to", quote(f.names().get(1)));
+            appendEntry("from", quote(fault.names().get(0)))
+                    .appendEntry("to", quote(fault.names().get(1)));
         }
-        f.parameters().forEach((k, v) -> appendEntry(k, formatNumber(v)));
+        fault.parameters().forEach((k, v) -> appendEntry(k, formatNumber(v)));
     }
 }
--- a/src/main/java/gullspar/rehearse/search/DayGenerator.java
+++ b/src/main/java/gullspar/rehearse/search/DayGenerator.java
@@ -37,7 +37,7 @@
                     random));
         }
         faults.sort(Comparator.comparingDouble(Fault::startS));
-        return script.with((long) number).with(faults);
+        return script.withSeed(number).withFaults(faults);
     }
 
     private static double roundToTenth(double value) {
--- a/src/main/java/gullspar/rehearse/search/FindingReducer.java
+++ b/src/main/java/gullspar/rehearse/search/FindingReducer.java
@@ -64,7 +64,7 @@
             for (int start = 0; start < faults.size() && !reduced; start += partSize) {
                 List<Fault> remaining = new ArrayList<>(faults.subList(0, start));
                 remaining.addAll(faults.subList(Math.min(faults.size(), start + partSize), faults.size()));
-                reduced = !remaining.isEmpty() && reproduces(smallest.script().with(remaining));
+                reduced = !remaining.isEmpty() && reproduces(smallest.script().withFaults(remaining));
             }
             if (reduced) {
                 partCount = Math.max(2, partCount - 1);
@@ -106,7 +106,7 @@
             return false;
         }
         faults.set(index, changed);
-        return reproduces(smallest.script().with(faults));
+        return reproduces(smallest.script().withFaults(faults));
     }
 
     private void shortenDay() {
@@ -117,7 +117,7 @@
         for (double seconds = lastFaultEndS + MIN_TAIL_S;
                 seconds < smallest.script().seconds();
                 seconds += 4) {
-            if (reproduces(smallest.script().with(Math.ceil(seconds)))) {
+            if (reproduces(smallest.script().withSeconds(Math.ceil(seconds)))) {
                 return;
             }
         }
--- a/src/main/java/gullspar/rehearse/stage/CpuModel.java
+++ b/src/main/java/gullspar/rehearse/stage/CpuModel.java
@@ -19,8 +19,8 @@
         private boolean isRunning;
         private boolean finished;
 
-        Job(Object what, double workNs) {
-            this.payload = what;
+        Job(Object payload, double workNs) {
+            this.payload = payload;
             this.workNs = workNs;
         }
 
@@ -68,36 +68,36 @@
     }
 
     /** Sets the share of the full capacity that is available. */
-    void capacityShare(double share, long now) {
+    void setCapacityShare(double share, long now) {
         advance(now);
         capacityShare = share;
     }
 
     /** Runs or queues a job; false if the queue is full. */
-    boolean offer(Job j, long now) {
+    boolean offer(Job job, long now) {
         advance(now);
         if (running.size() < slots) {
-            start(j);
+            start(job);
         } else if (waiting.size() < queueCapacity) {
-            waiting.add(j);
+            waiting.add(job);
         } else {
             return false;
         }
         return true;
     }
 
-    private void start(Job j) {
-        j.isRunning = true;
-        j.number = nextNumber++;
-        j.endsAtNs = attainedNs + j.workNs;
-        running.add(j);
+    private void start(Job job) {
+        job.isRunning = true;
+        job.number = nextNumber++;
+        job.endsAtNs = attainedNs + job.workNs;
+        running.add(job);
     }
 
-    void drop(Job j, long now) {
+    void drop(Job job, long now) {
         advance(now);
-        j.finished = true;
-        if (!running.remove(j)) {
-            waiting.remove(j);
+        job.finished = true;
+        if (!running.remove(job)) {
+            waiting.remove(job);
         }
     }
 
@@ -106,22 +106,22 @@
         return running.size() < slots ? waiting.poll() : null;
     }
 
-    void startWaiting(Job j, long now) {
+    void startWaiting(Job job, long now) {
         advance(now);
-        start(j);
+        start(job);
     }
 
     /** Removes and returns the next job that is done by then; null if there is none. */
     Job pollDone(long now) {
         advance(now);
-        Job j = running.peek();
+        Job job = running.peek();
         // Rounding may leave up to half a ns of work when a job is due to end.
-        if (j == null || j.endsAtNs > attainedNs + 0.5) {
+        if (job == null || job.endsAtNs > attainedNs + 0.5) {
             return null;
         }
         running.remove();
-        j.finished = true;
-        return j;
+        job.finished = true;
+        return job;
     }
 
     /** When the next job will be done if nothing changes; Long.MAX_VALUE if none will. */
--- a/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
+++ b/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
@@ -81,7 +81,7 @@
     private boolean silenced;
     private boolean down;
     /** Counts changes of reachability or of the list served, so that notices scheduled before one are void. */
-    private int stateChanged;
+    private int stateChangeCount;
 
     DiscoveryAgent(String proxy, RunEnvironment environment, EventLog eventLog, ServiceQueue callQueue) {
         this.callQueue = callQueue;
@@ -128,12 +128,12 @@
         if (!down) {
             listen();
         }
-        stateChanged();
+        onStateChanged();
         platform.loop()
                 .schedule(() -> oldWatches.forEach(Watch::close), OLD_WATCH_CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    void down(boolean on) {
+    void setDown(boolean on) {
         down = on;
         if (on) {
             listener.close();
@@ -141,36 +141,39 @@
         } else {
             listen();
         }
-        stateChanged();
+        onStateChanged();
     }
 
     /** Restarts the time limit of all instances: they count as available from now on, if reachable. */
-    private void stateChanged() {
-        stateChanged++;
+    private void onStateChanged() {
+        stateChangeCount++;
         scheduleDueNotices(instances.values().stream().map(Versioned::instance).toList());
     }
 
     private void scheduleDueNotices(List<Instance> list) {
-        int scheduledAt = stateChanged;
+        int countWhenScheduled = stateChangeCount;
         list.stream()
                 .filter(e -> !e.isLeaving())
-                .forEach(e -> eventLog.noticeDue(proxy, e.id(), false, environment.now()));
+                .forEach(e -> eventLog.addDueNotice(proxy, e.id(), false, environment.now()));
         platform.loop()
                 .schedule(
                         () -> {
-                            if (scheduledAt == stateChanged && !silenced && !down && frozenInstances == null) {
+                            if (countWhenScheduled == stateChangeCount
+                                    && !silenced
+                                    && !down
+                                    && frozenInstances == null) {
                                 list.stream()
                                         .filter(e -> e.isLeaving() && instances.get(e.id()).instance == e)
-                                        .forEach(e -> eventLog.noticeDue(proxy, e.id(), true, environment.now()));
+                                        .forEach(e -> eventLog.addDueNotice(proxy, e.id(), true, environment.now()));
                             }
                         },
                         DELIVERY_LIMIT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    void silenced(boolean on) {
+    void setSilenced(boolean on) {
         silenced = on;
-        stateChanged();
+        onStateChanged();
         if (!on && !withheld.isEmpty()) {
             List<Instance> missed = List.copyOf(withheld);
             withheld.clear();
@@ -179,10 +182,10 @@
     }
 
     /** On: watches opened from now on get the present list, however it changes; off: the real one again. */
-    void freeze(boolean on) {
+    void setFrozen(boolean on) {
         frozenInstances = on ? new LinkedHashMap<>(instances) : null;
         frozenVersion = version;
-        stateChanged();
+        onStateChanged();
     }
 
     /** Applies changes that have reached this machine. */
@@ -217,7 +220,7 @@
     void recordAllAsNotified() {
         instances
                 .values()
-                .forEach(v -> eventLog.notified(proxy, v.instance.id(), v.instance.isLeaving(), environment.now()));
+                .forEach(v -> eventLog.addNotice(proxy, v.instance.id(), v.instance.isLeaving(), environment.now()));
     }
 
     private static ObjectNode updateLine(long version, boolean isReset, List<Instance> list) {
@@ -236,16 +239,16 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext c, HttpObject message) {
-            if (!(message instanceof HttpRequest r)) {
+            if (!(message instanceof HttpRequest request)) {
                 return;
             }
             ctx = c;
-            QueryStringDecoder q = new QueryStringDecoder(r.uri());
-            if (!q.path().equals("/catalog/members")) {
+            QueryStringDecoder query = new QueryStringDecoder(request.uri());
+            if (!query.path().equals("/catalog/members")) {
                 write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            if (!q.parameters().containsKey("stream")) {
+            if (!query.parameters().containsKey("stream")) {
                 String list = listJson().toString();
                 write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 return;
@@ -254,7 +257,7 @@
             write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             watches.add(this);
             long index = Long.parseLong(
-                    q.parameters().getOrDefault("index", List.of("-1")).get(0));
+                    query.parameters().getOrDefault("index", List.of("-1")).get(0));
             platform.loop().schedule(() -> start(index), callQueue.enqueue(environment.now()), TimeUnit.NANOSECONDS);
         }
 
@@ -283,7 +286,7 @@
 
         void sendUpdate(String line, List<Instance> sentInstances) {
             write(chunk(line + "\n"));
-            sentInstances.forEach(e -> eventLog.notified(proxy, e.id(), e.isLeaving(), environment.now()));
+            sentInstances.forEach(e -> eventLog.addNotice(proxy, e.id(), e.isLeaving(), environment.now()));
         }
 
         private void scheduleHeartbeat() {
--- a/src/main/java/gullspar/rehearse/stage/EventLog.java
+++ b/src/main/java/gullspar/rehearse/stage/EventLog.java
@@ -29,15 +29,15 @@
     private BiFunction<String, String, ClientRequest> manualRequests;
     private final List<Order> orders = new ArrayList<>();
     private final Map<String, ClientRequest> requests = new HashMap<>();
-    private final Map<String, List<Notice>> notified = new HashMap<>();
+    private final Map<String, List<Notice>> notices = new HashMap<>();
     /** What a proxy should know because discovery has offered it long enough, with or without a watch. */
-    private final Map<String, List<Notice>> noticeDue = new HashMap<>();
+    private final Map<String, List<Notice>> dueNotices = new HashMap<>();
 
     private final List<Event> events = new ArrayList<>();
     private final List<Event> crashes = new ArrayList<>();
     private final Map<String, Long> collapsedAt = new LinkedHashMap<>();
     /** Intervals in which a proxy, or the network path to it, was disturbed: by proxy. */
-    private final Map<String, List<Interval>> disrupted = new HashMap<>();
+    private final Map<String, List<Interval>> disruptions = new HashMap<>();
 
     private final List<Sample> samples = new ArrayList<>();
     private final List<String> servedMalformedRequests = new ArrayList<>();
@@ -45,9 +45,9 @@
     private int unansweredMisbehavingClients;
     private final List<FleetSnapshot> fleetSnapshots = new ArrayList<>();
     private final List<Life> lives = new ArrayList<>();
-    private final Map<String, List<Interval>> unsettled = new HashMap<>();
-    private final List<Partition> partitioned = new ArrayList<>();
-    private final Map<String, List<Interval>> isolated = new HashMap<>();
+    private final Map<String, List<Interval>> unsettledIntervals = new HashMap<>();
+    private final List<Partition> partitions = new ArrayList<>();
+    private final Map<String, List<Interval>> isolations = new HashMap<>();
 
     /** Suffix of a proxy's name for a second process that runs under the same name. */
     public static final String TWIN = "+";
@@ -76,18 +76,18 @@
         return start;
     }
 
-    void order(Order o) {
-        orders.add(o);
+    void addOrder(Order order) {
+        orders.add(order);
     }
 
-    void request(ClientRequest t) {
-        requests.put(t.id, t);
+    void request(ClientRequest request) {
+        requests.put(request.id, request);
     }
 
     /** The request of that id; null if no client sent it and unknown requests are not served. */
     public ClientRequest request(String id, String path) {
-        ClientRequest t = requests.get(id);
-        return t == null && manualRequests != null && !id.isEmpty() ? manualRequests.apply(id, path) : t;
+        ClientRequest request = requests.get(id);
+        return request == null && manualRequests != null && !id.isEmpty() ? manualRequests.apply(id, path) : request;
     }
 
     /**
@@ -106,16 +106,16 @@
         samples.removeIf(s -> s.at < time);
     }
 
-    void notified(String proxy, String node, boolean leaving, long at) {
-        addNotice(notified, proxy, node, leaving, at);
+    void addNotice(String proxy, String node, boolean leaving, long at) {
+        append(notices, proxy, node, leaving, at);
     }
 
     /** From now on the proxy should know it, whether or not its calls to discovery succeeded. */
-    void noticeDue(String proxy, String node, boolean leaving, long at) {
-        addNotice(noticeDue, proxy, node, leaving, at);
+    void addDueNotice(String proxy, String node, boolean leaving, long at) {
+        append(dueNotices, proxy, node, leaving, at);
     }
 
-    private static void addNotice(Map<String, List<Notice>> in, String proxy, String node, boolean leaving, long at) {
+    private static void append(Map<String, List<Notice>> in, String proxy, String node, boolean leaving, long at) {
         List<Notice> list = in.computeIfAbsent(proxy + '>' + node, k -> new ArrayList<>());
         if (list.isEmpty() || list.get(list.size() - 1).leaving != leaving) {
             list.add(new Notice(at, leaving));
@@ -124,19 +124,19 @@
 
     /** When the proxy was notified that the node leaves, if that was its last notice by then; else 0. */
     public long notifiedLeavingAt(String proxy, String node, long by) {
-        return leavingSince(notified, proxy, node, by);
+        return leavingSince(notices, proxy, node, by);
     }
 
     /** The time by which the proxy should have known that the node leaves, if that still holds by then; else 0. */
     public long dueLeavingAt(String proxy, String node, long by) {
-        return leavingSince(noticeDue, proxy, node, by);
+        return leavingSince(dueNotices, proxy, node, by);
     }
 
     private static long leavingSince(Map<String, List<Notice>> in, String proxy, String node, long by) {
         long since = 0;
-        for (Notice t : in.getOrDefault(proxy + '>' + node, List.of())) {
-            if (t.at <= by) {
-                since = t.leaving ? t.at : 0;
+        for (Notice notice : in.getOrDefault(proxy + '>' + node, List.of())) {
+            if (notice.at <= by) {
+                since = notice.leaving ? notice.at : 0;
             }
         }
         return since;
@@ -153,12 +153,12 @@
 
     /** Adds an interval in which requests may get no response from a proxy, as it is killed or paused. */
     public void addDisruption(String proxy, long from, long until) {
-        disrupted.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
+        disruptions.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** Whether the proxy, or the network path to it, was disturbed at any time between the two. */
-    public boolean disrupted(String proxy, long from, long until) {
-        return disrupted.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.overlaps(from, until));
+    public boolean wasDisrupted(String proxy, long from, long until) {
+        return disruptions.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.overlaps(from, until));
     }
 
     /** Records that a proxy ended without being stopped. */
@@ -176,36 +176,36 @@
     /** Records the end of the last process of a proxy. */
     public void processEnded(String proxy, long at) {
         for (int i = lives.size() - 1; i >= 0; i--) {
-            Life l = lives.get(i);
-            if (l.proxy.equals(proxy)) {
-                lives.set(i, new Life(proxy, l.from, Math.min(l.until, at)));
+            Life life = lives.get(i);
+            if (life.proxy.equals(proxy)) {
+                lives.set(i, new Life(proxy, life.from, Math.min(life.until, at)));
                 return;
             }
         }
     }
 
     /** Adds an interval in which the proxy's view of others, or theirs of it, may be wrong. */
-    public void unsettled(String proxy, long from, long until) {
-        unsettled.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
+    public void addUnsettledInterval(String proxy, long from, long until) {
+        unsettledIntervals.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** Adds an interval in which the proxy received nothing from any other. */
-    public void isolated(String proxy, long from, long until) {
-        isolated.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
+    public void addIsolation(String proxy, long from, long until) {
+        isolations.computeIfAbsent(proxy, p -> new ArrayList<>()).add(new Interval(from, until));
     }
 
     /** Whether the proxy was isolated during all the time between the two. */
     public boolean wasIsolatedThroughout(String proxy, long from, long until) {
-        return isolated.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
+        return isolations.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
     }
 
-    public void partitioned(long from, long until, List<String> group) {
-        partitioned.add(new Partition(from, until, List.copyOf(group)));
+    public void addPartition(long from, long until, List<String> group) {
+        partitions.add(new Partition(from, until, List.copyOf(group)));
     }
 
     /** Records a proxy's view of the fleet. */
-    public void addFleetSnapshot(FleetSnapshot l) {
-        fleetSnapshots.add(l);
+    public void addFleetSnapshot(FleetSnapshot snapshot) {
+        fleetSnapshots.add(snapshot);
     }
 
     public List<FleetSnapshot> fleetSnapshots() {
@@ -217,7 +217,7 @@
     }
 
     public List<Partition> partitions() {
-        return partitioned;
+        return partitions;
     }
 
     /**
@@ -226,9 +226,9 @@
      */
     public long settledSince(String proxy, long at) {
         long last = Long.MIN_VALUE;
-        for (Interval s : unsettled.getOrDefault(proxy, List.of())) {
-            if (s.from <= at) {
-                last = Math.max(last, Math.min(s.until, at));
+        for (Interval interval : unsettledIntervals.getOrDefault(proxy, List.of())) {
+            if (interval.from <= at) {
+                last = Math.max(last, Math.min(interval.until, at));
             }
         }
         return last;
@@ -238,8 +238,8 @@
         return crashes;
     }
 
-    void sample(Sample s) {
-        samples.add(s);
+    void addSample(Sample sample) {
+        samples.add(sample);
     }
 
     void addMisbehavingClient(boolean isUnanswered, String servedText) {
--- a/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
+++ b/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
@@ -36,7 +36,7 @@
     private final Map<String, Integer> generations = new LinkedHashMap<>();
 
     private String surgeProxy;
-    private double surge;
+    private double surgeShare;
     private Runnable onAllReady = () -> {};
 
     public FrontBalancer(RunEnvironment environment, Script script, List<String> proxies) {
@@ -146,14 +146,14 @@
     }
 
     /** Sends that share of all traffic to one proxy, on top of its own; a null proxy ends it. */
-    public void surge(String proxy, double share) {
+    public void setSurge(String proxy, double share) {
         surgeProxy = proxy;
-        surge = share;
+        surgeShare = share;
     }
 
     /** Chooses the proxy for a client of a site by two random numbers from 0 to 1; "" if there is none. */
     String chooseProxy(String site, double first, double second, String excluded) {
-        if (surgeProxy != null && first < surge && inRotation.get(surgeProxy) && !surgeProxy.equals(excluded)) {
+        if (surgeProxy != null && first < surgeShare && inRotation.get(surgeProxy) && !surgeProxy.equals(excluded)) {
             return surgeProxy;
         }
         List<String> candidates = new ArrayList<>();
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -47,8 +47,8 @@
     private final SplittableRandom arrivals;
     private final double[] cumulativeKeyShares;
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
-    private final Map<String, double[]> inflateWork = new HashMap<>();
-    private final Map<String, double[]> abandon = new HashMap<>();
+    private final Map<String, double[]> workInflations = new HashMap<>();
+    private final Map<String, double[]> abandonments = new HashMap<>();
     private double trafficFactor = 1;
     private long untilNs;
     private int orders;
@@ -87,18 +87,18 @@
     }
 
     /** Sets the factor on the configured rate. */
-    public void trafficFactor(double factor) {
+    public void setTrafficFactor(double factor) {
         trafficFactor = factor;
     }
 
     /** Multiplies the work of a share of a class's orders; a share of 0 ends it. */
-    public void inflateWork(String name, double share, double factor) {
-        inflateWork.put(name, new double[] {share, factor});
+    public void setWorkInflation(String name, double share, double factor) {
+        workInflations.put(name, new double[] {share, factor});
     }
 
     /** Makes a share of a class's clients abandon their request within that time; a share of 0 ends it. */
-    public void abandon(String name, double share, double withinMs) {
-        abandon.put(name, new double[] {share, withinMs});
+    public void setAbandonment(String name, double share, double withinMs) {
+        abandonments.put(name, new double[] {share, withinMs});
     }
 
     /** The number of requests that have not ended. */
@@ -115,7 +115,7 @@
             platform.loop()
                     .schedule(
                             () -> {
-                                arrive();
+                                createOrder();
                                 scheduleArrival(at);
                             },
                             Math.max(0, at - environment.now()),
@@ -123,23 +123,23 @@
         }
     }
 
-    private void arrive() {
+    private void createOrder() {
         int number = ++orders;
         SplittableRandom draw = new SplittableRandom(EventQueue.mix(script.seed() * 31 + 4) + number);
-        double kind = draw.nextDouble();
-        double key = draw.nextDouble();
-        double site = draw.nextDouble();
-        RequestClass c = requestClass(kind);
-        double work = c.workMs().draw(draw) * 1e6;
-        double[] inflation = inflateWork.getOrDefault(c.name(), new double[] {0, 1});
+        double classDraw = draw.nextDouble();
+        double keyDraw = draw.nextDouble();
+        double siteDraw = draw.nextDouble();
+        RequestClass chosenClass = chooseClass(classDraw);
+        double work = chosenClass.workMs().draw(draw) * 1e6;
+        double[] inflation = workInflations.getOrDefault(chosenClass.name(), new double[] {0, 1});
         work *= draw.nextDouble() < inflation[0] ? inflation[1] : 1;
-        String from = script.sites().get((int) (site * script.sites().size()));
-        Order o = new Order(number, c, key(key), work, from, environment.now());
-        eventLog.order(o);
-        sendRequest(o, draw);
+        String orderSite = script.sites().get((int) (siteDraw * script.sites().size()));
+        Order order = new Order(number, chosenClass, chooseKey(keyDraw), work, orderSite, environment.now());
+        eventLog.addOrder(order);
+        sendRequest(order, draw);
     }
 
-    private RequestClass requestClass(double draw) {
+    private RequestClass chooseClass(double draw) {
         double all = script.classes().stream().mapToDouble(RequestClass::share).sum();
         double sum = 0;
         for (RequestClass c : script.classes()) {
@@ -151,7 +151,7 @@
         return script.classes().get(script.classes().size() - 1);
     }
 
-    private int key(double draw) {
+    private int chooseKey(double draw) {
         if (cumulativeKeyShares.length == 0) {
             return 0;
         }
@@ -160,30 +160,32 @@
     }
 
     /** Sends the first request of an order, or a retry. */
-    private void sendRequest(Order o, SplittableRandom draw) {
+    private void sendRequest(Order order, SplittableRandom draw) {
         double timeoutFactor = script.clients().giveUpShare().draw(draw);
         long now = environment.now();
-        ClientRequest t = new ClientRequest(
-                o, "r" + ++requests + "-" + o.number, now + (long) (o.requestClass.giveUpMs() * 1e6 * timeoutFactor));
-        o.requests.add(t);
+        ClientRequest request = new ClientRequest(
+                order,
+                "r" + ++requests + "-" + order.number,
+                now + (long) (order.requestClass.giveUpMs() * 1e6 * timeoutFactor));
+        order.requests.add(request);
         openRequests++;
-        eventLog.request(t);
-        sendToProxy(t, draw, "", 0);
+        eventLog.request(request);
+        sendToProxy(request, draw, "", 0);
     }
 
-    private void sendToProxy(ClientRequest t, SplittableRandom draw, String excluded, int attempted) {
+    private void sendToProxy(ClientRequest request, SplittableRandom draw, String excluded, int attempted) {
         String proxy = attempted < MAX_PROXIES_PER_REQUEST
-                ? front.chooseProxy(t.order.site, draw.nextDouble(), draw.nextDouble(), excluded)
+                ? front.chooseProxy(request.order.site, draw.nextDouble(), draw.nextDouble(), excluded)
                 : "";
         if (proxy.isEmpty()) {
-            ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
+            endRequest(request, draw, ClientRequest.Ending.NOT_TAKEN, 0);
             return;
         }
-        t.proxy = proxy;
+        request.proxy = proxy;
         Deque<Connection> pool = idle.computeIfAbsent(proxy, p -> new ArrayDeque<>());
         Connection idleConnection = pool.pollLast();
         if (idleConnection != null) {
-            idleConnection.send(t, draw);
+            idleConnection.send(request, draw);
             return;
         }
         Connection newConnection = new Connection(proxy);
@@ -200,27 +202,28 @@
         newConnection.channel = connect.channel();
         connect.addListener(f -> {
             if (f.isSuccess()) {
-                newConnection.send(t, draw);
-            } else if (environment.now() < t.deadline) {
-                sendToProxy(t, draw, proxy, attempted + 1);
+                newConnection.send(request, draw);
+            } else if (environment.now() < request.deadline) {
+                sendToProxy(request, draw, proxy, attempted + 1);
             } else {
-                ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
+                endRequest(request, draw, ClientRequest.Ending.NOT_TAKEN, 0);
             }
         });
     }
 
-    private void ended(ClientRequest t, SplittableRandom draw, ClientRequest.Ending ending, double retryAfterS) {
-        t.ending = ending;
-        t.endedAt = environment.now();
+    private void endRequest(
+            ClientRequest request, SplittableRandom draw, ClientRequest.Ending ending, double retryAfterS) {
+        request.ending = ending;
+        request.endedAt = environment.now();
         openRequests--;
-        boolean refused = t.status == 429 || t.status == 503;
+        boolean refused = request.status == 429 || request.status == 503;
         boolean mayRetry = refused
                 || ending == ClientRequest.Ending.NOT_TAKEN
-                || t.order.requestClass.effect() != Effect.AT_MOST_ONCE;
-        boolean retry = t.status != 200 && ending != ClientRequest.Ending.LEFT && mayRetry;
-        if (retry && t.order.requests.size() <= script.clients().retries()) {
+                || request.order.requestClass.effect() != Effect.AT_MOST_ONCE;
+        boolean retry = request.status != 200 && ending != ClientRequest.Ending.LEFT && mayRetry;
+        if (retry && request.order.requests.size() <= script.clients().retries()) {
             double wait = Math.max(retryAfterS, script.clients().retryWaitMs().draw(draw) / 1e3);
-            platform.loop().schedule(() -> sendRequest(t.order, draw), (long) (wait * 1e9), TimeUnit.NANOSECONDS);
+            platform.loop().schedule(() -> sendRequest(request.order, draw), (long) (wait * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -240,104 +243,111 @@
             this.proxy = proxy;
         }
 
-        void send(ClientRequest t, SplittableRandom random) {
-            current = t;
+        void send(ClientRequest request, SplittableRandom random) {
+            current = request;
             draw = random;
             long now = environment.now();
-            t.sentAt = t.resent ? t.sentAt : now;
-            t.firstOnConnection = !used;
+            request.sentAt = request.resent ? request.sentAt : now;
+            request.firstOnConnection = !used;
             used = true;
-            if (now > t.deadline - MIN_TIMEOUT_NS) {
+            if (now > request.deadline - MIN_TIMEOUT_NS) {
                 // Connecting used up the time-out: the request is not sent.
                 current = null;
-                t.sentAt = 0;
+                request.sentAt = 0;
                 idle.get(proxy).addLast(this);
-                ended(t, draw, ClientRequest.Ending.NOT_TAKEN, 0);
+                endRequest(request, draw, ClientRequest.Ending.NOT_TAKEN, 0);
                 return;
             }
             timeout = platform.loop()
-                    .schedule(() -> abandon(t, ClientRequest.Ending.GIVEN_UP), t.deadline - now, TimeUnit.NANOSECONDS);
-            double[] abandonment = abandon.getOrDefault(t.order.requestClass.name(), new double[] {0, 0});
+                    .schedule(
+                            () -> abandon(request, ClientRequest.Ending.GIVEN_UP),
+                            request.deadline - now,
+                            TimeUnit.NANOSECONDS);
+            double[] abandonment = abandonments.getOrDefault(request.order.requestClass.name(), new double[] {0, 0});
             if (abandonment[0] > 0 && draw.nextDouble() < abandonment[0]) {
                 platform.loop()
                         .schedule(
-                                () -> abandon(t, ClientRequest.Ending.LEFT),
+                                () -> abandon(request, ClientRequest.Ending.LEFT),
                                 (long) (draw.nextDouble() * abandonment[1] * 1e6),
                                 TimeUnit.NANOSECONDS);
             }
             channel.pipeline()
                     .context(HttpClientCodec.class)
-                    .writeAndFlush(Unpooled.copiedBuffer(requestText(t, now), StandardCharsets.US_ASCII));
+                    .writeAndFlush(Unpooled.copiedBuffer(requestText(request, now), StandardCharsets.US_ASCII));
         }
 
-        private String requestText(ClientRequest t, long now) {
-            RequestClass c = t.order.requestClass;
+        private String requestText(ClientRequest request, long now) {
+            RequestClass c = request.order.requestClass;
             boolean safe = c.effect() == Effect.IDEMPOTENT;
-            StringBuilder s = new StringBuilder(256)
+            StringBuilder text = new StringBuilder(256)
                     .append(safe ? "GET /" : "POST /")
                     .append(c.name())
                     .append("/")
-                    .append(t.order.number % 100)
+                    .append(request.order.number % 100)
                     .append(" HTTP/1.1\r\nHost: shop\r\nRequest-Id: ")
-                    .append(t.id)
-                    .append(String.format(Locale.ROOT, "\r\nRequest-Timeout: %.6f", (t.deadline - now) / 1e9));
-            if (t.order.key != 0) {
-                s.append("\r\nCookie: sid=k").append(t.order.key);
+                    .append(request.id)
+                    .append(String.format(Locale.ROOT, "\r\nRequest-Timeout: %.6f", (request.deadline - now) / 1e9));
+            if (request.order.key != 0) {
+                text.append("\r\nCookie: sid=k").append(request.order.key);
             }
-            if (t.order.requests.size() > 1) {
-                s.append("\r\nClient-Retry: 1");
+            if (request.order.requests.size() > 1) {
+                text.append("\r\nClient-Retry: 1");
             }
             if (c.effect() == Effect.DEDUPLICATED) {
-                s.append("\r\nIdempotency-Key: ").append(t.order.idempotencyKey());
+                text.append("\r\nIdempotency-Key: ").append(request.order.idempotencyKey());
             }
             if (!safe) {
-                s.append("\r\nContent-Length: ").append(c.bodyBytes());
+                text.append("\r\nContent-Length: ").append(c.bodyBytes());
             }
-            return s.append("\r\n\r\n")
+            return text.append("\r\n\r\n")
                     .append(safe ? "" : "x".repeat(c.bodyBytes()))
                     .toString();
         }
 
-        private void abandon(ClientRequest t, ClientRequest.Ending ending) {
-            if (current == t) {
+        private void abandon(ClientRequest request, ClientRequest.Ending ending) {
+            if (current == request) {
                 current = null;
                 timeout.cancel(false);
                 channel.close();
-                ended(t, draw, ending, 0);
+                endRequest(request, draw, ending, 0);
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-            ClientRequest t = current;
-            if (t == null) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            ClientRequest request = current;
+            if (request == null) {
                 if (lastAnswered != null) {
-                    lastAnswered.responseError =
-                            "unsolicited second response, status " + r.status().code();
+                    lastAnswered.responseError = "unsolicited second response, status "
+                            + response.status().code();
                 }
                 ctx.close();
                 return;
             }
-            if (r.decoderResult().isFailure()) {
+            if (response.decoderResult().isFailure()) {
                 ctx.close(); // an incomplete response counts as none
                 return;
             }
             current = null;
             timeout.cancel(false);
-            t.status = r.status().code();
-            t.respondedAt = environment.sentAt(ctx.channel());
-            String body = r.content().toString(StandardCharsets.US_ASCII);
-            if (t.status == 200 && !Node.isBodyFor(t.id, body)) {
-                t.responseError = "response body was not made by a node for this request: '"
+            request.status = response.status().code();
+            request.respondedAt = environment.sentAt(ctx.channel());
+            String body = response.content().toString(StandardCharsets.US_ASCII);
+            if (request.status == 200 && !Node.isBodyFor(request.id, body)) {
+                request.responseError = "response body was not made by a node for this request: '"
                         + body.substring(0, Math.min(40, body.length())).trim() + "'";
             }
-            lastAnswered = t;
-            if (HttpUtil.isKeepAlive(r)) {
+            lastAnswered = request;
+            if (HttpUtil.isKeepAlive(response)) {
                 idle.get(proxy).addLast(this);
             } else {
                 ctx.close();
             }
-            ended(t, draw, ClientRequest.Ending.ANSWERED, retryAfter(r.headers().get("Retry-After")));
+            endRequest(
+                    request,
+                    draw,
+                    ClientRequest.Ending.ANSWERED,
+                    retryAfter(response.headers().get("Retry-After")));
         }
 
         private static double retryAfter(String text) {
@@ -351,20 +361,23 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.get(proxy).remove(this);
-            ClientRequest t = current;
-            if (t == null) {
+            ClientRequest request = current;
+            if (request == null) {
                 return;
             }
             current = null;
             timeout.cancel(false);
-            if (!t.firstOnConnection && !t.resent && !reset && t.order.requestClass.effect() == Effect.IDEMPOTENT) {
+            if (!request.firstOnConnection
+                    && !request.resent
+                    && !reset
+                    && request.order.requestClass.effect() == Effect.IDEMPOTENT) {
                 // The proxy closed the idle connection as the request was sent: it is resent on another one.
                 // Only idempotent requests may be (RFC 9110, section 9.2.2): the proxy may have read it before
                 // closing.
-                t.resent = true;
-                sendToProxy(t, draw, "", 0);
+                request.resent = true;
+                sendToProxy(request, draw, "", 0);
             } else {
-                ended(t, draw, ClientRequest.Ending.CLOSED, 0);
+                endRequest(request, draw, ClientRequest.Ending.CLOSED, 0);
             }
         }
 
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -7,7 +7,7 @@
 public final class ManualRequests implements BiFunction<String, String, ClientRequest> {
     private final Script script;
     private final RunEnvironment environment;
-    private int served;
+    private int lastNumber;
 
     public ManualRequests(Script script, RunEnvironment environment) {
         this.script = script;
@@ -22,7 +22,7 @@
                     || path.startsWith("/" + c.name() + "?")) {
                 long now = environment.now();
                 Order o = new Order(
-                        --served,
+                        --lastNumber,
                         c,
                         0,
                         c.workMs().midpoint() * 1e6,
@@ -38,6 +38,6 @@
 
     /** The number of requests served. */
     public int served() {
-        return -served;
+        return -lastNumber;
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -39,8 +39,8 @@
     private final EventLog eventLog;
     private final String someClass;
     private final SplittableRandom random;
-    private final Set<String> malformedRequests = new HashSet<>();
-    private final Set<String> silentConnections = new HashSet<>();
+    private final Set<String> malformedRequestTargets = new HashSet<>();
+    private final Set<String> silentConnectionTargets = new HashSet<>();
     private int clientCount;
 
     public MisbehavingClients(RunEnvironment environment, EventLog eventLog, String someClass, long seed) {
@@ -52,13 +52,13 @@
     }
 
     /** Sends that many malformed requests per second to a proxy; 0 stops that. */
-    public void malformedRequests(String proxy, double perSecond) {
-        run(malformedRequests, proxy, perSecond, true);
+    public void setMalformedRequestRate(String proxy, double perSecond) {
+        run(malformedRequestTargets, proxy, perSecond, true);
     }
 
     /** Opens that many connections per second to a proxy without sending anything; 0 stops that. */
-    public void silentConnections(String proxy, double perSecond) {
-        run(silentConnections, proxy, perSecond, false);
+    public void setSilentConnectionRate(String proxy, double perSecond) {
+        run(silentConnectionTargets, proxy, perSecond, false);
     }
 
     private void run(Set<String> active, String proxy, double perSecond, boolean sendsText) {
@@ -69,7 +69,7 @@
         }
     }
 
-    private void connectNext(Set<String> active, String proxy, long everyNs, boolean sendsText) {
+    private void connectNext(Set<String> active, String proxy, long intervalNs, boolean sendsText) {
         if (active.contains(proxy)) {
             int n = ++clientCount;
             String pattern = MALFORMED_REQUESTS[random.nextInt(MALFORMED_REQUESTS.length)];
@@ -84,7 +84,8 @@
                     })
                     .connect();
             platform.loop()
-                    .schedule(() -> connectNext(active, proxy, everyNs, sendsText), everyNs, TimeUnit.NANOSECONDS);
+                    .schedule(
+                            () -> connectNext(active, proxy, intervalNs, sendsText), intervalNs, TimeUnit.NANOSECONDS);
         }
     }
 
@@ -112,7 +113,7 @@
                             () -> {
                                 boolean unanswered = !responded
                                         && ctx.channel().isActive()
-                                        && !eventLog.disrupted(proxy, startedAt, environment.now());
+                                        && !eventLog.wasDisrupted(proxy, startedAt, environment.now());
                                 eventLog.addMisbehavingClient(unanswered, servedText);
                                 ctx.close();
                             },
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -59,7 +59,7 @@
     private final long reportPeriodNs;
     private final long reportDelayNs;
     /** Work sent within the window of the collapse rule, oldest first: time and amount. */
-    private final Deque<double[]> addSentWork = new ArrayDeque<>();
+    private final Deque<double[]> sentWork = new ArrayDeque<>();
 
     private double sentWorkNs;
     private ScheduledFuture<?> wakeUp;
@@ -155,16 +155,16 @@
         updateCapacity();
     }
 
-    void hang(boolean on) {
+    void setHung(boolean on) {
         isHung = on;
         updateCapacity();
     }
 
-    void spoilResponses(double share) {
+    void setSpoiltShare(double share) {
         spoiltShare = share;
     }
 
-    void trickleBytesPerS(double bytesPerSecond) {
+    void setTrickleRate(double bytesPerSecond) {
         trickleBytesPerS = bytesPerSecond;
     }
 
@@ -185,7 +185,7 @@
     }
 
     private void updateCapacity() {
-        cpu.capacityShare(
+        cpu.setCapacityShare(
                 isHung ? 0 : (1 - stolenCpuShare) * warmth(),
                 context.environment().now());
         capacityHistory.record(context.environment().now(), capacity());
@@ -198,8 +198,8 @@
             return;
         }
         long now = context.environment().now();
-        for (CpuModel.Job j = cpu.pollDone(now); j != null; j = cpu.pollDone(now)) {
-            ((NodeRequest) j.payload).complete(now);
+        for (CpuModel.Job job = cpu.pollDone(now); job != null; job = cpu.pollDone(now)) {
+            ((NodeRequest) job.payload).complete(now);
             served++;
             startNext(now);
         }
@@ -223,13 +223,13 @@
     }
 
     private void startNext(long now) {
-        for (CpuModel.Job j = cpu.pollWaiting(); j != null; j = cpu.pollWaiting()) {
-            NodeRequest r = (NodeRequest) j.payload;
-            if (r.isExpired(now)) {
-                r.reject(504);
+        for (CpuModel.Job job = cpu.pollWaiting(); job != null; job = cpu.pollWaiting()) {
+            NodeRequest request = (NodeRequest) job.payload;
+            if (request.isExpired(now)) {
+                request.reject(504);
             } else {
-                r.started(now);
-                cpu.startWaiting(j, now);
+                request.started(now);
+                cpu.startWaiting(job, now);
             }
         }
     }
@@ -243,10 +243,10 @@
             return;
         }
         long window = (long) (context.script().rules().fallS() * 1e9);
-        addSentWork.add(new double[] {now, usualNs});
+        sentWork.add(new double[] {now, usualNs});
         sentWorkNs += usualNs;
-        while (addSentWork.peek()[0] < now - window) {
-            sentWorkNs -= addSentWork.remove()[1];
+        while (sentWork.peek()[0] < now - window) {
+            sentWorkNs -= sentWork.remove()[1];
         }
         capacityHistory.record(now, capacity());
         if (sentWorkNs > context.script().rules().tipMultiple() * capacityHistory.workNs(window, now)) {
@@ -315,9 +315,10 @@
     // ---- requests ----
 
     /** Counts the middle of the work range of a completely received request's class. */
-    void requestReceived(Order o) {
+    void requestReceived(Order order) {
         addSentWork(
-                o.requestClass.workMs().midpoint() * 1e6, context.environment().now());
+                order.requestClass.workMs().midpoint() * 1e6,
+                context.environment().now());
     }
 
     boolean isHung() {
@@ -325,36 +326,38 @@
     }
 
     /** Runs or queues a request; false if all slots and the queue are full. */
-    boolean admit(NodeRequest r, boolean newConnection) {
+    boolean admit(NodeRequest request, boolean newConnection) {
         long now = context.environment().now();
         if (cpu.inFlight() >= kind.slots() + kind.queue()) {
             return false;
         }
-        Order o = r.order();
-        double work = o.workNs * (keyCache.checkAndStore(o.key, now) ? 1 - cachedKeySavings : 1);
-        boolean keyed = o.requestClass.effect() == Effect.DEDUPLICATED;
-        boolean repeat = keyed && context.repeatFilter(o.requestClass, this).checkAndStore(o.idempotencyKey(), now);
+        Order order = request.order();
+        double work = order.workNs * (keyCache.checkAndStore(order.key, now) ? 1 - cachedKeySavings : 1);
+        boolean keyed = order.requestClass.effect() == Effect.DEDUPLICATED;
+        boolean repeat =
+                keyed && context.repeatFilter(order.requestClass, this).checkAndStore(order.idempotencyKey(), now);
         work = (repeat ? work * REPEAT_WORK_SHARE : work) + (newConnection ? connectWorkNs : 0);
-        CpuModel.Job job = new CpuModel.Job(r, work);
-        r.admitted(job, repeat);
+        CpuModel.Job job = new CpuModel.Job(request, work);
+        request.admitted(job, repeat);
         cpu.offer(job, now);
         if (job.isRunning()) {
-            r.started(now);
+            request.started(now);
         }
         runJobs();
         return true;
     }
 
     /** Drops a request whose sender has closed: always while it waits, once it runs only if the kind of node does. */
-    void abandoned(NodeRequest r) {
-        if (r.isRunning() && kind.cancelled() == Script.Cancelled.GOES_ON) {
+    void abandoned(NodeRequest request) {
+        if (request.isRunning() && kind.cancelled() == Script.Cancelled.GOES_ON) {
             return;
         }
         long now = context.environment().now();
-        if (!r.isRepeat()) {
-            context.repeatFilter(r.order().requestClass, this).forget(r.order().idempotencyKey()); // it has no effect
+        if (!request.isRepeat()) {
+            context.repeatFilter(request.order().requestClass, this)
+                    .forget(request.order().idempotencyKey()); // it has no effect
         }
-        cpu.drop(r.drop(now), now);
+        cpu.drop(request.drop(now), now);
         startNext(now);
         runJobs();
     }
--- a/src/main/java/gullspar/rehearse/stage/NodeFleet.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -33,7 +33,7 @@
     private final Map<String, DiscoveryAgent> agents = new LinkedHashMap<>();
     private final Map<String, Long> deliveredAtNs = new HashMap<>();
     private final Map<String, Double> extraDelayS = new HashMap<>();
-    private final Map<String, RepeatFilter> repeatFilter = new HashMap<>();
+    private final Map<String, RepeatFilter> repeatFilters = new HashMap<>();
     private final Map<String, Double> lastBusyNs = new HashMap<>();
     private final Map<String, Integer> lastServed = new HashMap<>();
     private final Map<String, Integer> replacements = new HashMap<>();
@@ -80,7 +80,7 @@
     /** Starts all nodes, warm, and a discovery agent for each proxy. */
     public void start(List<String> proxies) {
         for (String machine : kinds.keySet()) {
-            Node node = run(machine, machine, 0);
+            Node node = startNode(machine, machine, 0);
             listedInstances.put(node.id, instance(node, "in_service"));
         }
         ServiceQueue serviceQueue = new ServiceQueue(script.discovery().answerMs());
@@ -109,7 +109,7 @@
         agents.get(proxy).recordAllAsNotified();
     }
 
-    private Node run(String machine, String id, long bootNs) {
+    private Node startNode(String machine, String id, long bootNs) {
         Node node = new Node(
                 this,
                 id,
@@ -139,7 +139,7 @@
         }
         eventLog.addEvent(environment.now(), node.id + " crashes");
         node.end();
-        ended(node, script.discovery().noticeS().draw(random));
+        handleEnd(node, script.discovery().noticeS().draw(random));
         if (downS > 0) {
             after(downS, () -> startInstance(machine, node.id));
         }
@@ -147,10 +147,10 @@
 
     @Override
     public void collapsed(Node node) {
-        ended(node, script.discovery().noticeS().draw(random));
+        handleEnd(node, script.discovery().noticeS().draw(random));
     }
 
-    private void ended(Node node, double noticedAfterS) {
+    private void handleEnd(Node node, double noticedAfterS) {
         nodeByMachine.put(node.machine, null);
         after(noticedAfterS, () -> {
             DiscoveryAgent.Instance e = listedInstances.get(node.id);
@@ -174,13 +174,13 @@
         if (nodeByMachine.get(machine) != null) {
             return;
         }
-        Node node = run(machine, id, environment.now());
+        Node node = startNode(machine, id, environment.now());
         eventLog.addEvent(environment.now(), id + " starts, cold");
         updateInstance(instance(node, "in_service"));
     }
 
     /** Drains and ends a node; then starts the instance with the next id at its address, unless that is null. */
-    private void leave(String machine, double graceS, double downS, String nextId) {
+    private void drainAndEnd(String machine, double graceS, double downS, String nextId) {
         Node node = nodeByMachine.get(machine);
         if (node == null) {
             return;
@@ -193,7 +193,7 @@
             }
             node.end();
             eventLog.addEvent(environment.now(), node.id + " ends");
-            ended(node, 0);
+            handleEnd(node, 0);
             if (nextId != null) {
                 after(downS, () -> startInstance(machine, nextId));
             }
@@ -201,38 +201,38 @@
     }
 
     public void drain(String machine, double graceS) {
-        leave(machine, graceS, 0, null);
+        drainAndEnd(machine, graceS, 0, null);
     }
 
     public void restart(String machine, double graceS, double downS) {
         Node node = nodeByMachine.get(machine);
-        leave(machine, graceS, downS, node == null ? null : node.id);
+        drainAndEnd(machine, graceS, downS, node == null ? null : node.id);
     }
 
     public void replace(String machine, double graceS, double downS) {
-        leave(machine, graceS, downS, machine + "-" + (replacements.merge(machine, 1, Integer::sum) + 1));
+        drainAndEnd(machine, graceS, downS, machine + "-" + (replacements.merge(machine, 1, Integer::sum) + 1));
     }
 
     public void stealCpu(String machine, double share) {
         ifRunning(machine, n -> n.stealCpu(share));
     }
 
-    public void hang(String machine, boolean on) {
-        ifRunning(machine, n -> n.hang(on));
+    public void setHung(String machine, boolean on) {
+        ifRunning(machine, n -> n.setHung(on));
     }
 
-    public void spoilResponses(String machine, double share) {
-        ifRunning(machine, n -> n.spoilResponses(share));
+    public void setSpoiltShare(String machine, double share) {
+        ifRunning(machine, n -> n.setSpoiltShare(share));
     }
 
-    public void trickleResponses(String machine, double bytesPerSecond) {
-        ifRunning(machine, n -> n.trickleBytesPerS(bytesPerSecond));
+    public void setTrickleRate(String machine, double bytesPerSecond) {
+        ifRunning(machine, n -> n.setTrickleRate(bytesPerSecond));
     }
 
     private void ifRunning(String machine, Consumer<Node> action) {
-        Node n = nodeByMachine.get(machine);
-        if (n != null) {
-            action.accept(n);
+        Node node = nodeByMachine.get(machine);
+        if (node != null) {
+            action.accept(node);
         }
     }
 
@@ -242,28 +242,28 @@
         agents.get(proxy).move();
     }
 
-    public void discoveryDown(boolean on) {
-        agents.values().forEach(a -> a.down(on));
+    public void setDiscoveryDown(boolean on) {
+        agents.values().forEach(a -> a.setDown(on));
     }
 
-    public void silenceDiscovery(String proxy, boolean on) {
-        agents.get(proxy).silenced(on);
+    public void setDiscoverySilenced(String proxy, boolean on) {
+        agents.get(proxy).setSilenced(on);
     }
 
-    public void delayDiscovery(String proxy, double delayS) {
+    public void setDiscoveryDelay(String proxy, double delayS) {
         extraDelayS.put(proxy, delayS);
     }
 
-    public void freezeDiscovery(boolean on) {
-        agents.values().forEach(a -> a.freeze(on));
+    public void setDiscoveryFrozen(boolean on) {
+        agents.values().forEach(a -> a.setFrozen(on));
     }
 
     // ---- the list ----
 
-    private static DiscoveryAgent.Instance instance(Node n, String lifecycle) {
-        String at = n.address.getAddress().getHostAddress() + ":" + n.address.getPort();
+    private static DiscoveryAgent.Instance instance(Node node, String lifecycle) {
+        String at = node.address.getAddress().getHostAddress() + ":" + node.address.getPort();
         return new DiscoveryAgent.Instance(
-                n.id, at, n.site, n.kind.kind(), n.cell, lifecycle, n.weight(), n.bootNs / 1_000_000);
+                node.id, at, node.site, node.kind.kind(), node.cell, lifecycle, node.weight(), node.bootNs / 1_000_000);
     }
 
     private void updateInstance(DiscoveryAgent.Instance e) {
@@ -303,7 +303,8 @@
     @Override
     public RepeatFilter repeatFilter(Script.RequestClass c, Node node) {
         String scope = c.scope() == Scope.ALL ? "" : c.scope() == Scope.ZONE ? node.site : node.site + node.cell;
-        return repeatFilter.computeIfAbsent(c.name() + ">" + scope, k -> new RepeatFilter((long) (c.windowMs() * 1e6)));
+        return repeatFilters.computeIfAbsent(
+                c.name() + ">" + scope, k -> new RepeatFilter((long) (c.windowMs() * 1e6)));
     }
 
     // ---- samples for the report ----
@@ -312,31 +313,31 @@
         after(SAMPLE_NS / 1e9, () -> {
             int all = 0;
             Map<String, Integer> share = new LinkedHashMap<>();
-            for (Node n : nodeByMachine.values()) {
-                if (n != null) {
-                    int s = n.served() - lastServed.getOrDefault(n.id + n.bootNs, 0);
-                    lastServed.put(n.id + n.bootNs, n.served());
-                    share.put(n.machine, s);
+            for (Node node : nodeByMachine.values()) {
+                if (node != null) {
+                    int s = node.served() - lastServed.getOrDefault(node.id + node.bootNs, 0);
+                    lastServed.put(node.id + node.bootNs, node.served());
+                    share.put(node.machine, s);
                     all += s;
                 }
             }
             for (Map.Entry<String, Node> e : nodeByMachine.entrySet()) {
-                Node n = e.getValue();
+                Node node = e.getValue();
                 double util = Double.NaN;
-                if (n != null) {
-                    double busy = n.busyNs();
-                    util = (busy - lastBusyNs.getOrDefault(n.id + n.bootNs, 0.0)) / SAMPLE_NS / n.cores();
-                    lastBusyNs.put(n.id + n.bootNs, busy);
+                if (node != null) {
+                    double busy = node.busyNs();
+                    util = (busy - lastBusyNs.getOrDefault(node.id + node.bootNs, 0.0)) / SAMPLE_NS / node.cores();
+                    lastBusyNs.put(node.id + node.bootNs, busy);
                 }
-                eventLog.sample(new EventLog.Sample(
+                eventLog.addSample(new EventLog.Sample(
                         environment.now(),
                         e.getKey(),
-                        n == null ? 0 : n.inFlight(),
+                        node == null ? 0 : node.inFlight(),
                         util,
                         all == 0 ? 0 : share.getOrDefault(e.getKey(), 0) / (double) all,
-                        n != null
-                                && listedInstances.containsKey(n.id)
-                                && !listedInstances.get(n.id).isLeaving()));
+                        node != null
+                                && listedInstances.containsKey(node.id)
+                                && !listedInstances.get(node.id).isLeaving()));
             }
             scheduleSample();
         });
--- a/src/main/java/gullspar/rehearse/stage/Order.java
+++ b/src/main/java/gullspar/rehearse/stage/Order.java
@@ -34,9 +34,9 @@
     /** The end of the first request that was served; MAX_VALUE if there was none. */
     public long servedAt() {
         long served = Long.MAX_VALUE;
-        for (ClientRequest t : requests) {
-            if (t.status == 200) {
-                served = Math.min(served, t.endedAt);
+        for (ClientRequest request : requests) {
+            if (request.status == 200) {
+                served = Math.min(served, request.endedAt);
             }
         }
         return served;
@@ -44,7 +44,7 @@
 
     /** Whether it was served within the latency target of its class. */
     public boolean isInTime() {
-        return servedAt() <= at + (long) (requestClass.promiseMs() * 1e6);
+        return servedAt() <= at + (long) (requestClass.latencyTargetMs() * 1e6);
     }
 
     /** The key by which nodes detect repeats of it. */
--- a/src/test/java/gullspar/rehearse/play/DeterminismTest.java
+++ b/src/test/java/gullspar/rehearse/play/DeterminismTest.java
@@ -122,7 +122,7 @@
         Script s = TestScripts.small(3, "");
         assertNotEquals(
                 VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash(),
-                VirtualPlay.play(s.with(2), VirtualPlay.Options.defaults()).decisionHash());
+                VirtualPlay.play(s.withSeed(2), VirtualPlay.Options.defaults()).decisionHash());
     }
 
     /** The module is compiled with one constant changed and put first on the class path of another process. */
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -432,9 +432,9 @@
                 promise.setSuccess();
             } else {
                 ctx.write(encode(m, p), promise);
-                Message answer = forgedReply(m);
-                if (answer != null) {
-                    ctx.executor().schedule(() -> ctx.fireChannelRead(encode(answer, p)), 2, TimeUnit.MILLISECONDS);
+                Message reply = forgedReply(m);
+                if (reply != null) {
+                    ctx.executor().schedule(() -> ctx.fireChannelRead(encode(reply, p)), 2, TimeUnit.MILLISECONDS);
                 }
             }
         }
--- a/src/test/java/gullspar/rehearse/search/SearchTest.java
+++ b/src/test/java/gullspar/rehearse/search/SearchTest.java
@@ -104,7 +104,7 @@
                 assertNull(
                         Finding.fromVerdict(
                                 reducedDay,
-                                VirtualPlay.play(reducedDay.with(remaining), REFUSING_INSTEAD_OF_FAILING)
+                                VirtualPlay.play(reducedDay.withFaults(remaining), REFUSING_INSTEAD_OF_FAILING)
                                         .verdict()),
                         fault.toString());
             }
@@ -137,7 +137,7 @@
                         .playedDays
                         .get());
         RecordingListener other = new RecordingListener();
-        new Search(SEARCH_SCRIPT.with(2), 3, folder, VirtualPlay.Options.defaults(), other).run(1);
+        new Search(SEARCH_SCRIPT.withSeed(2), 3, folder, VirtualPlay.Options.defaults(), other).run(1);
         assertEquals(3, other.playedDays.get());
     }
 
--- a/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
+++ b/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
@@ -60,11 +60,11 @@
     void aChangeOfTheCapacityShareAppliesFromThatTimeOn() {
         CpuModel m = new CpuModel(1, 1, 4, 0, 0);
         job(m, "a", 100, 0);
-        m.capacityShare(0.25, 50);
+        m.setCapacityShare(0.25, 50);
         assertEquals(250, m.nextDoneAtNs());
-        m.capacityShare(0, 150); // half of the remaining work is done
+        m.setCapacityShare(0, 150); // half of the remaining work is done
         assertEquals(Long.MAX_VALUE, m.nextDoneAtNs());
-        m.capacityShare(1, 1000);
+        m.setCapacityShare(1, 1000);
         assertEquals(1025, m.nextDoneAtNs());
     }
 
--- a/src/test/java/gullspar/rehearse/time/EventQueueTest.java
+++ b/src/test/java/gullspar/rehearse/time/EventQueueTest.java
@@ -14,18 +14,18 @@
 /** Event order in virtual time. */
 class EventQueueTest {
     private static List<String> runOrder(long seed) {
-        EventQueue a = new EventQueue(seed, 0);
-        List<String> seen = new ArrayList<>();
+        EventQueue eventQueue = new EventQueue(seed, 0);
+        List<String> events = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            int source = a.newSource();
+            int source = eventQueue.newSource();
             String name = "s" + i;
-            a.schedule(5, source, () -> seen.add(name + " first"));
-            a.schedule(5, source, () -> seen.add(name + " then"));
+            eventQueue.schedule(5, source, () -> events.add(name + " first"));
+            eventQueue.schedule(5, source, () -> events.add(name + " then"));
         }
-        while (a.hasEventBy(5)) {
-            a.runNext();
+        while (eventQueue.hasEventBy(5)) {
+            eventQueue.runNext();
         }
-        return seen;
+        return events;
     }
 
     @Test
@@ -49,47 +49,47 @@
 
     @Test
     void timeNeverGoesBack() {
-        EventQueue a = new EventQueue(1, 100);
-        List<Long> at = new ArrayList<>();
-        a.schedule(300, 1, () -> {
-            at.add(a.now());
-            a.schedule(50, 1, () -> at.add(a.now())); // in the past: runs now
+        EventQueue eventQueue = new EventQueue(1, 100);
+        List<Long> runTimes = new ArrayList<>();
+        eventQueue.schedule(300, 1, () -> {
+            runTimes.add(eventQueue.now());
+            eventQueue.schedule(50, 1, () -> runTimes.add(eventQueue.now())); // in the past: runs now
         });
-        a.schedule(200, 1, () -> at.add(a.now()));
-        while (a.hasEventBy(1000)) {
-            a.runNext();
+        eventQueue.schedule(200, 1, () -> runTimes.add(eventQueue.now()));
+        while (eventQueue.hasEventBy(1000)) {
+            eventQueue.runNext();
         }
-        assertEquals(List.of(200L, 300L, 300L), at);
+        assertEquals(List.of(200L, 300L, 300L), runTimes);
     }
 
     @Test
-    void loopRunsItsTimersOnTheAgenda() {
-        EventQueue a = new EventQueue(1, 0);
+    void loopRunsItsTimersInEventOrder() {
+        EventQueue eventQueue = new EventQueue(1, 0);
         List<Throwable> errors = new ArrayList<>();
-        VirtualLoop loop = new VirtualLoop(a, errors::add);
-        List<String> seen = new ArrayList<>();
-        loop.schedule(() -> seen.add("late at " + a.now()), 20, TimeUnit.NANOSECONDS);
+        VirtualLoop loop = new VirtualLoop(eventQueue, errors::add);
+        List<String> events = new ArrayList<>();
+        loop.schedule(() -> events.add("late at " + eventQueue.now()), 20, TimeUnit.NANOSECONDS);
         loop.schedule(
                 () -> {
-                    seen.add("early at " + a.now());
-                    loop.execute(() -> seen.add("task at " + a.now()));
+                    events.add("early at " + eventQueue.now());
+                    loop.execute(() -> events.add("task at " + eventQueue.now()));
                     throw new IllegalStateException("slip");
                 },
                 10,
                 TimeUnit.NANOSECONDS);
-        loop.schedule(() -> seen.add("never"), 15, TimeUnit.NANOSECONDS).cancel(false);
-        loop.scheduleAtFixedRate(() -> seen.add("again at " + a.now()), 8, 8, TimeUnit.NANOSECONDS);
-        while (a.hasEventBy(20)) {
-            a.runNext();
+        loop.schedule(() -> events.add("never"), 15, TimeUnit.NANOSECONDS).cancel(false);
+        loop.scheduleAtFixedRate(() -> events.add("again at " + eventQueue.now()), 8, 8, TimeUnit.NANOSECONDS);
+        while (eventQueue.hasEventBy(20)) {
+            eventQueue.runNext();
         }
         assertEquals(
                 "again at 8, early at 10, task at 10, again at 16, late at 20",
-                seen.stream().collect(Collectors.joining(", ")));
+                events.stream().collect(Collectors.joining(", ")));
         assertEquals(1, errors.size());
         loop.end();
-        while (a.hasEventBy(100)) {
-            a.runNext();
+        while (eventQueue.hasEventBy(100)) {
+            eventQueue.runNext();
         }
-        assertEquals(5, seen.size());
+        assertEquals(5, events.size());
     }
 }
