--- a/src/main/java/gullspar/rehearse/judge/FleetJudge.java
+++ b/src/main/java/gullspar/rehearse/judge/FleetJudge.java
@@ -95,8 +95,8 @@
                         Rule.FLEET_TRUE,
                         snapshot.at(),
                         key,
-                        snapshot.proxy() + " has " + member.name() + " as " + member.status()
-                                + ", which never existed");
+                        snapshot.proxy() + " reports " + member.name() + " as " + member.status()
+                                + ", but no such proxy ever existed");
             }
             if (other != null && isRunningAt(other, snapshot.at())) {
                 if (member.status().equals("gone")
@@ -107,7 +107,8 @@
                             snapshot.at(),
                             key,
                             snapshot.proxy() + " calls " + member.name()
-                                    + " gone, which is running and had no fault for " + limits.quietS() + " s");
+                                    + " gone, but it is running, and neither had a fault for more than "
+                                    + limits.quietS() + " s");
                 }
             } else if (other != null && member.isPresent()) {
                 long endedForNs = Math.min(
@@ -118,9 +119,9 @@
                             Rule.FLEET_TRUE,
                             snapshot.at(),
                             key,
-                            snapshot.proxy() + " still has " + member.name() + " (life "
+                            snapshot.proxy() + " still reports " + member.name() + " (life "
                                     + member.life()
-                                    + ") as " + member.status() + ", which ended more than " + limits.goneS()
+                                    + ") as " + member.status() + ", but it ended more than " + limits.goneS()
                                     + " s ago");
                 }
             }
@@ -154,8 +155,8 @@
                     Rule.FLEET_TRUE,
                     snapshot.at(),
                     key + " deaf",
-                    snapshot.proxy() + " has " + member.name() + " as " + member.status()
-                            + ", which has received nothing from the others for " + limits.goneS() + " s");
+                    snapshot.proxy() + " reports " + member.name() + " as " + member.status()
+                            + ", but it has received nothing from the others for " + limits.goneS() + " s");
         }
     }
 
@@ -168,8 +169,8 @@
                     Rule.FLEET_FORWARD,
                     snapshot.at(),
                     key,
-                    snapshot.proxy() + " had " + member.name() + " as " + before.status()
-                            + " in incarnation " + before.incarnation() + ", and then as " + member.status() + " in "
+                    snapshot.proxy() + " had " + member.name() + " as " + before.status() + " in incarnation "
+                            + before.incarnation() + ", and then as " + member.status() + " in "
                             + member.incarnation());
         }
     }
@@ -183,10 +184,9 @@
                     Rule.FLEET_TRUE,
                     snapshot.at(),
                     snapshot.life() + " accused",
-                    snapshot.proxy()
-                            + ", which had no fault, had to object "
-                            + snapshot.objections() + " times in " + (snapshot.at() - observer.from()) / 1_000_000_000
-                            + " s to being called gone");
+                    snapshot.proxy() + ", which had no fault, had to refute " + snapshot.objections()
+                            + " accusations in " + (snapshot.at() - observer.from()) / 1_000_000_000
+                            + " s, over the limit of " + limits.accusationsPerMin() + " a minute");
         }
     }
 
@@ -215,8 +215,8 @@
                     Rule.FLEET_AGREES,
                     snapshot.at(),
                     snapshot.proxy(),
-                    snapshot.proxy() + " sees " + aliveInView + " alive, but running are " + running + ", "
-                            + limits.agreeS() + " s after the last fault");
+                    snapshot.proxy() + " reports " + aliveInView + " as alive, but " + running
+                            + " are running, more than " + limits.agreeS() + " s after the last fault");
         }
     }
 
--- a/src/main/java/gullspar/rehearse/judge/Judge.java
+++ b/src/main/java/gullspar/rehearse/judge/Judge.java
@@ -16,15 +16,16 @@
 import java.util.Map;
 
 /**
- * Judges a day by what was observed from outside the proxies: the rules, the service, the script's
- * expectations. Used for days in virtual time and live ones; live, times are known less exactly.
+ * Judges a played day by what was observed from outside the proxies: checks the rules, computes the service and
+ * compares it with the script's expectations. Used for days in virtual time and for live days, where observed
+ * times are less exact.
  */
 public final class Judge {
     private static final int WORST_WINDOW_S = 10;
-    /** A proxy has to detect within this time that a client has left (the operators' page). */
+    /** A proxy has to detect within this time that a client has left: a requirement of the operators. */
     private static final long MAX_LEAVE_DELAY_NS = 100_000_000L;
 
-    /** How much more time an attempt may be given than its client has left (the operators' page). */
+    /** How much more time an attempt may be given than its client has left: a requirement of the operators. */
     private static final long MAX_EXTRA_TIME_NS = 150_000_000L;
 
     private static final long SECOND_NS = 1_000_000_000L;
@@ -33,7 +34,7 @@
     private final EventLog eventLog;
     private final long slackNs;
     private final List<RuleViolation> violations = new ArrayList<>();
-    /** The service of the ten seconds that start at each second. */
+    /** The service within each window of WORST_WINDOW_S, by the second at which the window starts. */
     private final List<Double> windowServices = new ArrayList<>();
 
     private int duplicateEffects;
@@ -44,7 +45,7 @@
         this.slackNs = slackNs;
     }
 
-    /** Judges a day; slackNs is how far an observed time may be from the true one. */
+    /** Judges a day; slackNs is the maximum error of an observed time, 0 in virtual time. */
     public static Verdict judge(Script script, EventLog eventLog, long slackNs) {
         return new Judge(script, eventLog, slackNs).verdict();
     }
@@ -63,7 +64,7 @@
                         Rule.COLD_SPARED,
                         at,
                         node + " was sent more than " + script.rules().tipMultiple() + " times its capacity for "
-                                + script.rules().fallS() + " s during its cold start, and fell over",
+                                + script.rules().fallS() + " s during its cold start, and collapsed",
                         null)));
         eventLog.crashes()
                 .forEach(c -> violations.add(new RuleViolation(Rule.ONE_ANSWER, c.at(), c.description(), null)));
@@ -169,7 +170,7 @@
         return counts;
     }
 
-    /** The name of a try's ending in counts and reports. */
+    /** The name of a request's ending in counts and reports; "open" if it has not ended. */
     public static String endingName(ClientRequest request) {
         return switch (request.ending) {
             case ANSWERED -> request.status == 200
@@ -197,7 +198,8 @@
 
     private void checkFinalResponse(ClientRequest request) {
         if (request.status == 200 && request.attempts.stream().noneMatch(attempt -> attempt.startedAt != 0)) {
-            addViolation(Rule.ONE_ANSWER, request.endedAt, request, "it was served, but no node had processed it");
+            addViolation(
+                    Rule.ONE_ANSWER, request.endedAt, request, "it was served, but no node had started to process it");
         }
         if (request.responseError != null) {
             addViolation(Rule.ONE_ANSWER, request.endedAt, request, request.responseError);
@@ -307,7 +309,10 @@
         return isWithinWindow && (request.order.requestClass.scope() == Scope.ALL || first.site.equals(next.site));
     }
 
-    /** Repeated effects: a violation for a request without retries; by a client's own retries they are counted. */
+    /**
+     * Several effects of one order are a violation if its class is at-most-once. For a deduplicated class they are
+     * only counted: a client's own retries may cause them.
+     */
     private void checkEffects(Order order) {
         if (order.effects <= 1 || order.requestClass.effect() == Effect.IDEMPOTENT) {
             return;
@@ -331,7 +336,7 @@
                         request,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt was sent to %s %.3f s after %s was told that it leaves",
+                                "an attempt was sent to %s %.3f s after %s was notified that the node leaves",
                                 attempt.node,
                                 (attempt.sentAt - notifiedAt) / 1e9,
                                 request.proxy));
@@ -344,7 +349,7 @@
                         request,
                         String.format(
                                 Locale.ROOT,
-                                "an attempt was sent to %s %.3f s after %s had to know that it leaves",
+                                "an attempt was sent to %s %.3f s after %s should have known that the node leaves",
                                 attempt.node,
                                 (attempt.sentAt - dueAt) / 1e9,
                                 request.proxy));
--- a/src/main/java/gullspar/rehearse/judge/RequestTrace.java
+++ b/src/main/java/gullspar/rehearse/judge/RequestTrace.java
@@ -20,7 +20,7 @@
         lines.add(new Line(
                 request.order.at,
                 "order " + request.order.number + " (" + request.order.requestClass.name() + ", " + request.order.site
-                        + ") comes up"));
+                        + ") arrives"));
         for (ClientRequest orderRequest : request.order.requests) {
             if (orderRequest.sentAt != 0) {
                 lines.add(new Line(
@@ -32,7 +32,8 @@
                 addAttempt(lines, orderRequest, attempt);
                 long notifiedAt = eventLog.notifiedLeavingAt(orderRequest.proxy, attempt.node, attempt.sentAt);
                 if (notifiedAt != 0) {
-                    lines.add(new Line(notifiedAt, orderRequest.proxy + " is told that " + attempt.node + " leaves"));
+                    lines.add(
+                            new Line(notifiedAt, orderRequest.proxy + " is notified that " + attempt.node + " leaves"));
                 }
             }
             if (orderRequest.endedAt != 0) {
@@ -41,7 +42,7 @@
                         orderRequest.id + " is " + Judge.endingName(orderRequest)
                                 + (orderRequest.status == 0
                                         ? ""
-                                        : " (" + orderRequest.status + ", sent "
+                                        : " (" + orderRequest.status + ", sent at "
                                                 + seconds(orderRequest.respondedAt - eventLog.start())
                                                 + ")")));
             }
@@ -62,12 +63,12 @@
     }
 
     private static void addAttempt(List<Line> lines, ClientRequest request, Attempt attempt) {
-        lines.add(new Line(attempt.sentAt, "an attempt of " + request.id + " goes out to " + attempt.node));
+        lines.add(new Line(attempt.sentAt, "an attempt of " + request.id + " is sent to " + attempt.node));
         if (attempt.receivedAt != 0) {
-            lines.add(new Line(attempt.receivedAt, attempt.node + " has it whole"));
+            lines.add(new Line(attempt.receivedAt, attempt.node + " has received the complete request"));
         }
         if (attempt.startedAt != 0) {
-            lines.add(new Line(attempt.startedAt, attempt.node + " begins to work on it"));
+            lines.add(new Line(attempt.startedAt, attempt.node + " starts processing it"));
         }
         if (attempt.endedAt != 0) {
             lines.add(new Line(
--- a/src/main/java/gullspar/rehearse/judge/Verdict.java
+++ b/src/main/java/gullspar/rehearse/judge/Verdict.java
@@ -4,9 +4,17 @@
 import java.util.Map;
 
 /**
- * The result of a day. Shares are of the requested worth, 0 to 1; violations are sorted by time.
- * Counts are of tries by how they ended; duplicateEffects is the number of keyed orders that took effect more
- * than once, by their clients' own retries.
+ * The judgment of a day. Shares are of the requested worth that was served in time, 0 to 1.
+ *
+ * @param violations sorted by time
+ * @param service the share over the whole day
+ * @param worst10s the share in the worst window of 10 s; that of the whole day if the day is shorter
+ * @param worstFromNs the start of that window, from the start of the day
+ * @param worstClass the share of the class with the lowest one
+ * @param counts the number of requests by the name of their ending
+ * @param orders the number of orders
+ * @param duplicateEffects the number of deduplicated orders that took effect more than once, by their clients' own
+ *     retries
  */
 public record Verdict(
         List<RuleViolation> violations,
--- a/src/main/java/gullspar/rehearse/net/DatagramLink.java
+++ b/src/main/java/gullspar/rehearse/net/DatagramLink.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Treatment of datagrams on one link: unlike a connection's bytes they may be lost, reordered, duplicated,
+ * The datagrams of one direction of a link: unlike a connection's bytes they may be lost, reordered, duplicated,
  * truncated or corrupted. Used both in virtual time and by the relay of a live day.
  */
 public final class DatagramLink {
@@ -15,10 +15,15 @@
 
     /** Impairments of a link, besides loss and delay. */
     public enum Impairment {
+        /** Each datagram gets a random additional delay. */
         JITTER,
+        /** A share of the datagrams is delivered twice. */
         TWICE,
+        /** A share of the datagrams is truncated. */
         TORN,
+        /** A share of the datagrams has one bit flipped. */
         FLIPPED,
+        /** The datagrams are held until the impairment ends. */
         STALLED
     }
 
@@ -60,7 +65,10 @@
         falseRumorInjector = injector;
     }
 
-    /** Sets an impairment; 0 ends it. The value of JITTER is in ns, of the others the share affected. */
+    /**
+     * Sets an impairment; 0 ends it. The value is for JITTER the maximum delay in ns, for STALLED any positive number,
+     * for the others the share affected, 0 to 1. When STALLED ends, the held datagrams are passed to the delivery.
+     */
     public void setImpairment(Impairment impairment, double value, Delivery delivery) {
         switch (impairment) {
             case JITTER -> jitterNs = value;
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -72,7 +72,7 @@
         return links.computeIfAbsent(from + '>' + to, k -> new Link(oneWayDelay.delayNs(from, to), 0));
     }
 
-    /** The treatment of datagrams from one host to another. */
+    /** The link for datagrams from one host to another. */
     public DatagramLink datagrams(String from, String to) {
         return datagrams.computeIfAbsent(from + '>' + to, k -> new DatagramLink());
     }
--- a/src/main/java/gullspar/rehearse/record/DecisionLog.java
+++ b/src/main/java/gullspar/rehearse/record/DecisionLog.java
@@ -36,6 +36,7 @@
     /**
      * Creates a log.
      *
+     * @param elapsedNs the time since the start, in ns
      * @param nodeNames maps the module's node numbers to names
      * @param writer receives the lines; null to compute the hash only
      */
--- a/src/main/java/gullspar/rehearse/record/LogDiff.java
+++ b/src/main/java/gullspar/rehearse/record/LogDiff.java
@@ -13,7 +13,7 @@
  * side knew of the nodes at that decision.
  */
 public final class LogDiff {
-    /** Equal decisions after the first difference before the search for a differing decision ends. */
+    /** The search for a differing decision ends after this many equal ones past the first difference. */
     private static final int MAX_EQUAL_DECISIONS = 1_000_000;
 
     /** Thrown for a file that is not a decision log; the message has the position. */
@@ -82,7 +82,7 @@
                 return List.of();
             }
             List<String> lines = new ArrayList<>();
-            lines.add("The logs part at line " + Math.max(left.lineNumber, right.lineNumber) + ":");
+            lines.add("The first difference is at line " + Math.max(left.lineNumber, right.lineNumber) + ":");
             lines.add("  A  " + format(leftEntry));
             lines.add("  B  " + format(rightEntry));
             compareDecisions(left, leftEntry, right, rightEntry, lines);
@@ -109,7 +109,7 @@
         }
         if (leftDecision == null && rightDecision == null
                 || leftDecision != null && leftDecision.equals(rightDecision)) {
-            lines.add("What was told differs from there on, no decision does.");
+            lines.add("Only inputs differ from that line on; no decision that differs was found.");
             return;
         }
         lines.add("The first decision that differs:");
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -38,7 +38,7 @@
         this.outcomes = new OutcomeTimeline(day);
     }
 
-    /** Returns the page. */
+    /** Returns the report of a day as an HTML page. */
     public static String render(DayResult day) {
         return new HtmlReport(day).renderPage();
     }
@@ -99,7 +99,7 @@
                         : ", decisions " + day.decisionHash().substring(0, 12));
         day.notes().forEach(n -> addLine("<p><strong>Note:</strong> %s</p>", escape(n)));
         addLine("<dl class=\"figures\">");
-        addFigure("service, of the worth asked for", "%.2f %%", 100 * verdict.service());
+        addFigure("service, of the requested worth", "%.2f %%", 100 * verdict.service());
         addFigure(
                 "worst 10 s, from " + Math.round(verdict.worstFromNs() / 1e9) + " s",
                 "%.2f %%",
@@ -108,7 +108,7 @@
         addFigure("orders", "%d", verdict.orders());
         for (Map.Entry<String, Integer> e : verdict.counts().entrySet()) {
             if (e.getValue() > 0) {
-                addFigure("tries " + e.getKey(), "%d", e.getValue());
+                addFigure("requests " + e.getKey(), "%d", e.getValue());
             }
         }
         addLine("</dl>");
@@ -186,9 +186,8 @@
     /** Adds a strip per node with its utilization in each second; grey where it is down. */
     private void addNodes() {
         addLine("<h2>The nodes</h2>");
-        addLine("<p class=\"soft\">How busy each is, and at the end of its line the share of all answers that "
-                + "it gave."
-                + " A hatched second: it was not in service by the list.</p>");
+        addLine("<p class=\"soft\">Each node's utilization by second, and at the end of its row its share of all "
+                + "responses. Hatched: not listed as in service.</p>");
         addLine("<ul class=\"legend\"><li><i style=\"background:var(--low)\"></i>under 30 %%</li>"
                 + "<li><i style=\"background:var(--mid)\"></i>30 to 70 %%</li>"
                 + "<li><i style=\"background:var(--high)\"></i>70 to 95 %%</li>"
@@ -228,7 +227,7 @@
                 addLine(
                         "<rect x=\"%.2f\" y=\"0\" width=\"1.02\" height=\"1\" fill=\"var(--%s)\"><title>%s at "
                                 + "%.0f s: %.0f %%"
-                                + " busy, holds %.0f</title></rect>",
+                                + " busy, %.0f requests in flight</title></rect>",
                         startS, colorName(util), escape(name), startS, 100 * util, inFlight);
                 if (!listed) {
                     addLine("<rect x=\"%.2f\" y=\"0\" width=\"1.02\" height=\"1\" fill=\"url(#hatch)\"/>", startS);
@@ -246,13 +245,14 @@
     private void addFleet() {
         FleetChart chart = new FleetChart(eventLog, day.script().seconds());
         addLine("<h2>The view of the fleet</h2>");
-        addLine("<p class=\"soft\">How each proxy saw the others, the worst answer of each second, and at the "
-                + "end of its line the bytes a second that it sent.</p>");
-        addLine("<ul class=\"legend\"><li><i style=\"background:var(--low)\"></i>as it was</li>"
-                + "<li><i style=\"background:var(--mid)\"></i>somebody suspected, or dead and still there</li>"
-                + "<li><i style=\"background:var(--late)\"></i>somebody who lives is missing</li>"
-                + "<li><i style=\"background:var(--refused)\"></i>says that it is cut off</li>"
-                + "<li><i style=\"background:var(--down)\"></i>no answer</li></ul>");
+        addLine("<p class=\"soft\">The accuracy of each proxy's view of the others, the worst of each second, and at "
+                + "the end of its row the bytes that it sent per second.</p>");
+        addLine("<ul class=\"legend\"><li><i style=\"background:var(--low)\"></i>correct</li>"
+                + "<li><i style=\"background:var(--mid)\"></i>a proxy is suspected, or has ended and "
+                + "is still present</li>"
+                + "<li><i style=\"background:var(--late)\"></i>a running proxy is missing</li>"
+                + "<li><i style=\"background:var(--refused)\"></i>reports that it is cut off</li>"
+                + "<li><i style=\"background:var(--down)\"></i>no response</li></ul>");
         addLine("<div class=\"nodes\">");
         for (String process : chart.processes()) {
             addLine("<span>%s</span>", escape(process));
@@ -262,7 +262,7 @@
             chart.samplesBySecond(process)
                     .forEach((second, sample) -> addLine(
                             "<rect x=\"%d\" y=\"0\" width=\"1.02\" height=\"1\" "
-                                    + "fill=\"var(--%s)\"><title>%s at %d s: has %d, of %d that live</title></rect>",
+                                    + "fill=\"var(--%s)\"><title>%s at %d s: %d present, %d running</title></rect>",
                             second,
                             colorName(sample.status()),
                             escape(process),
@@ -303,15 +303,16 @@
                     Integer::sum);
         }
         addLine(
-                "<p>%.2f %% of the worth asked for was served in time; %d orders were not.</p>",
+                "<p>%.2f %% of the requested worth was served in time; %d orders were not.</p>",
                 100 * verdict.worst10s(), notInTime.size());
-        addLine("<div class=\"scroll\"><table><tr><th>class, how it ended, proxy</th><th>orders</th></tr>");
+        addLine("<div class=\"scroll\"><table><tr><th>class, ending of the last request, its proxy</th>"
+                + "<th>orders</th></tr>");
         countsByEnding.entrySet().stream()
                 .sorted((a, b) -> b.getValue() - a.getValue())
                 .limit(12)
                 .forEach(e -> addLine("<tr><td>%s</td><td>%d</td></tr>", escape(e.getKey()), e.getValue()));
         addLine("</table></div>");
-        addLine("<details><summary>What happened around then</summary><pre>");
+        addLine("<details><summary>Events around this time</summary><pre>");
         eventLog.events().stream()
                 .filter(event -> event.at() >= from - WORST_WINDOW_NS / 5 && event.at() < from + WORST_WINDOW_NS)
                 .forEach(event ->
@@ -348,7 +349,7 @@
 
     private void addTable() {
         addLine("<h2>Second by second</h2>");
-        addLine("<details><summary>The figures of the plot</summary><div "
+        addLine("<details><summary>The values of the chart</summary><div "
                 + "class=\"scroll\"><table><tr><th>second</th>"
                 + "<th>orders</th><th>served</th><th>late</th><th>refused</th><th>failed</th></tr>");
         for (int second = 0; second < outcomes.length(); second++) {
--- a/src/main/java/gullspar/rehearse/script/Script.java
+++ b/src/main/java/gullspar/rehearse/script/Script.java
@@ -7,8 +7,13 @@
 import java.util.Map;
 
 /**
- * What is rehearsed: a fleet, its sites, proxies and clients, and the faults with their times. Ranges are
- * drawn from by the seed of the day. peers: null where the proxies keep no view of the fleet.
+ * The script of a rehearsal: the nodes, sites, proxies and clients, and the faults with their times. Where a
+ * value is a range, it is drawn from it at random, by the seed of the day.
+ *
+ * @param siteDelayMs the one-way delay between two sites, drawn for each pair of sites
+ * @param localDelayMs the one-way delay within a site: the midpoint of the range
+ * @param expect the minimum shares that the script expects, by name
+ * @param peers null if the proxies keep no view of the fleet
  */
 public record Script(
         String title,
@@ -40,15 +45,16 @@
             double connectTimeoutMs,
             double startS) {}
 
-    /** What cancelling does to a running request. */
+    /** What a node does with a running request whose connection is closed. */
     public enum Cancelled {
         STOPS,
         GOES_ON
     }
 
     /**
-     * Identical nodes. Speed 1 does 1 s of work in 1 s on one core; up to slots requests run in parallel and up to
-     * queue wait; a new connection costs connectMs of work; a remembered key saves a share of the work.
+     * A number of nodes of one kind. Speed 1 does 1 s of work in 1 s on one core; up to slots requests run in
+     * parallel and up to queue wait; a new connection costs connectMs of work; a remembered key saves a share of
+     * the work.
      */
     public record NodeKind(
             String kind,
@@ -68,7 +74,16 @@
             double reportNoise,
             int answerBytes) {}
 
-    /** A class of request. */
+    /**
+     * A class of requests.
+     *
+     * @param windowMs how long nodes detect repeats of a deduplicated request
+     * @param share the share of all orders, relative to the sum over the classes
+     * @param workMs the processing time on one core of speed 1
+     * @param latencyTargetMs an order that is served later counts as not served in time
+     * @param giveUpMs the longest that a client waits for a response
+     * @param worth the weight of an order in the service
+     */
     public record RequestClass(
             String name,
             Effect effect,
@@ -81,18 +96,33 @@
             double worth,
             int bodyBytes) {}
 
-    /** The clients: rate in requests a second over all sites; giveUpShare is the part of giveUpMs that one waits. */
+    /**
+     * The clients.
+     *
+     * @param rate orders per second, over all sites
+     * @param giveUpShare the share of giveUpMs for which a client waits
+     * @param retries the maximum number of retries of an order
+     * @param keySkew the exponent of the Zipf distribution of the keys
+     * @param noticeS the delay after which the front balancer notices that a proxy has ended
+     */
     public record Clients(
             double rate, Range giveUpShare, int retries, Range retryWaitMs, int keys, double keySkew, Range noticeS) {}
 
-    /** How changes of the nodes reach the proxies; calls are answered one after the other, each after answerMs. */
+    /**
+     * How changes of the nodes reach the proxies.
+     *
+     * @param delayMs the delay of a change on its way to a proxy's agent
+     * @param weightPeriodMs the interval between updates of the weights
+     * @param noticeS the delay after which discovery notices that a node has crashed
+     * @param answerMs the service time of a call; calls are served one after another
+     */
     public record Discovery(Range delayMs, Range weightPeriodMs, Range noticeS, double answerMs) {}
 
     /**
      * The view of the fleet that the proxies keep, and its limits, in s: a running, reachable member is not
      * called gone for longer than quiet, a dead one has left every view after gone, and after the last fault
      * all views are equal within agree. bytesPerS: the average that one proxy may send; accusationsPerMin: how
-     * often a proxy without faults may have to object to being called gone.
+     * often a proxy without faults may have to refute that it is gone or suspected.
      */
     public record Peers(
             double intervalMs,
@@ -103,7 +133,16 @@
             int bytesPerS,
             double accusationsPerMin) {}
 
-    /** The limits of the rules. */
+    /**
+     * The limits of the rules.
+     *
+     * @param drainGraceMs how long after a drain notice attempts may still be sent to a node
+     * @param startCapacity the share of its capacity that a node has at its start
+     * @param coldS the time from its start in which a node warms up to its full capacity
+     * @param tipMultiple a cold node collapses if the work sent to it within fallS exceeds this multiple of what it
+     *     could have done in that time
+     * @param fallS see tipMultiple
+     */
     public record Rules(double drainGraceMs, double startCapacity, double coldS, double tipMultiple, double fallS) {}
 
     /**
--- a/src/main/java/gullspar/rehearse/search/Search.java
+++ b/src/main/java/gullspar/rehearse/search/Search.java
@@ -130,7 +130,7 @@
         listener.onProgress(finishedDays.size(), findingCount, days);
     }
 
-    /** The first line identifies the script: the state of another script is discarded. */
+    /** Reads the state of earlier runs. Its first line identifies the script: the state of another one is discarded. */
     private void readState() throws IOException {
         Path file = folder.resolve(STATE_FILE);
         String header =
--- a/src/main/java/gullspar/rehearse/stage/ClientRequest.java
+++ b/src/main/java/gullspar/rehearse/stage/ClientRequest.java
@@ -9,11 +9,17 @@
 public final class ClientRequest {
     /** How the request ended for its client. */
     public enum Ending {
+        /** It has not ended. */
         OPEN,
+        /** The client received a complete response, of any status. */
         ANSWERED,
+        /** The client's time-out expired. */
         GIVEN_UP,
+        /** The client closed the connection before its time-out. */
         LEFT,
+        /** The proxy closed the connection without a complete response. */
         CLOSED,
+        /** No proxy accepted a connection in time; nothing was sent. */
         NOT_TAKEN
     }
 
@@ -32,7 +38,7 @@
     public boolean firstOnConnection;
     /** Whether it was resent because the proxy closed the idle connection while the request was under way. */
     public boolean resent;
-    /** What was wrong: a response that no node made for this request, or a second one; null for neither. */
+    /** An error in the response: no node made it for this request, or there was a second one; null if none. */
     public String responseError;
 
     public final List<Attempt> attempts = new ArrayList<>(1);
@@ -47,13 +53,19 @@
     public static final class Attempt {
         /** The state of the attempt at the node. */
         public enum State {
+            /** Not received completely, or not admitted yet. */
             PART,
+            /** Admitted, and in the queue for a slot. */
             WAITS,
             RUNS,
             SERVED,
+            /** Rejected with a response that states that it was not started. */
             TURNED_AWAY,
+            /** Removed because the sender closed the connection. */
             DROPPED,
+            /** Executed, but the response was faulty. */
             FAILED,
+            /** Detected as a repeat: it runs, or has ended, without an effect. */
             REPEAT
         }
 
--- a/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
+++ b/src/main/java/gullspar/rehearse/stage/DiscoveryAgent.java
@@ -59,6 +59,7 @@
         }
     }
 
+    /** An instance with the version of the list in which it last changed. */
     private record Versioned(Instance instance, long version) {}
 
     private final String proxy;
@@ -74,7 +75,9 @@
     private long version = 1;
     private long frozenVersion;
     private final Set<Watch> watches = new LinkedHashSet<>();
+    /** Changes received while silenced. */
     private final List<Instance> withheld = new ArrayList<>();
+
     private Channel listener;
     private InetSocketAddress address;
     private int moves;
--- a/src/main/java/gullspar/rehearse/stage/EventLog.java
+++ b/src/main/java/gullspar/rehearse/stage/EventLog.java
@@ -22,7 +22,14 @@
         }
     }
 
-    /** The state of a node at one time: inFlight in requests, util 0 to 1 or NaN while it is down. */
+    /**
+     * The state of a node at one time, and its activity since the previous sample.
+     *
+     * @param inFlight the requests that run or wait
+     * @param util the utilization, 0 to 1; NaN while the node is down
+     * @param share the node's share of all responses, 0 to 1
+     * @param listed whether discovery lists it as in service
+     */
     public record Sample(long at, String node, int inFlight, double util, double share, boolean listed) {}
 
     private long start;
@@ -110,7 +117,7 @@
         append(notices, proxy, node, leaving, at);
     }
 
-    /** From now on the proxy should know it, whether or not its calls to discovery succeeded. */
+    /** Records that the proxy should know the notice from then on, whether or not its calls to discovery succeed. */
     void addDueNotice(String proxy, String node, boolean leaving, long at) {
         append(dueNotices, proxy, node, leaving, at);
     }
@@ -148,7 +155,7 @@
 
     void addCollapse(String node, long at) {
         collapsedAt.put(node, at);
-        addEvent(at, node + " was pushed over while it was cold");
+        addEvent(at, node + " collapsed under load during its cold start");
     }
 
     /** Adds an interval in which requests may get no response from a proxy, as it is killed or paused. */
@@ -163,8 +170,8 @@
 
     /** Records that a proxy ended without being stopped. */
     public void addCrash(String proxy, String cause, long at) {
-        crashes.add(new Event(at, proxy + " ended by itself: " + cause));
-        addEvent(at, proxy + " ended by itself: " + cause);
+        crashes.add(new Event(at, proxy + " exited unexpectedly: " + cause));
+        addEvent(at, proxy + " exited unexpectedly: " + cause);
     }
 
     // ---- the view of the fleet ----
--- a/src/main/java/gullspar/rehearse/stage/FaultyResponse.java
+++ b/src/main/java/gullspar/rehearse/stage/FaultyResponse.java
@@ -10,11 +10,15 @@
 final class FaultyResponse {
     /** The kind of fault. */
     enum Kind {
+        /** Bytes that are not HTTP. */
         NOISE,
         NEGATIVE_LENGTH,
         HEAD_WITHOUT_END,
+        /** The first half of the response, then a close. */
         HALF,
+        /** The response, followed by bytes that do not belong to it. */
         MORE,
+        /** A body that is sent without pause. */
         ENDLESS
     }
 
--- a/src/main/java/gullspar/rehearse/stage/FleetSnapshot.java
+++ b/src/main/java/gullspar/rehearse/stage/FleetSnapshot.java
@@ -9,7 +9,7 @@
 /**
  * A proxy's view of the fleet, as reported at {@code /_fleet}.
  *
- * @param proxy the process that was asked: a proxy's name, or that of its twin
+ * @param proxy the process that was polled: a proxy's name, or that of its twin
  * @param sentBytes the bytes in datagrams sent since its start
  * @param objections how often it had to refute a statement that it is dead or suspected
  */
--- a/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
+++ b/src/main/java/gullspar/rehearse/stage/FrontBalancer.java
@@ -151,9 +151,15 @@
         surgeShare = share;
     }
 
-    /** Chooses the proxy for a client of a site by two random numbers from 0 to 1; "" if there is none. */
-    String chooseProxy(String site, double first, double second, String excluded) {
-        if (surgeProxy != null && first < surgeShare && inRotation.get(surgeProxy) && !surgeProxy.equals(excluded)) {
+    /**
+     * Chooses the proxy for a client of a site, other than the excluded one; "" if there is none. Two random numbers
+     * from 0 to 1 are used: the first decides on a surge, the second on the proxy.
+     */
+    String chooseProxy(String site, double surgeDraw, double proxyDraw, String excluded) {
+        if (surgeProxy != null
+                && surgeDraw < surgeShare
+                && inRotation.get(surgeProxy)
+                && !surgeProxy.equals(excluded)) {
             return surgeProxy;
         }
         List<String> candidates = new ArrayList<>();
@@ -169,6 +175,6 @@
                 }
             });
         }
-        return candidates.isEmpty() ? "" : candidates.get((int) (second * candidates.size()));
+        return candidates.isEmpty() ? "" : candidates.get((int) (proxyDraw * candidates.size()));
     }
 }
--- a/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
+++ b/src/main/java/gullspar/rehearse/stage/LoadGenerator.java
@@ -28,9 +28,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The regular clients. Arrivals are a Poisson process and do not wait for responses. Each order (class, key,
- * work, site, time-outs) depends on the seed and its number alone, so that it is the same whatever the outcome
- * of earlier ones, live and in virtual time.
+ * Generates the requests of the well-behaved clients. Arrivals are a Poisson process and do not wait for
+ * responses. Each order (class, key, work, site, time-outs) depends on the seed and its number alone, so that it
+ * is the same whatever the outcome of earlier ones, live and in virtual time.
  */
 public final class LoadGenerator {
     private static final int CONNECT_TIMEOUT_MS = 1000;
--- a/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
+++ b/src/main/java/gullspar/rehearse/stage/MisbehavingClients.java
@@ -51,12 +51,12 @@
         this.random = new SplittableRandom(seed * 31 + 5);
     }
 
-    /** Sends that many malformed requests per second to a proxy; 0 stops that. */
+    /** Sets the number of malformed requests per second that are sent to a proxy; 0 ends them. */
     public void setMalformedRequestRate(String proxy, double perSecond) {
         run(malformedRequestTargets, proxy, perSecond, true);
     }
 
-    /** Opens that many connections per second to a proxy without sending anything; 0 stops that. */
+    /** Sets the number of connections per second that are opened to a proxy without sending anything; 0 ends them. */
     public void setSilentConnectionRate(String proxy, double perSecond) {
         run(silentConnectionTargets, proxy, perSecond, false);
     }
--- a/src/main/java/gullspar/rehearse/stage/Node.java
+++ b/src/main/java/gullspar/rehearse/stage/Node.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A simulated order node: one process from its start to its end. It accepts requests by the protocol, works
+ * A simulated node: one process from its start to its end. It accepts requests by the protocol, works
  * on them at the pace of its CPU model, reports its load with a delay, is slow while it is cold, and collapses
  * if it is sent too much work then.
  */
@@ -58,7 +58,7 @@
     private final double cachedKeySavings;
     private final long reportPeriodNs;
     private final long reportDelayNs;
-    /** Work sent within the window of the collapse rule, oldest first: time and amount. */
+    /** Work sent within the window of the collapse rule, oldest first: time and amount, both in ns. */
     private final Deque<double[]> sentWork = new ArrayDeque<>();
 
     private double sentWorkNs;
@@ -314,7 +314,7 @@
 
     // ---- requests ----
 
-    /** Counts the middle of the work range of a completely received request's class. */
+    /** Counts a completely received request for the collapse rule, with the middle of its class's work range. */
     void requestReceived(Order order) {
         addSentWork(
                 order.requestClass.workMs().midpoint() * 1e6,
--- a/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
+++ b/src/main/java/gullspar/rehearse/stage/ServiceQueue.java
@@ -6,8 +6,8 @@
     private long freeAt;
 
     /** Creates a queue with that service time for each call; 0 for none. */
-    ServiceQueue(double eachMs) {
-        serviceTimeNs = (long) (eachMs * 1e6);
+    ServiceQueue(double serviceTimeMs) {
+        serviceTimeNs = (long) (serviceTimeMs * 1e6);
     }
 
     /** Adds a call that arrives now; returns the ns until its response. */
--- a/src/main/resources/gullspar/rehearse/faults/system-calls.c
+++ b/src/main/resources/gullspar/rehearse/faults/system-calls.c
@@ -18,7 +18,8 @@
 enum call { CALL_SOCKET, CALL_ACCEPT, CALL_CONNECT, CALL_BIND, CALL_LISTEN, CALL_WRITE_LOG, CALLS };
 
 static volatile const uint32_t *control;
-static uint32_t counted[CALLS];
+/* The number of calls so far, to select one in N. */
+static uint32_t call_counts[CALLS];
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("GULLSPAR_FAULTS");
@@ -43,7 +44,7 @@
         return 0;
     }
     uint32_t one_in = word >> 16;
-    if (one_in > 1 && __sync_add_and_fetch(&counted[call], 1) % one_in != 0) {
+    if (one_in > 1 && __sync_add_and_fetch(&call_counts[call], 1) % one_in != 0) {
         return 0;
     }
     errno = (int)(word & 0xffff);
--- a/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
@@ -375,7 +375,7 @@
     void drainNoticeNotReceived() {
         assertDetected(
                 Rule.DRAINS_KEPT,
-                "was told that it leaves",
+                "was notified that the node leaves",
                 DRAINING_NODES,
                 tamperedDrainNotices(text -> text.replace("\"terminating\"", "\"in_service\" "), 0));
     }
@@ -383,7 +383,10 @@
     @Test
     void drainNoticeReceivedLate() {
         assertDetected(
-                Rule.DRAINS_KEPT, "was told that it leaves", DRAINING_NODES, tamperedDrainNotices(text -> text, 1500));
+                Rule.DRAINS_KEPT,
+                "was notified that the node leaves",
+                DRAINING_NODES,
+                tamperedDrainNotices(text -> text, 1500));
     }
 
     /** All watches end; drains follow after discovery is back, when a proxy may have no watch. */
@@ -398,7 +401,7 @@
         Set<InetSocketAddress> watchedAddresses = new HashSet<>();
         assertDetected(
                 Rule.LISTS_HEARD,
-                "had to know that it leaves",
+                "should have known that the node leaves",
                 DRAINS_DURING_OUTAGE,
                 PlantedFaults.sockets(null, address -> new ChannelOutboundHandlerAdapter() {
                     @Override
@@ -443,12 +446,12 @@
 
     @Test
     void allProxiesPreferNewestNode() {
-        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(2, 4));
+        assertDetected(Rule.COLD_SPARED, "and collapsed", COLD_NODES, preferringNewestNode(2, 4));
     }
 
     /** Only one proxy overloads the node; the rule applies to all proxies together. */
     @Test
     void oneProxyPrefersNewestNode() {
-        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(1, 1));
+        assertDetected(Rule.COLD_SPARED, "and collapsed", COLD_NODES, preferringNewestNode(1, 1));
     }
 }
--- a/src/test/java/gullspar/rehearse/report/ReportTest.java
+++ b/src/test/java/gullspar/rehearse/report/ReportTest.java
@@ -90,7 +90,8 @@
                 FleetChart.ViewStatus.RIGHT, chart.samplesBySecond("p3").get(29).status());
         assertTrue(chart.bytesPerSecond("p1") > 0);
         String html = HtmlReport.render(fleetDay);
-        assertTrue(html.contains("p3 at 21 s: has ") && html.contains("The view of the fleet"));
+        assertTrue(
+                html.matches("(?s).*p3 at 21 s: \\d+ present, 3 running.*") && html.contains("The view of the fleet"));
         assertFalse(HtmlReport.render(day).contains("The view of the fleet"));
     }
 
--- a/src/test/java/gullspar/rehearse/time/EventQueueTest.java
+++ b/src/test/java/gullspar/rehearse/time/EventQueueTest.java
@@ -73,7 +73,7 @@
                 () -> {
                     events.add("early at " + eventQueue.now());
                     loop.execute(() -> events.add("task at " + eventQueue.now()));
-                    throw new IllegalStateException("slip");
+                    throw new IllegalStateException("planted failure of a task");
                 },
                 10,
                 TimeUnit.NANOSECONDS);
