--- a/src/main/java/gullspar/rehearse/live/Ports.java
+++ b/src/main/java/gullspar/rehearse/live/Ports.java
@@ -24,8 +24,8 @@
     private static InetAddress processAddress(int number) throws IOException {
         long pid = ProcessHandle.current().pid();
         String address = "127." + (2 + pid % 250) + "." + pid / 250 % 250 + "." + number;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(address))) {
-            return s.getInetAddress();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(address))) {
+            return socket.getInetAddress();
         } catch (IOException e) {
             return InetAddress.getByName(DEFAULT_ADDRESS);
         }
--- a/src/main/java/gullspar/rehearse/net/DatagramLink.java
+++ b/src/main/java/gullspar/rehearse/net/DatagramLink.java
@@ -107,22 +107,22 @@
         if (activeCuts > 0 || lossDraw < loss || datagram.length == 0) {
             return;
         }
-        byte[] d = datagram;
+        byte[] transmitted = datagram;
         if (truncateDraw < truncateShare) {
-            d = Arrays.copyOf(d, Math.floorMod(position, d.length));
+            transmitted = Arrays.copyOf(transmitted, Math.floorMod(position, transmitted.length));
         } else if (bitFlipDraw < bitFlipShare) {
-            d = d.clone();
-            d[Math.floorMod(position, d.length)] ^= (byte) (1 << (position >>> 28 & 7));
+            transmitted = transmitted.clone();
+            transmitted[Math.floorMod(position, transmitted.length)] ^= (byte) (1 << (position >>> 28 & 7));
         }
         if (stalled) {
             if (held.size() < MAX_HELD) {
-                held.add(d);
+                held.add(transmitted);
             }
             return;
         }
-        delivery.deliver(extraDelayNs + (long) (jitterDraw * jitterNs), d);
+        delivery.deliver(extraDelayNs + (long) (jitterDraw * jitterNs), transmitted);
         if (duplicateDraw < duplicateShare) {
-            delivery.deliver(extraDelayNs + (long) (duplicateJitterDraw * jitterNs), d);
+            delivery.deliver(extraDelayNs + (long) (duplicateJitterDraw * jitterNs), transmitted);
         }
     }
 }
--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -51,26 +51,26 @@
 
     /** Returns the datagrams to send in place of one from the member. */
     List<byte[]> rewrite(byte[] datagram) {
-        Message m;
+        Message message;
         try {
             if (falseRumorsPerDatagram == 0 && renumberedLives.isEmpty()
                     || keys.get().open(datagram) != null) {
                 return List.of(datagram);
             }
-            m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
+            message = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
         } catch (IOException e) {
             throw new UncheckedIOException("a member sent a datagram that cannot be decoded as a message", e);
         }
-        long life = m.header().from().life();
+        long life = message.header().from().life();
         if (falseRumorsPerDatagram > 0) {
             renumberedLives.add(life);
         }
         if (!renumberedLives.contains(life)) {
             return List.of(datagram);
         }
-        long number = m.header().number() * NUMBERS_PER_DATAGRAM;
+        long number = message.header().number() * NUMBERS_PER_DATAGRAM;
         List<byte[]> out = new ArrayList<>();
-        out.add(seal(TamperedMessages.withNumber(m, number)));
+        out.add(seal(TamperedMessages.withNumber(message, number)));
         for (int left = falseRumorsPerDatagram;
                 left > 0 && out.size() < NUMBERS_PER_DATAGRAM;
                 left -= RUMORS_PER_DATAGRAM) {
@@ -78,19 +78,19 @@
             for (int i = 0; i < Math.min(left, RUMORS_PER_DATAGRAM); i++) {
                 rumors.add(inventRumor());
             }
-            out.add(seal(TamperedMessages.withNumber(new Message.News(m.header(), rumors), number + out.size())));
+            out.add(seal(TamperedMessages.withNumber(new Message.News(message.header(), rumors), number + out.size())));
         }
         return out;
     }
 
-    private byte[] seal(Message m) {
-        return keys.get().seal(Codec.encode(m));
+    private byte[] seal(Message message) {
+        return keys.get().seal(Codec.encode(message));
     }
 
     private Rumor inventRumor() {
         Identity id = new Identity("ghost" + ++inventedCount, random.nextLong());
         // No member has this address, but on a live day it must be one of the local machine.
-        Statement s = new Statement(
+        Statement statement = new Statement(
                 id,
                 1,
                 "127.0.0.9:" + (1024 + random.nextInt(60_000)),
@@ -103,6 +103,6 @@
                 0,
                 TrafficStats.NONE,
                 Facts.NONE);
-        return new Rumor(id, 0, MemberStatus.ALIVE, "", 0, s, 0);
+        return new Rumor(id, 0, MemberStatus.ALIVE, "", 0, statement, 0);
     }
 }
--- a/src/main/java/gullspar/rehearse/net/HalfConnection.java
+++ b/src/main/java/gullspar/rehearse/net/HalfConnection.java
@@ -33,8 +33,8 @@
         this.source = network.eventQueue.newSource();
     }
 
-    void setReceiver(MemoryChannel c) {
-        receiver = c;
+    void setReceiver(MemoryChannel channel) {
+        receiver = channel;
     }
 
     /** Number of bytes that the sender may still send before the window is full. */
@@ -42,9 +42,9 @@
         return Network.WINDOW_BYTES - bytesInFlight;
     }
 
-    void sendBytes(ByteBuf b) {
-        bytesInFlight += b.readableBytes();
-        enqueue(Kind.BYTES, b);
+    void sendBytes(ByteBuf bytes) {
+        bytesInFlight += bytes.readableBytes();
+        enqueue(Kind.BYTES, bytes);
     }
 
     void sendFin() {
@@ -56,10 +56,10 @@
         enqueue(Kind.RST, null);
     }
 
-    private void enqueue(Kind kind, ByteBuf b) {
+    private void enqueue(Kind kind, ByteBuf bytes) {
         long now = network.eventQueue.now();
         lastArrivalNs = Math.max(lastArrivalNs, now + network.travelTimeNs(from, to));
-        segments.add(new Segment(kind, b, now, lastArrivalNs));
+        segments.add(new Segment(kind, bytes, now, lastArrivalNs));
         network.eventQueue.schedule(lastArrivalNs, source, this::deliverDue);
     }
 
@@ -84,32 +84,34 @@
         }
     }
 
-    private void deliver(MemoryChannel r) {
+    private void deliver(MemoryChannel channel) {
         boolean delivered = false;
-        for (Segment s = segments.peek(); s != null && s.arrivesAtNs <= network.eventQueue.now(); s = segments.peek()) {
+        for (Segment segment = segments.peek();
+                segment != null && segment.arrivesAtNs <= network.eventQueue.now();
+                segment = segments.peek()) {
             segments.remove();
-            if (s.kind == Kind.BYTES) {
-                bytesInFlight -= s.bytes.readableBytes();
-                delivered |= r.receive(s.bytes, s.sentAtNs);
+            if (segment.kind == Kind.BYTES) {
+                bytesInFlight -= segment.bytes.readableBytes();
+                delivered |= channel.receive(segment.bytes, segment.sentAtNs);
             } else {
                 if (delivered) {
-                    r.readComplete();
+                    channel.readComplete();
                     delivered = false;
                 }
-                r.handlePeerEnd(s.kind == Kind.RST);
+                channel.handlePeerEnd(segment.kind == Kind.RST);
             }
         }
         if (delivered) {
-            r.readComplete();
+            channel.readComplete();
         }
         sender.resumeWriting();
     }
 
     /** Discards the segments in flight and removes the receiver. */
     void discard() {
-        for (Segment s : segments) {
-            if (s.bytes != null) {
-                s.bytes.release();
+        for (Segment segment : segments) {
+            if (segment.bytes != null) {
+                segment.bytes.release();
             }
         }
         segments.clear();
--- a/src/main/java/gullspar/rehearse/net/Network.java
+++ b/src/main/java/gullspar/rehearse/net/Network.java
@@ -183,11 +183,11 @@
 
     /** The time that a segment sent now takes, including its retransmissions. */
     long travelTimeNs(Host from, Host to) {
-        Link l = link(from.name, to.name);
-        long ns = l.delayNs + l.extraDelayNs + (l.jitterNs > 0 ? random.nextLong(l.jitterNs) : 0);
-        if (l.loss > 0) {
+        Link link = link(from.name, to.name);
+        long ns = link.delayNs + link.extraDelayNs + (link.jitterNs > 0 ? random.nextLong(link.jitterNs) : 0);
+        if (link.loss > 0) {
             for (long wait = MIN_RETRANSMIT_NS;
-                    random.nextDouble() < l.loss && wait <= 16 * MIN_RETRANSMIT_NS;
+                    random.nextDouble() < link.loss && wait <= 16 * MIN_RETRANSMIT_NS;
                     wait *= 2) {
                 ns += wait; // the time-out doubles each time (RFC 6298, section 5.5)
             }
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -9,42 +9,43 @@
     private TamperedMessages() {}
 
     /** Replaces the rumors of messages that carry any; the entries of a listing are removed. */
-    public static Message withRumors(Message m, List<Rumor> rumors) {
-        if (m instanceof Message.Ping p) {
+    public static Message withRumors(Message message, List<Rumor> rumors) {
+        if (message instanceof Message.Ping p) {
             return new Message.Ping(p.header(), p.nonce(), p.targetLife(), p.requestsStatement(), rumors);
-        } else if (m instanceof Message.Ack a) {
+        } else if (message instanceof Message.Ack a) {
             return new Message.Ack(a.header(), a.nonce(), a.subject(), a.incarnation(), rumors);
-        } else if (m instanceof Message.PingReq r) {
+        } else if (message instanceof Message.PingReq r) {
             return new Message.PingReq(r.header(), r.nonce(), r.target(), r.address(), rumors);
-        } else if (m instanceof Message.Nack n) {
+        } else if (message instanceof Message.Nack n) {
             return new Message.Nack(n.header(), n.nonce(), rumors);
-        } else if (m instanceof Message.News n) {
+        } else if (message instanceof Message.News n) {
             return new Message.News(n.header(), rumors);
-        } else if (m instanceof Message.Listing l) {
+        } else if (message instanceof Message.Listing l) {
             return new Message.Listing(l.header(), l.from(), l.to(), List.of());
         }
-        return m;
+        return message;
     }
 
     /** Replaces the sequence number. */
-    public static Message withNumber(Message m, long number) {
-        Message.Header o = m.header();
-        Message.Header h = new Message.Header(o.from(), o.incarnation(), o.address(), number);
-        if (m instanceof Message.Ping p) {
-            return new Message.Ping(h, p.nonce(), p.targetLife(), p.requestsStatement(), p.rumors());
-        } else if (m instanceof Message.Ack a) {
-            return new Message.Ack(h, a.nonce(), a.subject(), a.incarnation(), a.rumors());
-        } else if (m instanceof Message.PingReq r) {
-            return new Message.PingReq(h, r.nonce(), r.target(), r.address(), r.rumors());
-        } else if (m instanceof Message.Nack n) {
-            return new Message.Nack(h, n.nonce(), n.rumors());
-        } else if (m instanceof Message.News n) {
-            return new Message.News(h, n.rumors());
-        } else if (m instanceof Message.Listing l) {
-            return new Message.Listing(h, l.from(), l.to(), l.known());
-        } else if (m instanceof Message.Digest d) {
-            return new Message.Digest(h, d.ranges());
+    public static Message withNumber(Message message, long number) {
+        Message.Header oldHeader = message.header();
+        Message.Header newHeader =
+                new Message.Header(oldHeader.from(), oldHeader.incarnation(), oldHeader.address(), number);
+        if (message instanceof Message.Ping p) {
+            return new Message.Ping(newHeader, p.nonce(), p.targetLife(), p.requestsStatement(), p.rumors());
+        } else if (message instanceof Message.Ack a) {
+            return new Message.Ack(newHeader, a.nonce(), a.subject(), a.incarnation(), a.rumors());
+        } else if (message instanceof Message.PingReq r) {
+            return new Message.PingReq(newHeader, r.nonce(), r.target(), r.address(), r.rumors());
+        } else if (message instanceof Message.Nack n) {
+            return new Message.Nack(newHeader, n.nonce(), n.rumors());
+        } else if (message instanceof Message.News n) {
+            return new Message.News(newHeader, n.rumors());
+        } else if (message instanceof Message.Listing l) {
+            return new Message.Listing(newHeader, l.from(), l.to(), l.known());
+        } else if (message instanceof Message.Digest d) {
+            return new Message.Digest(newHeader, d.ranges());
         }
-        return new Message.Want(h, ((Message.Want) m).lives());
+        return new Message.Want(newHeader, ((Message.Want) message).lives());
     }
 }
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -117,9 +117,9 @@
 
     /** Sets the keys of a process, by number, and returns an envelope with them. */
     Envelope setKeys(String process, List<Integer> keyNumbers) {
-        Envelope e = envelope(keyNumbers);
-        envelopes.put(process, e);
-        return e;
+        Envelope envelope = envelope(keyNumbers);
+        envelopes.put(process, envelope);
+        return envelope;
     }
 
     private static Envelope envelope(List<Integer> keyNumbers) {
--- a/src/main/java/gullspar/rehearse/report/HtmlReport.java
+++ b/src/main/java/gullspar/rehearse/report/HtmlReport.java
@@ -166,15 +166,17 @@
             return;
         }
         addLine("<div class=\"faults\">");
-        for (Fault f : day.script().faults()) {
-            double left = 100 * f.startS() / day.script().seconds();
-            double width = 100 * f.durationS() / day.script().seconds();
+        for (Fault fault : day.script().faults()) {
+            double left = 100 * fault.startS() / day.script().seconds();
+            double width = 100 * fault.durationS() / day.script().seconds();
             String text = String.format(
                     Locale.ROOT,
                     "%.1f s%s: %s",
-                    f.startS(),
-                    f.durationS() > 0 ? String.format(Locale.ROOT, " to %.1f s", f.startS() + f.durationS()) : "",
-                    f);
+                    fault.startS(),
+                    fault.durationS() > 0
+                            ? String.format(Locale.ROOT, " to %.1f s", fault.startS() + fault.durationS())
+                            : "",
+                    fault);
             addLine(
                     "<div class=\"fault\" title=\"%s\"><span>%s</span><b "
                             + "style=\"left:%.2f%%;width:%.2f%%\"></b></div>",
@@ -287,7 +289,7 @@
         Verdict verdict = day.verdict();
         long from = eventLog.start() + verdict.worstFromNs();
         List<Order> notInTime = eventLog.orders().stream()
-                .filter(o -> o.at >= from && o.at < from + WORST_WINDOW_NS && !o.isInTime())
+                .filter(order -> order.at >= from && order.at < from + WORST_WINDOW_NS && !order.isInTime())
                 .toList();
         addLine("<h2>The worst ten seconds, from %.0f s</h2>", verdict.worstFromNs() / 1e9);
         if (notInTime.isEmpty()) {
@@ -295,10 +297,11 @@
             return;
         }
         Map<String, Integer> countsByEnding = new LinkedHashMap<>();
-        for (Order o : notInTime) {
-            String last = Judge.endingName(o.requests.get(o.requests.size() - 1));
+        for (Order order : notInTime) {
+            String last = Judge.endingName(order.requests.get(order.requests.size() - 1));
             countsByEnding.merge(
-                    o.requestClass.name() + ", " + last + ", by " + o.requests.get(o.requests.size() - 1).proxy,
+                    order.requestClass.name() + ", " + last + ", by "
+                            + order.requests.get(order.requests.size() - 1).proxy,
                     1,
                     Integer::sum);
         }
--- a/src/main/java/gullspar/rehearse/script/ScriptReader.java
+++ b/src/main/java/gullspar/rehearse/script/ScriptReader.java
@@ -48,13 +48,13 @@
                         e.position().line(),
                         e.position().column(),
                         e.getMessage().lines().findFirst().orElse("not TOML"))));
-        Script s = reader.problems.isEmpty()
+        Script script = reader.problems.isEmpty()
                 ? reader.script(new TableReader(toml, "", TomlPosition.positionAt(1, 1), reader.problems))
                 : null;
         if (!reader.problems.isEmpty()) {
             throw new ProblemsException(name, reader.problems);
         }
-        return s;
+        return script;
     }
 
     private Script script(TableReader table) {
@@ -289,13 +289,13 @@
         if (kinds.isEmpty()) {
             table.addProblem("kinds", "names no kind of fault to search");
         }
-        Script.Search s = new Script.Search(
+        Script.Search search = new Script.Search(
                 List.copyOf(kinds),
                 table.integer("most", 5, 1, 50),
                 table.number("calm_s", 0, 0, MAX_DURATION_S),
                 table.number("below", 0, 0, 1));
         table.rejectUnknownKeys();
-        return s;
+        return search;
     }
 
     // ---- faults ----
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -16,21 +16,21 @@
 
     @Override
     public ClientRequest apply(String id, String path) {
-        for (Script.RequestClass c : script.classes()) {
-            if (path.equals("/" + c.name())
-                    || path.startsWith("/" + c.name() + "/")
-                    || path.startsWith("/" + c.name() + "?")) {
+        for (Script.RequestClass requestClass : script.classes()) {
+            if (path.equals("/" + requestClass.name())
+                    || path.startsWith("/" + requestClass.name() + "/")
+                    || path.startsWith("/" + requestClass.name() + "?")) {
                 long now = environment.now();
-                Order o = new Order(
+                Order order = new Order(
                         --lastNumber,
-                        c,
+                        requestClass,
                         0,
-                        c.workMs().midpoint() * 1e6,
+                        requestClass.workMs().midpoint() * 1e6,
                         script.sites().get(0),
                         now);
-                ClientRequest t = new ClientRequest(o, id, now + (long) (c.giveUpMs() * 1e6));
-                o.requests.add(t);
-                return t;
+                ClientRequest request = new ClientRequest(order, id, now + (long) (requestClass.giveUpMs() * 1e6));
+                order.requests.add(request);
+                return request;
             }
         }
         return null;
--- a/src/main/java/gullspar/rehearse/stage/NodeFleet.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -85,10 +85,10 @@
         }
         ServiceQueue serviceQueue = new ServiceQueue(script.discovery().answerMs());
         for (String proxy : proxies) {
-            DiscoveryAgent a = new DiscoveryAgent(proxy, environment, eventLog, serviceQueue);
-            a.initialize(List.copyOf(listedInstances.values()));
-            a.open();
-            agents.put(proxy, a);
+            DiscoveryAgent agent = new DiscoveryAgent(proxy, environment, eventLog, serviceQueue);
+            agent.initialize(List.copyOf(listedInstances.values()));
+            agent.open();
+            agents.put(proxy, agent);
         }
         scheduleWeightUpdate();
         scheduleSample();
@@ -153,19 +153,19 @@
     private void handleEnd(Node node, double noticedAfterS) {
         nodeByMachine.put(node.machine, null);
         after(noticedAfterS, () -> {
-            DiscoveryAgent.Instance e = listedInstances.get(node.id);
+            DiscoveryAgent.Instance instance = listedInstances.get(node.id);
             boolean back = nodeByMachine.get(node.machine) != null
                     && nodeByMachine.get(node.machine).id.equals(node.id);
-            if (e != null && !back) {
+            if (instance != null && !back) {
                 updateInstance(new DiscoveryAgent.Instance(
-                        e.id(),
-                        e.hostPort(),
-                        e.zone(),
-                        e.machineType(),
-                        e.cell(),
+                        instance.id(),
+                        instance.hostPort(),
+                        instance.zone(),
+                        instance.machineType(),
+                        instance.cell(),
                         "terminated",
-                        e.weight(),
-                        e.startedAtMs()));
+                        instance.weight(),
+                        instance.startedAtMs()));
             }
         });
     }
@@ -266,11 +266,11 @@
                 node.id, at, node.site, node.kind.kind(), node.cell, lifecycle, node.weight(), node.bootNs / 1_000_000);
     }
 
-    private void updateInstance(DiscoveryAgent.Instance e) {
-        listedInstances.put(e.id(), e);
-        publish(List.of(e));
-        if (e.lifecycle().equals("terminated")) {
-            listedInstances.remove(e.id());
+    private void updateInstance(DiscoveryAgent.Instance instance) {
+        listedInstances.put(instance.id(), instance);
+        publish(List.of(instance));
+        if (instance.lifecycle().equals("terminated")) {
+            listedInstances.remove(instance.id());
         }
     }
 
@@ -288,23 +288,25 @@
     private void scheduleWeightUpdate() {
         after(script.discovery().weightPeriodMs().draw(random) / 1e3, () -> {
             List<DiscoveryAgent.Instance> changed = new ArrayList<>();
-            nodeByMachine.forEach((machine, n) -> {
-                DiscoveryAgent.Instance e = n == null ? null : listedInstances.get(n.id);
-                if (e != null && !e.isLeaving()) {
-                    changed.add(instance(n, e.lifecycle()));
+            nodeByMachine.forEach((machine, node) -> {
+                DiscoveryAgent.Instance instance = node == null ? null : listedInstances.get(node.id);
+                if (instance != null && !instance.isLeaving()) {
+                    changed.add(instance(node, instance.lifecycle()));
                 }
             });
-            changed.forEach(e -> listedInstances.put(e.id(), e));
+            changed.forEach(instance -> listedInstances.put(instance.id(), instance));
             publish(changed);
             scheduleWeightUpdate();
         });
     }
 
     @Override
-    public RepeatFilter repeatFilter(Script.RequestClass c, Node node) {
-        String scope = c.scope() == Scope.ALL ? "" : c.scope() == Scope.ZONE ? node.site : node.site + node.cell;
+    public RepeatFilter repeatFilter(Script.RequestClass requestClass, Node node) {
+        String scope = requestClass.scope() == Scope.ALL
+                ? ""
+                : requestClass.scope() == Scope.ZONE ? node.site : node.site + node.cell;
         return repeatFilters.computeIfAbsent(
-                c.name() + ">" + scope, k -> new RepeatFilter((long) (c.windowMs() * 1e6)));
+                requestClass.name() + ">" + scope, k -> new RepeatFilter((long) (requestClass.windowMs() * 1e6)));
     }
 
     // ---- samples for the report ----
@@ -315,10 +317,10 @@
             Map<String, Integer> share = new LinkedHashMap<>();
             for (Node node : nodeByMachine.values()) {
                 if (node != null) {
-                    int s = node.served() - lastServed.getOrDefault(node.id + node.bootNs, 0);
+                    int servedSinceSample = node.served() - lastServed.getOrDefault(node.id + node.bootNs, 0);
                     lastServed.put(node.id + node.bootNs, node.served());
-                    share.put(node.machine, s);
-                    all += s;
+                    share.put(node.machine, servedSinceSample);
+                    all += servedSinceSample;
                 }
             }
             for (Map.Entry<String, Node> e : nodeByMachine.entrySet()) {
--- a/src/test/java/gullspar/rehearse/live/LivePlayTest.java
+++ b/src/test/java/gullspar/rehearse/live/LivePlayTest.java
@@ -38,7 +38,7 @@
     void faultsAffectRealProcessesAndAllProcessesEnd() throws Exception {
         List<Long> before = childProcesses();
         List<Double> progressSeconds = new ArrayList<>();
-        DayResult p = LivePlay.play(
+        DayResult result = LivePlay.play(
                 TestScripts.small(
                         6,
                         TestScripts.fault("kill", 1, "proxies = [\"p1\"]\ndown_s = 0.1")
@@ -49,19 +49,23 @@
                                         "slow-link", 0.5, "for = 1\nfrom = \"proxies\"\nto = \"nodes\"\nadds_ms = 5")
                                 + TestScripts.fault("crash", 3, "nodes = [\"n2\"]\ndown_s = 0.5")),
                 (second, of) -> progressSeconds.add(second));
-        assertTrue(p.verdict().counts().get("served") > 100, p.verdict().counts() + " " + p.proxyLog());
-        assertEquals(List.of(), p.eventLog().crashes());
-        assertTrue(p.proxyLog().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")), "p1 restarted");
-        assertTrue(p.proxyLog().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
-        assertTrue(p.proxyLog().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
-        assertTrue(p.eventLog().events().stream()
+        assertTrue(
+                result.verdict().counts().get("served") > 100, result.verdict().counts() + " " + result.proxyLog());
+        assertEquals(List.of(), result.eventLog().crashes());
+        assertTrue(
+                result.proxyLog().stream().anyMatch(l -> l.startsWith("p1.2 ") && l.endsWith(" ready")),
+                "p1 restarted");
+        assertTrue(
+                result.proxyLog().stream().anyMatch(l -> l.startsWith("p2 ") && l.endsWith(" drained")), "p2 drained");
+        assertTrue(result.proxyLog().stream().anyMatch(l -> l.contains("a new configuration")), "p1 reloaded");
+        assertTrue(result.eventLog().events().stream()
                 .map(EventLog.Event::description)
                 .anyMatch(w -> w.equals("n2 starts, cold")));
         assertFalse(progressSeconds.isEmpty());
         // Must hold on a slow machine as well.
         assertEquals(
                 List.of(),
-                p.verdict().violations().stream()
+                result.verdict().violations().stream()
                         .filter(b -> b.rule() == Rule.NOTHING_TWICE)
                         .map(RuleViolation::description)
                         .toList());
--- a/src/test/java/gullspar/rehearse/play/DeterminismTest.java
+++ b/src/test/java/gullspar/rehearse/play/DeterminismTest.java
@@ -53,13 +53,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"neighbour", "rush", "heavy", "shrink"})
     void shippedFaultScriptsKeepAllRulesAndAreDeterministic(String name) throws Exception {
-        Script s = ScriptReader.read(Path.of("examples/rehearsals", name + ".toml"));
-        DayResult result = VirtualPlay.play(s, VirtualPlay.Options.defaults());
+        Script script = ScriptReader.read(Path.of("examples/rehearsals", name + ".toml"));
+        DayResult result = VirtualPlay.play(script, VirtualPlay.Options.defaults());
         assertEquals(List.of(), result.verdict().violations());
         assertTrue(result.decisionCount() > 10_000, "only " + result.decisionCount() + " decisions");
         assertEquals(
                 result.decisionHash(),
-                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash());
+                VirtualPlay.play(script, VirtualPlay.Options.defaults()).decisionHash());
     }
 
     private static String playInNewProcess(Path script, String... options) throws Exception {
@@ -119,10 +119,11 @@
 
     @Test
     void anotherSeedChangesDecisions() {
-        Script s = TestScripts.small(3, "");
+        Script script = TestScripts.small(3, "");
         assertNotEquals(
-                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash(),
-                VirtualPlay.play(s.withSeed(2), VirtualPlay.Options.defaults()).decisionHash());
+                VirtualPlay.play(script, VirtualPlay.Options.defaults()).decisionHash(),
+                VirtualPlay.play(script.withSeed(2), VirtualPlay.Options.defaults())
+                        .decisionHash());
     }
 
     /** The module is compiled with one constant changed and put first on the class path of another process. */
@@ -207,13 +208,13 @@
     /** The call of the restarted proxy is still queued when discovery goes down. */
     @Test
     void queuedDiscoveryCallFailsWhenDiscoveryGoesDown() throws Exception {
-        Script s = TestScripts.small(
+        Script script = TestScripts.small(
                 5,
                 "answer_ms = 1500\n"
                         + TestScripts.fault("kill", 0.5, "proxies = [\"p1\"]\ndown_s = 0.1")
                         + TestScripts.fault("discovery-down", 1, "for = 4"));
         StringWriter log = new StringWriter();
-        VirtualPlay.play(s, VirtualPlay.Options.withDecisionLog(log, ProgressListener.NONE));
+        VirtualPlay.play(script, VirtualPlay.Options.withDecisionLog(log, ProgressListener.NONE));
         long discoveryBackNs = 8_000_000_000L; // the day starts after 3 s of start-up; discovery is back 5 s later
         List<String> lists = log.toString()
                 .lines()
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -87,12 +87,12 @@
 
     private static List<RuleViolation> fleetViolations(Script script, VirtualPlay.Options options) {
         return VirtualPlay.play(script, options).verdict().violations().stream()
-                .filter(b -> b.rule().name().startsWith("FLEET"))
+                .filter(violation -> violation.rule().name().startsWith("FLEET"))
                 .toList();
     }
 
-    private static void assertDetected(Rule rule, Script s, VirtualPlay.Options options) {
-        List<RuleViolation> violations = fleetViolations(s, options);
+    private static void assertDetected(Rule rule, Script script, VirtualPlay.Options options) {
+        List<RuleViolation> violations = fleetViolations(script, options);
         assertTrue(
                 violations.stream().anyMatch(b -> b.rule() == rule),
                 () -> rule + " was not detected, only " + violations);
@@ -100,25 +100,25 @@
 
     @Test
     void daysWithoutPlantedFaultsKeepAllRules() {
-        for (Script s : List.of(QUIET, KILLED, PARTITIONED, PAUSED, ONE_WAY_CUT)) {
+        for (Script script : List.of(QUIET, KILLED, PARTITIONED, PAUSED, ONE_WAY_CUT)) {
             assertEquals(
                     List.of(),
-                    fleetViolations(s, VirtualPlay.Options.defaults()),
-                    s.faults().toString());
+                    fleetViolations(script, VirtualPlay.Options.defaults()),
+                    script.faults().toString());
         }
     }
 
     /** Addresses or the key change, or there are twins, nonexistent members, forged datagrams or a slow process. */
     @ParameterizedTest
     @MethodSource("identityFaultDays")
-    void viewsStayCorrectAcrossAddressKeyAndIdentityFaults(Script s) {
-        DayResult p = VirtualPlay.play(s, VirtualPlay.Options.defaults());
+    void viewsStayCorrectAcrossAddressKeyAndIdentityFaults(Script script) {
+        DayResult result = VirtualPlay.play(script, VirtualPlay.Options.defaults());
         assertEquals(
                 List.of(),
-                p.verdict().violations().stream()
+                result.verdict().violations().stream()
                         .filter(b -> b.rule().name().startsWith("FLEET"))
                         .toList());
-        assertTrue(p.proxyLog().stream().noneMatch(l -> l.contains("uncaught")), "uncaught exception in a proxy");
+        assertTrue(result.proxyLog().stream().noneMatch(l -> l.contains("uncaught")), "uncaught exception in a proxy");
     }
 
     static List<Script> identityFaultDays() {
@@ -139,19 +139,19 @@
 
     @Test
     void shippedDayKeepsAllRulesAndRoundTrips() throws Exception {
-        Script s = ScriptReader.read(Path.of("examples/rehearsals/peers.toml"));
-        DayResult p = VirtualPlay.play(s, VirtualPlay.Options.defaults());
-        assertEquals(List.of(), p.verdict().violations());
+        Script script = ScriptReader.read(Path.of("examples/rehearsals/peers.toml"));
+        DayResult result = VirtualPlay.play(script, VirtualPlay.Options.defaults());
+        assertEquals(List.of(), result.verdict().violations());
         assertTrue(
-                p.eventLog().fleetSnapshots().size() > 500,
-                "fleet snapshots: " + p.eventLog().fleetSnapshots().size());
+                result.eventLog().fleetSnapshots().size() > 500,
+                "fleet snapshots: " + result.eventLog().fleetSnapshots().size());
         assertTrue(
-                p.proxyLog().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")),
+                result.proxyLog().stream().anyMatch(l -> l.contains("fleet: cut off: sees ")),
                 "no proxy logged that it is cut off");
-        assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "again"));
+        assertEquals(script, ScriptReader.parse(ScriptWriter.write(script), "again"));
         assertEquals(
-                p.decisionHash(),
-                VirtualPlay.play(s, VirtualPlay.Options.defaults()).decisionHash());
+                result.decisionHash(),
+                VirtualPlay.play(script, VirtualPlay.Options.defaults()).decisionHash());
     }
 
     // ---- planted faults ----
--- a/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
@@ -60,13 +60,13 @@
             "[rules]\nstart_capacity = 0.02\ncold_s = 20\n"
                     + TestScripts.fault("restart", 1, "nodes = 1\ngrace_s = 0.2\ndown_s = 0.2"));
 
-    private static Verdict play(Script s, VirtualPlay.Options options) {
-        return VirtualPlay.play(s, options).verdict();
+    private static Verdict play(Script script, VirtualPlay.Options options) {
+        return VirtualPlay.play(script, options).verdict();
     }
 
     /** Asserts that playing the script yields a violation of the rule whose description contains the text. */
-    private static void assertDetected(Rule rule, String text, Script s, VirtualPlay.Options options) {
-        List<RuleViolation> violations = play(s, options).violations();
+    private static void assertDetected(Rule rule, String text, Script script, VirtualPlay.Options options) {
+        List<RuleViolation> violations = play(script, options).violations();
         assertFalse(violations.isEmpty(), "no violation was detected");
         assertTrue(
                 violations.stream()
@@ -76,7 +76,7 @@
 
     @Test
     void daysWithoutPlantedFaultsKeepAllRules() {
-        for (Script s : List.of(
+        for (Script script : List.of(
                 NO_FAULTS,
                 FAILING_NODES,
                 DRAINING_NODES,
@@ -84,7 +84,7 @@
                 COLD_NODES,
                 LEAVING_CLIENTS,
                 PAUSED_PROXY)) {
-            assertEquals(List.of(), play(s, VirtualPlay.Options.defaults()).violations());
+            assertEquals(List.of(), play(script, VirtualPlay.Options.defaults()).violations());
         }
     }
 
--- a/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
+++ b/src/test/java/gullspar/rehearse/play/SimultaneousEventsTest.java
@@ -41,8 +41,8 @@
  * the decision module is a stub.
  */
 class SimultaneousEventsTest {
-    private static final long MS = 1_000_000;
-    private static final long START = 1_000_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long START_NS = 1_000_000_000_000L;
     private static final InetSocketAddress PROXY = new InetSocketAddress("127.1.0.1", 9000);
     private static final InetSocketAddress NODE = new InetSocketAddress("127.1.0.2", 9000);
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.1.0.3", 9000);
@@ -62,12 +62,12 @@
         private ChannelHandlerContext nodeContext;
         private ChannelHandlerContext discoveryContext;
         private ChannelHandlerContext clientContext;
-        private long timeoutNs = 500 * MS;
+        private long timeoutNs = 500 * NS_PER_MS;
         private long sentAt;
 
         Fixture(long seed) throws Exception {
-            eventQueue = new EventQueue(seed, START);
-            network = new Network(eventQueue, seed, (a, b) -> MS);
+            eventQueue = new EventQueue(seed, START_NS);
+            network = new Network(eventQueue, seed, (a, b) -> NS_PER_MS);
             endpointLoop = new VirtualLoop(eventQueue, errors::add);
             VirtualLoop loop = new VirtualLoop(eventQueue, errors::add);
             Host proxy = network.host("proxy");
@@ -129,10 +129,10 @@
 
         /** Runs up to that many ms from the start. */
         void runTo(long ms) {
-            while (eventQueue.hasEventBy(START + ms * MS)) {
+            while (eventQueue.hasEventBy(START_NS + ms * NS_PER_MS)) {
                 eventQueue.runNext();
             }
-            eventQueue.advanceTo(START + ms * MS);
+            eventQueue.advanceTo(START_NS + ms * NS_PER_MS);
             assertEquals(List.of(), errors);
         }
 
@@ -238,14 +238,14 @@
     @Test
     void responseAndTimeout() throws Exception {
         assertBothOrdersOccur(
-                countOutcomes(t -> {
-                    t.timeoutNs = 50 * MS;
-                    Fixture.write(t.clientContext, GET);
-                    t.runTo(40);
-                    t.events.clear();
-                    t.scheduleAt(t.sentAt + 49 * MS, () -> Fixture.write(t.nodeContext, OK));
-                    t.runTo(2000);
-                    return t.events;
+                countOutcomes(fixture -> {
+                    fixture.timeoutNs = 50 * NS_PER_MS;
+                    Fixture.write(fixture.clientContext, GET);
+                    fixture.runTo(40);
+                    fixture.events.clear();
+                    fixture.scheduleAt(fixture.sentAt + 49 * NS_PER_MS, () -> Fixture.write(fixture.nodeContext, OK));
+                    fixture.runTo(2000);
+                    return fixture.events;
                 }),
                 "OK, client reads HTTP/1.1 200",
                 "TIMEOUT, client reads HTTP/1.1 502");
@@ -255,14 +255,15 @@
     @Test
     void drainNoticeAndRequest() throws Exception {
         assertBothOrdersOccur(
-                countOutcomes(t -> {
-                    t.events.clear();
-                    t.scheduleAt(START + 30 * MS, () -> Fixture.write(t.clientContext, GET));
-                    t.scheduleAt(
-                            START + 30 * MS,
-                            () -> Fixture.write(t.discoveryContext, Fixture.chunk(Fixture.list(2, "terminating"))));
-                    t.runTo(40);
-                    return t.events;
+                countOutcomes(fixture -> {
+                    fixture.events.clear();
+                    fixture.scheduleAt(START_NS + 30 * NS_PER_MS, () -> Fixture.write(fixture.clientContext, GET));
+                    fixture.scheduleAt(
+                            START_NS + 30 * NS_PER_MS,
+                            () -> Fixture.write(
+                                    fixture.discoveryContext, Fixture.chunk(Fixture.list(2, "terminating"))));
+                    fixture.runTo(40);
+                    return fixture.events;
                 }),
                 "drains, request, client reads HTTP/1.1 503",
                 "request, drains, node reads GET /look/1");
@@ -272,14 +273,14 @@
     @Test
     void clientCloseAndResponse() throws Exception {
         assertBothOrdersOccur(
-                countOutcomes(t -> {
-                    Fixture.write(t.clientContext, GET);
-                    t.runTo(40);
-                    t.events.clear();
-                    t.scheduleAt(START + 59 * MS, () -> Fixture.write(t.nodeContext, OK));
-                    t.scheduleAt(START + 59 * MS, () -> t.clientContext.close());
-                    t.runTo(2000);
-                    return t.events;
+                countOutcomes(fixture -> {
+                    Fixture.write(fixture.clientContext, GET);
+                    fixture.runTo(40);
+                    fixture.events.clear();
+                    fixture.scheduleAt(START_NS + 59 * NS_PER_MS, () -> Fixture.write(fixture.nodeContext, OK));
+                    fixture.scheduleAt(START_NS + 59 * NS_PER_MS, () -> fixture.clientContext.close());
+                    fixture.runTo(2000);
+                    return fixture.events;
                 }),
                 "OK",
                 "disconnected, CANCELLED");
--- a/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptReaderTest.java
@@ -46,15 +46,15 @@
                     case DATAGRAMS -> "from = \"p1\"\nto = \"proxies\"\n";
                     default -> "";
                 };
-        Fault f = TestScripts.small(
+        Fault fault = TestScripts.small(
                         5,
                         (kind.needsPeers() ? "[peers]\n" : "")
                                 + TestScripts.fault(
                                         kind.scriptName(), 1, targets + (kind.isMomentary() ? "" : "for = 2\n")))
                 .faults()
                 .get(0);
-        assertEquals(kind, f.kind());
-        kind.parameters().forEach(g -> assertEquals(g.defaultValue(), f.parameter(g.name())));
+        assertEquals(kind, fault.kind());
+        kind.parameters().forEach(g -> assertEquals(g.defaultValue(), fault.parameter(g.name())));
     }
 
     @ParameterizedTest
--- a/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
+++ b/src/test/java/gullspar/rehearse/script/ScriptWriterTest.java
@@ -13,13 +13,13 @@
     @ParameterizedTest
     @MethodSource("gullspar.rehearse.script.ScriptReaderTest#examples")
     void writtenExamplesReadBackEqual(Path example) throws Exception {
-        Script s = ScriptReader.read(example);
-        assertEquals(s, ScriptReader.parse(ScriptWriter.write(s), "written.toml"));
+        Script script = ScriptReader.read(example);
+        assertEquals(script, ScriptReader.parse(ScriptWriter.write(script), "written.toml"));
     }
 
     @Test
     void faultsAndEscapedTitlesReadBackEqual() {
-        Script s = TestScripts.parse("title = \"a \\\"quote\\\", a \\\\ and a \\u0007\"\n"
+        Script script = TestScripts.parse("title = \"a \\\"quote\\\", a \\\\ and a \\u0007\"\n"
                 + TestScripts.smallText(
                         9,
                         TestScripts.fault("crash", 1, "nodes = [\"n1\", \"n3\"]\ndown_s = 0.25")
@@ -28,6 +28,6 @@
                                 + TestScripts.fault("cut-link", 4, "for = 1\nfrom = \"discovery\"\nto = \"p2\"")
                                 + TestScripts.fault("old-list", 5, "for = 1")
                                 + "[expect]\nservice = 0.5\n[search]\nkinds = [\"crash\"]\nbelow = 0.25\n"));
-        assertEquals(s, TestScripts.parse(ScriptWriter.write(s)));
+        assertEquals(script, TestScripts.parse(ScriptWriter.write(script)));
     }
 }
--- a/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
+++ b/src/test/java/gullspar/rehearse/stage/CpuModelTest.java
@@ -9,86 +9,86 @@
 
 /** The model of a node's processors, its capacity history, key cache and repeat filter. Times are in ns. */
 class CpuModelTest {
-    private static CpuModel.Job job(CpuModel m, String name, double work, long now) {
+    private static CpuModel.Job job(CpuModel model, String name, double work, long now) {
         CpuModel.Job j = new CpuModel.Job(name, work);
-        assertTrue(m.offer(j, now));
+        assertTrue(model.offer(j, now));
         return j;
     }
 
     @Test
     void jobsShareTheCoresEvenly() {
-        CpuModel m = new CpuModel(1, 2, 4, 0, 0);
-        job(m, "a", 100, 0);
-        assertEquals(50, m.nextDoneAtNs());
-        job(m, "b", 100, 25); // a has 50 left, and now gets half of the core
-        assertEquals(75, m.nextDoneAtNs());
-        assertNull(m.pollDone(74));
-        assertEquals("a", m.pollDone(75).payload);
-        assertEquals(100, m.nextDoneAtNs()); // b had received 50 by then, and runs alone afterwards
-        assertEquals("b", m.pollDone(100).payload);
-        assertEquals(Long.MAX_VALUE, m.nextDoneAtNs());
-        assertEquals(100, m.busyNs(100));
+        CpuModel model = new CpuModel(1, 2, 4, 0, 0);
+        job(model, "a", 100, 0);
+        assertEquals(50, model.nextDoneAtNs());
+        job(model, "b", 100, 25); // a has 50 left, and now gets half of the core
+        assertEquals(75, model.nextDoneAtNs());
+        assertNull(model.pollDone(74));
+        assertEquals("a", model.pollDone(75).payload);
+        assertEquals(100, model.nextDoneAtNs()); // b had received 50 by then, and runs alone afterwards
+        assertEquals("b", model.pollDone(100).payload);
+        assertEquals(Long.MAX_VALUE, model.nextDoneAtNs());
+        assertEquals(100, model.busyNs(100));
     }
 
     @Test
     void jobsUpToTheNumberOfCoresRunAtFullSpeed() {
-        CpuModel m = new CpuModel(2, 1, 4, 0, 0);
-        job(m, "a", 100, 0);
-        job(m, "b", 100, 0);
-        assertEquals(100, m.nextDoneAtNs());
-        assertEquals("a", m.pollDone(100).payload); // of two that end at the same time, the one started first
-        assertEquals("b", m.pollDone(100).payload);
-        assertEquals(200, m.busyNs(100));
+        CpuModel model = new CpuModel(2, 1, 4, 0, 0);
+        job(model, "a", 100, 0);
+        job(model, "b", 100, 0);
+        assertEquals(100, model.nextDoneAtNs());
+        assertEquals("a", model.pollDone(100).payload); // of two that end at the same time, the one started first
+        assertEquals("b", model.pollDone(100).payload);
+        assertEquals(200, model.busyNs(100));
     }
 
     @Test
     void jobsBeyondTheSlotsWaitAndThoseBeyondTheQueueAreRejected() {
-        CpuModel m = new CpuModel(1, 1, 1, 1, 0);
-        job(m, "runs", 100, 0);
-        CpuModel.Job waits = job(m, "waits", 100, 0);
+        CpuModel model = new CpuModel(1, 1, 1, 1, 0);
+        job(model, "runs", 100, 0);
+        CpuModel.Job waits = job(model, "waits", 100, 0);
         assertFalse(waits.isRunning());
-        assertFalse(m.offer(new CpuModel.Job("too many", 1), 0));
-        assertNull(m.pollWaiting());
-        assertEquals("runs", m.pollDone(100).payload);
-        assertEquals(waits, m.pollWaiting());
-        m.startWaiting(waits, 100);
-        assertEquals(200, m.nextDoneAtNs());
-        assertEquals(1, m.inFlight());
+        assertFalse(model.offer(new CpuModel.Job("too many", 1), 0));
+        assertNull(model.pollWaiting());
+        assertEquals("runs", model.pollDone(100).payload);
+        assertEquals(waits, model.pollWaiting());
+        model.startWaiting(waits, 100);
+        assertEquals(200, model.nextDoneAtNs());
+        assertEquals(1, model.inFlight());
     }
 
     @Test
     void aChangeOfTheCapacityShareAppliesFromThatTimeOn() {
-        CpuModel m = new CpuModel(1, 1, 4, 0, 0);
-        job(m, "a", 100, 0);
-        m.setCapacityShare(0.25, 50);
-        assertEquals(250, m.nextDoneAtNs());
-        m.setCapacityShare(0, 150); // half of the remaining work is done
-        assertEquals(Long.MAX_VALUE, m.nextDoneAtNs());
-        m.setCapacityShare(1, 1000);
-        assertEquals(1025, m.nextDoneAtNs());
+        CpuModel model = new CpuModel(1, 1, 4, 0, 0);
+        job(model, "a", 100, 0);
+        model.setCapacityShare(0.25, 50);
+        assertEquals(250, model.nextDoneAtNs());
+        model.setCapacityShare(0, 150); // half of the remaining work is done
+        assertEquals(Long.MAX_VALUE, model.nextDoneAtNs());
+        model.setCapacityShare(1, 1000);
+        assertEquals(1025, model.nextDoneAtNs());
     }
 
     @Test
     void aDroppedJobLeavesItsShareToTheOthers() {
-        CpuModel m = new CpuModel(1, 1, 4, 0, 0);
-        CpuModel.Job a = job(m, "a", 100, 0);
-        job(m, "b", 100, 0);
-        m.drop(a, 100); // both have received 50
-        assertEquals(150, m.nextDoneAtNs());
+        CpuModel model = new CpuModel(1, 1, 4, 0, 0);
+        CpuModel.Job a = job(model, "a", 100, 0);
+        job(model, "b", 100, 0);
+        model.drop(a, 100); // both have received 50
+        assertEquals(150, model.nextDoneAtNs());
     }
 
     @Test
     void capacityHistoryAddsUpTheWorkOverTheSpan() {
-        CapacityHistory f = new CapacityHistory();
-        f.record(0, 2);
-        assertEquals(200, f.workNs(100, 100));
-        assertEquals(20, f.workNs(10, 0), "the first capacity also counts before its time");
-        f.record(100, 1);
-        assertEquals(150, f.workNs(100, 150));
-        f.record(150, 0); // the capacity of the span before counts
-        assertEquals(150, f.workNs(100, 150));
-        assertEquals(50, f.workNs(100, 200));
-        assertEquals(0, f.workNs(100, 260));
+        CapacityHistory history = new CapacityHistory();
+        history.record(0, 2);
+        assertEquals(200, history.workNs(100, 100));
+        assertEquals(20, history.workNs(10, 0), "the first capacity also counts before its time");
+        history.record(100, 1);
+        assertEquals(150, history.workNs(100, 150));
+        history.record(150, 0); // the capacity of the span before counts
+        assertEquals(150, history.workNs(100, 150));
+        assertEquals(50, history.workNs(100, 200));
+        assertEquals(0, history.workNs(100, 260));
     }
 
     @Test
