--- a/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
+++ b/src/main/java/gullspar/rehearse/faults/SystemCallFaults.java
@@ -24,7 +24,7 @@
         this.controlWords = words;
     }
 
-    /** Builds the library in that folder with the system's C compiler; an IOException says why that failed. */
+    /** Builds the library in that folder with the system's C compiler; the message of an IOException has its output. */
     public static SystemCallFaults buildIn(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE);
         try (InputStream in = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
--- a/src/main/java/gullspar/rehearse/live/DaemonProcess.java
+++ b/src/main/java/gullspar/rehearse/live/DaemonProcess.java
@@ -77,6 +77,7 @@
         process.onExit().thenRun(action);
     }
 
+    /** Sends SIGKILL. */
     void kill() {
         process.toHandle().destroyForcibly(); // Process.destroyForcibly() would also close the log stream
     }
@@ -91,11 +92,13 @@
         process.toHandle().destroy();
     }
 
+    /** Writes a new configuration and sends SIGHUP. */
     void reload(JsonNode settings) throws IOException {
         writeConfig(config, settings);
         signal("HUP");
     }
 
+    /** Sends SIGSTOP, or SIGCONT to resume. */
     void pause(boolean on) throws IOException {
         signal(on ? "STOP" : "CONT");
     }
--- a/src/main/java/gullspar/rehearse/live/TcpLinkHandler.java
+++ b/src/main/java/gullspar/rehearse/live/TcpLinkHandler.java
@@ -62,6 +62,7 @@
         links.addHandler(this);
     }
 
+    /** Closes the connection with a reset. */
     void reset() {
         ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
         ctx.channel().close();
--- a/src/main/java/gullspar/rehearse/live/TcpLinks.java
+++ b/src/main/java/gullspar/rehearse/live/TcpLinks.java
@@ -37,14 +37,17 @@
         return links.computeIfAbsent(from + '>' + to, k -> new Link());
     }
 
+    /** Sets a delay of all data from one machine to another; 0 removes it. */
     void setExtraDelayNs(String from, String to, long extraDelayNs) {
         link(from, to).extraDelayNs = extraDelayNs;
     }
 
+    /** Sets the share of segments lost, 0 to 1; each loss costs a retransmission. */
     void setLoss(String from, String to, double share) {
         link(from, to).loss = share;
     }
 
+    /** Holds all data from one machine to another, or releases it. */
     void setCut(String from, String to, boolean on) {
         link(from, to).cut = on;
         release(from);
@@ -61,6 +64,7 @@
         }
     }
 
+    /** Resets the connections between two machines. */
     void reset(String a, String b) {
         List.copyOf(handlers.getOrDefault(a, Set.of())).stream()
                 .filter(h -> b.equals(h.peer()))
--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -173,6 +173,7 @@
         }
     }
 
+    /** Closes this end because the peer has closed or reset the connection. */
     void handlePeerEnd(boolean reset) {
         if (!open || inputClosed) {
             return;
--- a/src/main/java/gullspar/rehearse/play/FaultScheduler.java
+++ b/src/main/java/gullspar/rehearse/play/FaultScheduler.java
@@ -21,7 +21,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Schedules the faults of a script, and records the effects for which the judge must make allowance. */
+/**
+ * Schedules the faults of a script, and records the intervals in which failed requests or wrong views are due to a
+ * fault, so that the judge does not count them as violations.
+ */
 final class FaultScheduler {
     /** Requests may still fail this long after a link is restored, until lost segments are retransmitted. */
     private static final long LINK_RECOVERY_NS = 1_000_000_000L;
--- a/src/main/java/gullspar/rehearse/search/DayGenerator.java
+++ b/src/main/java/gullspar/rehearse/search/DayGenerator.java
@@ -45,7 +45,8 @@
     }
 
     private static Fault randomFault(Script script, FaultKind kind, SplittableRandom random) {
-        // If the fault-free time covers the whole day, a search has shortened the day to its own faults.
+        // A finding keeps the fault-free time of its search, which may be longer than the shortened day: then it is
+        // ignored.
         double endS = script.seconds() > script.search().faultFreeS()
                 ? script.seconds() - script.search().faultFreeS()
                 : script.seconds();
--- a/src/main/java/gullspar/rehearse/stage/CpuModel.java
+++ b/src/main/java/gullspar/rehearse/stage/CpuModel.java
@@ -93,6 +93,7 @@
         running.add(job);
     }
 
+    /** Removes a job that runs or waits. */
     void drop(Job job, long now) {
         advance(now);
         job.finished = true;
@@ -106,6 +107,7 @@
         return running.size() < slots ? waiting.poll() : null;
     }
 
+    /** Starts a job that was returned by {@link #pollWaiting}. */
     void startWaiting(Job job, long now) {
         advance(now);
         start(job);
--- a/src/main/java/gullspar/rehearse/stage/EventLog.java
+++ b/src/main/java/gullspar/rehearse/stage/EventLog.java
@@ -149,6 +149,7 @@
         return since;
     }
 
+    /** Adds an event to the timeline that reports show; it has no influence on the judgment. */
     public void addEvent(long at, String description) {
         events.add(new Event(at, description));
     }
@@ -176,6 +177,7 @@
 
     // ---- the view of the fleet ----
 
+    /** Records the start of a process of a proxy. */
     public void processStarted(String proxy, long at) {
         lives.add(new Life(proxy, at, Long.MAX_VALUE));
     }
@@ -206,6 +208,7 @@
         return isolations.getOrDefault(proxy, List.of()).stream().anyMatch(s -> s.from <= from && until <= s.until);
     }
 
+    /** Adds an interval in which the group and the other proxies receive nothing from each other. */
     public void addPartition(long from, long until, List<String> group) {
         partitions.add(new Partition(from, until, List.copyOf(group)));
     }
--- a/src/main/java/gullspar/rehearse/stage/NodeFleet.java
+++ b/src/main/java/gullspar/rehearse/stage/NodeFleet.java
@@ -200,31 +200,38 @@
         });
     }
 
+    /** Drains a node and ends it after graceS seconds. */
     public void drain(String machine, double graceS) {
         drainAndEnd(machine, graceS, 0, null);
     }
 
+    /** Drains and ends a node, and after downS seconds starts it again, cold, under the same id. */
     public void restart(String machine, double graceS, double downS) {
         Node node = nodeByMachine.get(machine);
         drainAndEnd(machine, graceS, downS, node == null ? null : node.id);
     }
 
+    /** Drains and ends a node, and after downS seconds starts one with a new id, cold, at its address. */
     public void replace(String machine, double graceS, double downS) {
         drainAndEnd(machine, graceS, downS, machine + "-" + (replacements.merge(machine, 1, Integer::sum) + 1));
     }
 
+    /** Takes a share of a node's processor time, 0 to 1; 0 ends it. */
     public void stealCpu(String machine, double share) {
         ifRunning(machine, n -> n.stealCpu(share));
     }
 
+    /** Makes a node accept requests without processing any, or process them again. */
     public void setHung(String machine, boolean on) {
         ifRunning(machine, n -> n.setHung(on));
     }
 
+    /** Sets the share of a node's responses that are faulty, 0 to 1. */
     public void setSpoiltShare(String machine, double share) {
         ifRunning(machine, n -> n.setSpoiltShare(share));
     }
 
+    /** Limits a node's responses to that many bytes per second; 0 for no limit. */
     public void setTrickleRate(String machine, double bytesPerSecond) {
         ifRunning(machine, n -> n.setTrickleRate(bytesPerSecond));
     }
@@ -238,22 +245,27 @@
 
     // ---- faults of discovery ----
 
+    /** Moves the discovery agent of a proxy to another address. */
     public void moveDiscovery(String proxy) {
         agents.get(proxy).move();
     }
 
+    /** Ends all watches and refuses new ones, or accepts them again. */
     public void setDiscoveryDown(boolean on) {
         agents.values().forEach(a -> a.setDown(on));
     }
 
+    /** Makes the watches of a proxy stay open and deliver nothing, or deliver again. */
     public void setDiscoverySilenced(String proxy, boolean on) {
         agents.get(proxy).setSilenced(on);
     }
 
+    /** Sets an additional delay, in seconds, of changes of the list on their way to a proxy; 0 removes it. */
     public void setDiscoveryDelay(String proxy, double delayS) {
         extraDelayS.put(proxy, delayS);
     }
 
+    /** Makes watches that are opened from now on get the present list, or the real one again. */
     public void setDiscoveryFrozen(boolean on) {
         agents.values().forEach(a -> a.setFrozen(on));
     }
