--- a/src/main/java/gullspar/rehearse/net/MemoryChannel.java
+++ b/src/main/java/gullspar/rehearse/net/MemoryChannel.java
@@ -173,6 +173,7 @@
         }
     }
 
+    /** Closes this end because the peer has closed or reset the connection. */
     void handlePeerEnd(boolean reset) {
         if (!open || inputClosed) {
             return;
@@ -228,7 +229,7 @@
                 return;
             }
             if (n > 0) {
-                outbound.bytes(b.copy(b.readerIndex(), n));
+                outbound.sendBytes(b.copy(b.readerIndex(), n));
             }
             in.removeBytes(n);
             if (n == 0) {
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -69,7 +69,7 @@
     }
 
     private FleetSettings fleetSettings(String process) {
-        Script.Peers p = script.peers();
+        Script.Peers peers = script.peers();
         String name = EventLog.baseName(process);
         return new FleetSettings(
                 name,
@@ -78,8 +78,8 @@
                 seeds(),
                 null,
                 testbed.front().site(name),
-                (long) (p.intervalMs() * 1e6),
-                (long) (p.windowS() * 1e9),
+                (long) (peers.intervalMs() * 1e6),
+                (long) (peers.windowS() * 1e9),
                 0);
     }
 
@@ -117,9 +117,9 @@
 
     /** Sets the keys of a process, by number, and returns an envelope with them. */
     Envelope setKeys(String process, List<Integer> keyNumbers) {
-        Envelope e = envelope(keyNumbers);
-        envelopes.put(process, e);
-        return e;
+        Envelope envelope = envelope(keyNumbers);
+        envelopes.put(process, envelope);
+        return envelope;
     }
 
     private static Envelope envelope(List<Integer> keyNumbers) {
--- a/src/main/java/gullspar/rehearse/stage/ManualRequests.java
+++ b/src/main/java/gullspar/rehearse/stage/ManualRequests.java
@@ -7,7 +7,7 @@
 public final class ManualRequests implements BiFunction<String, String, ClientRequest> {
     private final Script script;
     private final RunEnvironment environment;
-    private int served;
+    private int lastNumber;
 
     public ManualRequests(Script script, RunEnvironment environment) {
         this.script = script;
@@ -16,21 +16,21 @@
 
     @Override
     public ClientRequest apply(String id, String path) {
-        for (Script.RequestClass c : script.classes()) {
-            if (path.equals("/" + c.name())
-                    || path.startsWith("/" + c.name() + "/")
-                    || path.startsWith("/" + c.name() + "?")) {
+        for (Script.RequestClass requestClass : script.classes()) {
+            if (path.equals("/" + requestClass.name())
+                    || path.startsWith("/" + requestClass.name() + "/")
+                    || path.startsWith("/" + requestClass.name() + "?")) {
                 long now = environment.now();
-                Order o = new Order(
-                        --served,
-                        c,
+                Order order = new Order(
+                        --lastNumber,
+                        requestClass,
                         0,
-                        c.workMs().midpoint() * 1e6,
+                        requestClass.workMs().midpoint() * 1e6,
                         script.sites().get(0),
                         now);
-                ClientRequest t = new ClientRequest(o, id, now + (long) (c.giveUpMs() * 1e6));
-                o.requests.add(t);
-                return t;
+                ClientRequest request = new ClientRequest(order, id, now + (long) (requestClass.giveUpMs() * 1e6));
+                order.requests.add(request);
+                return request;
             }
         }
         return null;
@@ -38,6 +38,6 @@
 
     /** The number of requests served. */
     public int served() {
-        return -served;
+        return -lastNumber;
     }
 }
--- a/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
+++ b/src/test/java/gullspar/rehearse/play/JudgeDetectionTest.java
@@ -60,13 +60,13 @@
             "[rules]\nstart_capacity = 0.02\ncold_s = 20\n"
                     + TestScripts.fault("restart", 1, "nodes = 1\ngrace_s = 0.2\ndown_s = 0.2"));
 
-    private static Verdict play(Script s, VirtualPlay.Options options) {
-        return VirtualPlay.play(s, options).verdict();
+    private static Verdict play(Script script, VirtualPlay.Options options) {
+        return VirtualPlay.play(script, options).verdict();
     }
 
     /** Asserts that playing the script yields a violation of the rule whose description contains the text. */
-    private static void assertDetected(Rule rule, String text, Script s, VirtualPlay.Options options) {
-        List<RuleViolation> violations = play(s, options).violations();
+    private static void assertDetected(Rule rule, String text, Script script, VirtualPlay.Options options) {
+        List<RuleViolation> violations = play(script, options).violations();
         assertFalse(violations.isEmpty(), "no violation was detected");
         assertTrue(
                 violations.stream()
@@ -76,7 +76,7 @@
 
     @Test
     void daysWithoutPlantedFaultsKeepAllRules() {
-        for (Script s : List.of(
+        for (Script script : List.of(
                 NO_FAULTS,
                 FAILING_NODES,
                 DRAINING_NODES,
@@ -84,7 +84,7 @@
                 COLD_NODES,
                 LEAVING_CLIENTS,
                 PAUSED_PROXY)) {
-            assertEquals(List.of(), play(s, VirtualPlay.Options.defaults()).violations());
+            assertEquals(List.of(), play(script, VirtualPlay.Options.defaults()).violations());
         }
     }
 
@@ -375,7 +375,7 @@
     void drainNoticeNotReceived() {
         assertDetected(
                 Rule.DRAINS_KEPT,
-                "was told that it leaves",
+                "was notified that the node leaves",
                 DRAINING_NODES,
                 tamperedDrainNotices(text -> text.replace("\"terminating\"", "\"in_service\" "), 0));
     }
@@ -383,7 +383,10 @@
     @Test
     void drainNoticeReceivedLate() {
         assertDetected(
-                Rule.DRAINS_KEPT, "was told that it leaves", DRAINING_NODES, tamperedDrainNotices(text -> text, 1500));
+                Rule.DRAINS_KEPT,
+                "was notified that the node leaves",
+                DRAINING_NODES,
+                tamperedDrainNotices(text -> text, 1500));
     }
 
     /** All watches end; drains follow after discovery is back, when a proxy may have no watch. */
@@ -398,7 +401,7 @@
         Set<InetSocketAddress> watchedAddresses = new HashSet<>();
         assertDetected(
                 Rule.LISTS_HEARD,
-                "had to know that it leaves",
+                "should have known that the node leaves",
                 DRAINS_DURING_OUTAGE,
                 PlantedFaults.sockets(null, address -> new ChannelOutboundHandlerAdapter() {
                     @Override
@@ -443,12 +446,12 @@
 
     @Test
     void allProxiesPreferNewestNode() {
-        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(2, 4));
+        assertDetected(Rule.COLD_SPARED, "and collapsed", COLD_NODES, preferringNewestNode(2, 4));
     }
 
     /** Only one proxy overloads the node; the rule applies to all proxies together. */
     @Test
     void oneProxyPrefersNewestNode() {
-        assertDetected(Rule.COLD_SPARED, "fell over", COLD_NODES, preferringNewestNode(1, 1));
+        assertDetected(Rule.COLD_SPARED, "and collapsed", COLD_NODES, preferringNewestNode(1, 1));
     }
 }
