--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -55,7 +55,7 @@
     }
 
     /** Sends pending rumors to one member. */
-    void gossip(long now, Peer to) {
+    void sendPendingRumors(long now, Peer to) {
         send(now, to.address(), to.id, false, Message.News::new);
     }
 
@@ -96,18 +96,21 @@
     }
 
     private void send(long now, String address, Identity to, boolean withOwnStatement, MessageFactory factory) {
-        Message.Header h = self.header();
+        Message.Header header = self.header();
         List<Rumor> rumors = new ArrayList<>();
-        int left = MAX_MESSAGE_BYTES - factory.make(h, rumors).maxBytes();
+        int left = MAX_MESSAGE_BYTES - factory.make(header, rumors).maxBytes();
         if (withOwnStatement) {
             left = addIfFits(rumors, self.rumor(now, true), left);
         }
         // The suspected member itself receives the accusation first, so that it can refute it.
-        Peer p = to == null ? null : roster.get(to);
-        if (p != null && p.state.accuses()) {
-            left = addIfFits(rumors, new Rumor(p.id, p.state.incarnation(), p.state.status(), "", 0, null, 0), left);
+        Peer receiver = to == null ? null : roster.get(to);
+        if (receiver != null && receiver.state.accuses()) {
+            left = addIfFits(
+                    rumors,
+                    new Rumor(receiver.id, receiver.state.incarnation(), receiver.state.status(), "", 0, null, 0),
+                    left);
         }
-        if (p != null) {
+        if (receiver != null) {
             gossip.fill(
                     rumors,
                     left,
@@ -115,7 +118,7 @@
                     settings.transmissions(roster.size()),
                     Settings.statsTransmissions(roster.size()));
         }
-        transmit(now, address, factory.make(h, rumors));
+        transmit(now, address, factory.make(header, rumors));
     }
 
     private static int addIfFits(List<Rumor> rumors, Rumor r, int left) {
--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -36,7 +36,7 @@
         private final Peer target;
         private final String address;
         private final long expiresAt;
-        private long indirectAt;
+        private long indirectProbesAt;
         private long sentAt;
         private int expectedNacks;
         private int nacks;
@@ -50,7 +50,7 @@
             this.kind = kind;
             this.target = target;
             this.address = address;
-            this.indirectAt = indirectAt;
+            this.indirectProbesAt = indirectAt;
             this.expiresAt = expiresAt;
         }
     }
@@ -115,13 +115,13 @@
 
     /** Probes one member, in its turn or out of turn. */
     void probe(long now, Peer p) {
-        Probe q = new Probe(
+        Probe probe = new Probe(
                 Kind.TURN,
                 p,
                 p.address(),
                 now + health.scale(settings.timeoutNs()),
                 now + health.scale(settings.intervalNs()));
-        long nonce = open(q);
+        long nonce = open(probe);
         if (nonce != 0) {
             sender.ping(now, p.address(), p.id, nonce, false);
         }
@@ -133,8 +133,9 @@
      */
     void verify(long now, String address, Identity target) {
         if (open.values().stream()
-                .anyMatch(q ->
-                        q.kind == Kind.PROOF && q.address.equals(address) && now - q.sentAt < settings.intervalNs())) {
+                .anyMatch(probe -> probe.kind == Kind.PROOF
+                        && probe.address.equals(address)
+                        && now - probe.sentAt < settings.intervalNs())) {
             return;
         }
         // A missing answer has no consequence, so the time-out is long enough for distant and slow processes.
@@ -148,7 +149,7 @@
         }
     }
 
-    private long open(Probe q) {
+    private long open(Probe probe) {
         if (open.size() >= MAX_OPEN_PROBES) {
             return 0;
         }
@@ -156,21 +157,21 @@
         while (nonce == 0 || open.containsKey(nonce)) {
             nonce = random.nextLong();
         }
-        open.put(nonce, q);
+        open.put(nonce, probe);
         return nonce;
     }
 
     /** Probes a member on behalf of another. */
     void relayProbe(long now, Peer requester, Message.PingReq r) {
-        Probe q = new Probe(
+        Probe probe = new Probe(
                 Kind.FOR_ANOTHER,
                 null,
                 r.address(),
                 now + (long) (NACK_TIMEOUT_FRACTION * settings.timeoutNs()),
                 now + settings.intervalNs());
-        q.requester = requester;
-        q.requesterNonce = r.nonce();
-        long nonce = open(q);
+        probe.requester = requester;
+        probe.requesterNonce = r.nonce();
+        long nonce = open(probe);
         if (nonce != 0) {
             sender.ping(now, r.address(), r.target(), nonce, false);
         }
@@ -178,27 +179,27 @@
 
     /** Whether the ack of a life that is not a member yet answers an open probe, which proves that it is alive. */
     boolean answersOpenProbe(Message.Ack a) {
-        Probe q = open.get(a.nonce());
-        return q != null && a.subject().equals(a.header().from());
+        Probe probe = open.get(a.nonce());
+        return probe != null && a.subject().equals(a.header().from());
     }
 
     /** Handles an ack. */
     void onAck(long now, Message.Ack a) {
-        Probe q = open.get(a.nonce());
-        if (q == null) {
+        Probe probe = open.get(a.nonce());
+        if (probe == null) {
             return; // too late, or no probe of this process
         }
         boolean fromSubject = a.subject().equals(a.header().from());
-        switch (q.kind) {
-            case TURN -> onRegularAck(now, q, a, fromSubject);
+        switch (probe.kind) {
+            case TURN -> onRegularAck(now, probe, a, fromSubject);
             case FOR_ANOTHER -> {
                 open.remove(a.nonce());
                 if (fromSubject) {
                     sender.ack(
                             now,
-                            q.requester.address(),
-                            q.requester.id,
-                            q.requesterNonce,
+                            probe.requester.address(),
+                            probe.requester.id,
+                            probe.requesterNonce,
                             a.subject(),
                             a.incarnation(),
                             false);
@@ -208,62 +209,62 @@
         }
     }
 
-    private void onRegularAck(long now, Probe q, Message.Ack a, boolean fromSubject) {
-        Peer p = q.target;
+    private void onRegularAck(long now, Probe probe, Message.Ack a, boolean fromSubject) {
+        Peer p = probe.target;
         if (a.subject().equals(p.id)) {
             open.remove(a.nonce());
             members.markAlive(now, p, a.incarnation());
             p.indirectOnly = !fromSubject;
             if (fromSubject) {
                 p.lastAckAt = now;
-                health.adjust(q.direct ? -1 : 0);
+                health.adjust(probe.direct ? -1 : 0);
                 if (p.id.name().equals(self.id.name())) {
                     members.reportTwin(now, p);
                 }
             }
-        } else if (fromSubject && q.address.equals(p.address())) {
+        } else if (fromSubject && probe.address.equals(p.address())) {
             open.remove(a.nonce());
-            members.markGone(now, p, "at " + q.address + " answers " + a.subject());
+            members.markGone(now, p, "at " + probe.address + " answers " + a.subject());
         }
     }
 
     /** Handles a nack: a helper received the request, and got no answer from the target either. */
     void onNack(Message.Nack n) {
-        Probe q = open.get(n.nonce());
-        if (q != null && q.kind == Kind.TURN) {
-            q.nacks++;
+        Probe probe = open.get(n.nonce());
+        if (probe != null && probe.kind == Kind.TURN) {
+            probe.nacks++;
         }
     }
 
     /** Starts indirect probes and expires probes whose time-out has passed. */
     void expire(long now) {
         for (Iterator<Map.Entry<Long, Probe>> i = open.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Long, Probe> e = i.next();
-            Probe q = e.getValue();
-            if (now >= q.indirectAt) {
-                q.indirectAt = Long.MAX_VALUE;
-                onDirectTimeout(now, e.getKey(), q);
+            Map.Entry<Long, Probe> entry = i.next();
+            Probe probe = entry.getValue();
+            if (now >= probe.indirectProbesAt) {
+                probe.indirectProbesAt = Long.MAX_VALUE;
+                onDirectTimeout(now, entry.getKey(), probe);
             }
-            if (now >= q.expiresAt) {
+            if (now >= probe.expiresAt) {
                 i.remove();
-                if (q.kind == Kind.TURN) {
-                    onProbeFailed(now, q);
+                if (probe.kind == Kind.TURN) {
+                    onProbeFailed(now, probe);
                 }
             }
         }
     }
 
-    private void onDirectTimeout(long now, long nonce, Probe q) {
-        if (q.kind == Kind.FOR_ANOTHER) {
-            sender.nack(now, q.requester.address(), q.requester.id, q.requesterNonce);
+    private void onDirectTimeout(long now, long nonce, Probe probe) {
+        if (probe.kind == Kind.FOR_ANOTHER) {
+            sender.nack(now, probe.requester.address(), probe.requester.id, probe.requesterNonce);
             return;
         }
-        q.direct = false;
-        for (Peer helper : roster.sample(settings.indirectProbes(), random, q.target, null)) {
+        probe.direct = false;
+        for (Peer helper : roster.sample(settings.indirectProbes(), random, probe.target, null)) {
             if (helper.status == MemberStatus.ALIVE) {
                 // A missing nack of a helper that is silent itself is no evidence about the health of this process.
-                q.expectedNacks += now - helper.lastReceivedAt <= recentNs() ? 1 : 0;
-                sender.pingReq(now, helper, nonce, q.target);
+                probe.expectedNacks += now - helper.lastReceivedAt <= recentNs() ? 1 : 0;
+                sender.pingReq(now, helper, nonce, probe.target);
             }
         }
     }
@@ -272,10 +273,10 @@
         return (roster.size() + RECENT_SLACK_INTERVALS) * settings.intervalNs();
     }
 
-    private void onProbeFailed(long now, Probe q) {
+    private void onProbeFailed(long now, Probe probe) {
         // If nacks of the helpers are missing too, it is likely this process that loses datagrams.
-        health.adjust(q.expectedNacks > 0 ? Math.max(0, q.expectedNacks - q.nacks) : 1);
-        Peer p = q.target;
+        health.adjust(probe.expectedNacks > 0 ? Math.max(0, probe.expectedNacks - probe.nacks) : 1);
+        Peer p = probe.target;
         if (p.present() && roster.get(p.id) == p) {
             members.suspect(now, p, p.state.incarnation(), self.id.name());
         }
@@ -283,14 +284,14 @@
 
     /** Drops regular probes after a pause of this process, as their answers may have been lost. */
     void abandonProbes() {
-        open.values().removeIf(q -> q.kind == Kind.TURN);
+        open.values().removeIf(probe -> probe.kind == Kind.TURN);
     }
 
     /** The time of the next time-out, in ns; MAX_VALUE if no probe is open. */
-    long expiresAt() {
+    long nextTimeoutAt() {
         long next = Long.MAX_VALUE;
-        for (Probe q : open.values()) {
-            next = Math.min(next, Math.min(q.indirectAt, q.expiresAt));
+        for (Probe probe : open.values()) {
+            next = Math.min(next, Math.min(probe.indirectProbesAt, probe.expiresAt));
         }
         return next;
     }
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -52,16 +52,16 @@
 
     private void enqueue(Identity id, boolean withStatement, boolean statsOnly) {
         Entry old = entries.remove(id);
-        Entry i = new Entry(id, ++lastSequence);
-        i.withStatement = withStatement;
-        i.statsOnly = statsOnly;
+        Entry entry = new Entry(id, ++lastSequence);
+        entry.withStatement = withStatement;
+        entry.statsOnly = statsOnly;
         if (old != null) {
             order.remove(old);
-            i.withStatement |= old.withStatement;
-            i.statsOnly &= old.statsOnly;
+            entry.withStatement |= old.withStatement;
+            entry.statsOnly &= old.statsOnly;
         }
-        entries.put(id, i);
-        order.add(i);
+        entries.put(id, entry);
+        order.add(entry);
     }
 
     boolean isEmpty() {
@@ -73,13 +73,13 @@
         int left = maxBytes;
         int misses = 0;
         List<Entry> sent = new ArrayList<>();
-        for (Entry i : order) {
-            if (i.id.equals(to)) {
+        for (Entry entry : order) {
+            if (entry.id.equals(to)) {
                 continue;
             }
-            Rumor r = source.rumor(i.id, i.withStatement);
+            Rumor r = source.rumor(entry.id, entry.withStatement);
             if (r == null || r.maxBytes() <= left) {
-                sent.add(i);
+                sent.add(entry);
                 if (r != null) {
                     left -= r.maxBytes();
                     into.add(r);
@@ -87,16 +87,16 @@
             } else if (++misses > 3) {
                 break; // a smaller one may still fit, but walking through all entries costs too much
             }
-            if (left < Rumor.maxBytes(i.id, "", null)) {
+            if (left < Rumor.maxBytes(entry.id, "", null)) {
                 break;
             }
         }
-        for (Entry i : sent) {
-            order.remove(i);
-            if (++i.transmissions < (i.statsOnly ? maxStatsTransmissions : maxTransmissions)) {
-                order.add(i);
+        for (Entry entry : sent) {
+            order.remove(entry);
+            if (++entry.transmissions < (entry.statsOnly ? maxStatsTransmissions : maxTransmissions)) {
+                order.add(entry);
             } else {
-                entries.remove(i.id);
+                entries.remove(entry.id);
             }
         }
     }
--- a/src/main/java/gullspar/peers/Identity.java
+++ b/src/main/java/gullspar/peers/Identity.java
@@ -27,14 +27,14 @@
         }
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            boolean fits = c >= 'a' && c <= 'z'
+            boolean allowed = c >= 'a' && c <= 'z'
                     || c >= 'A' && c <= 'Z'
                     || c >= '0' && c <= '9'
                     || c == '.'
                     || c == '_'
                     || c == '-'
                     || c == '+';
-            if (!fits) {
+            if (!allowed) {
                 return false;
             }
         }
--- a/src/main/java/gullspar/peers/MemberState.java
+++ b/src/main/java/gullspar/peers/MemberState.java
@@ -18,9 +18,9 @@
     /** The largest valid incarnation: out of reach for one process, and the next one still fits an int. */
     public static final int MAX_INCARNATION = 1_000_000_000;
 
-    /** Whether i is a valid incarnation. */
-    static boolean incarnation(int i) {
-        return i >= 0 && i <= MAX_INCARNATION;
+    /** Whether it is within 0 and {@link #MAX_INCARNATION}. */
+    static boolean isValidIncarnation(int incarnation) {
+        return incarnation >= 0 && incarnation <= MAX_INCARNATION;
     }
 
     /** Returns the larger of the two states. */
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -47,10 +47,10 @@
         this.counters = counters;
     }
 
-    private void recordChange(long now, Change.Kind kind, Identity about, String reason) {
+    private void recordChange(long now, Change.Kind kind, Identity subject, String reason) {
         changedAt = now;
         settled = false;
-        out.onChange(new Change(kind, about, reason, roster.size()));
+        out.onChange(new Change(kind, subject, reason, roster.size()));
     }
 
     /** Reports once when nothing has changed for that long and no member is suspected. */
@@ -161,7 +161,7 @@
         if (known == null) {
             roster.addUnconfirmed(new Roster.Unconfirmed(r, from.id.life(), now));
         } else if (known.reporterLife != from.id.life()) {
-            roster.forget(known);
+            roster.removeUnconfirmed(known);
             admit(
                     now,
                     r.id(),
@@ -347,12 +347,12 @@
         }
     }
 
-    private void setStatus(long now, Peer p, MemberStatus v, String reason) {
+    private void setStatus(long now, Peer p, MemberStatus status, String reason) {
         p.lastPresentAt = p.present() ? now : p.lastPresentAt;
-        p.status = v;
+        p.status = status;
         p.statusSince = now;
         p.reason = reason;
-        if (v != MemberStatus.SUSPECTED) {
+        if (status != MemberStatus.SUSPECTED) {
             setSuspicion(p, null);
         }
         roster.updatePresence(p);
--- a/src/main/java/gullspar/peers/Message.java
+++ b/src/main/java/gullspar/peers/Message.java
@@ -18,13 +18,13 @@
      * @param address where answers go; not the datagram's source address, which can be forged
      * @param number sequence number of this datagram in the sender's life, from 1
      */
-    record Header(Identity from, int incarnation, String address, long number) {
+    record Header(Identity from, int incarnation, String address, long sequenceNumber) {
         /** Upper bound of numbers, lengths and types. */
         private static final int FIXED_BYTES = 40;
 
         public Header {
-            if (!MemberState.incarnation(incarnation)
-                    || number < 1
+            if (!MemberState.isValidIncarnation(incarnation)
+                    || sequenceNumber < 1
                     || address.isEmpty()
                     || address.length() > Statement.MAX_ADDRESS_LENGTH) {
                 throw new IllegalArgumentException("invalid header of sender " + from);
@@ -121,10 +121,10 @@
     }
 
     /** The states of all lives in a range that the sender knows, both bounds included. */
-    record Listing(Header header, long from, long to, List<Known> known) implements Message {
+    record Listing(Header header, long from, long to, List<KnownState> states) implements Message {
         @Override
         public int maxBodyBytes() {
-            return 9 + 9 + Known.MAX_BYTES * known.size();
+            return 9 + 9 + KnownState.MAX_BYTES * states.size();
         }
 
         @Override
@@ -134,12 +134,12 @@
     }
 
     /** State and statement revision of a life, enough to decide which side has the newer information. */
-    record Known(long life, int incarnation, MemberStatus status, int revision) {
+    record KnownState(long life, int incarnation, MemberStatus status, int revision) {
         /** Upper bound of its encoding. */
         static final int MAX_BYTES = 22;
 
-        public Known {
-            if (!MemberState.incarnation(incarnation)) {
+        public KnownState {
+            if (!MemberState.isValidIncarnation(incarnation)) {
                 throw new IllegalArgumentException("invalid incarnation in a listing");
             }
         }
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -39,12 +39,12 @@
     private final ReconnectBackoff reconnects;
     private final Counters counters = new Counters();
     private final TokenBucket unknownSenderLimit;
-    private long nextProbe;
-    private long nextGossip;
-    private long nextSync;
-    private long lastSync;
-    private long nextMaintenance;
-    private long nextStats;
+    private long nextProbeAt;
+    private long nextGossipAt;
+    private long nextSyncAt;
+    private long lastSyncAt;
+    private long nextMaintenanceAt;
+    private long nextStatsAt;
     private Peer nextSyncPartner;
     /** When the next tick is due, in ns. */
     private long nextTickAt;
@@ -80,11 +80,11 @@
         this.reconnects = new ReconnectBackoff(settings, self, roster, detector, random, seeds);
         this.unknownSenderLimit = new TokenBucket(UNKNOWN_SENDERS_PER_SECOND, now);
         // Random offsets, so that processes started together do not probe at the same moments.
-        this.nextProbe = now + random.nextLong(settings.intervalNs());
-        this.nextGossip = now;
-        this.nextSync = now + random.nextLong(settings.syncNs());
-        this.nextMaintenance = now;
-        this.nextStats = now + random.nextLong(settings.statsIntervalNs());
+        this.nextProbeAt = now + random.nextLong(settings.intervalNs());
+        this.nextGossipAt = now;
+        this.nextSyncAt = now + random.nextLong(settings.syncNs());
+        this.nextMaintenanceAt = now;
+        this.nextStatsAt = now + random.nextLong(settings.statsIntervalNs());
         this.nextTickAt = now;
         this.lastReceivedAt = now;
     }
@@ -110,7 +110,7 @@
         Peer p = roster.get(h.from());
         if (p == null) {
             receiveFromUnknown(now, m);
-        } else if (!p.guard.accept(h.number())) {
+        } else if (!p.guard.accept(h.sequenceNumber())) {
             counters.duplicates++;
         } else if (p.status != MemberStatus.LEFT) {
             receiveFromMember(now, p, m);
@@ -135,7 +135,7 @@
         } else if (m instanceof Message.Digest d) {
             reconciler.onDigest(now, p, d);
         } else if (m instanceof Message.Listing l) {
-            reconciler.listing(now, p, l);
+            reconciler.onListing(now, p, l);
         } else if (m instanceof Message.Want w) {
             reconciler.onWant(now, p, w);
         }
@@ -172,7 +172,7 @@
                     now,
                     "");
             if (p != null) {
-                p.guard.accept(h.number());
+                p.guard.accept(h.sequenceNumber());
                 p.lastAckAt = now;
                 a.rumors().forEach(r -> members.applyRumor(now, r, p));
                 if (p.id.name().equals(self.id.name())) {
@@ -199,21 +199,21 @@
         }
         detector.expire(now);
         members.expireSuspicions(now);
-        if (now >= nextProbe) {
+        if (now >= nextProbeAt) {
             detector.probeNext(now);
-            nextProbe = now + health.scale(settings.intervalNs());
+            nextProbeAt = now + health.scale(settings.intervalNs());
         }
-        if (now >= nextMaintenance) {
+        if (now >= nextMaintenanceAt) {
             maintain(now);
-            nextMaintenance = now + settings.intervalNs();
+            nextMaintenanceAt = now + settings.intervalNs();
         }
         processPending(now);
-        if (now >= nextSync) {
+        if (now >= nextSyncAt) {
             startSync(now);
         }
-        if (now >= nextGossip) {
+        if (now >= nextGossipAt) {
             sendGossip(now, settings.fanout());
-            nextGossip = now + settings.intervalNs() / GOSSIP_ROUNDS_PER_INTERVAL;
+            nextGossipAt = now + settings.intervalNs() / GOSSIP_ROUNDS_PER_INTERVAL;
         }
         nextTickAt = wakeAt();
     }
@@ -223,8 +223,8 @@
         if (self.left()) {
             return Long.MAX_VALUE;
         }
-        long next = Math.min(Math.min(nextProbe, nextMaintenance), Math.min(nextSync, nextGossip));
-        return Math.min(next, Math.min(detector.expiresAt(), members.nextSuspicionExpiry()));
+        long next = Math.min(Math.min(nextProbeAt, nextMaintenanceAt), Math.min(nextSyncAt, nextGossipAt));
+        return Math.min(next, Math.min(detector.nextTimeoutAt(), members.nextSuspicionExpiry()));
     }
 
     /** Sets this process's own state and traffic statistics; gossips the state if it changed. */
@@ -236,14 +236,14 @@
         if (stateChanged) {
             self.update(now, config, phase, s.twinLife(), digest(), stats, facts);
             gossip.enqueue(self.id, true);
-            nextTickAt = Math.min(nextTickAt, nextGossip);
+            nextTickAt = Math.min(nextTickAt, nextGossipAt);
         }
     }
 
     /** Replaces the seeds, the addresses where other members may be found. */
     public void setSeeds(long now, List<String> addresses) {
         advanceClock(now);
-        reconnects.seeds(addresses);
+        reconnects.setSeeds(addresses);
     }
 
     /** Announces that this process leaves; sends nothing afterwards. */
@@ -268,7 +268,7 @@
             lastReceivedAt += late;
             roster.present().forEach(p -> p.lastReceivedAt += late);
             health.adjust((int) Math.min(settings.maxHealthScore(), 1 + late / settings.intervalNs()));
-            nextSync = now;
+            nextSyncAt = now;
             out.onChange(new Change(Change.Kind.STOOD_STILL, self.id, late / MS + " ms", roster.size()));
         }
         nextTickAt = Math.max(nextTickAt, now);
@@ -283,7 +283,7 @@
         for (Peer p : members.takeReturned()) {
             detector.addToRound(p);
             nextSyncPartner = p;
-            nextSync = Math.min(nextSync, Math.max(now, lastSync + settings.intervalNs() / 2));
+            nextSyncAt = Math.min(nextSyncAt, Math.max(now, lastSyncAt + settings.intervalNs() / 2));
         }
     }
 
@@ -293,7 +293,7 @@
         }
         for (Peer p : roster.sample(fanout, random, null, self.id)) {
             if (!gossip.isEmpty() && sender.canSend(1, now)) {
-                sender.gossip(now, p);
+                sender.sendPendingRumors(now, p);
             }
         }
     }
@@ -306,8 +306,8 @@
         if (partner != null) {
             reconciler.compare(now, partner);
         }
-        lastSync = now;
-        nextSync = now + health.scale((long) (settings.syncNs() * (0.75 + random.nextDouble() / 2)));
+        lastSyncAt = now;
+        nextSyncAt = now + health.scale((long) (settings.syncNs() * (0.75 + random.nextDouble() / 2)));
     }
 
     /** Maintenance, once per interval. */
@@ -318,15 +318,15 @@
         members.forget(now);
         members.checkSettled(now, SETTLED_AFTER_INTERVALS * settings.intervalNs());
         Statement s = self.statement();
-        if (now >= nextStats) {
-            self.update(now, s.config(), s.phase(), twin(s.twinLife()), digest(), currentStats, s.facts());
+        if (now >= nextStatsAt) {
+            self.update(now, s.config(), s.phase(), presentTwinLife(s.twinLife()), digest(), currentStats, s.facts());
             gossip.enqueueStats(self.id);
-            nextStats = now + (long) (settings.statsIntervalNs(roster.size()) * (0.75 + random.nextDouble() / 2));
+            nextStatsAt = now + (long) (settings.statsIntervalNs(roster.size()) * (0.75 + random.nextDouble() / 2));
         }
     }
 
     /** Returns the life of the twin if it is still present, else 0. */
-    private long twin(long life) {
+    private long presentTwinLife(long life) {
         return life != 0 && roster.present().stream().anyMatch(p -> p.id.life() == life) ? life : 0;
     }
 
@@ -360,18 +360,18 @@
 
     private void verifyUnconfirmed(long now) {
         int probed = 0;
-        for (Roster.Unconfirmed h : List.copyOf(roster.unconfirmed())) {
-            if (h.rumor.state().accuses() || h.rumor.status() == MemberStatus.LEFT) {
-                if (now - h.receivedAt > settings.syncNs() * 3) {
-                    roster.forget(h); // no second member confirmed it
+        for (Roster.Unconfirmed unconfirmed : List.copyOf(roster.unconfirmed())) {
+            if (unconfirmed.rumor.state().accuses() || unconfirmed.rumor.status() == MemberStatus.LEFT) {
+                if (now - unconfirmed.receivedAt > settings.syncNs() * 3) {
+                    roster.removeUnconfirmed(unconfirmed); // no second member confirmed it
                 }
-            } else if (h.probes >= MAX_VERIFICATIONS_PER_PROCESS) {
-                roster.forget(h);
-            } else if (now >= h.nextProbeAt && probed < MAX_VERIFICATIONS_PER_INTERVAL) {
+            } else if (unconfirmed.probes >= MAX_VERIFICATIONS_PER_PROCESS) {
+                roster.removeUnconfirmed(unconfirmed);
+            } else if (now >= unconfirmed.nextProbeAt && probed < MAX_VERIFICATIONS_PER_INTERVAL) {
                 probed++;
-                h.probes++;
-                h.nextProbeAt = now + 2 * settings.intervalNs();
-                detector.verify(now, h.rumor.statement().address(), h.rumor.id());
+                unconfirmed.probes++;
+                unconfirmed.nextProbeAt = now + 2 * settings.intervalNs();
+                detector.verify(now, unconfirmed.rumor.statement().address(), unconfirmed.rumor.id());
             }
         }
     }
@@ -454,7 +454,7 @@
         }
         members.sort(Comparator.comparing((View.Member m) -> m.id().name()).thenComparing(View.Member::upMs));
         Statement s = self.statement();
-        View.Member me = new View.Member(
+        View.Member own = new View.Member(
                 self.id,
                 s,
                 self.left() ? View.Status.LEFT : View.Status.ALIVE,
@@ -467,7 +467,7 @@
                 false,
                 0,
                 true);
-        return new View(me, cutOff, known, seen, this.members.settled(), health.score(), List.copyOf(members));
+        return new View(own, cutOff, known, seen, this.members.settled(), health.score(), List.copyOf(members));
     }
 
     private static long ms(long ns) {
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -18,7 +18,7 @@
  */
 final class Reconciler {
     static final int RANGES = 32;
-    private static final int SHIFT = 64 - 5;
+    private static final int RANGE_SHIFT = 64 - 5;
     /** Limit on datagrams per step of a comparison; the rest follows in the next comparison. */
     private static final int MAX_PAGES = 8;
 
@@ -44,16 +44,17 @@
         }
     }
 
-    private NavigableMap<Long, Message.Known> known() {
-        TreeMap<Long, Message.Known> known = new TreeMap<>(Long::compareUnsigned);
+    private NavigableMap<Long, Message.KnownState> knownStates() {
+        TreeMap<Long, Message.KnownState> known = new TreeMap<>(Long::compareUnsigned);
         for (Peer p : roster.all()) {
             known.put(
                     p.id.life(),
-                    new Message.Known(p.id.life(), p.state.incarnation(), p.state.status(), p.statement.revision()));
+                    new Message.KnownState(
+                            p.id.life(), p.state.incarnation(), p.state.status(), p.statement.revision()));
         }
         known.put(
                 self.id.life(),
-                new Message.Known(
+                new Message.KnownState(
                         self.id.life(),
                         self.incarnation(),
                         self.state().status(),
@@ -64,12 +65,13 @@
     /** Two 32-bit checksums for each range, over the known states in the order of lives. */
     private List<Long> digests() {
         List<Long> digests = new ArrayList<>(RANGES);
-        NavigableMap<Long, Message.Known> known = known();
+        NavigableMap<Long, Message.KnownState> known = knownStates();
         for (int i = 0; i < RANGES; i++) {
             CRC32 a = new CRC32();
             CRC32C b = new CRC32C();
             ByteBuffer bytes = ByteBuffer.allocate(17);
-            for (Message.Known k : known.subMap(first(i), true, last(i), true).values()) {
+            for (Message.KnownState k :
+                    known.subMap(firstLife(i), true, lastLife(i), true).values()) {
                 bytes.clear()
                         .putLong(k.life())
                         .putInt(k.incarnation())
@@ -83,12 +85,12 @@
         return digests;
     }
 
-    private static long first(int range) {
-        return (long) range << SHIFT;
+    private static long firstLife(int range) {
+        return (long) range << RANGE_SHIFT;
     }
 
-    private static long last(int range) {
-        return first(range) | -1L >>> 64 - SHIFT;
+    private static long lastLife(int range) {
+        return firstLife(range) | -1L >>> 64 - RANGE_SHIFT;
     }
 
     /** Handles digests: answers with the states known here in the ranges that differ. */
@@ -97,26 +99,26 @@
             return; // another version with other ranges; rumors are still exchanged
         }
         List<Long> mine = digests();
-        NavigableMap<Long, Message.Known> known = known();
+        NavigableMap<Long, Message.KnownState> known = knownStates();
         int begin = random.nextInt(RANGES);
         int pages = MAX_PAGES;
         for (int i = 0; i < RANGES && pages > 0; i++) {
             int range = (begin + i) % RANGES;
             if (!mine.get(range).equals(d.ranges().get(range))) {
-                pages = sendListings(now, from, known, first(range), last(range), pages);
+                pages = sendListings(now, from, known, firstLife(range), lastLife(range), pages);
             }
         }
     }
 
     private int sendListings(
-            long now, Peer to, NavigableMap<Long, Message.Known> known, long first, long last, int pages) {
-        int maxPerPage = (sender.maxPayloadBytes() - 22) / Message.Known.MAX_BYTES;
+            long now, Peer to, NavigableMap<Long, Message.KnownState> known, long first, long last, int pages) {
+        int maxPerPage = (sender.maxPayloadBytes() - 22) / Message.KnownState.MAX_BYTES;
         long from = first;
         int left = pages;
-        List<Message.Known> page = new ArrayList<>();
-        for (Message.Known k : known.subMap(first, true, last, true).values()) {
+        List<Message.KnownState> page = new ArrayList<>();
+        for (Message.KnownState k : known.subMap(first, true, last, true).values()) {
             if (page.size() == maxPerPage) {
-                left = listing(now, to, from, k.life() - 1, page, left);
+                left = sendListing(now, to, from, k.life() - 1, page, left);
                 from = k.life();
                 page = new ArrayList<>();
                 if (left == 0) {
@@ -125,10 +127,10 @@
             }
             page.add(k);
         }
-        return listing(now, to, from, last, page, left);
+        return sendListing(now, to, from, last, page, left);
     }
 
-    private int listing(long now, Peer to, long from, long last, List<Message.Known> page, int left) {
+    private int sendListing(long now, Peer to, long from, long last, List<Message.KnownState> page, int left) {
         if (left == 0 || !sender.canSend(1, now)) {
             return 0;
         }
@@ -137,17 +139,17 @@
     }
 
     /** Handles the states that the other side knows: requests what is newer there and sends what is newer here. */
-    void listing(long now, Peer from, Message.Listing l) {
-        NavigableMap<Long, Message.Known> mine = known();
-        Map<Long, Identity> names = names();
+    void onListing(long now, Peer from, Message.Listing l) {
+        NavigableMap<Long, Message.KnownState> mine = knownStates();
+        Map<Long, Identity> names = identities();
         List<Long> toRequest = new ArrayList<>();
         List<Rumor> toSend = new ArrayList<>();
-        NavigableMap<Long, Message.Known> missing = Long.compareUnsigned(l.from(), l.to()) > 0
+        NavigableMap<Long, Message.KnownState> missing = Long.compareUnsigned(l.from(), l.to()) > 0
                 ? new TreeMap<>()
                 : new TreeMap<>(mine.subMap(l.from(), true, l.to(), true));
-        for (Message.Known k : l.known()) {
+        for (Message.KnownState k : l.states()) {
             missing.remove(k.life());
-            Message.Known m = mine.get(k.life());
+            Message.KnownState m = mine.get(k.life());
             if (m == null) {
                 toRequest.add(k.life());
                 continue;
@@ -174,7 +176,7 @@
 
     /** Handles a request for rumors of these lives. */
     void onWant(long now, Peer from, Message.Want w) {
-        Map<Long, Identity> names = names();
+        Map<Long, Identity> names = identities();
         sendRumors(
                 now,
                 from,
@@ -200,7 +202,7 @@
         }
     }
 
-    private Map<Long, Identity> names() {
+    private Map<Long, Identity> identities() {
         Map<Long, Identity> names = new TreeMap<>();
         roster.all().forEach(p -> names.put(p.id.life(), p.id));
         names.put(self.id.life(), self.id);
--- a/src/main/java/gullspar/peers/ReconnectBackoff.java
+++ b/src/main/java/gullspar/peers/ReconnectBackoff.java
@@ -19,7 +19,7 @@
     private final Detector detector;
     private final RandomGenerator random;
     private List<String> seeds;
-    private int probeNextSeed;
+    private int nextSeedIndex;
     private long nextSeedProbeAt;
 
     ReconnectBackoff(
@@ -38,8 +38,8 @@
     }
 
     /** Replaces the seeds; the next one is probed in the next interval. */
-    void seeds(List<String> others) {
-        seeds = List.copyOf(others);
+    void setSeeds(List<String> updated) {
+        seeds = List.copyOf(updated);
         nextSeedProbeAt = Long.MIN_VALUE;
     }
 
@@ -75,7 +75,7 @@
 
     private void probeNextSeed(long now) {
         nextSeedProbeAt = now + SEED_PROBE_INTERVALS * settings.intervalNs();
-        String address = seeds.get(probeNextSeed++ % seeds.size());
+        String address = seeds.get(nextSeedIndex++ % seeds.size());
         if (!address.equals(self.address())
                 && roster.present().stream().noneMatch(p -> p.address().equals(address))) {
             detector.verify(now, address, null);
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -138,14 +138,14 @@
         return unconfirmed.values();
     }
 
-    void addUnconfirmed(Unconfirmed h) {
+    void addUnconfirmed(Unconfirmed process) {
         if (unconfirmed.size() >= MAX_UNCONFIRMED) {
             unconfirmed.remove(unconfirmed.keySet().iterator().next());
         }
-        unconfirmed.put(h.rumor.id(), h);
+        unconfirmed.put(process.rumor.id(), process);
     }
 
-    void forget(Unconfirmed h) {
-        unconfirmed.remove(h.rumor.id());
+    void removeUnconfirmed(Unconfirmed process) {
+        unconfirmed.remove(process.rumor.id());
     }
 }
--- a/src/main/java/gullspar/peers/Rumor.java
+++ b/src/main/java/gullspar/peers/Rumor.java
@@ -20,7 +20,7 @@
     private static final int FIXED_BYTES = 48;
 
     public Rumor {
-        if (!MemberState.incarnation(incarnation)
+        if (!MemberState.isValidIncarnation(incarnation)
                 || !Identity.isValidText(accuser)
                 || statusAgeMs < 0
                 || statementAgeMs < 0
--- a/src/main/java/gullspar/peers/Self.java
+++ b/src/main/java/gullspar/peers/Self.java
@@ -8,7 +8,7 @@
     private Statement statement;
     private long statedAt;
     private boolean left;
-    private long lastNumber;
+    private long lastSequenceNumber;
 
     Self(Statement first, long now) {
         this.id = first.id();
@@ -55,7 +55,7 @@
     }
 
     /** Makes the next revision of its statement. */
-    void update(long now, String config, Phase phase, long twin, int view, TrafficStats stats, Facts facts) {
+    void update(long now, String config, Phase phase, long twinLife, int viewDigest, TrafficStats stats, Facts facts) {
         statement = new Statement(
                 id,
                 statement.revision() + 1,
@@ -65,8 +65,8 @@
                 config,
                 phase,
                 (now - startedAt) / 1_000_000,
-                twin,
-                view,
+                twinLife,
+                viewDigest,
                 stats,
                 facts);
         statedAt = now;
@@ -74,7 +74,7 @@
 
     /** Returns the header of its next datagram. */
     Message.Header header() {
-        return new Message.Header(id, incarnation, statement.address(), ++lastNumber);
+        return new Message.Header(id, incarnation, statement.address(), ++lastSequenceNumber);
     }
 
     int headerBytes() {
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -50,11 +50,11 @@
     private final Supplier<Load> load;
     private final FleetSettings fleet;
     private final UdpTransport transport;
-    private String config;
+    private String configDigest;
     private Phase phase = Phase.JOINING;
     private Stage stage = Stage.WARMING;
-    private Load last = Load.NONE;
-    private long lastAt;
+    private Load lastLoad = Load.NONE;
+    private long lastLoadAt;
     private boolean left;
 
     private Membership(
@@ -70,7 +70,7 @@
         this.platform = platform;
         this.load = load;
         this.fleet = fleet;
-        this.config = config;
+        this.configDigest = config;
         this.transport = new UdpTransport(platform, envelope, this::logChange);
     }
 
@@ -86,10 +86,11 @@
             throw new IOException(
                     file + ": [fleet] has no name, and the one of the platform is not valid: " + memberName);
         }
-        Membership m = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
+        Membership membership = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
         try {
-            ChannelFuture bound =
-                    platform.loop().submit(() -> m.transport.bind(fleet.bind())).get();
+            ChannelFuture bound = platform.loop()
+                    .submit(() -> membership.transport.bind(fleet.bind()))
+                    .get();
             if (!bound.awaitUninterruptibly().isSuccess()) {
                 throw new IOException(
                         "cannot bind the UDP socket of the fleet at "
@@ -98,9 +99,9 @@
                         bound.cause());
             }
             platform.loop()
-                    .submit(() -> m.startPeers(memberName, new SecureRandom().nextLong(), settings(fleet)))
+                    .submit(() -> membership.startPeers(memberName, new SecureRandom().nextLong(), settings(fleet)))
                     .get();
-            return m;
+            return membership;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -116,16 +117,16 @@
      */
     public static Membership join(
             FleetSettings fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
-        Membership m = new Membership(null, null, platform, load, fleet, keys, "");
-        m.transport.bind(fleet.bind()).addListener(f -> {
+        Membership membership = new Membership(null, null, platform, load, fleet, keys, "");
+        membership.transport.bind(fleet.bind()).addListener(f -> {
             if (f.isSuccess()) {
-                m.startPeers(fleet.name(), life, settings);
+                membership.startPeers(fleet.name(), life, settings);
             } else {
                 platform.log()
                         .write("fleet: cannot bind the UDP socket: " + f.cause().getMessage());
             }
         });
-        return m;
+        return membership;
     }
 
     private static FleetSettings fleet(Path file, Reader reader) throws IOException {
@@ -142,8 +143,8 @@
 
     private static String digest(Path file) throws IOException {
         try {
-            byte[] all = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(file));
-            return HexFormat.of().formatHex(Arrays.copyOf(all, DIGEST_BYTES));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(file));
+            return HexFormat.of().formatHex(Arrays.copyOf(hash, DIGEST_BYTES));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("this runtime has no SHA-256", e);
         }
@@ -166,7 +167,7 @@
                         NetUtil.toSocketAddressString(advertised),
                         fleet.zone(),
                         version == null ? "dev" : version,
-                        config,
+                        configDigest,
                         phase,
                         0,
                         0,
@@ -175,7 +176,7 @@
                         Facts.NONE),
                 format(fleet.seeds()),
                 new SplittableRandom(life));
-        lastAt = platform.clock().now();
+        lastLoadAt = platform.clock().now();
         platform.log()
                 .write("fleet: " + name + ", life " + HexFormat.of().toHexDigits(life) + ", at "
                         + NetUtil.toSocketAddressString(advertised) + ", "
@@ -191,20 +192,20 @@
             return;
         }
         long now = platform.clock().now();
-        Load l = load.get();
-        double seconds = Math.max(1e-3, (now - lastAt) / 1e9);
-        TrafficStats f = new TrafficStats(
-                (float) ((l.ended() - last.ended()) / seconds),
-                (float) ((l.refused() - last.refused()) / seconds),
-                l.pending());
-        last = l;
-        lastAt = now;
+        Load current = load.get();
+        double seconds = Math.max(1e-3, (now - lastLoadAt) / 1e9);
+        TrafficStats stats = new TrafficStats(
+                (float) ((current.ended() - lastLoad.ended()) / seconds),
+                (float) ((current.refused() - lastLoad.refused()) / seconds),
+                current.pending());
+        lastLoad = current;
+        lastLoadAt = now;
         transport.withPeers(p -> {
             // A proxy may be the only member for good: once it serves, it is not joining any more.
             phase = stage == Stage.SERVING
                     ? Phase.SERVING
                     : stage == Stage.DRAINING ? Phase.DRAINING : p.size() == 1 ? Phase.JOINING : Phase.WARMING;
-            p.updateSelf(now, phase, config, f, Facts.NONE);
+            p.updateSelf(now, phase, configDigest, stats, Facts.NONE);
             return null;
         });
     }
@@ -265,7 +266,7 @@
             platform.loop().execute(() -> {
                 setKeys(keys);
                 setSeeds((updated == null ? fleet : updated).seeds());
-                config = digest;
+                configDigest = digest;
                 publishStats();
             });
         } catch (IOException e) {
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -105,9 +105,9 @@
 
     /** Calls the state machine, and schedules its next tick. */
     public <T> T withPeers(Function<Peers, T> operation) {
-        T t = operation.apply(peers);
+        T result = operation.apply(peers);
         scheduleWake();
-        return t;
+        return result;
     }
 
     /** Cancels the timer and closes the socket. */
@@ -137,7 +137,7 @@
 
     @Override
     public void send(String to, Message m) {
-        InetSocketAddress address = addresses.computeIfAbsent(to, UdpTransport::address);
+        InetSocketAddress address = addresses.computeIfAbsent(to, UdpTransport::parseAddress);
         if (address == null || !channel.isWritable()) {
             unsent++;
             return;
@@ -150,7 +150,7 @@
         });
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
         try {
--- a/src/main/java/gullspar/peers/wire/Codec.java
+++ b/src/main/java/gullspar/peers/wire/Codec.java
@@ -52,7 +52,7 @@
         g.writeNumber(h.from().life());
         g.writeNumber(h.incarnation());
         g.writeString(h.address());
-        g.writeNumber(h.number());
+        g.writeNumber(h.sequenceNumber());
         g.writeEndArray();
     }
 
@@ -62,35 +62,35 @@
             g.writeNumber(p.nonce());
             g.writeNumber(p.targetLife());
             g.writeBoolean(p.requestsStatement());
-            rumors(g, p.rumors());
+            writeRumors(g, p.rumors());
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, a.header(), 5);
             g.writeNumber(a.nonce());
-            identity(g, a.subject());
+            writeIdentity(g, a.subject());
             g.writeNumber(a.incarnation());
-            rumors(g, a.rumors());
+            writeRumors(g, a.rumors());
         } else if (m instanceof Message.PingReq r) {
             begin(g, PING_REQ, r.header(), 5);
             g.writeNumber(r.nonce());
-            identity(g, r.target());
+            writeIdentity(g, r.target());
             g.writeString(r.address());
-            rumors(g, r.rumors());
+            writeRumors(g, r.rumors());
         } else if (m instanceof Message.Nack n) {
             begin(g, NACK, n.header(), 2);
             g.writeNumber(n.nonce());
-            rumors(g, n.rumors());
+            writeRumors(g, n.rumors());
         } else if (m instanceof Message.News n) {
             begin(g, NEWS, n.header(), 1);
-            rumors(g, n.rumors());
+            writeRumors(g, n.rumors());
         } else if (m instanceof Message.Digest d) {
             begin(g, DIGEST, d.header(), 1);
-            longs(g, d.ranges());
+            writeLongs(g, d.ranges());
         } else if (m instanceof Message.Listing l) {
             begin(g, LISTING, l.header(), 3);
             g.writeNumber(l.from());
             g.writeNumber(l.to());
-            g.writeStartArray(null, l.known().size());
-            for (Message.Known k : l.known()) {
+            g.writeStartArray(null, l.states().size());
+            for (Message.KnownState k : l.states()) {
                 g.writeStartArray(null, 4);
                 g.writeNumber(k.life());
                 g.writeNumber(k.incarnation());
@@ -101,17 +101,17 @@
             g.writeEndArray();
         } else if (m instanceof Message.Want w) {
             begin(g, WANT, w.header(), 1);
-            longs(g, w.lives());
+            writeLongs(g, w.lives());
         }
         g.writeEndArray();
     }
 
-    private static void identity(JsonGenerator g, Identity id) throws IOException {
+    private static void writeIdentity(JsonGenerator g, Identity id) throws IOException {
         g.writeString(id.name());
         g.writeNumber(id.life());
     }
 
-    private static void longs(JsonGenerator g, List<Long> all) throws IOException {
+    private static void writeLongs(JsonGenerator g, List<Long> all) throws IOException {
         g.writeStartArray(null, all.size());
         for (long l : all) {
             g.writeNumber(l);
@@ -119,11 +119,11 @@
         g.writeEndArray();
     }
 
-    private static void rumors(JsonGenerator g, List<Rumor> rumors) throws IOException {
+    private static void writeRumors(JsonGenerator g, List<Rumor> rumors) throws IOException {
         g.writeStartArray(null, rumors.size());
         for (Rumor r : rumors) {
             g.writeStartArray(null, 8);
-            identity(g, r.id());
+            writeIdentity(g, r.id());
             g.writeNumber(r.incarnation());
             g.writeNumber(r.status().ordinal());
             g.writeString(r.accuser());
@@ -131,7 +131,7 @@
             if (r.statement() == null) {
                 g.writeNull();
             } else {
-                statement(g, r.statement());
+                writeStatement(g, r.statement());
             }
             g.writeNumber(r.statementAgeMs());
             g.writeEndArray();
@@ -139,7 +139,7 @@
         g.writeEndArray();
     }
 
-    private static void statement(JsonGenerator g, Statement s) throws IOException {
+    private static void writeStatement(JsonGenerator g, Statement s) throws IOException {
         g.writeStartArray(null, 13);
         g.writeNumber(s.revision());
         g.writeString(s.address());
@@ -169,8 +169,8 @@
     public static Message decode(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes, from, length)) {
             expectArray(p.nextToken());
-            int kind = number(p, 0, Integer.MAX_VALUE);
-            Message m = message(p, kind);
+            int kind = readNumber(p, 0, Integer.MAX_VALUE);
+            Message m = readMessage(p, kind);
             if (m != null) {
                 skipToEnd(p);
             }
@@ -180,20 +180,21 @@
         }
     }
 
-    private static Message message(JsonParser p, int kind) throws IOException {
+    private static Message readMessage(JsonParser p, int kind) throws IOException {
         if (kind < PING || kind > WANT) {
             return null;
         }
-        Message.Header h = header(p);
+        Message.Header h = readHeader(p);
         return switch (kind) {
-            case PING -> new Message.Ping(h, number(p), number(p), bool(p), rumors(p));
-            case ACK -> new Message.Ack(h, number(p), identity(p), number(p, 0, Integer.MAX_VALUE), rumors(p));
-            case PING_REQ -> new Message.PingReq(h, number(p), identity(p), address(p), rumors(p));
-            case NACK -> new Message.Nack(h, number(p), rumors(p));
-            case NEWS -> new Message.News(h, rumors(p));
-            case DIGEST -> new Message.Digest(h, longs(p));
-            case LISTING -> new Message.Listing(h, number(p), number(p), known(p));
-            default -> new Message.Want(h, longs(p));
+            case PING -> new Message.Ping(h, readNumber(p), readNumber(p), readBoolean(p), readRumors(p));
+            case ACK -> new Message.Ack(
+                    h, readNumber(p), readIdentity(p), readNumber(p, 0, Integer.MAX_VALUE), readRumors(p));
+            case PING_REQ -> new Message.PingReq(h, readNumber(p), readIdentity(p), readAddress(p), readRumors(p));
+            case NACK -> new Message.Nack(h, readNumber(p), readRumors(p));
+            case NEWS -> new Message.News(h, readRumors(p));
+            case DIGEST -> new Message.Digest(h, readLongs(p));
+            case LISTING -> new Message.Listing(h, readNumber(p), readNumber(p), readKnownStates(p));
+            default -> new Message.Want(h, readLongs(p));
         };
     }
 
@@ -213,37 +214,37 @@
         }
     }
 
-    private static long number(JsonParser p) throws IOException {
+    private static long readNumber(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IOException("expected an integer");
         }
         return p.getLongValue();
     }
 
-    private static int number(JsonParser p, int min, int max) throws IOException {
-        long n = number(p);
+    private static int readNumber(JsonParser p, int min, int max) throws IOException {
+        long n = readNumber(p);
         if (n < min || n > max) {
             throw new IOException("number out of range");
         }
         return (int) n;
     }
 
-    private static long age(JsonParser p) throws IOException {
-        long n = number(p);
+    private static long readAge(JsonParser p) throws IOException {
+        long n = readNumber(p);
         if (n < 0 || n > Long.MAX_VALUE / 4_000_000) {
             throw new IOException("age out of range");
         }
         return n;
     }
 
-    private static float finiteFloat(JsonParser p) throws IOException {
+    private static float readFiniteFloat(JsonParser p) throws IOException {
         if (!p.nextToken().isNumeric() || !Float.isFinite(p.getFloatValue())) {
             throw new IOException("expected a finite number");
         }
         return p.getFloatValue();
     }
 
-    private static boolean bool(JsonParser p) throws IOException {
+    private static boolean readBoolean(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
             throw new IOException("expected a boolean");
@@ -251,33 +252,34 @@
         return t == JsonToken.VALUE_TRUE;
     }
 
-    private static String text(JsonParser p) throws IOException {
+    private static String readText(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
             throw new IOException("expected a string");
         }
         return p.getText();
     }
 
-    private static String address(JsonParser p) throws IOException {
-        String a = text(p);
+    private static String readAddress(JsonParser p) throws IOException {
+        String a = readText(p);
         if (a.isEmpty() || a.length() > Statement.MAX_ADDRESS_LENGTH) {
             throw new IOException("expected an address");
         }
         return a;
     }
 
-    private static Message.Header header(JsonParser p) throws IOException {
+    private static Message.Header readHeader(JsonParser p) throws IOException {
         expectArray(p.nextToken());
-        Message.Header h = new Message.Header(identity(p), number(p, 0, Integer.MAX_VALUE), address(p), number(p));
+        Message.Header h =
+                new Message.Header(readIdentity(p), readNumber(p, 0, Integer.MAX_VALUE), readAddress(p), readNumber(p));
         skipToEnd(p);
         return h;
     }
 
-    private static Identity identity(JsonParser p) throws IOException {
-        return new Identity(text(p), number(p));
+    private static Identity readIdentity(JsonParser p) throws IOException {
+        return new Identity(readText(p), readNumber(p));
     }
 
-    private static List<Long> longs(JsonParser p) throws IOException {
+    private static List<Long> readLongs(JsonParser p) throws IOException {
         List<Long> all = new ArrayList<>();
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
@@ -289,57 +291,62 @@
         return all;
     }
 
-    private static List<Message.Known> known(JsonParser p) throws IOException {
-        List<Message.Known> all = new ArrayList<>();
+    private static List<Message.KnownState> readKnownStates(JsonParser p) throws IOException {
+        List<Message.KnownState> all = new ArrayList<>();
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             expectArray(t);
-            all.add(new Message.Known(
-                    number(p), number(p, 0, Integer.MAX_VALUE), status(p), number(p, 0, Integer.MAX_VALUE)));
+            all.add(new Message.KnownState(
+                    readNumber(p),
+                    readNumber(p, 0, Integer.MAX_VALUE),
+                    readStatus(p),
+                    readNumber(p, 0, Integer.MAX_VALUE)));
             skipToEnd(p);
         }
         return all;
     }
 
-    private static MemberStatus status(JsonParser p) throws IOException {
-        return MemberStatus.values()[number(p, 0, MemberStatus.values().length - 1)];
+    private static MemberStatus readStatus(JsonParser p) throws IOException {
+        return MemberStatus.values()[readNumber(p, 0, MemberStatus.values().length - 1)];
     }
 
-    private static List<Rumor> rumors(JsonParser p) throws IOException {
+    private static List<Rumor> readRumors(JsonParser p) throws IOException {
         List<Rumor> all = new ArrayList<>();
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             expectArray(t);
-            Identity id = identity(p);
-            int incarnation = number(p, 0, Integer.MAX_VALUE);
-            MemberStatus status = status(p);
-            String by = text(p);
-            long since = age(p);
-            Statement s = p.nextToken() == JsonToken.VALUE_NULL ? null : statement(p, id);
-            all.add(new Rumor(id, incarnation, status, by, since, s, age(p)));
+            Identity id = readIdentity(p);
+            int incarnation = readNumber(p, 0, Integer.MAX_VALUE);
+            MemberStatus status = readStatus(p);
+            String accuser = readText(p);
+            long statusAgeMs = readAge(p);
+            Statement s = p.nextToken() == JsonToken.VALUE_NULL ? null : readStatement(p, id);
+            all.add(new Rumor(id, incarnation, status, accuser, statusAgeMs, s, readAge(p)));
             skipToEnd(p);
         }
         return all;
     }
 
-    private static Statement statement(JsonParser p, Identity id) throws IOException {
+    private static Statement readStatement(JsonParser p, Identity id) throws IOException {
         expectArray(p.currentToken());
-        int revision = number(p, 1, Integer.MAX_VALUE);
-        String address = address(p);
-        String zone = text(p);
-        String version = text(p);
-        String config = text(p);
-        Phase phase = Phase.values()[number(p, 0, Phase.values().length - 1)];
-        long up = age(p);
-        long twin = number(p);
-        int view = number(p, Integer.MIN_VALUE, Integer.MAX_VALUE);
-        TrafficStats figures = new TrafficStats(finiteFloat(p), finiteFloat(p), number(p, 0, Integer.MAX_VALUE));
-        Facts facts = facts(p);
+        int revision = readNumber(p, 1, Integer.MAX_VALUE);
+        String address = readAddress(p);
+        String zone = readText(p);
+        String version = readText(p);
+        String config = readText(p);
+        Phase phase = Phase.values()[readNumber(p, 0, Phase.values().length - 1)];
+        long upMs = readAge(p);
+        long twinLife = readNumber(p);
+        int viewDigest = readNumber(p, Integer.MIN_VALUE, Integer.MAX_VALUE);
+        TrafficStats stats =
+                new TrafficStats(readFiniteFloat(p), readFiniteFloat(p), readNumber(p, 0, Integer.MAX_VALUE));
+        Facts facts = readFacts(p);
         skipToEnd(p);
-        return new Statement(id, revision, address, zone, version, config, phase, up, twin, view, figures, facts);
+        return new Statement(
+                id, revision, address, zone, version, config, phase, upMs, twinLife, viewDigest, stats, facts);
     }
 
-    private static Facts facts(JsonParser p) throws IOException {
+    private static Facts readFacts(JsonParser p) throws IOException {
         Map<String, Facts.Fact> facts = new TreeMap<>();
         expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
@@ -347,7 +354,7 @@
                 throw new IOException("expected the name of a fact");
             }
             String name = p.getText();
-            int version = number(p, 0, Integer.MAX_VALUE);
+            int version = readNumber(p, 0, Integer.MAX_VALUE);
             if (p.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
                 throw new IOException("expected a byte string");
             }
--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -68,7 +68,7 @@
         if (!renumberedLives.contains(life)) {
             return List.of(datagram);
         }
-        long number = m.header().number() * NUMBERS_PER_DATAGRAM;
+        long number = m.header().sequenceNumber() * NUMBERS_PER_DATAGRAM;
         List<byte[]> out = new ArrayList<>();
         out.add(seal(TamperedMessages.withNumber(m, number)));
         for (int left = falseRumorsPerDatagram;
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -41,7 +41,7 @@
         } else if (m instanceof Message.News n) {
             return new Message.News(h, n.rumors());
         } else if (m instanceof Message.Listing l) {
-            return new Message.Listing(h, l.from(), l.to(), l.known());
+            return new Message.Listing(h, l.from(), l.to(), l.states());
         } else if (m instanceof Message.Digest d) {
             return new Message.Digest(h, d.ranges());
         }
--- a/src/test/java/gullspar/peers/PeersPropertiesTest.java
+++ b/src/test/java/gullspar/peers/PeersPropertiesTest.java
@@ -115,7 +115,8 @@
                     h,
                     r.nextLong(),
                     r.nextLong(),
-                    List.of(new Message.Known(r.nextInt(6), small(r), MemberStatus.values()[r.nextInt(4)], small(r))));
+                    List.of(new Message.KnownState(
+                            r.nextInt(6), small(r), MemberStatus.values()[r.nextInt(4)], small(r))));
             default -> new Message.Want(h, List.of((long) r.nextInt(6), r.nextLong()));
         };
     }
--- a/src/test/java/gullspar/peers/wire/WireTest.java
+++ b/src/test/java/gullspar/peers/wire/WireTest.java
@@ -106,7 +106,7 @@
                     case 4 -> new Message.News(h, r);
                     case 5 -> new Message.Digest(h, List.of(n, id.life(), 0L));
                     case 6 -> new Message.Listing(
-                            h, n, id.life(), List.of(new Message.Known(n, 4, MemberStatus.GONE, 9)));
+                            h, n, id.life(), List.of(new Message.KnownState(n, 4, MemberStatus.GONE, 9)));
                     default -> new Message.Want(h, List.of(n, -n));
                 });
     }
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -291,7 +291,7 @@
             @Override
             Message onSend(Message m) {
                 return TamperedMessages.withNumber(
-                        m, NUMBER_SPACING * m.header().number());
+                        m, NUMBER_SPACING * m.header().sequenceNumber());
             }
 
             @Override
@@ -300,7 +300,8 @@
                 if (h == null) {
                     return null;
                 }
-                Message.Header next = new Message.Header(h.from(), h.incarnation(), h.address(), h.number() + 1);
+                Message.Header next =
+                        new Message.Header(h.from(), h.incarnation(), h.address(), h.sequenceNumber() + 1);
                 lastHeaders.put(h.from().life(), next);
                 return new Message.Ack(next, ((Message.Ping) m).nonce(), h.from(), h.incarnation(), List.of());
             }
