--- a/src/main/java/gullspar/versions/Delta.java
+++ b/src/main/java/gullspar/versions/Delta.java
@@ -104,10 +104,10 @@
         int line = 0;
         int start = 0;
         for (Hunk h : hunks) {
-            int at = skipLines(from, start, h.firstLine - line);
-            copyRange(from, start, at, to);
+            int copyEnd = skipLines(from, start, h.firstLine - line);
+            copyRange(from, start, copyEnd, to);
             h.lines.forEach(l -> to.append(l).append('\n'));
-            start = skipLines(from, at, h.removed);
+            start = skipLines(from, copyEnd, h.removed);
             line = h.firstLine + h.removed;
         }
         copyRange(from, start, from.length() + 1, to);
--- a/src/main/java/gullspar/versions/Document.java
+++ b/src/main/java/gullspar/versions/Document.java
@@ -7,7 +7,7 @@
 
     /** Creates a document; throws {@link MismatchException} if the checksum of the text is not the version's. */
     public static Document verified(Version version, String text) throws MismatchException {
-        if (!Checksum.of(text).equals(version.text())) {
+        if (!Checksum.of(text).equals(version.textChecksum())) {
             throw new MismatchException("text does not match the checksum of version " + version);
         }
         return new Document(version, text);
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -57,17 +57,17 @@
     private static final long NEVER = Long.MAX_VALUE;
     private static final long ACK_INTERVAL_NS = 2_000_000_000L;
     /** A doubted control process does not count as an alternative for this long. */
-    private static final long DOUBT_PERIOD_NS = 300_000_000_000L;
+    private static final long ABANDONED_PERIOD_NS = 300_000_000_000L;
 
     private static final int MAX_DOUBLINGS = 10;
 
     private final String name;
     private final Message.Role role;
     private final Settings settings;
-    private final int addresses;
+    private final int addressCount;
     private final RandomGenerator random;
     private final Host host;
-    private final long[] doubtedAtNs;
+    private final long[] abandonedAtNs;
 
     private Connection connection = Connection.NONE;
     private int controlIndex;
@@ -82,7 +82,7 @@
     private Version announced;
     private long startedAtNs;
     /** When the control process was first seen out of step with the primary or behind this follower. */
-    private long doubtSinceNs = NEVER;
+    private long outdatedSinceNs = NEVER;
 
     private Document held;
     /** Deltas from the document last applied to the held one; null if it came as a snapshot. */
@@ -93,7 +93,7 @@
     /** The highest version announced by any control process. */
     private Version highestSeen;
 
-    private boolean startDecided;
+    private boolean mayApply;
     private boolean applying;
     private Version inForce;
     private String trouble = "";
@@ -105,11 +105,11 @@
         this.name = name;
         this.role = role;
         this.settings = settings;
-        this.addresses = addresses;
+        this.addressCount = addresses;
         this.random = random;
         this.host = host;
-        this.doubtedAtNs = new long[addresses];
-        Arrays.fill(doubtedAtNs, Long.MIN_VALUE);
+        this.abandonedAtNs = new long[addresses];
+        Arrays.fill(abandonedAtNs, Long.MIN_VALUE);
     }
 
     /**
@@ -135,21 +135,21 @@
     public void opened(long now) {
         connection = Connection.OPEN;
         lastReceivedNs = now;
-        doubtSinceNs = NEVER;
+        outdatedSinceNs = NEVER;
         snapshotRequested = false;
         caughtUp = false;
         announced = null;
         host.send(new Message.Hello(name, role, held == null ? null : held.version()));
-        ack(now);
+        sendAck(now);
     }
 
     /** The connection has ended or could not be established. */
-    public void closed(long now, String why) {
+    public void closed(long now, String reason) {
         if (connection == Connection.NONE) {
             return;
         }
         if (connection == Connection.OPEN) {
-            host.log("lost connection to control " + controlIndex + ": " + why);
+            host.log("lost connection to control " + controlIndex + ": " + reason);
         }
         scheduleReconnect(now);
     }
@@ -157,16 +157,16 @@
     /** Schedules a connection to the next address, after a random delay whose bound grows with each failure. */
     private void scheduleReconnect(long now) {
         connection = Connection.NONE;
-        controlIndex = (controlIndex + 1) % addresses;
+        controlIndex = (controlIndex + 1) % addressCount;
         long maxDelayNs =
                 Math.min(settings.maxBackoffNs, settings.initialBackoffNs << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         reconnectAtNs = now + (long) (random.nextDouble() * maxDelayNs);
     }
 
-    private void abandon(long now, String why) {
-        host.log("disconnecting from control " + controlIndex + ", trying the next one: " + why);
-        doubtedAtNs[controlIndex] = now;
+    private void abandon(long now, String reason) {
+        host.log("disconnecting from control " + controlIndex + ", trying the next one: " + reason);
+        abandonedAtNs[controlIndex] = now;
         host.disconnect();
         scheduleReconnect(now);
     }
@@ -175,9 +175,9 @@
     public void received(long now, Message m) {
         lastReceivedNs = now;
         if (m instanceof Message.Head h) {
-            head(now, h);
+            onHead(now, h);
         } else if (m instanceof Message.Update u) {
-            update(now, u);
+            onUpdate(now, u);
         }
     }
 
@@ -186,41 +186,41 @@
         lastReceivedNs = now;
     }
 
-    private void head(long now, Message.Head h) {
+    private void onHead(long now, Message.Head h) {
         failures = 0;
         if (h.head() != null && (highestSeen == null || h.head().comparePosition(highestSeen) > 0)) {
             highestSeen = h.head();
         }
-        String doubt = h.inStep() ? "" : h.control() + " is out of step with the primary";
+        String outdatedReason = h.inStep() ? "" : h.control() + " is out of step with the primary";
         if (held != null && (h.head() == null || h.head().comparePosition(held.version()) < 0)) {
-            doubt = h.control() + " has only " + (h.head() == null ? "nothing" : h.head()) + ", this follower has "
-                    + held.version();
+            outdatedReason = h.control() + " has only " + (h.head() == null ? "nothing" : h.head())
+                    + ", this follower has " + held.version();
         } else if (held != null
                 && h.head().comparePosition(held.version()) == 0
                 && !h.head().equals(held.version())) {
-            doubt = forkMessage(h.control(), h.head());
-            if (!doubt.equals(trouble)) {
-                trouble = doubt;
-                ack(now);
+            outdatedReason = forkMessage(h.control(), h.head());
+            if (!outdatedReason.equals(trouble)) {
+                trouble = outdatedReason;
+                sendAck(now);
             }
         }
         announced = h.head();
-        if (doubt.isEmpty()) {
-            doubtSinceNs = NEVER;
+        if (outdatedReason.isEmpty()) {
+            outdatedSinceNs = NEVER;
             if (held != null && h.head() != null && held.version().equals(h.head())) {
                 caughtUp = true;
-                startDecided = true;
+                mayApply = true;
                 mayBeOlder = false;
                 if (held.version().equals(inForce) && !trouble.isEmpty()) {
                     trouble = "";
-                    ack(now);
+                    sendAck(now);
                 }
             } else if (h.head() == null) {
                 caughtUp = true; // no version has been published yet
             }
-        } else if (doubtSinceNs == NEVER) {
-            doubtSinceNs = now;
-            host.log("control " + controlIndex + " may be outdated: " + doubt);
+        } else if (outdatedSinceNs == NEVER) {
+            outdatedSinceNs = now;
+            host.log("control " + controlIndex + " may be outdated: " + outdatedReason);
         }
         applyIfReady(now);
     }
@@ -230,7 +230,7 @@
                 + "; see 'forked' in docs/versions.md";
     }
 
-    private void update(long now, Message.Update u) {
+    private void onUpdate(long now, Message.Update u) {
         if (held != null && u.to().comparePosition(held.version()) <= 0) {
             if (!u.to().equals(held.version())) {
                 refuse(now, "control " + controlIndex + " sent " + u.to() + ", this follower has " + held.version());
@@ -242,7 +242,7 @@
         }
         try {
             if (u.deltas().isEmpty()) {
-                snapshot(now, u);
+                onSnapshot(now, u);
             } else if (held == null) {
                 throw new MismatchException("received deltas but holds no version to apply them to");
             } else {
@@ -263,7 +263,7 @@
         }
     }
 
-    private void snapshot(long now, Message.Update u) throws MismatchException {
+    private void onSnapshot(long now, Message.Update u) throws MismatchException {
         Document d = Document.verified(u.to(), u.text());
         if (held != null && u.to().epoch() == held.version().epoch()) {
             boolean other = u.ancestor() != null && !u.ancestor().equals(held.version());
@@ -276,10 +276,10 @@
         accept(now, d, null);
     }
 
-    private void refuse(long now, String why) {
-        trouble = why;
-        ack(now);
-        abandon(now, why);
+    private void refuse(long now, String reason) {
+        trouble = reason;
+        sendAck(now);
+        abandon(now, reason);
     }
 
     private void accept(long now, Document d, List<Delta> deltas) {
@@ -295,10 +295,10 @@
             pendingDeltas = all;
         }
         retryAtNs = now;
-        if (doubtSinceNs == NEVER
+        if (outdatedSinceNs == NEVER
                 && (caughtUp || announced != null && d.version().comparePosition(announced) >= 0)) {
             caughtUp = true;
-            startDecided = true;
+            mayApply = true;
         }
         applyIfReady(now);
     }
@@ -306,7 +306,7 @@
     // ---- applying documents ----
 
     private void applyIfReady(long now) {
-        if (applying || !startDecided || held == null || held.version().equals(inForce) || now < retryAtNs) {
+        if (applying || !mayApply || held == null || held.version().equals(inForce) || now < retryAtNs) {
             return;
         }
         applying = true;
@@ -316,22 +316,22 @@
     }
 
     /** The version is persisted and in force if why is null; otherwise the previous one still is in force. */
-    public void applied(long now, Version version, String why) {
+    public void applied(long now, Version version, String failure) {
         applying = false;
-        if (why == null) {
+        if (failure == null) {
             inForce = version;
             trouble = "";
         } else {
-            trouble = why;
+            trouble = failure;
             pendingDeltas = null; // a host with a history has to restart it
             retryAtNs = now + settings.applyRetryNs;
-            host.log("version " + version + " could not be put in force, will be retried: " + why);
+            host.log("version " + version + " could not be put in force, will be retried: " + failure);
         }
-        ack(now);
+        sendAck(now);
         applyIfReady(now);
     }
 
-    private void ack(long now) {
+    private void sendAck(long now) {
         if (connection == Connection.OPEN) {
             lastAckNs = now;
             host.send(new Message.Ack(inForce, trouble));
@@ -347,15 +347,15 @@
         } else if (connection == Connection.OPEN && now - lastReceivedNs > settings.silenceTimeoutNs) {
             abandon(now, "nothing received for " + (now - lastReceivedNs) / 1_000_000 + " ms");
         } else if (connection == Connection.OPEN
-                && doubtSinceNs != NEVER
-                && now - doubtSinceNs > settings.startupWaitNs
+                && outdatedSinceNs != NEVER
+                && now - outdatedSinceNs > settings.startupWaitNs
                 && hasAlternative(now)) {
             abandon(now, "it has been outdated for too long");
         } else if (connection == Connection.OPEN && now - lastAckNs >= ACK_INTERVAL_NS) {
-            ack(now);
+            sendAck(now);
         }
-        if (!startDecided && held != null && now - startedAtNs >= settings.startupWaitNs && !isKnownOlder()) {
-            startDecided = true;
+        if (!mayApply && held != null && now - startedAtNs >= settings.startupWaitNs && !isKnownOlder()) {
+            mayApply = true;
             host.log("no control process confirmed the newest version in time: starting with " + held.version()
                     + (persisted ? " from disk" : "")
                     + (mayBeOlder ? ", which may be older than the version that ran here before" : ""));
@@ -369,8 +369,9 @@
     }
 
     private boolean hasAlternative(long now) {
-        for (int i = 0; i < addresses; i++) {
-            if (i != controlIndex && (doubtedAtNs[i] == Long.MIN_VALUE || now - doubtedAtNs[i] > DOUBT_PERIOD_NS)) {
+        for (int i = 0; i < addressCount; i++) {
+            if (i != controlIndex
+                    && (abandonedAtNs[i] == Long.MIN_VALUE || now - abandonedAtNs[i] > ABANDONED_PERIOD_NS)) {
                 return true;
             }
         }
@@ -401,7 +402,7 @@
     public boolean isInStep(long now) {
         return connection == Connection.OPEN
                 && caughtUp
-                && doubtSinceNs == NEVER
+                && outdatedSinceNs == NEVER
                 && now - lastReceivedNs <= settings.silenceTimeoutNs;
     }
 
--- a/src/main/java/gullspar/versions/FollowerUpdates.java
+++ b/src/main/java/gullspar/versions/FollowerUpdates.java
@@ -15,7 +15,7 @@
     }
 
     /** The follower has sent its hello, with the version it has, or null. */
-    public void hello(Version v) {
+    public void onHello(Version v) {
         sentVersion = v;
         helloReceived = true;
     }
@@ -47,14 +47,14 @@
         if (!helloReceived || h.head() == null) {
             return null;
         }
-        History.UpdatePlan a = h.planFor(sentVersion);
-        if (snapshotRequested && a.kind() != History.UpdateKind.AHEAD && a.kind() != History.UpdateKind.FORKED) {
-            a = new History.UpdatePlan(History.UpdateKind.SNAPSHOT, List.of());
+        History.UpdatePlan plan = h.planFor(sentVersion);
+        if (snapshotRequested && plan.kind() != History.UpdateKind.AHEAD && plan.kind() != History.UpdateKind.FORKED) {
+            plan = new History.UpdatePlan(History.UpdateKind.SNAPSHOT, List.of());
         }
-        switch (a.kind()) {
+        switch (plan.kind()) {
             case CHANGES -> {
                 sentVersion = h.version();
-                return new Message.Update(sentVersion, null, a.deltas(), "");
+                return new Message.Update(sentVersion, null, plan.deltas(), "");
             }
             case SNAPSHOT -> {
                 if (!slots.tryAcquire(this)) {
@@ -64,7 +64,7 @@
                 sentVersion = h.version();
                 snapshotRequested = false;
                 return new Message.Update(
-                        sentVersion, ancestor, a.deltas(), h.head().text());
+                        sentVersion, ancestor, plan.deltas(), h.head().text());
             }
             default -> {
                 return null;
--- a/src/main/java/gullspar/versions/History.java
+++ b/src/main/java/gullspar/versions/History.java
@@ -76,12 +76,12 @@
         if (head != null && next.version().comparePosition(head.version()) <= 0) {
             throw new IllegalArgumentException(next.version() + " is not newer than " + head.version());
         }
-        boolean joined = head != null
+        boolean contiguous = head != null
                 && !newDeltas.isEmpty()
                 && newDeltas.get(0).to().follows(head.version())
                 && newDeltas.get(newDeltas.size() - 1).to().equals(next.version());
-        if (joined) {
-            newDeltas.forEach(this::add);
+        if (contiguous) {
+            newDeltas.forEach(this::addDelta);
         } else {
             deltas.clear();
             totalBytes = 0;
@@ -96,7 +96,7 @@
         }
     }
 
-    private void add(Delta d) {
+    private void addDelta(Delta d) {
         deltas.add(d);
         totalBytes += d.estimatedBytes();
     }
@@ -125,7 +125,7 @@
             v = d.to();
         }
         if (chain && !storedDeltas.isEmpty() && v.equals(document.version())) {
-            storedDeltas.forEach(this::add);
+            storedDeltas.forEach(this::addDelta);
             oldest = from;
         }
     }
@@ -149,30 +149,30 @@
     }
 
     /** Chooses the update for a follower that has the version, or null for none. */
-    public UpdatePlan planFor(Version has) {
-        if (head == null || head.version().equals(has)) {
-            return UpdatePlan.of(has == null || head != null ? UpdateKind.NOTHING : UpdateKind.AHEAD);
+    public UpdatePlan planFor(Version held) {
+        if (head == null || head.version().equals(held)) {
+            return UpdatePlan.of(held == null || head != null ? UpdateKind.NOTHING : UpdateKind.AHEAD);
         }
-        if (has == null) {
+        if (held == null) {
             return UpdatePlan.of(UpdateKind.SNAPSHOT);
         }
-        int order = has.comparePosition(head.version());
+        int order = held.comparePosition(head.version());
         if (order > 0) {
             return UpdatePlan.of(UpdateKind.AHEAD);
         }
-        Version mine = versionAt(has);
-        if (mine != null && !mine.equals(has)) {
+        Version retained = versionAt(held);
+        if (retained != null && !retained.equals(held)) {
             // Operators raise the epoch to declare that it overrides what the former primary wrote.
-            return UpdatePlan.of(has.epoch() < head.version().epoch() ? UpdateKind.SNAPSHOT : UpdateKind.FORKED);
+            return UpdatePlan.of(held.epoch() < head.version().epoch() ? UpdateKind.SNAPSHOT : UpdateKind.FORKED);
         }
-        return mine == null ? UpdatePlan.of(UpdateKind.SNAPSHOT) : planSince(has);
+        return retained == null ? UpdatePlan.of(UpdateKind.SNAPSHOT) : planSince(held);
     }
 
-    private UpdatePlan planSince(Version has) {
+    private UpdatePlan planSince(Version held) {
         List<Delta> since = new ArrayList<>();
         int size = 0;
         for (Delta d : deltas) {
-            if (d.to().comparePosition(has) > 0) {
+            if (d.to().comparePosition(held) > 0) {
                 since.add(d);
                 size += d.estimatedBytes();
             }
--- a/src/main/java/gullspar/versions/Message.java
+++ b/src/main/java/gullspar/versions/Message.java
@@ -17,7 +17,7 @@
     }
 
     /** Sent first by a follower: its identity and the version it has, or null. */
-    record Hello(String name, Role role, Version has) implements Message {}
+    record Hello(String name, Role role, Version held) implements Message {}
 
     /**
      * The newest version of a control process, or null. Sent every second, so it is also the heartbeat. inStep:
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -36,7 +36,7 @@
 
     private final long epoch;
     private final Set<String> awaited;
-    private final Map<String, Version> others = new HashMap<>();
+    private final Map<String, Version> otherVersions = new HashMap<>();
 
     /** others: the names of the other control processes. */
     public Publisher(long epoch, Set<String> others) {
@@ -51,7 +51,7 @@
     public void recordVersion(String name, Version version) {
         awaited.remove(name);
         if (version != null) {
-            others.put(name, version);
+            otherVersions.put(name, version);
         }
     }
 
@@ -69,15 +69,15 @@
         if (head != null && head.epoch() > epoch) {
             return "this primary is of epoch " + epoch + ", but version " + head + " has a later epoch";
         }
-        for (Map.Entry<String, Version> o : others.entrySet()) {
+        for (Map.Entry<String, Version> o : otherVersions.entrySet()) {
             Version v = o.getValue();
             if (v.epoch() >= epoch && (head == null || v.comparePosition(head) > 0)) {
                 return o.getKey() + " has version " + v + ", this primary has only "
                         + (head == null ? "nothing" : head);
             }
-            Version mine = history.versionAt(v);
-            if (v.epoch() >= epoch && mine != null && !mine.equals(v)) {
-                return o.getKey() + " has another version with the same number: " + v + ", this primary has " + mine;
+            Version own = history.versionAt(v);
+            if (v.epoch() >= epoch && own != null && !own.equals(v)) {
+                return o.getKey() + " has another version with the same number: " + v + ", this primary has " + own;
             }
         }
         return null;
@@ -112,7 +112,7 @@
             return Decision.reject(Outcome.SAME, "version " + head.version() + " already has this text");
         }
         long highest = number;
-        for (Version v : others.values()) {
+        for (Version v : otherVersions.values()) {
             highest = Math.max(highest, v.number()); // of a former epoch: numbers are never reused
         }
         return new Decision(
--- a/src/main/java/gullspar/versions/Registry.java
+++ b/src/main/java/gullspar/versions/Registry.java
@@ -37,7 +37,7 @@
     }
 
     /** Records the version of a connected follower, or null. */
-    public void running(String name, boolean control, Version v, String trouble, String via) {
+    public void recordVersion(String name, boolean control, Version v, String trouble, String via) {
         update(name, control, v == null ? 0 : v.epoch(), v == null ? 0 : v.number(), trouble, via, CONNECTED);
     }
 
@@ -58,21 +58,28 @@
     }
 
     /** Merges a state reported by another control process. */
-    public void merge(long now, Message.FollowerState r) {
-        Entry e = entries.get(r.name());
-        if (r.awayMs() > 0) {
-            if (e == null || e.via.equals(r.via())) {
+    public void merge(long now, Message.FollowerState reported) {
+        Entry e = entries.get(reported.name());
+        if (reported.awayMs() > 0) {
+            if (e == null || e.via.equals(reported.via())) {
                 update(
-                        r.name(),
-                        r.control(),
-                        r.epoch(),
-                        r.number(),
-                        r.trouble(),
-                        r.via(),
-                        now - r.awayMs() * NS_PER_MS);
+                        reported.name(),
+                        reported.control(),
+                        reported.epoch(),
+                        reported.number(),
+                        reported.trouble(),
+                        reported.via(),
+                        now - reported.awayMs() * NS_PER_MS);
             }
         } else {
-            update(r.name(), r.control(), r.epoch(), r.number(), r.trouble(), r.via(), CONNECTED);
+            update(
+                    reported.name(),
+                    reported.control(),
+                    reported.epoch(),
+                    reported.number(),
+                    reported.trouble(),
+                    reported.via(),
+                    CONNECTED);
         }
     }
 
@@ -106,7 +113,7 @@
         entries.values().removeIf(e -> e.disconnectedAtNs != CONNECTED && now - e.disconnectedAtNs > retentionNs);
     }
 
-    private static Message.FollowerState running(long now, String name, Entry e) {
+    private static Message.FollowerState stateOf(long now, String name, Entry e) {
         return new Message.FollowerState(
                 name,
                 e.control,
@@ -120,7 +127,7 @@
     /** All states, by name. */
     public List<Message.FollowerState> all(long now) {
         List<Message.FollowerState> all = new ArrayList<>();
-        entries.forEach((name, e) -> all.add(running(now, name, e)));
+        entries.forEach((name, e) -> all.add(stateOf(now, name, e)));
         return all;
     }
 
@@ -130,7 +137,7 @@
         for (String name : changed) {
             Entry e = entries.get(name);
             if (e != null) {
-                all.add(running(now, name, e));
+                all.add(stateOf(now, name, e));
             }
         }
         changed.clear();
@@ -148,7 +155,7 @@
         entries.forEach((name, e) -> {
             boolean behind = v != null && (e.epoch < v.epoch() || e.epoch == v.epoch() && e.number < v.number());
             if (behind) {
-                missing.add(running(now, name, e));
+                missing.add(stateOf(now, name, e));
             }
         });
         return new Progress(entries.size(), entries.size() - missing.size(), missing);
--- a/src/main/java/gullspar/versions/Version.java
+++ b/src/main/java/gullspar/versions/Version.java
@@ -11,10 +11,10 @@
  * @param text the checksum of the document's text
  * @param parent the {@link #id} of the predecessor, which makes a hash chain back to the first version
  */
-public record Version(long epoch, long number, Checksum text, Checksum parent) {
+public record Version(long epoch, long number, Checksum textChecksum, Checksum parentId) {
     /** Throws IllegalArgumentException for invalid values. */
     public Version {
-        if (epoch < 1 || number < 1 || text == null || parent == null) {
+        if (epoch < 1 || number < 1 || textChecksum == null || parentId == null) {
             throw new IllegalArgumentException("invalid version: " + epoch + "." + number);
         }
     }
@@ -24,8 +24,8 @@
         return Checksum.of(ByteBuffer.allocate(2 * Long.BYTES + 2 * Checksum.LENGTH_BYTES)
                 .putLong(epoch)
                 .putLong(number)
-                .put(text.bytes())
-                .put(parent.bytes())
+                .put(textChecksum.bytes())
+                .put(parentId.bytes())
                 .array());
     }
 
@@ -36,12 +36,12 @@
 
     /** Whether the other version is the predecessor. */
     public boolean follows(Version other) {
-        return parent.equals(other.id());
+        return parentId.equals(other.id());
     }
 
     /** Epoch, number and the start of the text checksum. */
     @Override
     public String toString() {
-        return epoch + "." + number + " (" + text + ")";
+        return epoch + "." + number + " (" + textChecksum + ")";
     }
 }
--- a/src/main/java/gullspar/versions/file/Store.java
+++ b/src/main/java/gullspar/versions/file/Store.java
@@ -57,16 +57,16 @@
                 continue;
             }
             try {
-                Codec.StoredDocument k = parse(bytes);
+                Codec.StoredDocument stored = parse(bytes);
                 hasCurrent |= name.equals(CURRENT);
                 hasPrevious |= name.equals(PREVIOUS);
                 currentMissing &= !name.equals(CURRENT);
                 if (best == null
-                        || k.document()
+                        || stored.document()
                                         .version()
                                         .comparePosition(best.document().version())
                                 > 0) {
-                    best = k;
+                    best = stored;
                     // An intact next file was about to become the current one, so it is the newest.
                     newerLost &= !name.equals(NEXT);
                     hasNext = name.equals(NEXT);
@@ -96,11 +96,11 @@
     }
 
     /** Persists a newer version. After an IOException the former version or this one is intact on disk. */
-    public void persist(Codec.StoredDocument k) throws IOException {
+    public void persist(Codec.StoredDocument stored) throws IOException {
         if (hasNext) {
             promote(); // the newest intact version must not be overwritten
         }
-        byte[] body = Compression.compress(Codec.encode(k), COMPRESSION_LEVEL);
+        byte[] body = Compression.compress(Codec.encode(stored), COMPRESSION_LEVEL);
         folder.write(
                 NEXT,
                 ByteBuffer.allocate(MAGIC.length + Checksum.LENGTH_BYTES + body.length)
--- a/src/main/java/gullspar/versions/net/ControlDaemon.java
+++ b/src/main/java/gullspar/versions/net/ControlDaemon.java
@@ -39,11 +39,11 @@
                     new DocumentValidator()::problems);
             CompletableFuture<String> bound = new CompletableFuture<>();
             loop.execute(() -> node.start(found, bound::complete));
-            String why = bound.join();
-            if (why != null) {
+            String failure = bound.join();
+            if (failure != null) {
                 worker.shutdown();
                 throw new IOException("cannot listen on "
-                        + NetUtil.toSocketAddressString(file.controls().get(file.name())) + ": " + why);
+                        + NetUtil.toSocketAddressString(file.controls().get(file.name())) + ": " + failure);
             }
             // SIGTERM is the usual way to stop: all acknowledged changes are persisted, so no cleanup is needed.
             Runtime.getRuntime()
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -38,14 +38,14 @@
  * documents, which a worker does sequentially.
  */
 public final class ControlNode implements Link.Listener {
-    private static final String NAME = "[A-Za-z0-9._+-]+";
+    private static final String NAME_PATTERN = "[A-Za-z0-9._+-]+";
     private static final long HEARTBEAT_MS = 1000;
     private static final long REPORT_DELAY_MS = 50;
     private static final long SILENCE_TIMEOUT_NS = 10_000_000_000L;
     private static final int MAX_CHANGES = 1000;
     private static final int MAX_CHANGES_BYTES = 2 << 20;
     private static final int MAX_FOLLOWERS = 20_000;
-    private static final int MAX_MISSING = 200;
+    private static final int MAX_LISTED_FOLLOWERS = 200;
     private static final int CONTROL_BYTES_PER_SECOND = 2_000_000;
     private static final Follower.Settings UPSTREAM_SETTINGS = new Follower.Settings(
             Follower.Settings.DEFAULTS.startupWaitNs(),
@@ -119,8 +119,8 @@
     public void start(Store.Found found, Consumer<String> bound) {
         found.damage().forEach(platform.log()::write);
         if (found.stored() != null) {
-            Codec.StoredDocument k = found.stored();
-            history.restore(k.document(), k.oldest(), k.deltas());
+            Codec.StoredDocument stored = found.stored();
+            history.restore(stored.document(), stored.oldest(), stored.deltas());
             platform.log()
                     .write("starting with version " + history.version() + " and "
                             + history.deltas().size()
@@ -158,7 +158,7 @@
         for (String other : file.controls().keySet()) {
             if (!other.equals(file.name())) {
                 FollowerNode n =
-                        follower(other, Message.Role.PRIMARY, CATCH_UP_SETTINGS, m -> versionReported(other, m));
+                        follower(other, Message.Role.PRIMARY, CATCH_UP_SETTINGS, m -> onVersionReported(other, m));
                 versionQueries.put(other, n);
                 n.start(history.head(), false);
             }
@@ -181,7 +181,7 @@
     }
 
     /** Receives messages of another control process at the primary after its start. */
-    private void versionReported(String other, Message m) {
+    private void onVersionReported(String other, Message m) {
         if (m instanceof Message.Head h) {
             publisher.recordVersion(other, h.head());
             finishCatchUpIfReady();
@@ -230,23 +230,23 @@
         }
         History next = history.copy();
         next.append(d, deltas);
-        persist(next, why -> {
-            if (why == null) {
+        persist(next, failure -> {
+            if (failure == null) {
                 adopt(next);
             }
-            done.accept(why);
+            done.accept(failure);
         });
     }
 
     private void persist(History next, Consumer<String> then) {
         worker.execute(() -> {
-            String why = null;
+            String failure = null;
             try {
                 store.persist(new Codec.StoredDocument(next.head(), next.oldest(), next.deltas()));
             } catch (IOException e) {
-                why = "it cannot be kept: " + (e.getMessage() == null ? e : e.getMessage());
+                failure = "it cannot be kept: " + (e.getMessage() == null ? e : e.getMessage());
             }
-            String result = why;
+            String result = failure;
             platform.loop().execute(() -> then.accept(result));
         });
     }
@@ -265,7 +265,7 @@
 
     /** Registers the primary itself, so that operators see its version too. */
     private void recordOwnVersion() {
-        registry.running(file.name(), true, history.version(), "", file.name());
+        registry.recordVersion(file.name(), true, history.version(), "", file.name());
     }
 
     private boolean isInStep() {
@@ -340,15 +340,15 @@
         });
     }
 
-    private void changePersisted(Change c, History next, String why) {
-        if (why == null) {
+    private void changePersisted(Change c, History next, String failure) {
+        if (failure == null) {
             adopt(next);
             platform.log()
                     .write("version " + history.version() + " from " + c.from().peer());
             finishChange(c, Publisher.Outcome.ACCEPTED, List.of());
         } else {
-            platform.log().write("change failed: " + why);
-            finishChange(c, Publisher.Outcome.FAILED, List.of(why));
+            platform.log().write("change failed: " + failure);
+            finishChange(c, Publisher.Outcome.FAILED, List.of(failure));
         }
     }
 
@@ -383,39 +383,40 @@
     public void received(Link l, Message m) {
         sessions.recordReceived(l);
         if (m instanceof Message.Hello h) {
-            if (sessions.helloOf(l) != null || !h.name().matches(NAME)) {
+            if (sessions.helloOf(l) != null || !h.name().matches(NAME_PATTERN)) {
                 l.close("unexpected or invalid hello");
                 return;
             }
             sessions.add(l, h, head());
         } else if (m instanceof Message.Ack a) {
-            ack(l, a);
+            onAck(l, a);
         } else if (m instanceof Message.SnapshotRequest) {
             sessions.requestSnapshot(l);
         } else if (m instanceof Message.Report r) {
             r.states().forEach(state -> registry.merge(now(), state));
         } else if (m instanceof Message.Publish p) {
             publish(l, p);
-        } else if (m instanceof Message.StatusRequest k) {
-            Registry.Progress s = registry.progress(now(), history.version());
-            List<Message.FollowerState> all = k.full() ? registry.all(now()) : s.missing();
+        } else if (m instanceof Message.StatusRequest request) {
+            Registry.Progress progress = registry.progress(now(), history.version());
+            List<Message.FollowerState> all = request.full() ? registry.all(now()) : progress.missing();
             l.send(new Message.StatusResponse(
                     file.name(),
                     publisher != null,
                     isInStep(),
                     history.version(),
-                    s.followers(),
-                    s.inForce(),
-                    k.full() || all.size() <= MAX_MISSING ? all : all.subList(0, MAX_MISSING)));
+                    progress.followers(),
+                    progress.inForce(),
+                    request.full() || all.size() <= MAX_LISTED_FOLLOWERS ? all : all.subList(0, MAX_LISTED_FOLLOWERS)));
         }
     }
 
-    private void ack(Link l, Message.Ack a) {
+    private void onAck(Link l, Message.Ack a) {
         Message.Hello hello = sessions.helloOf(l);
         if (hello == null || hello.role() == Message.Role.PRIMARY) {
             return;
         }
-        registry.running(hello.name(), hello.role() == Message.Role.CONTROL, a.inForce(), a.trouble(), file.name());
+        registry.recordVersion(
+                hello.name(), hello.role() == Message.Role.CONTROL, a.inForce(), a.trouble(), file.name());
         if (publisher != null && a.inForce() != null) {
             recordIfAheadOrForked(hello, a);
         }
@@ -435,11 +436,12 @@
     }
 
     @Override
-    public void closed(Link l, String why) {
+    public void closed(Link l, String reason) {
         links.remove(l);
         Message.Hello hello = sessions.helloOf(l);
-        if (!why.equals(Link.CLOSED_BY_PEER)) {
-            platform.log().write("closed the connection of " + (hello == null ? l.peer() : hello.name()) + ": " + why);
+        if (!reason.equals(Link.CLOSED_BY_PEER)) {
+            platform.log()
+                    .write("closed the connection of " + (hello == null ? l.peer() : hello.name()) + ": " + reason);
         }
         sessions.remove(l);
         if (hello == null || hello.role() == Message.Role.PRIMARY) {
--- a/src/main/java/gullspar/versions/net/DocumentValidator.java
+++ b/src/main/java/gullspar/versions/net/DocumentValidator.java
@@ -21,11 +21,11 @@
             return e.getMessage().lines().toList();
         }
         List<String> problems = new ArrayList<>();
-        OperatorsFile own = site.operators();
-        if (own.operatorAddress() != null) {
+        OperatorsFile operators = site.operators();
+        if (operators.operatorAddress() != null) {
             problems.add(ownTableProblem(file, text, "operator"));
         }
-        if (own.fleet() != null) {
+        if (operators.fleet() != null) {
             problems.add(ownTableProblem(file, text, "fleet"));
         }
         return problems;
--- a/src/main/java/gullspar/versions/net/FollowerNode.java
+++ b/src/main/java/gullspar/versions/net/FollowerNode.java
@@ -39,8 +39,8 @@
     private Future<?> ticks;
     private boolean stopped;
     private int connections;
-    private long sent;
-    private long received;
+    private long sentBytes;
+    private long receivedBytes;
 
     /**
      * addresses: the control processes in order of preference; messageListener: receives each message after the
@@ -91,13 +91,13 @@
     }
 
     /** Bytes sent so far on all connections. */
-    public long sent() {
-        return sent + (link == null ? 0 : link.sentBytes());
+    public long sentBytes() {
+        return sentBytes + (link == null ? 0 : link.sentBytes());
     }
 
     /** Bytes received so far on all connections. */
-    public long received() {
-        return received + (link == null ? 0 : link.receivedBytes());
+    public long receivedBytes() {
+        return receivedBytes + (link == null ? 0 : link.receivedBytes());
     }
 
     /** Closes the connection and opens no further one. */
@@ -152,8 +152,8 @@
     }
 
     private void addBytes(Link old) {
-        sent += old.sentBytes();
-        received += old.receivedBytes();
+        sentBytes += old.sentBytes();
+        receivedBytes += old.receivedBytes();
     }
 
     @Override
@@ -166,9 +166,9 @@
     @Override
     public void apply(Document d, List<Delta> deltas, boolean persisted) {
         // Scheduled on the loop, because the host must not call back before apply returns.
-        applier.apply(d, deltas, persisted, why -> platform.loop().execute(() -> {
+        applier.apply(d, deltas, persisted, failure -> platform.loop().execute(() -> {
             if (!stopped) {
-                follower.applied(now(), d.version(), why);
+                follower.applied(now(), d.version(), failure);
             }
         }));
     }
@@ -204,11 +204,11 @@
     }
 
     @Override
-    public void closed(Link l, String why) {
+    public void closed(Link l, String reason) {
         if (l == link) {
             addBytes(l);
             link = null;
-            follower.closed(now(), why);
+            follower.closed(now(), reason);
         }
     }
 }
--- a/src/main/java/gullspar/versions/net/FollowerSessions.java
+++ b/src/main/java/gullspar/versions/net/FollowerSessions.java
@@ -20,7 +20,7 @@
 /** The followers connected to a control process, and the frames queued for each, sent at a limited rate. */
 final class FollowerSessions {
     /** Bytes per second: to a proxy, to one without any version (it serves no traffic yet), to a control process. */
-    record Rates(int proxy, int first, int control) {}
+    record Rates(int proxy, int initialProxy, int control) {}
 
     /** One connected follower. */
     private final class Session {
@@ -29,8 +29,8 @@
         private final FollowerUpdates updates = new FollowerUpdates(slots);
         private final Deque<byte[]> frames = new ArrayDeque<>();
         private RateLimiter rateLimiter;
-        private boolean snapshot;
-        private boolean scheduled;
+        private boolean sendingSnapshot;
+        private boolean pumpScheduled;
         private long receivedAtNs = clock.getAsLong();
 
         Session(Link link, Message.Hello hello) {
@@ -38,7 +38,7 @@
             this.hello = hello;
             int bytes = hello.role() != Message.Role.PROXY
                     ? rates.control
-                    : hello.has() == null ? rates.first : rates.proxy;
+                    : hello.held() == null ? rates.initialProxy : rates.proxy;
             this.rateLimiter = new RateLimiter(bytes, clock.getAsLong());
         }
     }
@@ -74,8 +74,8 @@
         Session s = new Session(link, hello);
         sessions.put(link, s);
         byUpdates.put(s.updates, s);
-        s.updates.hello(hello.has());
-        heartbeat(s, head);
+        s.updates.onHello(hello.held());
+        sendHead(s, head);
         pump(s);
     }
 
@@ -128,12 +128,12 @@
             if (now - s.receivedAtNs > silentNs) {
                 s.link.close("nothing received for " + (now - s.receivedAtNs) / 1_000_000 + " ms");
             } else {
-                heartbeat(s, head);
+                sendHead(s, head);
             }
         }
     }
 
-    private void heartbeat(Session s, Message.Head head) {
+    private void sendHead(Session s, Message.Head head) {
         if (s.frames.isEmpty()) { // frames of two messages must not mix; queued ones show liveness themselves
             for (byte[] f : Frames.of(head)) {
                 s.link.write(f);
@@ -151,20 +151,20 @@
 
     /** Writes as many frames as the rate limit and the channel allow. */
     private void pump(Session s) {
-        if (s == null || s.scheduled || !sessions.containsKey(s.link)) {
+        if (s == null || s.pumpScheduled || !sessions.containsKey(s.link)) {
             return;
         }
         while (s.link.isWritable()) {
             long now = clock.getAsLong();
-            long at = s.rateLimiter.readyAtNs(now);
-            if (at > now) { // an update is built only when it may be sent, so that it covers all changes
-                s.scheduled = true;
+            long readyAtNs = s.rateLimiter.readyAtNs(now);
+            if (readyAtNs > now) { // an update is built only when it may be sent, so that it covers all changes
+                s.pumpScheduled = true;
                 loop.schedule(
                         () -> {
-                            s.scheduled = false;
+                            s.pumpScheduled = false;
                             pump(s);
                         },
-                        at - now,
+                        readyAtNs - now,
                         TimeUnit.NANOSECONDS);
                 break;
             }
@@ -174,8 +174,8 @@
             byte[] f = s.frames.poll();
             s.link.write(f);
             s.rateLimiter.spend(now, f.length);
-            if (s.frames.isEmpty() && s.snapshot) {
-                s.snapshot = false;
+            if (s.frames.isEmpty() && s.sendingSnapshot) {
+                s.sendingSnapshot = false;
                 if (s.hello.role() == Message.Role.PROXY) { // it serves traffic from now on
                     s.rateLimiter = new RateLimiter(rates.proxy, now);
                 }
@@ -195,8 +195,8 @@
         if (u == null) {
             return false;
         }
-        s.snapshot = u.deltas().isEmpty();
-        if (s.snapshot) {
+        s.sendingSnapshot = u.deltas().isEmpty();
+        if (s.sendingSnapshot) {
             snapshotsStarted++;
             s.frames.addAll(snapshotFrames(u));
         } else {
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -22,7 +22,7 @@
         void received(Link link, Message m);
 
         /** The connection has ended. */
-        void closed(Link link, String why);
+        void closed(Link link, String reason);
 
         /** The channel is writable again. */
         default void writable(Link link) {}
--- a/src/main/java/gullspar/versions/net/VersionedSource.java
+++ b/src/main/java/gullspar/versions/net/VersionedSource.java
@@ -47,9 +47,9 @@
     private final FollowerNode node;
     private final EventLoop loop;
     private final Store.Found found;
-    private final CompletableFuture<Site> first = new CompletableFuture<>();
+    private final CompletableFuture<Site> initialSite = new CompletableFuture<>();
     /** Completed when the proxy starts to serve. */
-    private final CompletableFuture<ConfigReceiver> proxy = new CompletableFuture<>();
+    private final CompletableFuture<ConfigReceiver> receiver = new CompletableFuture<>();
 
     private VersionedSource(FollowFile file, Folder folder) throws IOException {
         this.file = file;
@@ -102,7 +102,7 @@
                 "versions: " + (stored == null ? "no version on the disk" : "has " + stored.version() + " on the disk")
                         + "; connecting to one of " + file.addresses().size() + " control processes");
         loop.execute(() -> node.start(stored, found.mayBeOlder()));
-        return first.join();
+        return initialSite.join();
     }
 
     /** Parses the document, persists it, then puts it in force. */
@@ -128,17 +128,17 @@
                 done.accept("internal error while applying it: " + e);
                 return;
             }
-            if (first.complete(site)) {
-                proxy.thenRun(() -> {
+            if (initialSite.complete(site)) {
+                receiver.thenRun(() -> {
                     LOG.write("versions: " + d.version() + " is in force");
                     done.accept(null);
                 });
             } else {
-                proxy.thenAccept(p -> p.accept(site, why -> {
-                    if (why == null) {
+                receiver.thenAccept(p -> p.accept(site, failure -> {
+                    if (failure == null) {
                         LOG.write("versions: " + d.version() + " is in force");
                     }
-                    done.accept(why);
+                    done.accept(failure);
                 }));
             }
         });
@@ -146,7 +146,7 @@
 
     @Override
     public void start(ConfigReceiver to) {
-        proxy.complete(to);
+        receiver.complete(to);
     }
 
     @Override
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -42,7 +42,7 @@
         void write(JsonGenerator g) throws IOException;
     }
 
-    private static byte[] bytes(Writer w) {
+    private static byte[] toCbor(Writer w) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator g = CBOR.createGenerator(bytes)) {
             w.write(g);
@@ -55,16 +55,16 @@
     // ---- encoding ----
 
     public static byte[] encode(Message m) {
-        return bytes(g -> message(g, m));
+        return toCbor(g -> writeMessage(g, m));
     }
 
-    public static byte[] encode(StoredDocument k) {
-        return bytes(g -> {
+    public static byte[] encode(StoredDocument stored) {
+        return toCbor(g -> {
             begin(g, STORED, 4);
-            version(g, k.document().version());
-            g.writeString(k.document().text());
-            version(g, k.oldest());
-            deltas(g, k.deltas());
+            writeVersion(g, stored.document().version());
+            g.writeString(stored.document().text());
+            writeVersion(g, stored.oldest());
+            writeDeltas(g, stored.deltas());
             g.writeEndArray();
         });
     }
@@ -74,32 +74,32 @@
         g.writeNumber(kind);
     }
 
-    private static void message(JsonGenerator g, Message m) throws IOException {
+    private static void writeMessage(JsonGenerator g, Message m) throws IOException {
         if (m instanceof Message.Hello h) {
             begin(g, HELLO, 3);
             g.writeString(h.name());
             g.writeNumber(h.role().ordinal());
-            version(g, h.has());
+            writeVersion(g, h.held());
         } else if (m instanceof Message.Head h) {
             begin(g, HEAD, 3);
             g.writeString(h.control());
-            version(g, h.head());
+            writeVersion(g, h.head());
             g.writeBoolean(h.inStep());
         } else if (m instanceof Message.Update u) {
             begin(g, UPDATE, 4);
-            version(g, u.to());
-            version(g, u.ancestor());
-            deltas(g, u.deltas());
+            writeVersion(g, u.to());
+            writeVersion(g, u.ancestor());
+            writeDeltas(g, u.deltas());
             g.writeString(u.text());
         } else if (m instanceof Message.SnapshotRequest) {
             begin(g, SNAPSHOT_REQUEST, 0);
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, 2);
-            version(g, a.inForce());
+            writeVersion(g, a.inForce());
             g.writeString(truncate(a.trouble()));
         } else if (m instanceof Message.Report r) {
             begin(g, REPORT, 1);
-            followerStates(g, r.states());
+            writeFollowerStates(g, r.states());
         } else if (m instanceof Message.Publish p) {
             begin(g, PUBLISH, 3);
             g.writeNumber(p.baseNumber());
@@ -108,8 +108,8 @@
         } else if (m instanceof Message.Published p) {
             begin(g, PUBLISHED, 3);
             g.writeNumber(p.outcome().ordinal());
-            version(g, p.head());
-            texts(g, p.lines());
+            writeVersion(g, p.head());
+            writeTexts(g, p.lines());
         } else if (m instanceof Message.StatusRequest l) {
             begin(g, STATUS_REQUEST, 1);
             g.writeBoolean(l.full());
@@ -118,10 +118,10 @@
             g.writeString(l.control());
             g.writeBoolean(l.primary());
             g.writeBoolean(l.inStep());
-            version(g, l.head());
+            writeVersion(g, l.head());
             g.writeNumber(l.followers());
             g.writeNumber(l.inForce());
-            followerStates(g, l.states());
+            writeFollowerStates(g, l.states());
         }
         g.writeEndArray();
     }
@@ -130,12 +130,12 @@
         return reason.length() > Message.MAX_REASON_CHARS ? reason.substring(0, Message.MAX_REASON_CHARS) : reason;
     }
 
-    private static void version(JsonGenerator g, Version v) throws IOException {
-        version(g, v, true);
+    private static void writeVersion(JsonGenerator g, Version v) throws IOException {
+        writeVersion(g, v, true);
     }
 
-    /** parent: whether the checksum of the predecessor is written as well. */
-    private static void version(JsonGenerator g, Version v, boolean parent) throws IOException {
+    /** withParent: whether the checksum of the predecessor is written as well. */
+    private static void writeVersion(JsonGenerator g, Version v, boolean withParent) throws IOException {
         if (v == null) {
             g.writeNull();
             return;
@@ -143,16 +143,16 @@
         g.writeStartArray(null, 4);
         g.writeNumber(v.epoch());
         g.writeNumber(v.number());
-        g.writeBinary(v.text().bytes());
-        if (parent) {
-            g.writeBinary(v.parent().bytes());
+        g.writeBinary(v.textChecksum().bytes());
+        if (withParent) {
+            g.writeBinary(v.parentId().bytes());
         } else {
             g.writeNull();
         }
         g.writeEndArray();
     }
 
-    private static void texts(JsonGenerator g, List<String> all) throws IOException {
+    private static void writeTexts(JsonGenerator g, List<String> all) throws IOException {
         g.writeStartArray(null, all.size());
         for (String t : all) {
             g.writeString(t);
@@ -160,19 +160,19 @@
         g.writeEndArray();
     }
 
-    private static void deltas(JsonGenerator g, List<Delta> all) throws IOException {
+    private static void writeDeltas(JsonGenerator g, List<Delta> all) throws IOException {
         g.writeStartArray(null, all.size());
         Version before = null;
         for (Delta d : all) {
             g.writeStartArray(null, 2);
-            version(g, d.to(), before == null || !d.to().follows(before));
+            writeVersion(g, d.to(), before == null || !d.to().follows(before));
             before = d.to();
             g.writeStartArray(null, d.hunks().size());
             for (Delta.Hunk h : d.hunks()) {
                 g.writeStartArray(null, 3);
                 g.writeNumber(h.firstLine());
                 g.writeNumber(h.removed());
-                texts(g, h.lines());
+                writeTexts(g, h.lines());
                 g.writeEndArray();
             }
             g.writeEndArray();
@@ -181,7 +181,7 @@
         g.writeEndArray();
     }
 
-    private static void followerStates(JsonGenerator g, List<Message.FollowerState> all) throws IOException {
+    private static void writeFollowerStates(JsonGenerator g, List<Message.FollowerState> all) throws IOException {
         g.writeStartArray(null, all.size());
         for (Message.FollowerState r : all) {
             g.writeStartArray(null, 7);
@@ -206,7 +206,7 @@
     private static <T> T read(byte[] bytes, Reader<T> reader) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes)) {
             requireArray(p.nextToken());
-            T t = reader.read(p, (int) number(p, 0, Integer.MAX_VALUE));
+            T t = reader.read(p, (int) readNumber(p, 0, Integer.MAX_VALUE));
             if (t != null) {
                 skipToEnd(p);
             }
@@ -218,45 +218,48 @@
 
     /** Decodes a message; null for an unknown kind. Throws IOException for invalid input. */
     public static Message decode(byte[] bytes) throws IOException {
-        return read(bytes, Codec::message);
+        return read(bytes, Codec::readMessage);
     }
 
     /** Decodes a stored document; throws IOException for invalid input or a text checksum mismatch. */
     public static StoredDocument decodeStored(byte[] bytes) throws IOException {
-        StoredDocument k = read(bytes, (p, kind) -> {
+        StoredDocument stored = read(bytes, (p, kind) -> {
             if (kind != STORED) {
                 throw new IOException("expected a stored document, found a message");
             }
-            Document d = new Document(require(version(p)), text(p, Document.MAX_CHARS));
-            return new StoredDocument(d, version(p), deltas(p));
+            Document d = new Document(require(readVersion(p)), readText(p, Document.MAX_CHARS));
+            return new StoredDocument(d, readVersion(p), readDeltas(p));
         });
-        if (!Checksum.of(k.document().text()).equals(k.document().version().text())) {
+        if (!Checksum.of(stored.document().text())
+                .equals(stored.document().version().textChecksum())) {
             throw new IOException("text does not match the checksum of version "
-                    + k.document().version());
+                    + stored.document().version());
         }
-        return k;
+        return stored;
     }
 
-    private static Message message(JsonParser p, int kind) throws IOException {
+    private static Message readMessage(JsonParser p, int kind) throws IOException {
         return switch (kind) {
-            case HELLO -> new Message.Hello(name(p), enumValue(p, Message.Role.values()), version(p));
-            case HEAD -> new Message.Head(name(p), version(p), flag(p));
-            case UPDATE -> new Message.Update(require(version(p)), version(p), deltas(p), text(p, Document.MAX_CHARS));
+            case HELLO -> new Message.Hello(readName(p), readEnum(p, Message.Role.values()), readVersion(p));
+            case HEAD -> new Message.Head(readName(p), readVersion(p), readBoolean(p));
+            case UPDATE -> new Message.Update(
+                    require(readVersion(p)), readVersion(p), readDeltas(p), readText(p, Document.MAX_CHARS));
             case SNAPSHOT_REQUEST -> new Message.SnapshotRequest();
-            case ACK -> new Message.Ack(version(p), text(p, Message.MAX_REASON_CHARS));
-            case REPORT -> new Message.Report(followerStates(p));
+            case ACK -> new Message.Ack(readVersion(p), readText(p, Message.MAX_REASON_CHARS));
+            case REPORT -> new Message.Report(readFollowerStates(p));
             case PUBLISH -> new Message.Publish(
-                    number(p, 0, Long.MAX_VALUE), text(p, 4096), text(p, Document.MAX_CHARS));
-            case PUBLISHED -> new Message.Published(enumValue(p, Publisher.Outcome.values()), version(p), texts(p));
-            case STATUS_REQUEST -> new Message.StatusRequest(flag(p));
+                    readNumber(p, 0, Long.MAX_VALUE), readText(p, 4096), readText(p, Document.MAX_CHARS));
+            case PUBLISHED -> new Message.Published(
+                    readEnum(p, Publisher.Outcome.values()), readVersion(p), readTexts(p));
+            case STATUS_REQUEST -> new Message.StatusRequest(readBoolean(p));
             case STATUS_RESPONSE -> new Message.StatusResponse(
-                    name(p),
-                    flag(p),
-                    flag(p),
-                    version(p),
-                    (int) number(p, 0, Integer.MAX_VALUE),
-                    (int) number(p, 0, Integer.MAX_VALUE),
-                    followerStates(p));
+                    readName(p),
+                    readBoolean(p),
+                    readBoolean(p),
+                    readVersion(p),
+                    (int) readNumber(p, 0, Integer.MAX_VALUE),
+                    (int) readNumber(p, 0, Integer.MAX_VALUE),
+                    readFollowerStates(p));
             default -> null;
         };
     }
@@ -277,7 +280,7 @@
         }
     }
 
-    private static long number(JsonParser p, long min, long max) throws IOException {
+    private static long readNumber(JsonParser p, long min, long max) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IOException("expected a number");
         }
@@ -288,11 +291,11 @@
         return n;
     }
 
-    private static <E> E enumValue(JsonParser p, E[] all) throws IOException {
-        return all[(int) number(p, 0, all.length - 1)];
+    private static <E> E readEnum(JsonParser p, E[] all) throws IOException {
+        return all[(int) readNumber(p, 0, all.length - 1)];
     }
 
-    private static boolean flag(JsonParser p) throws IOException {
+    private static boolean readBoolean(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
             throw new IOException("expected a boolean");
@@ -300,7 +303,7 @@
         return t == JsonToken.VALUE_TRUE;
     }
 
-    private static String text(JsonParser p, int maxChars) throws IOException {
+    private static String readText(JsonParser p, int maxChars) throws IOException {
         if (p.nextToken() != JsonToken.VALUE_STRING) {
             throw new IOException("expected a text");
         }
@@ -311,8 +314,8 @@
         return t;
     }
 
-    private static String name(JsonParser p) throws IOException {
-        return text(p, Message.MAX_NAME_CHARS);
+    private static String readName(JsonParser p) throws IOException {
+        return readText(p, Message.MAX_NAME_CHARS);
     }
 
     private static Version require(Version v) throws IOException {
@@ -323,7 +326,7 @@
     }
 
     /** before: the version whose id is used if the checksum is omitted; null if it is required. */
-    private static Checksum checksum(JsonParser p, Version before) throws IOException {
+    private static Checksum readChecksum(JsonParser p, Version before) throws IOException {
         JsonToken t = p.nextToken();
         if (t == JsonToken.VALUE_NULL && before != null) {
             return before.id();
@@ -334,26 +337,26 @@
         return Checksum.fromBytes(p.getBinaryValue());
     }
 
-    private static Version version(JsonParser p) throws IOException {
-        return version(p, null);
+    private static Version readVersion(JsonParser p) throws IOException {
+        return readVersion(p, null);
     }
 
     /** Returns null for CBOR null; before: the predecessor if the parent checksum is omitted. */
-    private static Version version(JsonParser p, Version before) throws IOException {
+    private static Version readVersion(JsonParser p, Version before) throws IOException {
         JsonToken t = p.nextToken();
         if (t == JsonToken.VALUE_NULL) {
             return null;
         }
         requireArray(t);
-        long epoch = number(p, 1, Long.MAX_VALUE);
-        long number = number(p, 1, Long.MAX_VALUE);
-        Checksum text = checksum(p, null);
-        Version v = new Version(epoch, number, text, checksum(p, before));
+        long epoch = readNumber(p, 1, Long.MAX_VALUE);
+        long number = readNumber(p, 1, Long.MAX_VALUE);
+        Checksum text = readChecksum(p, null);
+        Version v = new Version(epoch, number, text, readChecksum(p, before));
         skipToEnd(p);
         return v;
     }
 
-    private static List<String> texts(JsonParser p) throws IOException {
+    private static List<String> readTexts(JsonParser p) throws IOException {
         List<String> all = new ArrayList<>();
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
@@ -365,45 +368,47 @@
         return all;
     }
 
-    private static List<Delta> deltas(JsonParser p) throws IOException {
+    private static List<Delta> readDeltas(JsonParser p) throws IOException {
         List<Delta> all = new ArrayList<>();
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             requireArray(t);
             all.add(new Delta(
-                    require(version(
+                    require(readVersion(
                             p, all.isEmpty() ? null : all.get(all.size() - 1).to())),
-                    hunks(p)));
+                    readHunks(p)));
             skipToEnd(p);
         }
         return all;
     }
 
-    private static List<Delta.Hunk> hunks(JsonParser p) throws IOException {
+    private static List<Delta.Hunk> readHunks(JsonParser p) throws IOException {
         List<Delta.Hunk> all = new ArrayList<>();
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             requireArray(t);
             all.add(new Delta.Hunk(
-                    (int) number(p, 0, Integer.MAX_VALUE), (int) number(p, 0, Integer.MAX_VALUE), texts(p)));
+                    (int) readNumber(p, 0, Integer.MAX_VALUE),
+                    (int) readNumber(p, 0, Integer.MAX_VALUE),
+                    readTexts(p)));
             skipToEnd(p);
         }
         return all;
     }
 
-    private static List<Message.FollowerState> followerStates(JsonParser p) throws IOException {
+    private static List<Message.FollowerState> readFollowerStates(JsonParser p) throws IOException {
         List<Message.FollowerState> all = new ArrayList<>();
         requireArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             requireArray(t);
             all.add(new Message.FollowerState(
-                    name(p),
-                    flag(p),
-                    number(p, 0, Long.MAX_VALUE),
-                    number(p, 0, Long.MAX_VALUE),
-                    text(p, Message.MAX_REASON_CHARS),
-                    number(p, 0, Long.MAX_VALUE / 4_000_000),
-                    name(p)));
+                    readName(p),
+                    readBoolean(p),
+                    readNumber(p, 0, Long.MAX_VALUE),
+                    readNumber(p, 0, Long.MAX_VALUE),
+                    readText(p, Message.MAX_REASON_CHARS),
+                    readNumber(p, 0, Long.MAX_VALUE / 4_000_000),
+                    readName(p)));
             skipToEnd(p);
         }
         return all;
--- a/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
+++ b/src/test/java/gullspar/versions/net/SimulatedClusterTest.java
@@ -57,7 +57,7 @@
         assertEquals(
                 snapshots,
                 t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum());
-        assertTrue(away.node.received() < 20_000, away.node.received() + " bytes");
+        assertTrue(away.node.receivedBytes() < 20_000, away.node.receivedBytes() + " bytes");
         assertEquals(away.highestApplied, away.inForce);
     }
 
@@ -99,7 +99,7 @@
         }
         long before = t.eventQueue.now();
         long[] had = t.proxies.stream()
-                .mapToLong(p -> p.node.received() + p.node.sent())
+                .mapToLong(p -> p.node.receivedBytes() + p.node.sentBytes())
                 .toArray();
         int most = 0;
         int last = 0;
@@ -117,7 +117,7 @@
                 0, t.controls.stream().mapToLong(c -> c.node.statistics()[1]).sum(), "snapshots");
         for (int i = 0; i < had.length; i++) {
             SimulatedCluster.Proxy p = t.proxies.get(i);
-            assertTrue(p.node.received() + p.node.sent() - had[i] < 30 * 500, "bytes of " + p.name);
+            assertTrue(p.node.receivedBytes() + p.node.sentBytes() - had[i] < 30 * 500, "bytes of " + p.name);
         }
         publishAccepted(t, Chain.text(4000, 1), 1);
         assertTrue(t.runUntilInForce(2, 3 * S));
@@ -147,7 +147,7 @@
         publishAccepted(t, Chain.text(1000, 0), 0);
         assertTrue(t.runUntilInForce(1, 60 * S));
         t.runFor(5 * S);
-        long[] had = t.proxies.stream().mapToLong(p -> p.node.received()).toArray();
+        long[] had = t.proxies.stream().mapToLong(p -> p.node.receivedBytes()).toArray();
         long worst = 0;
         long all = 0;
         SimulatedCluster.Operator o = t.publish(large(1), 1);
@@ -160,7 +160,7 @@
                 }
             }
             for (int k = 0; k < had.length; k++) {
-                long now = t.proxies.get(k).node.received();
+                long now = t.proxies.get(k).node.receivedBytes();
                 worst = Math.max(worst, now - had[k]);
                 all += now - had[k];
                 had[k] = now;
--- a/src/test/java/gullspar/versions/scale/HollowFollower.java
+++ b/src/test/java/gullspar/versions/scale/HollowFollower.java
@@ -70,7 +70,7 @@
     /** Stops; the document is kept for the next start. */
     void stop() throws InterruptedException, ExecutionException {
         loop.submit(() -> {
-                    earlierBytes += node.sent() + node.received();
+                    earlierBytes += node.sentBytes() + node.receivedBytes();
                     node.stop();
                     node = null;
                 })
@@ -79,7 +79,7 @@
 
     /** Returns the bytes sent and received since the first start. */
     long bytes() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> earlierBytes + (node == null ? 0 : node.sent() + node.received()))
+        return loop.submit(() -> earlierBytes + (node == null ? 0 : node.sentBytes() + node.receivedBytes()))
                 .get();
     }
 
