--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -36,8 +36,15 @@
         private final Peer target;
         private final String address;
         private final long expiresAt;
+        /**
+         * When other members are asked to probe, or, for a relayed probe, when a nack is sent; MAX_VALUE once done or
+         * if never.
+         */
         private long indirectProbesAt;
+
+        /** When a verification was sent, in ns; not set for other probes. */
         private long sentAt;
+
         private int expectedNacks;
         private int nacks;
         /** For a relayed probe: the member that asked for it, and the nonce of its request. */
@@ -113,7 +120,7 @@
         round.add(roundIndex + random.nextInt(round.size() - roundIndex + 1), p);
     }
 
-    /** Probes one member, in its turn or out of turn. */
+    /** Probes one member, in its turn or out of turn; without an answer it is suspected. */
     void probe(long now, Peer p) {
         Probe probe = new Probe(
                 Kind.TURN,
@@ -149,6 +156,7 @@
         }
     }
 
+    /** Registers a probe; returns its nonce, or 0 if too many probes are open. */
     private long open(Probe probe) {
         if (open.size() >= MAX_OPEN_PROBES) {
             return 0;
@@ -228,7 +236,7 @@
         }
     }
 
-    /** Handles a nack: a helper received the request, and got no answer from the target either. */
+    /** Handles a nack: a member asked to probe received the request, and got no answer from the target either. */
     void onNack(Message.Nack n) {
         Probe probe = open.get(n.nonce());
         if (probe != null && probe.kind == Kind.TURN) {
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -160,7 +160,7 @@
         Roster.Unconfirmed known = roster.unconfirmed(r.id());
         if (known == null) {
             roster.addUnconfirmed(new Roster.Unconfirmed(r, from.id.life(), now));
-        } else if (known.reporterLife != from.id.life()) {
+        } else if (known.reporterLife != from.id.life()) { // confirmed by a second member
             roster.removeUnconfirmed(known);
             admit(
                     now,
@@ -235,7 +235,7 @@
 
     // ---- status changes ----
 
-    /** The member is alive at that incarnation. */
+    /** Records that the member is alive at that incarnation; has no effect if a later state is known. */
     void markAlive(long now, Peer p, int incarnation) {
         MemberState reported = new MemberState(incarnation, MemberStatus.ALIVE);
         if (reported.compareTo(p.state) <= 0) {
@@ -254,7 +254,7 @@
         }
     }
 
-    /** A member, or this process itself, got no answer from it. */
+    /** Records that the accuser, another member or this process, got no answer from the member. */
     void suspect(long now, Peer p, int incarnation, String accuser) {
         MemberState reported = new MemberState(incarnation, MemberStatus.SUSPECTED);
         if (reported.compareTo(p.state) < 0 || p.status == MemberStatus.GONE || p.status == MemberStatus.LEFT) {
@@ -367,7 +367,7 @@
         }
     }
 
-    /** When the next suspicion times out, in ns; MAX_VALUE if there is none. */
+    /** The time at which the next suspicion times out, in ns; MAX_VALUE if there is none. */
     long nextSuspicionExpiry() {
         long next = Long.MAX_VALUE;
         for (Peer p : suspected) {
--- a/src/main/java/gullspar/peers/Message.java
+++ b/src/main/java/gullspar/peers/Message.java
@@ -45,7 +45,10 @@
     /** Rumors piggybacked on the message. */
     List<Rumor> rumors();
 
-    /** Upper bound of its encoded fields, in bytes, without header and rumors. */
+    /**
+     * Upper bound of its encoded fields, in bytes, without header and rumors. In CBOR a 64-bit integer takes up to 9
+     * bytes, a 32-bit one 5, a boolean 1, and the length of a name or address 2.
+     */
     int maxBodyBytes();
 
     /** Upper bound of the encoded message, in bytes, without the envelope. */
@@ -120,7 +123,7 @@
         }
     }
 
-    /** The states of all lives in a range that the sender knows, both bounds included. */
+    /** The states of all lives from one to another, both included, that the sender knows; lives compare as unsigned. */
     record Listing(Header header, long from, long to, List<KnownState> states) implements Message {
         @Override
         public int maxBodyBytes() {
--- a/src/main/java/gullspar/peers/Peer.java
+++ b/src/main/java/gullspar/peers/Peer.java
@@ -30,7 +30,9 @@
     /** The last time at which it was alive or suspected. */
     long lastPresentAt;
 
+    /** While it is gone: when it is probed next, and the pause after that probe. */
     long reconnectAt;
+
     long reconnectPauseNs;
     /** Its index in the list of present members, -1 if it is not present. */
     int presentIndex = -1;
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -14,8 +14,10 @@
 public final class Peers {
     /** Limit on datagrams of unknown senders that are answered, per second. */
     private static final double UNKNOWN_SENDERS_PER_SECOND = 32;
-    /** Limits on unconfirmed processes probed per interval, and on probes of each. */
-    private static final int MAX_VERIFICATIONS_PER_INTERVAL = 4, MAX_VERIFICATIONS_PER_PROCESS = 3;
+    /** Limit on unconfirmed processes probed per interval. */
+    private static final int MAX_VERIFICATIONS_PER_INTERVAL = 4;
+    /** Limit on probes of one unconfirmed process. */
+    private static final int MAX_VERIFICATIONS_PER_PROCESS = 3;
     /** Gossip rounds per interval while there are rumors to spread. */
     private static final int GOSSIP_ROUNDS_PER_INTERVAL = 5;
     /** The view is settled after this many intervals without a change. */
@@ -45,7 +47,9 @@
     private long lastSyncAt;
     private long nextMaintenanceAt;
     private long nextStatsAt;
+    /** A member that joined or returned, whose view is compared next; null for a random member. */
     private Peer nextSyncPartner;
+
     /** When the next tick is due, in ns. */
     private long nextTickAt;
     /** The time of the current input, in ns. */
@@ -56,11 +60,13 @@
     private long lastReceivedAt;
 
     private boolean cutOff;
+    /** Number of recently present members, this process included. */
     private int known = 1;
+    /** Number of these that are alive in this view, this process included. */
     private int seen = 1;
 
     /**
-     * Starts at that time.
+     * Creates the state machine; its first {@link #tick} is due at once.
      *
      * @param first the first statement of this process, with its name and a unique life
      * @param seeds addresses where other members may be found
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -18,7 +18,10 @@
  */
 final class Reconciler {
     static final int RANGES = 32;
+    /** The range of a life is given by its upper 5 bits. */
     private static final int RANGE_SHIFT = 64 - 5;
+    /** Upper bound of the encoded bounds of a listing. */
+    private static final int LISTING_BOUNDS_BYTES = 22;
     /** Limit on datagrams per step of a comparison; the rest follows in the next comparison. */
     private static final int MAX_PAGES = 8;
 
@@ -112,7 +115,7 @@
 
     private int sendListings(
             long now, Peer to, NavigableMap<Long, Message.KnownState> known, long first, long last, int pages) {
-        int maxPerPage = (sender.maxPayloadBytes() - 22) / Message.KnownState.MAX_BYTES;
+        int maxPerPage = (sender.maxPayloadBytes() - LISTING_BOUNDS_BYTES) / Message.KnownState.MAX_BYTES;
         long from = first;
         int left = pages;
         List<Message.KnownState> page = new ArrayList<>();
@@ -167,9 +170,9 @@
         }
         missing.keySet().forEach(life -> toSend.add(rumor(now, names.get(life), true)));
         sendRumors(now, from, toSend);
-        forEachPage(toRequest, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, w -> {
+        forEachPage(toRequest, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, lives -> {
             if (sender.canSend(1, now)) {
-                sender.sendPlain(now, from, h -> new Message.Want(h, w));
+                sender.sendPlain(now, from, h -> new Message.Want(h, lives));
             }
         });
     }
@@ -188,8 +191,8 @@
     }
 
     private void sendRumors(long now, Peer to, List<Rumor> rumors) {
-        int maxPerPage = MAX_PAGES * 3;
-        forEachPage(rumors, maxPerPage, page -> {
+        int rumorsPerBatch = MAX_PAGES * 3;
+        forEachPage(rumors, rumorsPerBatch, page -> {
             if (sender.canSend(MAX_PAGES, now)) {
                 sender.sendRumors(now, to, page);
             }
--- a/src/main/java/gullspar/peers/Settings.java
+++ b/src/main/java/gullspar/peers/Settings.java
@@ -48,8 +48,11 @@
                 || timeoutNs * 2 > intervalNs
                 || maxMembers < 2
                 || bytesPerSecond < 4 * Message.MAX_DATAGRAM_BYTES) {
-            throw new IllegalArgumentException(
-                    "invalid settings, interval and time-out in ns: " + intervalNs + ", " + timeoutNs);
+            throw new IllegalArgumentException("invalid settings: interval " + intervalNs
+                    + " ns, expected at least 10 ms; time-out " + timeoutNs
+                    + " ns, expected 1 ms to half the interval; " + maxMembers + " members, expected at least 2; "
+                    + bytesPerSecond + " bytes per second, expected at least "
+                    + 4 * Message.MAX_DATAGRAM_BYTES);
         }
     }
 
--- a/src/main/java/gullspar/peers/Statement.java
+++ b/src/main/java/gullspar/peers/Statement.java
@@ -35,7 +35,10 @@
                 || !Identity.isValidText(config)
                 || revision < 1
                 || upMs < 0) {
-            throw new IllegalArgumentException("invalid statement: " + id + " at " + address);
+            throw new IllegalArgumentException("invalid statement of " + id + ": address '" + address + "', zone '"
+                    + zone
+                    + "', version '" + version + "', config '" + config + "', revision " + revision + ", uptime " + upMs
+                    + " ms");
         }
         for (int i = 0; i < address.length(); i++) {
             if (address.charAt(i) <= ' ' || address.charAt(i) > '~') {
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -83,8 +83,8 @@
         }
         String memberName = fleet.name() != null ? fleet.name() : name;
         if (memberName == null || !Identity.isValidName(memberName)) {
-            throw new IOException(
-                    file + ": [fleet] has no name, and the one of the platform is not valid: " + memberName);
+            throw new IOException(file + ": the member's name, from [fleet] or else from the platform, is '"
+                    + memberName + "', expected 1 to " + Identity.MAX_LENGTH + " letters, digits or . _ - +");
         }
         Membership membership = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
         try {
@@ -104,7 +104,7 @@
             return membership;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while joining the fleet", e);
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         }
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -84,8 +84,10 @@
     }
 
     /**
-     * Starts to participate; first is the first statement of this process, with the address it is
-     * reached at.
+     * Joins the fleet.
+     *
+     * @param first the first statement of this process, with the address at which others reach it
+     * @param seeds addresses, host:port, where other members may be found
      */
     public void start(Settings settings, Statement first, List<String> seeds, RandomGenerator random) {
         this.peers =
@@ -133,7 +135,7 @@
         return unsent;
     }
 
-    // ---- out ----
+    // ---- sending ----
 
     @Override
     public void send(String to, Message m) {
@@ -166,7 +168,7 @@
         changeListener.accept(c);
     }
 
-    // ---- in ----
+    // ---- receiving ----
 
     private final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
@@ -200,7 +202,7 @@
         }
     }
 
-    // ---- time ----
+    // ---- timer ----
 
     private void scheduleWake() {
         long next = peers.wakeAt();
--- a/src/main/java/gullspar/peers/wire/Codec.java
+++ b/src/main/java/gullspar/peers/wire/Codec.java
@@ -26,7 +26,17 @@
  * unchanged. {@code docs/fleet-design.md} has the table.
  */
 public final class Codec {
-    private static final int PING = 1, ACK = 2, PING_REQ = 3, NACK = 4, NEWS = 5, DIGEST = 6, LISTING = 7, WANT = 8;
+    private static final int PING = 1;
+    private static final int ACK = 2;
+    private static final int PING_REQ = 3;
+    private static final int NACK = 4;
+    private static final int NEWS = 5;
+    private static final int DIGEST = 6;
+    private static final int LISTING = 7;
+    private static final int WANT = 8;
+    /** A larger age would overflow when it is converted from ms to ns and added to other times. */
+    private static final long MAX_AGE_MS = Long.MAX_VALUE / 4_000_000;
+
     private static final CBORFactory CBOR = new CBORFactory();
 
     private Codec() {}
@@ -44,6 +54,7 @@
         return bytes.toByteArray();
     }
 
+    /** Starts the array of a message with its kind and header; fields: the number of elements that follow. */
     private static void begin(JsonGenerator g, int kind, Message.Header h, int fields) throws IOException {
         g.writeStartArray(null, fields + 2);
         g.writeNumber(kind);
@@ -231,7 +242,7 @@
 
     private static long readAge(JsonParser p) throws IOException {
         long n = readNumber(p);
-        if (n < 0 || n > Long.MAX_VALUE / 4_000_000) {
+        if (n < 0 || n > MAX_AGE_MS) {
             throw new IOException("age out of range");
         }
         return n;
--- a/src/main/java/gullspar/peers/wire/Envelope.java
+++ b/src/main/java/gullspar/peers/wire/Envelope.java
@@ -20,10 +20,14 @@
     public static final byte VERSION = 1;
 
     private static final String HMAC = "HmacSHA256";
-    private static final int KEY_BYTES = 4,
-            MAC_BYTES = 16,
-            HEADER_BYTES = 1 + KEY_BYTES,
-            PREFIX_BYTES = HEADER_BYTES + MAC_BYTES;
+    /** Length of the key id. */
+    private static final int KEY_BYTES = 4;
+    /** Length of the truncated HMAC. */
+    private static final int MAC_BYTES = 16;
+    /** The version and the key id. */
+    private static final int HEADER_BYTES = 1 + KEY_BYTES;
+    /** Everything before the message. */
+    private static final int PREFIX_BYTES = HEADER_BYTES + MAC_BYTES;
     /** Shorter keys weaken the HMAC: RFC 2104, section 3, requires the length of the hash. */
     public static final int MIN_KEY_BYTES = 32;
     /** The maximum number of keys: the new and the old one during a replacement. */
--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -56,9 +56,10 @@
 
     private static final long NEVER = Long.MAX_VALUE;
     private static final long ACK_INTERVAL_NS = 2_000_000_000L;
-    /** A doubted control process does not count as an alternative for this long. */
+    /** An abandoned control process does not count as an alternative for this long. */
     private static final long ABANDONED_PERIOD_NS = 300_000_000_000L;
 
+    /** Limits the exponent of the reconnect backoff, so that it does not overflow. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final String name;
@@ -67,6 +68,7 @@
     private final int addressCount;
     private final RandomGenerator random;
     private final Host host;
+    /** When each control process was last abandoned; MIN_VALUE if never. */
     private final long[] abandonedAtNs;
 
     private Connection connection = Connection.NONE;
@@ -93,7 +95,9 @@
     /** The highest version announced by any control process. */
     private Version highestSeen;
 
+    /** The held document may be put in force: control confirmed it, or the startup wait has passed. */
     private boolean mayApply;
+
     private boolean applying;
     private Version inForce;
     private String trouble = "";
@@ -193,7 +197,7 @@
         }
         String outdatedReason = h.inStep() ? "" : h.control() + " is out of step with the primary";
         if (held != null && (h.head() == null || h.head().comparePosition(held.version()) < 0)) {
-            outdatedReason = h.control() + " has only " + (h.head() == null ? "nothing" : h.head())
+            outdatedReason = h.control() + " has " + (h.head() == null ? "no version" : "only " + h.head())
                     + ", this follower has " + held.version();
         } else if (held != null
                 && h.head().comparePosition(held.version()) == 0
@@ -315,7 +319,7 @@
         host.apply(held, deltas, persisted);
     }
 
-    /** The version is persisted and in force if why is null; otherwise the previous one still is in force. */
+    /** The version is persisted and in force if failure is null; otherwise the previous one still is in force. */
     public void applied(long now, Version version, String failure) {
         applying = false;
         if (failure == null) {
@@ -340,7 +344,7 @@
 
     // ---- timers ----
 
-    /** Has to be called periodically, every few tenths of a second. */
+    /** Must be called periodically, every few tenths of a second. */
     public void tick(long now) {
         if (connection == Connection.NONE && now >= reconnectAtNs) {
             connect();
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -13,12 +13,19 @@
 public final class Publisher {
     /** The outcome of a change. */
     public enum Outcome {
+        /** The change is the next version. */
         ACCEPTED,
+        /** The newest version already has this text. */
         SAME,
+        /** The change is based on an older version than the newest. */
         OLDER,
+        /** The text is invalid or too long. */
         WRONG,
+        /** The primary accepts no changes at present, see {@link #obstacle}. */
         NOT_READY,
+        /** The change was sent to a control process that is not the primary. */
         NOT_PRIMARY,
+        /** The change could not be persisted. */
         FAILED
     }
 
@@ -72,8 +79,8 @@
         for (Map.Entry<String, Version> o : otherVersions.entrySet()) {
             Version v = o.getValue();
             if (v.epoch() >= epoch && (head == null || v.comparePosition(head) > 0)) {
-                return o.getKey() + " has version " + v + ", this primary has only "
-                        + (head == null ? "nothing" : head);
+                return o.getKey() + " has version " + v + ", this primary has "
+                        + (head == null ? "none" : "only " + head);
             }
             Version own = history.versionAt(v);
             if (v.epoch() >= epoch && own != null && !own.equals(v)) {
--- a/src/main/java/gullspar/versions/Version.java
+++ b/src/main/java/gullspar/versions/Version.java
@@ -8,8 +8,8 @@
  *
  * @param epoch raised by operators when another process becomes the primary; 1 or more
  * @param number greater than the predecessor's; 1 or more
- * @param text the checksum of the document's text
- * @param parent the {@link #id} of the predecessor, which makes a hash chain back to the first version
+ * @param textChecksum the checksum of the document's text
+ * @param parentId the {@link #id} of the predecessor, which makes a hash chain back to the first version
  */
 public record Version(long epoch, long number, Checksum textChecksum, Checksum parentId) {
     /** Throws IllegalArgumentException for invalid values. */
--- a/src/main/java/gullspar/versions/file/Store.java
+++ b/src/main/java/gullspar/versions/file/Store.java
@@ -16,11 +16,13 @@
  * checksum to detect torn writes and damage.
  */
 public final class Store {
-    /** File names: the current version, the previous one, and the one being written. */
+    /** Name of the file of the current version. */
     public static final String CURRENT = "current";
-
+    /** Name of the file of the previous version. */
     public static final String PREVIOUS = "previous";
+    /** Name of the file of a version that is being written. */
     public static final String NEXT = "next";
+
     private static final byte[] MAGIC = "gullspar versions 1\n".getBytes(StandardCharsets.US_ASCII);
     /** Fast, because each change is written; the output is some tenths larger than at the default level. */
     private static final int COMPRESSION_LEVEL = 1;
@@ -33,9 +35,9 @@
     public record Found(Codec.StoredDocument stored, boolean mayBeOlder, List<String> damage) {}
 
     private final Folder folder;
-    /** Whether that file exists and is intact, as far as known. */
+    /** Whether the current file exists and is intact, as far as known. */
     private boolean hasCurrent;
-
+    /** Whether the file being written exists, is intact and holds the newest version. */
     private boolean hasNext;
 
     public Store(Folder folder) {
--- a/src/main/java/gullspar/versions/net/ControlClient.java
+++ b/src/main/java/gullspar/versions/net/ControlClient.java
@@ -41,7 +41,8 @@
                 throw new IOException("the control process closed the connection", e);
             }
             if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
-                throw new IOException("the peer does not speak the control protocol");
+                throw new IOException("the peer does not speak the control protocol: a frame of " + length
+                        + " bytes, expected 2 to " + Frames.MAX_FRAME_BYTES);
             }
             byte[] frame = new byte[length];
             in.readFully(frame);
--- a/src/main/java/gullspar/versions/net/ControlNode.java
+++ b/src/main/java/gullspar/versions/net/ControlNode.java
@@ -40,13 +40,21 @@
 public final class ControlNode implements Link.Listener {
     private static final String NAME_PATTERN = "[A-Za-z0-9._+-]+";
     private static final long HEARTBEAT_MS = 1000;
+    /** States of followers that change within this time are reported to the primary together. */
     private static final long REPORT_DELAY_MS = 50;
+    /** A follower from which nothing was received for this long is disconnected. */
     private static final long SILENCE_TIMEOUT_NS = 10_000_000_000L;
+    /** Limit on the deltas in the history, and separately on the changes that wait for a decision. */
     private static final int MAX_CHANGES = 1000;
+    /** Limit on the estimated size of the deltas in the history. */
     private static final int MAX_CHANGES_BYTES = 2 << 20;
+
     private static final int MAX_FOLLOWERS = 20_000;
+    /** Limit on followers in a status response, unless all were requested. */
     private static final int MAX_LISTED_FOLLOWERS = 200;
+    /** Rate limit for updates to another control process. */
     private static final int CONTROL_BYTES_PER_SECOND = 2_000_000;
+
     private static final Follower.Settings UPSTREAM_SETTINGS = new Follower.Settings(
             Follower.Settings.DEFAULTS.startupWaitNs(),
             Follower.Settings.DEFAULTS.silenceTimeoutNs(),
@@ -332,7 +340,7 @@
             }
             platform.loop().execute(() -> {
                 if (problems.isEmpty()) {
-                    persist(next, why -> changePersisted(c, next, why));
+                    persist(next, failure -> changePersisted(c, next, failure));
                 } else {
                     finishChange(c, Publisher.Outcome.WRONG, problems);
                 }
--- a/src/main/java/gullspar/versions/net/FollowerSessions.java
+++ b/src/main/java/gullspar/versions/net/FollowerSessions.java
@@ -19,7 +19,13 @@
 
 /** The followers connected to a control process, and the frames queued for each, sent at a limited rate. */
 final class FollowerSessions {
-    /** Bytes per second: to a proxy, to one without any version (it serves no traffic yet), to a control process. */
+    /**
+     * Rate limits in bytes per second.
+     *
+     * @param proxy for a proxy that has a version
+     * @param initialProxy for a proxy without any version, which serves no traffic yet
+     * @param control for a control process
+     */
     record Rates(int proxy, int initialProxy, int control) {}
 
     /** One connected follower. */
--- a/src/main/java/gullspar/versions/net/Link.java
+++ b/src/main/java/gullspar/versions/net/Link.java
@@ -75,7 +75,7 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length < 2 || length > Frames.MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes, " + Frames.MAX_FRAME_BYTES + " is the maximum");
+            throw new IOException("a frame of " + length + " bytes, expected 2 to " + Frames.MAX_FRAME_BYTES);
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
--- a/src/main/java/gullspar/versions/wire/Codec.java
+++ b/src/main/java/gullspar/versions/wire/Codec.java
@@ -20,7 +20,7 @@
  * position. Unknown trailing fields are skipped, so that a newer release may add some.
  */
 public final class Codec {
-    /** The content of a stored file. oldest: the version that the first delta applies to. */
+    /** The content of a stored file. oldest: the version that the first delta applies to, or null. */
     public record StoredDocument(Document document, Version oldest, List<Delta> deltas) {}
 
     private static final CBORFactory CBOR = new CBORFactory();
@@ -35,6 +35,9 @@
     private static final int STATUS_REQUEST = 9;
     private static final int STATUS_RESPONSE = 10;
     private static final int STORED = 20;
+    private static final int MAX_FILE_NAME_CHARS = 4096;
+    /** A larger time would overflow when it is converted from ms to ns and added to other times. */
+    private static final long MAX_AWAY_MS = Long.MAX_VALUE / 4_000_000;
 
     private Codec() {}
 
@@ -248,7 +251,9 @@
             case ACK -> new Message.Ack(readVersion(p), readText(p, Message.MAX_REASON_CHARS));
             case REPORT -> new Message.Report(readFollowerStates(p));
             case PUBLISH -> new Message.Publish(
-                    readNumber(p, 0, Long.MAX_VALUE), readText(p, 4096), readText(p, Document.MAX_CHARS));
+                    readNumber(p, 0, Long.MAX_VALUE),
+                    readText(p, MAX_FILE_NAME_CHARS),
+                    readText(p, Document.MAX_CHARS));
             case PUBLISHED -> new Message.Published(
                     readEnum(p, Publisher.Outcome.values()), readVersion(p), readTexts(p));
             case STATUS_REQUEST -> new Message.StatusRequest(readBoolean(p));
@@ -286,7 +291,7 @@
         }
         long n = p.getLongValue();
         if (n < min || n > max) {
-            throw new IOException("number out of range: " + n);
+            throw new IOException("number out of range: " + n + ", expected " + min + " to " + max);
         }
         return n;
     }
@@ -325,7 +330,7 @@
         return v;
     }
 
-    /** before: the version whose id is used if the checksum is omitted; null if it is required. */
+    /** before: the version whose id is used if the checksum is null in the input; null if it is required. */
     private static Checksum readChecksum(JsonParser p, Version before) throws IOException {
         JsonToken t = p.nextToken();
         if (t == JsonToken.VALUE_NULL && before != null) {
@@ -407,7 +412,7 @@
                     readNumber(p, 0, Long.MAX_VALUE),
                     readNumber(p, 0, Long.MAX_VALUE),
                     readText(p, Message.MAX_REASON_CHARS),
-                    readNumber(p, 0, Long.MAX_VALUE / 4_000_000),
+                    readNumber(p, 0, MAX_AWAY_MS),
                     readName(p)));
             skipToEnd(p);
         }
