--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -24,13 +24,13 @@
     public static void main(String[] args) {
         Set<String> only = Set.of(args);
         if (only.isEmpty() || only.contains("deaths")) {
-            deaths();
+            measureDeaths();
         }
         if (only.isEmpty() || only.contains("partitions")) {
-            partitions();
+            measurePartitions();
         }
         if (only.isEmpty() || only.contains("accusations")) {
-            accusations();
+            measureAccusations();
         }
     }
 
@@ -39,18 +39,18 @@
     }
 
     private static SimulatedFleet settledFleet(long seed, int size, Settings s) {
-        SimulatedFleet t = new SimulatedFleet(seed, s).start(size);
+        SimulatedFleet fleet = new SimulatedFleet(seed, s).start(size);
         // The first statements take some minutes to spread in a large fleet.
-        t.run(size >= 1000 ? 600 : 40);
-        return t;
+        fleet.run(size >= 1000 ? 600 : 40);
+        return fleet;
     }
 
-    private static boolean hasConverged(SimulatedFleet t) {
-        int living = t.living().size();
-        return t.living().stream().allMatch(l -> l.peers.size() == living && l.peers.alive() == living);
+    private static boolean hasConverged(SimulatedFleet fleet) {
+        int living = fleet.living().size();
+        return fleet.living().stream().allMatch(node -> node.peers.size() == living && node.peers.alive() == living);
     }
 
-    private static String spread(Histogram h) {
+    private static String percentiles(Histogram h) {
         return String.format(
                 Locale.ROOT,
                 "%.2f | %.2f | %.2f",
@@ -60,7 +60,7 @@
     }
 
     /** Kills members one after the other; the traffic is measured before, while none fails. */
-    private static void deaths() {
+    private static void measureDeaths() {
         print("| size | noticed by one, s: median | p99 | most | known to all, s: median | p99 | most | deaths "
                 + "| datagrams/s a member | bytes/s a member |");
         print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -72,61 +72,64 @@
             double bytes = 0;
             int fleets = size >= 1000 ? 1 : size >= 100 ? 3 : 20;
             for (int seed = 1; seed <= fleets; seed++) {
-                SimulatedFleet t = settledFleet(seed, size, Settings.withInterval(SimulatedFleet.S));
-                if (!hasConverged(t)) {
+                SimulatedFleet fleet = settledFleet(seed, size, Settings.withInterval(SimulatedFleet.S));
+                if (!hasConverged(fleet)) {
                     print("size %d, seed %d: did not agree at the start", size, seed);
                 }
-                long[] before = cost(t);
-                t.run(60);
-                long[] after = cost(t);
+                long[] before = traffic(fleet);
+                fleet.run(60);
+                long[] after = traffic(fleet);
                 datagrams += (after[0] - before[0]) / 60.0 / size / fleets;
                 bytes += (after[1] - before[1]) / 60.0 / size / fleets;
                 int kills = size == 3 ? 1 : size == 10 ? 4 : 10;
                 for (int d = 0; d < kills; d++, deaths++) {
-                    List<Node> living = t.living();
-                    Node victim = living.get(t.random.nextInt(living.size()));
-                    long startedAt = t.now;
+                    List<Node> living = fleet.living();
+                    Node victim = living.get(fleet.random.nextInt(living.size()));
+                    long startedAt = fleet.now;
                     Map<Node, Long> markedGoneAt = new HashMap<>();
-                    long[] first = {0};
-                    t.changeListener = (l, c) -> {
-                        if (c.subject().life() == victim.life && c.kind() == Change.Kind.SUSPECTED && first[0] == 0) {
-                            first[0] = t.now;
+                    long[] firstSuspectedAt = {0};
+                    fleet.changeListener = (node, c) -> {
+                        if (c.subject().life() == victim.life
+                                && c.kind() == Change.Kind.SUSPECTED
+                                && firstSuspectedAt[0] == 0) {
+                            firstSuspectedAt[0] = fleet.now;
                         } else if (c.subject().life() == victim.life && c.kind() == Change.Kind.GONE) {
-                            markedGoneAt.putIfAbsent(l, t.now);
+                            markedGoneAt.putIfAbsent(node, fleet.now);
                         }
                     };
                     victim.kill();
-                    while (markedGoneAt.size() < t.living().size() && t.now - startedAt < 300 * SimulatedFleet.S) {
-                        t.run(0.5);
+                    while (markedGoneAt.size() < fleet.living().size()
+                            && fleet.now - startedAt < 300 * SimulatedFleet.S) {
+                        fleet.run(0.5);
                     }
-                    noticed.recordValue((first[0] - startedAt) / SimulatedFleet.MS);
+                    noticed.recordValue((firstSuspectedAt[0] - startedAt) / SimulatedFleet.MS);
                     known.recordValue((markedGoneAt.values().stream()
                                             .mapToLong(x -> x)
                                             .max()
                                             .orElse(0)
                                     - startedAt)
                             / SimulatedFleet.MS);
-                    t.changeListener = (l, c) -> {};
-                    t.run(5);
+                    fleet.changeListener = (node, c) -> {};
+                    fleet.run(5);
                 }
             }
             print(
                     "| %d | %s | %s | %d | %.1f | %.0f |",
-                    size, spread(noticed), spread(known), deaths, datagrams, bytes);
+                    size, percentiles(noticed), percentiles(known), deaths, datagrams, bytes);
         }
     }
 
-    private static long[] cost(SimulatedFleet t) {
+    private static long[] traffic(SimulatedFleet fleet) {
         long[] c = new long[2];
-        t.living().forEach(l -> {
-            c[0] += l.peers.counters().sent();
-            c[1] += l.peers.counters().sentBytes();
+        fleet.living().forEach(node -> {
+            c[0] += node.peers.counters().sent();
+            c[1] += node.peers.counters().sentBytes();
         });
         return c;
     }
 
     /** Partitions the fleet 50:50 for a while, then heals it. */
-    private static void partitions() {
+    private static void measurePartitions() {
         print("| size | cut for, s | all see all again after, s: median | p99 | most | cuts |");
         print("| --- | --- | --- | --- | --- | --- |");
         for (int size : SIZES) {
@@ -134,25 +137,25 @@
                 Histogram settled = new Histogram(3);
                 int fleets = size >= 1000 ? 1 : size >= 100 ? 5 : 20;
                 for (int seed = 1; seed <= fleets; seed++) {
-                    SimulatedFleet t = settledFleet(seed + 100L, size, Settings.withInterval(SimulatedFleet.S));
-                    List<Node> one = new ArrayList<>(t.living().subList(0, size / 2));
-                    List<Node> other = new ArrayList<>(t.living().subList(size / 2, size));
-                    t.partition(one, other, true);
-                    t.run(cut);
-                    t.partition(one, other, false);
-                    long startedAt = t.now;
-                    while (!hasConverged(t) && t.now - startedAt < 600 * SimulatedFleet.S) {
-                        t.run(0.1);
+                    SimulatedFleet fleet = settledFleet(seed + 100L, size, Settings.withInterval(SimulatedFleet.S));
+                    List<Node> one = new ArrayList<>(fleet.living().subList(0, size / 2));
+                    List<Node> other = new ArrayList<>(fleet.living().subList(size / 2, size));
+                    fleet.partition(one, other, true);
+                    fleet.run(cut);
+                    fleet.partition(one, other, false);
+                    long startedAt = fleet.now;
+                    while (!hasConverged(fleet) && fleet.now - startedAt < 600 * SimulatedFleet.S) {
+                        fleet.run(0.1);
                     }
-                    settled.recordValue((t.now - startedAt) / SimulatedFleet.MS);
+                    settled.recordValue((fleet.now - startedAt) / SimulatedFleet.MS);
                 }
-                print("| %d | %d | %s | %d |", size, cut, spread(settled), fleets);
+                print("| %d | %d | %s | %d |", size, cut, percentiles(settled), fleets);
             }
         }
     }
 
     /** Runs with loss and jitter and no failure: counts false suspicions, and members falsely marked as gone. */
-    private static void accusations() {
+    private static void measureAccusations() {
         print("| size | loss | Lifeguard | suspected, an hour a member | called gone, an hour a member |");
         print("| --- | --- | --- | --- | --- |");
         for (int size : new int[] {10, 100}) {
@@ -178,20 +181,20 @@
                                 s.maxMembers(),
                                 s.bytesPerSecond());
                     }
-                    SimulatedFleet t = settledFleet(7, size, s);
+                    SimulatedFleet fleet = settledFleet(7, size, s);
                     double hours = size == 10 ? 2 : 0.25;
                     long[] counts = new long[2];
                     Set<String> counted = new HashSet<>();
-                    t.changeListener = (l, c) -> {
+                    fleet.changeListener = (node, c) -> {
                         if (c.kind() == Change.Kind.SUSPECTED
-                                && counted.add(c.subject().toString() + t.now / SimulatedFleet.S)) {
+                                && counted.add(c.subject().toString() + fleet.now / SimulatedFleet.S)) {
                             counts[0]++;
                         }
                         counts[1] += c.kind() == Change.Kind.GONE ? 1 : 0;
                     };
-                    t.lossRate = loss;
-                    t.jitterNs = 100 * SimulatedFleet.MS;
-                    t.run(hours * 3600);
+                    fleet.lossRate = loss;
+                    fleet.jitterNs = 100 * SimulatedFleet.MS;
+                    fleet.run(hours * 3600);
                     print(
                             "| %d | %.0f %% | %s | %.2f | %.2f |",
                             size,
--- a/src/test/java/gullspar/peers/PeersPropertiesTest.java
+++ b/src/test/java/gullspar/peers/PeersPropertiesTest.java
@@ -29,9 +29,9 @@
     }
 
     private static Map<Long, MemberState> merge(Map<Long, MemberState> a, Map<Long, MemberState> b) {
-        Map<Long, MemberState> m = new HashMap<>(a);
-        b.forEach((life, h) -> m.merge(life, h, MemberState::merge));
-        return m;
+        Map<Long, MemberState> merged = new HashMap<>(a);
+        b.forEach((life, h) -> merged.merge(life, h, MemberState::merge));
+        return merged;
     }
 
     @Property(tries = 2000, seed = "111")
@@ -60,7 +60,7 @@
         return new Identity(NAMES[r.nextInt(NAMES.length)], r.nextInt(6));
     }
 
-    private static int small(SplittableRandom r) {
+    private static int smallOrMaximum(SplittableRandom r) {
         return r.nextInt(8) == 0 ? MemberState.MAX_INCARNATION - r.nextInt(2) : r.nextInt(5);
     }
 
@@ -70,7 +70,7 @@
                 ? null
                 : new Statement(
                         id,
-                        1 + Math.min(100, small(r)),
+                        1 + Math.min(100, smallOrMaximum(r)),
                         "a" + r.nextInt(9) + ":1",
                         "",
                         "v",
@@ -83,7 +83,7 @@
                         Facts.NONE);
         return new Rumor(
                 id,
-                small(r),
+                smallOrMaximum(r),
                 MemberStatus.values()[r.nextInt(4)],
                 r.nextBoolean() ? "" : "p1",
                 r.nextLong(1L << 32),
@@ -99,11 +99,11 @@
         return all;
     }
 
-    private static Message message(SplittableRandom r, long number) {
-        Message.Header h = new Message.Header(id(r), small(r), "a" + r.nextInt(9) + ":1", number);
+    private static Message message(SplittableRandom r, long sequenceNumber) {
+        Message.Header h = new Message.Header(id(r), smallOrMaximum(r), "a" + r.nextInt(9) + ":1", sequenceNumber);
         return switch (r.nextInt(8)) {
             case 0 -> new Message.Ping(h, r.nextLong(), r.nextInt(4), r.nextBoolean(), rumors(r));
-            case 1 -> new Message.Ack(h, r.nextLong(), id(r), small(r), rumors(r));
+            case 1 -> new Message.Ack(h, r.nextLong(), id(r), smallOrMaximum(r), rumors(r));
             case 2 -> new Message.PingReq(h, r.nextLong(), id(r), "a" + r.nextInt(9) + ":1", rumors(r));
             case 3 -> new Message.Nack(h, r.nextLong(), rumors(r));
             case 4 -> new Message.News(h, rumors(r));
@@ -116,7 +116,7 @@
                     r.nextLong(),
                     r.nextLong(),
                     List.of(new Message.KnownState(
-                            r.nextInt(6), small(r), MemberStatus.values()[r.nextInt(4)], small(r))));
+                            r.nextInt(6), smallOrMaximum(r), MemberStatus.values()[r.nextInt(4)], smallOrMaximum(r))));
             default -> new Message.Want(h, List.of((long) r.nextInt(6), r.nextLong()));
         };
     }
@@ -128,23 +128,23 @@
     @Property(tries = 60, seed = "113")
     void arbitraryAuthenticatedMessagesAreHandledWithinBounds(@ForAll long seed) {
         SplittableRandom r = new SplittableRandom(seed);
-        SimulatedFleet t = new SimulatedFleet(seed);
-        t.start("p1", "a1:1", 1, "a2:1");
-        t.start("p2", "a2:1", 2, "a1:1");
-        t.start("p3", "a3:1", 3, "a1:1");
-        t.run(15);
-        long sent = t.sent;
+        SimulatedFleet fleet = new SimulatedFleet(seed);
+        fleet.start("p1", "a1:1", 1, "a2:1");
+        fleet.start("p2", "a2:1", 2, "a1:1");
+        fleet.start("p3", "a3:1", 3, "a1:1");
+        fleet.run(15);
+        long sent = fleet.sent;
         for (int i = 0; i < 500; i++) {
-            t.inject(t.get(1), message(r, 1_000 + i));
+            fleet.inject(fleet.get(1), message(r, 1_000 + i));
             if (r.nextInt(4) == 0) {
-                t.run(0.05);
+                fleet.run(0.05);
             }
         }
-        t.run(10);
+        fleet.run(10);
         assertTrue(
-                t.get(1).view().members().size() <= 40,
-                "kept " + t.get(1).view().members().size());
-        assertTrue(t.sent - sent < 10_000, "sent " + (t.sent - sent));
-        t.get(1).peers.view(t.now);
+                fleet.get(1).view().members().size() <= 40,
+                "kept " + fleet.get(1).view().members().size());
+        assertTrue(fleet.sent - sent < 10_000, "sent " + (fleet.sent - sent));
+        fleet.get(1).peers.view(fleet.now);
     }
 }
--- a/src/test/java/gullspar/peers/SimulatedFleet.java
+++ b/src/test/java/gullspar/peers/SimulatedFleet.java
@@ -10,15 +10,19 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 
 /**
  * Simulates the members of a fleet in one thread and in virtual time, over a network with injected faults.
  */
 final class SimulatedFleet {
-    static final long MS = 1_000_000L, S = 1_000_000_000L;
+    /** One millisecond in ns. */
+    static final long MS = 1_000_000L;
+    /** One second in ns. */
+    static final long S = 1_000_000_000L;
 
-    private record Event(long at, long number, Runnable action) {}
+    private record Event(long at, long sequence, Runnable action) {}
 
     /** One life of a process. */
     final class Node implements Outbox {
@@ -143,22 +147,25 @@
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final Map<String, Node> addresses = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private long nextNumber;
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
+    private long nextSequence;
     long now = 1_000 * S;
     long sent;
-    /** Faults and delays of the network. */
+    /** Fraction of datagrams lost. */
     double lossRate;
 
     long delayNs = MS;
     long jitterNs = MS;
+    /** Fraction of datagrams delivered twice. */
     double duplicateRate;
     /** Pairs "from>to" of names whose datagrams are dropped. */
     final Set<String> blockedLinks = new HashSet<>();
     /** Receives the view changes of all nodes. */
-    BiConsumer<Node, Change> changeListener = (l, c) -> {};
-    /** Receive each datagram as it is sent, and as it is delivered. */
-    BiConsumer<Node, Message> sendListener = (l, m) -> {}, deliveryListener = (l, m) -> {};
+    BiConsumer<Node, Change> changeListener = (node, c) -> {};
+    /** Receives each datagram as it is sent, with its sender. */
+    BiConsumer<Node, Message> sendListener = (node, m) -> {};
+    /** Receives each datagram as it is delivered, with its receiver. */
+    BiConsumer<Node, Message> deliveryListener = (node, m) -> {};
     /** Whether the last datagrams and the changes are kept; off in large fleets, to save memory. */
     boolean recordsHistory = true;
 
@@ -172,7 +179,7 @@
     }
 
     void schedule(long time, Runnable action) {
-        events.add(new Event(Math.max(time, now), nextNumber++, action));
+        events.add(new Event(Math.max(time, now), nextSequence++, action));
     }
 
     /** Advances the virtual time. */
@@ -188,15 +195,15 @@
     }
 
     /** Runs until the condition holds or the time is up; returns the seconds that it took, or -1. */
-    double runUntil(double seconds, java.util.function.BooleanSupplier holds) {
+    double runUntil(double seconds, BooleanSupplier condition) {
         long startedAt = now;
         while (now - startedAt < seconds * S) {
-            if (holds.getAsBoolean()) {
+            if (condition.getAsBoolean()) {
                 return (now - startedAt) / (double) S;
             }
             run(0.05);
         }
-        return holds.getAsBoolean() ? seconds : -1;
+        return condition.getAsBoolean() ? seconds : -1;
     }
 
     private void deliver(Node from, String to, Message m) {
@@ -206,13 +213,13 @@
         int copies = random.nextDouble() < duplicateRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             schedule(now + delayNs + (jitterNs > 0 ? random.nextLong(jitterNs) : 0), () -> {
-                Node l = addresses.get(to);
-                if (l != null && !blockedLinks.contains(from.name + '>' + l.name)) {
+                Node node = addresses.get(to);
+                if (node != null && !blockedLinks.contains(from.name + '>' + node.name)) {
                     if (recordsHistory) {
-                        l.lastReceived.put(from.life, m);
+                        node.lastReceived.put(from.life, m);
                     }
-                    deliveryListener.accept(l, m);
-                    l.input(() -> l.peers.receive(now, m));
+                    deliveryListener.accept(node, m);
+                    node.input(() -> node.peers.receive(now, m));
                 }
             });
         }
@@ -228,11 +235,11 @@
     }
 
     Node start(String name, String address, long life, String... seeds) {
-        Node l = new Node(name, address, life, List.of(seeds));
-        nodes.put(name, l);
-        addresses.put(address, l);
-        l.scheduleTick();
-        return l;
+        Node node = new Node(name, address, life, List.of(seeds));
+        nodes.put(name, node);
+        addresses.put(address, node);
+        node.scheduleTick();
+        return node;
     }
 
     /** Starts p1 to pN, with the first three as seeds. */
@@ -248,7 +255,7 @@
     }
 
     List<Node> living() {
-        return nodes.values().stream().filter(l -> !l.dead).toList();
+        return nodes.values().stream().filter(node -> !node.dead).toList();
     }
 
     /** Blocks or unblocks all links between two sets of nodes. */
@@ -269,19 +276,20 @@
     /** Whether each living node sees exactly the living nodes as alive. */
     boolean hasConverged() {
         List<Node> living = living();
-        Set<String> names = living.stream().map(l -> l.name).collect(Collectors.toSet());
-        return living.stream().allMatch(l -> {
-            Set<String> aliveInView = l.names(View.Status.ALIVE);
-            aliveInView.add(l.name);
-            return aliveInView.equals(names) && l.names(View.Status.SUSPECTED).isEmpty();
+        Set<String> names = living.stream().map(node -> node.name).collect(Collectors.toSet());
+        return living.stream().allMatch(node -> {
+            Set<String> aliveInView = node.names(View.Status.ALIVE);
+            aliveInView.add(node.name);
+            return aliveInView.equals(names)
+                    && node.names(View.Status.SUSPECTED).isEmpty();
         });
     }
 
     /** Number of changes of that kind reported about living nodes. */
     long falseReports(Change.Kind kind) {
-        Set<Long> alive = living().stream().map(l -> l.life).collect(Collectors.toSet());
+        Set<Long> alive = living().stream().map(node -> node.life).collect(Collectors.toSet());
         return nodes.values().stream()
-                .flatMap(l -> l.changes.stream())
+                .flatMap(node -> node.changes.stream())
                 .filter(c -> c.kind() == kind && alive.contains(c.subject().life()))
                 .count();
     }
--- a/src/test/java/gullspar/peers/ViewCost.java
+++ b/src/test/java/gullspar/peers/ViewCost.java
@@ -23,14 +23,17 @@
  */
 public final class ViewCost {
     private static final int ENVELOPE_BYTES = 21;
-    private static final int MINUTES = 13, FIRST_STEADY_MINUTE = 8;
+    private static final int MINUTES = 13;
+    private static final int FIRST_STEADY_MINUTE = 8;
     private static final List<String> KINDS =
             List.of("ping", "ack", "pingreq", "nack", "news", "digest", "listing", "want", "statements told");
 
     /** Traffic of all members in a span of time. */
     private static final class Count {
         private final Map<String, Long> bytes = new TreeMap<>();
-        private long sent, received, datagrams;
+        private long sent;
+        private long received;
+        private long datagrams;
 
         Count() {
             KINDS.forEach(k -> bytes.put(k, 0L));
@@ -51,18 +54,18 @@
         this.size = size;
         this.fleet = new SimulatedFleet(seed, Settings.withInterval(SimulatedFleet.S));
         fleet.recordsHistory = false;
-        fleet.sendListener = (l, m) -> {
+        fleet.sendListener = (node, m) -> {
             int bytes = Codec.encode(m).length + ENVELOPE_BYTES;
             encoded.put(m, bytes);
             count.sent += bytes;
             count.datagrams++;
-            sentBy.merge(l, (long) bytes, Long::sum);
+            sentBy.merge(node, (long) bytes, Long::sum);
             count.bytes.merge(kind(m), (long) bytes, Long::sum);
             long statements =
                     m.rumors().stream().filter(r -> r.statement() != null).count();
             count.bytes.merge("statements told", statements, Long::sum);
         };
-        fleet.deliveryListener = (l, m) -> count.received += encoded.getOrDefault(m, m.maxBytes());
+        fleet.deliveryListener = (node, m) -> count.received += encoded.getOrDefault(m, m.maxBytes());
     }
 
     private static String kind(Message m) {
@@ -85,8 +88,8 @@
         }
     }
 
-    private void point(String id, String what, String unit, double value) {
-        results.addPoint(id, what, unit, "proxies", Map.of(), heldOut, size, value);
+    private void point(String id, String description, String unit, double value) {
+        results.addPoint(id, description, unit, "proxies", Map.of(), heldOut, size, value);
     }
 
     /** An address of realistic length. */
@@ -111,21 +114,21 @@
         for (int i = 1; i <= size; i++) {
             fleet.start("proxy-" + i, address(i), address(1), address(2), address(3));
         }
-        Count rest = null;
+        Count steady = null;
         long cpu = 0;
         for (int minute = 1; minute <= MINUTES; minute++) {
             count = minute > FIRST_STEADY_MINUTE ? count : new Count();
             sentBy.clear();
             long sent = count.sent;
-            long begun = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+            long cpuBefore = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
             double worst = run(60);
             cpu += minute < FIRST_STEADY_MINUTE
                     ? 0
-                    : ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - begun;
+                    : ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpuBefore;
             if (minute == 1) {
                 point(
                         "view.start.worst10s",
-                        "bytes sent a second and member in the worst 10 s of a start of " + "all",
+                        "bytes sent a second and member in the worst 10 s of a start of all",
                         "B/s",
                         worst);
                 point(
@@ -138,7 +141,7 @@
                 report(count, 60, "minute" + minute, "minute " + minute + " from the start of all");
             } else {
                 System.err.printf("minute %d: %.0f B/s sent%n", minute, (count.sent - sent) / 60.0 / size);
-                rest = count;
+                steady = count;
             }
         }
         point(
@@ -148,8 +151,8 @@
                         + "sockets are not",
                 "ns/s",
                 cpu / 60.0 / (MINUTES - FIRST_STEADY_MINUTE + 1) / size);
-        report(rest, 60 * (MINUTES - FIRST_STEADY_MINUTE + 1), "rest", "minutes 8 to 13");
-        memory();
+        report(steady, 60 * (MINUTES - FIRST_STEADY_MINUTE + 1), "rest", "minutes 8 to 13");
+        measureMemory();
         measureEighthKilled();
     }
 
@@ -177,10 +180,11 @@
         }
     }
 
-    private void memory() {
+    private void measureMemory() {
         long full = usedHeapBytes();
         int tables = fleet.living().size();
-        int entries = fleet.living().stream().mapToInt(l -> l.peers.size()).sum();
+        int entries =
+                fleet.living().stream().mapToInt(node -> node.peers.size()).sum();
         SimulatedFleet empty = new SimulatedFleet(1, Settings.withInterval(SimulatedFleet.S));
         long before = usedHeapBytes();
         for (int i = 0; i < tables; i++) {
--- a/src/test/java/gullspar/peers/wire/WireTest.java
+++ b/src/test/java/gullspar/peers/wire/WireTest.java
@@ -31,10 +31,11 @@
 
 /** Encoding of messages and datagrams, and handling of malformed ones. */
 class WireTest {
-    private static final byte[] ONE = new byte[32], OTHER = new byte[40];
+    private static final byte[] FIRST_KEY = new byte[32];
+    private static final byte[] SECOND_KEY = new byte[40];
 
     static {
-        Arrays.fill(OTHER, (byte) 7);
+        Arrays.fill(SECOND_KEY, (byte) 7);
     }
 
     private static Arbitrary<String> names() {
@@ -50,7 +51,7 @@
     }
 
     private static Arbitrary<Statement> statements(Identity id) {
-        Arbitrary<TrafficStats> figures = Combinators.combine(
+        Arbitrary<TrafficStats> stats = Combinators.combine(
                         Arbitraries.floats(),
                         Arbitraries.floats(),
                         Arbitraries.integers().greaterOrEqual(0))
@@ -67,7 +68,7 @@
                         Arbitraries.of(Phase.class),
                         Arbitraries.longs().between(0, 1L << 40),
                         Arbitraries.longs(),
-                        figures,
+                        stats,
                         facts)
                 .as((r, a, z, p, up, twin, f, x) -> new Statement(id, r, a, z, z, a, p, up, twin, r, f, x));
     }
@@ -79,7 +80,8 @@
                         names(),
                         Arbitraries.longs().between(0, 1L << 40),
                         statements(id).injectNull(0.5))
-                .as((i, s, by, ms, st) -> new Rumor(id, i, s, by, ms, st, ms / 2)));
+                .as((incarnation, status, accuser, ageMs, statement) ->
+                        new Rumor(id, incarnation, status, accuser, ageMs, statement, ageMs / 2)));
     }
 
     @Provide
@@ -90,13 +92,13 @@
                         names(),
                         Arbitraries.longs().greaterOrEqual(1))
                 .as(Message.Header::new);
-        Arbitrary<List<Rumor>> some = rumors().list().ofMaxSize(3);
+        Arbitrary<List<Rumor>> rumors = rumors().list().ofMaxSize(3);
         return Combinators.combine(
                         headers,
                         Arbitraries.longs(),
                         identities(),
                         names(),
-                        some,
+                        rumors,
                         Arbitraries.integers().between(0, 7))
                 .as((h, n, id, a, r, kind) -> switch (kind) {
                     case 0 -> new Message.Ping(h, n, id.life(), n > 0, r);
@@ -135,7 +137,7 @@
 
     @Property(tries = 300, seed = "104")
     void onlyUnchangedAuthenticatedDatagramsAreAccepted(@ForAll("messages") Message m, @ForAll int at, @ForAll byte b) {
-        Envelope e = new Envelope(List.of(ONE));
+        Envelope e = new Envelope(List.of(FIRST_KEY));
         byte[] message = Codec.encode(m);
         byte[] sealed = e.seal(message);
         if (sealed.length > Message.MAX_DATAGRAM_BYTES) {
@@ -148,17 +150,17 @@
             sealed[Math.floorMod(at, sealed.length)] ^= b;
             assertTrue(e.open(sealed) != null);
         }
-        assertEquals(Envelope.Refusal.KEY, new Envelope(List.of(OTHER)).open(e.seal(message)));
+        assertEquals(Envelope.Refusal.KEY, new Envelope(List.of(SECOND_KEY)).open(e.seal(message)));
     }
 
     @Test
     void keyRotationInThreeStepsLosesNoDatagram() {
-        Envelope old = new Envelope(List.of(ONE));
-        Envelope knowsBoth = new Envelope(List.of(ONE, OTHER));
-        Envelope sealsWithNew = new Envelope(List.of(OTHER, ONE));
-        Envelope onlyNew = new Envelope(List.of(OTHER));
+        Envelope old = new Envelope(List.of(FIRST_KEY));
+        Envelope acceptsBoth = new Envelope(List.of(FIRST_KEY, SECOND_KEY));
+        Envelope sealsWithNew = new Envelope(List.of(SECOND_KEY, FIRST_KEY));
+        Envelope onlyNew = new Envelope(List.of(SECOND_KEY));
         List<List<Envelope>> steps =
-                List.of(List.of(old, knowsBoth), List.of(knowsBoth, sealsWithNew), List.of(sealsWithNew, onlyNew));
+                List.of(List.of(old, acceptsBoth), List.of(acceptsBoth, sealsWithNew), List.of(sealsWithNew, onlyNew));
         for (List<Envelope> together : steps) {
             for (Envelope from : together) {
                 for (Envelope to : together) {
@@ -211,7 +213,7 @@
     void estimatedSizesAreUpperBounds(@ForAll("messages") Message m) {
         int estimated = Message.MAX_ENVELOPE_BYTES + m.maxBytes();
         assertTrue(
-                new Envelope(List.of(ONE)).seal(Codec.encode(m)).length <= estimated,
+                new Envelope(List.of(FIRST_KEY)).seal(Codec.encode(m)).length <= estimated,
                 () -> m + " takes more than " + estimated);
     }
 }
--- a/src/test/java/gullspar/versions/Chain.java
+++ b/src/test/java/gullspar/versions/Chain.java
@@ -61,8 +61,8 @@
     }
 
     /** Creates a history of the documents. */
-    public static History history(List<Document> all, int most) {
-        History h = new History(most, 1 << 20);
+    public static History history(List<Document> all, int maxDeltas) {
+        History h = new History(maxDeltas, 1 << 20);
         for (Document d : all) {
             h.append(d, h.head() == null ? List.of() : List.of(delta(h.head(), d)));
         }
--- a/src/test/java/gullspar/versions/DeltaTest.java
+++ b/src/test/java/gullspar/versions/DeltaTest.java
@@ -10,7 +10,7 @@
 
 /** Line-by-line deltas between texts. */
 class DeltaTest {
-    private static String draw(SplittableRandom r) {
+    private static String randomText(SplittableRandom r) {
         StringBuilder s = new StringBuilder();
         int lines = r.nextInt(30);
         for (int i = 0; i < lines; i++) {
@@ -25,9 +25,9 @@
     void appliedDeltaReproducesTheTextExactly() throws MismatchException {
         SplittableRandom r = new SplittableRandom(7);
         for (int i = 0; i < 3000; i++) {
-            Document a = Chain.first(draw(r));
-            Document b = Chain.after(a, draw(r));
-            Document c = Chain.after(b, draw(r));
+            Document a = Chain.first(randomText(r));
+            Document b = Chain.after(a, randomText(r));
+            Document c = Chain.after(b, randomText(r));
             Document to = Delta.apply(a, List.of(Chain.delta(a, b), Chain.delta(b, c)));
             assertEquals(c, to);
         }
--- a/src/test/java/gullspar/versions/RateLimiterTest.java
+++ b/src/test/java/gullspar/versions/RateLimiterTest.java
@@ -14,41 +14,41 @@
 
     @Test
     void anySecondIsWithinTheAllowancePlusOneFrame() {
-        RateLimiter p = new RateLimiter(10_000, 0);
+        RateLimiter limiter = new RateLimiter(10_000, 0);
         Deque<long[]> last = new ArrayDeque<>();
         long now = 5 * SECOND_NS;
         int within = 0;
-        int most = 0;
+        int worst = 0;
         int all = 0;
         for (int i = 0; i < 500; i++) {
-            now = Math.max(now, p.readyAtNs(now));
+            now = Math.max(now, limiter.readyAtNs(now));
             int frame = i % 3 == 0 ? 2048 : 300;
-            p.spend(now, frame);
+            limiter.spend(now, frame);
             last.add(new long[] {now, frame});
             within += frame;
             all += frame;
             while (last.peek()[0] <= now - SECOND_NS) {
                 within -= last.poll()[1];
             }
-            most = Math.max(most, within);
+            worst = Math.max(worst, within);
         }
-        assertTrue(most <= 10_000 + 2048, "worst second: " + most);
+        assertTrue(worst <= 10_000 + 2048, "worst second: " + worst);
         double mean = all / ((now - 5 * SECOND_NS) / 1e9);
         assertTrue(mean > 6_500 && mean < 7_500, "mean: " + mean);
     }
 
     @Test
     void slotsAreLimitedAndWaitersServedInOrder() {
-        SnapshotSlots t = new SnapshotSlots(2);
-        assertTrue(t.tryAcquire("a"));
-        assertTrue(t.tryAcquire("b"));
-        assertFalse(t.tryAcquire("c"));
-        assertFalse(t.tryAcquire("d"));
-        assertEquals("c", t.release("a"));
-        assertFalse(t.tryAcquire("d"), "c asked before d");
-        assertTrue(t.tryAcquire("c"));
-        assertEquals(null, t.release("d"));
-        assertEquals(null, t.release("b"));
-        assertEquals(2, t.peak());
+        SnapshotSlots slots = new SnapshotSlots(2);
+        assertTrue(slots.tryAcquire("a"));
+        assertTrue(slots.tryAcquire("b"));
+        assertFalse(slots.tryAcquire("c"));
+        assertFalse(slots.tryAcquire("d"));
+        assertEquals("c", slots.release("a"));
+        assertFalse(slots.tryAcquire("d"), "c asked before d");
+        assertTrue(slots.tryAcquire("c"));
+        assertEquals(null, slots.release("d"));
+        assertEquals(null, slots.release("b"));
+        assertEquals(2, slots.peak());
     }
 }
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -29,16 +29,17 @@
     private static final class FaultyFolder implements Folder {
         private final Map<String, byte[]> files = new HashMap<>();
         private int operations;
-        private int crashesAt = -1;
-        private int failsAt = -1;
-        private double part;
+        private int crashAt = -1;
+        private int failAt = -1;
+        private double writtenFraction;
 
-        private boolean now() throws IOException {
+        /** Counts the operation; throws if it is to fail, returns whether it is to crash. */
+        private boolean crashesNow() throws IOException {
             int at = operations++;
-            if (at == failsAt) {
+            if (at == failAt) {
                 throw new IOException("No space left on device");
             }
-            return at == crashesAt;
+            return at == crashAt;
         }
 
         @Override
@@ -48,11 +49,11 @@
 
         @Override
         public void write(String name, byte[] content) throws IOException {
-            int n = (int) (content.length * part);
-            if (operations == crashesAt || operations == failsAt) {
+            int n = (int) (content.length * writtenFraction);
+            if (operations == crashAt || operations == failAt) {
                 files.put(name, Arrays.copyOf(content, n));
             }
-            if (now()) {
+            if (crashesNow()) {
                 throw new SimulatedCrash();
             }
             files.put(name, content);
@@ -60,7 +61,7 @@
 
         @Override
         public void rename(String from, String to) throws IOException {
-            if (now()) {
+            if (crashesNow()) {
                 throw new SimulatedCrash();
             }
             if (!files.containsKey(from)) {
@@ -71,7 +72,7 @@
 
         @Override
         public void sync() throws IOException {
-            if (now()) {
+            if (crashesNow()) {
                 throw new SimulatedCrash();
             }
         }
@@ -79,44 +80,44 @@
 
     private final List<Document> all = Chain.of(40, 60);
 
-    private static Codec.StoredDocument kept(Document d) {
+    private static Codec.StoredDocument stored(Document d) {
         return new Codec.StoredDocument(d, null, List.of());
     }
 
     /** A crash at any operation while versions are persisted must never restore an older version. */
     @Test
     void crashAtAnyOperationNeverRestoresAnOlderVersion() throws IOException {
-        for (int dies = 0; dies < 24; dies++) {
-            for (double part : new double[] {0, 0.5, 1}) {
+        for (int crashAt = 0; crashAt < 24; crashAt++) {
+            for (double writtenFraction : new double[] {0, 0.5, 1}) {
                 FaultyFolder f = new FaultyFolder();
-                f.crashesAt = dies;
-                f.part = part;
-                int done = -1;
+                f.crashAt = crashAt;
+                f.writtenFraction = writtenFraction;
+                int persistedIndex = -1;
                 Store s = new Store(f);
                 s.read();
                 try {
                     for (int i = 0; i < 10; i++) {
-                        s.persist(kept(all.get(i)));
-                        done = i;
+                        s.persist(stored(all.get(i)));
+                        persistedIndex = i;
                     }
                 } catch (SimulatedCrash e) {
                     // the process restarts
                 }
-                f.crashesAt = -1;
+                f.crashAt = -1;
                 for (int again = 0; again < 3; again++) {
                     Store.Found found = new Store(f).read();
-                    int has = found.stored() == null
+                    int readIndex = found.stored() == null
                             ? -1
                             : (int) found.stored().document().version().number() - 1;
                     assertTrue(
-                            has == done || has == done + 1,
-                            "crash at " + dies + ": read " + has + ", had persisted " + done);
-                    assertFalse(found.mayBeOlder(), "crash at " + dies);
+                            readIndex == persistedIndex || readIndex == persistedIndex + 1,
+                            "crash at " + crashAt + ": read " + readIndex + ", had persisted " + persistedIndex);
+                    assertFalse(found.mayBeOlder(), "crash at " + crashAt);
                     assertEquals(List.of(), found.damage());
                     Store next = new Store(f);
                     next.read();
-                    next.persist(kept(all.get(has + 1)));
-                    done = has + 1;
+                    next.persist(stored(all.get(readIndex + 1)));
+                    persistedIndex = readIndex + 1;
                 }
             }
         }
@@ -128,26 +129,26 @@
         for (int first = 4; first < 12; first++) {
             for (int second = 0; second < 6; second++) {
                 FaultyFolder f = new FaultyFolder();
-                f.crashesAt = first;
-                f.part = 0.3;
-                int done = -1;
+                f.crashAt = first;
+                f.writtenFraction = 0.3;
+                int persistedIndex = -1;
                 for (int life = 0; life < 3; life++) {
                     Store s = new Store(f);
                     Store.Found found = s.read();
-                    int has = found.stored() == null
+                    int readIndex = found.stored() == null
                             ? -1
                             : (int) found.stored().document().version().number() - 1;
-                    assertTrue(has >= done, "read " + has + ", had persisted " + done);
-                    done = has;
+                    assertTrue(readIndex >= persistedIndex, "read " + readIndex + ", had persisted " + persistedIndex);
+                    persistedIndex = readIndex;
                     try {
-                        for (int i = has + 1; i < has + 6; i++) {
-                            s.persist(kept(all.get(i)));
-                            done = i;
+                        for (int i = readIndex + 1; i < readIndex + 6; i++) {
+                            s.persist(stored(all.get(i)));
+                            persistedIndex = i;
                         }
                     } catch (SimulatedCrash e) {
                         // the process restarts
                     }
-                    f.crashesAt = life == 0 ? f.operations + second : -1;
+                    f.crashAt = life == 0 ? f.operations + second : -1;
                 }
             }
         }
@@ -155,23 +156,23 @@
 
     @Test
     void failedWriteLeavesTheFormerVersionAndALaterOneSucceeds() throws IOException {
-        for (int fails = 0; fails < 12; fails++) {
+        for (int failAt = 0; failAt < 12; failAt++) {
             FaultyFolder f = new FaultyFolder();
-            f.failsAt = fails;
-            f.part = 0.7;
+            f.failAt = failAt;
+            f.writtenFraction = 0.7;
             Store s = new Store(f);
             s.read();
-            int done = -1;
+            int persistedIndex = -1;
             for (int i = 0; i < 12; i++) {
                 try {
-                    s.persist(kept(all.get(i)));
-                    done = i;
+                    s.persist(stored(all.get(i)));
+                    persistedIndex = i;
                 } catch (IOException e) {
                     Store.Found found = new Store(f).read();
-                    int has = found.stored() == null
+                    int readIndex = found.stored() == null
                             ? -1
                             : (int) found.stored().document().version().number() - 1;
-                    assertTrue(has == done || has == i);
+                    assertTrue(readIndex == persistedIndex || readIndex == i);
                 }
             }
             assertEquals(all.get(11), new Store(f).read().stored().document());
@@ -185,8 +186,8 @@
             FaultyFolder f = new FaultyFolder();
             Store s = new Store(f);
             s.read();
-            s.persist(kept(all.get(0)));
-            s.persist(kept(all.get(1)));
+            s.persist(stored(all.get(0)));
+            s.persist(stored(all.get(1)));
             byte[] b = f.files.get(Store.CURRENT).clone();
             if (i % 2 == 0) {
                 b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
@@ -199,10 +200,10 @@
             assertEquals(all.get(0), found.stored().document());
             assertTrue(found.mayBeOlder());
             assertTrue(found.damage().get(0).startsWith("the file current is damaged"));
-            again.persist(kept(all.get(2)));
-            Store.Found mended = new Store(f).read();
-            assertEquals(all.get(2), mended.stored().document());
-            assertFalse(mended.mayBeOlder());
+            again.persist(stored(all.get(2)));
+            Store.Found repaired = new Store(f).read();
+            assertEquals(all.get(2), repaired.stored().document());
+            assertFalse(repaired.mayBeOlder());
             assertTrue(f.files.containsKey(Store.PREVIOUS));
         }
     }
@@ -213,8 +214,8 @@
             assertThrows(IOException.class, () -> DiskFolder.open(folder));
             Store s = new Store(d);
             assertEquals(null, s.read().stored());
-            s.persist(kept(all.get(0)));
-            s.persist(kept(all.get(1)));
+            s.persist(stored(all.get(0)));
+            s.persist(stored(all.get(1)));
             assertEquals(all.get(1), new Store(d).read().stored().document());
         }
         DiskFolder.open(folder).close();
--- a/src/test/java/gullspar/versions/net/Processes.java
+++ b/src/test/java/gullspar/versions/net/Processes.java
@@ -171,9 +171,9 @@
         return add(new ManagedProcess(name, List.of("serve", "--follow", file.toString())));
     }
 
-    private ManagedProcess add(ManagedProcess one) {
-        all.add(one);
-        return one;
+    private ManagedProcess add(ManagedProcess process) {
+        all.add(process);
+        return process;
     }
 
     /** Waits until a control process reports that all of that many followers run the version or a later one. */
--- a/src/test/java/gullspar/versions/net/SimulatedCluster.java
+++ b/src/test/java/gullspar/versions/net/SimulatedCluster.java
@@ -170,9 +170,9 @@
                     random.split(),
                     check);
             Store.Found found = store.read();
-            loop.execute(() -> node.start(found, why -> {
-                if (why != null) {
-                    errors.add(new IOException(name + " cannot listen: " + why));
+            loop.execute(() -> node.start(found, failure -> {
+                if (failure != null) {
+                    errors.add(new IOException(name + " cannot listen: " + failure));
                 }
             }));
         }
@@ -208,16 +208,16 @@
                     addresses,
                     p,
                     random.split(),
-                    (d, led, kept, done) -> worker.execute(() -> apply(store, d, led, kept, done)),
+                    (d, deltas, persisted, done) -> worker.execute(() -> apply(store, d, deltas, persisted, done)),
                     m -> {},
                     "");
             loop.execute(() ->
                     node.start(found.stored() == null ? null : found.stored().document(), found.mayBeOlder()));
         }
 
-        private void apply(Store store, Document d, List<Delta> led, boolean kept, Consumer<String> done) {
+        private void apply(Store store, Document d, List<Delta> deltas, boolean persisted, Consumer<String> done) {
             try {
-                if (!kept) {
+                if (!persisted) {
                     store.persist(new Codec.StoredDocument(d, null, List.of()));
                 }
             } catch (IOException e) {
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public void closed(Link l, String why) {}
+        public void closed(Link l, String reason) {}
     }
 
     public final EventQueue eventQueue;
@@ -298,22 +298,22 @@
     }
 
     /** Sets the fraction of segments lost on every path. */
-    public void setLoss(double part) {
+    public void setLoss(double fraction) {
         List<String> names = new ArrayList<>();
         controls.forEach(c -> names.add(c.name));
         for (Control c : controls) {
             for (Proxy p : proxies) {
-                network.link(c.name, p.name).setLoss(part);
-                network.link(p.name, c.name).setLoss(part);
+                network.link(c.name, p.name).setLoss(fraction);
+                network.link(p.name, c.name).setLoss(fraction);
             }
             names.stream().filter(n -> !n.equals(c.name)).forEach(n -> network.link(c.name, n)
-                    .setLoss(part));
+                    .setLoss(fraction));
         }
     }
 
     /** Sends a change to the primary. */
-    public Operator publish(String text, long after) {
-        Operator o = new Operator(new Message.Publish(after, "f", text));
+    public Operator publish(String text, long baseNumber) {
+        Operator o = new Operator(new Message.Publish(baseNumber, "f", text));
         network.transport(operators)
                 .clientBootstrap(controls.get(0).address)
                 .handler(new Link(o, 1 << 25))
--- a/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsCommandsTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.parallel.Isolated;
 
 /** Exit codes and output of the commands, with a control node inside the test process. */
-@Isolated("what others print would come in between")
+@Isolated("redirects System.out and System.err of the whole process")
 @Timeout(60)
 class VersionsCommandsTest {
     private record CommandResult(int code, String out, String err) {}
@@ -78,10 +78,10 @@
                 "control.toml");
         Store store = new Store(DiskFolder.open(folder.resolve("c1")));
         Store.Found found = store.read();
-        Platform quiet = Platform.of(loop);
+        Platform platform = Platform.of(loop);
         primary = new ControlNode(
                 file,
-                new Platform(loop, quiet.clock(), quiet.transport(), line -> {}),
+                new Platform(loop, platform.clock(), platform.transport(), line -> {}),
                 store,
                 worker,
                 new SplittableRandom(1),
@@ -103,17 +103,17 @@
 
     /** Starts a follower that puts every version in force, or fails with the given trouble. */
     private FollowerNode follower(String name, String trouble) throws Exception {
-        Platform quiet = Platform.of(loop);
-        InetSocketAddress there = new InetSocketAddress("127.0.0.1", Integer.parseInt(at.substring(10)));
-        FollowerNode.Applier taker = (d, led, kept, done) -> done.accept(trouble);
+        Platform platform = Platform.of(loop);
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", Integer.parseInt(at.substring(10)));
+        FollowerNode.Applier applier = (d, deltas, persisted, done) -> done.accept(trouble);
         FollowerNode n = new FollowerNode(
                 name,
                 Message.Role.PROXY,
                 Follower.Settings.DEFAULTS,
-                List.of(there),
-                new Platform(loop, quiet.clock(), quiet.transport(), line -> {}),
+                List.of(address),
+                new Platform(loop, platform.clock(), platform.transport(), line -> {}),
                 new SplittableRandom(2),
-                taker,
+                applier,
                 m -> {},
                 "");
         loop.submit(() -> n.start(null, false)).get();
@@ -173,9 +173,9 @@
         CommandResult away = run("publish", file(Processes.document("two")), "--to", at, "--wait", "0.5");
         assertEquals(4, away.code());
         assertTrue(away.out().matches("(?s).*p-well +1\\.1 +by c1 away for.*"), away.out());
-        CommandResult look = run("versions", "--at", at);
-        assertEquals(4, look.code());
-        assertTrue(look.out().startsWith("c1, the primary: version 1.2 ("), look.out());
+        CommandResult status = run("versions", "--at", at);
+        assertEquals(4, status.code());
+        assertTrue(status.out().startsWith("c1, the primary: version 1.2 ("), status.out());
         assertEquals(1, run("versions", "--at", "127.0.0.1:" + freePort()).code());
     }
 
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -30,16 +30,16 @@
     private Processes processes;
 
     /** Publishes a change and waits until it is in force at that many followers. */
-    private void publish(String word, long after, int followers) throws Exception {
-        Message.Published p = send(word, after);
+    private void publish(String word, long baseNumber, int followers) throws Exception {
+        Message.Published p = send(word, baseNumber);
         assertEquals(Publisher.Outcome.ACCEPTED, p.outcome(), p.lines().toString());
         processes.awaitInForce("c1", p.head().number(), followers);
     }
 
-    private Message.Published send(String word, long after) throws Exception {
+    private Message.Published send(String word, long baseNumber) throws Exception {
         try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             return c.request(
-                    new Message.Publish(after, "site.toml", Processes.document(word)), Message.Published.class);
+                    new Message.Publish(baseNumber, "site.toml", Processes.document(word)), Message.Published.class);
         }
     }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    private void invalidChangeIsRefused(int at) throws Exception {
+    private void invalidChangeIsRefused(int port) throws Exception {
         try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             Message.Published p = c.request(
                     new Message.Publish(1, "site.toml", Processes.document("wrong") + "odd = 1\n"),
@@ -124,7 +124,7 @@
             assertEquals(Publisher.Outcome.WRONG, p.outcome());
             assertTrue(p.lines().get(0).startsWith("site.toml:8:1: "), p.lines().toString());
         }
-        assertTrue(Processes.get(at).endsWith("one"));
+        assertTrue(Processes.get(port).endsWith("one"));
     }
 
     private void foreignProtocolIsDisconnected(Processes.ManagedProcess control) throws Exception {
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void messagesRoundTripThroughCodecAndFrames() throws IOException {
-        Frames.Assembler joined = new Frames.Assembler(1 << 20);
+        Frames.Assembler assembler = new Frames.Assembler(1 << 20);
         for (Message m : messages()) {
             assertEquals(m, Codec.decode(Codec.encode(m)));
             Message last = null;
@@ -50,7 +50,7 @@
                 assertNull(last);
                 assertEquals(f.length - 4, ByteBuffer.wrap(f).getInt());
                 assertTrue(f.length - 4 <= Frames.MAX_FRAME_BYTES);
-                last = joined.add(Arrays.copyOfRange(f, 4, f.length));
+                last = assembler.add(Arrays.copyOfRange(f, 4, f.length));
             }
             assertEquals(m, last);
         }
@@ -82,11 +82,11 @@
             byte[] cut = Arrays.copyOf(whole, n);
             assertThrows(IOException.class, () -> Codec.decode(cut));
         }
-        Frames.Assembler joined = new Frames.Assembler(3000);
+        Frames.Assembler assembler = new Frames.Assembler(3000);
         byte[] part = new byte[Frames.MAX_FRAME_BYTES];
         assertThrows(IOException.class, () -> {
-            joined.add(part);
-            joined.add(part);
+            assembler.add(part);
+            assembler.add(part);
         });
         byte[] bomb = ByteBuffer.allocate(50)
                 .put((byte) 1)
