--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -62,15 +62,15 @@
     /** Sends the given rumors, in as many datagrams as needed. */
     void sendRumors(long now, Peer to, List<Rumor> rumors) {
         List<Rumor> page = new ArrayList<>();
-        int left = 0;
+        int remainingBytes = 0;
         for (Rumor r : rumors) {
-            if (r.maxBytes() > left) {
+            if (r.maxBytes() > remainingBytes) {
                 sendPage(now, to, page);
                 page = new ArrayList<>();
-                left = maxPayloadBytes();
+                remainingBytes = maxPayloadBytes();
             }
             page.add(r);
-            left -= r.maxBytes();
+            remainingBytes -= r.maxBytes();
         }
         sendPage(now, to, page);
     }
@@ -98,22 +98,22 @@
     private void send(long now, String address, Identity to, boolean withOwnStatement, MessageFactory factory) {
         Message.Header header = self.header();
         List<Rumor> rumors = new ArrayList<>();
-        int left = MAX_MESSAGE_BYTES - factory.make(header, rumors).maxBytes();
+        int remainingBytes = MAX_MESSAGE_BYTES - factory.make(header, rumors).maxBytes();
         if (withOwnStatement) {
-            left = addIfFits(rumors, self.rumor(now, true), left);
+            remainingBytes = addIfFits(rumors, self.rumor(now, true), remainingBytes);
         }
         // The suspected member itself receives the accusation first, so that it can refute it.
         Peer receiver = to == null ? null : roster.get(to);
         if (receiver != null && receiver.state.accuses()) {
-            left = addIfFits(
+            remainingBytes = addIfFits(
                     rumors,
                     new Rumor(receiver.id, receiver.state.incarnation(), receiver.state.status(), "", 0, null, 0),
-                    left);
+                    remainingBytes);
         }
         if (receiver != null) {
             gossip.fill(
                     rumors,
-                    left,
+                    remainingBytes,
                     to,
                     settings.transmissions(roster.size()),
                     Settings.statsTransmissions(roster.size()));
@@ -121,12 +121,12 @@
         transmit(now, address, factory.make(header, rumors));
     }
 
-    private static int addIfFits(List<Rumor> rumors, Rumor r, int left) {
-        if (r.maxBytes() <= left) {
+    private static int addIfFits(List<Rumor> rumors, Rumor r, int remainingBytes) {
+        if (r.maxBytes() <= remainingBytes) {
             rumors.add(r);
-            return left - r.maxBytes();
+            return remainingBytes - r.maxBytes();
         }
-        return left;
+        return remainingBytes;
     }
 
     private void transmit(long now, String address, Message m) {
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -70,7 +70,7 @@
 
     /** Adds rumors for one receiver, up to maxBytes; none about the receiver itself. */
     void fill(List<Rumor> into, int maxBytes, Identity to, int maxTransmissions, int maxStatsTransmissions) {
-        int left = maxBytes;
+        int remainingBytes = maxBytes;
         int misses = 0;
         List<Entry> sent = new ArrayList<>();
         for (Entry entry : order) {
@@ -78,16 +78,16 @@
                 continue;
             }
             Rumor r = source.rumor(entry.id, entry.withStatement);
-            if (r == null || r.maxBytes() <= left) {
+            if (r == null || r.maxBytes() <= remainingBytes) {
                 sent.add(entry);
                 if (r != null) {
-                    left -= r.maxBytes();
+                    remainingBytes -= r.maxBytes();
                     into.add(r);
                 }
             } else if (++misses > 3) {
                 break; // a smaller one may still fit, but walking through all entries costs too much
             }
-            if (left < Rumor.maxBytes(entry.id, "", null)) {
+            if (remainingBytes < Rumor.maxBytes(entry.id, "", null)) {
                 break;
             }
         }
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -188,8 +188,8 @@
         if (state.accuses()) {
             p.reason = reason;
         }
-        boolean suspect = state.status() == MemberStatus.SUSPECTED;
-        p.status = suspect ? MemberStatus.ALIVE : state.status();
+        boolean reportedSuspected = state.status() == MemberStatus.SUSPECTED;
+        p.status = reportedSuspected ? MemberStatus.ALIVE : state.status();
         p.lastPresentAt = p.present() ? now : Long.MIN_VALUE;
         p.lastReceivedAt = now;
         p.reconnectPauseNs = 2 * settings.intervalNs();
@@ -213,7 +213,7 @@
         if (s.twinLife() == self.id.life() && id.name().equals(self.id.name())) {
             reportTwin(now, p);
         }
-        if (suspect) {
+        if (reportedSuspected) {
             suspect(now, p, state.incarnation(), reason);
         }
         return p;
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -345,7 +345,7 @@
             }
             if (p.status != MemberStatus.LEFT
                     && p.lastPresentAt != Long.MIN_VALUE
-                    && now - p.lastPresentAt <= settings.windowNs()) {
+                    && now - p.lastPresentAt <= settings.isolationWindowNs()) {
                 recentlyPresent++;
                 alive += p.status == MemberStatus.ALIVE ? 1 : 0;
             }
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -117,28 +117,29 @@
             long now, Peer to, NavigableMap<Long, Message.KnownState> known, long first, long last, int pages) {
         int maxPerPage = (sender.maxPayloadBytes() - LISTING_BOUNDS_BYTES) / Message.KnownState.MAX_BYTES;
         long from = first;
-        int left = pages;
+        int remainingPages = pages;
         List<Message.KnownState> page = new ArrayList<>();
         for (Message.KnownState k : known.subMap(first, true, last, true).values()) {
             if (page.size() == maxPerPage) {
-                left = sendListing(now, to, from, k.life() - 1, page, left);
+                remainingPages = sendListing(now, to, from, k.life() - 1, page, remainingPages);
                 from = k.life();
                 page = new ArrayList<>();
-                if (left == 0) {
+                if (remainingPages == 0) {
                     return 0;
                 }
             }
             page.add(k);
         }
-        return sendListing(now, to, from, last, page, left);
+        return sendListing(now, to, from, last, page, remainingPages);
     }
 
-    private int sendListing(long now, Peer to, long from, long last, List<Message.KnownState> page, int left) {
-        if (left == 0 || !sender.canSend(1, now)) {
+    private int sendListing(
+            long now, Peer to, long from, long last, List<Message.KnownState> page, int remainingPages) {
+        if (remainingPages == 0 || !sender.canSend(1, now)) {
             return 0;
         }
         sender.sendPlain(now, to, h -> new Message.Listing(h, from, last, page));
-        return left - 1;
+        return remainingPages - 1;
     }
 
     /** Handles the states that the other side knows: requests what is newer there and sends what is newer here. */
--- a/src/main/java/gullspar/peers/Settings.java
+++ b/src/main/java/gullspar/peers/Settings.java
@@ -19,7 +19,7 @@
  *        that the traffic of one member stays the same
  * @param maxReconnectIntervals the longest pause between two probes of a member that is gone, in intervals
  * @param forgetNs the time after which members that are gone or have left are removed
- * @param windowNs members present within it count when this process determines whether it is cut off
+ * @param isolationWindowNs members present within this time count when the process determines whether it is cut off
  * @param maxMembers the maximum number of members kept, this process included
  * @param bytesPerSecond the maximum that this process sends, answers included
  */
@@ -37,7 +37,7 @@
         long statsIntervalNs,
         int maxReconnectIntervals,
         long forgetNs,
-        long windowNs,
+        long isolationWindowNs,
         int maxMembers,
         int bytesPerSecond) {
     private static final long MS = 1_000_000L;
@@ -77,8 +77,8 @@
                 (int) Math.min(1 << 20, 64_000_000_000_000L / intervalNs));
     }
 
-    /** Returns a copy with another {@link #windowNs}. */
-    public Settings withWindow(long ns) {
+    /** Returns a copy with another {@link #isolationWindowNs}. */
+    public Settings withIsolationWindow(long ns) {
         return new Settings(
                 intervalNs,
                 timeoutNs,
@@ -114,7 +114,7 @@
                 statsIntervalNs,
                 maxReconnectIntervals,
                 forgetNs,
-                windowNs,
+                isolationWindowNs,
                 maxMembers,
                 bytes);
     }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -152,7 +152,7 @@
 
     /** Returns the settings that the operators' file configures. */
     public static Settings settings(FleetSettings fleet) {
-        Settings s = Settings.withInterval(fleet.probeIntervalNs()).withWindow(fleet.isolationWindowNs());
+        Settings s = Settings.withInterval(fleet.probeIntervalNs()).withIsolationWindow(fleet.isolationWindowNs());
         return fleet.maxBytesPerSecond() > 0 ? s.withBytesPerSecond(fleet.maxBytesPerSecond()) : s;
     }
 
--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -177,7 +177,7 @@
                                 s.statsIntervalNs(),
                                 s.maxReconnectIntervals(),
                                 s.forgetNs(),
-                                s.windowNs(),
+                                s.isolationWindowNs(),
                                 s.maxMembers(),
                                 s.bytesPerSecond());
                     }
--- a/src/test/java/gullspar/rehearse/play/FleetDayTest.java
+++ b/src/test/java/gullspar/rehearse/play/FleetDayTest.java
@@ -270,7 +270,7 @@
                         s.statsIntervalNs(),
                         s.maxReconnectIntervals(),
                         s.forgetNs(),
-                        s.windowNs(),
+                        s.isolationWindowNs(),
                         s.maxMembers(),
                         s.bytesPerSecond())));
     }
--- a/src/test/java/gullspar/versions/FollowerTest.java
+++ b/src/test/java/gullspar/versions/FollowerTest.java
@@ -51,7 +51,7 @@
     }
 
     private final Host host = new Host();
-    private final List<Document> all = Chain.of(12, 100);
+    private final List<Document> documents = Chain.of(12, 100);
     private final Follower follower =
             new Follower("p", Message.Role.PROXY, Follower.Settings.DEFAULTS, 3, new SplittableRandom(1), host);
 
@@ -62,9 +62,9 @@
     private Message.Update deltaUpdate(int from, int to) {
         List<Delta> deltas = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            deltas.add(Chain.delta(all.get(i), all.get(i + 1)));
+            deltas.add(Chain.delta(documents.get(i), documents.get(i + 1)));
         }
-        return new Message.Update(all.get(to).version(), null, deltas, "");
+        return new Message.Update(documents.get(to).version(), null, deltas, "");
     }
 
     private static Message.Update snapshotUpdate(Document d, Document ancestor) {
@@ -73,10 +73,10 @@
 
     /** Puts a version in force that is on disk and that the control process has as well. */
     private void startInForce(int index) {
-        follower.start(0, all.get(index), false);
+        follower.start(0, documents.get(index), false);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(index), true));
-        follower.applied(3 * MS, all.get(index).version(), null);
+        follower.received(2 * MS, head(documents.get(index), true));
+        follower.applied(3 * MS, documents.get(index).version(), null);
     }
 
     private Message.Ack ack() {
@@ -91,13 +91,13 @@
     @Test
     void deltasAreVerifiedAppliedAndAcknowledgedInThatOrder() {
         startInForce(3);
-        assertEquals(all.get(3).version(), ack().inForce());
+        assertEquals(documents.get(3).version(), ack().inForce());
         follower.received(10 * MS, deltaUpdate(3, 5));
-        assertEquals(all.get(5), host.appliedDocuments.get(1));
+        assertEquals(documents.get(5), host.appliedDocuments.get(1));
         assertEquals(2, host.appliedDeltas.get(1).size());
-        assertEquals(all.get(3).version(), ack().inForce(), "acknowledged before it is in force");
-        follower.applied(20 * MS, all.get(5).version(), null);
-        assertEquals(all.get(5).version(), ack().inForce());
+        assertEquals(documents.get(3).version(), ack().inForce(), "acknowledged before it is in force");
+        follower.applied(20 * MS, documents.get(5).version(), null);
+        assertEquals(documents.get(5).version(), ack().inForce());
     }
 
     @Test
@@ -107,18 +107,18 @@
         follower.received(11 * MS, deltaUpdate(4, 5));
         follower.received(12 * MS, deltaUpdate(5, 7));
         assertEquals(2, host.appliedDocuments.size());
-        follower.applied(20 * MS, all.get(4).version(), null);
-        assertEquals(all.get(7), host.appliedDocuments.get(2));
+        follower.applied(20 * MS, documents.get(4).version(), null);
+        assertEquals(documents.get(7), host.appliedDocuments.get(2));
         assertEquals(3, host.appliedDeltas.get(2).size());
     }
 
     @Test
     void lowerVersionIsRefusedAndNextControlProcessTried() {
         startInForce(5);
-        follower.received(10 * MS, snapshotUpdate(all.get(3), null));
+        follower.received(10 * MS, snapshotUpdate(documents.get(3), null));
         assertEquals(1, host.appliedDocuments.size());
         assertEquals(1, host.disconnects);
-        assertEquals(all.get(5), follower.held());
+        assertEquals(documents.get(5), follower.held());
         follower.tick(600 * MS);
         assertEquals(List.of(0, 1), host.connects);
     }
@@ -126,32 +126,32 @@
     @Test
     void forkIsRefusedAsDeltasAndAsSnapshot() {
         startInForce(5);
-        Document fork = Chain.after(all.get(4), "fork");
+        Document fork = Chain.after(documents.get(4), "fork");
         Document child = Chain.after(fork, "child of the fork");
         follower.received(10 * MS, new Message.Update(child.version(), null, List.of(Chain.delta(fork, child)), ""));
         assertTrue(host.sent.get(host.sent.size() - 1) instanceof Message.SnapshotRequest);
         follower.received(20 * MS, snapshotUpdate(child, fork));
         assertEquals(1, host.appliedDocuments.size());
         assertTrue(ack().trouble().contains("another version with the same number"), ack().trouble());
-        assertEquals(all.get(5).version(), follower.inForce());
+        assertEquals(documents.get(5).version(), follower.inForce());
     }
 
     @Test
     void forkWithTheSameNumberIsDetectedFromTheHead() {
         startInForce(5);
-        follower.received(10 * MS, head(Chain.after(all.get(4), "fork"), true));
+        follower.received(10 * MS, head(Chain.after(documents.get(4), "fork"), true));
         assertTrue(ack().trouble().contains("another version with the same number"));
-        follower.received(20 * MS, head(all.get(5), true));
+        follower.received(20 * MS, head(documents.get(5), true));
         assertEquals("", ack().trouble());
     }
 
     @Test
     void higherEpochOverridesAForkOfTheFormerEpoch() {
         startInForce(5);
-        Document next = Chain.after(all.get(4), 2, "of the new primary");
-        follower.received(10 * MS, snapshotUpdate(next, all.get(5)));
+        Document next = Chain.after(documents.get(4), 2, "of the new primary");
+        follower.received(10 * MS, snapshotUpdate(next, documents.get(5)));
         assertEquals(next, host.appliedDocuments.get(1));
-        assertTrue(next.version().comparePosition(all.get(8).version()) > 0);
+        assertTrue(next.version().comparePosition(documents.get(8).version()) > 0);
         follower.applied(20 * MS, next.version(), null);
         follower.received(30 * MS, deltaUpdate(5, 8));
         assertEquals(2, host.appliedDocuments.size(), "a version of the former primary was applied");
@@ -166,35 +166,35 @@
         assertEquals(1, host.disconnects);
         follower.tick(600 * MS);
         follower.opened(700 * MS);
-        follower.received(800 * MS, snapshotUpdate(all.get(6), all.get(3)));
-        assertEquals(all.get(6), host.appliedDocuments.get(1));
+        follower.received(800 * MS, snapshotUpdate(documents.get(6), documents.get(3)));
+        assertEquals(documents.get(6), host.appliedDocuments.get(1));
     }
 
     @Test
     void textWithAWrongChecksumIsNeverApplied() {
         startInForce(3);
-        follower.received(10 * MS, new Message.Update(all.get(6).version(), null, List.of(), "torn"));
+        follower.received(10 * MS, new Message.Update(documents.get(6).version(), null, List.of(), "torn"));
         assertEquals(1, host.appliedDocuments.size());
     }
 
     @Test
     void storedVersionIsAppliedAfterTheStartupWait() {
-        follower.start(0, all.get(3), false);
+        follower.start(0, documents.get(3), false);
         follower.closed(10 * MS, "refused");
         follower.tick(2900 * MS);
         assertEquals(List.of(), host.appliedDocuments);
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.appliedDocuments);
+        assertEquals(List.of(documents.get(3)), host.appliedDocuments);
     }
 
     @Test
     void outOfStepControlProcessIsNotTrustedAtStartup() {
-        follower.start(0, all.get(3), false);
+        follower.start(0, documents.get(3), false);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(3), false));
+        follower.received(2 * MS, head(documents.get(3), false));
         assertEquals(List.of(), host.appliedDocuments);
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.appliedDocuments);
+        assertEquals(List.of(documents.get(3)), host.appliedDocuments);
         follower.tick(3100 * MS);
         assertEquals(1, host.disconnects, "did not try another control process");
     }
@@ -204,40 +204,40 @@
         follower.start(0, null, false);
         follower.opened(MS);
         follower.received(2 * MS, head(null, true));
-        follower.received(3 * MS, snapshotUpdate(all.get(0), null));
-        assertEquals(List.of(all.get(0)), host.appliedDocuments);
+        follower.received(3 * MS, snapshotUpdate(documents.get(0), null));
+        assertEquals(List.of(documents.get(0)), host.appliedDocuments);
     }
 
     @Test
     void restoredDiskIsNotAppliedIfControlHasANewerVersion() {
-        follower.start(0, all.get(3), false);
+        follower.start(0, documents.get(3), false);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(9), true));
+        follower.received(2 * MS, head(documents.get(9), true));
         assertEquals(List.of(), host.appliedDocuments);
         follower.received(3 * MS, deltaUpdate(3, 9));
-        assertEquals(List.of(all.get(9)), host.appliedDocuments);
+        assertEquals(List.of(documents.get(9)), host.appliedDocuments);
     }
 
     @Test
     void olderCopyIsNotUsedWhileControlAnnouncesAHigherVersion() {
-        follower.start(0, all.get(3), true);
+        follower.start(0, documents.get(3), true);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(9), true));
+        follower.received(2 * MS, head(documents.get(9), true));
         for (long t = 0; t < 20_000; t += 100) {
             follower.partReceived(t * MS);
             follower.tick(t * MS);
         }
         assertEquals(List.of(), host.appliedDocuments);
         follower.received(20_000 * MS, deltaUpdate(3, 9));
-        assertEquals(List.of(all.get(9)), host.appliedDocuments);
+        assertEquals(List.of(documents.get(9)), host.appliedDocuments);
     }
 
     @Test
     void olderCopyIsUsedWithAWarningIfNoControlProcessIsReachable() {
-        follower.start(0, all.get(3), true);
+        follower.start(0, documents.get(3), true);
         follower.closed(MS, "refused");
         follower.tick(3000 * MS);
-        assertEquals(List.of(all.get(3)), host.appliedDocuments);
+        assertEquals(List.of(documents.get(3)), host.appliedDocuments);
         assertTrue(
                 host.logged.stream().anyMatch(s -> s.contains("may be older than the version that ran here")),
                 host.logged.toString());
@@ -247,14 +247,14 @@
     void failedApplyIsReportedAndRetried() {
         startInForce(3);
         follower.received(10 * MS, deltaUpdate(3, 4));
-        follower.applied(20 * MS, all.get(4).version(), "it cannot be kept: No space left on device");
-        assertEquals(all.get(3).version(), ack().inForce());
+        follower.applied(20 * MS, documents.get(4).version(), "it cannot be kept: No space left on device");
+        assertEquals(documents.get(3).version(), ack().inForce());
         assertTrue(ack().trouble().contains("No space left"));
         follower.partReceived(10_000 * MS);
         follower.tick(10_100 * MS);
         assertEquals(3, host.appliedDocuments.size());
-        follower.applied(10_200 * MS, all.get(4).version(), null);
-        assertEquals(all.get(4).version(), ack().inForce());
+        follower.applied(10_200 * MS, documents.get(4).version(), null);
+        assertEquals(documents.get(4).version(), ack().inForce());
         assertEquals("", ack().trouble());
     }
 
@@ -283,19 +283,19 @@
                         .orElse(0)
                 > 2500);
         assertTrue(host.connects.containsAll(List.of(0, 1, 2)));
-        assertEquals(all.get(3).version(), follower.inForce(), "no version in force without control");
+        assertEquals(documents.get(3).version(), follower.inForce(), "no version in force without control");
     }
 
     @Test
     void inStepRequiresAllVersionsOfTheControlProcess() {
-        follower.start(0, all.get(3), false);
+        follower.start(0, documents.get(3), false);
         follower.opened(MS);
-        follower.received(2 * MS, head(all.get(9), true));
+        follower.received(2 * MS, head(documents.get(9), true));
         assertFalse(follower.isInStep(3 * MS), "the restored disk is behind");
         follower.received(4 * MS, deltaUpdate(3, 9));
         assertTrue(follower.isInStep(5 * MS));
         assertFalse(follower.isInStep(5000 * MS), "silent");
-        follower.received(5100 * MS, head(all.get(9), false));
+        follower.received(5100 * MS, head(documents.get(9), false));
         assertFalse(follower.isInStep(5200 * MS), "the control process is out of step");
     }
 
--- a/src/test/java/gullspar/versions/PublisherTest.java
+++ b/src/test/java/gullspar/versions/PublisherTest.java
@@ -10,8 +10,8 @@
 
 /** Which changes the primary accepts as versions. */
 class PublisherTest {
-    private final List<Document> all = Chain.of(10, 50);
-    private final History history = Chain.history(all, 100);
+    private final List<Document> documents = Chain.of(10, 50);
+    private final History history = Chain.history(documents, 100);
 
     @Test
     void secondOfTwoConcurrentChangesIsRefusedWithTheNewerVersion() {
@@ -46,7 +46,7 @@
 
     @Test
     void forkElsewhereBlocksChangesUntilTheEpochIsRaised() {
-        Document fork = Chain.after(all.get(4), "written by another primary");
+        Document fork = Chain.after(documents.get(4), "written by another primary");
         Publisher p = new Publisher(1, Set.of("c2"));
         p.recordVersion("c2", fork.version());
         assertTrue(p.obstacle(history).contains("another version with the same number"));
--- a/src/test/java/gullspar/versions/file/StoreTest.java
+++ b/src/test/java/gullspar/versions/file/StoreTest.java
@@ -78,7 +78,7 @@
         }
     }
 
-    private final List<Document> all = Chain.of(40, 60);
+    private final List<Document> documents = Chain.of(40, 60);
 
     private static Codec.StoredDocument stored(Document d) {
         return new Codec.StoredDocument(d, null, List.of());
@@ -97,7 +97,7 @@
                 s.read();
                 try {
                     for (int i = 0; i < 10; i++) {
-                        s.persist(stored(all.get(i)));
+                        s.persist(stored(documents.get(i)));
                         persistedIndex = i;
                     }
                 } catch (SimulatedCrash e) {
@@ -116,7 +116,7 @@
                     assertEquals(List.of(), found.damage());
                     Store next = new Store(f);
                     next.read();
-                    next.persist(stored(all.get(readIndex + 1)));
+                    next.persist(stored(documents.get(readIndex + 1)));
                     persistedIndex = readIndex + 1;
                 }
             }
@@ -142,7 +142,7 @@
                     persistedIndex = readIndex;
                     try {
                         for (int i = readIndex + 1; i < readIndex + 6; i++) {
-                            s.persist(stored(all.get(i)));
+                            s.persist(stored(documents.get(i)));
                             persistedIndex = i;
                         }
                     } catch (SimulatedCrash e) {
@@ -165,7 +165,7 @@
             int persistedIndex = -1;
             for (int i = 0; i < 12; i++) {
                 try {
-                    s.persist(stored(all.get(i)));
+                    s.persist(stored(documents.get(i)));
                     persistedIndex = i;
                 } catch (IOException e) {
                     Store.Found found = new Store(f).read();
@@ -175,7 +175,7 @@
                     assertTrue(readIndex == persistedIndex || readIndex == i);
                 }
             }
-            assertEquals(all.get(11), new Store(f).read().stored().document());
+            assertEquals(documents.get(11), new Store(f).read().stored().document());
         }
     }
 
@@ -186,8 +186,8 @@
             FaultyFolder f = new FaultyFolder();
             Store s = new Store(f);
             s.read();
-            s.persist(stored(all.get(0)));
-            s.persist(stored(all.get(1)));
+            s.persist(stored(documents.get(0)));
+            s.persist(stored(documents.get(1)));
             byte[] b = f.files.get(Store.CURRENT).clone();
             if (i % 2 == 0) {
                 b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
@@ -197,12 +197,12 @@
             f.files.put(Store.CURRENT, b);
             Store again = new Store(f);
             Store.Found found = again.read();
-            assertEquals(all.get(0), found.stored().document());
+            assertEquals(documents.get(0), found.stored().document());
             assertTrue(found.mayBeOlder());
             assertTrue(found.damage().get(0).startsWith("the file current is damaged"));
-            again.persist(stored(all.get(2)));
+            again.persist(stored(documents.get(2)));
             Store.Found repaired = new Store(f).read();
-            assertEquals(all.get(2), repaired.stored().document());
+            assertEquals(documents.get(2), repaired.stored().document());
             assertFalse(repaired.mayBeOlder());
             assertTrue(f.files.containsKey(Store.PREVIOUS));
         }
@@ -214,9 +214,9 @@
             assertThrows(IOException.class, () -> DiskFolder.open(folder));
             Store s = new Store(d);
             assertEquals(null, s.read().stored());
-            s.persist(stored(all.get(0)));
-            s.persist(stored(all.get(1)));
-            assertEquals(all.get(1), new Store(d).read().stored().document());
+            s.persist(stored(documents.get(0)));
+            s.persist(stored(documents.get(1)));
+            assertEquals(documents.get(1), new Store(d).read().stored().document());
         }
         DiskFolder.open(folder).close();
     }
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -68,27 +68,27 @@
             Processes.ManagedProcess p2 = t.proxy("p2").start();
             c1.awaitLog("all control processes have reported their versions");
             publish("one", 0, 5);
-            int at1 = Processes.port(p1.awaitLog("listening on"));
-            int at2 = Processes.port(p2.awaitLog("listening on"));
-            awaitResponse(at1, "one");
+            int port1 = Processes.port(p1.awaitLog("listening on"));
+            int port2 = Processes.port(p2.awaitLog("listening on"));
+            awaitResponse(port1, "one");
             for (Processes.ManagedProcess o : new Processes.ManagedProcess[] {c1, c2, p1}) {
                 o.backUp();
             }
 
-            invalidChangeIsRefused(at1);
+            invalidChangeIsRefused(port1);
             foreignProtocolIsDisconnected(c1);
             concurrentChangesAreSerialized();
             t.awaitInForce("c1", 2, 5);
-            String two = Processes.get(at1);
-            assertEquals(two, Processes.get(at2));
+            String two = Processes.get(port1);
+            assertEquals(two, Processes.get(port2));
 
             // Without the primary no changes are accepted, but a newly started proxy gets the newest version.
             c1.kill();
             assertThrows(IOException.class, () -> send("none", 2));
             Processes.ManagedProcess p3 = t.proxy("p3").start();
-            int at3 = Processes.port(p3.awaitLog("listening on"));
-            assertEquals(two, Processes.get(at3));
-            assertEquals(two, Processes.get(at1));
+            int port3 = Processes.port(p3.awaitLog("listening on"));
+            assertEquals(two, Processes.get(port3));
+            assertEquals(two, Processes.get(port1));
 
             // After its disk was restored, the primary queries the others before it accepts a change.
             c1.restoreBackup();
@@ -102,16 +102,16 @@
             c1.awaitLog("all control processes have reported their versions: accepting changes after 1.2");
             assertEquals(Publisher.Outcome.OLDER, send("fork", 1).outcome());
             publish("three", 2, 6);
-            awaitResponse(at1, "three");
-            awaitResponse(at3, "three");
+            awaitResponse(port1, "three");
+            awaitResponse(port3, "three");
 
             // A proxy with a restored disk must not serve the old version while control is reachable.
             p1.kill();
             p1.restoreBackup();
             p1.start();
             assertTrue(p1.awaitLog("on the disk").contains("has 1.1"));
-            at1 = Processes.port(p1.awaitLog("listening on"));
-            assertTrue(Processes.get(at1).endsWith("three"));
+            port1 = Processes.port(p1.awaitLog("listening on"));
+            assertTrue(Processes.get(port1).endsWith("three"));
             startWithoutControl(new Processes.ManagedProcess[] {c1, c2, c3}, p1, p2);
         }
     }
@@ -154,22 +154,23 @@
 
     /** No control process is running; the current file of one proxy is truncated, the other's is intact. */
     private void startWithoutControl(
-            Processes.ManagedProcess[] control, Processes.ManagedProcess torn, Processes.ManagedProcess whole)
+            Processes.ManagedProcess[] control, Processes.ManagedProcess damaged, Processes.ManagedProcess intact)
             throws Exception {
         for (Processes.ManagedProcess c : control) {
             c.kill();
         }
-        torn.kill();
-        whole.kill();
-        byte[] current = Files.readAllBytes(torn.folder().resolve("current"));
-        Files.write(torn.folder().resolve("current"), Arrays.copyOf(current, current.length / 2));
-        torn.start();
-        whole.start();
-        torn.awaitLog("the file current is damaged");
-        torn.awaitLog("which may be older than the version that ran here before");
-        int old = Processes.port(torn.awaitLog("listening on"));
+        damaged.kill();
+        intact.kill();
+        byte[] current = Files.readAllBytes(damaged.folder().resolve("current"));
+        Files.write(damaged.folder().resolve("current"), Arrays.copyOf(current, current.length / 2));
+        damaged.start();
+        intact.start();
+        damaged.awaitLog("the file current is damaged");
+        damaged.awaitLog("which may be older than the version that ran here before");
+        int old = Processes.port(damaged.awaitLog("listening on"));
         assertTrue(Processes.get(old).endsWith("one"), "did not serve the previous version");
-        assertTrue(Processes.get(Processes.port(whole.awaitLog("listening on"))).endsWith("three"));
+        assertTrue(
+                Processes.get(Processes.port(intact.awaitLog("listening on"))).endsWith("three"));
         for (Processes.ManagedProcess c : control) {
             c.start();
         }
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -19,8 +19,8 @@
 
 /** Encoding of messages, and rejection of invalid input. */
 class CodecTest {
-    private final List<Document> all = Chain.of(5, 300);
-    private final History history = Chain.history(all, 10);
+    private final List<Document> documents = Chain.of(5, 300);
+    private final History history = Chain.history(documents, 10);
 
     private List<Message> messages() {
         Message.FollowerState r = new Message.FollowerState("p", false, 1, 5, "disk", 20, "c1");
@@ -28,7 +28,7 @@
                 new Message.Hello("p", Message.Role.CONTROL, null),
                 new Message.Hello("p", Message.Role.PROXY, history.version()),
                 new Message.Head("c1", history.version(), true),
-                new Message.Update(history.version(), all.get(1).version(), history.deltas(), ""),
+                new Message.Update(history.version(), documents.get(1).version(), history.deltas(), ""),
                 new Message.Update(
                         history.version(), null, List.of(), history.head().text()),
                 new Message.SnapshotRequest(),
