--- a/src/main/java/gullspar/versions/Follower.java
+++ b/src/main/java/gullspar/versions/Follower.java
@@ -327,7 +327,7 @@
             trouble = "";
         } else {
             trouble = failure;
-            pendingDeltas = null; // a host with a history has to restart it
+            pendingDeltas = null; // a host with a history must restart it at the next document
             retryAtNs = now + settings.applyRetryNs;
             host.log("version " + version + " could not be put in force, will be retried: " + failure);
         }
--- a/src/main/java/gullspar/versions/Message.java
+++ b/src/main/java/gullspar/versions/Message.java
@@ -46,7 +46,7 @@
     /** The outcome of a change; head: the newest version, or null. */
     record Published(Publisher.Outcome outcome, Version head, List<String> lines) implements Message {}
 
-    /** An operator asks for the state of the followers; full: includes those that are up to date. */
+    /** An operator's request for the states of the followers; full: includes those that are up to date. */
     record StatusRequest(boolean full) implements Message {}
 
     /** control: name of the responding process; primary: whether it is the primary. */
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Decides on a change based on the version with that number, 0 for the first. An accepted change still has to
+     * Decides on a change based on the version with that number, 0 for the first. An accepted change must still
      * be validated and persisted; until then no other change may be decided.
      */
     public Decision decide(long baseNumber, String file, String text, History history) {
--- a/src/main/java/gullspar/versions/SnapshotSlots.java
+++ b/src/main/java/gullspar/versions/SnapshotSlots.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Limits concurrent snapshots; further followers wait in the order in which they asked. */
+/** Limits concurrent snapshots; further followers wait in the order of their requests. */
 public final class SnapshotSlots {
     private final int capacity;
     private final Set<Object> holders = new LinkedHashSet<>();
--- a/src/main/java/gullspar/versions/wire/Frames.java
+++ b/src/main/java/gullspar/versions/wire/Frames.java
@@ -9,7 +9,8 @@
 
 /**
  * Splits messages into frames, so that a long one can be sent at a limited rate while its frames show that the
- * sender is alive. A frame has a 4-byte length of the rest, 1 byte (1 for the last frame), then the payload.
+ * sender is alive. A frame consists of the 4-byte length of what follows, a byte that is 1 for the last frame of a
+ * message and 0 otherwise, and the payload.
  */
 public final class Frames {
     /** Limit for a frame, without its length field. */
