--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -55,22 +55,22 @@
     }
 
     /** Sends pending rumors to one member. */
-    void gossip(long now, Peer to) {
+    void sendPendingRumors(long now, Peer to) {
         send(now, to.address(), to.id, false, Message.News::new);
     }
 
     /** Sends the given rumors, in as many datagrams as needed. */
     void sendRumors(long now, Peer to, List<Rumor> rumors) {
         List<Rumor> page = new ArrayList<>();
-        int left = 0;
+        int remainingBytes = 0;
         for (Rumor r : rumors) {
-            if (r.maxBytes() > left) {
+            if (r.maxBytes() > remainingBytes) {
                 sendPage(now, to, page);
                 page = new ArrayList<>();
-                left = maxPayloadBytes();
+                remainingBytes = maxPayloadBytes();
             }
             page.add(r);
-            left -= r.maxBytes();
+            remainingBytes -= r.maxBytes();
         }
         sendPage(now, to, page);
     }
@@ -96,34 +96,37 @@
     }
 
     private void send(long now, String address, Identity to, boolean withOwnStatement, MessageFactory factory) {
-        Message.Header h = self.header();
+        Message.Header header = self.header();
         List<Rumor> rumors = new ArrayList<>();
-        int left = MAX_MESSAGE_BYTES - factory.make(h, rumors).maxBytes();
+        int remainingBytes = MAX_MESSAGE_BYTES - factory.make(header, rumors).maxBytes();
         if (withOwnStatement) {
-            left = addIfFits(rumors, self.rumor(now, true), left);
+            remainingBytes = addIfFits(rumors, self.rumor(now, true), remainingBytes);
         }
         // The suspected member itself receives the accusation first, so that it can refute it.
-        Peer p = to == null ? null : roster.get(to);
-        if (p != null && p.state.accuses()) {
-            left = addIfFits(rumors, new Rumor(p.id, p.state.incarnation(), p.state.status(), "", 0, null, 0), left);
+        Peer receiver = to == null ? null : roster.get(to);
+        if (receiver != null && receiver.state.accuses()) {
+            remainingBytes = addIfFits(
+                    rumors,
+                    new Rumor(receiver.id, receiver.state.incarnation(), receiver.state.status(), "", 0, null, 0),
+                    remainingBytes);
         }
-        if (p != null) {
+        if (receiver != null) {
             gossip.fill(
                     rumors,
-                    left,
+                    remainingBytes,
                     to,
                     settings.transmissions(roster.size()),
                     Settings.statsTransmissions(roster.size()));
         }
-        transmit(now, address, factory.make(h, rumors));
+        transmit(now, address, factory.make(header, rumors));
     }
 
-    private static int addIfFits(List<Rumor> rumors, Rumor r, int left) {
-        if (r.maxBytes() <= left) {
+    private static int addIfFits(List<Rumor> rumors, Rumor r, int remainingBytes) {
+        if (r.maxBytes() <= remainingBytes) {
             rumors.add(r);
-            return left - r.maxBytes();
+            return remainingBytes - r.maxBytes();
         }
-        return left;
+        return remainingBytes;
     }
 
     private void transmit(long now, String address, Message m) {
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -47,10 +47,10 @@
         this.counters = counters;
     }
 
-    private void recordChange(long now, Change.Kind kind, Identity about, String reason) {
+    private void recordChange(long now, Change.Kind kind, Identity subject, String reason) {
         changedAt = now;
         settled = false;
-        out.onChange(new Change(kind, about, reason, roster.size()));
+        out.onChange(new Change(kind, subject, reason, roster.size()));
     }
 
     /** Reports once when nothing has changed for that long and no member is suspected. */
@@ -160,8 +160,8 @@
         Roster.Unconfirmed known = roster.unconfirmed(r.id());
         if (known == null) {
             roster.addUnconfirmed(new Roster.Unconfirmed(r, from.id.life(), now));
-        } else if (known.reporterLife != from.id.life()) {
-            roster.forget(known);
+        } else if (known.reporterLife != from.id.life()) { // confirmed by a second member
+            roster.removeUnconfirmed(known);
             admit(
                     now,
                     r.id(),
@@ -188,8 +188,8 @@
         if (state.accuses()) {
             p.reason = reason;
         }
-        boolean suspect = state.status() == MemberStatus.SUSPECTED;
-        p.status = suspect ? MemberStatus.ALIVE : state.status();
+        boolean reportedSuspected = state.status() == MemberStatus.SUSPECTED;
+        p.status = reportedSuspected ? MemberStatus.ALIVE : state.status();
         p.lastPresentAt = p.present() ? now : Long.MIN_VALUE;
         p.lastReceivedAt = now;
         p.reconnectPauseNs = 2 * settings.intervalNs();
@@ -213,7 +213,7 @@
         if (s.twinLife() == self.id.life() && id.name().equals(self.id.name())) {
             reportTwin(now, p);
         }
-        if (suspect) {
+        if (reportedSuspected) {
             suspect(now, p, state.incarnation(), reason);
         }
         return p;
@@ -235,7 +235,7 @@
 
     // ---- status changes ----
 
-    /** The member is alive at that incarnation. */
+    /** Records that the member is alive at that incarnation; has no effect if a later state is known. */
     void markAlive(long now, Peer p, int incarnation) {
         MemberState reported = new MemberState(incarnation, MemberStatus.ALIVE);
         if (reported.compareTo(p.state) <= 0) {
@@ -254,7 +254,7 @@
         }
     }
 
-    /** A member, or this process itself, got no answer from it. */
+    /** Records that the accuser, another member or this process, got no answer from the member. */
     void suspect(long now, Peer p, int incarnation, String accuser) {
         MemberState reported = new MemberState(incarnation, MemberStatus.SUSPECTED);
         if (reported.compareTo(p.state) < 0 || p.status == MemberStatus.GONE || p.status == MemberStatus.LEFT) {
@@ -347,12 +347,12 @@
         }
     }
 
-    private void setStatus(long now, Peer p, MemberStatus v, String reason) {
+    private void setStatus(long now, Peer p, MemberStatus status, String reason) {
         p.lastPresentAt = p.present() ? now : p.lastPresentAt;
-        p.status = v;
+        p.status = status;
         p.statusSince = now;
         p.reason = reason;
-        if (v != MemberStatus.SUSPECTED) {
+        if (status != MemberStatus.SUSPECTED) {
             setSuspicion(p, null);
         }
         roster.updatePresence(p);
@@ -367,7 +367,7 @@
         }
     }
 
-    /** When the next suspicion times out, in ns; MAX_VALUE if there is none. */
+    /** The time at which the next suspicion times out, in ns; MAX_VALUE if there is none. */
     long nextSuspicionExpiry() {
         long next = Long.MAX_VALUE;
         for (Peer p : suspected) {
--- a/src/main/java/gullspar/peers/Settings.java
+++ b/src/main/java/gullspar/peers/Settings.java
@@ -19,7 +19,7 @@
  *        that the traffic of one member stays the same
  * @param maxReconnectIntervals the longest pause between two probes of a member that is gone, in intervals
  * @param forgetNs the time after which members that are gone or have left are removed
- * @param windowNs members present within it count when this process determines whether it is cut off
+ * @param isolationWindowNs members present within this time count when the process determines whether it is cut off
  * @param maxMembers the maximum number of members kept, this process included
  * @param bytesPerSecond the maximum that this process sends, answers included
  */
@@ -37,7 +37,7 @@
         long statsIntervalNs,
         int maxReconnectIntervals,
         long forgetNs,
-        long windowNs,
+        long isolationWindowNs,
         int maxMembers,
         int bytesPerSecond) {
     private static final long MS = 1_000_000L;
@@ -48,8 +48,11 @@
                 || timeoutNs * 2 > intervalNs
                 || maxMembers < 2
                 || bytesPerSecond < 4 * Message.MAX_DATAGRAM_BYTES) {
-            throw new IllegalArgumentException(
-                    "invalid settings, interval and time-out in ns: " + intervalNs + ", " + timeoutNs);
+            throw new IllegalArgumentException("invalid settings: interval " + intervalNs
+                    + " ns, expected at least 10 ms; time-out " + timeoutNs
+                    + " ns, expected 1 ms to half the interval; " + maxMembers + " members, expected at least 2; "
+                    + bytesPerSecond + " bytes per second, expected at least "
+                    + 4 * Message.MAX_DATAGRAM_BYTES);
         }
     }
 
@@ -74,8 +77,8 @@
                 (int) Math.min(1 << 20, 64_000_000_000_000L / intervalNs));
     }
 
-    /** Returns a copy with another {@link #windowNs}. */
-    public Settings withWindow(long ns) {
+    /** Returns a copy with another {@link #isolationWindowNs}. */
+    public Settings withIsolationWindow(long ns) {
         return new Settings(
                 intervalNs,
                 timeoutNs,
@@ -111,7 +114,7 @@
                 statsIntervalNs,
                 maxReconnectIntervals,
                 forgetNs,
-                windowNs,
+                isolationWindowNs,
                 maxMembers,
                 bytes);
     }
--- a/src/main/java/gullspar/peers/net/UdpTransport.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -84,8 +84,10 @@
     }
 
     /**
-     * Starts to participate; first is the first statement of this process, with the address it is
-     * reached at.
+     * Joins the fleet.
+     *
+     * @param first the first statement of this process, with the address at which others reach it
+     * @param seeds addresses, host:port, where other members may be found
      */
     public void start(Settings settings, Statement first, List<String> seeds, RandomGenerator random) {
         this.peers =
@@ -105,9 +107,9 @@
 
     /** Calls the state machine, and schedules its next tick. */
     public <T> T withPeers(Function<Peers, T> operation) {
-        T t = operation.apply(peers);
+        T result = operation.apply(peers);
         scheduleWake();
-        return t;
+        return result;
     }
 
     /** Cancels the timer and closes the socket. */
@@ -133,11 +135,11 @@
         return unsent;
     }
 
-    // ---- out ----
+    // ---- sending ----
 
     @Override
     public void send(String to, Message m) {
-        InetSocketAddress address = addresses.computeIfAbsent(to, UdpTransport::address);
+        InetSocketAddress address = addresses.computeIfAbsent(to, UdpTransport::parseAddress);
         if (address == null || !channel.isWritable()) {
             unsent++;
             return;
@@ -150,7 +152,7 @@
         });
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
         try {
@@ -166,7 +168,7 @@
         changeListener.accept(c);
     }
 
-    // ---- in ----
+    // ---- receiving ----
 
     private final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
@@ -200,7 +202,7 @@
         }
     }
 
-    // ---- time ----
+    // ---- timer ----
 
     private void scheduleWake() {
         long next = peers.wakeAt();
--- a/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
+++ b/src/main/java/gullspar/rehearse/net/FalseRumorInjector.java
@@ -68,7 +68,7 @@
         if (!renumberedLives.contains(life)) {
             return List.of(datagram);
         }
-        long number = message.header().number() * NUMBERS_PER_DATAGRAM;
+        long number = message.header().sequenceNumber() * NUMBERS_PER_DATAGRAM;
         List<byte[]> out = new ArrayList<>();
         out.add(seal(TamperedMessages.withNumber(message, number)));
         for (int left = falseRumorsPerDatagram;
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -42,7 +42,7 @@
         } else if (message instanceof Message.News n) {
             return new Message.News(newHeader, n.rumors());
         } else if (message instanceof Message.Listing l) {
-            return new Message.Listing(newHeader, l.from(), l.to(), l.known());
+            return new Message.Listing(newHeader, l.from(), l.to(), l.states());
         } else if (message instanceof Message.Digest d) {
             return new Message.Digest(newHeader, d.ranges());
         }
--- a/src/main/java/gullspar/versions/Message.java
+++ b/src/main/java/gullspar/versions/Message.java
@@ -17,7 +17,7 @@
     }
 
     /** Sent first by a follower: its identity and the version it has, or null. */
-    record Hello(String name, Role role, Version has) implements Message {}
+    record Hello(String name, Role role, Version held) implements Message {}
 
     /**
      * The newest version of a control process, or null. Sent every second, so it is also the heartbeat. inStep:
@@ -46,7 +46,7 @@
     /** The outcome of a change; head: the newest version, or null. */
     record Published(Publisher.Outcome outcome, Version head, List<String> lines) implements Message {}
 
-    /** An operator asks for the state of the followers; full: includes those that are up to date. */
+    /** An operator's request for the states of the followers; full: includes those that are up to date. */
     record StatusRequest(boolean full) implements Message {}
 
     /** control: name of the responding process; primary: whether it is the primary. */
--- a/src/main/java/gullspar/versions/Publisher.java
+++ b/src/main/java/gullspar/versions/Publisher.java
@@ -13,12 +13,19 @@
 public final class Publisher {
     /** The outcome of a change. */
     public enum Outcome {
+        /** The change is the next version. */
         ACCEPTED,
+        /** The newest version already has this text. */
         SAME,
+        /** The change is based on an older version than the newest. */
         OLDER,
+        /** The text is invalid or too long. */
         WRONG,
+        /** The primary accepts no changes at present, see {@link #obstacle}. */
         NOT_READY,
+        /** The change was sent to a control process that is not the primary. */
         NOT_PRIMARY,
+        /** The change could not be persisted. */
         FAILED
     }
 
@@ -36,7 +43,7 @@
 
     private final long epoch;
     private final Set<String> awaited;
-    private final Map<String, Version> others = new HashMap<>();
+    private final Map<String, Version> otherVersions = new HashMap<>();
 
     /** others: the names of the other control processes. */
     public Publisher(long epoch, Set<String> others) {
@@ -51,7 +58,7 @@
     public void recordVersion(String name, Version version) {
         awaited.remove(name);
         if (version != null) {
-            others.put(name, version);
+            otherVersions.put(name, version);
         }
     }
 
@@ -69,15 +76,15 @@
         if (head != null && head.epoch() > epoch) {
             return "this primary is of epoch " + epoch + ", but version " + head + " has a later epoch";
         }
-        for (Map.Entry<String, Version> o : others.entrySet()) {
+        for (Map.Entry<String, Version> o : otherVersions.entrySet()) {
             Version v = o.getValue();
             if (v.epoch() >= epoch && (head == null || v.comparePosition(head) > 0)) {
-                return o.getKey() + " has version " + v + ", this primary has only "
-                        + (head == null ? "nothing" : head);
+                return o.getKey() + " has version " + v + ", this primary has "
+                        + (head == null ? "none" : "only " + head);
             }
-            Version mine = history.versionAt(v);
-            if (v.epoch() >= epoch && mine != null && !mine.equals(v)) {
-                return o.getKey() + " has another version with the same number: " + v + ", this primary has " + mine;
+            Version own = history.versionAt(v);
+            if (v.epoch() >= epoch && own != null && !own.equals(v)) {
+                return o.getKey() + " has another version with the same number: " + v + ", this primary has " + own;
             }
         }
         return null;
@@ -89,7 +96,7 @@
     }
 
     /**
-     * Decides on a change based on the version with that number, 0 for the first. An accepted change still has to
+     * Decides on a change based on the version with that number, 0 for the first. An accepted change must still
      * be validated and persisted; until then no other change may be decided.
      */
     public Decision decide(long baseNumber, String file, String text, History history) {
@@ -112,7 +119,7 @@
             return Decision.reject(Outcome.SAME, "version " + head.version() + " already has this text");
         }
         long highest = number;
-        for (Version v : others.values()) {
+        for (Version v : otherVersions.values()) {
             highest = Math.max(highest, v.number()); // of a former epoch: numbers are never reused
         }
         return new Decision(
--- a/src/test/java/gullspar/versions/net/VersionsServeTest.java
+++ b/src/test/java/gullspar/versions/net/VersionsServeTest.java
@@ -30,16 +30,16 @@
     private Processes processes;
 
     /** Publishes a change and waits until it is in force at that many followers. */
-    private void publish(String word, long after, int followers) throws Exception {
-        Message.Published p = send(word, after);
+    private void publish(String word, long baseNumber, int followers) throws Exception {
+        Message.Published p = send(word, baseNumber);
         assertEquals(Publisher.Outcome.ACCEPTED, p.outcome(), p.lines().toString());
         processes.awaitInForce("c1", p.head().number(), followers);
     }
 
-    private Message.Published send(String word, long after) throws Exception {
+    private Message.Published send(String word, long baseNumber) throws Exception {
         try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             return c.request(
-                    new Message.Publish(after, "site.toml", Processes.document(word)), Message.Published.class);
+                    new Message.Publish(baseNumber, "site.toml", Processes.document(word)), Message.Published.class);
         }
     }
 
@@ -68,27 +68,27 @@
             Processes.ManagedProcess p2 = t.proxy("p2").start();
             c1.awaitLog("all control processes have reported their versions");
             publish("one", 0, 5);
-            int at1 = Processes.port(p1.awaitLog("listening on"));
-            int at2 = Processes.port(p2.awaitLog("listening on"));
-            awaitResponse(at1, "one");
+            int port1 = Processes.port(p1.awaitLog("listening on"));
+            int port2 = Processes.port(p2.awaitLog("listening on"));
+            awaitResponse(port1, "one");
             for (Processes.ManagedProcess o : new Processes.ManagedProcess[] {c1, c2, p1}) {
                 o.backUp();
             }
 
-            invalidChangeIsRefused(at1);
+            invalidChangeIsRefused(port1);
             foreignProtocolIsDisconnected(c1);
             concurrentChangesAreSerialized();
             t.awaitInForce("c1", 2, 5);
-            String two = Processes.get(at1);
-            assertEquals(two, Processes.get(at2));
+            String two = Processes.get(port1);
+            assertEquals(two, Processes.get(port2));
 
             // Without the primary no changes are accepted, but a newly started proxy gets the newest version.
             c1.kill();
             assertThrows(IOException.class, () -> send("none", 2));
             Processes.ManagedProcess p3 = t.proxy("p3").start();
-            int at3 = Processes.port(p3.awaitLog("listening on"));
-            assertEquals(two, Processes.get(at3));
-            assertEquals(two, Processes.get(at1));
+            int port3 = Processes.port(p3.awaitLog("listening on"));
+            assertEquals(two, Processes.get(port3));
+            assertEquals(two, Processes.get(port1));
 
             // After its disk was restored, the primary queries the others before it accepts a change.
             c1.restoreBackup();
@@ -102,21 +102,21 @@
             c1.awaitLog("all control processes have reported their versions: accepting changes after 1.2");
             assertEquals(Publisher.Outcome.OLDER, send("fork", 1).outcome());
             publish("three", 2, 6);
-            awaitResponse(at1, "three");
-            awaitResponse(at3, "three");
+            awaitResponse(port1, "three");
+            awaitResponse(port3, "three");
 
             // A proxy with a restored disk must not serve the old version while control is reachable.
             p1.kill();
             p1.restoreBackup();
             p1.start();
             assertTrue(p1.awaitLog("on the disk").contains("has 1.1"));
-            at1 = Processes.port(p1.awaitLog("listening on"));
-            assertTrue(Processes.get(at1).endsWith("three"));
+            port1 = Processes.port(p1.awaitLog("listening on"));
+            assertTrue(Processes.get(port1).endsWith("three"));
             startWithoutControl(new Processes.ManagedProcess[] {c1, c2, c3}, p1, p2);
         }
     }
 
-    private void invalidChangeIsRefused(int at) throws Exception {
+    private void invalidChangeIsRefused(int port) throws Exception {
         try (ControlClient c = new ControlClient(processes.at("c1"), 10_000)) {
             Message.Published p = c.request(
                     new Message.Publish(1, "site.toml", Processes.document("wrong") + "odd = 1\n"),
@@ -124,7 +124,7 @@
             assertEquals(Publisher.Outcome.WRONG, p.outcome());
             assertTrue(p.lines().get(0).startsWith("site.toml:8:1: "), p.lines().toString());
         }
-        assertTrue(Processes.get(at).endsWith("one"));
+        assertTrue(Processes.get(port).endsWith("one"));
     }
 
     private void foreignProtocolIsDisconnected(Processes.ManagedProcess control) throws Exception {
@@ -154,22 +154,23 @@
 
     /** No control process is running; the current file of one proxy is truncated, the other's is intact. */
     private void startWithoutControl(
-            Processes.ManagedProcess[] control, Processes.ManagedProcess torn, Processes.ManagedProcess whole)
+            Processes.ManagedProcess[] control, Processes.ManagedProcess damaged, Processes.ManagedProcess intact)
             throws Exception {
         for (Processes.ManagedProcess c : control) {
             c.kill();
         }
-        torn.kill();
-        whole.kill();
-        byte[] current = Files.readAllBytes(torn.folder().resolve("current"));
-        Files.write(torn.folder().resolve("current"), Arrays.copyOf(current, current.length / 2));
-        torn.start();
-        whole.start();
-        torn.awaitLog("the file current is damaged");
-        torn.awaitLog("which may be older than the version that ran here before");
-        int old = Processes.port(torn.awaitLog("listening on"));
+        damaged.kill();
+        intact.kill();
+        byte[] current = Files.readAllBytes(damaged.folder().resolve("current"));
+        Files.write(damaged.folder().resolve("current"), Arrays.copyOf(current, current.length / 2));
+        damaged.start();
+        intact.start();
+        damaged.awaitLog("the file current is damaged");
+        damaged.awaitLog("which may be older than the version that ran here before");
+        int old = Processes.port(damaged.awaitLog("listening on"));
         assertTrue(Processes.get(old).endsWith("one"), "did not serve the previous version");
-        assertTrue(Processes.get(Processes.port(whole.awaitLog("listening on"))).endsWith("three"));
+        assertTrue(
+                Processes.get(Processes.port(intact.awaitLog("listening on"))).endsWith("three"));
         for (Processes.ManagedProcess c : control) {
             c.start();
         }
--- a/src/test/java/gullspar/versions/wire/CodecTest.java
+++ b/src/test/java/gullspar/versions/wire/CodecTest.java
@@ -19,8 +19,8 @@
 
 /** Encoding of messages, and rejection of invalid input. */
 class CodecTest {
-    private final List<Document> all = Chain.of(5, 300);
-    private final History history = Chain.history(all, 10);
+    private final List<Document> documents = Chain.of(5, 300);
+    private final History history = Chain.history(documents, 10);
 
     private List<Message> messages() {
         Message.FollowerState r = new Message.FollowerState("p", false, 1, 5, "disk", 20, "c1");
@@ -28,7 +28,7 @@
                 new Message.Hello("p", Message.Role.CONTROL, null),
                 new Message.Hello("p", Message.Role.PROXY, history.version()),
                 new Message.Head("c1", history.version(), true),
-                new Message.Update(history.version(), all.get(1).version(), history.deltas(), ""),
+                new Message.Update(history.version(), documents.get(1).version(), history.deltas(), ""),
                 new Message.Update(
                         history.version(), null, List.of(), history.head().text()),
                 new Message.SnapshotRequest(),
@@ -42,7 +42,7 @@
 
     @Test
     void messagesRoundTripThroughCodecAndFrames() throws IOException {
-        Frames.Assembler joined = new Frames.Assembler(1 << 20);
+        Frames.Assembler assembler = new Frames.Assembler(1 << 20);
         for (Message m : messages()) {
             assertEquals(m, Codec.decode(Codec.encode(m)));
             Message last = null;
@@ -50,7 +50,7 @@
                 assertNull(last);
                 assertEquals(f.length - 4, ByteBuffer.wrap(f).getInt());
                 assertTrue(f.length - 4 <= Frames.MAX_FRAME_BYTES);
-                last = joined.add(Arrays.copyOfRange(f, 4, f.length));
+                last = assembler.add(Arrays.copyOfRange(f, 4, f.length));
             }
             assertEquals(m, last);
         }
@@ -82,11 +82,11 @@
             byte[] cut = Arrays.copyOf(whole, n);
             assertThrows(IOException.class, () -> Codec.decode(cut));
         }
-        Frames.Assembler joined = new Frames.Assembler(3000);
+        Frames.Assembler assembler = new Frames.Assembler(3000);
         byte[] part = new byte[Frames.MAX_FRAME_BYTES];
         assertThrows(IOException.class, () -> {
-            joined.add(part);
-            joined.add(part);
+            assembler.add(part);
+            assembler.add(part);
         });
         byte[] bomb = ByteBuffer.allocate(50)
                 .put((byte) 1)
