--- a/src/main/java/gullspar/cli/PlatformCommands.java
+++ b/src/main/java/gullspar/cli/PlatformCommands.java
@@ -24,7 +24,7 @@
     public static int serve() {
         return runDaemon(log -> Daemon.run(
                 System.getenv(),
-                log::drainAtEnd,
+                log::drainAtExit,
                 Policy::new,
                 (file, name, platform, load) -> Membership.start(file, OperatorsFile::read, name, platform, load)));
     }
@@ -83,7 +83,7 @@
         } catch (ConfigException | IOException e) {
             return reportFailure(e.getMessage());
         } finally {
-            log.drainAtEnd();
+            log.drainAtExit();
         }
     }
 
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -46,7 +46,7 @@
 
     private ScheduledFuture<?> backstopTimer;
     private int openAttempts;
-    private boolean finished;
+    private boolean isFinished;
 
     Exchange(
             Exchanges exchanges,
@@ -81,7 +81,7 @@
 
     /** The last byte of the request was received. */
     void onRequestComplete(long completedAtNs) {
-        if (finished || backstopTimer != null) {
+        if (isFinished || backstopTimer != null) {
             return;
         }
         deadlineNs = exchanges.capDeadline(completedAtNs + timeoutNs) - marginNs;
@@ -96,7 +96,7 @@
 
     /** Limits the deadline, even if the client would wait longer. */
     void capDeadline(long limitNs) {
-        if (finished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
+        if (isFinished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
             return;
         }
         deadlineNs = limitNs - marginNs;
@@ -115,14 +115,14 @@
 
     /** The request has finished and has no open attempt. */
     boolean canForget() {
-        return finished && openAttempts == 0;
+        return isFinished && openAttempts == 0;
     }
 
     // ---- events of the request ----
 
     /** Responds to the client if the module has not ended the request in time. */
     private void onBackstop() {
-        if (!finished) {
+        if (!isFinished) {
             exchanges.platform.log().write("module did not end the request in time, responding 504: ticket " + ticket);
             respond(504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
             withdraw();
@@ -147,13 +147,13 @@
 
     private void onAttemptEnded(
             int attemptNumber, int server, long startedAtNs, Status status, Report report, BackendResponse response) {
-        if (status == Status.OK && finished && response.rest() != null) {
+        if (status == Status.OK && isFinished && response.rest() != null) {
             response.rest().drop();
-        } else if (status == Status.OK && !finished && response.rest() != null) {
+        } else if (status == Status.OK && !isFinished && response.rest() != null) {
             streamResponse(response);
-        } else if (status == Status.OK && !finished) {
+        } else if (status == Status.OK && !isFinished) {
             respond(200, response.head().headers(), response.body());
-        } else if (response != null && !finished) {
+        } else if (response != null && !isFinished) {
             respond(
                     response.head().status().code(),
                     null,
@@ -162,21 +162,21 @@
         long elapsedNs = exchanges.platform.clock().now() - startedAtNs;
         enqueue((now, module) -> {
             openAttempts--;
-            module.onOutcome(now, new Outcome(ticket, attemptNumber, server, status, elapsedNs, finished, report));
+            module.onOutcome(now, new Outcome(ticket, attemptNumber, server, status, elapsedNs, isFinished, report));
             exchanges.forgetIfComplete(this);
         });
     }
 
     private void respond(int status, HttpHeaders headers, byte[] body) {
         finish();
-        exchanges.figures.countEnded(requestClass.index(), status);
+        exchanges.counters.countEnded(requestClass.index(), status);
         client.respond(status, headers, body);
     }
 
     /** Streams the response to the client as it is received; it is counted once it has ended. */
     private void streamResponse(BackendResponse response) {
         finish();
-        exchanges.streaming(true);
+        exchanges.countStreaming(true);
         // A response that has not ended by the client's timeout has failed.
         ScheduledFuture<?> timeout = exchanges
                 .platform
@@ -185,15 +185,15 @@
                         client::abort,
                         Math.max(0, timeLeftNs(exchanges.platform.clock().now()) + marginNs),
                         TimeUnit.NANOSECONDS);
-        client.respond(response.head(), response.body(), response.rest(), whole -> {
+        client.respond(response.head(), response.body(), response.rest(), isComplete -> {
             timeout.cancel(false);
-            exchanges.streaming(false);
-            exchanges.figures.countEnded(requestClass.index(), whole ? 200 : 502);
+            exchanges.countStreaming(false);
+            exchanges.counters.countEnded(requestClass.index(), isComplete ? 200 : 502);
         });
     }
 
     private void finish() {
-        finished = true;
+        isFinished = true;
         if (backstopTimer != null) {
             backstopTimer.cancel(false);
         }
@@ -203,12 +203,12 @@
 
     // ---- actions of the module ----
 
-    void send(int server, long timeoutNs, long withinNs) {
+    void send(int server, long timeoutNs, long sendWithinNs) {
         long nowNs = exchanges.platform.clock().now();
         long remainingNs = timeLeftNs(nowNs);
         int attemptNumber = attempts.size();
         openAttempts++;
-        if (finished || remainingNs <= 0 || attemptNumber >= requestClass.maxAttempts() || !message.isSendable()) {
+        if (isFinished || remainingNs <= 0 || attemptNumber >= requestClass.maxAttempts() || !message.isSendable()) {
             attempts.add(null);
             onAttemptEnded(attemptNumber, server, nowNs, Status.MOOT, null, null);
             return;
@@ -217,31 +217,31 @@
                 server,
                 message,
                 timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs),
-                withinNs,
+                sendWithinNs,
                 requestClass.profile().effect() == Effect.IDEMPOTENT,
                 new Attempt.Listener() {
                     @Override
-                    public void onEnd(Attempt a, Status status, Report report, BackendResponse answer) {
-                        Exchange.this.onAttemptEnded(attemptNumber, server, a.startedAtNs(), status, report, answer);
+                    public void onEnd(Attempt a, Status status, Report report, BackendResponse response) {
+                        Exchange.this.onAttemptEnded(attemptNumber, server, a.startedAtNs(), status, report, response);
                     }
 
                     @Override
                     public boolean isNeeded() {
-                        return Exchange.this.isWanted();
+                        return Exchange.this.checkNeeded();
                     }
                 }));
     }
 
     /** Checks the connection, so that a client that has just disconnected is noticed before an attempt is sent. */
-    private boolean isWanted() {
-        if (!finished && !client.readAndCheckConnected() && !finished) {
+    private boolean checkNeeded() {
+        if (!isFinished && !client.readAndCheckConnected() && !isFinished) {
             onClientDisconnected();
         }
-        return !finished;
+        return !isFinished;
     }
 
     void refuse(long retryInNs) {
-        if (!finished) {
+        if (!isFinished) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (retryInNs > 0) {
                 headers.set("Retry-After", Message.formatSeconds(retryInNs));
@@ -252,7 +252,7 @@
     }
 
     void fail() {
-        if (!finished) {
+        if (!isFinished) {
             respond(502, null, "failed\n".getBytes(StandardCharsets.UTF_8));
             exchanges.forgetIfComplete(this);
         }
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -19,21 +19,21 @@
     final Platform platform;
     final Events events;
     final Backends backends;
-    final RequestCounters figures;
+    final RequestCounters counters;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
     /** Requests without a final response; never iterated over. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
 
     private int lastTicket;
-    private int streaming;
+    private int streamingCount;
     /** Time by which all requests are answered, whatever timeout their clients gave. */
     private long latestResponseNs = Long.MAX_VALUE;
 
-    Exchanges(Platform platform, Events events, Backends backends, RequestCounters figures) {
+    Exchanges(Platform platform, Events events, Backends backends, RequestCounters counters) {
         this.platform = platform;
         this.events = events;
         this.backends = backends;
-        this.figures = figures;
+        this.counters = counters;
     }
 
     @Override
@@ -65,7 +65,7 @@
     /** Limits the deadline of all open and future requests. */
     void capDeadlines(long limitNs) {
         latestResponseNs = limitNs;
-        byTicket.values().forEach(x -> x.capDeadline(limitNs));
+        byTicket.values().forEach(exchange -> exchange.capDeadline(limitNs));
     }
 
     /** Returns the deadline, or the common limit if that is earlier. */
@@ -75,12 +75,12 @@
 
     /** Number of requests whose response has not been sent, or not completely. */
     int openRequests() {
-        return byClient.size() + streaming;
+        return byClient.size() + streamingCount;
     }
 
     /** Counts a streamed response that starts or ends. */
-    void streaming(boolean isStart) {
-        streaming += isStart ? 1 : -1;
+    void countStreaming(boolean isStart) {
+        streamingCount += isStart ? 1 : -1;
     }
 
     /** The request has its final response, or its client has disconnected. */
@@ -97,10 +97,10 @@
     // ---- actions of the module, by ticket ----
 
     /** withinNs: time within which the attempt has to be sent, or is dropped. */
-    void send(int ticket, int server, long timeoutNs, long withinNs) {
+    void send(int ticket, int server, long timeoutNs, long sendWithinNs) {
         Exchange exchange = byTicket.get(ticket);
         if (exchange != null) {
-            exchange.send(server, timeoutNs, withinNs);
+            exchange.send(server, timeoutNs, sendWithinNs);
             return;
         }
         platform.log().write("attempt dropped: ticket " + ticket + " is unknown or finished");
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -56,7 +56,7 @@
 
     private final Platform platform;
     private final Config config;
-    private final DescriptorLimits sockets;
+    private final DescriptorLimits descriptors;
     private final Events events;
     private final Frontend frontend;
     private final Backends backends;
@@ -65,7 +65,7 @@
     private final Balancer module;
     private final CompletableFuture<Void> drainCompleted = new CompletableFuture<>();
     private final Classes classes;
-    private final RequestCounters figures = new RequestCounters();
+    private final RequestCounters counters = new RequestCounters();
     private boolean listReceived;
     /** The list from the configuration, null if there is none, and whether the module has received it. */
     private ListUpdate knownList;
@@ -74,7 +74,7 @@
     /** Whether clients may be accepted; before that only the backend list is received. */
     private boolean open;
 
-    private boolean draining;
+    private boolean isDraining;
     private ChannelFuture listenFuture;
 
     /** Call on the event loop. */
@@ -96,13 +96,13 @@
             long unreadTimeoutNs) {
         this.config = config;
         this.platform = platform;
-        this.sockets = new DescriptorLimits(config.sockets());
+        this.descriptors = new DescriptorLimits(config.sockets());
         this.events = new Events(platform);
-        this.backends = new Backends(platform, sockets.backends, config);
+        this.backends = new Backends(platform, descriptors.backends, config);
         this.classes = new Classes(config);
-        this.exchanges = new Exchanges(platform, events, backends, figures);
+        this.exchanges = new Exchanges(platform, events, backends, counters);
         this.frontend = new Frontend(
-                platform, config, classes, sockets.clients, exchanges, () -> listReceived, unreadTimeoutNs);
+                platform, config, classes, descriptors.clients, exchanges, () -> listReceived, unreadTimeoutNs);
         this.discovery = new Discovery(platform, Discovery.source(config), this, timeouts);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
@@ -139,7 +139,7 @@
 
     /** Accepts clients from now on or, with an inherited listener, once there is a list. Call on the event loop. */
     public void open() {
-        if (draining) {
+        if (isDraining) {
             return;
         }
         open = true;
@@ -166,9 +166,9 @@
         if (listenFuture == null) {
             return this; // listens once there is a list; until then the previous process serves
         }
-        AtomicReference<ChannelFuture> nextAttempt = new AtomicReference<>(listenFuture);
+        AtomicReference<ChannelFuture> initialBind = new AtomicReference<>(listenFuture);
         ChannelFuture bindFuture = ListenRetry.listen(() -> {
-            ChannelFuture initial = nextAttempt.getAndSet(null);
+            ChannelFuture initial = initialBind.getAndSet(null);
             return initial != null
                     ? initial
                     : platform.loop()
@@ -212,7 +212,7 @@
                     .write("no list from discovery within " + DISCOVERY_WAIT_MS
                             + " ms: serving with the known list of the configuration");
             applyKnownList();
-            listReceived();
+            onListReceived();
         }
     }
 
@@ -248,41 +248,41 @@
         List<Profile> profiles = classes.update(config);
         events.backendUpdate((now, m) -> m.onProfiles(profiles));
         discovery.changeAddress(config.discovery());
-        figures.countReload(true);
+        counters.countReload(true);
     }
 
     /** Records that a configuration was rejected. Call on the event loop. */
     public void onConfigurationRejected(String reason) {
         platform.log().write("the new configuration is not used: " + reason);
-        figures.countReload(false);
+        counters.countReload(false);
     }
 
     // ---- operators' requests ----
 
     @Override
     public boolean isReady() {
-        return listReceived && !draining && listenFuture != null && listenFuture.isSuccess();
+        return listReceived && !isDraining && listenFuture != null && listenFuture.isSuccess();
     }
 
     @Override
     public String statusJson() {
         return new StatusReport(
                         classes.names(),
-                        figures,
+                        counters,
                         backends.writtenCount(),
                         exchanges.openRequests(),
                         backends.listedCount(),
                         module.avoidedServers(),
                         platform.statistics(),
-                        new StatusReport.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
+                        new StatusReport.Descriptors(descriptors.clients.openCount(), descriptors.backends.openCount()))
                 .json();
     }
 
     /** Request counts so far, for the auxiliary service. Call on the event loop. */
     public AuxiliaryService.Load load() {
-        long refused = figures.sum(RequestCounters::rejected);
+        long refused = counters.sum(RequestCounters::rejected);
         return new AuxiliaryService.Load(
-                refused + figures.sum(RequestCounters::completed) + figures.sum(RequestCounters::failed),
+                refused + counters.sum(RequestCounters::completed) + counters.sum(RequestCounters::failed),
                 refused,
                 exchanges.openRequests());
     }
@@ -291,7 +291,7 @@
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
             platform.log().write("draining");
-            draining = true;
+            isDraining = true;
             frontend.drain();
             long timeToKillMs =
                     Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.maxDeadlineNs())) + KILL_SLACK_MS;
@@ -369,11 +369,11 @@
     public void onUpdate(ListUpdate update) {
         applyKnownList(); // deltas are relative to it
         apply(update);
-        listReceived();
+        onListReceived();
     }
 
     /** A list was received that the proxy can serve with. */
-    private void listReceived() {
+    private void onListReceived() {
         if (!listReceived) {
             listReceived = true;
             listenIfReady();
@@ -400,7 +400,7 @@
                 now,
                 update.kind(),
                 update.version(),
-                update.list().stream().map(ListedBackend::member).toList()));
+                update.list().stream().map(ListedBackend::server).toList()));
     }
 
     @Override
@@ -416,8 +416,8 @@
     }
 
     @Override
-    public void send(int ticket, int server, long timeoutNs, long withinNs) {
-        exchanges.send(ticket, server, timeoutNs, withinNs);
+    public void send(int ticket, int server, long timeoutNs, long sendWithinNs) {
+        exchanges.send(ticket, server, timeoutNs, sendWithinNs);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -121,7 +121,7 @@
         Path folder = null;
         try {
             folder = Files.createTempDirectory("warm");
-            return play(config, factory, requests, limitMs, Endpoints.domainSockets(folder));
+            return runWith(config, factory, requests, limitMs, Endpoints.domainSockets(folder));
         } catch (IOException e) {
             return runInProcess(config, factory, requests, limitMs);
         } finally {
@@ -132,7 +132,7 @@
     /** The same with in-process channels. */
     static int runInProcess(Config config, Balancer.Factory factory, int requests, long limitMs) {
         try {
-            return play(config, factory, requests, limitMs, Endpoints.inProcess());
+            return runWith(config, factory, requests, limitMs, Endpoints.inProcess());
         } catch (IOException e) {
             LOG.write("warm-up failed, serving without it: " + e);
             return 0;
@@ -140,7 +140,7 @@
     }
 
     /** Throws an IOException if these endpoints cannot be used. */
-    private static int play(Config config, Balancer.Factory factory, int requests, long limitMs, Endpoints endpoints)
+    private static int runWith(Config config, Balancer.Factory factory, int requests, long limitMs, Endpoints endpoints)
             throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, endpoints.io);
         EventLoop loop = group.next();
@@ -293,7 +293,7 @@
      * A client or backend of the proxy. It writes preformatted messages and only checks the ends of what it
      * reads: a codec in each would cost as much to run, and to compile, as the proxy being warmed up.
      */
-    private abstract static class RawPeer extends SimpleChannelInboundHandler<ByteBuf> {
+    private abstract static class RawHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private int firstByte = -1;
 
         @Override
@@ -319,7 +319,7 @@
     }
 
     /** Sends a request, waits for the response, and repeats. */
-    private final class WarmupClient extends RawPeer {
+    private final class WarmupClient extends RawHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             sendRequest(ctx);
@@ -337,7 +337,7 @@
     }
 
     /** Responds at once, with an error for one request in ERROR_INTERVAL. */
-    private final class WarmupBackend extends RawPeer {
+    private final class WarmupBackend extends RawHandler {
         private final String body = body(RESPONSE_BYTES);
 
         @Override
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -38,7 +38,7 @@
     private Connection connection;
     private ScheduledFuture<?> timer;
     /** Its last byte was written: from now on it may have run. */
-    private boolean written;
+    private boolean isWritten;
 
     private final long timeoutNs;
     /** Start of its time-out. */
@@ -46,7 +46,7 @@
     /** It is not sent after this time. */
     private final long sendByNs;
 
-    private boolean sent;
+    private boolean isSent;
     private boolean isAbandoned;
     private boolean hasEnded;
 
@@ -58,7 +58,7 @@
             long timeoutNs,
             long sendWithinNs,
             Listener listener,
-            Runnable whenWritten) {
+            Runnable onWritten) {
         this.backend = backend;
         this.request = request;
         this.loop = loop;
@@ -68,7 +68,7 @@
         this.deadlineNs = startedAtNs + timeoutNs;
         this.sendByNs = sendWithinNs == Long.MAX_VALUE ? sendWithinNs : startedAtNs + sendWithinNs;
         this.listener = listener;
-        this.onWritten = whenWritten;
+        this.onWritten = onWritten;
     }
 
     Backend backend() {
@@ -121,8 +121,8 @@
         connection = c;
     }
 
-    void written() {
-        written = true;
+    void markWritten() {
+        isWritten = true;
         onWritten.run();
         if (request.bodyStream() != null && !hasEnded) {
             startedAtNs = clock.now();
@@ -131,16 +131,16 @@
     }
 
     /** All of the request was handed to the channel. */
-    void sent() {
-        sent = true;
+    void markSent() {
+        isSent = true;
     }
 
     boolean isSent() {
-        return sent;
+        return isSent;
     }
 
     boolean isWritten() {
-        return written;
+        return isWritten;
     }
 
     /**
@@ -153,7 +153,7 @@
     }
 
     private void onTimeout() {
-        giveUp(written ? Status.TIMEOUT : Status.CONNECT_FAILED);
+        giveUp(isWritten ? Status.TIMEOUT : Status.CONNECT_FAILED);
     }
 
     private void giveUp(Status status) {
@@ -166,7 +166,7 @@
     }
 
     void onConnectionLost() {
-        end(written ? Status.RESET : Status.CONNECT_FAILED, null, null);
+        end(isWritten ? Status.RESET : Status.CONNECT_FAILED, null, null);
     }
 
     void end(Status status, Report report, BackendResponse response) {
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -38,7 +38,7 @@
     private final EventLoop loop;
     private final Transport transport;
     private final Clock clock;
-    private final DescriptorLimits.Share sockets;
+    private final DescriptorLimits.Share descriptors;
     private final long connectTimeoutNs;
     private final long keepAliveNs;
     private final long drainGraceNs;
@@ -49,7 +49,7 @@
         this.transport = platform.transport();
         this.loop = platform.loop();
         this.clock = platform.clock();
-        this.sockets = sockets;
+        this.descriptors = sockets;
         sockets.onFull(this::closeOneIdle);
         this.connectTimeoutNs = config.connectTimeoutNs();
         this.keepAliveNs = Math.max(config.keepAliveNs() / 2, config.keepAliveNs() - KEEP_ALIVE_MARGIN_NS);
@@ -63,25 +63,25 @@
         long nowNs = clock.now();
         if (listUpdate.kind() != ListKind.DELTA) {
             Map<Integer, Backend> missing = new HashMap<>(backends);
-            listUpdate.list().forEach(l -> missing.remove(l.member().id()));
-            missing.values().forEach(b -> b.markLeft(nowNs));
+            listUpdate.list().forEach(listed -> missing.remove(listed.server().id()));
+            missing.values().forEach(backend -> backend.markLeft(nowNs));
             backends.keySet().removeAll(missing.keySet());
         }
-        for (ListedBackend l : listUpdate.list()) {
-            Backend b = backends.computeIfAbsent(l.member().id(), id -> new Backend());
-            boolean hasMoved = l.address() != null && !l.address().equals(b.address);
-            if (hasMoved || l.member().startedAtNs() > b.bootNs) {
-                b.closeIdleConnections(); // they lead to a process that has ended
+        for (ListedBackend listed : listUpdate.list()) {
+            Backend backend = backends.computeIfAbsent(listed.server().id(), id -> new Backend());
+            boolean hasMoved = listed.address() != null && !listed.address().equals(backend.address);
+            if (hasMoved || listed.server().startedAtNs() > backend.bootNs) {
+                backend.closeIdleConnections(); // they lead to a process that has ended
             }
-            b.address = hasMoved ? l.address() : b.address;
-            b.bootNs = l.member().startedAtNs();
-            if (l.member().state() == State.READY) {
-                b.leftAtNs = 0;
+            backend.address = hasMoved ? listed.address() : backend.address;
+            backend.bootNs = listed.server().startedAtNs();
+            if (listed.server().state() == State.READY) {
+                backend.leftAtNs = 0;
             } else {
-                b.markLeft(nowNs);
+                backend.markLeft(nowNs);
             }
-            if (l.member().state() == State.GONE) {
-                backends.remove(l.member().id());
+            if (listed.server().state() == State.GONE) {
+                backends.remove(listed.server().id());
             }
         }
     }
@@ -99,21 +99,21 @@
     // ---- idle connections ----
 
     public void closeIdleConnections(int id) {
-        Backend b = backends.get(id);
-        if (b != null) {
-            b.closeIdleConnections();
+        Backend backend = backends.get(id);
+        if (backend != null) {
+            backend.closeIdleConnections();
         }
     }
 
     /** Closes the connection that has been idle longest; false if there is none. */
     private boolean closeOneIdle() {
         Backend oldest = null;
-        for (Backend b : backends.values()) {
-            if (!b.idle.isEmpty()
+        for (Backend backend : backends.values()) {
+            if (!backend.idle.isEmpty()
                     && (oldest == null
-                            || b.idle.peekFirst().idleSinceNs()
+                            || backend.idle.peekFirst().idleSinceNs()
                                     < oldest.idle.peekFirst().idleSinceNs())) {
-                oldest = b;
+                oldest = backend;
             }
         }
         if (oldest == null) {
@@ -124,9 +124,9 @@
     }
 
     private void closeExpired() {
-        for (Backend b : backends.values()) {
-            while (!b.idle.isEmpty() && !isFresh(b.idle.peekFirst())) {
-                b.idle.pollFirst().close();
+        for (Backend backend : backends.values()) {
+            while (!backend.idle.isEmpty() && !isFresh(backend.idle.peekFirst())) {
+                backend.idle.pollFirst().close();
             }
         }
     }
@@ -140,14 +140,15 @@
      * or surplus bytes, have been seen by then. For a request that may not be repeated, the most recently used: a
      * backend that closes idle connections early closes that one last.
      */
-    private Connection takeIdle(Backend b, boolean isRepeatable) {
+    private Connection takeIdle(Backend backend, boolean isRepeatable) {
         // Not left to the timer: after a standstill this would write to what the backend is about to close.
-        while (!b.idle.isEmpty()
-                && !(isFresh(b.idle.peekFirst()) && b.idle.peekFirst().isActive())) {
-            b.idle.pollFirst().close();
+        while (!backend.idle.isEmpty()
+                && !(isFresh(backend.idle.peekFirst())
+                        && backend.idle.peekFirst().isActive())) {
+            backend.idle.pollFirst().close();
         }
-        Connection found = b.idle.size() < MAX_SETTLING_CONNECTIONS ? null : b.idle.peekFirst();
-        for (Connection c : b.idle) {
+        Connection found = backend.idle.size() < MAX_SETTLING_CONNECTIONS ? null : backend.idle.peekFirst();
+        for (Connection c : backend.idle) {
             if (clock.now() - c.idleSinceNs() < REUSE_DELAY_NS) {
                 break; // the following ones are more recent
             }
@@ -155,7 +156,7 @@
                 found = c;
             }
         }
-        b.idle.remove(found);
+        backend.idle.remove(found);
         return found;
     }
 
@@ -172,57 +173,57 @@
             long sendWithinNs,
             boolean isRepeatable,
             Attempt.Listener listener) {
-        Attempt a = new Attempt(
+        Attempt attempt = new Attempt(
                 backends.get(server), request, loop, clock, timeoutNs, sendWithinNs, listener, () -> writtenCount++);
-        if (a.backend() == null || !a.checkNeeded()) {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // the backend or the client has gone
-            return a;
+        if (attempt.backend() == null || !attempt.checkNeeded()) {
+            loop.execute(() -> attempt.end(Status.MOOT, null, null)); // the backend or the client has gone
+            return attempt;
         }
         if (request.bodyStream() == null) {
-            a.startTimer();
+            attempt.startTimer();
         }
-        Connection idle = takeIdle(a.backend(), isRepeatable);
+        Connection idle = takeIdle(attempt.backend(), isRepeatable);
         if (idle != null) {
-            idle.start(a);
-        } else if (sockets.tryAcquire()) {
-            connect(a);
+            idle.start(attempt);
+        } else if (descriptors.tryAcquire()) {
+            connect(attempt);
         } else {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // not the backend's fault
+            loop.execute(() -> attempt.end(Status.MOOT, null, null)); // not the backend's fault
         }
-        return a;
+        return attempt;
     }
 
-    private void connect(Attempt a) {
-        Connection c = new Connection(a.backend(), loop, clock, drainGraceNs);
+    private void connect(Attempt attempt) {
+        Connection connection = new Connection(attempt.backend(), loop, clock, drainGraceNs);
         Bootstrap bootstrap = transport
-                .clientBootstrap(a.backend().address)
+                .clientBootstrap(attempt.backend().address)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNs / 1_000_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        c.initPipeline(channel);
+                        connection.initPipeline(channel);
                     }
                 });
         ConnectOperation operation = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
             /** Runs after the reads of this turn, so that a client's disconnect or a drain takes effect first. */
             @Override
             public void onConnected() {
-                a.checkNeeded();
-                c.start(a);
+                attempt.checkNeeded();
+                connection.start(attempt);
             }
 
             @Override
             public void onFailed(ConnectOperation.Failure failure) {
                 // A shortage on this machine is not the backend's fault.
-                a.end(failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED, null, null);
+                attempt.end(failure.isLocal() ? Status.MOOT : Status.CONNECT_FAILED, null, null);
             }
 
             @Override
             public void onReleased() {
-                sockets.release();
+                descriptors.release();
             }
         });
-        c.setChannel(operation.channel());
-        a.setConnection(c);
+        connection.setChannel(operation.channel());
+        attempt.setConnection(connection);
     }
 }
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -94,21 +94,21 @@
         return idleSinceNs;
     }
 
-    void start(Attempt a) {
-        a.setConnection(this);
+    void start(Attempt newAttempt) {
+        newAttempt.setConnection(this);
         // While connecting, the backend may have been reported as draining or gone, the request may have been
         // abandoned, the window in which its repeats are dropped may have ended, and the backend may have closed
         // the connection.
-        if (backend.leftAtNs != 0 && clock.now() - backend.leftAtNs > drainGraceNs || !a.canStart()) {
+        if (backend.leftAtNs != 0 && clock.now() - backend.leftAtNs > drainGraceNs || !newAttempt.canStart()) {
             channel.close();
-            loop.execute(() -> a.end(Status.MOOT, null, null));
+            loop.execute(() -> newAttempt.end(Status.MOOT, null, null));
             return;
         }
         if (!channel.isActive()) {
-            loop.execute(() -> a.end(Status.CONNECT_FAILED, null, null));
+            loop.execute(() -> newAttempt.end(Status.CONNECT_FAILED, null, null));
             return;
         }
-        attempt = a;
+        attempt = newAttempt;
         head = null;
         interimCount = 0;
         isResponseComplete = false;
@@ -117,21 +117,22 @@
         streamedBytes = 0;
         body = Unpooled.buffer(512, Message.MAX_BUFFERED_RESPONSE_BYTES);
         decoder.expectResponse();
-        BodyStream upload = a.request().bodyStream();
+        BodyStream upload = newAttempt.request().bodyStream();
         if (upload == null) {
-            channel.writeAndFlush(a.toHttpRequest(), writePromise(a));
+            channel.writeAndFlush(newAttempt.toHttpRequest(), writePromise(newAttempt));
             return;
         }
         uploadProgressNs = clock.now();
         uploadWriter.writeFirst(() -> {
-            channel.write(a.toHttpRequest());
-            channel.writeAndFlush(new DefaultHttpContent(a.request().body().bytes()));
+            channel.write(newAttempt.toHttpRequest());
+            channel.writeAndFlush(
+                    new DefaultHttpContent(newAttempt.request().body().bytes()));
         });
         stallCheck = loop.scheduleWithFixedDelay(
                 () -> {
-                    if ((a.isSent() || !channel.isWritable())
+                    if ((newAttempt.isSent() || !channel.isWritable())
                             && clock.now() - uploadProgressNs > UPLOAD_STALL_TIMEOUT_NS) {
-                        a.failUnread();
+                        newAttempt.failUnread();
                     }
                 },
                 UPLOAD_STALL_TIMEOUT_NS / 4,
@@ -142,17 +143,17 @@
     }
 
     /** Adds its listener before the write: within one process a response may arrive during the write. */
-    private ChannelPromise writePromise(Attempt a) {
-        return channel.newPromise().addListener(f -> onWriteComplete(a, f.isSuccess()));
+    private ChannelPromise writePromise(Attempt writtenAttempt) {
+        return channel.newPromise().addListener(f -> onWriteComplete(writtenAttempt, f.isSuccess()));
     }
 
-    private void onWriteComplete(Attempt a, boolean success) {
+    private void onWriteComplete(Attempt writtenAttempt, boolean success) {
         if (stallCheck != null) {
             stallCheck.cancel(false);
         }
         if (success) {
-            a.written();
-        } else if (attempt == a) {
+            writtenAttempt.markWritten();
+        } else if (attempt == writtenAttempt) {
             fail(); // failed before its last byte was written: it never ran
         } else {
             channel.close();
@@ -161,16 +162,17 @@
 
     /** Writes the received part of the request, as far as the backend accepts it. */
     private void continueUpload() {
-        Attempt a = attempt;
-        BodyStream upload = a == null ? null : a.request().bodyStream();
+        Attempt current = attempt;
+        BodyStream upload = current == null ? null : current.request().bodyStream();
         if (upload == null
-                || a.isSent()
-                || !uploadWriter.write(channel, upload, () -> attempt == a, () -> uploadProgressNs = clock.now())) {
+                || current.isSent()
+                || !uploadWriter.write(
+                        channel, upload, () -> attempt == current, () -> uploadProgressNs = clock.now())) {
             return;
         }
-        if (attempt == a && upload.isFullyRead()) {
-            a.sent();
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, writePromise(a));
+        if (attempt == current && upload.isFullyRead()) {
+            current.markSent();
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, writePromise(current));
         }
     }
 
@@ -235,8 +237,8 @@
 
     /** Ends the attempt with a response too large to be buffered, and streams the rest of it. */
     private boolean startStreaming() {
-        Attempt a = attempt;
-        if (ResponseHeads.statusOf(head) != Status.OK || !a.isWritten()) {
+        Attempt endedAttempt = attempt;
+        if (ResponseHeads.statusOf(head) != Status.OK || !endedAttempt.isWritten()) {
             fail(); // neither failures nor responses before the end of the request are streamed
             return false;
         }
@@ -245,7 +247,7 @@
         streamedBytes = body.readableBytes();
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
-        a.end(
+        endedAttempt.end(
                 Status.OK,
                 LoadReport.lastValid(head.headers().getAll("Server-Load")),
                 new BackendResponse(head, bytes, rest));
@@ -272,8 +274,8 @@
      * else may be the rest of a body whose declared length is too short: that response is not served.
      */
     @Override
-    public void onTrailingBytes(boolean again) {
-        if (!hasTrailingBytes && !again) {
+    public void onTrailingBytes(boolean startsResponse) {
+        if (!hasTrailingBytes && !startsResponse) {
             fail();
         }
         hasTrailingBytes = true;
@@ -314,9 +316,9 @@
     }
 
     private void finishBuffered() {
-        Attempt a = attempt;
+        Attempt endedAttempt = attempt;
         Status status = ResponseHeads.statusOf(head);
-        if (status == Status.OK && !a.isWritten()) {
+        if (status == Status.OK && !endedAttempt.isWritten()) {
             fail(); // a response before the end of the request cannot belong to it
             return;
         }
@@ -324,8 +326,8 @@
         body.readBytes(bytes);
         attempt = null;
         decoder.expectNothing();
-        keepOrClose(a.isWritten());
-        a.end(
+        keepOrClose(endedAttempt.isWritten());
+        endedAttempt.end(
                 status,
                 LoadReport.lastValid(head.headers().getAll("Server-Load")),
                 status == Status.OK || status == Status.MOOT ? new BackendResponse(head, bytes, null) : null);
@@ -336,15 +338,15 @@
      * complete a response that was found invalid.
      */
     private void fail() {
-        Attempt a = attempt;
+        Attempt failedAttempt = attempt;
         attempt = null;
         decoder.expectNothing();
         backend.idle.remove(this);
         if (stallCheck != null) {
             stallCheck.cancel(false);
         }
-        if (a != null) {
-            a.onConnectionLost();
+        if (failedAttempt != null) {
+            failedAttempt.onConnectionLost();
         }
         if (rest != null) {
             BodyStream truncated = rest;
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -89,8 +89,8 @@
         }
         // Terminated instances release their number; otherwise the maps would grow forever with new ids.
         for (ListedBackend backend : list) {
-            if (backend.member().state() == State.GONE) {
-                String id = idsByNumber.remove(backend.member().id());
+            if (backend.server().state() == State.GONE) {
+                String id = idsByNumber.remove(backend.server().id());
                 numbersById.remove(id);
                 startTimes.remove(id);
             }
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -250,7 +250,7 @@
         }
     }
 
-    private boolean isCatchUpOver() {
+    private boolean hasCatchUpTimePassed() {
         return behindSinceNs != 0
                 && platform.clock().now() - behindSinceNs >= TimeUnit.MILLISECONDS.toNanos(timeouts.catchUpMs());
     }
@@ -276,7 +276,7 @@
                             c.pipeline().addLast(new HttpClientCodec(), Watch.this);
                         }
                     });
-            deadline(listOnRequest ? timeouts.firstListMs() : timeouts.silenceMs());
+            restartDeadline(listOnRequest ? timeouts.firstListMs() : timeouts.silenceMs());
             connectOperation = ConnectOperation.start(bootstrap, loop, new ConnectOperation.Listener() {
                 @Override
                 public void onFailed(ConnectOperation.Failure failure) {
@@ -295,7 +295,7 @@
         }
 
         /** Restarts the deadline after which a silent watch is closed: after a network failure it would stay open. */
-        private void deadline(long ms) {
+        private void restartDeadline(long ms) {
             if (deadline != null) {
                 deadline.cancel(false);
             }
@@ -311,7 +311,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             // An address that has restarted its versions does not know the last version.
-            String indexParameter = version < 0 || isCatchUpOver() ? "" : "&index=" + version;
+            String indexParameter = version < 0 || hasCatchUpTimePassed() ? "" : "&index=" + version;
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?stream=1" + indexParameter);
             request.headers()
@@ -379,7 +379,7 @@
 
         /** Data was received on a working watch; at the current address this makes all others obsolete. */
         private void onActivity() {
-            deadline(timeouts.silenceMs());
+            restartDeadline(timeouts.silenceMs());
             if (current != this && watchedAddress.equals(address)) {
                 current = this;
                 backoffMs = INITIAL_BACKOFF_MS;
@@ -394,7 +394,7 @@
                 if (!watchedAddress.equals(address)) {
                     return; // the current address has newer lists
                 }
-                if (!isCatchUpOver() || !Catalog.isFull(list)) {
+                if (!hasCatchUpTimePassed() || !Catalog.isFull(list)) {
                     behindSinceNs = behindSinceNs == 0 ? platform.clock().now() : behindSinceNs;
                     throw new IllegalArgumentException(
                             "generation " + generation + " is lower than the last one, " + version);
--- a/src/main/java/gullspar/proxy/io/DescriptorLimits.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -17,8 +17,8 @@
         private int openCount;
         private BooleanSupplier closeOneIdle = () -> false;
 
-        private Share(int most) {
-            this.limit = Math.max(1, most);
+        private Share(int limit) {
+            this.limit = Math.max(1, limit);
         }
 
         /** Sets what closes an idle connection when all descriptors are in use; it returns true if there was one. */
--- a/src/main/java/gullspar/proxy/io/InheritedTransport.java
+++ b/src/main/java/gullspar/proxy/io/InheritedTransport.java
@@ -48,12 +48,12 @@
 
     /** Ignores the address: the inherited socket is already bound by the platform. */
     @Override
-    public ChannelFuture listen(InetSocketAddress address, ChannelHandler children) {
+    public ChannelFuture listen(InetSocketAddress address, ChannelHandler childHandler) {
         return new ServerBootstrap()
                 .group(loop)
                 .channelFactory(() -> new SharedListener(listener))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(children)
+                .childHandler(childHandler)
                 .register();
     }
 
--- a/src/main/java/gullspar/proxy/io/LoopStatistics.java
+++ b/src/main/java/gullspar/proxy/io/LoopStatistics.java
@@ -23,7 +23,7 @@
     }
 
     /** Records ready clients that were left for the next turn. */
-    void postponed(int clients) {
+    void recordPostponed(int clients) {
         postponed += clients;
         served -= clients;
     }
--- a/src/main/java/gullspar/proxy/io/NonBlockingStream.java
+++ b/src/main/java/gullspar/proxy/io/NonBlockingStream.java
@@ -62,7 +62,7 @@
     }
 
     /** Waits briefly for the last lines at exit; a stalled sink does not delay the exit any longer. */
-    public void drainAtEnd() {
+    public void drainAtExit() {
         try {
             drain(EXIT_DRAIN_MS);
         } catch (InterruptedException e) {
--- a/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
+++ b/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
@@ -109,10 +109,10 @@
         }
     }
 
-    private void serveAll(List<ReadyChannel> sources) {
-        sources.forEach(ReadyChannel::updateReadableSince);
-        sources.forEach(this::serve);
-        sources.clear();
+    private void serveAll(List<ReadyChannel> channels) {
+        channels.forEach(ReadyChannel::updateReadableSince);
+        channels.forEach(this::serve);
+        channels.clear();
     }
 
     private void serveClients() {
@@ -126,25 +126,25 @@
         }
         List<ReadyChannel> remaining = clients.subList(next, clients.size());
         remaining.forEach(ReadyChannel::markUnserved); // the next poll finds them again
-        statistics.postponed(remaining.size());
+        statistics.recordPostponed(remaining.size());
         clients.clear();
     }
 
-    private void serve(ReadyChannel source) {
-        if (!source.registration.isValid()) {
+    private void serve(ReadyChannel channel) {
+        if (!channel.registration.isValid()) {
             return; // closed while an earlier channel was served
         }
-        serving = source;
+        serving = channel;
         registrationCount = 0;
         try {
-            source.handle.handle(source.registration, source.event);
+            channel.handle.handle(channel.registration, channel.event);
         } catch (RuntimeException e) {
             LOG.warn("unexpected exception while serving a channel", e);
         } finally {
             serving = null;
         }
         if (registrationCount >= MAX_ACCEPTS_PER_TURN) {
-            source.markUnserved();
+            channel.markUnserved();
         }
     }
 
@@ -198,9 +198,9 @@
 
         ReadyChannel(NioIoHandle handle) {
             this.handle = handle;
-            boolean connection = handle.selectableChannel() instanceof SocketChannel;
-            boolean accepted = connection && ((SocketChannel) handle.selectableChannel()).isConnected();
-            this.readyQueue = accepted ? clients : connection ? outbound : others;
+            boolean isConnection = handle.selectableChannel() instanceof SocketChannel;
+            boolean isAccepted = isConnection && ((SocketChannel) handle.selectableChannel()).isConnected();
+            this.readyQueue = isAccepted ? clients : isConnection ? outbound : others;
         }
 
         /** Sets since when its data may have been readable, just before it is served. */
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -231,25 +231,25 @@
     public void onUpdate(ListUpdate update) {
         if (update.kind() != ListKind.DELTA) {
             List<Integer> listed =
-                    update.list().stream().map(l -> l.member().id()).toList();
+                    update.list().stream().map(l -> l.server().id()).toList();
             namesById.keySet().stream()
                     .filter(id -> !listed.contains(id))
                     .toList()
                     .forEach(this::forget);
         }
         for (ListedBackend l : update.list()) {
-            if (l.member().state() == State.READY) {
-                namesById.put(l.member().id(), l.address().toString());
-                backends.addServer(l.member().id(), l.address(), 0);
+            if (l.server().state() == State.READY) {
+                namesById.put(l.server().id(), l.address().toString());
+                backends.addServer(l.server().id(), l.address(), 0);
             } else {
-                forget(l.member().id());
+                forget(l.server().id());
             }
         }
         events.backendUpdate((now, module) -> module.onServerList(
                 now,
                 update.kind(),
                 update.version(),
-                update.list().stream().map(ListedBackend::member).toList()));
+                update.list().stream().map(ListedBackend::server).toList()));
     }
 
     @Override
--- a/src/test/java/gullspar/MainTest.java
+++ b/src/test/java/gullspar/MainTest.java
@@ -33,7 +33,7 @@
         assertEquals(2, Main.run(new String[] {"drill", "more"}));
     }
 
-    private static String printed(int code, String... args) {
+    private static String runAndCaptureOutput(int code, String... args) {
         PrintStream out = System.out;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
@@ -47,10 +47,10 @@
 
     @Test
     void helpVersionAndCompletionArePrinted() {
-        assertTrue(printed(0, "--help").contains("serve"));
-        assertTrue(printed(0, "serve", "--help").contains("NODE_CONFIG"));
-        assertTrue(printed(0, "--version").startsWith("gullspar "));
-        assertTrue(printed(0, "completion").contains("complete -F"));
+        assertTrue(runAndCaptureOutput(0, "--help").contains("serve"));
+        assertTrue(runAndCaptureOutput(0, "serve", "--help").contains("NODE_CONFIG"));
+        assertTrue(runAndCaptureOutput(0, "--version").startsWith("gullspar "));
+        assertTrue(runAndCaptureOutput(0, "completion").contains("complete -F"));
     }
 
     /** Loading the command line library would slow down every startup in service. */
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -84,7 +84,7 @@
         ListState apply(ListUpdate update, ListKind kind) {
             now += 1_000_000;
             List<ListedServer> members =
-                    update.list().stream().map(ListedBackend::member).toList();
+                    update.list().stream().map(ListedBackend::server).toList();
             module.onServerList(now, kind, 1, members);
             backends.update(new ListUpdate(kind, 1, update.list()));
             return this;
--- a/src/test/java/gullspar/importer/ReplayTest.java
+++ b/src/test/java/gullspar/importer/ReplayTest.java
@@ -149,7 +149,7 @@
                 .forEach((n, v) ->
                         s.append(n.replace('_', '-')).append(": ").append(v).append("\r\n"));
         w.write(s.append("\r\n").toString());
-        String responseText = r.method().equals("HEAD") ? w.until("\r\n\r\n") : w.read();
+        String responseText = r.method().equals("HEAD") ? w.readUntil("\r\n\r\n") : w.read();
         Map<String, String> h = responseText
                 .lines()
                 .skip(1)
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -52,7 +52,7 @@
             wire.read(); // on the same connection as before
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoNewConnection());
         }
     }
 
@@ -257,14 +257,14 @@
 
     /** The loop finds the client's disconnect and the open connection in one turn. */
     @Test
-    void requestIsNotSentIfItsClientLeavesDuringConnect() throws Exception {
+    void requestIsNotSentIfItsClientDisconnectsDuringConnect() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
-        CountDownLatch go = new CountDownLatch(1);
-        Peer.Wire wire = connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0), go);
+        CountDownLatch resume = new CountDownLatch(1);
+        Peer.Wire wire = connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0), resume);
         client.reset();
-        go.countDown();
+        resume.countDown();
         assertEquals(r.ticket(), setup.nextEvent("withdrawn", Integer.class));
         assertTrue(setup.nextOutcome().isFinal());
         assertEquals("", wire.read());
@@ -276,11 +276,11 @@
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
-            CountDownLatch go = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
             Peer.Wire wire =
-                    connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), go);
+                    connectWhileLoopIsBlocked(() -> setup.actions.send(r.ticket(), server, 0, 100_000_000L), resume);
             setup.advanceClock(101);
-            go.countDown();
+            resume.countDown();
             assertEquals(Status.MOOT, setup.nextOutcome().status());
             assertEquals("", wire.read());
             setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
@@ -298,7 +298,7 @@
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Peer.Wire wire = backend.accept();
-            wire.until("\r\n\r\n");
+            wire.readUntil("\r\n\r\n");
             wire.write(OK);
             assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status());
             setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
@@ -344,7 +344,7 @@
             wire.read();
             wire.reset();
             assertEquals(Status.RESET, setup.nextOutcome().status());
-            assertTrue(backend.quiet()); // no retry
+            assertTrue(backend.hasNoNewConnection()); // no retry
         }
     }
 
--- a/src/test/java/gullspar/proxy/ClientLeavesTest.java
+++ b/src/test/java/gullspar/proxy/ClientDisconnectTest.java
@@ -20,36 +20,36 @@
  * test says so. The disconnect can be read from the socket by then, and in some of the tests the event loop
  * has not read it yet.
  */
-class ClientLeavesTest extends LoopbackTest {
-    private interface LeaveAction {
-        void by(Peer.Wire client) throws IOException;
+class ClientDisconnectTest extends LoopbackTest {
+    private interface DisconnectAction {
+        void disconnect(Peer.Wire client) throws IOException;
     }
 
     /**
      * How the client disconnects. A client that closes only its sending side counts as disconnected: the
      * protocol allows giving up an attempt that way and has no clients that go on reading.
      */
-    enum LeaveMode implements LeaveAction {
+    enum DisconnectMode implements DisconnectAction {
         CLOSES(Peer.Wire::close),
         RESETS(Peer.Wire::reset),
         ENDS_SENDING(Peer.Wire::endSending);
 
-        private final LeaveAction act;
+        private final DisconnectAction act;
 
-        LeaveMode(LeaveAction act) {
+        DisconnectMode(DisconnectAction act) {
             this.act = act;
         }
 
         @Override
-        public void by(Peer.Wire client) throws IOException {
-            act.by(client);
+        public void disconnect(Peer.Wire client) throws IOException {
+            act.disconnect(client);
         }
     }
 
     @AfterEach
     void noRequestIsPending() throws Exception {
-        String figures = setup.loop.submit(setup.proxy::statusJson).get();
-        assertTrue(figures.contains("\"pending\":0"), figures);
+        String status = setup.loop.submit(setup.proxy::statusJson).get();
+        assertTrue(status.contains("\"pending\":0"), status);
     }
 
     /** The request is withdrawn, and a later attempt for it is not sent. */
@@ -57,26 +57,26 @@
         assertEquals(r.ticket(), setup.nextEvent("withdrawn", Integer.class));
         setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         assertEquals(Status.MOOT, setup.nextOutcome().status());
-        assertTrue(backend.quiet(), "the request was sent to the backend");
+        assertTrue(backend.hasNoNewConnection(), "the request was sent to the backend");
     }
 
     @ParameterizedTest
     @EnumSource
-    void whileItWaitsInTheModule(LeaveMode leaves) throws Exception {
+    void requestWaitingInTheModuleIsNotSent(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
-        leaves.by(client);
+        mode.disconnect(client);
         assertWithdrawnAndNothingSent(r);
     }
 
     @ParameterizedTest
     @EnumSource
-    void withAnotherRequestPipelinedBehind(LeaveMode leaves) throws Exception {
+    void pipelinedRequestsAreNotSent(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest() + Setup.getRequest());
         Request r = setup.nextRequest();
-        leaves.by(client);
+        mode.disconnect(client);
         assertWithdrawnAndNothingSent(r);
         assertTrue(
                 setup.moduleEvents.stream().noneMatch(t -> t.type().equals("request")),
@@ -85,7 +85,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void betweenAFailedAttemptAndTheNext(LeaveMode leaves) throws Exception {
+    void failedAttemptIsNotRetried(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
@@ -94,7 +94,7 @@
         wire.read();
         wire.reset();
         assertEquals(Status.RESET, setup.nextOutcome().status());
-        leaves.by(client);
+        mode.disconnect(client);
         assertWithdrawnAndNothingSent(r);
     }
 
@@ -106,11 +106,11 @@
     /** More of a body is read than is forwarded at once, to detect that its client disconnects. */
     @ParameterizedTest
     @EnumSource
-    void whileTheRestOfItsBodyIsBuffered(LeaveMode leaves) throws Exception {
+    void requestWithBufferedBodyIsNotSent(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(largeRequest((1 << 20) + (160 << 10)));
         Request r = setup.nextRequest();
-        leaves.by(client);
+        mode.disconnect(client);
         assertWithdrawnAndNothingSent(r);
     }
 
@@ -129,35 +129,35 @@
      */
     @ParameterizedTest
     @EnumSource
-    void whileItsBodyIsPartlyUnread(LeaveMode leaves) throws Exception {
+    void requestWithPartlyUnreadBodyIsNotSent(DisconnectMode mode) throws Exception {
         useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
         client.write(largeRequest((1 << 20) + 1));
         Request r = setup.nextRequest();
-        CompletableFuture<Void> left = writeThenLeave(client, "x".repeat(2 << 20), leaves);
+        CompletableFuture<Void> disconnected = writeThenDisconnect(client, "x".repeat(2 << 20), mode);
         assertWithdrawnAndNothingSent(r);
-        left.get(20, TimeUnit.SECONDS);
+        disconnected.get(20, TimeUnit.SECONDS);
     }
 
     /** As above, where it is the body of the next pipelined request. */
     @ParameterizedTest
     @EnumSource
-    void whileTheNextBodyIsPartlyUnread(LeaveMode leaves) throws Exception {
+    void requestBeforeAPartlyUnreadBodyIsNotSent(DisconnectMode mode) throws Exception {
         useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
-        CompletableFuture<Void> left = writeThenLeave(client, largeRequest(3 << 20), leaves);
+        CompletableFuture<Void> disconnected = writeThenDisconnect(client, largeRequest(3 << 20), mode);
         assertWithdrawnAndNothingSent(r);
-        left.get(20, TimeUnit.SECONDS);
+        disconnected.get(20, TimeUnit.SECONDS);
     }
 
     /** Runs asynchronously: the kernel may not accept all of it before the proxy reads on. */
-    private static CompletableFuture<Void> writeThenLeave(Peer.Wire client, String text, LeaveAction leaves) {
+    private static CompletableFuture<Void> writeThenDisconnect(Peer.Wire client, String text, DisconnectAction mode) {
         return CompletableFuture.runAsync(() -> {
             try {
                 client.write(text);
-                leaves.by(client);
+                mode.disconnect(client);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -169,7 +169,7 @@
     void connectedClientWithUnreadBodyIsRejected() throws Exception {
         useProductionUnreadTimeout();
         Peer.Wire client = setup.client();
-        CompletableFuture<Void> written = writeThenLeave(client, largeRequest(3 << 20), w -> {});
+        CompletableFuture<Void> written = writeThenDisconnect(client, largeRequest(3 << 20), w -> {});
         Request r = setup.nextRequest();
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         written.get(20, TimeUnit.SECONDS);
@@ -198,9 +198,9 @@
         }
     }
 
-    private void leave(LeaveMode mode, Peer.Wire client) {
+    private void disconnect(DisconnectMode mode, Peer.Wire client) {
         try {
-            mode.by(client);
+            mode.disconnect(client);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -214,12 +214,12 @@
 
     @ParameterizedTest
     @EnumSource
-    void justBeforeItsFirstAttempt(LeaveMode leaves) throws Exception {
+    void unreadDisconnectPreventsTheFirstAttempt(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
         setup.runOnLoop(() -> {
-            leave(leaves, client);
+            disconnect(mode, client);
             setup.actions.send(r.ticket(), server, 0);
         });
         assertWithdrawnBeforeSending(r);
@@ -228,7 +228,7 @@
     /** A request to be sent over an idle backend connection leaves that connection to others. */
     @ParameterizedTest
     @EnumSource
-    void justBeforeAnAttemptOnAnIdleBackendConnection(LeaveMode leaves) throws Exception {
+    void unreadDisconnectLeavesTheIdleBackendConnectionToOthers(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request first = setup.nextRequest();
@@ -242,7 +242,7 @@
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
         setup.runOnLoop(() -> {
-            leave(leaves, client);
+            disconnect(mode, client);
             setup.actions.send(r.ticket(), server, 0);
         });
         assertEquals(r.ticket(), setup.nextEvent("withdrawn", Integer.class));
@@ -258,7 +258,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void justBeforeAnotherAttempt(LeaveMode leaves) throws Exception {
+    void unreadDisconnectPreventsARetry(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
@@ -268,7 +268,7 @@
         wire.reset();
         assertEquals(Status.RESET, setup.nextOutcome().status());
         setup.runOnLoop(() -> {
-            leave(leaves, client);
+            disconnect(mode, client);
             setup.actions.send(r.ticket(), server, 0);
         });
         assertWithdrawnBeforeSending(r);
@@ -277,11 +277,11 @@
     /** The loop iteration has done its reads by then: only a further read finds the disconnect. */
     @ParameterizedTest
     @EnumSource
-    void whenTheBackendConnectionIsEstablished(LeaveMode leaves) throws Exception {
+    void unreadDisconnectAtBackendConnectPreventsSending(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
-        setup.onConnected = () -> leave(leaves, client);
+        setup.onConnected = () -> disconnect(mode, client);
         setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         assertEquals("", backend.accept().read());
         setup.onConnected = () -> {};
@@ -293,7 +293,7 @@
     /** The request and the disconnect are both in the socket buffer while the event loop is blocked. */
     @ParameterizedTest
     @EnumSource
-    void beforeItsRequestIsRead(LeaveMode leaves) throws Exception {
+    void requestReadTogetherWithTheDisconnectIsNotSent(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write("GET /_health HTTP/1.1\r\n\r\n");
         client.read();
@@ -301,7 +301,7 @@
         setup.loop
                 .submit(() -> {
                     client.write(Setup.getRequest());
-                    leaves.by(client);
+                    mode.disconnect(client);
                     return null;
                 })
                 .get(20, TimeUnit.SECONDS);
@@ -311,13 +311,13 @@
     /** The request ahead is answered, and the next would be accepted and sent at once. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "RESETS") // found as that response is written
-    void whenItsPipelinedRequestIsNext(LeaveMode leaves) throws Exception {
+    void nextPipelinedRequestIsNotSentAfterAnUnreadDisconnect(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest() + Setup.getRequest());
         Request ahead = setup.nextRequest();
         setup.onRequest = r -> setup.actions.send(r.ticket(), server, 0);
         setup.runOnLoop(() -> {
-            leave(leaves, client);
+            disconnect(mode, client);
             setup.actions.fail(ahead.ticket());
         });
         assertWithdrawnBeforeSending(setup.nextRequest());
@@ -325,14 +325,14 @@
 
     @ParameterizedTest
     @EnumSource
-    void whileItsAttemptIsInProgress(LeaveMode leaves) throws Exception {
+    void attemptInProgressIsCancelled(DisconnectMode mode) throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.getRequest());
         Request r = setup.nextRequest();
         setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         Peer.Wire wire = backend.accept();
         wire.read();
-        leaves.by(client);
+        mode.disconnect(client);
         assertEquals(r.ticket(), setup.nextEvent("withdrawn", Integer.class));
         assertEquals(Status.CANCELLED, setup.nextOutcome().status());
         assertTrue(wire.ended());
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -128,7 +128,7 @@
         watch.write(chunk(prettyList(mapper, 900, "terminating") + prettyList(mapper, 901, "in_service")));
         assertEquals(State.DRAINING, nextMember().state());
         assertEquals(State.READY, nextMember().state());
-        assertTrue(discovery.quiet(), "the watch was opened again");
+        assertTrue(discovery.hasNoNewConnection(), "the watch was opened again");
     }
 
     private String prettyList(ObjectMapper mapper, int generation, String lifecycle) throws Exception {
@@ -155,10 +155,10 @@
         Peer.Wire watch = discovery.accept();
         watch.read();
         watch.write(HEAD + chunk("{\"generation\":42,\"instances\":["));
-        String much = " ".repeat(1 << 20);
+        String padding = " ".repeat(1 << 20);
         try {
             for (int i = 0; i < 64; i++) {
-                watch.write(chunk(much));
+                watch.write(chunk(padding));
             }
         } catch (IOException e) {
             // expected: the client has closed the watch
@@ -175,7 +175,7 @@
         watch.read();
         watch.write(HEAD + chunk("\n" + list(42, false, "s-1", "terminating").substring(0, 60)));
         CountDownLatch finished = new CountDownLatch(1);
-        Thread beats = new Thread(() -> {
+        Thread heartbeats = new Thread(() -> {
             try {
                 while (finished.getCount() > 0) {
                     watch.write(chunk("\n"));
@@ -185,10 +185,10 @@
                 // expected: the client has closed the watch
             }
         });
-        beats.start();
+        heartbeats.start();
         assertTrue(discovery.accept().read().startsWith("GET /catalog/members?stream=1 "));
         finished.countDown();
-        beats.join();
+        heartbeats.join();
     }
 
     private Discovery startWatch(Discovery.Timeouts timeouts) throws Exception {
@@ -253,7 +253,7 @@
     void watchWithoutCompleteListIsReplaced() throws Exception {
         startWatch(new Discovery.Timeouts(60_000, 20, 60_000));
         String list = list(42, false, "s-1", "terminating");
-        for (String begun : List.of(
+        for (String incomplete : List.of(
                 "",
                 HEAD,
                 HEAD + chunk("\n\n"),
@@ -261,7 +261,7 @@
                 HEAD + chunk(list.substring(0, 60)) + chunk("\n"))) {
             Peer.Wire watch = discovery.accept();
             watch.read();
-            watch.write(begun);
+            watch.write(incomplete);
         }
         Peer.Wire whole = discovery.accept();
         whole.write(HEAD + chunk(list));
@@ -277,7 +277,7 @@
             silent.add(discovery.accept());
         }
         setup.loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync(); // many times the first list's timeout
-        assertTrue(discovery.quiet(), "more watches were opened than the limit");
+        assertTrue(discovery.hasNoNewConnection(), "more watches were opened than the limit");
         silent.get(0).write(HEAD + chunk(list(42, false, "s-1", "terminating")));
         assertEquals(State.DRAINING, nextMember().state());
         setup.runOnLoop(() -> d.watch(false));
@@ -289,7 +289,7 @@
         discovery.accept(); // the proxy's own watch
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<SocketChannel> queued = new ArrayList<>();
-            CountDownLatch more = new CountDownLatch(3);
+            CountDownLatch furtherConnects = new CountDownLatch(3);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
             for (int i = 0; i < 8; i++) { // more than the accept queue holds
                 SocketChannel c = SocketChannel.open();
@@ -300,14 +300,16 @@
             Transport tcp = Transport.tcp(setup.loop);
             Discovery d = new Discovery(
                     platformWith(to -> {
-                        more.countDown();
+                        furtherConnects.countDown();
                         return tcp.clientBootstrap(to);
                     }),
                     Discovery.Source.pushed(address),
                     setup.proxy,
                     new Discovery.Timeouts(60_000, 20, 60_000));
             setup.runOnLoop(() -> d.watch(true));
-            assertTrue(more.await(20, TimeUnit.SECONDS), "no further connection was opened while the first one hung");
+            assertTrue(
+                    furtherConnects.await(20, TimeUnit.SECONDS),
+                    "no further connection was opened while the first one hung");
             setup.runOnLoop(() -> d.watch(false));
             for (SocketChannel c : queued) {
                 c.close();
@@ -320,9 +322,9 @@
     void watchIsRetriedAfterDescriptorExhaustion() throws Exception {
         discovery.accept(); // the proxy's own watch
         Transport tcp = Transport.tcp(setup.loop);
-        AtomicInteger without = new AtomicInteger(3);
+        AtomicInteger remainingFailures = new AtomicInteger(3);
         Discovery d = new Discovery(
-                platformWith(to -> without.getAndDecrement() <= 0
+                platformWith(to -> remainingFailures.getAndDecrement() <= 0
                         ? tcp.clientBootstrap(to)
                         : new Bootstrap().group(setup.loop).remoteAddress(to).channelFactory(() -> {
                             throw new ChannelException("Too many open files");
@@ -336,14 +338,14 @@
         assertEquals(State.DRAINING, nextMember().state());
     }
 
-    private Platform platformWith(Function<InetSocketAddress, Bootstrap> to) {
+    private Platform platformWith(Function<InetSocketAddress, Bootstrap> bootstrapFor) {
         return new Platform(
                 setup.loop,
                 Clock.system(),
                 new Transport() {
                     @Override
                     public Bootstrap clientBootstrap(InetSocketAddress address) {
-                        return to.apply(address);
+                        return bootstrapFor.apply(address);
                     }
 
                     @Override
@@ -376,11 +378,11 @@
         watch.write(HEAD + chunk(list(43, false, "s-1", "in_service")));
         assertEquals(State.READY, nextMember().state());
         watch.close();
-        String asked = "";
-        while (!asked.startsWith("GET /catalog/members?stream=1 ")) {
+        String request = "";
+        while (!request.startsWith("GET /catalog/members?stream=1 ")) {
             watch = discovery.accept();
-            asked = watch.read();
-            if (asked.contains("&index=")) {
+            request = watch.read();
+            if (request.contains("&index=")) {
                 watch.write(HEAD + chunk("{\"generation\":7,\"reset\":false,\"instances\":[]}\n"));
             }
         }
@@ -412,9 +414,9 @@
 
     /** Answers each watch opened at this peer with the list, until it is applied. */
     private void answerUntilApplied(Peer server, String list) throws Exception {
-        AtomicBoolean taken = new AtomicBoolean();
-        Thread answers = new Thread(() -> {
-            while (!taken.get()) {
+        AtomicBoolean isApplied = new AtomicBoolean();
+        Thread responder = new Thread(() -> {
+            while (!isApplied.get()) {
                 try {
                     Peer.Wire w = server.accept();
                     w.read();
@@ -424,12 +426,12 @@
                 }
             }
         });
-        answers.setDaemon(true);
-        answers.start();
+        responder.setDaemon(true);
+        responder.start();
         try {
             assertEquals(State.DRAINING, nextMember().state());
         } finally {
-            taken.set(true);
+            isApplied.set(true);
         }
     }
 
@@ -510,7 +512,7 @@
     void callWithoutCompleteListFails() throws Exception {
         Discovery d = startOnRequest(new Discovery.Timeouts(60_000, 50, 60_000));
         String list = list(42, false, "s-1", "terminating");
-        for (String begun : List.of(
+        for (String incomplete : List.of(
                 "",
                 HEAD,
                 HEAD + chunk("\n"),
@@ -518,10 +520,10 @@
                 "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")) {
             Peer.Wire call = discovery.accept();
             call.read();
-            call.write(begun);
+            call.write(incomplete);
             awaitWatchFailed();
             assertTrue(call.ended());
-            assertTrue(discovery.quiet(), "the call was repeated without a request of the module");
+            assertTrue(discovery.hasNoNewConnection(), "the call was repeated without a request of the module");
             setup.runOnLoop(() -> d.watch(true));
         }
         discovery.accept().write(HEAD + chunk(list));
@@ -571,7 +573,7 @@
             watch.write(HEAD + chunk(list(42, false, "s-1", "terminating")));
             assertEquals(ListKind.CACHED, setup.nextEvent("kind", ListKind.class));
             assertEquals(State.DRAINING, nextMember().state());
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoNewConnection());
         }
     }
 
@@ -657,7 +659,7 @@
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), knownServer, 0));
             assertEquals(Status.MOOT, setup.nextOutcome().status());
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoNewConnection());
         }
     }
 
--- a/src/test/java/gullspar/proxy/DrainTest.java
+++ b/src/test/java/gullspar/proxy/DrainTest.java
@@ -41,19 +41,19 @@
             int ticket = setup.nextRequest().ticket();
             setup.runOnLoop(() -> setup.actions.send(ticket, server, 0));
             backend.accept().read(); // no response is sent
-            CompletableFuture<String> figuresAtDrain = new CompletableFuture<>();
+            CompletableFuture<String> statusAtDrain = new CompletableFuture<>();
             setup.onLog = line -> {
                 if (line.equals("drained")) {
-                    figuresAtDrain.complete(setup.proxy.statusJson());
+                    statusAtDrain.complete(setup.proxy.statusJson());
                 }
             };
             setup.proxy.drain();
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 504"), "'" + answer + "'");
-            String figures = figuresAtDrain.get(20, TimeUnit.SECONDS);
+            String status = statusAtDrain.get(20, TimeUnit.SECONDS);
             assertTrue(
-                    figures.contains("\"pending\":0,"),
-                    () -> "a request was pending when the process could exit: " + figures);
+                    status.contains("\"pending\":0,"),
+                    () -> "a request was pending when the process could exit: " + status);
         }
     }
 }
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -215,12 +215,12 @@
             Outcome o = setup.nextOutcome();
             assertEquals(Status.MOOT, o.status());
             assertTrue(o.isFinal());
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoNewConnection());
         }
     }
 
     @Test
-    void aRequestIsAnsweredOnceWhateverTheModuleSays() throws Exception {
+    void requestIsAnsweredOnceEvenIfTheModuleRefusesAndFailsIt() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -56,14 +56,14 @@
 
     /** Connects idle clients; the last one gets a response, so all have been accepted. */
     private static List<Peer.Wire> connectIdleClients(InetSocketAddress address) throws IOException {
-        List<Peer.Wire> crowd = new ArrayList<>();
+        List<Peer.Wire> idleClients = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            crowd.add(Peer.Wire.to(address));
+            idleClients.add(Peer.Wire.to(address));
         }
         Peer.Wire last = Peer.Wire.to(address).write("GET /none HTTP/1.1\r\n\r\n");
         assertTrue(last.read().startsWith("HTTP/1.1 404 "));
-        crowd.add(last);
-        return crowd;
+        idleClients.add(last);
+        return idleClients;
     }
 
     private static void assertServed(InetSocketAddress address, Peer backend) throws Exception {
@@ -98,13 +98,13 @@
 
     @Test
     void discoveryBackendsAndOperatorsConnectDespiteIdleClients() throws Exception {
-        InetSocketAddress door = freeAddress();
-        InetSocketAddress operators = freeAddress();
+        InetSocketAddress address = freeAddress();
+        InetSocketAddress operatorAddress = freeAddress();
         Peer discovery = new Peer();
         try (Peer backend = new Peer()) {
             ObjectNode config = (ObjectNode) Setup.json(discovery.hostPort(), backend.hostPort(), DESCRIPTORS, 5000);
-            config.put("listen", "127.0.0.1:" + door.getPort());
-            config.put("operator", "127.0.0.1:" + operators.getPort());
+            config.put("listen", "127.0.0.1:" + address.getPort());
+            config.put("operator", "127.0.0.1:" + operatorAddress.getPort());
             Path file = Files.writeString(folder.resolve("config.json"), config.toString());
             // The process may open no more descriptors than its configuration says, as on the platform.
             ProcessBuilder java = new ProcessBuilder(
@@ -119,7 +119,7 @@
                     "serve");
             java.environment().putAll(Map.of("NODE_CONFIG", file.toString(), "NODE_DISCOVERY", discovery.hostPort()));
             Process p = java.start();
-            List<Peer.Wire> crowd = new ArrayList<>();
+            List<Peer.Wire> idleClients = new ArrayList<>();
             try (BufferedReader log = p.errorReader()) {
                 Peer.Wire watch = discovery.accept();
                 watch.read();
@@ -127,25 +127,25 @@
                 awaitLogLine(log, "ready");
                 discovery.close();
                 watch.reset();
-                crowd.addAll(connectIdleClients(door));
+                idleClients.addAll(connectIdleClients(address));
                 assertDescriptorsLeft(p);
-                assertOperatorAnswered(operators);
-                assertServed(door, backend);
+                assertOperatorAnswered(operatorAddress);
+                assertServed(address, backend);
                 try (Peer again = new Peer(discovery.address().getPort())) {
                     Peer.Wire next = again.accept();
                     assertTrue(next.read().contains("index=42 "));
-                    crowd.addAll(connectIdleClients(door));
-                    assertServed(door, backend);
+                    idleClients.addAll(connectIdleClients(address));
+                    assertServed(address, backend);
                     next.write(list(43, backend, "terminating"));
-                    awaitRefusal(door);
-                    assertOperatorAnswered(operators);
+                    awaitRefusal(address);
+                    assertOperatorAnswered(operatorAddress);
                     assertTrue(p.isAlive());
                     assertFalse(p.waitFor(0, TimeUnit.SECONDS));
                 }
             } finally {
                 discovery.close();
                 p.destroyForcibly().waitFor();
-                for (Peer.Wire w : crowd) {
+                for (Peer.Wire w : idleClients) {
                     w.close();
                 }
             }
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -29,7 +29,7 @@
 /** Requests and responses that are too large to buffer. */
 @Timeout(60)
 class LargeBodiesTest {
-    private static final int LARGE = 6 << 20, SMALL = 16 << 10;
+    private static final int LARGE_BYTES = 6 << 20, RECEIVE_BUFFER_BYTES = 16 << 10;
     private Peer discovery;
     private ServerSocket backend;
     private Setup setup;
@@ -40,7 +40,7 @@
         discovery = new Peer();
         // Small buffers, so that the sender is often ahead of the receiver and has to wait.
         backend = new ServerSocket();
-        backend.setReceiveBufferSize(SMALL);
+        backend.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         backend.bind(new InetSocketAddress("127.0.0.1", 0));
         setup = new Setup()
                 .start(Config.parse(
@@ -56,7 +56,7 @@
     }
 
     /** Random bytes, so that lost, duplicated or misplaced data is detected. */
-    private static byte[] bytes(int length) {
+    private static byte[] randomBytes(int length) {
         byte[] b = new byte[length];
         new Random(length).nextBytes(b);
         return b;
@@ -64,7 +64,7 @@
 
     private Socket client() throws IOException {
         Socket s = new Socket();
-        s.setReceiveBufferSize(SMALL);
+        s.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         s.connect(setup.proxy.address());
         s.setSoTimeout(20_000);
         return s;
@@ -85,7 +85,7 @@
                 .replace("GET /look", "POST /order");
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder s = new StringBuilder();
         while (!s.toString().endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -98,7 +98,7 @@
     }
 
     /** The body of a chunked message. */
-    private static byte[] chunks(InputStream in) throws IOException {
+    private static byte[] readChunks(InputStream in) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (true) {
             StringBuilder line = new StringBuilder();
@@ -147,43 +147,46 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void largeRequestIsStreamedAndTimedFromItsLastByte(boolean chunked) throws Exception {
-        byte[] body = bytes(LARGE);
+        byte[] body = randomBytes(LARGE_BYTES);
         try (Socket client = client()) {
             write(
                     client,
-                    orderRequest(chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + LARGE + "\r\n"));
+                    orderRequest(
+                            chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + LARGE_BYTES + "\r\n"));
             CompletableFuture<Void> half = new CompletableFuture<>();
             CompletableFuture<Void> sent = runAsync(() -> {
                 if (chunked) {
                     writeChunks(client, body, 100_000);
                 } else {
-                    client.getOutputStream().write(body, 0, LARGE / 2);
+                    client.getOutputStream().write(body, 0, LARGE_BYTES / 2);
                     half.get();
-                    client.getOutputStream().write(body, LARGE / 2, LARGE - LARGE / 2);
+                    client.getOutputStream().write(body, LARGE_BYTES / 2, LARGE_BYTES - LARGE_BYTES / 2);
                 }
             });
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            try (Socket b = accept()) {
-                String head = head(b.getInputStream());
+            try (Socket backendSide = accept()) {
+                String head = readHead(backendSide.getInputStream());
                 assertTrue(head.contains("Request-Timeout: 1.19"), head);
-                byte[] got;
+                byte[] received;
                 if (chunked) {
                     assertTrue(head.contains("transfer-encoding: chunked"), head);
-                    got = chunks(b.getInputStream());
+                    received = readChunks(backendSide.getInputStream());
                 } else {
-                    byte[] first = b.getInputStream().readNBytes(LARGE / 2);
+                    byte[] first = backendSide.getInputStream().readNBytes(LARGE_BYTES / 2);
                     half.complete(null);
-                    got = new byte[LARGE];
-                    System.arraycopy(first, 0, got, 0, first.length);
+                    received = new byte[LARGE_BYTES];
+                    System.arraycopy(first, 0, received, 0, first.length);
                     assertEquals(
-                            LARGE - first.length,
-                            b.getInputStream().readNBytes(got, first.length, LARGE - first.length));
+                            LARGE_BYTES - first.length,
+                            backendSide
+                                    .getInputStream()
+                                    .readNBytes(received, first.length, LARGE_BYTES - first.length));
                 }
-                assertArrayEquals(body, got);
+                assertArrayEquals(body, received);
                 sent.get(20, TimeUnit.SECONDS);
-                write(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-                assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 200"));
+                write(backendSide, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+                assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200"));
                 assertEquals(Status.OK, setup.nextOutcome().status());
             }
         }
@@ -191,58 +194,58 @@
 
     @Test
     void partlyReceivedRequestIsRetriedOnlyIfNothingWasSent() throws Exception {
-        byte[] body = bytes(LARGE);
+        byte[] body = randomBytes(LARGE_BYTES);
         try (Socket client = client()) {
-            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
+            write(client, orderRequest("Content-Length: " + LARGE_BYTES + "\r\n"));
             // The rest is held back, as the kernel's buffers could take it all before the backend has closed.
-            client.getOutputStream().write(body, 0, LARGE / 2);
+            client.getOutputStream().write(body, 0, LARGE_BYTES / 2);
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), 12345, 0)); // no backend has this number
             assertEquals(Status.MOOT, setup.nextOutcome().status());
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            try (Socket b = accept()) {
-                head(b.getInputStream());
-                b.getInputStream().readNBytes(LARGE / 4);
+            try (Socket backendSide = accept()) {
+                readHead(backendSide.getInputStream());
+                backendSide.getInputStream().readNBytes(LARGE_BYTES / 4);
             }
             assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status(), "its last byte was never written");
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             assertEquals(Status.MOOT, setup.nextOutcome().status(), "part of the body is no longer available");
             setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
-            assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 503"));
+            assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 503"));
         }
     }
 
     @Test
     void restOfARefusedRequestIsDiscardedAndTheNextServed() throws Exception {
         try (Socket client = client()) {
-            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
+            write(client, orderRequest("Content-Length: " + LARGE_BYTES + "\r\n"));
             CompletableFuture<Void> sent =
-                    runAsync(() -> client.getOutputStream().write(bytes(LARGE)));
+                    runAsync(() -> client.getOutputStream().write(randomBytes(LARGE_BYTES)));
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
-            String refusal = head(client.getInputStream());
+            String refusal = readHead(client.getInputStream());
             assertTrue(refusal.startsWith("HTTP/1.1 503"), refusal);
             client.getInputStream().readNBytes("refused, try again\n".length());
             sent.get(20, TimeUnit.SECONDS);
             write(client, Setup.getRequest());
             Request next = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.fail(next.ticket()));
-            assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 502"));
+            assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 502"));
         }
     }
 
     @Test
     void backendThatDoesNotReadIsAbandonedAndHasNotRunTheRequest() throws Exception {
         try (Socket client = client()) {
-            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
+            write(client, orderRequest("Content-Length: " + LARGE_BYTES + "\r\n"));
             CompletableFuture<Void> sent =
-                    runAsync(() -> client.getOutputStream().write(bytes(LARGE)));
+                    runAsync(() -> client.getOutputStream().write(randomBytes(LARGE_BYTES)));
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Socket silent = accept();
             assertEquals(Status.CONNECT_FAILED, setup.nextOutcome().status());
             setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
-            assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 503"));
+            assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 503"));
             sent.get(20, TimeUnit.SECONDS);
             silent.close();
         }
@@ -251,15 +254,15 @@
     @Test
     void stalledUploadIsWithdrawn() throws Exception {
         try (Socket client = client()) {
-            write(client, orderRequest("Content-Length: " + LARGE + "\r\n"));
-            client.getOutputStream().write(bytes(LARGE / 2));
+            write(client, orderRequest("Content-Length: " + LARGE_BYTES + "\r\n"));
+            client.getOutputStream().write(randomBytes(LARGE_BYTES / 2));
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            try (Socket b = accept()) {
-                head(b.getInputStream());
-                assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 408"));
+            try (Socket backendSide = accept()) {
+                readHead(backendSide.getInputStream());
+                assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 408"));
                 setup.nextEvent("withdrawn", Integer.class);
-                b.getInputStream().readAllBytes();
+                backendSide.getInputStream().readAllBytes();
             }
         }
     }
@@ -267,23 +270,23 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void largeResponseIsForwardedAtTheClientsPace(boolean chunked) throws Exception {
-        byte[] body = bytes(LARGE);
+        byte[] body = randomBytes(LARGE_BYTES);
         try (Socket client = client()) {
             write(client, Setup.getRequest());
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            try (Socket b = accept()) {
-                head(b.getInputStream());
-                CompletableFuture<Void> given = runAsync(() -> {
+            try (Socket backendSide = accept()) {
+                readHead(backendSide.getInputStream());
+                CompletableFuture<Void> written = runAsync(() -> {
                     write(
-                            b,
+                            backendSide,
                             "HTTP/1.1 200 OK\r\n"
-                                    + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LARGE)
+                                    + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + LARGE_BYTES)
                                     + "\r\n\r\n");
                     if (chunked) {
-                        writeChunks(b, body, 50_001);
+                        writeChunks(backendSide, body, 50_001);
                     } else {
-                        b.getOutputStream().write(body);
+                        backendSide.getOutputStream().write(body);
                     }
                 });
                 assertEquals(Status.OK, setup.nextOutcome().status(), "counted as OK with its first bytes");
@@ -295,21 +298,21 @@
                                 ? 1
                                 : 0,
                         "the request is still in progress");
-                String head = head(client.getInputStream());
+                String head = readHead(client.getInputStream());
                 assertTrue(head.startsWith("HTTP/1.1 200"), head);
-                byte[] got = chunked
-                        ? chunks(client.getInputStream())
-                        : client.getInputStream().readNBytes(LARGE);
-                assertArrayEquals(body, got);
-                given.get(20, TimeUnit.SECONDS);
+                byte[] received = chunked
+                        ? readChunks(client.getInputStream())
+                        : client.getInputStream().readNBytes(LARGE_BYTES);
+                assertArrayEquals(body, received);
+                written.get(20, TimeUnit.SECONDS);
                 // Both connections can be reused.
                 setup.advanceClock(20);
                 write(client, Setup.getRequest());
                 Request next = setup.nextRequest();
                 setup.runOnLoop(() -> setup.actions.send(next.ticket(), server, 0));
-                head(b.getInputStream());
-                write(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-                assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 200"));
+                readHead(backendSide.getInputStream());
+                write(backendSide, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+                assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200"));
                 assertTrue(setup.loop
                         .submit(setup.proxy::statusJson)
                         .get(20, TimeUnit.SECONDS)
@@ -324,19 +327,19 @@
             write(client, Setup.getRequest());
             Request r = setup.nextRequest();
             setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            try (Socket b = accept()) {
-                head(b.getInputStream());
-                write(b, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-                b.getOutputStream().write(bytes(100_000));
+            try (Socket backendSide = accept()) {
+                readHead(backendSide.getInputStream());
+                write(backendSide, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BYTES + "\r\n\r\n");
+                backendSide.getOutputStream().write(randomBytes(100_000));
             }
-            head(client.getInputStream());
-            int got = 0;
+            readHead(client.getInputStream());
+            int received = 0;
             try {
-                got = client.getInputStream().readAllBytes().length;
+                received = client.getInputStream().readAllBytes().length;
             } catch (IOException e) {
                 // a reset is valid too
             }
-            assertTrue(got <= 100_000);
+            assertTrue(received <= 100_000);
             setup.awaitStatus("\"failed\":{\"look\":1,");
         }
     }
@@ -347,17 +350,17 @@
         write(client, Setup.getRequest());
         Request r = setup.nextRequest();
         setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-        try (Socket b = accept()) {
-            head(b.getInputStream());
-            write(b, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-            b.getOutputStream().write(bytes(100_000));
-            head(client.getInputStream());
+        try (Socket backendSide = accept()) {
+            readHead(backendSide.getInputStream());
+            write(backendSide, "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BYTES + "\r\n\r\n");
+            backendSide.getOutputStream().write(randomBytes(100_000));
+            readHead(client.getInputStream());
             client.close();
-            assertEquals(-1, ended(b), "the backend connection is closed");
+            assertEquals(-1, readByte(backendSide), "the backend connection is closed");
         }
     }
 
-    private static int ended(Socket s) {
+    private static int readByte(Socket s) {
         try {
             return s.getInputStream().read();
         } catch (IOException e) {
@@ -372,10 +375,10 @@
             Request r = setup.nextRequest();
             write(client, orderRequest("Content-Length: 4\r\nExpect: 100-continue\r\n"));
             setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
-            String first = head(client.getInputStream());
+            String first = readHead(client.getInputStream());
             assertTrue(first.startsWith("HTTP/1.1 502"), first);
             client.getInputStream().readNBytes("failed\n".length());
-            assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 100"));
+            assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 100"));
             assertFalse(setup.moduleEvents.stream().anyMatch(t -> t.type().equals("request")));
             write(client, "body");
             Request second = setup.nextRequest();
--- a/src/test/java/gullspar/proxy/Peer.java
+++ b/src/test/java/gullspar/proxy/Peer.java
@@ -59,7 +59,7 @@
     }
 
     /** True if no connection has been accepted that the test has not taken. */
-    public boolean quiet() {
+    public boolean hasNoNewConnection() {
         return accepted.isEmpty();
     }
 
@@ -115,12 +115,12 @@
         }
 
         /** Reads count bytes, or fewer at the end. */
-        public String bytes(int count) throws IOException {
+        public String readBytes(int count) throws IOException {
             return new String(in.readNBytes(count), StandardCharsets.ISO_8859_1);
         }
 
         /** Reads up to and including the text, or up to the end. */
-        public String until(String end) throws IOException {
+        public String readUntil(String end) throws IOException {
             StringBuilder s = new StringBuilder();
             for (int b = in.read(); b >= 0; b = in.read()) {
                 s.append((char) b);
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -64,31 +64,31 @@
         RequestText[] texts = {look, plain, plain};
         double[][] rates = new double[3][ROUNDS];
         double[][] medians = new double[3][ROUNDS];
-        for (int i = -1; i < ROUNDS; i++) {
-            for (int w = 0; w < 3; w++) {
-                int k = (w + Math.max(0, i)) % 3; // rotates the order of the variants
-                long[] concurrent = measure(addresses[k], CLIENTS, texts[k]);
-                long[] single = measure(addresses[k], 1, texts[k]);
-                if (i >= 0) {
-                    rates[k][i] = concurrent.length * 1e9 / ROUND_NS;
-                    medians[k][i] = single[single.length / 2] / 1e3;
+        for (int round = -1; round < ROUNDS; round++) {
+            for (int offset = 0; offset < 3; offset++) {
+                int variant = (offset + Math.max(0, round)) % 3; // rotates the order of the variants
+                long[] concurrent = measure(addresses[variant], CLIENTS, texts[variant]);
+                long[] single = measure(addresses[variant], 1, texts[variant]);
+                if (round >= 0) {
+                    rates[variant][round] = concurrent.length * 1e9 / ROUND_NS;
+                    medians[variant][round] = single[single.length / 2] / 1e3;
                 }
             }
         }
-        for (int k = 0; k < 3; k++) {
-            Arrays.sort(rates[k]);
-            Arrays.sort(medians[k]);
+        for (int variant = 0; variant < 3; variant++) {
+            Arrays.sort(rates[variant]);
+            Arrays.sort(medians[variant]);
             System.out.printf(
                     "%-12s %8.0f requests/s with %d clients (%.0f to %.0f, ratio %.2f), "
                             + "median latency with one %.0f us (ratio %.2f)%n",
-                    names[k],
-                    rates[k][ROUNDS / 2],
+                    names[variant],
+                    rates[variant][ROUNDS / 2],
                     CLIENTS,
-                    rates[k][0],
-                    rates[k][ROUNDS - 1],
-                    rates[k][ROUNDS / 2] / rates[0][ROUNDS / 2],
-                    medians[k][ROUNDS / 2],
-                    medians[k][ROUNDS / 2] / medians[0][ROUNDS / 2]);
+                    rates[variant][0],
+                    rates[variant][ROUNDS - 1],
+                    rates[variant][ROUNDS / 2] / rates[0][ROUNDS / 2],
+                    medians[variant][ROUNDS / 2],
+                    medians[variant][ROUNDS / 2] / medians[0][ROUNDS / 2]);
         }
         System.exit(0);
     }
--- a/src/test/java/gullspar/proxy/ServeTest.java
+++ b/src/test/java/gullspar/proxy/ServeTest.java
@@ -291,7 +291,7 @@
             setup.runOnLoop(() -> reload(setup, discovery, backend));
             setup.runOnLoop(() -> reload(setup, elsewhere, backend));
             assertTrue(elsewhere.accept().read().contains("index=41 "));
-            assertTrue(discovery.quiet());
+            assertTrue(discovery.hasNoNewConnection());
             assertTrue(setup.moduleEvents.stream().noneMatch(t -> t.type().equals("members")));
         }
     }
--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -152,7 +152,7 @@
                 ProcessHandle next = ProcessHandle.of(
                                 Long.parseLong(holderOutput.readLine().substring("started ".length())))
                         .orElseThrow();
-                while (!ready(operator)) {
+                while (!isReady(operator)) {
                     assertTrue(next.isAlive(), () -> "process ended before it was ready: " + log());
                     Thread.onSpinWait();
                 }
@@ -187,7 +187,7 @@
         assertEquals(UPGRADES + 1, log().split("drained", -1).length - 1, this::log);
     }
 
-    private static boolean ready(InetSocketAddress operator) {
+    private static boolean isReady(InetSocketAddress operator) {
         try {
             return call(operator, "/_ready").startsWith("HTTP/1.1 200");
         } catch (IOException e) {
--- a/src/test/java/gullspar/proxy/WarmupTest.java
+++ b/src/test/java/gullspar/proxy/WarmupTest.java
@@ -23,7 +23,7 @@
             Config config = Config.parse(new ObjectMapper().readTree(json), Map.of());
             int served = Warmup.run(config, Policy::new, 60, 30_000);
             assertTrue(served > 0 && served <= 60, "served " + served);
-            assertTrue(discovery.quiet() && backend.quiet() && listen.quiet());
+            assertTrue(discovery.hasNoNewConnection() && backend.hasNoNewConnection() && listen.hasNoNewConnection());
         }
     }
 }
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void aStandstillIsCounted() throws Exception {
+    void standstillIsCounted() throws Exception {
         blockLoop();
         TimeUnit.MILLISECONDS.sleep(150);
         resume.countDown();
--- a/src/test/java/gullspar/site/FailuresTest.java
+++ b/src/test/java/gullspar/site/FailuresTest.java
@@ -20,10 +20,10 @@
 
     /** Returns the connection to the server that got the request; the other server must have got none. */
     private static Wire acceptFirst(Peer a, Peer b) throws Exception {
-        while (a.quiet() && b.quiet()) {
+        while (a.hasNoNewConnection() && b.hasNoNewConnection()) {
             Thread.onSpinWait();
         }
-        return a.quiet() ? b.accept() : a.accept();
+        return a.hasNoNewConnection() ? b.accept() : a.accept();
     }
 
     @Test
@@ -54,7 +54,7 @@
             w.read();
             w.reset();
             assertEquals("502", status(c.read()));
-            assertTrue(a.quiet() && b.quiet());
+            assertTrue(a.hasNoNewConnection() && b.hasNoNewConnection());
         }
     }
 
@@ -145,10 +145,10 @@
             Wire w = acceptFirst(a, b);
             w.read();
             w.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
-            assertTrue(c.until("abc").endsWith("abc"));
+            assertTrue(c.readUntil("abc").endsWith("abc"));
             w.reset();
             assertTrue(c.ended());
-            assertTrue(a.quiet() && b.quiet());
+            assertTrue(a.hasNoNewConnection() && b.hasNoNewConnection());
         }
     }
 
@@ -215,7 +215,7 @@
             Wire again = a.accept();
             again.read();
             again.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na");
-            assertTrue(next.until("\r\n\r\na").endsWith("a"));
+            assertTrue(next.readUntil("\r\n\r\na").endsWith("a"));
             next.close();
             assertTrue(again.ended(), "also while its response is being forwarded");
         }
@@ -255,7 +255,7 @@
                 }
             }
             assertTrue(written.get() < 64 << 20, "most of it is still at the server: " + written);
-            assertTrue(slow.bytes(1 << 20).length() == 1 << 20, "the rest arrives when the client reads it");
+            assertTrue(slow.readBytes(1 << 20).length() == 1 << 20, "the rest arrives when the client reads it");
         }
     }
 
@@ -279,7 +279,7 @@
             assertTrue(w1.read().startsWith("GET"), "the third request waited for a free connection");
             w1.write(OK);
             assertEquals("200", status(c3.read()));
-            assertTrue(a.quiet());
+            assertTrue(a.hasNoNewConnection());
             w2.write(OK);
             assertEquals("200", status(c2.read()));
         }
--- a/src/test/java/gullspar/site/MisbehavingPeersTest.java
+++ b/src/test/java/gullspar/site/MisbehavingPeersTest.java
@@ -44,15 +44,15 @@
                 ProxyFixture s = ProxyFixture.withPool("", a, b);
                 Wire c = s.connect()) {
             c.write(POST);
-            while (a.quiet() && b.quiet()) {
+            while (a.hasNoNewConnection() && b.hasNoNewConnection()) {
                 Thread.onSpinWait();
             }
-            Wire w = a.quiet() ? b.accept() : a.accept();
+            Wire w = a.hasNoNewConnection() ? b.accept() : a.accept();
             w.read();
             w.write(text);
             w.close();
             assertEquals("502", status(c.read()));
-            assertTrue(a.quiet() && b.quiet());
+            assertTrue(a.hasNoNewConnection() && b.hasNoNewConnection());
         }
     }
 
@@ -65,7 +65,7 @@
             Wire w = a.accept();
             w.read();
             w.write("HTTP/1.1 200 OK\r\n");
-            for (int i = 0; i < 10_000 && a.quiet(); i++) {
+            for (int i = 0; i < 10_000 && a.hasNoNewConnection(); i++) {
                 try {
                     w.write("X-" + i + ": aaaaaaaaaaaaaaaa\r\n");
                 } catch (IOException e) {
@@ -123,7 +123,7 @@
             int size = 6 << 20;
             c.write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + size + "\r\n\r\n" + "x".repeat(size));
             Wire w = a.accept();
-            w.until("\r\n\r\n");
+            w.readUntil("\r\n\r\n");
             w.write("HTTP/1.1 413 Too much\r\nContent-Length: 0\r\n\r\n");
             assertEquals("413", status(c.read()));
             c.write(GET);
@@ -163,12 +163,12 @@
                 String text = new String(bytes, StandardCharsets.ISO_8859_1);
                 try (Wire c = s.connect()) {
                     c.write(i % 2 == 0 ? text : "GET / HTTP/1.1\r\nHost: " + text.replace("\n", "") + "\n\r\n");
-                    c.until("\u0000no such end");
+                    c.readUntil("\u0000no such end");
                 } catch (IOException e) {
                     // reset while writing: the connection was closed, too
                 }
             }
-            assertTrue(a.quiet());
+            assertTrue(a.hasNoNewConnection());
             try (Wire c = s.connect()) {
                 c.write(GET);
                 Wire w = a.accept();
@@ -192,7 +192,7 @@
             assertEquals("408", status(half.read()));
             assertEquals("408", status(body.read()));
             assertTrue(silent.ended());
-            assertTrue(a.quiet());
+            assertTrue(a.hasNoNewConnection());
         }
     }
 
--- a/src/test/java/gullspar/site/PlainHttpTest.java
+++ b/src/test/java/gullspar/site/PlainHttpTest.java
@@ -100,7 +100,7 @@
             c.write("PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n"
                     + "X-Sum: 7\r\n\r\n");
             assertEquals("chunked", header(w.read(), "Transfer-Encoding"));
-            assertEquals("3\r\nabc\r\n0\r\nX-Sum: 7\r\n\r\n", w.bytes(23));
+            assertEquals("3\r\nabc\r\n0\r\nX-Sum: 7\r\n\r\n", w.readBytes(23));
         }
     }
 
@@ -131,9 +131,9 @@
             w.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
             assertTrue(w.read().startsWith("GET / "), "on the same connection");
             w.write(OK);
-            String head = c.bytes(20);
+            String head = c.readBytes(20);
             assertTrue(head.startsWith("HTTP/1.1 200 OK"), head);
-            String rest = c.until("ok");
+            String rest = c.readUntil("ok");
             assertTrue(rest.contains("ontent-length: 5\r\n") || rest.contains("ontent-Length: 5\r\n"), rest);
             assertTrue(rest.contains("\r\n\r\nHTTP/1.1 200 OK"), rest);
         }
@@ -175,7 +175,7 @@
             String answer = c.read();
             assertEquals("close", header(answer, "Connection"));
             assertEquals(null, header(answer, "Transfer-Encoding"));
-            assertEquals("abc", c.bytes(3));
+            assertEquals("abc", c.readBytes(3));
             assertTrue(c.ended());
         }
     }
@@ -191,7 +191,7 @@
             w.write("HTTP/1.0 200 OK\r\n\r\nabc");
             w.close();
             assertEquals("chunked", header(c.read(), "Transfer-Encoding"));
-            assertEquals("3\r\nabc\r\n0\r\n\r\n", c.bytes(13));
+            assertEquals("3\r\nabc\r\n0\r\n\r\n", c.readBytes(13));
         }
     }
 
@@ -205,7 +205,7 @@
             w.read();
             w.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-T: 1\r\n\r\n");
             c.read();
-            assertEquals("1\r\na\r\n0\r\nX-T: 1\r\n\r\n", c.bytes(19));
+            assertEquals("1\r\na\r\n0\r\nX-T: 1\r\n\r\n", c.readBytes(19));
         }
     }
 
@@ -224,7 +224,7 @@
                 assertEquals("413", status(c.read()));
                 assertTrue(c.ended());
             }
-            assertTrue(server.quiet());
+            assertTrue(server.hasNoNewConnection());
         }
     }
 
@@ -295,7 +295,7 @@
             c.write(text);
             assertTrue(List.of("400", "501", "505", "417").contains(status(c.read())));
             assertTrue(c.ended());
-            assertTrue(server.quiet());
+            assertTrue(server.hasNoNewConnection());
         }
     }
 
--- a/src/test/java/gullspar/site/SlowReaders.java
+++ b/src/test/java/gullspar/site/SlowReaders.java
@@ -66,7 +66,7 @@
                 start(() -> {
                     try (Wire w = sendRequest(at)) {
                         while (!stop.get()) {
-                            w.bytes(16 << 10);
+                            w.readBytes(16 << 10);
                             TimeUnit.MILLISECONDS.sleep(250);
                         }
                     }
@@ -78,7 +78,7 @@
             long maxKb = 0;
             try (Wire w = sendRequest(at)) {
                 for (long got = 0; got < SIZE; got += 1 << 20) {
-                    if (w.bytes(1 << 20).length() != 1 << 20) {
+                    if (w.readBytes(1 << 20).length() != 1 << 20) {
                         throw new IllegalStateException("the answer is cut short");
                     }
                     maxKb = Math.max(maxKb, got % (32 << 20) == 0 ? resident(daemon) : 0);
@@ -104,12 +104,12 @@
 
     private static Wire sendRequest(InetSocketAddress at) throws IOException {
         Wire w = Wire.to(at).write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-        w.until("\r\n\r\n");
+        w.readUntil("\r\n\r\n");
         return w;
     }
 
     private static void answer(Wire w) throws IOException {
-        w.until("\r\n\r\n");
+        w.readUntil("\r\n\r\n");
         w.write("HTTP/1.1 200 OK\r\nContent-Length: " + SIZE + "\r\n\r\n");
         String piece = "a".repeat(1 << 16);
         for (long sent = 0; sent < SIZE; sent += piece.length()) {
