--- a/src/main/java/gullspar/proxy/Daemon.java
+++ b/src/main/java/gullspar/proxy/Daemon.java
@@ -32,7 +32,10 @@
     /** The same without a class archive, where classes take longer to load. */
     private static final long WARMUP_WITHOUT_ARCHIVE_LIMIT_MS = 3500;
 
-    /** A new configuration has to apply within 4 s of its signal; retries take at most half of that. */
+    /**
+     * Retries of a configuration that cannot be read. A new one has to apply within 4 s of its signal; all retries
+     * together take at most half of that.
+     */
     private static final int MAX_REREADS = 10;
 
     private static final long REREAD_INTERVAL_MS = 200;
@@ -43,8 +46,15 @@
 
     /**
      * Serves until the process receives a termination signal. Each SIGHUP reloads the configuration; one that
-     * cannot be read changes nothing. auxiliaryFactory creates the service that runs beside the proxy where the
-     * configuration names an operators' file, and may return null. afterDrain runs before a signal ends the process.
+     * cannot be read changes nothing.
+     *
+     * @param environment environment variables, which name the configuration file and override some of its values
+     * @param afterDrain runs after the drain, before the process exits
+     * @param factory creates the decision module
+     * @param auxiliaryFactory creates the service that runs beside the proxy; called only if the configuration names
+     *     an operators' file; may return null
+     * @throws ConfigException if the initial configuration is invalid
+     * @throws IOException if the process cannot listen, or its event loop has terminated
      */
     public static void run(
             Map<String, String> environment,
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -21,16 +21,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One accepted request: it is passed to the module, its attempts are sent and end, it gets exactly one final
- * response, and it is kept until its last attempt has ended. After the final response no attempt is sent,
- * whatever the module requests.
+ * One accepted request, from its arrival until its last attempt has ended. It gets exactly one final response, unless
+ * its client disconnects first. After that no attempt is sent, whatever the module requests.
  */
 final class Exchange {
     /**
-     * The client's timeout runs from when it sends the request until the response reaches it. The module gets
-     * the timeout less the first margin; if it has not ended the request by the second, the backstop does.
+     * The module gets the client's timeout less this margin: that timeout includes the transfer of the request and of
+     * the response.
      */
-    private static final long RESPONSE_MARGIN_NS = 10_000_000L, BACKSTOP_MARGIN_NS = 5_000_000L;
+    private static final long RESPONSE_MARGIN_NS = 10_000_000L;
+    /** If the module has not ended the request this long before the client's timeout, the backstop timer does. */
+    private static final long BACKSTOP_MARGIN_NS = 5_000_000L;
 
     final int ticket;
     final Client client;
@@ -39,7 +40,7 @@
     private final RequestClass requestClass;
     private final long marginNs;
     private final long timeoutNs;
-    /** MAX_VALUE while the request is being received: the client's timeout runs from the last byte. */
+    /** The module's deadline; MAX_VALUE while the request is being received, as the timeout runs from its last byte. */
     private long deadlineNs = Long.MAX_VALUE;
     /** By attempt number; null for attempts that were not sent. */
     private final List<Attempt> attempts = new ArrayList<>(2);
--- a/src/main/java/gullspar/proxy/Exchanges.java
+++ b/src/main/java/gullspar/proxy/Exchanges.java
@@ -21,12 +21,12 @@
     final Backends backends;
     final RequestCounters counters;
     private final Map<Integer, Exchange> byTicket = new HashMap<>();
-    /** Requests without a final response; never iterated over. */
+    /** Requests without a final response; never iterated over, as the order of an identity map varies. */
     private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
 
     private int lastTicket;
     private int streamingCount;
-    /** Time by which all requests are answered, whatever timeout their clients gave. */
+    /** Time by which all requests have to be answered, whatever timeouts their clients set. */
     private long latestResponseNs = Long.MAX_VALUE;
 
     Exchanges(Platform platform, Events events, Backends backends, RequestCounters counters) {
@@ -96,7 +96,12 @@
 
     // ---- actions of the module, by ticket ----
 
-    /** withinNs: time within which the attempt has to be sent, or is dropped. */
+    /**
+     * Sends an attempt of a request.
+     *
+     * @param timeoutNs time-out of the attempt; 0 for the time left of the request
+     * @param sendWithinNs the attempt is dropped if it cannot be sent within this time
+     */
     void send(int ticket, int server, long timeoutNs, long sendWithinNs) {
         Exchange exchange = byTicket.get(ticket);
         if (exchange != null) {
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -36,22 +36,24 @@
 public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorEndpoint.StatusSource {
     /** Time without a list from discovery after which the proxy serves with the known list. */
     private static final long DISCOVERY_WAIT_MS = 3000;
+    /** The listener stays open this long after SIGTERM; by the protocol clients connect for at most 0.4 s more. */
+    private static final long DRAIN_ACCEPT_MS = 550;
+    /** Connections that are still being accepted at that time delay closing the listener by at most this. */
+    private static final long MAX_EXTRA_ACCEPT_MS = 200;
+
     /**
-     * After SIGTERM clients connect for at most 0.4 s more (the protocol). Then the listener closes, unless
-     * connections are still being accepted, which delays it by at most the second value.
-     */
-    private static final long DRAIN_ACCEPT_MS = 550, MAX_EXTRA_ACCEPT_MS = 200;
-    /**
-     * SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_MS, plus the slack (the
-     * protocol). The other three are times before it: requests are no longer read, all have been answered, and
-     * the process exits even if a client does not read its response.
+     * By the protocol SIGKILL follows SIGTERM after the longest deadline, limited to this value, plus KILL_SLACK_MS.
      */
-    private static final long MAX_DEADLINE_MS = 3000,
-            KILL_SLACK_MS = 700,
-            STOP_READING_BEFORE_KILL_MS = 500,
-            RESPOND_BEFORE_KILL_MS = 150,
-            EXIT_BEFORE_KILL_MS = 80;
-
+    private static final long MAX_DEADLINE_MS = 3000;
+
+    private static final long KILL_SLACK_MS = 700;
+    /** This long before SIGKILL, requests are no longer read. */
+    private static final long STOP_READING_BEFORE_KILL_MS = 500;
+    /** This long before SIGKILL, all requests have to be answered. */
+    private static final long RESPOND_BEFORE_KILL_MS = 150;
+    /** This long before SIGKILL, the process exits even if a client does not read its response. */
+    private static final long EXIT_BEFORE_KILL_MS = 80;
+    /** Interval at which a drain checks whether it is complete. */
     private static final long DRAIN_POLL_MS = 10;
 
     private final Platform platform;
@@ -67,9 +69,9 @@
     private final Classes classes;
     private final RequestCounters counters = new RequestCounters();
     private boolean listReceived;
-    /** The list from the configuration, null if there is none, and whether the module has received it. */
+    /** The list from the configuration; null if it has none. */
     private ListUpdate knownList;
-
+    /** Whether the module has received the known list. */
     private boolean knownListApplied;
     /** Whether clients may be accepted; before that only the backend list is received. */
     private boolean open;
@@ -164,7 +166,7 @@
     /** Waits until the proxy listens, if it has started to. */
     Proxy awaitListening() throws IOException {
         if (listenFuture == null) {
-            return this; // listens once there is a list; until then the previous process serves
+            return this; // inherited listener: listens once there is a list; until then the previous process serves
         }
         AtomicReference<ChannelFuture> initialBind = new AtomicReference<>(listenFuture);
         ChannelFuture bindFuture = ListenRetry.listen(() -> {
@@ -198,8 +200,8 @@
         if (config.settings().listOnRequest()) {
             applyKnownList();
         } else {
-            // What the agent has counts as known from the start, and the known list may name backends that
-            // have left since: no request is sent by it before the agent has answered.
+            // The known list may name backends that have left since, and changes that the agent has at the start
+            // must be followed from the start: no request is sent by the known list before the agent has answered.
             discovery.watch(true);
         }
         platform.loop().schedule(this::useKnownList, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
@@ -372,7 +374,7 @@
         onListReceived();
     }
 
-    /** A list was received that the proxy can serve with. */
+    /** There is a list to serve with, from discovery or from the configuration. */
     private void onListReceived() {
         if (!listReceived) {
             listReceived = true;
@@ -383,7 +385,7 @@
     private void listenIfReady() {
         if (listReceived && open) {
             if (listenFuture == null) {
-                listen(); // inherited listener: the previous process served until there was a list
+                listen(); // inherited listener: the previous process has served until now
             }
             listenFuture.addListener(bound -> {
                 if (bound.isSuccess()) {
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -56,16 +56,22 @@
  * before the proxy serves, so no outside client can receive a synthetic response.
  */
 final class Warmup {
-    private static final int CLIENTS = 6, BACKENDS = 4;
-    private static final int REQUEST_BYTES = 200, RESPONSE_BYTES = 1000;
+    private static final int CLIENTS = 6;
+    private static final int BACKENDS = 4;
+    /** Length of request bodies. */
+    private static final int REQUEST_BYTES = 200;
+    /** Length of response bodies. */
+    private static final int RESPONSE_BYTES = 1000;
     /** One response in this many is an error or a refusal by the backend. */
     private static final int ERROR_INTERVAL = 25;
 
     /**
-     * On some platforms a domain socket can be created but connections to it never arrive. These limit the wait
-     * for the first connection and for the first response, which takes longer on a small share of a core.
+     * Limits the wait for the first connection: on some platforms a domain socket can be created but connections to
+     * it never arrive.
      */
-    private static final long ACCEPT_TIMEOUT_MS = 250, FIRST_RESPONSE_TIMEOUT_MS = 1000;
+    private static final long ACCEPT_TIMEOUT_MS = 250;
+    /** Limits the wait for the first response, which takes longer on a small share of a core. */
+    private static final long FIRST_RESPONSE_TIMEOUT_MS = 1000;
 
     private static final Log LOG = Log.standardError();
 
@@ -129,7 +135,7 @@
         }
     }
 
-    /** The same with in-process channels. */
+    /** The same with in-process channels; returns 0 if it failed. */
     static int runInProcess(Config config, Balancer.Factory factory, int requests, long limitMs) {
         try {
             return runWith(config, factory, requests, limitMs, Endpoints.inProcess());
--- a/src/main/java/gullspar/proxy/backend/Attempt.java
+++ b/src/main/java/gullspar/proxy/backend/Attempt.java
@@ -17,11 +17,15 @@
 
 /** One attempt to send one request to one backend. */
 public final class Attempt {
-    /**
-     * Notified once of how an attempt ended. There is a response with OK, and with MOOT if the backend rejected
-     * the request.
-     */
+    /** Receives the end of an attempt, and states before it is sent whether it is still needed. */
     public interface Listener {
+        /**
+         * Called exactly once.
+         *
+         * @param report the load that the backend reported; null if it reported none
+         * @param response the response if the status is OK, or MOOT because the backend rejected the request;
+         *     otherwise null
+         */
         void onEnd(Attempt attempt, Status status, Report report, BackendResponse response);
 
         /** Whether the response is still needed, as far as is known. Checked before the attempt is sent. */
@@ -37,17 +41,19 @@
     private final Runnable onWritten;
     private Connection connection;
     private ScheduledFuture<?> timer;
-    /** Its last byte was written: from now on it may have run. */
+    /** The last byte of the request was written: the backend may have started it. */
     private boolean isWritten;
 
     private final long timeoutNs;
-    /** Start of its time-out. */
+    /** When the time-out started. */
     private long startedAtNs;
-    /** It is not sent after this time. */
+    /** The attempt is not sent after this time. */
     private final long sendByNs;
-
+    /** All of the request was handed to the channel. */
     private boolean isSent;
+    /** The attempt must no longer be sent; it has ended or is about to end. */
     private boolean isAbandoned;
+
     private boolean hasEnded;
 
     Attempt(
@@ -80,17 +86,14 @@
     }
 
     /**
-     * Starts the time-out: with the attempt, or, where the request is still being received, with its last byte, as
-     * the protocol defines. Until then both ends must make progress.
+     * Starts the time-out. It runs from the start of the attempt or, by the protocol, from the last byte of a request
+     * that is still being received; until then stalls of the client and of the backend have limits of their own.
      */
     void startTimer() {
         timer = loop.schedule(this::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
-    /**
-     * May it still be sent? Not if it has ended, was abandoned (its end follows a moment later), or its time to be
-     * sent has passed.
-     */
+    /** Whether the attempt may still be sent: it has not ended, was not abandoned and is not too late. */
     boolean canStart() {
         return !hasEnded && !isAbandoned && clock.now() <= sendByNs;
     }
@@ -101,22 +104,21 @@
         return !isAbandoned;
     }
 
-    /** The request that it sends. */
     Message request() {
         return request;
     }
 
-    /** Start of its time-out. */
+    /** When the time-out started, in ns of the proxy's clock. */
     public long startedAtNs() {
         return startedAtNs;
     }
 
-    /** Ends it because the backend does not read the request. */
+    /** Ends the attempt because the backend does not read the request. */
     void failUnread() {
         giveUp(Status.CONNECT_FAILED);
     }
 
-    /** Sets the connection that carries it. */
+    /** Sets the connection that carries the attempt; it is closed if the attempt ends early. */
     void setConnection(Connection c) {
         connection = c;
     }
@@ -144,8 +146,8 @@
     }
 
     /**
-     * Cancels the attempt: it ends as CANCELLED unless it ends otherwise first, never within this call. If it was
-     * not sent yet, it never is, even if its connection opens at this moment.
+     * Cancels the attempt. It ends as CANCELLED after this call returns, unless it has another end first. If it was
+     * not sent yet it never is, even if its connection opens in the meantime.
      */
     public void cancel() {
         isAbandoned = true;
@@ -180,7 +182,7 @@
         listener.onEnd(this, status, report, response);
     }
 
-    /** The head, and the body if all of it was received. */
+    /** Returns the request to be sent: its head, and its body if all of it was received. */
     HttpRequest toHttpRequest() {
         boolean isComplete = request.bodyStream() == null;
         HttpRequest r = isComplete
--- a/src/main/java/gullspar/proxy/backend/Backend.java
+++ b/src/main/java/gullspar/proxy/backend/Backend.java
@@ -7,10 +7,11 @@
 /** A backend as seen by the proxy: its address, whether it has left, and its idle connections. */
 final class Backend {
     InetSocketAddress address;
+    /** Start of its current process. */
     long bootNs;
     /** When discovery reported that it drains or is gone; 0 while it is in service. */
     long leftAtNs;
-    /** In order of their last use, the most recent last. */
+    /** Idle connections in order of their last use, the most recent last. */
     final Deque<Connection> idle = new ArrayDeque<>();
 
     void markLeft(long nowNs) {
--- a/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
+++ b/src/main/java/gullspar/proxy/backend/BackendResponseDecoder.java
@@ -20,7 +20,11 @@
         /** Bytes that do not start a response, or that arrived while none was expected. */
         void onUnexpectedBytes();
 
-        /** Bytes after a complete response; startsResponse: another response starts there, so the first one did end. */
+        /**
+         * Bytes after a complete response.
+         *
+         * @param startsResponse whether another response starts there, so that the first one did end
+         */
         void onTrailingBytes(boolean startsResponse);
     }
 
@@ -37,7 +41,7 @@
     private Expected expected = Expected.NOTHING;
     private boolean hasNoBody;
 
-    /** Limits the status line and the head, in bytes. */
+    /** Creates a decoder that rejects a longer status line or head; both limits are in bytes. */
     public BackendResponseDecoder(Listener listener, int maxStatusLineBytes, int maxHeadBytes) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(maxStatusLineBytes)
@@ -46,7 +50,7 @@
         this.listener = listener;
     }
 
-    /** Expects a response; headOnly: it has no body, whatever its head says (HEAD). */
+    /** Expects a response; with headOnly it has no body, whatever its headers say, as in response to HEAD. */
     public void expectResponse(boolean headOnly) {
         hasNoBody = headOnly;
         expectResponse();
@@ -57,7 +61,7 @@
         return hasNoBody || super.isContentAlwaysEmpty(message);
     }
 
-    /** Expects a response: to the request that is being written, or after an interim response. */
+    /** Expects a response, either to the request that is being written or following an interim response. */
     public void expectResponse() {
         expected = Expected.BEGINNING;
     }
--- a/src/main/java/gullspar/proxy/backend/Backends.java
+++ b/src/main/java/gullspar/proxy/backend/Backends.java
@@ -26,9 +26,9 @@
  * here.
  */
 public final class Backends {
-    /** Idle connections are closed this long before the backend does, so that no request crosses its close. */
+    /** Idle connections are closed this long before the backend closes them, so that no request meets a close. */
     private static final long KEEP_ALIVE_MARGIN_NS = 1_500_000_000L;
-
+    /** Interval of closing expired idle connections. */
     private static final long SWEEP_INTERVAL_MS = 500;
     /** A connection is not reused for this long, so that a late duplicate response is not taken for the next one. */
     private static final long REUSE_DELAY_NS = 20_000_000L;
@@ -59,6 +59,7 @@
 
     // ---- the list of backends ----
 
+    /** Applies a list update; idle connections to backends that have left, moved or restarted are closed. */
     public void update(ListUpdate listUpdate) {
         long nowNs = clock.now();
         if (listUpdate.kind() != ListKind.DELTA) {
@@ -98,6 +99,7 @@
 
     // ---- idle connections ----
 
+    /** Closes the idle connections of a backend; id is its number in the list. */
     public void closeIdleConnections(int id) {
         Backend backend = backends.get(id);
         if (backend != null) {
@@ -136,12 +138,12 @@
     }
 
     /**
-     * Takes an idle connection, null if none is usable. By default the longest idle: a close right after a response,
-     * or surplus bytes, have been seen by then. For a request that may not be repeated, the most recently used: a
-     * backend that closes idle connections early closes that one last.
+     * Takes an idle connection; returns null if none is usable. A repeatable request gets the longest idle one: if the
+     * backend closed it after its last response, or sent surplus bytes, the proxy has noticed by now. Any other
+     * request gets the most recently used one: a backend that closes idle connections early closes that one last.
      */
     private Connection takeIdle(Backend backend, boolean isRepeatable) {
-        // Not left to the timer: after a standstill this would write to what the backend is about to close.
+        // Not left to the timer: after a standstill a connection might be used that the backend is about to close.
         while (!backend.idle.isEmpty()
                 && !(isFresh(backend.idle.peekFirst())
                         && backend.idle.peekFirst().isActive())) {
@@ -163,8 +165,11 @@
     // ---- attempts ----
 
     /**
-     * Starts an attempt; it ends later, never within this call. It is sent within sendWithinNs or not at all;
-     * isRepeatable: whether it may run twice.
+     * Starts an attempt; it ends after this call returns.
+     *
+     * @param server the backend's number in the list
+     * @param sendWithinNs the attempt is not sent later than this; Long.MAX_VALUE for no limit
+     * @param isRepeatable whether the request may run twice
      */
     public Attempt send(
             int server,
--- a/src/main/java/gullspar/proxy/backend/Connection.java
+++ b/src/main/java/gullspar/proxy/backend/Connection.java
@@ -27,18 +27,20 @@
 
 /** A connection to a backend; carries one attempt at a time. */
 final class Connection extends SimpleChannelInboundHandler<HttpObject> implements BackendResponseDecoder.Listener {
-    /** Interim (1xx) responses before one final response. */
+    /** Limits the interim (1xx) responses before one final response. */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
-    private static final int MAX_STATUS_LINE_BYTES = 1024, MAX_HEAD_BYTES = 8 << 10;
+    private static final int MAX_STATUS_LINE_BYTES = 1024;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
     /** The attempt fails if the backend reads nothing of the request for this long. */
     private static final long UPLOAD_STALL_TIMEOUT_NS = 2_000_000_000L;
 
     private final Backend backend;
-    /** The address and the start time of the process that it leads to. */
+    /** Address of the process at the other end. */
     private final InetSocketAddress address;
-
+    /** Start time of that process. */
     private final long bootNs;
+
     private final EventLoop loop;
     private final Clock clock;
     private final long drainGraceNs;
@@ -52,12 +54,13 @@
     private int interimCount;
     /** The response has ended, but the rest of that read is not yet processed. */
     private boolean isResponseComplete;
-
+    /** Bytes followed the complete response, so the connection is not reused. */
     private boolean hasTrailingBytes;
     /** The response that is streamed to the client; null if it is buffered, or none is expected. */
     private BodyStream rest;
-
+    /** Length of the streamed body so far. */
     private long streamedBytes;
+
     private ScheduledFuture<?> stallCheck;
     private final BodyStreamWriter uploadWriter = new BodyStreamWriter();
     private long uploadProgressNs;
@@ -142,7 +145,7 @@
         continueUpload();
     }
 
-    /** Adds its listener before the write: within one process a response may arrive during the write. */
+    /** Has its listener before the write starts: on an in-process channel the response may arrive during the write. */
     private ChannelPromise writePromise(Attempt writtenAttempt) {
         return channel.newPromise().addListener(f -> onWriteComplete(writtenAttempt, f.isSuccess()));
     }
@@ -154,7 +157,7 @@
         if (success) {
             writtenAttempt.markWritten();
         } else if (attempt == writtenAttempt) {
-            fail(); // failed before its last byte was written: it never ran
+            fail(); // the last byte was not written, so the backend has not started the request
         } else {
             channel.close();
         }
@@ -270,8 +273,8 @@
     }
 
     /**
-     * There are bytes beyond the response's length. If another response starts there, the first one did end. Anything
-     * else may be the rest of a body whose declared length is too short: that response is not served.
+     * Fails the response unless another one starts in the trailing bytes: anything else may be the rest of a body whose
+     * declared length is too short.
      */
     @Override
     public void onTrailingBytes(boolean startsResponse) {
@@ -281,7 +284,7 @@
         hasTrailingBytes = true;
     }
 
-    /** Completes the response after the whole read: a connection with surplus bytes is not reused. */
+    /** Completes the response after the whole read, when it is known whether surplus bytes followed it. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (isResponseComplete && attempt != null) {
--- a/src/main/java/gullspar/proxy/backend/LoadReport.java
+++ b/src/main/java/gullspar/proxy/backend/LoadReport.java
@@ -6,8 +6,10 @@
 
 /** Parses the load that a backend reports in the header Server-Load. */
 public final class LoadReport {
-    /** Larger values are invalid: a utilization of one is full load, and no count reaches a million. */
-    private static final double MAX_UTIL = 100, MAX_COUNT = 1e6;
+    /** A larger utilization is invalid; 1 is full load. */
+    private static final double MAX_UTIL = 100;
+    /** Larger counts, rates and latencies (in ms) are invalid. */
+    private static final double MAX_COUNT = 1e6;
 
     private LoadReport() {}
 
--- a/src/main/java/gullspar/proxy/discovery/Catalog.java
+++ b/src/main/java/gullspar/proxy/discovery/Catalog.java
@@ -14,14 +14,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Parses lists of discovery and assigns the number by which the module identifies each instance. */
+/** Parses lists from discovery and assigns to each instance the number by which the module identifies it. */
 final class Catalog {
     private final List<String> kinds;
     private final List<String> zones;
-    /** The unique number of each listed backend, and the reverse. */
+    /** The unique number of each listed instance. */
     private final Map<String, Integer> numbersById = new HashMap<>();
-
+    /** The reverse of numbersById. */
     private final Map<Integer, String> idsByNumber = new HashMap<>();
+
     private final StartTimes startTimes = new StartTimes();
 
     Catalog(List<String> kinds, List<String> zones) {
@@ -36,8 +37,8 @@
     /**
      * Parses one list; throws IllegalArgumentException, without any change of state, if it is invalid.
      *
-     * @param hadList whether a list of discovery was received before this one
-     * @param nowNs time of this process's clock
+     * @param hadList whether a list was received from discovery before this one
+     * @param nowNs current time of the proxy's clock
      */
     ListUpdate read(JsonNode root, boolean hadList, long nowNs) {
         long generation = generation(root);
@@ -60,7 +61,7 @@
         }
         List<ListedBackend> list = new ArrayList<>();
         if (isFull) {
-            Set<String> ids = new HashSet<>(); // a set, since each known id is looked up in it
+            Set<String> ids = new HashSet<>(); // a set, as retainAll looks up each known id in it
             entries.forEach(entry -> ids.add(entry.path("instanceId").asText()));
             numbersById.keySet().retainAll(ids);
             idsByNumber.values().retainAll(ids);
@@ -87,7 +88,7 @@
                             entry.path("weight").asDouble(1)),
                     addresses.get(i)));
         }
-        // Terminated instances release their number; otherwise the maps would grow forever with new ids.
+        // Terminated instances release their numbers; otherwise the maps would grow without limit.
         for (ListedBackend backend : list) {
             if (backend.server().state() == State.GONE) {
                 String id = idsByNumber.remove(backend.server().id());
--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -35,10 +35,9 @@
 import java.util.function.Predicate;
 
 /**
- * Watches discovery and turns its messages into list events. A watch that ends, falls silent or sends invalid
- * data is reopened from the last version; the previous list stays in use meanwhile. Only a complete list shows
- * that a watch works: until one is received the watch has a deadline, and where lists are pushed another watch
- * is opened in parallel.
+ * Watches discovery and passes its lists to a listener. A watch that ends, falls silent or sends invalid data is
+ * reopened from the last version; the previous list stays in use meanwhile. Only a complete list shows that a watch
+ * works: a watch that has not sent one has a deadline, and where lists are pushed another watch is opened in parallel.
  */
 public final class Discovery {
     /** Receives list updates, and failures of the watch. */
@@ -49,8 +48,13 @@
     }
 
     /**
-     * The address of discovery, whether the module requests each call, the list known at startup, and the names
-     * whose indexes the module uses.
+     * Where lists come from and how they are read.
+     *
+     * @param address address of discovery
+     * @param listOnRequest whether each list is a call that the module requests, rather than pushed
+     * @param knownList the list known at startup; a missing node if there is none
+     * @param kinds machine types in the order of the indexes that the module uses
+     * @param zones zones in the order of the indexes that the module uses
      */
     public record Source(
             InetSocketAddress address,
@@ -65,32 +69,36 @@
     }
 
     /**
-     * Time limits in ms: for connecting; for a watch's first list, from opening it; and for silence between two
-     * messages. The protocol sends a heartbeat every 2 s. The proxy has to apply what a watch misses within 6 s of
-     * it falling silent, and any change within 6 s of discovery having it and being reachable: a silence, or an
-     * unanswered call, a pause of the module and a queued call have to fit into that time.
+     * Time limits in ms. The proxy has to apply a change within 6 s of the watch falling silent, and within 6 s of
+     * discovery having the change and being reachable. That time has to cover either a silence, or an unanswered call,
+     * the module's pause after it and a call that discovery queues.
+     *
+     * @param connectMs limit for connecting
+     * @param firstListMs limit for the first list of a watch, from opening it
+     * @param silenceMs limit between two messages of a watch; the protocol sends a heartbeat every 2 s
      */
     public record Timeouts(long connectMs, long firstListMs, long silenceMs) {
         private static final long SILENCE_MS = 3000;
-        /** For an agent on this machine, which answers at once; changes count from when it could have them. */
+        /** For an agent on this machine, which answers at once; the time for a change runs from when it could have it. */
         public static final Timeouts AGENT = new Timeouts(200, 250, SILENCE_MS);
         /** For a service that all proxies call, which may queue a call for up to 2 s. */
         public static final Timeouts SERVICE = new Timeouts(1000, 2500, SILENCE_MS);
 
         /**
-         * An address that sends versions lower than one received before may lag behind or may have restarted its
-         * versions. After this time its lists are accepted, since nothing else would ever be received.
+         * How long lists with a version lower than the last one are rejected. Their sender may lag behind or may have
+         * restarted its versions; after this time its full lists are accepted, as it may never send higher versions.
          */
         long catchUpMs() {
             return silenceMs / 2;
         }
     }
 
+    private static final long INITIAL_BACKOFF_MS = 10;
     /**
-     * A call to an agent costs little, and changes that it has once it is reachable again must be followed
-     * after the settings' grace: backoff, connecting and waiting for its answer together stay well below any grace.
+     * A call to an agent costs little. Changes that it has when it is reachable again must be followed within the
+     * settings' grace: the backoff, connecting and its answer together stay well below any grace.
      */
-    private static final long INITIAL_BACKOFF_MS = 10, MAX_BACKOFF_MS = 80;
+    private static final long MAX_BACKOFF_MS = 80;
     /** Limits the descriptors used; a silent agent has fewer watches open before the first one times out. */
     private static final int MAX_WATCHES = 16;
 
@@ -107,13 +115,13 @@
     private long version = -1;
     private long backoffMs = INITIAL_BACKOFF_MS;
     private boolean isWatching;
-    /** A list was received from discovery, so backends that are new in later ones have just started. */
+    /** A list was received from discovery, so backends that first appear in later ones have just started. */
     private boolean hadList;
     /** Open watches, the oldest first. All are read until one at the current address sends a list. */
     private final Set<Watch> watches = new LinkedHashSet<>();
     /** The watch at the current address that has sent a list; null if there is none. */
     private Watch current;
-    /** Scheduled opening of another watch; null while the current one works and where the module requests calls. */
+    /** Scheduled opening of another watch; null while the current one works, or if the module requests each call. */
     private ScheduledFuture<?> scheduledOpen;
     /** Time of the first list older than the last version; 0 if the most recent list was not older. */
     private long behindSinceNs;
@@ -294,7 +302,7 @@
             connectOperation.close();
         }
 
-        /** Restarts the deadline after which a silent watch is closed: after a network failure it would stay open. */
+        /** Restarts the deadline of a silent watch, which would otherwise stay open after a network failure. */
         private void restartDeadline(long ms) {
             if (deadline != null) {
                 deadline.cancel(false);
@@ -310,7 +318,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            // An address that has restarted its versions does not know the last version.
+            // A discovery that has restarted its versions does not know the last version, so all are requested.
             String indexParameter = version < 0 || hasCatchUpTimePassed() ? "" : "&index=" + version;
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?stream=1" + indexParameter);
@@ -354,8 +362,8 @@
                     throw new IOException("list exceeds " + MAX_LIST_BYTES + " bytes");
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // The data may have held a change, which only a new watch from the last version is sure to
-                // deliver. Parser messages have several lines; the first states the error.
+                // The data may have held a change, and only a new watch from the last version is sure to deliver
+                // it. Parser messages have several lines; the first one states the error.
                 backoffMs = MAX_BACKOFF_MS;
                 warnOnce("unusable data from discovery, closing the watch: "
                         + e.getMessage().lines().findFirst().orElse(""));
@@ -419,7 +427,7 @@
         }
     }
 
-    /** Number of backends with an assigned number. */
+    /** Number of listed backends. */
     public int backendCount() {
         return catalog.backendCount();
     }
--- a/src/main/java/gullspar/proxy/discovery/StartTimes.java
+++ b/src/main/java/gullspar/proxy/discovery/StartTimes.java
@@ -11,9 +11,10 @@
  * or steps does not make a cold backend look warm.
  */
 final class StartTimes {
-    /** Start time of a backend that is not cold. */
+    /** Start time of a backend whose start is not listed; it counts as warm. */
     static final long LONG_AGO_NS = 0;
 
+    /** A start as listed, Unix time in ms, and on this process's clock. */
     private record Start(long startedAtMs, long startTimeNs) {}
 
     private final Map<String, Start> starts = new HashMap<>();
--- a/src/main/java/gullspar/proxy/io/AcceptBackoff.java
+++ b/src/main/java/gullspar/proxy/io/AcceptBackoff.java
@@ -19,7 +19,11 @@
     private boolean isPaused;
     private long failureCount;
 
-    /** closeOneIdle: closes an idle connection to free a descriptor, if there is one. */
+    /**
+     * Creates the handler of one listener.
+     *
+     * @param closeOneIdle closes an idle connection to free a descriptor; returns false if there is none
+     */
     public AcceptBackoff(BooleanSupplier closeOneIdle) {
         this.closeOneIdle = closeOneIdle;
     }
--- a/src/main/java/gullspar/proxy/io/Clock.java
+++ b/src/main/java/gullspar/proxy/io/Clock.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.io;
 
-/** Monotonic time in ns from an arbitrary origin in the past; a rehearsal supplies virtual time. */
+/** Monotonic time in ns since an arbitrary origin; a rehearsal supplies virtual time. */
 public interface Clock {
     long now();
 
--- a/src/main/java/gullspar/proxy/io/ConnectOperation.java
+++ b/src/main/java/gullspar/proxy/io/ConnectOperation.java
@@ -8,7 +8,7 @@
 
 /**
  * Opens one connection. Its listener is notified exactly once of the result, even if no socket could be created,
- * and exactly once of the release of its descriptor. Both happen on the loop, never within the call.
+ * and exactly once of the release of its descriptor, both on the event loop after {@link #start} has returned.
  */
 public final class ConnectOperation {
     /** Notified of the result. */
--- a/src/main/java/gullspar/proxy/io/DescriptorLimits.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -35,6 +35,7 @@
             return true;
         }
 
+        /** Releases a descriptor that was acquired. */
         public void release() {
             openCount--;
         }
@@ -54,6 +55,7 @@
     /** For connections to backends. */
     public final Share backends;
 
+    /** Divides this number of descriptors, the limit of the process. */
     public DescriptorLimits(int limit) {
         int available = limit - Math.min(RESERVED_DESCRIPTORS, limit / 4);
         this.clients = new Share(available * 3 / 5);
--- a/src/main/java/gullspar/proxy/io/FileWatcher.java
+++ b/src/main/java/gullspar/proxy/io/FileWatcher.java
@@ -15,7 +15,7 @@
 
     private FileWatcher() {}
 
-    /** Runs the action after each change from now on, on a daemon thread of its own. */
+    /** Runs the action after each change of the file from now on, on a new daemon thread. */
     public static void watch(Path file, Runnable action) {
         List<Object> initial = fingerprint(file);
         Thread thread = new Thread(
--- a/src/main/java/gullspar/proxy/io/ListenRetry.java
+++ b/src/main/java/gullspar/proxy/io/ListenRetry.java
@@ -7,7 +7,7 @@
 /** Retries listening at the start, when the system may briefly lack resources for a socket. */
 public final class ListenRetry {
     private static final long RETRY_INTERVAL_MS = 50;
-    /** A start may take 10 s, including its warm-up. */
+    /** Half of the 10 s that a start may take including its warm-up. */
     private static final long MAX_RETRY_NS = TimeUnit.SECONDS.toNanos(5);
 
     private ListenRetry() {}
--- a/src/main/java/gullspar/proxy/io/LoopStatistics.java
+++ b/src/main/java/gullspar/proxy/io/LoopStatistics.java
@@ -28,7 +28,7 @@
         served -= clients;
     }
 
-    /** Records a period without a poll or wait; returns true if it counts as a standstill. */
+    /** Records how long the loop neither polled nor waited; returns true if this counts as a standstill. */
     boolean recordStandstill(long durationNs) {
         if (durationNs < STANDSTILL_NS) {
             return false;
--- a/src/main/java/gullspar/proxy/io/NonBlockingStream.java
+++ b/src/main/java/gullspar/proxy/io/NonBlockingStream.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands writes to a thread of its own and never blocks the caller: a sink that stalls, is full or was closed loses
- * log lines but does not stop the service. Dropped writes are counted, and reported once the sink works again.
+ * Writes to a sink on a separate thread and never blocks the caller: if the sink stalls, is full or was closed, log
+ * lines are lost but the service goes on. Dropped writes are counted, and reported once the sink works again.
  */
 public final class NonBlockingStream extends OutputStream {
     private static final int MAX_QUEUED_WRITES = 1024;
--- a/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
+++ b/src/main/java/gullspar/proxy/io/OrderedNioHandler.java
@@ -31,9 +31,9 @@
  * <p>Used on the thread of its loop only.
  */
 final class OrderedNioHandler implements IoHandler {
-    /** Clients are read for this long in one turn; the rest are left for the next one. */
+    /** No further client is read in a turn after this time; the rest are left for the next turn. */
     static final long MAX_CLIENT_READ_NS = 20_000_000L;
-    /** Netty's limit of accepts per turn; after fewer of them the accept queue is empty. */
+    /** Netty's limit of accepted connections per turn; after fewer of them the accept queue is empty. */
     private static final int MAX_ACCEPTS_PER_TURN = 16;
 
     private static final InternalLogger LOG = InternalLoggerFactory.getInstance(OrderedNioHandler.class);
@@ -52,7 +52,12 @@
     private long turn;
     private int registrationCount;
 
-    /** clock: the time in ns that the loop's timers use, from any origin. */
+    /**
+     * Wraps a handler.
+     *
+     * @param nio Netty's handler
+     * @param clock the time in ns that the loop's timers use, since any origin
+     */
     OrderedNioHandler(IoHandler nio, LongSupplier clock) {
         this.nio = nio;
         this.clock = clock;
@@ -183,17 +188,17 @@
     @SuppressWarnings("try")
     private final class ReadyChannel implements NioIoHandle {
         private final NioIoHandle handle;
-        /** The queue for its events, by who opened the connection. */
+        /** The queue for its events, which depends on who opened the connection. */
         private final List<ReadyChannel> readyQueue;
 
         private final long registrationTurn = turn;
-        /** The first data of a connection may have arrived while the connection waited to be accepted. */
+        /** For an accepted connection, whose first data may have arrived while it waited to be accepted. */
         private final long acceptorReadableSinceNs = serving == null ? Long.MAX_VALUE : serving.readableSinceNs;
 
         private IoRegistration registration;
         private IoEvent event;
         private long readableSinceNs;
-        /** The last turn in which it was ready and was not, or not completely, served. */
+        /** The last turn in which it was ready but was not served, or not completely. */
         private long unservedTurn = -1;
 
         ReadyChannel(NioIoHandle handle) {
@@ -251,7 +256,7 @@
 
         private IoHandlerContext delegate;
         private boolean canWait;
-        /** How long the NIO handler may wait in this turn; 0 if it may not. */
+        /** How long the NIO handler may wait in the current poll; 0 if it may not. */
         private long allowedWaitNs;
 
         void begin(IoHandlerContext next, boolean wait) {
--- a/src/main/java/gullspar/proxy/io/PollTimes.java
+++ b/src/main/java/gullspar/proxy/io/PollTimes.java
@@ -18,8 +18,9 @@
     private long readableSinceNs;
 
     /**
-     * Records a finished poll. Where {@link #needsNonBlockingPoll} is true, a poll that may wait must follow one
-     * that may not and found nothing: otherwise data that arrived before it would seem to have just arrived.
+     * Records a finished poll. While {@link #needsNonBlockingPoll} is true, a poll that may wait is allowed only
+     * after one that may not wait and found nothing: otherwise data that arrived earlier would seem to have just
+     * arrived.
      *
      * @param startNs when the poll started
      * @param nowNs when it ended
@@ -49,7 +50,7 @@
         return hasOverslept || workedNs(nowNs) >= SHORT_WORK_NS;
     }
 
-    /** Data that is read without having been found by a poll arrived after this time. */
+    /** Data that is read although no poll has found it arrived after this time. */
     long seenUntilNs() {
         return seenUntilNs;
     }
--- a/src/main/java/gullspar/proxy/io/Signals.java
+++ b/src/main/java/gullspar/proxy/io/Signals.java
@@ -15,9 +15,10 @@
     private Signals() {}
 
     /**
-     * Runs the action at each such signal, on a thread of its own. Returns false if that is not possible: the JVM
-     * has no such class, or the process was started with the signal ignored (nohup, a trap), which the JVM does
-     * not change.
+     * Runs the action at each such signal, on a new thread. Returns false if that is not possible: the JVM has no
+     * such class, or the process was started with the signal ignored (nohup, a trap), which the JVM does not change.
+     *
+     * @param name name of the signal without the prefix SIG
      */
     public static boolean register(String name, Runnable action) {
         try {
--- a/src/main/java/gullspar/proxy/io/Transport.java
+++ b/src/main/java/gullspar/proxy/io/Transport.java
@@ -13,13 +13,13 @@
 
 /** Opens and accepts connections: over TCP, except during warm-up and in rehearsals. */
 public interface Transport {
-    /** For one connection to an address. */
+    /** Returns a bootstrap for one connection to an address. */
     Bootstrap clientBootstrap(InetSocketAddress address);
 
-    /** For a listener on an address; the caller sets its handler. */
+    /** Returns a bootstrap for a listener on an address; the caller sets the handler of accepted connections. */
     ServerBootstrap serverBootstrap(InetSocketAddress address);
 
-    /** For a datagram socket on an address; the caller sets its handler. */
+    /** Returns a bootstrap for a datagram socket on an address; the caller sets its handler. */
     default Bootstrap datagramBootstrap(InetSocketAddress address) {
         throw new UnsupportedOperationException("this transport has no datagrams");
     }
--- a/src/main/java/gullspar/proxy/io/UnreadAge.java
+++ b/src/main/java/gullspar/proxy/io/UnreadAge.java
@@ -9,5 +9,6 @@
     /** For loops that do not track it: all data counts as read on arrival. */
     UnreadAge UNKNOWN = () -> 0;
 
+    /** Returns the age in ns. */
     long ns();
 }
--- a/src/test/java/gullspar/ArchitectureTest.java
+++ b/src/test/java/gullspar/ArchitectureTest.java
@@ -63,7 +63,7 @@
                 .check(ALL);
     }
 
-    /** Lists and routes are decisions as well, outside the decision module. */
+    /** Routing makes decisions as well, so the rules of the decision module hold for it. */
     @Test
     void routingDoesNoIoAndReadsNoClock() {
         classes()
@@ -229,7 +229,7 @@
                 .check(ALL);
     }
 
-    /** The daemon runs without the rehearsal kit, the simulator's protocol and the command line. */
+    /** The daemon must run without the rehearsal kit, the simulator's protocol and the command line. */
     @Test
     void daemonDependsOnNothingAboveIt() {
         classes()
--- a/src/test/java/gullspar/proxy/AnsweringServer.java
+++ b/src/test/java/gullspar/proxy/AnsweringServer.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 
-/** A backend or discovery on loopback that answers every request alike, each connection on its own thread. */
+/** A backend or discovery on loopback that answers every request with the same bytes, a thread per connection. */
 final class AnsweringServer implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
@@ -14,7 +14,7 @@
         daemon(() -> acceptAll(answer));
     }
 
-    /** A discovery whose stream starts with a list without changes. */
+    /** A discovery whose stream starts with an empty delta, so that the known list stays in use. */
     static AnsweringServer discovery() throws IOException {
         String list = "{\"generation\":42,\"reset\":false,\"instances\":[]}\n";
         return new AnsweringServer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/test/java/gullspar/proxy/BackendsTest.java
+++ b/src/test/java/gullspar/proxy/BackendsTest.java
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Starts an attempt whose connection opens while the loop is blocked: whatever happens until resume is counted
-     * down is found in the same turn of the loop.
+     * Starts an attempt whose connection opens while the loop is blocked; returns the backend's end. The loop finds all
+     * that happens until resume is counted down in one turn.
      */
     private Peer.Wire connectWhileLoopIsBlocked(Runnable send, CountDownLatch resume) throws Exception {
         setup.loop.execute(() -> {
@@ -288,7 +288,7 @@
         }
     }
 
-    /** A backend starts a request at its last byte: an earlier response cannot belong to this request. */
+    /** A backend starts a request at its last byte, so an earlier response cannot belong to this request. */
     @Test
     void responseBeforeTheEndOfTheRequestIsNotServed() throws Exception {
         try (Peer.Wire client = setup.client()) {
--- a/src/test/java/gullspar/proxy/ClientDisconnectTest.java
+++ b/src/test/java/gullspar/proxy/ClientDisconnectTest.java
@@ -15,10 +15,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A client that disconnects while its request waits, in each place where one can wait: nothing more is sent
- * for it, the module withdraws the request, and its resources are released. The module here sends when the
- * test says so. The disconnect can be read from the socket by then, and in some of the tests the event loop
- * has not read it yet.
+ * A client that disconnects while its request waits, in each place where one can wait: nothing more is sent for it,
+ * the module withdraws the request, and its resources are released. The test triggers each attempt; the disconnect is
+ * in the socket by then, although in the second group of tests the event loop has not read it yet.
  */
 class ClientDisconnectTest extends LoopbackTest {
     private interface DisconnectAction {
@@ -178,7 +177,7 @@
 
     // ---- the event loop has not read the disconnect yet ----
 
-    /** Nothing has been sent so far: the first request that the backend gets is another client's. */
+    /** Sends the request of another client, which must be the first one that the backend receives. */
     private void assertNothingReachedBackend() throws Exception {
         try (Peer.Wire other = setup.client()) {
             setup.onRequest = r -> {};
@@ -274,7 +273,7 @@
         assertWithdrawnBeforeSending(r);
     }
 
-    /** The loop iteration has done its reads by then: only a further read finds the disconnect. */
+    /** The turn of the loop has done its reads by then, so only a further read finds the disconnect. */
     @ParameterizedTest
     @EnumSource
     void unreadDisconnectAtBackendConnectPreventsSending(DisconnectMode mode) throws Exception {
@@ -308,7 +307,7 @@
         assertWithdrawnBeforeSending(setup.nextRequest());
     }
 
-    /** The request ahead is answered, and the next would be accepted and sent at once. */
+    /** The request ahead is answered, after which the next one would be accepted and sent at once. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "RESETS") // found as that response is written
     void nextPipelinedRequestIsNotSentAfterAnUnreadDisconnect(DisconnectMode mode) throws Exception {
--- a/src/test/java/gullspar/proxy/ConnectionPressureTest.java
+++ b/src/test/java/gullspar/proxy/ConnectionPressureTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** Clients whose connections are closed before they have sent anything must be counted in the log. */
+/** More clients than descriptors: which connections are closed to make room, and that the log counts them. */
 @Timeout(60)
 @Isolated("output of other tests would be mixed into the captured log")
 class ConnectionPressureTest {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** 16 descriptors less a quarter, and three fifths of the rest. */
+    /** 16 descriptors less a reserved quarter leave 12, and three fifths of these are for clients. */
     private static Config sevenConnections(Peer discovery, Peer backend) throws ConfigException {
         return Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 16, 5000), Map.of());
     }
--- a/src/test/java/gullspar/proxy/DeployedRunTest.java
+++ b/src/test/java/gullspar/proxy/DeployedRunTest.java
@@ -165,7 +165,7 @@
         assertStartsWarm(true);
     }
 
-    /** If warm-up depended on a writable file or a Unix socket, the start would be cold here. */
+    /** A warm-up that needs a writable file or a Unix socket would serve no requests here. */
     @Test
     void startsWarmWithoutWritableFoldersOrUnixSockets() throws Exception {
         assertStartsWarm(false);
--- a/src/test/java/gullspar/proxy/DiscoveryTest.java
+++ b/src/test/java/gullspar/proxy/DiscoveryTest.java
@@ -392,7 +392,7 @@
         assertEquals(ListKind.FULL, setup.nextEvent("kind", ListKind.class));
     }
 
-    /** The same at a new address; lists of the former one apply as long as the new one is behind. */
+    /** As above at a new address; lists of the former one apply while the new one sends lower versions. */
     @Test
     void restartedGenerationsAtNewAddressAreAcceptedEventually() throws Exception {
         Discovery d = startWatch(new Discovery.Timeouts(60_000, 60_000, 2000));
@@ -412,7 +412,7 @@
         }
     }
 
-    /** Answers each watch opened at this peer with the list, until it is applied. */
+    /** Answers each watch opened at this server with the list, until it is applied. */
     private void answerUntilApplied(Peer server, String list) throws Exception {
         AtomicBoolean isApplied = new AtomicBoolean();
         Thread responder = new Thread(() -> {
@@ -554,8 +554,8 @@
     }
 
     /**
-     * What the agent has counts as known from the start of a process, so no request is sent by the known list
-     * before the agent has answered. Deltas are then relative to the known list.
+     * Changes that the agent has must be followed from the start of a process, so no request is sent by the known
+     * list before the agent has answered. Deltas are then relative to the known list.
      */
     @Test
     void knownListIsNotUsedBeforeDiscoveryAnswers() throws Exception {
@@ -594,7 +594,7 @@
         discovery.accept().read();
     }
 
-    /** Requests received first must not go to a backend whose drain was announced during a standstill. */
+    /** Requests that waited during a standstill must not go to a backend whose drain was announced in that time. */
     @Test
     void listIsDeliveredBeforeRequestsAfterStandstill() throws Exception {
         Peer.Wire watch = discovery.accept();
--- a/src/test/java/gullspar/proxy/FaultyProxy.java
+++ b/src/test/java/gullspar/proxy/FaultyProxy.java
@@ -26,7 +26,7 @@
     private static final int MAX_DESCRIPTORS = 128;
 
     private static final long POLL_INTERVAL_MS = 10;
-    /** Allowed time until it serves, after its start or the last fault. */
+    /** Limit on the time until the proxy serves again after the last fault. */
     private static final long MAX_RECOVERY_NS = TimeUnit.SECONDS.toNanos(10);
 
     final SystemCallFaults faults;
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -304,8 +304,8 @@
 
     /**
      * A request partly received when the listener closes is awaited and answered. With these settings the drain
-     * rejects it after 1.4 s and ends after 1.8 s, and other time limits go by the clock: none of them is reached
-     * here, however slow the machine is.
+     * rejects it after 1.4 s and ends after 1.8 s. Those timers are ignored and the clock, which other time limits
+     * use, is stopped, so that none of the limits is reached however slow the machine is.
      */
     @Test
     void partialRequestIsAwaitedAndAnsweredAfterListenerCloses() throws Exception {
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Descriptors are left for a watch and its replacement, and for the maximum number of operators. */
+    /** Enough descriptors are left for a watch, its replacement and the maximum number of operator connections. */
     private static void assertDescriptorsLeft(Process p) throws IOException {
         Path open = Path.of("/proc", String.valueOf(p.pid()), "fd");
         if (Files.exists(open)) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** The drain update takes effect: in the end there is no backend left to send to. */
+    /** Sends requests until one is refused, since the only backend drains. */
     private static void awaitRefusal(InetSocketAddress address) throws Exception {
         String answer;
         do {
--- a/src/test/java/gullspar/proxy/LargeBodiesTest.java
+++ b/src/test/java/gullspar/proxy/LargeBodiesTest.java
@@ -29,7 +29,10 @@
 /** Requests and responses that are too large to buffer. */
 @Timeout(60)
 class LargeBodiesTest {
-    private static final int LARGE_BYTES = 6 << 20, RECEIVE_BUFFER_BYTES = 16 << 10;
+    private static final int LARGE_BYTES = 6 << 20;
+    /** Small, so that the sender is often ahead of the receiver and has to wait. */
+    private static final int RECEIVE_BUFFER_BYTES = 16 << 10;
+
     private Peer discovery;
     private ServerSocket backend;
     private Setup setup;
@@ -38,7 +41,6 @@
     @BeforeEach
     void start() throws Exception {
         discovery = new Peer();
-        // Small buffers, so that the sender is often ahead of the receiver and has to wait.
         backend = new ServerSocket();
         backend.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         backend.bind(new InetSocketAddress("127.0.0.1", 0));
@@ -97,7 +99,7 @@
         return s.toString();
     }
 
-    /** The body of a chunked message. */
+    /** Reads the body of a chunked message. */
     private static byte[] readChunks(InputStream in) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (true) {
@@ -360,6 +362,7 @@
         }
     }
 
+    /** Reads a byte; returns -1 if the connection was closed or reset. */
     private static int readByte(Socket s) {
         try {
             return s.getInputStream().read();
--- a/src/test/java/gullspar/proxy/LongListTest.java
+++ b/src/test/java/gullspar/proxy/LongListTest.java
@@ -18,7 +18,7 @@
 @SuppressWarnings("try")
 class LongListTest {
     private static final int SERVERS = 1100;
-    /** Long id: the protocol gives no limit on the length of ids, and a long one must not look like a cut-off line. */
+    /** The protocol does not limit the length of ids, and a long one must not be taken for a truncated line. */
     private static final String LONG_ID_SUFFIX = "i".repeat(1500);
 
     private static final List<String> SMALLEST_HEAP = List.of(
--- a/src/test/java/gullspar/proxy/Peer.java
+++ b/src/test/java/gullspar/proxy/Peer.java
@@ -49,7 +49,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next connection. */
+    /** Returns the next accepted connection; waits for it, and fails if there is none within 20 s. */
     public Wire accept() throws InterruptedException {
         Wire w = accepted.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (w == null) {
@@ -58,7 +58,7 @@
         return w;
     }
 
-    /** True if no connection has been accepted that the test has not taken. */
+    /** Whether the test has taken all connections that were accepted so far. */
     public boolean hasNoNewConnection() {
         return accepted.isEmpty();
     }
@@ -94,7 +94,7 @@
             return this;
         }
 
-        /** Reads one message, headers and a body of Content-Length bytes; "" at the end. */
+        /** Reads one message, its headers and a body of Content-Length bytes; returns "" at the end of the stream. */
         public String read() throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -131,7 +131,7 @@
             return s.toString();
         }
 
-        /** True once the other side has closed or reset the connection. */
+        /** Waits for a byte or the end; true if the other side has closed or reset the connection. */
         public boolean ended() {
             try {
                 return in.read() < 0;
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -36,8 +36,11 @@
  * machine with the same backend server. Run by bench/site/ratio.sh.
  */
 public final class RatioBenchmark {
-    private static final int ROUNDS = 7, CLIENTS = 16;
+    private static final int ROUNDS = 7;
+    private static final int CLIENTS = 16;
+    /** Duration of one measurement. */
     private static final long ROUND_NS = 2_000_000_000L;
+
     private static final AtomicLong IDS = new AtomicLong();
 
     private RatioBenchmark() {}
--- a/src/test/java/gullspar/proxy/SendOrder.java
+++ b/src/test/java/gullspar/proxy/SendOrder.java
@@ -14,9 +14,9 @@
 import java.util.stream.Stream;
 
 /**
- * Numbers the requests and responses that a proxy process writes, in the order of writing, in a header of each. From
- * the numbers follows which of two messages on different connections was sent first, however late they are read.
- * Netty loads this class in a process that has {@link #OPTION}.
+ * Adds a header to each request and response that a proxy process writes, with its number in the order of writing. The
+ * numbers show which of two messages on different connections was sent first, however late they are read. Netty loads
+ * this class in a process that was started with {@link #OPTION}.
  */
 public final class SendOrder extends ChannelInitializerExtension {
     /** The option of the Java command that turns it on. */
@@ -58,7 +58,7 @@
             return false;
         }
 
-        /** Adds the header behind the first line. */
+        /** Adds the header after the first line. */
         private static ByteBuf numbered(ChannelHandlerContext ctx, ByteBuf bytes) {
             ByteBuf result = ctx.alloc().buffer();
             result.writeBytes(bytes, bytes.bytesBefore((byte) '\n') + 1);
--- a/src/test/java/gullspar/proxy/Setup.java
+++ b/src/test/java/gullspar/proxy/Setup.java
@@ -74,12 +74,12 @@
     volatile Runnable onConnected = () -> {};
     /** Receives each line of the proxy's log just before it is written. */
     volatile Consumer<String> onLog = line -> {};
-    /** Longer than any test by default, for tests that are not about unread bodies. */
+    /** The proxy's limit on how long a body stays unread; by default longer than any test. */
     long unreadTimeoutNs = TimeUnit.SECONDS.toNanos(60);
 
     /**
-     * The proxy's timers with this delay or a longer one have no effect. For tests of what happens before a time
-     * limit, which a busy machine may reach first.
+     * Timers of the proxy with at least this delay have no effect. For tests of what happens before a time limit, as
+     * a busy machine may reach that limit first.
      */
     volatile long ignoredTimerMs = Long.MAX_VALUE;
 
@@ -203,9 +203,9 @@
     }
 
     /**
-     * Waits until the status contains a text. For what the proxy counts in a later task of its event loop than the one
-     * that closes a connection: a client can see the close before that task is queued. The limit is shorter than the
-     * timeouts by which the proxy would close or abort by itself.
+     * Waits until the status contains a text. A client can see that its connection was closed before the proxy counts
+     * the request, which happens in a later task of the event loop. The limit of 5 s is shorter than the timeouts by
+     * which the proxy would close or abort by itself.
      */
     void awaitStatus(String text) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
--- a/src/test/java/gullspar/proxy/StandstillTest.java
+++ b/src/test/java/gullspar/proxy/StandstillTest.java
@@ -50,7 +50,7 @@
     private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     private Backend backend;
     private ProxyProcess process;
-    /** New requests ask for a path to which the backend never responds. */
+    /** New requests have a path to which the backend never responds. */
     private volatile boolean isHanging;
 
     /** A request as seen by its client, and its attempts as seen by the backend. */
@@ -77,7 +77,7 @@
 
     private record Attempt(long receivedAtNs, long requestTimeoutNs, long order) {}
 
-    /** Responds to each request unless its path ends in /hang, and records all of them. */
+    /** Records all requests, and responds to each unless its path ends in /hang. */
     private final class Backend implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
 
@@ -194,7 +194,7 @@
             String what = e.getKey() + ", sent " + toMs(s.sentAtNs - fromNs) + " ms after the stop, ended " + s.status
                     + " after " + toMs(s.endedAtNs - s.sentAtNs) + " ms: ";
             assertTrue(s.status.matches("200|503|502|504"), what + "no response");
-            assertTrue(s.attempts().size() <= 1, what + "sent on twice");
+            assertTrue(s.attempts().size() <= 1, what + "forwarded twice");
             assertTrue(s.responseOrder > 0, what + "its response has no number");
             s.attempts().forEach(a -> assertSentBeforeResponse(s, a, what));
             if (s.sentAtNs >= fromNs) {
@@ -204,10 +204,10 @@
         }
     }
 
-    /** By the order in which the proxy wrote them: the backend may read an attempt long after it was sent. */
+    /** Compares the proxy's numbers of both, as the backend may read an attempt long after it was sent. */
     private static void assertSentBeforeResponse(SentRequest s, Attempt a, String what) {
         assertTrue(a.order() > 0, what + "its attempt has no number");
-        assertTrue(a.order() < s.responseOrder, what + "sent on after its response");
+        assertTrue(a.order() < s.responseOrder, what + "forwarded after its response");
     }
 
     private static void assertTimeoutWithinDeadline(SentRequest s, Attempt a, String what) {
--- a/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
+++ b/src/test/java/gullspar/proxy/SystemCallFaultsTest.java
@@ -27,7 +27,7 @@
     /** The default capacity of a pipe. */
     private static final int PIPE_BYTES = 64 << 10;
 
-    /** Long enough for a start to reach its listeners and fail there. */
+    /** Longer than a start takes until it tries to listen. */
     private static final long STARTUP_FAILURE_MS = 1500;
 
     @TempDir
--- a/src/test/java/gullspar/proxy/UnprivilegedUser.java
+++ b/src/test/java/gullspar/proxy/UnprivilegedUser.java
@@ -18,7 +18,7 @@
 
     private UnprivilegedUser() {}
 
-    /** Prefix of a command that such a user shall run; empty if this process is unprivileged itself. */
+    /** Prefix that makes a command run as an unprivileged user; empty if this process is unprivileged itself. */
     static List<String> commandPrefix() throws IOException {
         return isRoot()
                 ? List.of("setpriv", "--reuid=" + NOBODY_ID, "--regid=" + NOBODY_ID, "--clear-groups", "--")
--- a/src/test/java/gullspar/proxy/UpgradeTest.java
+++ b/src/test/java/gullspar/proxy/UpgradeTest.java
@@ -30,13 +30,16 @@
 @Timeout(120)
 @ResourceLock("much of the machine")
 class UpgradeTest {
-    private static final int CLIENTS = 4, UPGRADES = 2;
+    private static final int CLIENTS = 4;
+    private static final int UPGRADES = 2;
     /**
-     * A request that misses its latency target is refused by design, and a busy machine stalls a process for
-     * longer than the usual target of 250 ms. With these values a refusal is due to an upgrade. Both are shorter
-     * than the clients' read timeout of 20 s.
+     * A request that would miss its latency target is refused by design, and a busy machine stalls a process for
+     * longer than the usual target of 250 ms. With this value and the next a refusal is due to an upgrade. Both are
+     * shorter than the clients' read timeout of 20 s.
      */
-    private static final long LATENCY_TARGET_NS = 10_000_000_000L, CLIENT_TIMEOUT_NS = 15_000_000_000L;
+    private static final long LATENCY_TARGET_NS = 10_000_000_000L;
+
+    private static final long CLIENT_TIMEOUT_NS = 15_000_000_000L;
 
     @TempDir
     Path folder;
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The loop over real sockets: order of service, age of unread data, bounded reading, no busy polling. */
+/** A loop with real sockets: the order of serving, the age of unread data, bounded reading, no busy polling. */
 @Timeout(60)
 class OrderedNioHandlerTest {
     private static final int TIMERS = 200;
