--- a/src/main/java/gullspar/proxy/discovery/Discovery.java
+++ b/src/main/java/gullspar/proxy/discovery/Discovery.java
@@ -79,7 +79,7 @@
      */
     public record Timeouts(long connectMs, long firstListMs, long silenceMs) {
         private static final long SILENCE_MS = 3000;
-        /** For an agent on this machine, which answers at once; the time for a change runs from when it could have it. */
+        /** For an agent on this machine, which answers at once; a change is due from the time it could have it. */
         public static final Timeouts AGENT = new Timeouts(200, 250, SILENCE_MS);
         /** For a service that all proxies call, which may queue a call for up to 2 s. */
         public static final Timeouts SERVICE = new Timeouts(1000, 2500, SILENCE_MS);
