--- a/src/test/java/gullspar/proxy/ClientDisconnectTest.java
+++ b/src/test/java/gullspar/proxy/ClientDisconnectTest.java
@@ -33,15 +33,15 @@
         RESETS(Peer.Wire::reset),
         ENDS_SENDING(Peer.Wire::endSending);
 
-        private final DisconnectAction act;
+        private final DisconnectAction action;
 
-        DisconnectMode(DisconnectAction act) {
-            this.act = act;
+        DisconnectMode(DisconnectAction action) {
+            this.action = action;
         }
 
         @Override
         public void disconnect(Peer.Wire client) throws IOException {
-            act.disconnect(client);
+            action.disconnect(client);
         }
     }
 
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -126,11 +126,11 @@
     @Test
     void pipelinedRequestsAreAnsweredInTurn() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            StringBuilder some = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < Client.MAX_PIPELINED; i++) {
-                some.append(Setup.getRequest());
+                requests.append(Setup.getRequest());
             }
-            client.write(some.toString());
+            client.write(requests.toString());
             for (int i = 0; i < Client.MAX_PIPELINED; i++) {
                 Request r = setup.nextRequest();
                 setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
--- a/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
+++ b/src/test/java/gullspar/proxy/FullOfIdleClientsTest.java
@@ -88,8 +88,8 @@
         }
     }
 
-    private static void assertOperatorAnswered(InetSocketAddress at) throws IOException {
-        try (Peer.Wire operator = Peer.Wire.to(at)) {
+    private static void assertOperatorAnswered(InetSocketAddress address) throws IOException {
+        try (Peer.Wire operator = Peer.Wire.to(address)) {
             String answer =
                     operator.write("GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n").read();
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -51,14 +51,14 @@
 
     public static void main(String[] args) throws Exception {
         InetSocketAddress server = startServer();
-        String at = "127.0.0.1:" + server.getPort();
+        String backendAddress = "127.0.0.1:" + server.getPort();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Proxy platform = Proxy.start(
-                Config.parse(Setup.json("127.0.0.1:1", at, 1024, 1000), Map.of()),
+                Config.parse(Setup.json("127.0.0.1:1", backendAddress, 1024, 1000), Map.of()),
                 new Platform(loop, Clock.system(), Transport.tcp(loop), l -> {}),
                 Policy::new);
-        ProxyFixture one = new ProxyFixture(site(at, 1));
-        ProxyFixture many = new ProxyFixture(site(at, 1000));
+        ProxyFixture one = new ProxyFixture(siteConfig(backendAddress, 1));
+        ProxyFixture many = new ProxyFixture(siteConfig(backendAddress, 1000));
         RequestText look = () -> "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet()
                 + "\r\nRequest-Timeout: 30\r\n\r\n";
         RequestText plain = () -> "GET /r500/1?x=2 HTTP/1.1\r\nHost: api\r\n\r\n";
@@ -96,9 +96,9 @@
         System.exit(0);
     }
 
-    private static String site(String at, int routes) {
+    private static String siteConfig(String backendAddress, int routes) {
         StringBuilder s = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"p\"\n"
-                + "[[pool.server]]\naddress = \"" + at + "\"\n[[host]]\ndefault = true\n");
+                + "[[pool.server]]\naddress = \"" + backendAddress + "\"\n[[host]]\ndefault = true\n");
         for (int i = 0; i < routes; i++) {
             s.append("[[host.route]]\npath = \"/")
                     .append(routes == 1 ? "" : "r" + i + "/")
@@ -108,7 +108,8 @@
     }
 
     /** Sends requests for one round; returns the response times in ns in ascending order. */
-    private static long[] measure(InetSocketAddress at, int clients, RequestText text) throws InterruptedException {
+    private static long[] measure(InetSocketAddress address, int clients, RequestText text)
+            throws InterruptedException {
         ConcurrentLinkedQueue<long[]> all = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         long end = System.nanoTime() + ROUND_NS;
@@ -116,7 +117,7 @@
             Thread t = new Thread(() -> {
                 long[] times = new long[1 << 17];
                 int n = 0;
-                try (Peer.Wire w = Peer.Wire.to(at)) {
+                try (Peer.Wire w = Peer.Wire.to(address)) {
                     while (System.nanoTime() < end && n < times.length) {
                         long from = System.nanoTime();
                         w.write(text.next());
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -125,11 +125,11 @@
     }
 
     private Event nextEvent() throws InterruptedException {
-        Event s = events.poll(20, TimeUnit.SECONDS);
-        if (s == null) {
+        Event event = events.poll(20, TimeUnit.SECONDS);
+        if (event == null) {
             throw new AssertionError("the loop read nothing within 20 s");
         }
-        return s;
+        return event;
     }
 
     /** Blocks the loop until resume is counted down. */
@@ -223,9 +223,9 @@
         resume.countDown();
         int read = 0;
         while (read < 40) {
-            Event s = nextEvent();
-            read += s.what().equals("client") ? 1 : 0;
-            assertTrue(s.ageNs() >= waited / 2, s + " of " + waited);
+            Event event = nextEvent();
+            read += event.what().equals("client") ? 1 : 0;
+            assertTrue(event.ageNs() >= waited / 2, event + " of " + waited);
         }
     }
 
