--- a/src/test/java/gullspar/KnownRedTest.java
+++ b/src/test/java/gullspar/KnownRedTest.java
@@ -87,12 +87,12 @@
     private int run(String... command) throws IOException, InterruptedException {
         return new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(root.resolve("said").toFile())
+                .redirectOutput(root.resolve("output").toFile())
                 .start()
                 .waitFor();
     }
 
     private String output() throws IOException {
-        return Files.readString(root.resolve("said"));
+        return Files.readString(root.resolve("output"));
     }
 }
