--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -21,16 +21,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One accepted request: it is passed to the module, its attempts are sent and end, it gets exactly one final
- * response, and it is kept until its last attempt has ended. After the final response no attempt is sent,
- * whatever the module requests.
+ * One accepted request, from its arrival until its last attempt has ended. It gets exactly one final response, unless
+ * its client disconnects first. After that no attempt is sent, whatever the module requests.
  */
 final class Exchange {
     /**
-     * The client's timeout runs from when it sends the request until the response reaches it. The module gets
-     * the timeout less the first margin; if it has not ended the request by the second, the backstop does.
+     * The module gets the client's timeout less this margin: that timeout includes the transfer of the request and of
+     * the response.
      */
-    private static final long RESPONSE_MARGIN_NS = 10_000_000L, BACKSTOP_MARGIN_NS = 5_000_000L;
+    private static final long RESPONSE_MARGIN_NS = 10_000_000L;
+    /** If the module has not ended the request this long before the client's timeout, the backstop timer does. */
+    private static final long BACKSTOP_MARGIN_NS = 5_000_000L;
 
     final int ticket;
     final Client client;
@@ -39,14 +40,14 @@
     private final RequestClass requestClass;
     private final long marginNs;
     private final long timeoutNs;
-    /** MAX_VALUE while the request is being received: the client's timeout runs from the last byte. */
+    /** The module's deadline; MAX_VALUE while the request is being received, as the timeout runs from its last byte. */
     private long deadlineNs = Long.MAX_VALUE;
     /** By attempt number; null for attempts that were not sent. */
     private final List<Attempt> attempts = new ArrayList<>(2);
 
     private ScheduledFuture<?> backstopTimer;
     private int openAttempts;
-    private boolean finished;
+    private boolean isFinished;
 
     Exchange(
             Exchanges exchanges,
@@ -81,7 +82,7 @@
 
     /** The last byte of the request was received. */
     void onRequestComplete(long completedAtNs) {
-        if (finished || backstopTimer != null) {
+        if (isFinished || backstopTimer != null) {
             return;
         }
         deadlineNs = exchanges.capDeadline(completedAtNs + timeoutNs) - marginNs;
@@ -96,7 +97,7 @@
 
     /** Limits the deadline, even if the client would wait longer. */
     void capDeadline(long limitNs) {
-        if (finished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
+        if (isFinished || backstopTimer == null || deadlineNs + marginNs <= limitNs) {
             return;
         }
         deadlineNs = limitNs - marginNs;
@@ -115,14 +116,14 @@
 
     /** The request has finished and has no open attempt. */
     boolean canForget() {
-        return finished && openAttempts == 0;
+        return isFinished && openAttempts == 0;
     }
 
     // ---- events of the request ----
 
     /** Responds to the client if the module has not ended the request in time. */
     private void onBackstop() {
-        if (!finished) {
+        if (!isFinished) {
             exchanges.platform.log().write("module did not end the request in time, responding 504: ticket " + ticket);
             respond(504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
             withdraw();
@@ -147,13 +148,13 @@
 
     private void onAttemptEnded(
             int attemptNumber, int server, long startedAtNs, Status status, Report report, BackendResponse response) {
-        if (status == Status.OK && finished && response.rest() != null) {
+        if (status == Status.OK && isFinished && response.rest() != null) {
             response.rest().drop();
-        } else if (status == Status.OK && !finished && response.rest() != null) {
+        } else if (status == Status.OK && !isFinished && response.rest() != null) {
             streamResponse(response);
-        } else if (status == Status.OK && !finished) {
+        } else if (status == Status.OK && !isFinished) {
             respond(200, response.head().headers(), response.body());
-        } else if (response != null && !finished) {
+        } else if (response != null && !isFinished) {
             respond(
                     response.head().status().code(),
                     null,
@@ -162,21 +163,21 @@
         long elapsedNs = exchanges.platform.clock().now() - startedAtNs;
         enqueue((now, module) -> {
             openAttempts--;
-            module.onOutcome(now, new Outcome(ticket, attemptNumber, server, status, elapsedNs, finished, report));
+            module.onOutcome(now, new Outcome(ticket, attemptNumber, server, status, elapsedNs, isFinished, report));
             exchanges.forgetIfComplete(this);
         });
     }
 
     private void respond(int status, HttpHeaders headers, byte[] body) {
         finish();
-        exchanges.figures.countEnded(requestClass.index(), status);
+        exchanges.counters.countEnded(requestClass.index(), status);
         client.respond(status, headers, body);
     }
 
     /** Streams the response to the client as it is received; it is counted once it has ended. */
     private void streamResponse(BackendResponse response) {
         finish();
-        exchanges.streaming(true);
+        exchanges.countStreaming(true);
         // A response that has not ended by the client's timeout has failed.
         ScheduledFuture<?> timeout = exchanges
                 .platform
@@ -185,15 +186,15 @@
                         client::abort,
                         Math.max(0, timeLeftNs(exchanges.platform.clock().now()) + marginNs),
                         TimeUnit.NANOSECONDS);
-        client.respond(response.head(), response.body(), response.rest(), whole -> {
+        client.respond(response.head(), response.body(), response.rest(), isComplete -> {
             timeout.cancel(false);
-            exchanges.streaming(false);
-            exchanges.figures.countEnded(requestClass.index(), whole ? 200 : 502);
+            exchanges.countStreaming(false);
+            exchanges.counters.countEnded(requestClass.index(), isComplete ? 200 : 502);
         });
     }
 
     private void finish() {
-        finished = true;
+        isFinished = true;
         if (backstopTimer != null) {
             backstopTimer.cancel(false);
         }
@@ -203,12 +204,12 @@
 
     // ---- actions of the module ----
 
-    void send(int server, long timeoutNs, long withinNs) {
+    void send(int server, long timeoutNs, long sendWithinNs) {
         long nowNs = exchanges.platform.clock().now();
         long remainingNs = timeLeftNs(nowNs);
         int attemptNumber = attempts.size();
         openAttempts++;
-        if (finished || remainingNs <= 0 || attemptNumber >= requestClass.maxAttempts() || !message.isSendable()) {
+        if (isFinished || remainingNs <= 0 || attemptNumber >= requestClass.maxAttempts() || !message.isSendable()) {
             attempts.add(null);
             onAttemptEnded(attemptNumber, server, nowNs, Status.MOOT, null, null);
             return;
@@ -217,31 +218,31 @@
                 server,
                 message,
                 timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs),
-                withinNs,
+                sendWithinNs,
                 requestClass.profile().effect() == Effect.IDEMPOTENT,
                 new Attempt.Listener() {
                     @Override
-                    public void onEnd(Attempt a, Status status, Report report, BackendResponse answer) {
-                        Exchange.this.onAttemptEnded(attemptNumber, server, a.startedAtNs(), status, report, answer);
+                    public void onEnd(Attempt a, Status status, Report report, BackendResponse response) {
+                        Exchange.this.onAttemptEnded(attemptNumber, server, a.startedAtNs(), status, report, response);
                     }
 
                     @Override
                     public boolean isNeeded() {
-                        return Exchange.this.isWanted();
+                        return Exchange.this.checkNeeded();
                     }
                 }));
     }
 
     /** Checks the connection, so that a client that has just disconnected is noticed before an attempt is sent. */
-    private boolean isWanted() {
-        if (!finished && !client.readAndCheckConnected() && !finished) {
+    private boolean checkNeeded() {
+        if (!isFinished && !client.readAndCheckConnected() && !isFinished) {
             onClientDisconnected();
         }
-        return !finished;
+        return !isFinished;
     }
 
     void refuse(long retryInNs) {
-        if (!finished) {
+        if (!isFinished) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (retryInNs > 0) {
                 headers.set("Retry-After", Message.formatSeconds(retryInNs));
@@ -252,7 +253,7 @@
     }
 
     void fail() {
-        if (!finished) {
+        if (!isFinished) {
             respond(502, null, "failed\n".getBytes(StandardCharsets.UTF_8));
             exchanges.forgetIfComplete(this);
         }
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -36,27 +36,29 @@
 public final class Proxy implements Balancer.Actions, Discovery.Listener, OperatorEndpoint.StatusSource {
     /** Time without a list from discovery after which the proxy serves with the known list. */
     private static final long DISCOVERY_WAIT_MS = 3000;
+    /** The listener stays open this long after SIGTERM; by the protocol clients connect for at most 0.4 s more. */
+    private static final long DRAIN_ACCEPT_MS = 550;
+    /** Connections that are still being accepted at that time delay closing the listener by at most this. */
+    private static final long MAX_EXTRA_ACCEPT_MS = 200;
+
     /**
-     * After SIGTERM clients connect for at most 0.4 s more (the protocol). Then the listener closes, unless
-     * connections are still being accepted, which delays it by at most the second value.
-     */
-    private static final long DRAIN_ACCEPT_MS = 550, MAX_EXTRA_ACCEPT_MS = 200;
-    /**
-     * SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_MS, plus the slack (the
-     * protocol). The other three are times before it: requests are no longer read, all have been answered, and
-     * the process exits even if a client does not read its response.
+     * By the protocol SIGKILL follows SIGTERM after the longest deadline, limited to this value, plus KILL_SLACK_MS.
      */
-    private static final long MAX_DEADLINE_MS = 3000,
-            KILL_SLACK_MS = 700,
-            STOP_READING_BEFORE_KILL_MS = 500,
-            RESPOND_BEFORE_KILL_MS = 150,
-            EXIT_BEFORE_KILL_MS = 80;
-
+    private static final long MAX_DEADLINE_MS = 3000;
+
+    private static final long KILL_SLACK_MS = 700;
+    /** This long before SIGKILL, requests are no longer read. */
+    private static final long STOP_READING_BEFORE_KILL_MS = 500;
+    /** This long before SIGKILL, all requests have to be answered. */
+    private static final long RESPOND_BEFORE_KILL_MS = 150;
+    /** This long before SIGKILL, the process exits even if a client does not read its response. */
+    private static final long EXIT_BEFORE_KILL_MS = 80;
+    /** Interval at which a drain checks whether it is complete. */
     private static final long DRAIN_POLL_MS = 10;
 
     private final Platform platform;
     private final Config config;
-    private final DescriptorLimits sockets;
+    private final DescriptorLimits descriptors;
     private final Events events;
     private final Frontend frontend;
     private final Backends backends;
@@ -65,16 +67,16 @@
     private final Balancer module;
     private final CompletableFuture<Void> drainCompleted = new CompletableFuture<>();
     private final Classes classes;
-    private final RequestCounters figures = new RequestCounters();
+    private final RequestCounters counters = new RequestCounters();
     private boolean listReceived;
-    /** The list from the configuration, null if there is none, and whether the module has received it. */
+    /** The list from the configuration; null if it has none. */
     private ListUpdate knownList;
-
+    /** Whether the module has received the known list. */
     private boolean knownListApplied;
     /** Whether clients may be accepted; before that only the backend list is received. */
     private boolean open;
 
-    private boolean draining;
+    private boolean isDraining;
     private ChannelFuture listenFuture;
 
     /** Call on the event loop. */
@@ -96,13 +98,13 @@
             long unreadTimeoutNs) {
         this.config = config;
         this.platform = platform;
-        this.sockets = new DescriptorLimits(config.sockets());
+        this.descriptors = new DescriptorLimits(config.sockets());
         this.events = new Events(platform);
-        this.backends = new Backends(platform, sockets.backends, config);
+        this.backends = new Backends(platform, descriptors.backends, config);
         this.classes = new Classes(config);
-        this.exchanges = new Exchanges(platform, events, backends, figures);
+        this.exchanges = new Exchanges(platform, events, backends, counters);
         this.frontend = new Frontend(
-                platform, config, classes, sockets.clients, exchanges, () -> listReceived, unreadTimeoutNs);
+                platform, config, classes, descriptors.clients, exchanges, () -> listReceived, unreadTimeoutNs);
         this.discovery = new Discovery(platform, Discovery.source(config), this, timeouts);
         this.module = factory.create(
                 config.settings(), config.seed(), platform.clock().now(), this);
@@ -139,7 +141,7 @@
 
     /** Accepts clients from now on or, with an inherited listener, once there is a list. Call on the event loop. */
     public void open() {
-        if (draining) {
+        if (isDraining) {
             return;
         }
         open = true;
@@ -164,11 +166,11 @@
     /** Waits until the proxy listens, if it has started to. */
     Proxy awaitListening() throws IOException {
         if (listenFuture == null) {
-            return this; // listens once there is a list; until then the previous process serves
+            return this; // inherited listener: listens once there is a list; until then the previous process serves
         }
-        AtomicReference<ChannelFuture> nextAttempt = new AtomicReference<>(listenFuture);
+        AtomicReference<ChannelFuture> initialBind = new AtomicReference<>(listenFuture);
         ChannelFuture bindFuture = ListenRetry.listen(() -> {
-            ChannelFuture initial = nextAttempt.getAndSet(null);
+            ChannelFuture initial = initialBind.getAndSet(null);
             return initial != null
                     ? initial
                     : platform.loop()
@@ -198,8 +200,8 @@
         if (config.settings().listOnRequest()) {
             applyKnownList();
         } else {
-            // What the agent has counts as known from the start, and the known list may name backends that
-            // have left since: no request is sent by it before the agent has answered.
+            // The known list may name backends that have left since, and changes that the agent has at the start
+            // must be followed from the start: no request is sent by the known list before the agent has answered.
             discovery.watch(true);
         }
         platform.loop().schedule(this::useKnownList, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
@@ -212,7 +214,7 @@
                     .write("no list from discovery within " + DISCOVERY_WAIT_MS
                             + " ms: serving with the known list of the configuration");
             applyKnownList();
-            listReceived();
+            onListReceived();
         }
     }
 
@@ -248,41 +250,41 @@
         List<Profile> profiles = classes.update(config);
         events.backendUpdate((now, m) -> m.onProfiles(profiles));
         discovery.changeAddress(config.discovery());
-        figures.countReload(true);
+        counters.countReload(true);
     }
 
     /** Records that a configuration was rejected. Call on the event loop. */
     public void onConfigurationRejected(String reason) {
         platform.log().write("the new configuration is not used: " + reason);
-        figures.countReload(false);
+        counters.countReload(false);
     }
 
     // ---- operators' requests ----
 
     @Override
     public boolean isReady() {
-        return listReceived && !draining && listenFuture != null && listenFuture.isSuccess();
+        return listReceived && !isDraining && listenFuture != null && listenFuture.isSuccess();
     }
 
     @Override
     public String statusJson() {
         return new StatusReport(
                         classes.names(),
-                        figures,
+                        counters,
                         backends.writtenCount(),
                         exchanges.openRequests(),
                         backends.listedCount(),
                         module.avoidedServers(),
                         platform.statistics(),
-                        new StatusReport.Descriptors(sockets.clients.openCount(), sockets.backends.openCount()))
+                        new StatusReport.Descriptors(descriptors.clients.openCount(), descriptors.backends.openCount()))
                 .json();
     }
 
     /** Request counts so far, for the auxiliary service. Call on the event loop. */
     public AuxiliaryService.Load load() {
-        long refused = figures.sum(RequestCounters::rejected);
+        long refused = counters.sum(RequestCounters::rejected);
         return new AuxiliaryService.Load(
-                refused + figures.sum(RequestCounters::completed) + figures.sum(RequestCounters::failed),
+                refused + counters.sum(RequestCounters::completed) + counters.sum(RequestCounters::failed),
                 refused,
                 exchanges.openRequests());
     }
@@ -291,7 +293,7 @@
     public CompletableFuture<Void> drain() {
         platform.loop().execute(() -> {
             platform.log().write("draining");
-            draining = true;
+            isDraining = true;
             frontend.drain();
             long timeToKillMs =
                     Math.min(MAX_DEADLINE_MS, TimeUnit.NANOSECONDS.toMillis(config.maxDeadlineNs())) + KILL_SLACK_MS;
@@ -369,11 +371,11 @@
     public void onUpdate(ListUpdate update) {
         applyKnownList(); // deltas are relative to it
         apply(update);
-        listReceived();
+        onListReceived();
     }
 
-    /** A list was received that the proxy can serve with. */
-    private void listReceived() {
+    /** There is a list to serve with, from discovery or from the configuration. */
+    private void onListReceived() {
         if (!listReceived) {
             listReceived = true;
             listenIfReady();
@@ -383,7 +385,7 @@
     private void listenIfReady() {
         if (listReceived && open) {
             if (listenFuture == null) {
-                listen(); // inherited listener: the previous process served until there was a list
+                listen(); // inherited listener: the previous process has served until now
             }
             listenFuture.addListener(bound -> {
                 if (bound.isSuccess()) {
@@ -400,7 +402,7 @@
                 now,
                 update.kind(),
                 update.version(),
-                update.list().stream().map(ListedBackend::member).toList()));
+                update.list().stream().map(ListedBackend::server).toList()));
     }
 
     @Override
@@ -416,8 +418,8 @@
     }
 
     @Override
-    public void send(int ticket, int server, long timeoutNs, long withinNs) {
-        exchanges.send(ticket, server, timeoutNs, withinNs);
+    public void send(int ticket, int server, long timeoutNs, long sendWithinNs) {
+        exchanges.send(ticket, server, timeoutNs, sendWithinNs);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/Warmup.java
+++ b/src/main/java/gullspar/proxy/Warmup.java
@@ -56,16 +56,22 @@
  * before the proxy serves, so no outside client can receive a synthetic response.
  */
 final class Warmup {
-    private static final int CLIENTS = 6, BACKENDS = 4;
-    private static final int REQUEST_BYTES = 200, RESPONSE_BYTES = 1000;
+    private static final int CLIENTS = 6;
+    private static final int BACKENDS = 4;
+    /** Length of request bodies. */
+    private static final int REQUEST_BYTES = 200;
+    /** Length of response bodies. */
+    private static final int RESPONSE_BYTES = 1000;
     /** One response in this many is an error or a refusal by the backend. */
     private static final int ERROR_INTERVAL = 25;
 
     /**
-     * On some platforms a domain socket can be created but connections to it never arrive. These limit the wait
-     * for the first connection and for the first response, which takes longer on a small share of a core.
+     * Limits the wait for the first connection: on some platforms a domain socket can be created but connections to
+     * it never arrive.
      */
-    private static final long ACCEPT_TIMEOUT_MS = 250, FIRST_RESPONSE_TIMEOUT_MS = 1000;
+    private static final long ACCEPT_TIMEOUT_MS = 250;
+    /** Limits the wait for the first response, which takes longer on a small share of a core. */
+    private static final long FIRST_RESPONSE_TIMEOUT_MS = 1000;
 
     private static final Log LOG = Log.standardError();
 
@@ -121,7 +127,7 @@
         Path folder = null;
         try {
             folder = Files.createTempDirectory("warm");
-            return play(config, factory, requests, limitMs, Endpoints.domainSockets(folder));
+            return runWith(config, factory, requests, limitMs, Endpoints.domainSockets(folder));
         } catch (IOException e) {
             return runInProcess(config, factory, requests, limitMs);
         } finally {
@@ -129,10 +135,10 @@
         }
     }
 
-    /** The same with in-process channels. */
+    /** The same with in-process channels; returns 0 if it failed. */
     static int runInProcess(Config config, Balancer.Factory factory, int requests, long limitMs) {
         try {
-            return play(config, factory, requests, limitMs, Endpoints.inProcess());
+            return runWith(config, factory, requests, limitMs, Endpoints.inProcess());
         } catch (IOException e) {
             LOG.write("warm-up failed, serving without it: " + e);
             return 0;
@@ -140,7 +146,7 @@
     }
 
     /** Throws an IOException if these endpoints cannot be used. */
-    private static int play(Config config, Balancer.Factory factory, int requests, long limitMs, Endpoints endpoints)
+    private static int runWith(Config config, Balancer.Factory factory, int requests, long limitMs, Endpoints endpoints)
             throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, endpoints.io);
         EventLoop loop = group.next();
@@ -293,7 +299,7 @@
      * A client or backend of the proxy. It writes preformatted messages and only checks the ends of what it
      * reads: a codec in each would cost as much to run, and to compile, as the proxy being warmed up.
      */
-    private abstract static class RawPeer extends SimpleChannelInboundHandler<ByteBuf> {
+    private abstract static class RawHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private int firstByte = -1;
 
         @Override
@@ -319,7 +325,7 @@
     }
 
     /** Sends a request, waits for the response, and repeats. */
-    private final class WarmupClient extends RawPeer {
+    private final class WarmupClient extends RawHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             sendRequest(ctx);
@@ -337,7 +343,7 @@
     }
 
     /** Responds at once, with an error for one request in ERROR_INTERVAL. */
-    private final class WarmupBackend extends RawPeer {
+    private final class WarmupBackend extends RawHandler {
         private final String body = body(RESPONSE_BYTES);
 
         @Override
--- a/src/main/java/gullspar/proxy/io/DescriptorLimits.java
+++ b/src/main/java/gullspar/proxy/io/DescriptorLimits.java
@@ -17,8 +17,8 @@
         private int openCount;
         private BooleanSupplier closeOneIdle = () -> false;
 
-        private Share(int most) {
-            this.limit = Math.max(1, most);
+        private Share(int limit) {
+            this.limit = Math.max(1, limit);
         }
 
         /** Sets what closes an idle connection when all descriptors are in use; it returns true if there was one. */
@@ -35,6 +35,7 @@
             return true;
         }
 
+        /** Releases a descriptor that was acquired. */
         public void release() {
             openCount--;
         }
@@ -54,6 +55,7 @@
     /** For connections to backends. */
     public final Share backends;
 
+    /** Divides this number of descriptors, the limit of the process. */
     public DescriptorLimits(int limit) {
         int available = limit - Math.min(RESERVED_DESCRIPTORS, limit / 4);
         this.clients = new Share(available * 3 / 5);
--- a/src/test/java/gullspar/proxy/FrontendTest.java
+++ b/src/test/java/gullspar/proxy/FrontendTest.java
@@ -126,11 +126,11 @@
     @Test
     void pipelinedRequestsAreAnsweredInTurn() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            StringBuilder some = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < Client.MAX_PIPELINED; i++) {
-                some.append(Setup.getRequest());
+                requests.append(Setup.getRequest());
             }
-            client.write(some.toString());
+            client.write(requests.toString());
             for (int i = 0; i < Client.MAX_PIPELINED; i++) {
                 Request r = setup.nextRequest();
                 setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
@@ -215,12 +215,12 @@
             Outcome o = setup.nextOutcome();
             assertEquals(Status.MOOT, o.status());
             assertTrue(o.isFinal());
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoNewConnection());
         }
     }
 
     @Test
-    void aRequestIsAnsweredOnceWhateverTheModuleSays() throws Exception {
+    void requestIsAnsweredOnceEvenIfTheModuleRefusesAndFailsIt() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.getRequest());
             Request r = setup.nextRequest();
@@ -304,8 +304,8 @@
 
     /**
      * A request partly received when the listener closes is awaited and answered. With these settings the drain
-     * rejects it after 1.4 s and ends after 1.8 s, and other time limits go by the clock: none of them is reached
-     * here, however slow the machine is.
+     * rejects it after 1.4 s and ends after 1.8 s. Those timers are ignored and the clock, which other time limits
+     * use, is stopped, so that none of the limits is reached however slow the machine is.
      */
     @Test
     void partialRequestIsAwaitedAndAnsweredAfterListenerCloses() throws Exception {
--- a/src/test/java/gullspar/proxy/RatioBenchmark.java
+++ b/src/test/java/gullspar/proxy/RatioBenchmark.java
@@ -36,8 +36,11 @@
  * machine with the same backend server. Run by bench/site/ratio.sh.
  */
 public final class RatioBenchmark {
-    private static final int ROUNDS = 7, CLIENTS = 16;
+    private static final int ROUNDS = 7;
+    private static final int CLIENTS = 16;
+    /** Duration of one measurement. */
     private static final long ROUND_NS = 2_000_000_000L;
+
     private static final AtomicLong IDS = new AtomicLong();
 
     private RatioBenchmark() {}
@@ -48,14 +51,14 @@
 
     public static void main(String[] args) throws Exception {
         InetSocketAddress server = startServer();
-        String at = "127.0.0.1:" + server.getPort();
+        String backendAddress = "127.0.0.1:" + server.getPort();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Proxy platform = Proxy.start(
-                Config.parse(Setup.json("127.0.0.1:1", at, 1024, 1000), Map.of()),
+                Config.parse(Setup.json("127.0.0.1:1", backendAddress, 1024, 1000), Map.of()),
                 new Platform(loop, Clock.system(), Transport.tcp(loop), l -> {}),
                 Policy::new);
-        ProxyFixture one = new ProxyFixture(site(at, 1));
-        ProxyFixture many = new ProxyFixture(site(at, 1000));
+        ProxyFixture one = new ProxyFixture(siteConfig(backendAddress, 1));
+        ProxyFixture many = new ProxyFixture(siteConfig(backendAddress, 1000));
         RequestText look = () -> "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet()
                 + "\r\nRequest-Timeout: 30\r\n\r\n";
         RequestText plain = () -> "GET /r500/1?x=2 HTTP/1.1\r\nHost: api\r\n\r\n";
@@ -64,38 +67,38 @@
         RequestText[] texts = {look, plain, plain};
         double[][] rates = new double[3][ROUNDS];
         double[][] medians = new double[3][ROUNDS];
-        for (int i = -1; i < ROUNDS; i++) {
-            for (int w = 0; w < 3; w++) {
-                int k = (w + Math.max(0, i)) % 3; // rotates the order of the variants
-                long[] concurrent = measure(addresses[k], CLIENTS, texts[k]);
-                long[] single = measure(addresses[k], 1, texts[k]);
-                if (i >= 0) {
-                    rates[k][i] = concurrent.length * 1e9 / ROUND_NS;
-                    medians[k][i] = single[single.length / 2] / 1e3;
+        for (int round = -1; round < ROUNDS; round++) {
+            for (int offset = 0; offset < 3; offset++) {
+                int variant = (offset + Math.max(0, round)) % 3; // rotates the order of the variants
+                long[] concurrent = measure(addresses[variant], CLIENTS, texts[variant]);
+                long[] single = measure(addresses[variant], 1, texts[variant]);
+                if (round >= 0) {
+                    rates[variant][round] = concurrent.length * 1e9 / ROUND_NS;
+                    medians[variant][round] = single[single.length / 2] / 1e3;
                 }
             }
         }
-        for (int k = 0; k < 3; k++) {
-            Arrays.sort(rates[k]);
-            Arrays.sort(medians[k]);
+        for (int variant = 0; variant < 3; variant++) {
+            Arrays.sort(rates[variant]);
+            Arrays.sort(medians[variant]);
             System.out.printf(
                     "%-12s %8.0f requests/s with %d clients (%.0f to %.0f, ratio %.2f), "
                             + "median latency with one %.0f us (ratio %.2f)%n",
-                    names[k],
-                    rates[k][ROUNDS / 2],
+                    names[variant],
+                    rates[variant][ROUNDS / 2],
                     CLIENTS,
-                    rates[k][0],
-                    rates[k][ROUNDS - 1],
-                    rates[k][ROUNDS / 2] / rates[0][ROUNDS / 2],
-                    medians[k][ROUNDS / 2],
-                    medians[k][ROUNDS / 2] / medians[0][ROUNDS / 2]);
+                    rates[variant][0],
+                    rates[variant][ROUNDS - 1],
+                    rates[variant][ROUNDS / 2] / rates[0][ROUNDS / 2],
+                    medians[variant][ROUNDS / 2],
+                    medians[variant][ROUNDS / 2] / medians[0][ROUNDS / 2]);
         }
         System.exit(0);
     }
 
-    private static String site(String at, int routes) {
+    private static String siteConfig(String backendAddress, int routes) {
         StringBuilder s = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"p\"\n"
-                + "[[pool.server]]\naddress = \"" + at + "\"\n[[host]]\ndefault = true\n");
+                + "[[pool.server]]\naddress = \"" + backendAddress + "\"\n[[host]]\ndefault = true\n");
         for (int i = 0; i < routes; i++) {
             s.append("[[host.route]]\npath = \"/")
                     .append(routes == 1 ? "" : "r" + i + "/")
@@ -105,7 +108,8 @@
     }
 
     /** Sends requests for one round; returns the response times in ns in ascending order. */
-    private static long[] measure(InetSocketAddress at, int clients, RequestText text) throws InterruptedException {
+    private static long[] measure(InetSocketAddress address, int clients, RequestText text)
+            throws InterruptedException {
         ConcurrentLinkedQueue<long[]> all = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         long end = System.nanoTime() + ROUND_NS;
@@ -113,7 +117,7 @@
             Thread t = new Thread(() -> {
                 long[] times = new long[1 << 17];
                 int n = 0;
-                try (Peer.Wire w = Peer.Wire.to(at)) {
+                try (Peer.Wire w = Peer.Wire.to(address)) {
                     while (System.nanoTime() < end && n < times.length) {
                         long from = System.nanoTime();
                         w.write(text.next());
--- a/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
+++ b/src/test/java/gullspar/proxy/io/OrderedNioHandlerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The loop over real sockets: order of service, age of unread data, bounded reading, no busy polling. */
+/** A loop with real sockets: the order of serving, the age of unread data, bounded reading, no busy polling. */
 @Timeout(60)
 class OrderedNioHandlerTest {
     private static final int TIMERS = 200;
@@ -125,11 +125,11 @@
     }
 
     private Event nextEvent() throws InterruptedException {
-        Event s = events.poll(20, TimeUnit.SECONDS);
-        if (s == null) {
+        Event event = events.poll(20, TimeUnit.SECONDS);
+        if (event == null) {
             throw new AssertionError("the loop read nothing within 20 s");
         }
-        return s;
+        return event;
     }
 
     /** Blocks the loop until resume is counted down. */
@@ -223,9 +223,9 @@
         resume.countDown();
         int read = 0;
         while (read < 40) {
-            Event s = nextEvent();
-            read += s.what().equals("client") ? 1 : 0;
-            assertTrue(s.ageNs() >= waited / 2, s + " of " + waited);
+            Event event = nextEvent();
+            read += event.what().equals("client") ? 1 : 0;
+            assertTrue(event.ageNs() >= waited / 2, event + " of " + waited);
         }
     }
 
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void aStandstillIsCounted() throws Exception {
+    void standstillIsCounted() throws Exception {
         blockLoop();
         TimeUnit.MILLISECONDS.sleep(150);
         resume.countDown();
