--- a/src/main/java/gullspar/decide/Admission.java
+++ b/src/main/java/gullspar/decide/Admission.java
@@ -53,7 +53,7 @@
      * Whether a request has less time left than half of its class's answers took. Avoids work for clients
      * that will have disconnected, because their timeout is short or the request waited here for long.
      */
-    boolean isHopeless(TrackedRequest t, long now) {
+    boolean hasTooLittleTime(TrackedRequest t, long now) {
         return t.usefulUntil - now < classes.typicalNs(t.request.profile())
                 || now >= t.deadline - WAITING_CHECK_NS - 2 * settings.clockStepNs();
     }
--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -203,8 +203,9 @@
             boolean isRepeat,
             long ageNs) {
         /** A request that did not wait before it was read. */
-        public Request(int ticket, int profile, int tenant, long key, long leftNs, long hintNs, boolean repeat) {
-            this(ticket, profile, tenant, key, leftNs, hintNs, repeat, 0);
+        public Request(
+                int ticket, int profile, int tenant, long key, long timeLeftNs, long workHintNs, boolean isRepeat) {
+            this(ticket, profile, tenant, key, timeLeftNs, workHintNs, isRepeat, 0);
         }
     }
 
--- a/src/main/java/gullspar/decide/Classes.java
+++ b/src/main/java/gullspar/decide/Classes.java
@@ -64,11 +64,11 @@
 
     /** Records a response time, also relative to the server's mean service time; returns the previous median. */
     double recordAnswer(int profile, long elapsedNs, double relativeTime) {
-        double m = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
-        medianNs[profile] = m * (elapsedNs > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
+        double oldMedianNs = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
+        medianNs[profile] = oldMedianNs * (elapsedNs > oldMedianNs ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
         sizeSamples[profile] = Math.min(MAX_SIZE_SAMPLES, sizeSamples[profile] + 1);
         relativeSize[profile] += (relativeTime - relativeSize[profile]) / (sizeSamples[profile] + INITIAL_SIZE_SAMPLES);
-        return m;
+        return oldMedianNs;
     }
 
     /** The median response time, at most half the latency target; 0 before the first answer. */
@@ -92,10 +92,10 @@
     }
 
     private boolean yieldsTo(int c, int d) {
-        Profile p = profiles.get(c);
-        Profile o = profiles.get(d);
-        return o.latencyTargetNs() < p.latencyTargetNs()
-                && o.worth() / relativeSize[d] > MIN_WORTH_RATIO * p.worth() / relativeSize[c]
+        Profile own = profiles.get(c);
+        Profile other = profiles.get(d);
+        return other.latencyTargetNs() < own.latencyTargetNs()
+                && other.worth() / relativeSize[d] > MIN_WORTH_RATIO * own.worth() / relativeSize[c]
                 && recentWorth[d] > recentWorth[c];
     }
 
--- a/src/main/java/gullspar/decide/ColdBudget.java
+++ b/src/main/java/gullspar/decide/ColdBudget.java
@@ -45,9 +45,9 @@
     private double rate(Server s, double warmth, double subset, long now) {
         int ready = Math.max(1, zones.readyCount(s.zone()));
         double ownRate = zones.sendsPerServer(s.zone())
-                / rates.effectiveWindowNs(TrafficRates.DECAY_NS, now)
+                / rates.effectiveWindowNs(TrafficRates.SENDS_DECAY_NS, now)
                 * Math.max(1, zones.readyCount(s.zone()) / subset);
-        double demandRate = ownRate + rates.unsent / rates.effectiveWindowNs(ZoneStats.DECAY_NS, now) / ready;
+        double demandRate = ownRate + rates.unsent / rates.effectiveWindowNs(ZoneStats.LOAD_DECAY_NS, now) / ready;
         double evenRate = s.concurrency / s.serviceNs / Math.max(1, settings.proxyCount());
         ownRate = Math.max(ownRate, Math.min(demandRate, evenRate));
         double idleFactor = Math.min(1, 2 * Math.max(ServerWeights.MIN_SPARE_SHARE, s.spareShare));
--- a/src/main/java/gullspar/decide/DiscoveryCalls.java
+++ b/src/main/java/gullspar/decide/DiscoveryCalls.java
@@ -27,19 +27,18 @@
         this.actions = actions;
     }
 
-    void requestList(long now) {
+    void subscribe(long now) {
         actions.subscribe(true);
-        requestListAt(
-                now + settings.refreshWithinNs() / 2); // well before the proxy would break the limit on the list's age
+        scheduleAt(now + settings.refreshWithinNs() / 2); // well before the list exceeds its maximum age
     }
 
-    private void requestListAt(long at) {
+    private void scheduleAt(long at) {
         actions.setTimer(at, ++currentCall);
     }
 
     /** Schedules a retry, as the subscription may be broken. Jitter keeps proxies from calling in step. */
     void onFailure(long now) {
-        requestListAt(now + (long) (backoffNs * (0.5 + random.nextDouble())));
+        scheduleAt(now + (long) (backoffNs * (0.5 + random.nextDouble())));
         backoffNs = Math.min(backoffNs * 2, MAX_BACKOFF_NS);
     }
 
@@ -50,7 +49,7 @@
 
     void onTimer(long now, long token) {
         if (token == currentCall) {
-            requestList(now);
+            subscribe(now);
         }
     }
 }
--- a/src/main/java/gullspar/decide/KindServiceTimes.java
+++ b/src/main/java/gullspar/decide/KindServiceTimes.java
@@ -12,8 +12,8 @@
     private double[] serviceNs = new double[0];
     private long[] updatedAt = new long[0];
 
-    KindServiceTimes(double firstGuessNs, long now) {
-        this.initialNs = firstGuessNs;
+    KindServiceTimes(double initialNs, long now) {
+        this.initialNs = initialNs;
         this.startedAt = now;
     }
 
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -90,7 +90,7 @@
         lastEventAt = now;
         actions.setTimer(now + HEARTBEAT_NS, HEARTBEAT_TIMER);
         if (settings.listOnRequest()) {
-            discoveryCalls.requestList(now);
+            discoveryCalls.subscribe(now);
         }
     }
 
@@ -164,17 +164,17 @@
         if (now - decayedAt <= DECAY_INTERVAL_NS) {
             return;
         }
-        double keepRates = retention(now, TrafficRates.DECAY_NS);
+        double keepRates = retention(now, TrafficRates.SENDS_DECAY_NS);
         zones.decay(keepRates, retention(now, KindServiceTimes.DECAY_NS));
         classes.decay(keepRates);
-        rates.decay(retention(now, ZoneStats.DECAY_NS));
+        rates.decay(retention(now, ZoneStats.LOAD_DECAY_NS));
         double keepOthers = retention(now, FOREIGN_LOAD_DECAY_NS);
         for (Server s : servers.all()) {
             s.reportFreshness *= keepOthers;
             s.foreignLoad = s.reportFreshness * s.reportedForeignLoad
                     + (1 - s.reportFreshness) * zones.typicalForeignLoad(s.zone());
         }
-        keyQueues.values().removeIf(u -> u.requests.isEmpty() && now >= u.blockedUntil);
+        keyQueues.values().removeIf(q -> q.requests.isEmpty() && now >= q.blockedUntil);
         decayedAt = now;
     }
 
@@ -192,13 +192,13 @@
             return true;
         }
         boolean isHeld = !isNextOfKey(t, now) || admission.isThrottled();
-        Server s = isHeld || endIfHopeless(t, now) ? null : pick(t, now);
+        Server s = isHeld || endIfTooLittleTime(t, now) ? null : pick(t, now);
         if (s != null) {
             send(t, s, now);
             return true;
         }
         classWithoutRoom = isHeld ? classWithoutRoom : t.profile;
-        return endIfHopeless(t, now);
+        return endIfTooLittleTime(t, now);
     }
 
     private Server pick(TrackedRequest t, long now) {
@@ -207,8 +207,8 @@
     }
 
     /** Ends a request that cannot be served in time; returns true if it is finished. */
-    private boolean endIfHopeless(TrackedRequest t, long now) {
-        if (!t.isFinished && admission.isHopeless(t, now)) {
+    private boolean endIfTooLittleTime(TrackedRequest t, long now) {
+        if (!t.isFinished && admission.hasTooLittleTime(t, now)) {
             answerUnserved(t);
         }
         return t.isFinished;
@@ -225,7 +225,7 @@
     private void dispatchWaiting(long now) {
         classWithoutRoom = null;
         // Checks all, not only the head: a client's repeat behind it may have less time left.
-        waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfHopeless(t, now) : trySend(t, now));
+        waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfTooLittleTime(t, now) : trySend(t, now));
     }
 
     private void send(TrackedRequest t, Server s, long now) {
@@ -235,7 +235,7 @@
         s.awaitingSince = s.openAttempts++ == 0 ? now : s.awaitingSince;
         s.tokens--;
         rates.sent++;
-        zones.sent(s.zone());
+        zones.recordSend(s.zone());
         // Cancels an attempt whose answer would earn nothing, unless the client's repeat could then run beside it.
         boolean isCutWhenLate =
                 settings.canCancel() && t.profile.lateShare() == 0 && !RepeatRules.isDroppedEverywhere(t.profile);
--- a/src/main/java/gullspar/decide/Rotation.java
+++ b/src/main/java/gullspar/decide/Rotation.java
@@ -41,14 +41,14 @@
             ZoneStats zones,
             ServerWeights weights,
             Ejection ejection,
-            ColdBudget cold,
+            ColdBudget coldBudget,
             Classes classes) {
         this.settings = settings;
         this.servers = servers;
         this.zones = zones;
         this.weights = weights;
         this.ejection = ejection;
-        this.coldBudget = cold;
+        this.coldBudget = coldBudget;
         this.classes = classes;
     }
 
@@ -109,15 +109,15 @@
         return isDue;
     }
 
-    private void add(ZoneTotals side, Server s, double maxWorkNs, long now) {
+    private void add(ZoneTotals totals, Server s, double maxWorkNs, long now) {
         double serviceNs = s.serviceNs / weights.warmth(s, now);
         double weight = weights.weight(s);
-        side.weight += weight;
+        totals.weight += weight;
         // Without a reported request count, the utilization gives the expected wait.
         double waitFactor = s.lacksInflight ? 1 / Math.max(ServerWeights.MIN_SPARE_SHARE, s.spareShare) : 1;
-        side.weightedTimeNs += weight * serviceNs * (s.load() + 1) * waitFactor;
+        totals.weightedTimeNs += weight * serviceNs * (s.load() + 1) * waitFactor;
         s.isEligible = serviceNs * s.load() <= maxWorkNs;
-        side.openWeight += s.isEligible ? weight : 0;
+        totals.openWeight += s.isEligible ? weight : 0;
     }
 
     private Server choose(TrackedRequest t, ZoneTotals own, ZoneTotals other, long now) {
@@ -140,10 +140,10 @@
     }
 
     /** Share of a mean request's worth lost by missing the latency target at the expected response time. */
-    private double lostWorthShare(ZoneTotals side, TrackedRequest t, long now) {
-        double expected = side.weight > 0 ? side.weightedTimeNs / side.weight : Double.MAX_VALUE;
-        double p = Math.exp(-Math.max(1, t.usefulUntil - now) / Math.max(1, expected));
-        return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
+    private double lostWorthShare(ZoneTotals totals, TrackedRequest t, long now) {
+        double expected = totals.weight > 0 ? totals.weightedTimeNs / totals.weight : Double.MAX_VALUE;
+        double lateProbability = Math.exp(-Math.max(1, t.usefulUntil - now) / Math.max(1, expected));
+        return lateProbability * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
     }
 
     /** Whether this server may get this request. A repeat of one that may have run stays where repeats are dropped. */
--- a/src/main/java/gullspar/decide/Server.java
+++ b/src/main/java/gullspar/decide/Server.java
@@ -24,12 +24,12 @@
     /** Position in this proxy's order of the zone's servers, 0 to 1; the subset is the positions below its width. */
     double subsetPosition;
 
-    Server(Balancer.ListedServer listed, double pace, double parallel, long now) {
+    Server(Balancer.ListedServer listed, double serviceNs, double concurrency, long now) {
         this.id = listed.id();
         this.listed = listed;
         this.startedAtNs = listed.startedAtNs();
-        this.serviceNs = pace;
-        this.concurrency = parallel;
+        this.serviceNs = serviceNs;
+        this.concurrency = concurrency;
         this.tokensUpdatedAt = now;
     }
 
--- a/src/main/java/gullspar/decide/Servers.java
+++ b/src/main/java/gullspar/decide/Servers.java
@@ -46,16 +46,16 @@
     }
 
     /** Applies a list event other than FAILED. */
-    void applyList(long now, ListKind kind, List<ListedServer> servers) {
+    void applyList(long now, ListKind kind, List<ListedServer> listedServers) {
         for (Server s : all) {
             s.isListed &= kind == ListKind.DELTA; // absent from a complete list: no longer listed
         }
-        for (ListedServer m : servers) {
-            Server s = byId.get(m.id());
-            if (s == null || m.startedAtNs() > s.startedAtNs) {
-                s = addStarted(m, now);
+        for (ListedServer listed : listedServers) {
+            Server s = byId.get(listed.id());
+            if (s == null || listed.startedAtNs() > s.startedAtNs) {
+                s = addStarted(listed, now);
             }
-            s.listed = m;
+            s.listed = listed;
             s.isListed = true;
         }
         updatePositions();
@@ -79,10 +79,9 @@
         }
     }
 
-    /** Adds a server that is new or has restarted; statistics of an old process do not apply. */
-    private Server addStarted(ListedServer m, long now) {
-        Server s = new Server(
-                m, serviceTimes.get(m.kind()), weights.meanConcurrency(), now); // starts with the kind's service time
+    /** Adds a new or restarted server with its kind's service time; an old process's statistics do not apply. */
+    private Server addStarted(ListedServer listed, long now) {
+        Server s = new Server(listed, serviceTimes.get(listed.kind()), weights.meanConcurrency(), now);
         s.isListed = true;
         Server old = byId.get(s.id);
         if (old != null) {
@@ -107,7 +106,7 @@
 
     /** Subset size: servers that each answer within a latency target, with every server used by some proxy. */
     double subsetSize(double arrivals, double minLatencyTargetNs) {
-        double observable = arrivals * minLatencyTargetNs / ZoneStats.DECAY_NS / ANSWERS_PER_TARGET;
+        double observable = arrivals * minLatencyTargetNs / ZoneStats.LOAD_DECAY_NS / ANSWERS_PER_TARGET;
         return Math.max(observable, MIN_SUBSET * Math.max(1, all.size() / (double) settings.proxyCount()));
     }
 }
--- a/src/main/java/gullspar/decide/TrackedRequest.java
+++ b/src/main/java/gullspar/decide/TrackedRequest.java
@@ -23,10 +23,10 @@
     /** The queue of its key; null if its class is not sequential or it has no key. */
     KeyQueue keyQueue;
 
-    TrackedRequest(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
+    TrackedRequest(Balancer.Request request, Balancer.Profile profile, long usefulUntil, long deadline) {
         this.request = request;
         this.profile = profile;
-        this.usefulUntil = aim;
+        this.usefulUntil = usefulUntil;
         this.deadline = deadline;
     }
 
@@ -40,10 +40,10 @@
         final long sentAt;
         Balancer.Status status;
 
-        Attempt(Server to, double ahead, long sentAt) {
-            this.server = to;
-            this.listedAs = to.listed;
-            this.loadAhead = ahead;
+        Attempt(Server server, double loadAhead, long sentAt) {
+            this.server = server;
+            this.listedAs = server.listed;
+            this.loadAhead = loadAhead;
             this.sentAt = sentAt;
         }
     }
--- a/src/main/java/gullspar/decide/TrafficRates.java
+++ b/src/main/java/gullspar/decide/TrafficRates.java
@@ -3,7 +3,7 @@
 /** Decaying counts of a proxy's own requests; makes no decision. */
 final class TrafficRates {
     /** Decay time of the sends by zone, long enough that a rolling release does not shrink its cold budgets. */
-    static final double DECAY_NS = 15e9;
+    static final double SENDS_DECAY_NS = 15e9;
 
     private static final double MIN_ELAPSED_NS = 1e9;
 
--- a/src/main/java/gullspar/decide/ZoneStats.java
+++ b/src/main/java/gullspar/decide/ZoneStats.java
@@ -8,7 +8,7 @@
  */
 final class ZoneStats {
     /** Decay time of the typical load at the servers of a zone. */
-    static final double DECAY_NS = 2e9;
+    static final double LOAD_DECAY_NS = 2e9;
 
     private static final int INITIAL_ZONES = 8;
 
@@ -56,7 +56,7 @@
     }
 
     /** Counts a send, divided by the servers ready now, so that a shrinking zone does not inflate the rate. */
-    void sent(int zone) {
+    void recordSend(int zone) {
         ensureZone(zone);
         sent[zone] += 1.0 / readyCount[zone];
     }
@@ -70,7 +70,7 @@
     /** Records the load of other proxies at a server, as the share that another request would get. */
     void recordForeignLoad(int zone, double foreignLoad, long now) {
         ensureZone(zone);
-        double gain = 1 - Math.exp((openShareUpdatedAt[zone] - now) / DECAY_NS);
+        double gain = 1 - Math.exp((openShareUpdatedAt[zone] - now) / LOAD_DECAY_NS);
         openShare[zone] += gain * (1 / (1 + foreignLoad) - openShare[zone]);
         openShareUpdatedAt[zone] = now;
     }
--- a/src/main/java/gullspar/drill/Batch.java
+++ b/src/main/java/gullspar/drill/Batch.java
@@ -16,8 +16,8 @@
     private final ByteBuffer body;
     private final int tailStart;
 
-    private Batch(long clock, int count, byte[] body) {
-        this.nowNs = clock;
+    private Batch(long nowNs, int count, byte[] body) {
+        this.nowNs = nowNs;
         this.count = count;
         this.body = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
         this.tailStart = count * RECORD_BYTES;
--- a/src/main/java/gullspar/drill/Host.java
+++ b/src/main/java/gullspar/drill/Host.java
@@ -45,41 +45,42 @@
     /** Processes batches until the input ends. */
     public void serve(InputStream input, OutputStream output) throws IOException {
         InputStream in = new BufferedInputStream(input, 1 << 16);
-        for (Batch b = Batch.read(in); b != null; b = Batch.read(in)) {
-            for (int i = 0; i < b.count; i++) {
-                handleEvent(b, i * Batch.RECORD_BYTES);
+        for (Batch batch = Batch.read(in); batch != null; batch = Batch.read(in)) {
+            for (int i = 0; i < batch.count; i++) {
+                handleEvent(batch, i * Batch.RECORD_BYTES);
             }
             reply.writeTo(output);
         }
     }
 
-    private void handleEvent(Batch b, int at) {
-        int code = b.u8(at);
+    private void handleEvent(Batch batch, int at) {
+        int code = batch.u8(at);
         if (code < 1 || code > 11) {
             throw new WireException("unknown event code " + code);
         }
         if (code == 11) {
-            serverLists.put(b.u16(at + 1), readServerList(b, at + 3));
+            serverLists.put(batch.u16(at + 1), readServerList(batch, at + 3));
             return;
         }
-        int proxy = b.i32(at + 1);
+        int proxy = batch.i32(at + 1);
         if (code == 10) {
             requireRunning(instances.remove(proxy), code, proxy);
             return;
         }
-        SettingsParser.Parsed start = code == 1 ? parseSettings(b.tailBytes(at + 13)) : null;
+        SettingsParser.Parsed start = code == 1 ? parseSettings(batch.tailBytes(at + 13)) : null;
         try {
             if (start != null) {
                 int[] columns = findColumns(start.columns());
                 instances.put(
                         proxy,
                         new Instance(
-                                factory.create(start.settings(), b.i64(at + 5), b.nowNs, reply.actionsOf(proxy)),
+                                factory.create(
+                                        start.settings(), batch.i64(at + 5), batch.nowNs, reply.actionsOf(proxy)),
                                 columns,
                                 start.settings().profiles().size()));
                 return;
             }
-            deliver(b, at, code, requireRunning(instances.get(proxy), code, proxy));
+            deliver(batch, at, code, requireRunning(instances.get(proxy), code, proxy));
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
@@ -96,80 +97,81 @@
         }
     }
 
-    private static Instance requireRunning(Instance i, int code, int proxy) {
-        if (i == null) {
+    private static Instance requireRunning(Instance instance, int code, int proxy) {
+        if (instance == null) {
             throw new WireException("event " + code + " for instance " + proxy + ": the instance is not running");
         }
-        return i;
+        return instance;
     }
 
-    private void deliver(Batch b, int at, int code, Instance to) {
-        Balancer m = to.balancer();
-        long now = b.nowNs;
+    private void deliver(Batch batch, int at, int code, Instance instance) {
+        Balancer module = instance.balancer();
+        long now = batch.nowNs;
         switch (code) {
             case 2 -> {
-                ListKind kind = constantAt(LIST_KINDS, b.u8(at + 5), "list kind");
-                List<ListedServer> list = kind == ListKind.FAILED ? List.of() : serverLists.get(b.u16(at + 14));
+                ListKind kind = constantAt(LIST_KINDS, batch.u8(at + 5), "list kind");
+                List<ListedServer> list = kind == ListKind.FAILED ? List.of() : serverLists.get(batch.u16(at + 14));
                 if (list == null) {
-                    throw new WireException("server list " + b.u16(at + 14) + " has not been defined");
+                    throw new WireException("server list " + batch.u16(at + 14) + " has not been defined");
                 }
-                m.onServerList(now, kind, b.i64(at + 6), list);
+                module.onServerList(now, kind, batch.i64(at + 6), list);
             }
             case 3 -> {
-                int flags = b.u16(at + 36);
-                if (b.u8(at + 9) >= to.profiles()) {
-                    throw new WireException(
-                            "request class " + b.u8(at + 9) + " out of range: number of classes is " + to.profiles());
+                int flags = batch.u16(at + 36);
+                if (batch.u8(at + 9) >= instance.profiles()) {
+                    throw new WireException("request class " + batch.u8(at + 9) + " out of range: number of classes is "
+                            + instance.profiles());
                 }
-                m.onRequest(
+                module.onRequest(
                         now,
                         new Request(
-                                b.i32(at + 5),
-                                b.u8(at + 9),
-                                b.u16(at + 10),
-                                b.i64(at + 12),
-                                b.i64(at + 20),
-                                (flags & 1) != 0 ? b.i64(at + 28) : 0,
+                                batch.i32(at + 5),
+                                batch.u8(at + 9),
+                                batch.u16(at + 10),
+                                batch.i64(at + 12),
+                                batch.i64(at + 20),
+                                (flags & 1) != 0 ? batch.i64(at + 28) : 0,
                                 (flags & 2) != 0));
             }
-            case 4 -> m.onStreamStarted(now, b.i32(at + 5), b.u16(at + 9), b.i32(at + 11), b.i64(at + 15));
-            case 5 -> m.onOutcome(
+            case 4 -> module.onStreamStarted(
+                    now, batch.i32(at + 5), batch.u16(at + 9), batch.i32(at + 11), batch.i64(at + 15));
+            case 5 -> module.onOutcome(
                     now,
                     new Outcome(
-                            b.i32(at + 5),
-                            b.u16(at + 9),
-                            b.i32(at + 11),
-                            constantAt(STATUSES, b.u16(at + 15), "outcome"),
-                            b.i64(at + 17),
-                            b.u8(at + 25) != 0,
-                            readReport(b, at + 26, to.columns())));
-            case 6 -> m.onClientDisconnected(now, b.i32(at + 5));
-            case 7 -> m.onTimer(now, b.i64(at + 5));
-            case 8 -> m.onProbeResult(
+                            batch.i32(at + 5),
+                            batch.u16(at + 9),
+                            batch.i32(at + 11),
+                            constantAt(STATUSES, batch.u16(at + 15), "outcome"),
+                            batch.i64(at + 17),
+                            batch.u8(at + 25) != 0,
+                            readReport(batch, at + 26, instance.columns())));
+            case 6 -> module.onClientDisconnected(now, batch.i32(at + 5));
+            case 7 -> module.onTimer(now, batch.i64(at + 5));
+            case 8 -> module.onProbeResult(
                     now,
-                    b.i32(at + 5),
-                    constantAt(STATUSES, b.u16(at + 9), "outcome"),
-                    b.i64(at + 11),
-                    readReport(b, at + 19, to.columns()));
-            case 9 -> m.onPeerMessage(now, b.i32(at + 5), b.tailBytes(at + 9));
+                    batch.i32(at + 5),
+                    constantAt(STATUSES, batch.u16(at + 9), "outcome"),
+                    batch.i64(at + 11),
+                    readReport(batch, at + 19, instance.columns()));
+            case 9 -> module.onPeerMessage(now, batch.i32(at + 5), batch.tailBytes(at + 9));
             default -> throw new WireException("unknown event code " + code);
         }
     }
 
-    private static List<ListedServer> readServerList(Batch b, int at) {
-        int from = b.tailPosition(at, ENTRY_BYTES);
-        int n = b.i32(at + 4);
-        List<ListedServer> list = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            int e = from + i * ENTRY_BYTES;
+    private static List<ListedServer> readServerList(Batch batch, int at) {
+        int from = batch.tailPosition(at, ENTRY_BYTES);
+        int count = batch.i32(at + 4);
+        List<ListedServer> list = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            int entry = from + i * ENTRY_BYTES;
             list.add(new ListedServer(
-                    b.i32(e),
-                    b.u16(e + 4),
-                    constantAt(STATES, b.u8(e + 6), "server state"),
-                    b.i64(e + 7),
-                    b.u16(e + 15),
-                    b.u8(e + 17),
-                    b.f32(e + 18)));
+                    batch.i32(entry),
+                    batch.u16(entry + 4),
+                    constantAt(STATES, batch.u8(entry + 6), "server state"),
+                    batch.i64(entry + 7),
+                    batch.u16(entry + 15),
+                    batch.u8(entry + 17),
+                    batch.f32(entry + 18)));
         }
         return List.copyOf(list);
     }
@@ -183,30 +185,30 @@
         return columns;
     }
 
-    private static Report readReport(Batch b, int at, int[] columns) {
-        int n = b.u8(at);
-        if (n > 4) {
-            throw new WireException("load report of " + n + " values: at most 4 allowed");
+    private static Report readReport(Batch batch, int at, int[] columns) {
+        int count = batch.u8(at);
+        if (count > 4) {
+            throw new WireException("load report of " + count + " values: at most 4 allowed");
         }
-        return n == 0
+        return count == 0
                 ? null
                 : new Report(
-                        reportValue(b, at, n, columns[0]),
-                        reportValue(b, at, n, columns[1]),
-                        reportValue(b, at, n, columns[2]),
-                        reportValue(b, at, n, columns[3]),
-                        reportValue(b, at, n, columns[4]),
-                        reportValue(b, at, n, columns[5]));
+                        reportValue(batch, at, count, columns[0]),
+                        reportValue(batch, at, count, columns[1]),
+                        reportValue(batch, at, count, columns[2]),
+                        reportValue(batch, at, count, columns[3]),
+                        reportValue(batch, at, count, columns[4]),
+                        reportValue(batch, at, count, columns[5]));
     }
 
-    private static double reportValue(Batch b, int at, int n, int column) {
-        return column < 0 || column >= n ? Double.NaN : b.f32(at + 1 + 4 * column);
+    private static double reportValue(Batch batch, int at, int count, int column) {
+        return column < 0 || column >= count ? Double.NaN : batch.f32(at + 1 + 4 * column);
     }
 
-    private static <E> E constantAt(E[] values, int i, String what) {
-        if (i >= values.length) {
-            throw new WireException("unknown " + what + " " + i);
+    private static <E> E constantAt(E[] values, int index, String what) {
+        if (index >= values.length) {
+            throw new WireException("unknown " + what + " " + index);
         }
-        return values[i];
+        return values[index];
     }
 }
--- a/src/main/java/gullspar/drill/Reply.java
+++ b/src/main/java/gullspar/drill/Reply.java
@@ -25,8 +25,8 @@
             }
 
             @Override
-            public void refuse(int ticket, long retryInNs) {
-                padRecord(beginRecord(66, proxy).putInt(ticket).putLong(retryInNs));
+            public void refuse(int ticket, long retryAfterNs) {
+                padRecord(beginRecord(66, proxy).putInt(ticket).putLong(retryAfterNs));
             }
 
             @Override
@@ -40,8 +40,8 @@
             }
 
             @Override
-            public void setTimer(long at, long token) {
-                padRecord(beginRecord(69, proxy).putLong(at).putLong(token));
+            public void setTimer(long atNs, long token) {
+                padRecord(beginRecord(69, proxy).putLong(atNs).putLong(token));
             }
 
             @Override
--- a/src/main/java/gullspar/proxy/Exchange.java
+++ b/src/main/java/gullspar/proxy/Exchange.java
@@ -59,7 +59,7 @@
         this.ticket = ticket;
         this.client = client;
         this.message = message;
-        this.requestClass = parameters.of();
+        this.requestClass = parameters.requestClass();
         this.timeoutNs = parameters.timeoutNs();
         this.marginNs = Math.min(RESPONSE_MARGIN_NS, timeoutNs / 4);
         if (message.bodyStream() == null || !message.bodyStream().isReceiving()) {
@@ -74,8 +74,8 @@
                         parameters.tenant(),
                         parameters.key(),
                         Math.max(0, timeLeftNs(now)),
-                        parameters.hintNs(),
-                        parameters.repeat(),
+                        parameters.workHintNs(),
+                        parameters.isRepeat(),
                         isComplete ? Math.max(0, now - receivedAtNs) : 0)));
     }
 
--- a/src/main/java/gullspar/proxy/Proxy.java
+++ b/src/main/java/gullspar/proxy/Proxy.java
@@ -246,7 +246,7 @@
                 .write("a new configuration: discovery at " + config.discovery() + ", classes " + config.classes()
                         + ", attempts " + config.settings().maxAttempts());
         List<Profile> profiles = classes.update(config);
-        events.backendUpdate((now, m) -> m.onProfiles(profiles));
+        events.enqueueBackendUpdate((now, m) -> m.onProfiles(profiles));
         discovery.changeAddress(config.discovery());
         figures.countReload(true);
     }
@@ -396,7 +396,7 @@
     /** Applies a list update to the connections and the module. */
     void apply(ListUpdate update) {
         backends.update(update);
-        events.backendUpdate((now, module) -> module.onServerList(
+        events.enqueueBackendUpdate((now, module) -> module.onServerList(
                 now,
                 update.kind(),
                 update.version(),
@@ -405,7 +405,7 @@
 
     @Override
     public void onWatchFailed() {
-        events.backendUpdate((now, module) -> module.onServerList(now, ListKind.FAILED, 0, List.of()));
+        events.enqueueBackendUpdate((now, module) -> module.onServerList(now, ListKind.FAILED, 0, List.of()));
     }
 
     // ---- actions of the module ----
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -42,10 +42,10 @@
 public final class Client extends SimpleChannelInboundHandler<HttpObject> {
     /** Receives complete requests and connection state changes. */
     interface Owner {
-        void onRequest(Client client, Message message, long at);
+        void onRequest(Client client, Message message, long receivedAtNs);
 
         /** The body of a request that was handed over while being received is now complete. */
-        void onRequestComplete(Client client, long at);
+        void onRequestComplete(Client client, long receivedAtNs);
 
         /**
          * The body of such a request will not be completed: the request is dropped and its client gets an
@@ -264,7 +264,7 @@
             closeWithError(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
             return;
         }
-        if (message instanceof HttpRequest r && !begin(r)) {
+        if (message instanceof HttpRequest r && !beginRequest(r)) {
             return;
         }
         if (message instanceof HttpContent content && !onContent(content.content())) {
@@ -280,10 +280,10 @@
                         HttpUtil.isKeepAlive(head),
                         head.protocolVersion()));
             } else {
-                BodyStream all = upload;
+                BodyStream received = upload;
                 upload = null;
-                all.complete();
-                if (currentRequest != null && currentRequest.bodyStream() == all) {
+                received.complete();
+                if (currentRequest != null && currentRequest.bodyStream() == received) {
                     owner.onRequestComplete(this, owner.receivedAt());
                 }
             }
@@ -327,15 +327,15 @@
         return true;
     }
 
-    private void pauseUpload(BodyStream full) {
+    private void pauseUpload(BodyStream paused) {
         if (channel.config().isAutoRead()) {
             channel.config().setAutoRead(false);
             unreadSinceNs = owner.now();
-            if (full.isUnread()) {
+            if (paused.isUnread()) {
                 channel.eventLoop()
                         .schedule(
                                 () -> {
-                                    if (upload == full) {
+                                    if (upload == paused) {
                                         rejectUnreadUpload(); // no clock check: it may differ from the timer
                                     }
                                 },
@@ -357,7 +357,7 @@
     }
 
     /** Handles a request head; returns false if the request was rejected. */
-    private boolean begin(HttpRequest r) {
+    private boolean beginRequest(HttpRequest r) {
         if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             closeWithError(505, "this is HTTP/1.1");
@@ -422,17 +422,17 @@
     /** Discards a request that is not yet complete. */
     private void dropPartialRequest() {
         if (upload != null) {
-            BodyStream cut = upload;
+            BodyStream aborted = upload;
             upload = null;
             requestIncomplete = true;
-            if (currentRequest != null && currentRequest.bodyStream() == cut) {
+            if (currentRequest != null && currentRequest.bodyStream() == aborted) {
                 owner.onRequestAborted(this);
                 currentRequest = null;
                 busy = false;
             } else {
-                queue.removeIf(w -> w.message() != null && w.message().bodyStream() == cut);
+                queue.removeIf(q -> q.message() != null && q.message().bodyStream() == aborted);
             }
-            cut.drop();
+            aborted.drop();
         }
         if (body != null) {
             requestIncomplete = true;
@@ -443,9 +443,9 @@
     }
 
     private void clearQueue() {
-        queue.forEach(w -> {
-            if (w.message() != null) {
-                w.message().release();
+        queue.forEach(q -> {
+            if (q.message() != null) {
+                q.message().release();
             }
         });
         queue.clear();
@@ -491,7 +491,7 @@
         }
         HttpUtil.setContentLength(r, bytes.length);
         busy = false;
-        boolean last = begin(r, status);
+        boolean last = beginResponse(r, status);
         afterResponse(channel.writeAndFlush(r), last);
     }
 
@@ -499,7 +499,7 @@
      * Prepares a response head before it is written; returns true if the connection closes after this
      * response.
      */
-    private boolean begin(HttpResponse r, int status) {
+    private boolean beginResponse(HttpResponse r, int status) {
         used |= currentRequest != null || status == 200;
         idleSinceNs = owner.now();
         // With keep-alive, the rest of a partly received request is read and discarded.
@@ -559,7 +559,7 @@
         }
         responseStream = stream;
         onResponseSent = onSent;
-        lastResponse = begin(r, 200);
+        lastResponse = beginResponse(r, 200);
         lastProgressNs = owner.now();
         writer.writeFirst(() -> {
             channel.write(r);
@@ -601,10 +601,10 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         busy = false;
         closing = true;
-        BodyStream cut = responseStream;
+        BodyStream unfinished = responseStream;
         responseStream = null;
-        if (cut != null) {
-            cut.drop();
+        if (unfinished != null) {
+            unfinished.drop();
             onResponseSent.accept(false);
         }
         owner.onClosed(this);
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -33,10 +33,10 @@
 public final class Frontend implements Client.Owner {
     /** Handles valid requests. */
     public interface RequestHandler {
-        void onRequest(Client client, Message message, RequestParameters parameters, long at);
+        void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs);
 
         /** The body of a request that was handed over while being received is now complete. */
-        void onRequestComplete(Client client, long at);
+        void onRequestComplete(Client client, long receivedAtNs);
 
         /** The client has disconnected before its response. */
         void onClientDisconnected(Client client);
@@ -72,7 +72,7 @@
     private final DescriptorLimits.Share sockets;
     private final RequestHandler handler;
     private final BooleanSupplier ready;
-    private final long unreadNs;
+    private final long unreadTimeoutNs;
     private final RequestIds requestIds = new RequestIds();
     /** Connections without a valid request so far, the oldest first. */
     private final Set<Client> unused = new LinkedHashSet<>();
@@ -95,9 +95,9 @@
             Config config,
             Classes classes,
             DescriptorLimits.Share sockets,
-            RequestHandler taker,
+            RequestHandler handler,
             BooleanSupplier ready) {
-        this(platform, config, classes, sockets, taker, ready, UNREAD_TIMEOUT_NS);
+        this(platform, config, classes, sockets, handler, ready, UNREAD_TIMEOUT_NS);
     }
 
     /** unreadTimeoutNs: how long a body may stay unread before its request is rejected. */
@@ -106,17 +106,17 @@
             Config config,
             Classes classes,
             DescriptorLimits.Share sockets,
-            RequestHandler taker,
+            RequestHandler handler,
             BooleanSupplier ready,
-            long unreadNs) {
+            long unreadTimeoutNs) {
         this.platform = platform;
         this.config = config;
         this.classes = classes;
         this.clock = platform.clock();
         this.sockets = sockets;
-        this.handler = taker;
+        this.handler = handler;
         this.ready = ready;
-        this.unreadNs = unreadNs;
+        this.unreadTimeoutNs = unreadTimeoutNs;
         sockets.onFull(this::closeIdleConnection);
     }
 
@@ -275,11 +275,11 @@
     }
 
     @Override
-    public void onRequest(Client client, Message m, long at) {
+    public void onRequest(Client client, Message m, long receivedAtNs) {
         String path = new QueryStringDecoder(m.uri()).rawPath();
-        RequestClass of = classOf(path);
+        RequestClass requestClass = classOf(path);
         // A class may have the same name as this path; its requests have an id.
-        if (path.equals("/_health") && (of == null || m.id() == null)) {
+        if (path.equals("/_health") && (requestClass == null || m.id() == null)) {
             // With an inherited listener two processes act as one proxy: the other one continues to serve.
             boolean up = ready.getAsBoolean() && (!draining || config.inherited());
             int status = up ? 200 : 503;
@@ -287,12 +287,12 @@
             m.release();
             return;
         }
-        if (of == null) {
+        if (requestClass == null) {
             client.respond(404, null, "no such class");
             m.release();
             return;
         }
-        Profile p = of.profile();
+        Profile p = requestClass.profile();
         HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         String error = RequestParameters.validationError(m, p);
         if (!m.method().equals(method)) {
@@ -304,7 +304,7 @@
         } else {
             client.setCurrentRequest(m);
             pressure.requests++;
-            handler.onRequest(client, m, RequestParameters.of(m, of, config), at);
+            handler.onRequest(client, m, RequestParameters.of(m, requestClass, config), receivedAtNs);
             return;
         }
         m.release();
@@ -317,15 +317,16 @@
         }
         int slash = path.indexOf('/', 1);
         String name = path.substring(1, slash < 0 ? path.length() : slash);
-        RequestClass of = classes.find(name);
-        if (of == null && name.indexOf('%') >= 0) {
+        RequestClass requestClass = classes.find(name);
+        if (requestClass == null && name.indexOf('%') >= 0) {
             try {
-                of = classes.find(new QueryStringDecoder("/" + name).path().substring(1));
+                requestClass =
+                        classes.find(new QueryStringDecoder("/" + name).path().substring(1));
             } catch (IllegalArgumentException e) {
                 return null; // invalid percent-encoding
             }
         }
-        return of;
+        return requestClass;
     }
 
     @Override
@@ -335,12 +336,12 @@
 
     @Override
     public long unreadTimeoutNs() {
-        return unreadNs;
+        return unreadTimeoutNs;
     }
 
     @Override
-    public void onRequestComplete(Client client, long at) {
-        handler.onRequestComplete(client, at);
+    public void onRequestComplete(Client client, long receivedAtNs) {
+        handler.onRequestComplete(client, receivedAtNs);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/client/RequestDecoder.java
+++ b/src/main/java/gullspar/proxy/client/RequestDecoder.java
@@ -17,10 +17,10 @@
     private boolean inRequest;
 
     /** Limits of the request line and of the head, in bytes. */
-    public RequestDecoder(int longestLine, int longestHead) {
+    public RequestDecoder(int maxLineBytes, int maxHeadBytes) {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(longestLine)
-                .setMaxHeaderSize(longestHead)
+                .setMaxInitialLineLength(maxLineBytes)
+                .setMaxHeaderSize(maxHeadBytes)
                 .setMaxChunkSize(64 << 10));
     }
 
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -13,7 +13,8 @@
 import java.util.regex.Pattern;
 
 /** The parameters of a request for the decision module. tenant: its index in the configuration. */
-public record RequestParameters(RequestClass of, int tenant, long key, long timeoutNs, long hintNs, boolean repeat) {
+public record RequestParameters(
+        RequestClass requestClass, int tenant, long key, long timeoutNs, long workHintNs, boolean isRepeat) {
     /** A longer timeout is taken for a mistake of the client. */
     private static final double MAX_TIMEOUT_S = 3600;
     /** Ids and keys: visible ASCII that any backend can read, of bounded length. */
@@ -57,9 +58,9 @@
         return s > 0 && s <= MAX_TIMEOUT_S ? (long) (s * 1e9) : 0;
     }
 
-    static RequestParameters of(Message m, RequestClass of, Config config) {
+    static RequestParameters of(Message m, RequestClass requestClass, Config config) {
         return new RequestParameters(
-                of,
+                requestClass,
                 Math.max(0, config.tenants().indexOf(m.headers().get("Tenant", ""))),
                 key(m.headers().get(HttpHeaderNames.COOKIE)),
                 parseTimeoutNs(m),
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -72,11 +72,11 @@
      * later, the discovery address. A key missing that was set before means an incompletely written file,
      * which is rejected.
      */
-    public static Config reload(Map<String, String> environment, Config before) throws ConfigException {
-        Map<String, String> lasting = new HashMap<>(environment);
-        lasting.remove("NODE_DISCOVERY");
-        Config c = read(lasting);
-        for (String key : before.keys) {
+    public static Config reload(Map<String, String> environment, Config previous) throws ConfigException {
+        Map<String, String> effective = new HashMap<>(environment);
+        effective.remove("NODE_DISCOVERY");
+        Config c = read(effective);
+        for (String key : previous.keys) {
             if (!c.keys.contains(key)) {
                 throw new ConfigException(key + " is missing; it was set in the previous configuration");
             }
@@ -110,7 +110,7 @@
             throw new ConfigException("NODE_SOCKET_FD is '" + descriptor + "': only descriptor 0 can be taken over");
         }
         Set<String> keys = new TreeSet<>();
-        keys("", root, keys);
+        collectKeys("", root, keys);
         try {
             return new Config(
                     parseAddress("NODE_LISTEN", environment, root.path("listen")),
@@ -127,7 +127,7 @@
                     requirePositive(settings, "/limits/connect_timeout_ns"),
                     requirePositive(settings, "/limits/keepalive_ns"),
                     requirePositive(settings, "/rules/drain_grace_ns"),
-                    operator(environment, root),
+                    parseOperatorAddress(environment, root),
                     !descriptor.isEmpty(),
                     root.hasNonNull("operators_file")
                             ? Path.of(root.path("operators_file").asText())
@@ -160,19 +160,20 @@
     }
 
     /** Collects key paths. `known`, data about backends, is optional and so left out. */
-    private static void keys(String path, JsonNode node, Set<String> keys) {
+    private static void collectKeys(String path, JsonNode node, Set<String> keys) {
         node.properties().forEach(e -> {
             String key = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
             if (!key.equals("known")) {
                 keys.add(key);
-                keys(key, e.getValue(), keys);
+                collectKeys(key, e.getValue(), keys);
             }
         });
     }
 
-    private static InetSocketAddress operator(Map<String, String> environment, JsonNode root) throws ConfigException {
-        boolean named = root.has("operator") || environment.containsKey("NODE_OPERATOR");
-        return named ? parseAddress("NODE_OPERATOR", environment, root.path("operator")) : null;
+    private static InetSocketAddress parseOperatorAddress(Map<String, String> environment, JsonNode root)
+            throws ConfigException {
+        boolean isSet = root.has("operator") || environment.containsKey("NODE_OPERATOR");
+        return isSet ? parseAddress("NODE_OPERATOR", environment, root.path("operator")) : null;
     }
 
     private static List<String> names(JsonNode list) {
@@ -189,9 +190,9 @@
         return value;
     }
 
-    private static InetSocketAddress parseAddress(String variable, Map<String, String> environment, JsonNode named)
+    private static InetSocketAddress parseAddress(String variable, Map<String, String> environment, JsonNode node)
             throws ConfigException {
-        String text = environment.getOrDefault(variable, named.asText(""));
+        String text = environment.getOrDefault(variable, node.asText(""));
         InetSocketAddress address = parseAddress(text);
         if (address == null) {
             throw new ConfigException(variable + " is not an IP address and port: '" + text + "'");
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -18,7 +18,7 @@
     }
 
     private final Platform platform;
-    private final Queue<Event> backendUpdate = new ArrayDeque<>();
+    private final Queue<Event> backendUpdates = new ArrayDeque<>();
     private final Queue<Event> requestEvents = new ArrayDeque<>();
     private Balancer module;
     private boolean delivering;
@@ -33,8 +33,8 @@
     }
 
     /** Queues an update from discovery. */
-    public void backendUpdate(Event event) {
-        add(backendUpdate, event, () -> {});
+    public void enqueueBackendUpdate(Event event) {
+        add(backendUpdates, event, () -> {});
     }
 
     public void enqueue(Event event) {
@@ -66,8 +66,8 @@
 
     private void deliver() {
         long now = platform.clock().now();
-        while (!backendUpdate.isEmpty() || !requestEvents.isEmpty()) {
-            (backendUpdate.isEmpty() ? requestEvents : backendUpdate).remove().apply(now, module);
+        while (!backendUpdates.isEmpty() || !requestEvents.isEmpty()) {
+            (backendUpdates.isEmpty() ? requestEvents : backendUpdates).remove().apply(now, module);
         }
         delivering = false;
     }
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -20,9 +20,9 @@
     private long length;
     private int lastChunkLength;
 
-    public Body(BodyBudget budget, long most) {
+    public Body(BodyBudget budget, long maxBytes) {
         this.budget = budget;
-        this.maxBytes = most;
+        this.maxBytes = maxBytes;
     }
 
     /** The result of adding: added, larger than a body may be, or no room in the budget. */
@@ -73,8 +73,8 @@
         }
         ByteBuf[] all = new ByteBuf[chunks.size()];
         for (int i = 0; i < all.length; i++) {
-            byte[] p = chunks.get(i);
-            all[i] = Unpooled.wrappedBuffer(p, 0, i == all.length - 1 ? lastChunkLength : p.length);
+            byte[] chunk = chunks.get(i);
+            all[i] = Unpooled.wrappedBuffer(chunk, 0, i == all.length - 1 ? lastChunkLength : chunk.length);
         }
         return Unpooled.wrappedBuffer(all.length, all);
     }
--- a/src/main/java/gullspar/proxy/http/BodyBudget.java
+++ b/src/main/java/gullspar/proxy/http/BodyBudget.java
@@ -7,8 +7,8 @@
     private long maxBytes;
     private long reservedBytes;
 
-    public BodyBudget(long most) {
-        this.maxBytes = most;
+    public BodyBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Changes the limit; existing reservations stay. */
--- a/src/main/java/gullspar/proxy/http/BodyStream.java
+++ b/src/main/java/gullspar/proxy/http/BodyStream.java
@@ -38,9 +38,9 @@
     private Reader reader;
 
     /** Callbacks for the writer: onResume when it may continue, onDropped when the rest is not needed. */
-    public BodyStream(Runnable resume, Runnable unwanted) {
-        this.onResume = resume;
-        this.onDropped = unwanted;
+    public BodyStream(Runnable onResume, Runnable onDropped) {
+        this.onResume = onResume;
+        this.onDropped = onDropped;
     }
 
     // ---- writer ----
--- a/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
@@ -33,15 +33,15 @@
      * Connections without a request at one time. Guards against silent ones that each hold a descriptor: the
      * oldest is closed when another is accepted.
      */
-    static final int MAX_CALLERS = 12;
+    static final int MAX_WAITING_CONNECTIONS = 12;
     /** Time limit for a connection; requests typed at a terminal take less. */
-    private static final long CALL_TIMEOUT_MS = 5000;
+    private static final long CONNECTION_TIMEOUT_MS = 5000;
 
     private static final int MAX_REQUEST_LINE_BYTES = 1024, MAX_HEAD_BYTES = 4096;
 
     private final Platform platform;
     /** Connections without a request so far, the oldest first. */
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> waitingConnections = new LinkedHashSet<>();
 
     private StatusSource statusSource;
     private AuxiliaryService auxiliaryService;
@@ -69,9 +69,9 @@
      * Answers a synthetic request, so that the classes are loaded before the first real one: the loop that
      * answers it also serves clients.
      */
-    public static void warmUp(StatusSource subject) {
+    public static void warmUp(StatusSource source) {
         EmbeddedChannel c =
-                new EmbeddedChannel(codec(), new OperatorRequestHandler(() -> subject, path -> null, called -> {}));
+                new EmbeddedChannel(codec(), new OperatorRequestHandler(() -> source, path -> null, channel -> {}));
         c.writeInbound(
                 Unpooled.copiedBuffer("GET /_vars HTTP/1.1\r\nHost: rehearsal\r\n\r\n", StandardCharsets.US_ASCII));
         c.finishAndReleaseAll();
@@ -96,21 +96,22 @@
     }
 
     private void accept(Channel c) {
-        if (callers.size() >= MAX_CALLERS) {
-            callers.iterator().next().close();
+        if (waitingConnections.size() >= MAX_WAITING_CONNECTIONS) {
+            waitingConnections.iterator().next().close();
         }
-        callers.add(c);
-        c.closeFuture().addListener(f -> callers.remove(c));
+        waitingConnections.add(c);
+        c.closeFuture().addListener(f -> waitingConnections.remove(c));
         c.pipeline()
                 .addLast(
                         codec(),
-                        new OperatorRequestHandler(() -> statusSource, this::queryAuxiliaryService, callers::remove));
+                        new OperatorRequestHandler(
+                                () -> statusSource, this::queryAuxiliaryService, waitingConnections::remove));
         platform.loop()
                 .schedule(
                         () -> {
                             c.close();
                         },
-                        CALL_TIMEOUT_MS,
+                        CONNECTION_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
@@ -24,18 +24,20 @@
 final class OperatorRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final Supplier<OperatorEndpoint.StatusSource> statusSource;
     private final UnaryOperator<String> queryOther;
-    private final Consumer<Channel> onCall;
+    private final Consumer<Channel> onRequest;
     private boolean answered;
 
     /**
      * statusSource: supplies null until the proxy can be queried; other: the JSON for other paths, null for
-     * unknown ones; onCall: called with the channel before the response.
+     * unknown ones; onRequest: called with the channel before the response.
      */
     OperatorRequestHandler(
-            Supplier<OperatorEndpoint.StatusSource> subject, UnaryOperator<String> other, Consumer<Channel> called) {
-        this.statusSource = subject;
-        this.queryOther = other;
-        this.onCall = called;
+            Supplier<OperatorEndpoint.StatusSource> statusSource,
+            UnaryOperator<String> queryOther,
+            Consumer<Channel> onRequest) {
+        this.statusSource = statusSource;
+        this.queryOther = queryOther;
+        this.onRequest = onRequest;
     }
 
     @Override
@@ -51,8 +53,8 @@
     }
 
     private void handle(ChannelHandlerContext ctx, HttpRequest r) {
-        boolean body = !r.method().equals(HttpMethod.HEAD);
-        if (body && !r.method().equals(HttpMethod.GET)) {
+        boolean withBody = !r.method().equals(HttpMethod.HEAD);
+        if (withBody && !r.method().equals(HttpMethod.GET)) {
             answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "text/plain", "only GET\n", true);
             return;
         }
@@ -65,20 +67,20 @@
                         ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "text/plain",
                         ready ? "yes\n" : "not yet\n",
-                        body);
+                        withBody);
             }
             case "/_vars" -> {
                 if (source == null) {
-                    answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain", "not yet\n", body);
+                    answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain", "not yet\n", withBody);
                 } else {
-                    answer(ctx, HttpResponseStatus.OK, "application/json", source.statusJson(), body);
+                    answer(ctx, HttpResponseStatus.OK, "application/json", source.statusJson(), withBody);
                 }
             }
-            default -> queryOther(ctx, new QueryStringDecoder(r.uri()).rawPath(), body);
+            default -> queryOther(ctx, new QueryStringDecoder(r.uri()).rawPath(), withBody);
         }
     }
 
-    private void queryOther(ChannelHandlerContext ctx, String path, boolean body) {
+    private void queryOther(ChannelHandlerContext ctx, String path, boolean withBody) {
         String json = queryOther.apply(path);
         if (json == null) {
             answer(
@@ -86,16 +88,16 @@
                     HttpResponseStatus.NOT_FOUND,
                     "text/plain",
                     "there are /_ready and /_vars, and /_fleet with [fleet]\n",
-                    body);
+                    withBody);
         } else {
-            answer(ctx, HttpResponseStatus.OK, "application/json", json, body);
+            answer(ctx, HttpResponseStatus.OK, "application/json", json, withBody);
         }
     }
 
     private void answer(
             ChannelHandlerContext ctx, HttpResponseStatus status, String type, String text, boolean withBody) {
         answered = true;
-        onCall.accept(ctx.channel());
+        onRequest.accept(ctx.channel());
         ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
         DefaultFullHttpResponse r =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, withBody ? bytes : Unpooled.EMPTY_BUFFER);
--- a/src/main/java/gullspar/proxy/operator/StatusReport.java
+++ b/src/main/java/gullspar/proxy/operator/StatusReport.java
@@ -19,7 +19,7 @@
  */
 public record StatusReport(
         List<String> classes,
-        RequestCounters figures,
+        RequestCounters counters,
         long written,
         int pending,
         int members,
@@ -38,21 +38,21 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator to = JSON.createGenerator(text)) {
             to.writeStartObject();
-            writeByClass(to, "completed", figures::completed);
-            writeByClass(to, "rejected", figures::rejected);
-            writeByClass(to, "failed", figures::failed);
+            writeByClass(to, "completed", counters::completed);
+            writeByClass(to, "rejected", counters::rejected);
+            writeByClass(to, "failed", counters::failed);
             to.writeNumberField("upstream_requests", written);
             to.writeNumberField("pending", pending);
             to.writeNumberField("members", members);
             to.writeNumberField("members_unavailable", unavailable);
             to.writeNumberField("descriptors_clients", descriptors.clients());
             to.writeNumberField("descriptors_backends", descriptors.backends());
-            to.writeNumberField("config_reloads", figures.reloads());
-            to.writeNumberField("config_reload_errors", figures.reloadErrors());
+            to.writeNumberField("config_reloads", counters.reloads());
+            to.writeNumberField("config_reload_errors", counters.reloadErrors());
             to.writeStringField(
                     "class_archive", ClassArchive.ofThisProcess().name().toLowerCase(Locale.ROOT));
             if (loop != null) {
-                loop(to);
+                writeLoop(to);
             }
             to.writeEndObject();
         } catch (IOException e) {
@@ -61,7 +61,7 @@
         return text.toString();
     }
 
-    private void loop(JsonGenerator to) throws IOException {
+    private void writeLoop(JsonGenerator to) throws IOException {
         to.writeObjectFieldStart("loop");
         to.writeNumberField("turns", loop.turns());
         to.writeNumberField("empty_turns", loop.emptyTurns());
--- a/src/main/java/gullspar/site/Pool.java
+++ b/src/main/java/gullspar/site/Pool.java
@@ -155,7 +155,7 @@
         platform.loop()
                 .schedule(
                         () -> {
-                            events.backendUpdate(
+                            events.enqueueBackendUpdate(
                                     (now, module) -> module.onServerList(now, ListKind.FULL, 0, List.of()));
                             backends.removeAllServers();
                         },
@@ -186,7 +186,7 @@
         List<ListedServer> list = members.listedServers(now).stream()
                 .map(l -> new ListedServer(serverId(l.server().name()), 0, State.READY, 0, 0, 0, l.weight()))
                 .toList();
-        events.backendUpdate((at, module) -> module.onServerList(at, ListKind.FULL, 0, list));
+        events.enqueueBackendUpdate((at, module) -> module.onServerList(at, ListKind.FULL, 0, list));
         long next = members.nextChangeAtNs(now);
         if (next < nextListAt || nextListAt <= now) {
             nextListAt = next;
@@ -245,7 +245,7 @@
                 forget(l.member().id());
             }
         }
-        events.backendUpdate((now, module) -> module.onServerList(
+        events.enqueueBackendUpdate((now, module) -> module.onServerList(
                 now,
                 update.kind(),
                 update.version(),
@@ -274,7 +274,7 @@
         if (classes.size() > announcedClasses) {
             announcedClasses = classes.size();
             List<Profile> all = classes.all();
-            events.backendUpdate((now, module) -> module.onProfiles(all));
+            events.enqueueBackendUpdate((now, module) -> module.onProfiles(all));
         }
         return id;
     }
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -220,7 +220,7 @@
                     "processor time to find what a request asks, its tenant among them",
                     "tenants",
                     n,
-                    () -> lookup.place(GeneratedInputs.tenantName(random.nextInt(n))));
+                    () -> lookup.indexOf(GeneratedInputs.tenantName(random.nextInt(n))));
         }
     }
 
--- a/src/test/java/gullspar/proxy/client/TenantLookup.java
+++ b/src/test/java/gullspar/proxy/client/TenantLookup.java
@@ -18,7 +18,7 @@
     }
 
     /** The index of a tenant, looked up as for any request. */
-    public int place(String tenant) {
+    public int indexOf(String tenant) {
         HttpHeaders h = new DefaultHttpHeaders();
         h.add("Tenant", tenant);
         h.add("Request-Timeout", "0.480");
