--- a/src/main/java/gullspar/decide/Admission.java
+++ b/src/main/java/gullspar/decide/Admission.java
@@ -6,11 +6,9 @@
 
 /** Decides which requests are not sent: those that cannot be served in time, and those beyond the throttle. */
 final class Admission {
-    /** Recent attempts allowed per served one, attempts allowed beyond that, and the losses that engage it. */
-    private static final double THROTTLE_RATIO = 1.2;
-
-    private static final double THROTTLE_MIN_SENDS = 1;
-    private static final double THROTTLE_MIN_LOST = 0.7;
+    private static final double THROTTLE_RATIO = 1.2; // recent attempts allowed per attempt served in time
+    private static final double THROTTLE_MIN_SENDS = 1; // attempts always allowed beyond that
+    private static final double THROTTLE_MIN_LOST = 0.7; // recent losses from which sends are limited
     /** Share of the arrivals that may be sent while fewer than that were served. */
     private static final double THROTTLE_TRIAL_SHARE = 0.3;
     /** Interval at which waiting requests are checked, besides at each outcome. */
@@ -28,8 +26,9 @@
 
     /**
      * The time after which an answer misses its latency target. For a client's repeat with less time left
-     * than first tries have, the target counts from the first try; for a request that lay unread, from when it
-     * was sent. This avoids work on late answers; it is wrong if a repeat has little time for another reason.
+     * than first tries have, the target counts from the first try; for a request that was unread for some time, from
+     * when the client sent it. This avoids work on late answers; it is wrong if a repeat has less time for another
+     * reason.
      */
     long usefulUntil(Request r, Profile p, long now) {
         long maxTimeLeftNs = classes.recordRequest(r.profile(), r.timeLeftNs());
@@ -50,8 +49,8 @@
     }
 
     /**
-     * Whether a request has less time left than half of its class's answers took. Avoids work for clients
-     * that will have disconnected, because their timeout is short or the request waited here for long.
+     * Whether a request has less time left than half of its class's answers took. Avoids work for clients that will
+     * have disconnected by then, as their timeout is short or the request has waited in the proxy for long.
      */
     boolean hasTooLittleTime(TrackedRequest t, long now) {
         return t.usefulUntil - now < classes.typicalNs(t.request.profile())
--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -12,8 +12,11 @@
 
     /** Whether a request of a class may run more than once. */
     enum Effect {
+        /** It may run any number of times. */
         IDEMPOTENT,
+        /** The servers drop its repeats, within a scope and for a limited time. */
         DEDUPLICATED,
+        /** It must not be repeated once an attempt may have run. */
         AT_MOST_ONCE
     }
 
@@ -39,15 +42,22 @@
         FAILED
     }
 
-    /** Outcome of an attempt. */
+    /** Outcome of an attempt. The wire protocol of the simulator identifies the constants by position. */
     enum Status {
+        /** The server answered with an error, or with an answer that cannot be used. */
         ERROR(false),
         OK(false),
+        /** The server had no room and rejected the request. */
         FULL(true),
+        /** No answer came within the timeout of the attempt or the client's. */
         TIMEOUT(false),
+        /** No connection was made, or it failed before the request was sent. */
         CONNECT_FAILED(true),
+        /** The connection failed after the request was sent. */
         RESET(false),
+        /** The attempt was cancelled after it was sent. */
         CANCELLED(false),
+        /** The attempt was not sent, or any server would reject the request; no evidence about the server. */
         MOOT(true);
 
         /** True if this outcome proves that the attempt never ran; for FULL only unless fullMayHaveRun is set. */
@@ -59,10 +69,11 @@
     }
 
     /**
-     * A class of request. lateShare is the share of the worth that an answer after the latency target earns;
-     * windowNs is how long a repeat of a DEDUPLICATED request is dropped within its scope. Requests of all
-     * sequential classes with one key run one at a time, in order of arrival. maxAttempts 0 uses the limit of
-     * the settings; attemptTimeoutNs 0 sets no timeout for a single attempt.
+     * A class of request. worth is the relative value of an answer within the latency target, and lateShare the
+     * share of it that a later answer earns. clientTimeoutNs is the time after which a client gives up on a first
+     * try. windowNs is how long a repeat of a DEDUPLICATED request is dropped within its scope. streamed: answers
+     * are streamed. Requests of all sequential classes with one key run one at a time, in order of arrival.
+     * maxAttempts 0 uses the limit of the settings; attemptTimeoutNs 0 sets no timeout for a single attempt.
      */
     record Profile(
             Effect effect,
@@ -118,10 +129,16 @@
     }
 
     /**
-     * Settings of the deployment. crossZonePrice is a fraction of the worth. fullMayHaveRun: FULL does not
-     * prove that an attempt never ran. sequentialGapNs: how long a key is blocked after an attempt that may
-     * still be running. usesListWeights: while no server reports its load, requests follow the weights of
-     * the list, and latency targets are upper limits, not typical response times.
+     * Settings of the deployment. listOnRequest: the module has to subscribe to the list, and must repeat an
+     * unanswered call within refreshWithinNs; otherwise the host delivers the list unasked. canCancel: the host can
+     * cancel open attempts. maxRetryAfterNs is the time that refused clients are advised to wait, 0 for no
+     * advice. startCapacity is the share of its capacity that a server has at its start; it has all of it after
+     * coldStartNs. No server may be sent more than overloadMultiple times its current capacity in overloadWindowNs.
+     * clockStepNs is the resolution of the host's clock and timers. crossZonePrice, the price of a send to another
+     * zone, is a fraction of the worth. fullMayHaveRun: FULL does not prove that an attempt never ran.
+     * sequentialGapNs: how long a key is blocked after an attempt that may still be running. usesListWeights: while
+     * no server reports its load, requests follow the weights of the list, and latency targets are upper limits, not
+     * typical response times.
      */
     record Settings(
             int proxyIndex,
@@ -209,7 +226,10 @@
         }
     }
 
-    /** A load report of a server; NaN for each value that is not reported. */
+    /**
+     * A load report of a server; NaN for each value that is not reported. inflight: requests received and not yet
+     * answered; queued: those of them that wait; utilization: 0 to 1; recentMs: recent service time.
+     */
     record Report(
             double inflight,
             double queued,
@@ -218,7 +238,7 @@
             double requestsPerSecond,
             double errorsPerSecond) {}
 
-    /** The end of an attempt. isFinal: the request is finished. report may be null. */
+    /** The end of an attempt, elapsedNs after its start. isFinal: the request is finished. report may be null. */
     record Outcome(
             int ticket, int attempt, int server, Status status, long elapsedNs, boolean isFinal, Report report) {}
 
@@ -247,19 +267,24 @@
         /** Final answer: failed; the request may or may not have taken effect. */
         void fail(int ticket);
 
+        /** Cancels an open attempt; its outcome is still delivered. */
         void cancel(int ticket, int attempt);
 
+        /** Requests a call of onTimer with this token at this time of the module's clock; timers are not cancelled. */
         void setTimer(long atNs, long token);
 
+        /** Sends a health check; the result is delivered to onProbeResult. */
         void probe(int server);
 
         /** Closes the idle connections to a server. */
         void closeIdleConnections(int server);
 
+        /** Sends a message to another proxy. */
         void sendToPeer(int peer, byte[] message);
 
         void log(String line);
 
+        /** Starts or ends the subscription to the list; each start requests the complete list. */
         void subscribe(boolean on);
 
         /** Requests the complete list once. */
--- a/src/main/java/gullspar/decide/Classes.java
+++ b/src/main/java/gullspar/decide/Classes.java
@@ -13,12 +13,11 @@
  * The price is that classes that yield get less of the servers' time.
  */
 final class Classes {
-    /** Ratio of worth per work from which a class yields, and the share of the other's latency target it may use. */
-    private static final double MIN_WORTH_RATIO = 2, YIELD_SHARE = 0.75;
-    /** Answers averaged for the relative size of a class, and the weight of its initial estimate in answers. */
-    private static final double MAX_SIZE_SAMPLES = 50, INITIAL_SIZE_SAMPLES = 4;
-    /** Relative step of the running median of response times. */
-    private static final double MEDIAN_STEP = 0.05;
+    private static final double MIN_WORTH_RATIO = 2; // ratio of worth per unit of work from which a class yields
+    private static final double YIELD_SHARE = 0.75; // share of the other's latency target usable by a class that yields
+    private static final double MAX_SIZE_SAMPLES = 50; // answers averaged for the relative size of a class
+    private static final double INITIAL_SIZE_SAMPLES = 4; // weight of the initial size, in answers
+    private static final double MEDIAN_STEP = 0.05; // relative step of the running median of response times
 
     private List<Profile> profiles = List.of();
     private double[] medianNs = {};
--- a/src/main/java/gullspar/decide/Ejection.java
+++ b/src/main/java/gullspar/decide/Ejection.java
@@ -8,11 +8,11 @@
     static final int FAILURES_TO_EJECT = 4;
     /** Largest share of the ready servers that may be ejected; more would overload the rest of a busy fleet. */
     private static final double MAX_EJECTED_SHARE = 0.34;
-    /** A server is silent after this many of its usual gaps between answers plus this share of a latency target. */
+    /** A server is silent after this many of its usual gaps between answers plus a share of a latency target. */
     private static final double SILENT_ANSWER_GAPS = 6;
 
-    private static final double SILENT_TARGET_SHARE = 0.8;
-    /** Pause before the first trial of an ejected server; doubles up to four times this. */
+    private static final double SILENT_TARGET_SHARE = 0.8; // of the shortest latency target of all classes
+    /** Pause before the first trial of an ejected server; doubles with each trial, up to four times this. */
     private static final long FIRST_TRIAL_PAUSE_NS = 500_000_000L;
 
     private final List<Server> servers;
--- a/src/main/java/gullspar/decide/IntMap.java
+++ b/src/main/java/gullspar/decide/IntMap.java
@@ -1,11 +1,12 @@
 package gullspar.decide;
 
-/** A map from int to object without boxing: open addressing, linear probing, removal by shifting back. */
+/** A map from int to non-null objects without boxing: open addressing, linear probing, removal by shifting back. */
 final class IntMap<V> {
     private int[] keys = new int[64];
     private Object[] values = new Object[64];
     private int size;
 
+    /** The index of the key, or the free index where it belongs. */
     private int slot(int key) {
         int mask = keys.length - 1;
         int i = (key * 0x9E3779B9 >>> 7) & mask;
--- a/src/main/java/gullspar/decide/KindServiceTimes.java
+++ b/src/main/java/gullspar/decide/KindServiceTimes.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Mean service time of a warm server of each kind. Grows with the kinds listed; makes no decision. */
+/** Mean service time, in ns, of a warm server of each kind. Grows with the kinds listed; makes no decision. */
 final class KindServiceTimes {
-    /** Decay time of the mean service time. */
+    /** Decay time of the mean service time, and of the typical load in {@link ZoneStats} without new reports. */
     static final double DECAY_NS = 5e9;
 
     private final double initialNs;
--- a/src/main/java/gullspar/decide/Outcomes.java
+++ b/src/main/java/gullspar/decide/Outcomes.java
@@ -7,12 +7,13 @@
 
 /** Updates server, class and load statistics when an attempt ends. */
 final class Outcomes {
-    /** Samples averaged for a service time, their decay time, and the weight of the kind's mean in samples. */
-    private static final double MAX_SERVICE_SAMPLES = 10;
-
-    private static final double SAMPLE_DECAY_NS = 10e9;
-    private static final double KIND_SAMPLES = 4;
-    /** An answer counts as lost beyond this multiple of the service time, reported and median, and half the target. */
+    private static final double MAX_SERVICE_SAMPLES = 10; // answers averaged for a server's service time
+    private static final double SAMPLE_DECAY_NS = 10e9; // decay time of the number of samples
+    private static final double KIND_SAMPLES = 4; // weight of the mean of the server's kind, in samples
+    /**
+     * An answer counts as lost if it took more than half of the latency target and more than this multiple of both
+     * the median response time and the reported service time.
+     */
     private static final double SLOW_RATIO = 2;
 
     private final Settings settings;
@@ -73,7 +74,7 @@
         Server s = a.server;
         double serviceNs = Math.max(1000, o.elapsedNs()) / (a.loadAhead + 1) * weights.warmth(s, now);
         double medianNs = classes.recordAnswer(t.request.profile(), o.elapsedNs(), serviceNs / s.serviceNs);
-        // Far above both the reported service time and the median: a queue that will make later answers late.
+        // Far above both the reported service time and the median means a queue that will delay later answers.
         double reportedWorkNs =
                 s.lacksInflight && o.report() != null ? 1e6 * o.report().recentMs() : Double.NaN;
         boolean isSlow = o.elapsedNs()
@@ -96,7 +97,7 @@
                 / (s.serviceSamples + KIND_SAMPLES);
     }
 
-    /** FULL or no answer at all: an overload without a report; estimates the work queued at the server. */
+    /** FULL, or no answer at all since the send, is an overload without a report: estimates the queued work. */
     private void recordOverload(Attempt a, Outcome o, long now) {
         if (o.status() == Status.FULL || o.status() == Status.TIMEOUT && a.server.awaitingSince <= a.sentAt) {
             zones.recordForeignLoad(
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -10,7 +10,7 @@
 
 /**
  * The decision module's event handling. The interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
- * is on "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
+ * covers "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
  *
  * <p>Normally load reports become factors (capacity x spare share, low during cold start), and requests follow
  * smooth weighted rotation over the factors, each reduced by the estimated queue of the server. Exceptions are
@@ -18,9 +18,9 @@
  * without reports (recordOverload), ejection and trials (Ejection), cold budget (ColdBudget), retries (retry).
  */
 public final class Policy implements Balancer {
-    /** Initial service time with list weights, where latency targets are mere limits, unrelated to it. */
+    /** Initial service time with list weights, where latency targets are upper limits and unrelated to it. */
     private static final double INITIAL_SERVICE_NS = 20e6;
-    /** Decay of a reported foreign load to the typical one: a server without recent reports is not idle. */
+    /** Decay time from a reported foreign load to the typical one: a server without recent reports is not idle. */
     private static final double FOREIGN_LOAD_DECAY_NS = 1e9;
     /** Interval at which decaying averages are updated. */
     private static final long DECAY_INTERVAL_NS = 50_000_000L;
@@ -125,8 +125,8 @@
     // ---- requests ----
 
     /**
-     * After a stall, outcomes and timeouts are caused by the proxy, not by the servers: outcomes of that
-     * moment are not used as evidence about servers. Later ones count again.
+     * After a stall, delays and timeouts are caused by the proxy, not by the servers: outcomes with the time of the
+     * first event after it are not used as evidence about servers.
      */
     private void detectStall(long now) {
         if (now - lastEventAt > 2 * HEARTBEAT_NS) {
@@ -184,8 +184,8 @@
     }
 
     /**
-     * Sends a first attempt if a server has room. Otherwise the request waits in the proxy, where it uses no
-     * server and can still be refused safely. Returns true if it need not wait any longer.
+     * Sends a first attempt if a server has room. Otherwise the request waits in the proxy, where it uses no server
+     * and can still be refused safely. Returns true if it has been sent or finished.
      */
     private boolean trySend(TrackedRequest t, long now) {
         if (t.isFinished) {
@@ -224,7 +224,7 @@
     /** Retries waiting requests; once one of a class finds no room, others of it are only checked for time. */
     private void dispatchWaiting(long now) {
         classWithoutRoom = null;
-        // Checks all, not only the head: a client's repeat behind it may have less time left.
+        // All are checked, not only the head: a client's repeat behind it may have less time left.
         waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfTooLittleTime(t, now) : trySend(t, now));
     }
 
@@ -236,7 +236,7 @@
         s.tokens--;
         rates.sent++;
         zones.recordSend(s.zone());
-        // Cancels an attempt whose answer would earn nothing, unless the client's repeat could then run beside it.
+        // An attempt whose answer would earn nothing is cut off, unless a client's repeat could then run beside it.
         boolean isCutWhenLate =
                 settings.canCancel() && t.profile.lateShare() == 0 && !RepeatRules.isDroppedEverywhere(t.profile);
         long timeoutNs = Math.min(
--- a/src/main/java/gullspar/decide/RetryBudget.java
+++ b/src/main/java/gullspar/decide/RetryBudget.java
@@ -2,13 +2,11 @@
 
 /** Limits retries to a share of the first attempts, so that retries do not multiply the load of a failing fleet. */
 final class RetryBudget {
-    /** Retries earned per request, and the most that can be saved. */
-    private static final double RETRIES_PER_REQUEST = 0.02;
-
-    private static final double MAX_RETRIES = 5;
+    private static final double RETRIES_PER_REQUEST = 0.02; // retries earned per request
+    private static final double MAX_RETRIES = 5; // the most that can be saved
     /**
-     * The same after a connection that broke or could not be made, or a corrupt answer: these are no evidence of
-     * load and occur in series.
+     * The same for retries after a connection that broke or could not be made, or after a corrupt answer: these are
+     * no evidence of load and occur in series.
      */
     private static final double RESENDS_PER_REQUEST = 0.3;
 
--- a/src/main/java/gullspar/decide/Servers.java
+++ b/src/main/java/gullspar/decide/Servers.java
@@ -12,10 +12,8 @@
 
 /** The listed servers, and the subset of them that this proxy uses. */
 final class Servers {
-    /** Minimum size of the subset in the own zone, and the answers needed from each server per latency target. */
-    private static final double MIN_SUBSET = 2;
-
-    private static final double ANSWERS_PER_TARGET = 2;
+    private static final double MIN_SUBSET = 2; // minimum size of the subset in the own zone, in servers
+    private static final double ANSWERS_PER_TARGET = 2; // answers needed from each server per latency target
     /** Spreads the proxies' subsets evenly over the servers, for any number of either. */
     private static final double GOLDEN_RATIO = 0.6180339887;
 
--- a/src/main/java/gullspar/decide/TrackedRequest.java
+++ b/src/main/java/gullspar/decide/TrackedRequest.java
@@ -9,10 +9,11 @@
 final class TrackedRequest {
     final Balancer.Request request;
     final Balancer.Profile profile;
-    /** When its answer would miss the latency target, and when its client gives up. */
+    /** Time after which its answer would miss the latency target. */
     final long usefulUntil;
-
+    /** When its client gives up. */
     final long deadline;
+
     final List<Attempt> attempts = new ArrayList<>(2);
     int openAttempts;
     boolean isFinished;
@@ -30,7 +31,7 @@
         this.deadline = deadline;
     }
 
-    /** One attempt; loadAhead is the server's load when it was sent, status is null while it is open. */
+    /** An attempt; loadAhead is the server's load when it was sent, and status is null while it is open. */
     static final class Attempt {
         final Server server;
         /** The list's entry of the server when it was sent, whose zone and cell restrict repeats. */
--- a/src/main/java/gullspar/decide/ZoneStats.java
+++ b/src/main/java/gullspar/decide/ZoneStats.java
@@ -7,14 +7,17 @@
  * decision.
  */
 final class ZoneStats {
-    /** Decay time of the typical load at the servers of a zone. */
+    /** Decay time of the typical load at the servers of a zone, and of the counts in {@link TrafficRates}. */
     static final double LOAD_DECAY_NS = 2e9;
 
     private static final int INITIAL_ZONES = 8;
 
     private final long startedAt;
+    /** Decaying count of this proxy's sends per ready server. */
     private double[] sent = new double[0];
+    /** Mean share of a server that another request would get: 1 / (1 + load of other proxies). */
     private double[] openShare = new double[0];
+
     private long[] openShareUpdatedAt = new long[0];
     private int[] readyCount = new int[0];
 
@@ -81,7 +84,7 @@
         return 1 / openShare[zone] - 1;
     }
 
-    /** Decays the sends and the share of capacity in use, keeping these parts of each. */
+    /** Decays the sends and the share in use by other proxies, keeping these parts of each. */
     void decay(double keepSent, double keepForeignLoad) {
         for (int z = 0; z < sent.length; z++) {
             sent[z] *= keepSent;
--- a/src/main/java/gullspar/drill/Batch.java
+++ b/src/main/java/gullspar/drill/Batch.java
@@ -6,10 +6,15 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** One frame of events: the time, records of 48 bytes and a tail. References into the tail are bounds-checked. */
+/**
+ * One frame of events: the time, records of a fixed size, and a tail for data of variable length that the records
+ * reference by offset and length. References are bounds-checked.
+ */
 final class Batch {
     static final int HEADER_BYTES = 16;
     static final int RECORD_BYTES = 48;
+    /** Arrays of more bytes may exceed the limit of the virtual machine. */
+    private static final int MAX_BODY_BYTES = Integer.MAX_VALUE - 64;
 
     final long nowNs;
     final int count;
@@ -23,7 +28,10 @@
         this.tailStart = count * RECORD_BYTES;
     }
 
-    /** Reads the next frame; null if the input ends between frames. */
+    /**
+     * Reads the next frame; null if the input ends between frames. Throws a WireException if the frame is truncated or
+     * malformed.
+     */
     static Batch read(InputStream in) throws IOException {
         byte[] head = in.readNBytes(HEADER_BYTES);
         if (head.length == 0) {
@@ -38,8 +46,9 @@
         if (count * RECORD_BYTES > length) {
             throw new WireException(count + " records exceed the frame length of " + length + " bytes");
         }
-        if (length > Integer.MAX_VALUE - 64) {
-            throw new WireException("malformed frame: length of " + length + " bytes exceeds the limit");
+        if (length > MAX_BODY_BYTES) {
+            throw new WireException("malformed frame: length of " + length + " bytes exceeds the limit of "
+                    + MAX_BODY_BYTES + " bytes");
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
@@ -68,7 +77,10 @@
         return body.getFloat(at);
     }
 
-    /** Resolves the tail reference at this position to a position in the frame, for entries of this size. */
+    /**
+     * Resolves the reference (offset in the tail, number of entries) at this position to a position in the frame body.
+     * Throws a WireException if it exceeds the tail.
+     */
     int tailPosition(int at, int entryBytes) {
         long offset = Integer.toUnsignedLong(body.getInt(at));
         long bytes = Integer.toUnsignedLong(body.getInt(at + 4)) * entryBytes;
--- a/src/main/java/gullspar/drill/Host.java
+++ b/src/main/java/gullspar/drill/Host.java
@@ -20,16 +20,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Runs many instances of the decision module for the simulator, translating its wire protocol only. */
+/**
+ * Runs instances of the decision module for the simulator, one for each proxy. It translates the wire protocol and
+ * makes no decision: batches of events come in, and each is answered with the actions of all instances.
+ */
 public final class Host {
+    /** Size of a server's entry in a list. */
     private static final int ENTRY_BYTES = 22;
+
     private static final Status[] STATUSES = Status.values();
     private static final State[] STATES = State.values();
     private static final ListKind[] LIST_KINDS = ListKind.values();
 
-    /** A running instance and the columns of its reports (see {@link #REPORT_NAMES}). */
+    /** A running instance, the columns of its reports (see {@link #REPORT_NAMES}) and its number of classes. */
     private record Instance(Balancer balancer, int[] columns, int profiles) {}
 
+    /** The names of report columns, in the order of the components of {@link Report}. */
     private static final List<String> REPORT_NAMES =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
 
@@ -42,7 +48,7 @@
         this.factory = factory;
     }
 
-    /** Processes batches until the input ends. */
+    /** Processes batches until the input ends. Throws a WireException on input that violates the protocol. */
     public void serve(InputStream input, OutputStream output) throws IOException {
         InputStream in = new BufferedInputStream(input, 1 << 16);
         for (Batch batch = Batch.read(in); batch != null; batch = Batch.read(in)) {
@@ -58,15 +64,16 @@
         if (code < 1 || code > 11) {
             throw new WireException("unknown event code " + code);
         }
-        if (code == 11) {
+        if (code == 11) { // defines a server list, for all instances
             serverLists.put(batch.u16(at + 1), readServerList(batch, at + 3));
             return;
         }
         int proxy = batch.i32(at + 1);
-        if (code == 10) {
+        if (code == 10) { // stops an instance
             requireRunning(instances.remove(proxy), code, proxy);
             return;
         }
+        // Code 1 starts an instance.
         SettingsParser.Parsed start = code == 1 ? parseSettings(batch.tailBytes(at + 13)) : null;
         try {
             if (start != null) {
--- a/src/main/java/gullspar/drill/Reply.java
+++ b/src/main/java/gullspar/drill/Reply.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply to one batch: action records of 24 bytes, then the tail that they reference. */
+/** The reply to one batch: action records of a fixed size, then the tail that they reference by offset and length. */
 final class Reply {
     static final int RECORD_BYTES = 24;
 
@@ -76,7 +76,7 @@
         };
     }
 
-    /** Records that the module of an instance has thrown an exception. */
+    /** Adds a record that the module of an instance has thrown an exception. */
     void reportException(int proxy, String text) {
         padRecord(appendTail(beginRecord(74, proxy), text.getBytes(StandardCharsets.UTF_8)));
     }
@@ -100,13 +100,14 @@
         return record;
     }
 
+    /** Fills the rest of a record with zeros. */
     private void padRecord(ByteBuffer record) {
         while (record.position() % RECORD_BYTES != 0) {
             record.put((byte) 0);
         }
     }
 
-    /** Writes the frame, flushes and resets. */
+    /** Writes the frame, flushes the output, and clears the reply for the next batch. */
     void writeTo(OutputStream out) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN);
         header.putInt(records.position() / RECORD_BYTES).putInt(records.position() + tailLength);
--- a/src/main/java/gullspar/proxy/client/Client.java
+++ b/src/main/java/gullspar/proxy/client/Client.java
@@ -40,8 +40,9 @@
  * request.
  */
 public final class Client extends SimpleChannelInboundHandler<HttpObject> {
-    /** Receives complete requests and connection state changes. */
+    /** The owner of client connections: receives requests and state changes, and provides limits and the clock. */
     interface Owner {
+        /** A request is complete, or too large to be buffered and still being received; see {@link Message}. */
         void onRequest(Client client, Message message, long receivedAtNs);
 
         /** The body of a request that was handed over while being received is now complete. */
@@ -59,7 +60,7 @@
         /** How long a body may stay unread while nothing has been sent for the requests of its connection. */
         long unreadTimeoutNs();
 
-        /** The earliest time at which the data being read may have arrived. */
+        /** The earliest time at which the data being read may have arrived, in ns as for {@link #now}. */
         long receivedAt();
 
         /** Called before a response is written; returns true if the connection must close after it. */
@@ -67,24 +68,27 @@
 
         void onClosed(Client client);
 
+        /** The time of the proxy's monotonic clock, in ns. */
         long now();
     }
 
     /** Pipelined requests queued per connection: enough for clients that do not await responses. */
     public static final int MAX_PIPELINED = 16;
 
-    /** Larger bodies, or those that the budget has no room for, are forwarded while they are received. */
+    /** Larger bodies, and those that the budget has no room for, are forwarded while they are received. */
     private static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
     /** Time limit for a request head: from connecting for the first, from its first byte for later ones. */
     static final long HEAD_TIMEOUT_NS = 2_500_000_000L;
-    /** Limits for a body being received: the longest pause, and the time before the minimum rate applies. */
-    private static final long BODY_STALL_TIMEOUT_NS = 2_200_000_000L, BODY_RATE_GRACE_NS = 1_500_000_000L;
-
+    /** The longest pause of a body being received. */
+    private static final long BODY_STALL_TIMEOUT_NS = 2_200_000_000L;
+    /** Minimum rate of a body, over the time since reading it started or resumed, less the grace time. */
     private static final long MIN_BODY_BYTES_PER_S = 24 << 10;
+
+    private static final long BODY_RATE_GRACE_NS = 1_500_000_000L;
     /** A response on which neither side makes progress for this long is aborted. */
     private static final long RESPONSE_STALL_TIMEOUT_NS = 10_000_000_000L;
 
-    /** A request, or the error response to one that was rejected. */
+    /** A request (error is null), or the error response to a request that was rejected (message is null). */
     private record QueuedRequest(
             Message message, int status, String error, long receivedAt, boolean keepAlive, HttpVersion version) {}
 
@@ -93,14 +97,18 @@
     private final RequestDecoder decoder;
     private final Owner owner;
     private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+    /** Head and buffered body of the request being received; null if none. */
     private HttpRequest head;
+
     private Body body;
     /** The part of the body that is still being received for a request already handed over; null if none. */
     private BodyStream upload;
 
-    private long rateWindowBytes;
     private long bodyBytes;
+    /** Start of the time over which the minimum rate is checked, and the body bytes received since. */
     private long rateWindowStartNs;
+
+    private long rateWindowBytes;
     private long lastReceivedNs;
     /** When reading stopped because the upload was paused. */
     private long unreadSinceNs;
@@ -108,13 +116,21 @@
     private BodyStream responseStream;
 
     private Consumer<Boolean> onResponseSent;
+    /** When a part of the response was last forwarded. */
     private long lastProgressNs;
+
     private final BodyStreamWriter writer = new BodyStreamWriter();
+    /** The accepted request in progress; null if none. */
     private Message currentRequest;
+    /** A request, accepted or not, is in progress or its response is being forwarded. */
     private boolean busy;
+    /** Keep-alive and version of the request in progress. */
     private boolean keepAlive;
+
     private HttpVersion version = HttpVersion.HTTP_1_1;
+    /** The connection closes after the response that is being forwarded. */
     private boolean lastResponse;
+    /** The client sends its body only after 100 Continue, which has not been sent. */
     private boolean awaitsContinue;
     /** The connection closes while part of a request may still be received. */
     private boolean requestIncomplete;
@@ -125,7 +141,9 @@
     /** No further request is read: an error or the last response is being sent, or the connection is closed. */
     private boolean closing;
 
+    /** When the time limit of a partly received request started; 0 if none is partly received. */
     private long partialSinceNs;
+
     private long idleSinceNs;
     private long closingSinceNs;
 
@@ -222,7 +240,10 @@
         channel.close();
     }
 
-    /** Closes the connection if it has exceeded a time limit. */
+    /**
+     * Closes the connection if it has exceeded a time limit. requestTimeoutNs: until the first request, and for closing
+     * after the last response; idleTimeoutNs: between requests.
+     */
     void enforceTimeouts(long now, long requestTimeoutNs, long idleTimeoutNs) {
         if (responseStream != null) {
             if (now - lastProgressNs > RESPONSE_STALL_TIMEOUT_NS) {
--- a/src/main/java/gullspar/proxy/client/ConnectionPressure.java
+++ b/src/main/java/gullspar/proxy/client/ConnectionPressure.java
@@ -8,11 +8,14 @@
  * clients whose connection is closed before their first byte is read leave no trace in the log.
  */
 final class ConnectionPressure {
+    /** All connections accepted by the listener, with those closed on accept. */
     int accepted;
     /** Closed on accept: all other connections were busy. */
     int refused;
 
+    /** Valid requests. */
     int requests;
+
     private int evictedUnused;
     private int evictedIdle;
     private long youngestEvictedNs = Long.MAX_VALUE;
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -33,6 +33,7 @@
 public final class Frontend implements Client.Owner {
     /** Handles valid requests. */
     public interface RequestHandler {
+        /** receivedAtNs: the earliest time at which the request may have arrived. */
         void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs);
 
         /** The body of a request that was handed over while being received is now complete. */
@@ -42,19 +43,20 @@
         void onClientDisconnected(Client client);
     }
 
-    /** Time limit for a connection's first complete request, and for the rest of any other. */
+    /** Time limit for a connection's first request, and for closing a connection after its last response. */
     private static final long REQUEST_TIMEOUT_NS = 1_800_000_000L;
     /** Clients that mean to send a request send its first bytes within this time of connecting. */
     private static final long NEW_CONNECTION_GRACE_NS = 250_000_000L;
     /** Idle timeout of a connection that has been used. */
     private static final long IDLE_TIMEOUT_NS = 5_000_000_000L;
 
-    private static final int MAX_REQUEST_LINE_BYTES = 4096, MAX_HEAD_BYTES = 8 << 10;
+    private static final int MAX_REQUEST_LINE_BYTES = 4096;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
     /** Buffered bodies may take up to 1/HEAP_DIVISOR of the heap. */
     private static final int HEAP_DIVISOR = 4;
     /**
-     * Nothing is sent for a client that left 0.1 s ago (the operators' page): while part of what it sent is
-     * unread, the proxy cannot tell whether it has left.
+     * How long a body may stay unread before its request is rejected. The operators require that nothing is sent for
+     * a client that disconnected 0.1 s ago, and while part of what it sent is unread, the proxy cannot detect that.
      */
     public static final long UNREAD_TIMEOUT_NS = 80_000_000L;
     /**
@@ -63,7 +65,11 @@
      */
     private static final RecvByteBufAllocator READ_ALLOCATOR = new AdaptiveRecvByteBufAllocator(1024, 2048, 64 << 10);
 
-    private static final long TIMEOUT_CHECK_INTERVAL_MS = 200, ID_AGING_INTERVAL_MS = 4000, LOG_INTERVAL_MS = 10_000;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 200;
+    /** A request id cannot be used again for one to two of these intervals after its response. */
+    private static final long ID_AGING_INTERVAL_MS = 4000;
+
+    private static final long LOG_INTERVAL_MS = 10_000;
 
     private final Config config;
     private final Classes classes;
@@ -89,7 +95,7 @@
     private long acceptedConnections;
     private boolean draining;
 
-    /** ready: whether there are backends to serve with. */
+    /** ready: whether there are backends to send requests to. */
     public Frontend(
             Platform platform,
             Config config,
@@ -147,7 +153,7 @@
         loop.scheduleWithFixedDelay(this::logCounts, LOG_INTERVAL_MS, LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Adds a client connection. */
+    /** Adds a client connection, or closes it if the connection limit is reached and none can be closed for it. */
     public void accept(Channel c) {
         pressure.accepted++;
         acceptedConnections++;
@@ -233,10 +239,10 @@
 
     /**
      * Closes a connection without a request: the oldest unused one, else the one that is idle longest. New
-     * connections are the last choice: a request may be under way or unread and would be lost, while a client
-     * whose connection is closed between requests opens another. This guards against many clients that send
-     * one request and stay, where new clients would evict each other. It does harm where many connections
-     * stay silent and long-lived clients are slow to reconnect. Returns false if there is no such connection.
+     * connections are the last choice: a request may be under way or unread and would be lost, while a client whose
+     * connection is closed between requests opens another. Otherwise, where many clients send one request and stay
+     * connected, new clients would evict each other. The drawback: where many connections never send a request,
+     * long-lived clients lose theirs and may be slow to reconnect. Returns false if no connection can be closed.
      */
     private boolean closeIdleConnection() {
         boolean hasOldUnused = !unused.isEmpty() && !isNew(unused.iterator().next());
--- a/src/main/java/gullspar/proxy/client/RequestDecoder.java
+++ b/src/main/java/gullspar/proxy/client/RequestDecoder.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Decodes requests and stops after one that cannot be parsed: its end is unknown, and the data behind it may
- * be a smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
+ * Decodes requests, until stopped by {@link Client} after one that cannot be parsed: its end is unknown, and the data
+ * behind it may be a smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
  */
 public class RequestDecoder extends HttpRequestDecoder {
     private boolean stopped;
--- a/src/main/java/gullspar/proxy/client/RequestIds.java
+++ b/src/main/java/gullspar/proxy/client/RequestIds.java
@@ -4,8 +4,9 @@
 import java.util.Set;
 
 /**
- * The ids of open and recently closed requests. Every request has an id of its own, and so has a client's
- * retry: a repeated id belongs to another client, and would be a second copy at the backends.
+ * The ids of open and recently closed requests. Each request has its own id, also a client's retry. A request with an
+ * id that is open or recently closed comes from another client, and backends would take it for a copy of the first
+ * request.
  */
 final class RequestIds {
     private final Set<String> open = new HashSet<>();
@@ -23,7 +24,7 @@
         }
     }
 
-    /** Forgets the ids closed before the previous call; called periodically to bound memory. */
+    /** Removes the ids closed before the previous call; called periodically to bound memory. */
     void age() {
         older = recent;
         recent = new HashSet<>();
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -12,10 +12,13 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** The parameters of a request for the decision module. tenant: its index in the configuration. */
+/**
+ * The parameters of a request for the decision module. tenant: its index in the configuration; key: the routing key,
+ * 0 for none; workHintNs: the expected work, 0 if unknown; isRepeat: the client marked the request as a retry.
+ */
 public record RequestParameters(
         RequestClass requestClass, int tenant, long key, long timeoutNs, long workHintNs, boolean isRepeat) {
-    /** A longer timeout is taken for a mistake of the client. */
+    /** Requests with a longer timeout are rejected: the client must have made a mistake. */
     private static final double MAX_TIMEOUT_S = 3600;
     /** Ids and keys: visible ASCII that any backend can read, of bounded length. */
     private static final Pattern NAME = Pattern.compile("[!-~]{1,128}");
@@ -68,7 +71,7 @@
                 "1".equals(m.headers().get("Client-Retry")));
     }
 
-    /** A hint that is missing or invalid counts as 0. */
+    /** Converts the hint, in microseconds; returns 0 if it is missing or invalid. */
     private static long parseHintNs(Message m) {
         return hasSingleValue(m, "Work-Hint", SECONDS)
                 ? (long) (Double.parseDouble(m.headers().get("Work-Hint")) * 1000)
--- a/src/main/java/gullspar/proxy/config/Classes.java
+++ b/src/main/java/gullspar/proxy/config/Classes.java
@@ -45,7 +45,7 @@
         return List.copyOf(profiles);
     }
 
-    /** The class of a name; null if the current configuration has none. */
+    /** The class with this name; null if the current configuration has none. */
     public RequestClass find(String name) {
         return current.get(name);
     }
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -20,12 +20,12 @@
 import java.util.TreeSet;
 
 /**
- * The configuration of a proxy: the file at NODE_CONFIG; at startup NODE_LISTEN, NODE_DISCOVERY and
- * NODE_OPERATOR override it. The index of a name in its list identifies it for the module. operator: the
- * address of the operator endpoint, null for none; inherited: the platform holds the client listener
- * (descriptor 0), and a second process may take over; operatorsFile: the operators' settings for this
- * process, null for none; name: the platform's name for this process, null for none; keys: the paths of all
- * keys, except those inside lists.
+ * The configuration of a proxy: the file at NODE_CONFIG; at startup NODE_LISTEN, NODE_DISCOVERY and NODE_OPERATOR
+ * override it. The index of a name in its list identifies it for the module. sockets: the maximum number of
+ * descriptors for connections; known: the known list of backends, used until discovery answers; operator: the address
+ * of the operator endpoint, null for none; inherited: the platform holds the client listener (descriptor 0), and a
+ * second process may take over; operatorsFile: the operators' settings for this process, null for none; name: the
+ * platform's name for this process, null for none; keys: the paths of all keys, except those inside lists.
  */
 public record Config(
         InetSocketAddress listen,
@@ -47,13 +47,14 @@
         String name,
         Set<String> keys) {
 
+    /** Reads the file that the environment names. */
     public static Config read(Map<String, String> environment) throws ConfigException {
         Path path = file(environment).orElseThrow(() -> new ConfigException("NODE_CONFIG is not set"));
         JsonNode root;
         try {
             root = Json.read(Files.readAllBytes(path));
         } catch (IOException e) {
-            // The parser's message spans several lines; the first one says what is wrong.
+            // The parser's message spans several lines; the first one gives the reason.
             throw new ConfigException("cannot read " + path + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Reads the configuration again. The environment is that of startup, so the file wins for what may change
-     * later, the discovery address. A key missing that was set before means an incompletely written file,
-     * which is rejected.
+     * Reads the configuration again. The discovery address may change after startup, so the file's takes precedence
+     * over that of the environment, which is still that of startup. If a key is missing that the previous configuration
+     * had, the file is rejected as incompletely written.
      */
     public static Config reload(Map<String, String> environment, Config previous) throws ConfigException {
         Map<String, String> effective = new HashMap<>(environment);
@@ -92,6 +93,7 @@
                 .orElse(0);
     }
 
+    /** Parses a configuration; variables of the environment override the addresses in it. */
     public static Config parse(JsonNode root, Map<String, String> environment) throws ConfigException {
         JsonNode settings = root.path("settings");
         Map<String, String> flat = new HashMap<>();
--- a/src/main/java/gullspar/proxy/config/Fnv.java
+++ b/src/main/java/gullspar/proxy/config/Fnv.java
@@ -1,6 +1,6 @@
 package gullspar.proxy.config;
 
-/** A string hash that is the same in every process. */
+/** A 64-bit string hash that is the same in every process. */
 public final class Fnv {
     private Fnv() {}
 
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -6,13 +6,13 @@
 import java.util.Queue;
 
 /**
- * Queues events for the decision module. It gets them in order, with the same time for all events of one
- * batch, and never re-entrantly from one of its own actions. Backend updates are delivered first: after a
- * stall, requests and a drain update are found together and which was read first is chance, while the time
- * since the drain began has run on.
+ * Queues events for the decision module. It gets them in order, with the same time for all events of one batch, and
+ * never re-entrantly from one of its own actions. Backend updates are delivered first: after a stall of the loop,
+ * requests and the update that starts a drain are read together in any order, and a request must not go to a backend
+ * that has been draining for the length of the stall.
  */
 public final class Events {
-    /** A call of the module. */
+    /** A call to the module. */
     public interface Event {
         void apply(long now, Balancer module);
     }
@@ -37,12 +37,14 @@
         add(backendUpdates, event, () -> {});
     }
 
+    /** Queues an event of no particular request. */
     public void enqueue(Event event) {
         enqueue(event, () -> {});
     }
 
     /**
-     * Queues an event of one request. If the module throws, onFailure ends that request and the others go on.
+     * Queues an event of one request. If the module throws an exception, onFailure ends that request; other events are
+     * delivered as usual.
      */
     public void enqueue(Event event, Runnable onFailure) {
         add(requestEvents, event, onFailure);
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -7,11 +7,14 @@
 
 /**
  * The body of a request, buffered completely so that a further attempt can be made. It grows in chunks, each
- * reserved from the budget before it is allocated: a client that declares much and sends little holds little
- * memory.
+ * reserved from the budget before it is allocated: a client that declares a long body and sends little of it takes
+ * little memory.
  */
 public final class Body {
-    private static final int MIN_CHUNK_BYTES = 512, CHUNK_BYTES = 16 << 10;
+    /** Minimum size of the first chunk. */
+    private static final int MIN_CHUNK_BYTES = 512;
+    /** Size of all other chunks, and maximum size of the first. */
+    private static final int CHUNK_BYTES = 16 << 10;
 
     private final BodyBudget budget;
     private final long maxBytes;
@@ -25,14 +28,19 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The result of adding: added, larger than a body may be, or no room in the budget. */
+    /** The result of adding bytes. */
     public enum AddResult {
         TAKEN,
+        /** The body exceeds its maximum size, or the whole budget. */
         TOO_LONG,
+        /** The budget has no room at present. */
         NO_ROOM
     }
 
-    /** Copies all readable bytes; the caller keeps ownership of the buffer. */
+    /**
+     * Copies the readable bytes; the caller keeps ownership of the buffer. Unless the result is TAKEN, the bytes that
+     * were not copied stay readable.
+     */
     public AddResult add(ByteBuf bytes) {
         while (bytes.isReadable()) {
             if (length + bytes.readableBytes() > maxBytes) {
--- a/src/main/java/gullspar/proxy/http/BodyStream.java
+++ b/src/main/java/gullspar/proxy/http/BodyStream.java
@@ -23,8 +23,11 @@
     static final int MAX_UNREAD_BYTES = 256 << 10;
 
     private enum State {
+        /** Being received. */
         COMING,
+        /** Received completely. */
         WHOLE,
+        /** Aborted: the rest will not be received. */
         BROKEN
     }
 
@@ -37,7 +40,7 @@
     private State state = State.COMING;
     private Reader reader;
 
-    /** Callbacks for the writer: onResume when it may continue, onDropped when the rest is not needed. */
+    /** Callbacks for the writer: onResume when it may continue, onDropped when the stream is no longer needed. */
     public BodyStream(Runnable onResume, Runnable onDropped) {
         this.onResume = onResume;
         this.onDropped = onDropped;
@@ -125,7 +128,7 @@
         return state == State.COMING;
     }
 
-    /** True if the writer has been paused. */
+    /** True while the writer must pause. */
     public boolean paused() {
         return paused;
     }
--- a/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
+++ b/src/main/java/gullspar/proxy/http/BodyStreamWriter.java
@@ -12,7 +12,7 @@
 public final class BodyStreamWriter {
     private boolean writing;
 
-    /** Writes what precedes the chunks. */
+    /** Runs writes that precede the chunks, such as that of the head, with nested writes suppressed. */
     public void writeFirst(Runnable writes) {
         writing = true;
         writes.run();
--- a/src/main/java/gullspar/proxy/http/HeaderLines.java
+++ b/src/main/java/gullspar/proxy/http/HeaderLines.java
@@ -4,7 +4,10 @@
 public final class HeaderLines {
     private HeaderLines() {}
 
-    /** Rejects a header line without a colon: Netty would take it for a name without a value. */
+    /**
+     * Throws an IllegalArgumentException if a header line has no colon after its name: Netty would accept it as a name
+     * without a value.
+     */
     public static void checkColon(byte[] line, int nameEnd) {
         if (nameEnd >= line.length || line[nameEnd] != ':') {
             throw new IllegalArgumentException("header line without a colon after its name");
--- a/src/main/java/gullspar/proxy/http/Message.java
+++ b/src/main/java/gullspar/proxy/http/Message.java
@@ -11,13 +11,13 @@
  */
 public record Message(
         HttpMethod method, String uri, HttpHeaders headers, Body body, BodyStream bodyStream, long bodyLength) {
-    /** The largest body that either side may send. */
+    /** The maximum size of a request's or a response's body. */
     public static final int MAX_BODY_BYTES = 32 << 20;
-    /** Responses up to this size are served only if provably complete; larger ones are streamed. */
+    /** Responses up to this size are sent on only if known to be complete; larger ones are streamed. */
     public static final int MAX_BUFFERED_RESPONSE_BYTES = 64 << 10;
     /**
-     * Headers forwarded to backends, besides those that the proxy sets itself. This is an allow list:
-     * Connection may name any header as hop-by-hop, and the backend needs these.
+     * Headers forwarded to backends, besides those that the proxy sets itself. They are forwarded even if the header
+     * Connection names them as hop-by-hop, as backends need them.
      */
     private static final List<String> REQUEST_HEADERS = List.of(
             "Host",
@@ -84,7 +84,7 @@
         copy(RESPONSE_HEADERS, from, to);
     }
 
-    /** A duration in the format of the headers: decimal seconds. */
+    /** Formats a duration for a header: decimal seconds, to the microsecond. */
     public static String formatSeconds(long ns) {
         return BigDecimal.valueOf(ns / 1000, 6).toPlainString();
     }
--- a/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
+++ b/src/main/java/gullspar/proxy/operator/AuxiliaryService.java
@@ -39,7 +39,7 @@
     /** The JSON for an operator's query of a path; null if the path is not this service's. */
     String query(String path);
 
-    /** Reads its file again. Called off the event loop; an error is logged, and the old settings stay. */
+    /** Reads its file again. Called off the event loop; an error is logged, and the previous settings stay. */
     void reload();
 
     /** Stops the service; completes when its last messages have been handed to the network. */
--- a/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorEndpoint.java
@@ -22,7 +22,7 @@
 public final class OperatorEndpoint {
     /** The source of status data; called on the event loop. */
     public interface StatusSource {
-        /** True if this process can serve. */
+        /** True if this process can serve requests. */
         boolean isReady();
 
         /** The metrics as JSON. */
@@ -30,14 +30,15 @@
     }
 
     /**
-     * Connections without a request at one time. Guards against silent ones that each hold a descriptor: the
-     * oldest is closed when another is accepted.
+     * Maximum number of connections without a request. Connections that send nothing would otherwise use up the
+     * descriptors: the oldest is closed when another is accepted.
      */
     static final int MAX_WAITING_CONNECTIONS = 12;
     /** Time limit for a connection; requests typed at a terminal take less. */
     private static final long CONNECTION_TIMEOUT_MS = 5000;
 
-    private static final int MAX_REQUEST_LINE_BYTES = 1024, MAX_HEAD_BYTES = 4096;
+    private static final int MAX_REQUEST_LINE_BYTES = 1024;
+    private static final int MAX_HEAD_BYTES = 4096;
 
     private final Platform platform;
     /** Connections without a request so far, the oldest first. */
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Answers a synthetic request, so that the classes are loaded before the first real one: the loop that
-     * answers it also serves clients.
+     * Answers a synthetic request, so that Java classes are loaded before the first real one, which would delay the
+     * clients on the same event loop.
      */
     public static void warmUp(StatusSource source) {
         EmbeddedChannel c =
@@ -83,6 +84,7 @@
                 .setMaxHeaderSize(MAX_HEAD_BYTES));
     }
 
+    /** Starts to listen; completes when the address is bound. */
     public ChannelFuture listen(InetSocketAddress address) {
         return AcceptBackoff.addTo(platform.transport()
                 .serverBootstrap(address)
--- a/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
+++ b/src/main/java/gullspar/proxy/operator/OperatorRequestHandler.java
@@ -28,7 +28,7 @@
     private boolean answered;
 
     /**
-     * statusSource: supplies null until the proxy can be queried; other: the JSON for other paths, null for
+     * statusSource: supplies null until the proxy can be queried; queryOther: the JSON for other paths, null for
      * unknown ones; onRequest: called with the channel before the response.
      */
     OperatorRequestHandler(
--- a/src/main/java/gullspar/proxy/operator/RequestCounters.java
+++ b/src/main/java/gullspar/proxy/operator/RequestCounters.java
@@ -20,7 +20,7 @@
         (status == 200 ? completed : status == 503 || status == 429 ? rejected : failed)[classIndex]++;
     }
 
-    /** Counts a configuration that was applied or rejected. */
+    /** Counts a configuration that was reloaded: applied if accepted, else rejected. */
     public void countReload(boolean accepted) {
         reloads += accepted ? 1 : 0;
         reloadErrors += accepted ? 0 : 1;
--- a/src/main/java/gullspar/proxy/operator/StatusReport.java
+++ b/src/main/java/gullspar/proxy/operator/StatusReport.java
@@ -14,7 +14,7 @@
 /**
  * The metrics at one moment. written: attempts whose last byte was sent to a backend; pending: requests
  * accepted and not yet ended; members and unavailable: backends in the list, and those of them that get no
- * new requests; loop: statistics of the event loop, null where they are not collected; descriptors: of
+ * new requests; loop: statistics of the event loop, null where they are not collected; descriptors: those of
  * connections.
  */
 public record StatusReport(
@@ -32,7 +32,8 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /**
-     * As one JSON object. Written field by field: loading an ObjectMapper costs a small proxy half a second.
+     * The metrics as one JSON object. Written field by field: loading an ObjectMapper takes a small proxy half a
+     * second.
      */
     public String json() {
         StringWriter text = new StringWriter();
--- a/src/main/java/gullspar/settings/SettingsParser.java
+++ b/src/main/java/gullspar/settings/SettingsParser.java
@@ -10,7 +10,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Parses settings given by path, as in the text of a Start event. Unknown keys are ignored. */
+/**
+ * Parses settings given as paths and values, as in the Start event of the simulator. Unknown keys are ignored; a
+ * SettingsException names a key that is missing or has an invalid value.
+ */
 public final class SettingsParser {
     private final Map<String, String> values;
 
@@ -18,10 +21,10 @@
         this.values = values;
     }
 
-    /** The settings and the names of the report columns. */
+    /** The settings, and the names of the values in a load report in their order. */
     public record Parsed(Settings settings, String[] columns) {}
 
-    /** Parses path=value lines. */
+    /** Parses lines of the form path=value; other lines are ignored. */
     public static Parsed parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -33,6 +36,7 @@
         return parse(values);
     }
 
+    /** Parses settings by path. */
     public static Parsed parse(Map<String, String> values) {
         SettingsParser parser = new SettingsParser(values);
         List<Profile> profiles = new ArrayList<>();
@@ -121,10 +125,12 @@
         return values.containsKey(key) ? number(key) : defaultValue;
     }
 
+    /** False unless the value is "true". */
     private boolean flag(String key) {
         return "true".equals(values.get(key));
     }
 
+    /** The constant of this name in any case. Without a default value the key is required. */
     private <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
         String v = defaultValue == null ? required(key) : values.get(key);
         if (v == null || v.isEmpty()) {
