--- a/src/test/java/gullspar/decide/EmbeddingTest.java
+++ b/src/test/java/gullspar/decide/EmbeddingTest.java
@@ -20,7 +20,7 @@
                 });
         long now = 0;
         Balancer balancer = new Policy(FakeHost.settings(false, FakeHost.IDEMPOTENT), 42, now, actions);
-        balancer.onServerList(now, Balancer.ListKind.FULL, 1, List.of(FakeHost.member(7, 0, Balancer.State.READY)));
+        balancer.onServerList(now, Balancer.ListKind.FULL, 1, List.of(FakeHost.server(7, 0, Balancer.State.READY)));
         balancer.onRequest(now, new Balancer.Request(1, 0, 0, 0, 1_000_000_000L, 0, false));
         now += 20_000_000L;
         balancer.onOutcome(now, new Balancer.Outcome(1, 0, 7, Balancer.Status.OK, 20_000_000L, true, null));
--- a/src/test/java/gullspar/decide/FakeHost.java
+++ b/src/test/java/gullspar/decide/FakeHost.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Drives one instance of the module with a manual clock; records its actions and timers. */
+/** A host of one instance of the module with a manual clock; records the actions and timers of the module. */
 final class FakeHost implements Balancer.Actions {
     static final long MS = 1_000_000L;
     static final Profile IDEMPOTENT = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
@@ -33,7 +33,7 @@
     final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
     final Policy policy;
     long now = 1_000_000_000_000L;
-    long lastTimeout;
+    long lastTimeoutNs;
     private int lastTicket;
 
     FakeHost(Settings settings) {
@@ -65,8 +65,8 @@
         return settings(0, 3, subscribes, profiles);
     }
 
-    static Settings settings(int ownIndex, int balancers, boolean subscribes, Profile... profiles) {
-        return settings(ownIndex, balancers, subscribes, false, profiles);
+    static Settings settings(int ownIndex, int proxyCount, boolean subscribes, Profile... profiles) {
+        return settings(ownIndex, proxyCount, subscribes, false, profiles);
     }
 
     /** Strict: FULL may have run, and a key is blocked for 300 ms after an attempt that may still run. */
@@ -75,10 +75,10 @@
     }
 
     private static Settings settings(
-            int ownIndex, int balancers, boolean subscribes, boolean strict, Profile... profiles) {
+            int ownIndex, int proxyCount, boolean subscribes, boolean strict, Profile... profiles) {
         return new Settings(
                 ownIndex,
-                balancers,
+                proxyCount,
                 0,
                 List.of(profiles),
                 subscribes,
@@ -96,20 +96,20 @@
                 strict ? 300 * MS : 0);
     }
 
-    static ListedServer member(int id, int zone, State state) {
+    static ListedServer server(int id, int zone, State state) {
         return new ListedServer(id, 0, state, 0, zone, zone, 1);
     }
 
     static ListedServer[] ready(int count) {
-        ListedServer[] members = new ListedServer[count];
+        ListedServer[] servers = new ListedServer[count];
         for (int i = 0; i < count; i++) {
-            members[i] = member(i, 0, State.READY);
+            servers[i] = server(i, 0, State.READY);
         }
-        return members;
+        return servers;
     }
 
-    FakeHost deliverList(ListKind kind, ListedServer... members) {
-        policy.onServerList(now, kind, 1, List.of(members));
+    FakeHost deliverList(ListKind kind, ListedServer... servers) {
+        policy.onServerList(now, kind, 1, List.of(servers));
         return this;
     }
 
@@ -127,9 +127,9 @@
         return deliverRequest(profile, timeLeftMs, 0, true);
     }
 
-    private int deliverRequest(int profile, long timeLeftMs, long key, boolean repeat) {
+    private int deliverRequest(int profile, long timeLeftMs, long key, boolean isRepeat) {
         int ticket = ++lastTicket;
-        policy.onRequest(now, new Request(ticket, profile, 0, key, timeLeftMs * MS, 0, repeat));
+        policy.onRequest(now, new Request(ticket, profile, 0, key, timeLeftMs * MS, 0, isRepeat));
         return ticket;
     }
 
@@ -170,19 +170,19 @@
         return this;
     }
 
-    static Report report(double util, double inflight) {
-        return new Report(inflight, Double.NaN, util, Double.NaN, Double.NaN, Double.NaN);
+    static Report report(double utilization, double inflight) {
+        return new Report(inflight, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
     }
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        lastTimeout = timeoutNs;
+        lastTimeoutNs = timeoutNs;
         sends.computeIfAbsent(ticket, t -> new ArrayList<>()).add(server);
         actions.add("send " + ticket + " to " + server);
     }
 
     @Override
-    public void refuse(int ticket, long retryInNs) {
+    public void refuse(int ticket, long retryAfterNs) {
         actions.add("refuse " + ticket);
         finalAnswers.merge(ticket, "refused", (a, b) -> a + " and " + b);
     }
@@ -199,8 +199,8 @@
     }
 
     @Override
-    public void setTimer(long at, long token) {
-        timers.add(new long[] {at, token});
+    public void setTimer(long atNs, long token) {
+        timers.add(new long[] {atNs, token});
     }
 
     @Override
@@ -230,6 +230,6 @@
 
     @Override
     public void requestList() {
-        actions.add("reload");
+        actions.add("requestList");
     }
 }
--- a/src/test/java/gullspar/decide/ListWeightsTest.java
+++ b/src/test/java/gullspar/decide/ListWeightsTest.java
@@ -18,7 +18,7 @@
 
 /** Pools whose servers report no load, and request classes added at run time. */
 class ListWeightsTest {
-    private static final Profile MINUTE = new Profile(
+    private static final Profile MINUTE_TIMEOUT = new Profile(
             Effect.IDEMPOTENT, Scope.ALL, 0, 60_000 * FakeHost.MS, 60_000 * FakeHost.MS, 1, 1, false, false);
 
     private static Settings settings(boolean listWeights, Profile... profiles) {
@@ -48,18 +48,18 @@
     }
 
     private static FakeHost host(boolean listWeights) {
-        return new FakeHost(settings(listWeights, MINUTE))
+        return new FakeHost(settings(listWeights, MINUTE_TIMEOUT))
                 .deliverList(ListKind.FULL, weighted(0, 5), weighted(1, 2), weighted(2, 1));
     }
 
-    private static int[] serve(FakeHost r, int n, long[] tookMs, Report report) {
+    private static int[] serve(FakeHost host, int n, long[] tookMs, Report report) {
         int[] got = new int[tookMs.length];
         for (int i = 0; i < n; i++) {
-            int t = r.request();
-            int s = r.serverOf(t, 0);
+            int t = host.request();
+            int s = host.serverOf(t, 0);
             got[s]++;
-            r.advance(tookMs[s]);
-            r.endAttempt(t, 0, Status.OK, tookMs[s], report);
+            host.advance(tookMs[s]);
+            host.endAttempt(t, 0, Status.OK, tookMs[s], report);
         }
         return got;
     }
@@ -77,14 +77,14 @@
 
     @Test
     void sharesStayWhileRequestsQueueAtOneServer() {
-        FakeHost r = host(true);
+        FakeHost host = host(true);
         int[] got = new int[3];
         for (int i = 0; i < 800; i++) {
-            int t = r.request(0, 60_000);
-            got[r.serverOf(t, 0)]++;
-            r.advance(5);
-            if (r.serverOf(t, 0) != 2 || i % 80 == 0) {
-                r.succeed(t, 5); // server 2 leaves most of its requests open
+            int t = host.request(0, 60_000);
+            got[host.serverOf(t, 0)]++;
+            host.advance(5);
+            if (host.serverOf(t, 0) != 2 || i % 80 == 0) {
+                host.succeed(t, 5); // server 2 leaves most of its requests open
             }
         }
         assertArrayEquals(new int[] {500, 200, 100}, got);
@@ -92,56 +92,57 @@
 
     @Test
     void aNewWeightAppliesFromTheNextRequest() {
-        FakeHost r = host(true);
-        serve(r, 80, new long[] {5, 5, 5}, null);
-        r.deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 2), weighted(2, 5));
-        assertArrayEquals(new int[] {100, 200, 500}, serve(r, 800, new long[] {5, 5, 5}, null));
+        FakeHost host = host(true);
+        serve(host, 80, new long[] {5, 5, 5}, null);
+        host.deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 2), weighted(2, 5));
+        assertArrayEquals(new int[] {100, 200, 500}, serve(host, 800, new long[] {5, 5, 5}, null));
     }
 
     @Test
     void factorsReplaceListWeightsOnceAServerReportsLoad() {
-        FakeHost r = host(true);
-        int[] got = serve(r, 2000, new long[] {50, 5, 50}, FakeHost.report(0.2, 0));
+        FakeHost host = host(true);
+        int[] got = serve(host, 2000, new long[] {50, 5, 50}, FakeHost.report(0.2, 0));
         assertTrue(got[1] > got[0], "the faster server gets more: " + got[0] + " and " + got[1]);
     }
 
     @Test
     void aBurstAtTheStartDoesNotWaitForFirstAnswers() {
-        FakeHost r = host(true);
+        FakeHost host = host(true);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += r.attemptCount(r.request(0, 60_000));
+            sent += host.attemptCount(host.request(0, 60_000));
         }
         assertEquals(100, sent);
     }
 
     @Test
     void failedConnectsToADownServerLoseNoRequest() {
-        FakeHost r = new FakeHost(settings(true, MINUTE)).deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 1));
+        FakeHost host =
+                new FakeHost(settings(true, MINUTE_TIMEOUT)).deliverList(ListKind.FULL, weighted(0, 1), weighted(1, 1));
         for (int i = 0; i < 200; i++) {
-            int t = r.request();
-            if (r.serverOf(t, 0) == 0) {
-                r.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
-                assertEquals(1, r.serverOf(t, 1));
+            int t = host.request();
+            if (host.serverOf(t, 0) == 0) {
+                host.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
+                assertEquals(1, host.serverOf(t, 1));
             }
-            r.advance(5);
-            r.succeed(t, 5);
-            assertEquals("served", r.finalAnswers.get(t));
+            host.advance(5);
+            host.succeed(t, 5);
+            assertEquals("served", host.finalAnswers.get(t));
         }
     }
 
     @Test
     void furtherAttemptsAfterErrorsStillNeedTheBudget() {
-        FakeHost r = new FakeHost(settings(true, MINUTE)).deliverList(ListKind.FULL, FakeHost.ready(4));
+        FakeHost host = new FakeHost(settings(true, MINUTE_TIMEOUT)).deliverList(ListKind.FULL, FakeHost.ready(4));
         int second = 0;
         for (int i = 0; i < 100; i++) {
-            int t = r.request();
-            r.endAttempt(t, 0, Status.ERROR, 5, null);
-            if (r.attemptCount(t) > 1) {
+            int t = host.request();
+            host.endAttempt(t, 0, Status.ERROR, 5, null);
+            if (host.attemptCount(t) > 1) {
                 second++;
-                r.endAttempt(t, 1, Status.OK, 5, null);
+                host.endAttempt(t, 1, Status.OK, 5, null);
             }
-            r.advance(5);
+            host.advance(5);
         }
         assertTrue(second < 10, second + " of 100");
     }
@@ -160,26 +161,26 @@
                 false,
                 2,
                 300 * FakeHost.MS);
-        FakeHost r = new FakeHost(settings(true, two)).deliverList(ListKind.FULL, FakeHost.ready(4));
-        int t = r.request();
-        assertEquals(300 * FakeHost.MS, r.lastTimeout);
-        r.endAttempt(t, 0, Status.ERROR, 5, null);
-        r.endAttempt(t, 1, Status.ERROR, 5, null);
-        assertEquals(2, r.attemptCount(t));
-        assertEquals("refused", r.finalAnswers.get(t));
+        FakeHost host = new FakeHost(settings(true, two)).deliverList(ListKind.FULL, FakeHost.ready(4));
+        int t = host.request();
+        assertEquals(300 * FakeHost.MS, host.lastTimeoutNs);
+        host.endAttempt(t, 0, Status.ERROR, 5, null);
+        host.endAttempt(t, 1, Status.ERROR, 5, null);
+        assertEquals(2, host.attemptCount(t));
+        assertEquals("refused", host.finalAnswers.get(t));
     }
 
     @Test
     void classesCanBeAddedWhileAttemptsAreOpen() {
-        FakeHost r = host(true);
-        int before = r.request();
+        FakeHost host = host(true);
+        int before = host.request();
         Profile once = new Profile(
                 Effect.AT_MOST_ONCE, Scope.ALL, 0, 1000 * FakeHost.MS, 1000 * FakeHost.MS, 1, 1, false, false);
-        r.policy.onProfiles(List.of(MINUTE, once));
-        int after = r.request(1, 1000);
-        r.endAttempt(after, 0, Status.RESET, 5, null);
-        assertEquals("failed", r.finalAnswers.get(after));
-        r.endAttempt(before, 0, Status.RESET, 5, null);
-        assertEquals(2, r.attemptCount(before));
+        host.policy.onProfiles(List.of(MINUTE_TIMEOUT, once));
+        int after = host.request(1, 1000);
+        host.endAttempt(after, 0, Status.RESET, 5, null);
+        assertEquals("failed", host.finalAnswers.get(after));
+        host.endAttempt(before, 0, Status.RESET, 5, null);
+        assertEquals(2, host.attemptCount(before));
     }
 }
--- a/src/test/java/gullspar/decide/NoLoadTest.java
+++ b/src/test/java/gullspar/decide/NoLoadTest.java
@@ -14,25 +14,25 @@
     private static final int REQUESTS = 40;
 
     private static FakeHost healthyHost() {
-        FakeHost r = new FakeHost(FakeHost.settings(false, FakeHost.IDEMPOTENT))
+        FakeHost host = new FakeHost(FakeHost.settings(false, FakeHost.IDEMPOTENT))
                 .deliverList(ListKind.FULL, FakeHost.ready(SERVERS));
         for (int i = 0; i < REQUESTS; i++) { // a healthy phase first
-            r.endAttempt(r.request(), 0, Status.OK, 20, null);
-            r.advance(10);
+            host.endAttempt(host.request(), 0, Status.OK, 20, null);
+            host.advance(10);
         }
-        return r;
+        return host;
     }
 
     /** Sends requests whose clients disconnect after this time; returns how many were sent to a server. */
-    private static int sentWhileClientsDisconnect(FakeHost r, long afterMs) {
+    private static int sentWhileClientsDisconnect(FakeHost host, long afterMs) {
         int sent = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            int t = r.request();
-            sent += r.sends.containsKey(t) ? 1 : 0;
-            r.advance(afterMs);
-            r.policy.onClientDisconnected(r.now, t);
-            if (r.sends.containsKey(t)) {
-                r.endAttempt(t, 0, Status.CANCELLED, afterMs, null);
+            int t = host.request();
+            sent += host.sends.containsKey(t) ? 1 : 0;
+            host.advance(afterMs);
+            host.policy.onClientDisconnected(host.now, t);
+            if (host.sends.containsKey(t)) {
+                host.endAttempt(t, 0, Status.CANCELLED, afterMs, null);
             }
         }
         return sent;
@@ -52,21 +52,21 @@
     /** One first attempt in four fails to connect, on a fleet with room. */
     @Test
     void aFailedConnectIsRetriedOnAnotherServer() {
-        FakeHost r = healthyHost();
+        FakeHost host = healthyHost();
         int failed = 0;
         int retried = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            int t = r.request();
-            r.advance(10);
+            int t = host.request();
+            host.advance(10);
             if (i % 4 != 0) {
-                r.endAttempt(t, 0, Status.OK, 10, null);
+                host.endAttempt(t, 0, Status.OK, 10, null);
                 continue;
             }
             failed++;
-            r.endAttempt(t, 0, Status.CONNECT_FAILED, 10, null);
-            if (r.sends.get(t).size() > 1) {
+            host.endAttempt(t, 0, Status.CONNECT_FAILED, 10, null);
+            if (host.sends.get(t).size() > 1) {
                 retried++;
-                r.advance(10).endAttempt(t, 1, Status.OK, 10, null);
+                host.advance(10).endAttempt(t, 1, Status.OK, 10, null);
             }
         }
         assertEquals(failed, retried);
@@ -74,16 +74,16 @@
 
     @Test
     void aRequestUnreadPastTheLatencyTargetIsRefused() {
-        FakeHost r = healthyHost();
-        r.policy.onRequest(r.now, new Request(900, 0, 0, 0, 700 * FakeHost.MS, 0, false, 300 * FakeHost.MS));
-        assertTrue(r.finalAnswers.containsKey(900), "request 900 got no answer");
-        assertTrue(!r.sends.containsKey(900), "request 900 was sent");
+        FakeHost host = healthyHost();
+        host.policy.onRequest(host.now, new Request(900, 0, 0, 0, 700 * FakeHost.MS, 0, false, 300 * FakeHost.MS));
+        assertTrue(host.finalAnswers.containsKey(900), "request 900 got no answer");
+        assertTrue(!host.sends.containsKey(900), "request 900 was sent");
     }
 
     @Test
     void aRequestUnreadForAMomentIsSent() {
-        FakeHost r = healthyHost();
-        r.policy.onRequest(r.now, new Request(901, 0, 0, 0, 980 * FakeHost.MS, 0, false, 20 * FakeHost.MS));
-        assertTrue(r.sends.containsKey(901));
+        FakeHost host = healthyHost();
+        host.policy.onRequest(host.now, new Request(901, 0, 0, 0, 980 * FakeHost.MS, 0, false, 20 * FakeHost.MS));
+        assertTrue(host.sends.containsKey(901));
     }
 }
--- a/src/test/java/gullspar/decide/PolicyTest.java
+++ b/src/test/java/gullspar/decide/PolicyTest.java
@@ -27,15 +27,15 @@
     }
 
     /** Serves n requests one after another; returns how many each server got. */
-    private static int[] serve(FakeHost r, int n, int servers, long tookMs, Report[] reports) {
+    private static int[] serve(FakeHost host, int n, int servers, long tookMs, Report[] reports) {
         int[] got = new int[servers];
         for (int i = 0; i < n; i++) {
-            int t = r.request();
-            if (r.attemptCount(t) > 0) {
-                int s = r.serverOf(t, 0);
+            int t = host.request();
+            if (host.attemptCount(t) > 0) {
+                int s = host.serverOf(t, 0);
                 got[s]++;
-                r.advance(tookMs);
-                r.endAttempt(t, 0, Status.OK, tookMs, reports == null ? null : reports[s]);
+                host.advance(tookMs);
+                host.endAttempt(t, 0, Status.OK, tookMs, reports == null ? null : reports[s]);
             }
         }
         return got;
@@ -45,14 +45,14 @@
 
     @Test
     void rotationOverEqualFactorsIsRoundRobin() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 60, 3, 20, null); // until this proxy's rate is high enough for a subset of all three
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        serve(host, 60, 3, 20, null); // until this proxy's rate is high enough for a subset of all three
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            int t = r.request();
-            order.add(r.serverOf(t, 0));
-            r.advance(20);
-            r.succeed(t, 20);
+            int t = host.request();
+            order.add(host.serverOf(t, 0));
+            host.advance(20);
+            host.succeed(t, 20);
         }
         assertEquals(order.subList(0, 3), order.subList(3, 6));
         assertEquals(3, order.stream().distinct().count());
@@ -60,24 +60,24 @@
 
     @Test
     void higherSpareShareGetsMoreRequests() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
-        int[] got = serve(r, 200, 2, 30, new Report[] {FakeHost.report(0.1, 0), FakeHost.report(0.8, 0)});
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int[] got = serve(host, 200, 2, 30, new Report[] {FakeHost.report(0.1, 0), FakeHost.report(0.8, 0)});
         assertTrue(got[0] > 2 * got[1], got[0] + " to " + got[1]);
     }
 
     @Test
     void aBusyServerStillGetsRequestsThatUpdateItsFactor() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
-        int[] got = serve(r, 300, 2, 30, new Report[] {FakeHost.report(0, 0), FakeHost.report(1, 0)});
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int[] got = serve(host, 300, 2, 30, new Report[] {FakeHost.report(0, 0), FakeHost.report(1, 0)});
         assertTrue(got[1] > 10, "the server without spare share got " + got[1]);
     }
 
     @Test
     void invalidReportsLeaveTheRotationWorking() {
         for (double bad : new double[] {1, Double.NaN, Double.POSITIVE_INFINITY, -5, 1e30}) {
-            FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+            FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
             Report report = FakeHost.report(bad, bad);
-            int[] got = serve(r, 100, 2, 20, new Report[] {report, report});
+            int[] got = serve(host, 100, 2, 20, new Report[] {report, report});
             assertEquals(100, got[0] + got[1], "requests sent at " + bad);
             assertTrue(got[0] > 20 && got[1] > 20, "requests to both servers at " + bad);
         }
@@ -85,22 +85,22 @@
 
     @Test
     void aColdServerGetsFewRequests() {
-        FakeHost r = host(FakeHost.IDEMPOTENT);
-        ListedServer young = new ListedServer(1, 0, READY, r.now, 0, 0, 1);
-        r.deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), young);
-        int[] got = serve(r, 60, 2, 20, null);
+        FakeHost host = host(FakeHost.IDEMPOTENT);
+        ListedServer young = new ListedServer(1, 0, READY, host.now, 0, 0, 1);
+        host.deliverList(ListKind.FULL, FakeHost.server(0, 0, READY), young);
+        int[] got = serve(host, 60, 2, 20, null);
         assertTrue(got[1] > 0 && got[1] < got[0] / 2, got[0] + " to " + got[1]);
     }
 
     @Test
     void openAttemptsLowerAWeight() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
-        int first = r.request();
-        int stuck = r.serverOf(first, 0);
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int first = host.request();
+        int stuck = host.serverOf(first, 0);
         for (int i = 0; i < 3; i++) {
-            int t = r.request();
-            assertNotEquals(stuck, r.serverOf(t, 0));
-            r.succeed(t, 20);
+            int t = host.request();
+            assertNotEquals(stuck, host.serverOf(t, 0));
+            host.succeed(t, 20);
         }
     }
 
@@ -108,70 +108,70 @@
 
     @Test
     void withNoServersARequestWaitsAndIsRefusedInTime() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
-        int t = r.request(0, 120);
-        assertTrue(r.actions.isEmpty(), "the request waits at first");
-        r.advance(120);
-        assertEquals("refused", r.finalAnswers.get(t));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
+        int t = host.request(0, 120);
+        assertTrue(host.actions.isEmpty(), "the request waits at first");
+        host.advance(120);
+        assertEquals("refused", host.finalAnswers.get(t));
     }
 
     @Test
     void aWaitingRepeatWithLessTimeIsAnsweredBeforeTheHeadOfTheQueue() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
-        int head = r.request(0, 1000);
-        int hasty = r.request(0, 90);
-        r.advance(90);
-        assertEquals("refused", r.finalAnswers.get(hasty));
-        assertFalse(r.finalAnswers.containsKey(head), "the head has time left");
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
+        int head = host.request(0, 1000);
+        int urgent = host.request(0, 90);
+        host.advance(90);
+        assertEquals("refused", host.finalAnswers.get(urgent));
+        assertFalse(host.finalAnswers.containsKey(head), "the head has time left");
     }
 
     @Test
     void aWaitingRequestIsSentWhenAServerIsListed() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
-        int t = r.request();
-        r.deliverList(ListKind.DELTA, FakeHost.member(4, 0, READY)).advance(25);
-        assertEquals(4, r.serverOf(t, 0));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
+        int t = host.request();
+        host.deliverList(ListKind.DELTA, FakeHost.server(4, 0, READY)).advance(25);
+        assertEquals(4, host.serverOf(t, 0));
     }
 
     @Test
     void aTimeoutAtTheDeadlineIsAnswered() {
-        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(2));
-        int t = r.request(0, 300);
-        r.advance(300);
-        r.endAttempt(t, 0, Status.TIMEOUT, 300, null);
-        assertEquals("failed", r.finalAnswers.get(t));
+        FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int t = host.request(0, 300);
+        host.advance(300);
+        host.endAttempt(t, 0, Status.TIMEOUT, 300, null);
+        assertEquals("failed", host.finalAnswers.get(t));
     }
 
     @Test
     void aRequestThatWaitedThroughAStallIsAnsweredOnceAfterIt() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
-        int t = r.request(0, 400);
-        r.now += 380 * FakeHost.MS; // the proxy stalls until just before the client's timeout
-        r.deliverList(ListKind.FULL, FakeHost.ready(2)).advance(5);
-        assertEquals("refused", r.finalAnswers.get(t));
-        assertEquals(0, r.attemptCount(t), "a request that its client will abandon is not sent");
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL);
+        int t = host.request(0, 400);
+        host.now += 380 * FakeHost.MS; // the proxy stalls until just before the client's timeout
+        host.deliverList(ListKind.FULL, FakeHost.ready(2)).advance(5);
+        assertEquals("refused", host.finalAnswers.get(t));
+        assertEquals(0, host.attemptCount(t), "a request that its client will abandon is not sent");
     }
 
     @Test
     void noActionFollowsTheFinalAnswer() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        int t = r.request();
-        r.succeed(t, 20);
-        int before = r.actions.size();
-        r.policy.onOutcome(r.now, new Balancer.Outcome(t, 0, r.serverOf(t, 0), Status.OK, 1, true, null));
-        r.policy.onClientDisconnected(r.now, t);
-        r.policy.onStreamStarted(r.now, t, 0, 0, 1);
-        r.advance(2000);
-        assertEquals(before, r.actions.size());
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        int t = host.request();
+        host.succeed(t, 20);
+        int before = host.actions.size();
+        host.policy.onOutcome(host.now, new Balancer.Outcome(t, 0, host.serverOf(t, 0), Status.OK, 1, true, null));
+        host.policy.onClientDisconnected(host.now, t);
+        host.policy.onStreamStarted(host.now, t, 0, 0, 1);
+        host.advance(2000);
+        assertEquals(before, host.actions.size());
     }
 
     @Test
     void eventsForUnknownTicketsAreIgnored() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
-        r.policy.onOutcome(r.now, new Balancer.Outcome(99, 0, 0, Status.OK, 1, false, null));
-        r.policy.onClientDisconnected(r.now, 99);
-        r.policy.onTimer(r.now, 99);
-        assertTrue(r.actions.isEmpty());
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
+        host.policy.onOutcome(host.now, new Balancer.Outcome(99, 0, 0, Status.OK, 1, false, null));
+        host.policy.onClientDisconnected(host.now, 99);
+        host.policy.onTimer(host.now, 99);
+        assertTrue(host.actions.isEmpty());
     }
 
     // ---- rule 2: no effect twice ----
@@ -179,137 +179,137 @@
     @Test
     void anAtMostOnceRequestIsNotRepeatedNorRefusedOnceItMayHaveRun() {
         for (Status status : new Status[] {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}) {
-            FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
-            int t = r.request();
-            r.advance(100);
-            r.endAttempt(t, 0, status, 100, null);
-            assertEquals(1, r.attemptCount(t), status.toString());
-            assertEquals("failed", r.finalAnswers.get(t), status.toString());
+            FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
+            int t = host.request();
+            host.advance(100);
+            host.endAttempt(t, 0, status, 100, null);
+            assertEquals(1, host.attemptCount(t), status.toString());
+            assertEquals("failed", host.finalAnswers.get(t), status.toString());
         }
     }
 
     @Test
     void anAtMostOnceRequestThatNeverRanIsRetriedElsewhere() {
         for (Status status : new Status[] {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}) {
-            FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
-            int t = r.request();
-            r.endAttempt(t, 0, status, 5, null);
-            assertEquals(2, r.attemptCount(t), status.toString());
-            assertNotEquals(r.serverOf(t, 0), r.serverOf(t, 1));
+            FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
+            int t = host.request();
+            host.endAttempt(t, 0, status, 5, null);
+            assertEquals(2, host.attemptCount(t), status.toString());
+            assertNotEquals(host.serverOf(t, 0), host.serverOf(t, 1));
         }
     }
 
     @Test
     void anAtMostOnceRequestGetsNoSecondCopy() {
-        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
-        int t = r.request();
-        r.advance(900);
-        assertEquals(1, r.attemptCount(t));
+        FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(3));
+        int t = host.request();
+        host.advance(900);
+        assertEquals(1, host.attemptCount(t));
     }
 
     @Test
     void aDeduplicatedRepeatStaysInItsZoneAndFails() {
-        FakeHost r = host(FakeHost.DEDUPLICATED_IN_ZONE)
-                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
-        int t = r.request();
-        assertEquals(0, r.serverOf(t, 0));
-        r.endAttempt(t, 0, Status.ERROR, 5, null);
-        assertEquals(1, r.attemptCount(t), "the only other server would not drop the repeat");
-        assertEquals("failed", r.finalAnswers.get(t));
+        FakeHost host = host(FakeHost.DEDUPLICATED_IN_ZONE)
+                .deliverList(ListKind.FULL, FakeHost.server(0, 0, READY), FakeHost.server(1, 1, READY));
+        int t = host.request();
+        assertEquals(0, host.serverOf(t, 0));
+        host.endAttempt(t, 0, Status.ERROR, 5, null);
+        assertEquals(1, host.attemptCount(t), "the only other server would not drop the repeat");
+        assertEquals("failed", host.finalAnswers.get(t));
     }
 
     @Test
     void aDeduplicatedRepeatIsSentOnlyWithinTheWindow() {
         for (long after : new long[] {100, 395}) {
-            FakeHost r = host(FakeHost.DEDUPLICATED_IN_ZONE).deliverList(ListKind.FULL, FakeHost.ready(1));
-            int t = r.request();
-            r.deliverList(ListKind.DELTA, FakeHost.member(1, 0, READY));
-            r.advance(after);
-            int sent = r.attemptCount(t);
+            FakeHost host = host(FakeHost.DEDUPLICATED_IN_ZONE).deliverList(ListKind.FULL, FakeHost.ready(1));
+            int t = host.request();
+            host.deliverList(ListKind.DELTA, FakeHost.server(1, 0, READY));
+            host.advance(after);
+            int sent = host.attemptCount(t);
             if (sent == 1) {
-                r.endAttempt(t, 0, Status.RESET, after, null);
-                assertEquals(after < 390 ? 2 : 1, r.attemptCount(t), "after " + after + " ms");
+                host.endAttempt(t, 0, Status.RESET, after, null);
+                assertEquals(after < 390 ? 2 : 1, host.attemptCount(t), "after " + after + " ms");
             }
         }
     }
 
     @Test
     void attemptsStayWithinTheLimit() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(8));
-        int t = r.request();
-        for (int i = 0; i < r.attemptCount(t); i++) {
-            r.endAttempt(t, i, Status.FULL, 1, null);
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(8));
+        int t = host.request();
+        for (int i = 0; i < host.attemptCount(t); i++) {
+            host.endAttempt(t, i, Status.FULL, 1, null);
         }
-        assertTrue(r.attemptCount(t) <= 4);
-        assertEquals("refused", r.finalAnswers.get(t));
+        assertTrue(host.attemptCount(t) <= 4);
+        assertEquals("refused", host.finalAnswers.get(t));
     }
 
-    // ---- rule 3: drains ----
-
     @Test
     void aClassAddedLaterLimitsItsAttempts() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
-        r.policy.onProfiles(List.of(FakeHost.IDEMPOTENT.withMaxAttempts(1)));
-        int t = r.request();
-        r.endAttempt(t, 0, Status.RESET, 5, null);
-        assertEquals(1, r.attemptCount(t));
-        assertEquals("refused", r.finalAnswers.get(t));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        host.policy.onProfiles(List.of(FakeHost.IDEMPOTENT.withMaxAttempts(1)));
+        int t = host.request();
+        host.endAttempt(t, 0, Status.RESET, 5, null);
+        assertEquals(1, host.attemptCount(t));
+        assertEquals("refused", host.finalAnswers.get(t));
     }
 
+    // ---- rule 3: drains ----
+
     @Test
     void avoidedServersCountsListedServersThatGetNoRequests() {
-        FakeHost r = host(FakeHost.IDEMPOTENT)
+        FakeHost host = host(FakeHost.IDEMPOTENT)
                 .deliverList(
                         ListKind.FULL,
-                        FakeHost.member(0, 0, READY),
-                        FakeHost.member(1, 0, READY),
-                        FakeHost.member(2, 0, READY),
-                        FakeHost.member(3, 0, State.DRAINING));
-        assertEquals(1, r.policy.avoidedServers());
-        int t = r.request();
-        r.endAttempt(t, 0, Status.CONNECT_FAILED, 5, null);
-        assertEquals(2, r.policy.avoidedServers(), "one is ejected, one is draining");
-        r.deliverList(ListKind.FULL, FakeHost.ready(2));
-        assertTrue(r.policy.avoidedServers() <= 1, "unlisted servers are not counted");
+                        FakeHost.server(0, 0, READY),
+                        FakeHost.server(1, 0, READY),
+                        FakeHost.server(2, 0, READY),
+                        FakeHost.server(3, 0, State.DRAINING));
+        assertEquals(1, host.policy.avoidedServers());
+        int t = host.request();
+        host.endAttempt(t, 0, Status.CONNECT_FAILED, 5, null);
+        assertEquals(2, host.policy.avoidedServers(), "one is ejected, one is draining");
+        host.deliverList(ListKind.FULL, FakeHost.ready(2));
+        assertTrue(host.policy.avoidedServers() <= 1, "unlisted servers are not counted");
     }
 
     @Test
     void drainingGoneAndUnlistedServersGetNoRequests() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
-        r.deliverList(ListKind.DELTA, FakeHost.member(0, 0, State.DRAINING), FakeHost.member(1, 0, State.GONE));
-        assertEquals(0, serve(r, 20, 4, 20, null)[0]);
-        r.deliverList(ListKind.FULL, FakeHost.member(2, 0, READY));
-        int[] got = serve(r, 20, 4, 20, null);
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        host.deliverList(ListKind.DELTA, FakeHost.server(0, 0, State.DRAINING), FakeHost.server(1, 0, State.GONE));
+        assertEquals(0, serve(host, 20, 4, 20, null)[0]);
+        host.deliverList(ListKind.FULL, FakeHost.server(2, 0, READY));
+        int[] got = serve(host, 20, 4, 20, null);
         assertEquals(20, got[2]);
     }
 
     @Test
     void anUnlistedServerWithAnOpenAttemptGetsNoRequestsUntilListedAgain() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
-        int t = r.request();
-        int busy = r.serverOf(t, 0);
-        r.deliverList(ListKind.FULL, FakeHost.member(1 - busy, 0, READY));
-        assertEquals(0, serve(r, 10, 2, 20, null)[busy]);
-        r.succeed(t, 100);
-        r.deliverList(ListKind.FULL, FakeHost.ready(2));
-        assertTrue(serve(r, 60, 2, 20, null)[busy] > 0);
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        int t = host.request();
+        int busy = host.serverOf(t, 0);
+        host.deliverList(ListKind.FULL, FakeHost.server(1 - busy, 0, READY));
+        assertEquals(0, serve(host, 10, 2, 20, null)[busy]);
+        host.succeed(t, 100);
+        host.deliverList(ListKind.FULL, FakeHost.ready(2));
+        assertTrue(serve(host, 60, 2, 20, null)[busy] > 0);
     }
 
     // ---- rule 4: cold servers ----
 
     /** Sends in 2 s to one cold server that replaces three, when it reports this utilization. */
-    private static int sentToOneColdServer(double util) {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 1000, 3, 20, null);
-        ListedServer cold = new ListedServer(9, 0, READY, r.now, 0, 0, 1);
-        r.deliverList(ListKind.FULL, cold);
+    private static int sentToOneColdServer(double utilization) {
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        serve(host, 1000, 3, 20, null);
+        ListedServer cold = new ListedServer(9, 0, READY, host.now, 0, 0, 1);
+        host.deliverList(ListKind.FULL, cold);
         int sent = 0;
         for (int i = 0; i < 400; i++) {
-            int newest = r.request();
-            r.advance(5);
+            int newest = host.request();
+            host.advance(5);
             for (int t = Math.max(1001, newest - 100); t <= newest; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                    r.endAttempt(t, 0, Status.OK, 20, FakeHost.report(util, 0));
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                    host.endAttempt(t, 0, Status.OK, 20, FakeHost.report(utilization, 0));
                     sent++;
                 }
             }
@@ -325,23 +325,23 @@
     }
 
     /** Returns how many of 40 simultaneous requests go to one server of four before any is answered. */
-    private static int sentInABurst(FakeHost r, int server) {
+    private static int sentInABurst(FakeHost host, int server) {
         int got = 0;
-        int first = r.request();
+        int first = host.request();
         int last = first;
         for (int i = 1; i < 40; i++) {
-            last = r.request();
+            last = host.request();
         }
         for (int t = first; t <= last; t++) {
-            got += r.attemptCount(t) > 0 && r.serverOf(t, 0) == server ? 1 : 0;
+            got += host.attemptCount(t) > 0 && host.serverOf(t, 0) == server ? 1 : 0;
         }
         for (int i = 0; i < 100; i++) { // waiting requests are sent as others are answered
             for (int t = first; t <= last; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                    r.succeed(t, 20);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                    host.succeed(t, 20);
                 }
             }
-            r.advance(5);
+            host.advance(5);
         }
         return got;
     }
@@ -349,24 +349,24 @@
     /** It may have crashed and restarted, which the list shows only seconds later. */
     @Test
     void aServerThatRefusedAConnectionIsTreatedAsCold() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
-        serve(r, 400, 4, 20, null);
-        int usual = sentInABurst(r, 2);
-        serve(r, 100, 4, 20, null);
-        int t = r.request();
-        while (r.serverOf(t, 0) != 2) {
-            r.succeed(t, 20);
-            t = r.request();
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        serve(host, 400, 4, 20, null);
+        int usual = sentInABurst(host, 2);
+        serve(host, 100, 4, 20, null);
+        int t = host.request();
+        while (host.serverOf(t, 0) != 2) {
+            host.succeed(t, 20);
+            t = host.request();
         }
-        r.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
-        r.succeed(t, 20); // retried on another server
-        r.advance(1000); // its trial is due
-        int[] back = serve(r, 20, 4, 20, null);
+        host.endAttempt(t, 0, Status.CONNECT_FAILED, 1, null);
+        host.succeed(t, 20); // retried on another server
+        host.advance(1000); // its trial is due
+        int[] back = serve(host, 20, 4, 20, null);
         assertTrue(back[2] > 0, "the ejected server got no trial");
-        int cold = sentInABurst(r, 2);
+        int cold = sentInABurst(host, 2);
         assertTrue(cold * 4 <= usual * 3 && usual > 1, cold + " of a burst when back, " + usual + " before");
-        serve(r, 600, 4, 20, null);
-        int warm = sentInABurst(r, 2);
+        serve(host, 600, 4, 20, null);
+        int warm = sentInABurst(host, 2);
         assertTrue(warm >= usual, warm + " of a burst when warm, " + usual + " before");
     }
 
@@ -379,26 +379,26 @@
 
     @Test
     void aFleetThatIsColdAsAWholeIsNotLimitedByItsOwnLowRate() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
-        serve(r, 1000, 4, 20, null);
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        serve(host, 1000, 4, 20, null);
         ListedServer[] cold = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
-            cold[i] = new ListedServer(10 + i, 0, READY, r.now, 0, 0, 1);
+            cold[i] = new ListedServer(10 + i, 0, READY, host.now, 0, 0, 1);
         }
-        r.deliverList(ListKind.FULL, cold);
-        int sent = sentOf300(r);
+        host.deliverList(ListKind.FULL, cold);
+        int sent = sentOf300(host);
         assertTrue(sent > 180, "sent " + sent + " of 300 in the first 6 s");
     }
 
     /** Sends 50 requests per second for 6 s, each answered 20 ms after it is sent; returns how many were sent. */
-    private static int sentOf300(FakeHost r) {
+    private static int sentOf300(FakeHost host) {
         int sent = 0;
         for (int i = 0; i < 300; i++) {
-            int newest = r.request();
-            r.advance(20);
+            int newest = host.request();
+            host.advance(20);
             for (int t = Math.max(1, newest - 50); t <= newest; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                    r.succeed(t, 20);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                    host.succeed(t, 20);
                     sent++;
                 }
             }
@@ -420,34 +420,34 @@
     /** A budget computed from sends alone would shrink with each reduction of the sends. */
     @Test
     void aProxyWithoutHistoryGetsItsEvenShareOfAColdFleet() {
-        FakeHost r = host(FakeHost.IDEMPOTENT);
-        ListedServer[] members = new ListedServer[4];
+        FakeHost host = host(FakeHost.IDEMPOTENT);
+        ListedServer[] listed = new ListedServer[4];
         for (int i = 0; i < 4; i++) {
-            members[i] = new ListedServer(i, 0, READY, r.now, 0, 0, 1);
+            listed[i] = new ListedServer(i, 0, READY, host.now, 0, 0, 1);
         }
-        r.deliverList(ListKind.FULL, members);
-        int sent = sentOf300(r);
+        host.deliverList(ListKind.FULL, listed);
+        int sent = sentOf300(host);
         assertTrue(sent > 200, "sent " + sent + " of 300");
     }
 
     /** Sends to four cold servers beside a warm one, of 150 requests in 3 s after this many idle seconds. */
     private static int sentToColdServersInTheFirstSeconds(int idle) {
-        FakeHost r = host(FakeHost.IDEMPOTENT);
-        r.advance(1000L * idle);
-        ListedServer[] members = new ListedServer[5];
+        FakeHost host = host(FakeHost.IDEMPOTENT);
+        host.advance(1000L * idle);
+        ListedServer[] listed = new ListedServer[5];
         for (int i = 0; i < 5; i++) {
-            members[i] = new ListedServer(i, 0, READY, i == 0 ? 0 : r.now, 0, 0, 1);
+            listed[i] = new ListedServer(i, 0, READY, i == 0 ? 0 : host.now, 0, 0, 1);
         }
-        r.deliverList(ListKind.FULL, members);
+        host.deliverList(ListKind.FULL, listed);
         int[] got = new int[5];
         for (int i = 0; i < 150; i++) { // 3 s
-            int t = r.request();
-            if (r.attemptCount(t) > 0) {
-                got[r.serverOf(t, 0)]++;
-                r.advance(10);
-                r.succeed(t, 10);
+            int t = host.request();
+            if (host.attemptCount(t) > 0) {
+                got[host.serverOf(t, 0)]++;
+                host.advance(10);
+                host.succeed(t, 10);
             }
-            r.advance(10);
+            host.advance(10);
         }
         return got[1] + got[2] + got[3] + got[4];
     }
@@ -456,26 +456,26 @@
 
     /** Proxies of one zone, each with its own seed and index, with this many servers listed. */
     private static List<FakeHost> proxies(int proxies, int servers) {
-        List<FakeHost> bank = new ArrayList<>();
+        List<FakeHost> hosts = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
-            bank.add(new FakeHost(FakeHost.settings(i, proxies, false, FakeHost.IDEMPOTENT), 1000 + i)
+            hosts.add(new FakeHost(FakeHost.settings(i, proxies, false, FakeHost.IDEMPOTENT), 1000 + i)
                     .deliverList(ListKind.FULL, FakeHost.ready(servers)));
         }
-        return bank;
+        return hosts;
     }
 
     /** Each proxy gets a request every 100 ms; returns how many each server was sent. */
-    private static int[] run(List<FakeHost> bank, int rounds, int servers) {
+    private static int[] run(List<FakeHost> hosts, int rounds, int servers) {
         int[] got = new int[servers];
         for (int i = 0; i < rounds; i++) {
-            for (FakeHost r : bank) {
-                int t = r.request();
-                r.advance(20);
-                if (r.attemptCount(t) > 0) {
-                    got[r.serverOf(t, 0)]++;
-                    r.succeed(t, 20);
+            for (FakeHost host : hosts) {
+                int t = host.request();
+                host.advance(20);
+                if (host.attemptCount(t) > 0) {
+                    got[host.serverOf(t, 0)]++;
+                    host.succeed(t, 20);
                 }
-                r.advance(80);
+                host.advance(80);
             }
         }
         return got;
@@ -483,13 +483,13 @@
 
     @Test
     void allProxiesTogetherStayWithinAColdServersBudget() {
-        List<FakeHost> bank = proxies(200, 20);
-        run(bank, 100, 20);
-        for (FakeHost r : bank) {
-            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+        List<FakeHost> hosts = proxies(200, 20);
+        run(hosts, 100, 20);
+        for (FakeHost host : hosts) {
+            host.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, host.now, 0, 0, 1));
         }
-        int first = run(bank, 2, 21)[20];
-        int sent = first + run(bank, 18, 21)[20];
+        int first = run(hosts, 2, 21)[20];
+        int sent = first + run(hosts, 18, 21)[20];
         // 20 servers get 2000 requests per second. A cold one can serve 0.3 of its 100 at first; in
         // 2 s it may be sent three times that, with a tenth in the first 0.2 s, so without a burst.
         assertTrue(sent < 3 * 0.3 * 100 * 2, "sent " + sent);
@@ -498,62 +498,64 @@
 
     @Test
     void manyProxiesLeftWithOneColdServerDoNotOverloadIt() {
-        List<FakeHost> bank = proxies(200, 20);
-        run(bank, 100, 20);
-        for (FakeHost r : bank) {
+        List<FakeHost> hosts = proxies(200, 20);
+        run(hosts, 100, 20);
+        for (FakeHost host : hosts) {
             for (int s = 0; s < 20; s++) {
-                r.deliverList(ListKind.DELTA, FakeHost.member(s, 0, State.DRAINING));
+                host.deliverList(ListKind.DELTA, FakeHost.server(s, 0, State.DRAINING));
             }
-            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+            host.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, host.now, 0, 0, 1));
         }
         int sent = 0;
-        for (FakeHost r : bank) {
+        for (FakeHost host : hosts) {
             for (int i = 0; i < 40; i++) {
-                r.request();
-                r.advance(50);
+                host.request();
+                host.advance(50);
             }
-            sent += (int) r.sends.values().stream().filter(l -> l.contains(20)).count();
+            sent += (int)
+                    host.sends.values().stream().filter(l -> l.contains(20)).count();
         }
         assertTrue(sent > 20 && sent < 3 * 0.4 * 100 * 2, "sent " + sent + " in 2 s");
     }
 
     @Test
     void proxiesWithLowRatesDoNotOverloadAColdServerTogether() {
-        List<FakeHost> bank = proxies(200, 20);
-        for (FakeHost r : bank) {
-            r.deliverList(ListKind.FULL, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+        List<FakeHost> hosts = proxies(200, 20);
+        for (FakeHost host : hosts) {
+            host.deliverList(ListKind.FULL, new ListedServer(20, 0, READY, host.now, 0, 0, 1));
         }
         int sent = 0;
-        for (FakeHost r : bank) { // no request before, so the rate is unknown and the budget is its minimum
+        for (FakeHost host : hosts) { // no request before, so the rate is unknown and the budget is its minimum
             for (int i = 0; i < 5; i++) {
-                r.request();
-                r.advance(240);
+                host.request();
+                host.advance(240);
             }
-            sent += r.sends.size();
+            sent += host.sends.size();
         }
         assertTrue(sent < 20, "sent " + sent + " in a little over a second");
     }
 
     @Test
     void aNewServerGetsRequestsFromManyProxies() {
-        List<FakeHost> bank = proxies(200, 20);
-        run(bank, 100, 20);
-        for (FakeHost r : bank) {
-            r.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, r.now, 0, 0, 1));
+        List<FakeHost> hosts = proxies(200, 20);
+        run(hosts, 100, 20);
+        for (FakeHost host : hosts) {
+            host.deliverList(ListKind.DELTA, new ListedServer(20, 0, READY, host.now, 0, 0, 1));
         }
-        int sent = run(bank, 40, 21)[20];
+        int sent = run(hosts, 40, 21)[20];
         assertTrue(sent > 20, "a budget that ignores subsets would leave it idle; sent " + sent);
     }
 
     @Test
     void subsetsAreSmallAndEvenOverTheServers() {
-        List<FakeHost> bank = proxies(200, 20);
-        int[] got = run(bank, 30, 20);
+        List<FakeHost> hosts = proxies(200, 20);
+        int[] got = run(hosts, 30, 20);
         for (int s = 0; s < 20; s++) {
             assertTrue(got[s] > 150 && got[s] < 600, "server " + s + " got " + got[s] + " of 6000");
         }
-        for (FakeHost r : bank) {
-            long used = r.sends.values().stream().map(l -> l.get(0)).distinct().count();
+        for (FakeHost host : hosts) {
+            long used =
+                    host.sends.values().stream().map(l -> l.get(0)).distinct().count();
             assertTrue(used >= 2 && used <= 4, "a proxy with ten requests a second used " + used);
         }
     }
@@ -561,54 +563,56 @@
     @Test
     void aBusyProxyUsesAllServersAndADrainedSubsetIsWidened() {
         Balancer.Settings settings = FakeHost.settings(3, 200, false, FakeHost.IDEMPOTENT);
-        FakeHost hot = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
+        FakeHost busyHost = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
         assertEquals(
                 20,
-                Arrays.stream(serve(hot, 1000, 20, 5, null)).filter(n -> n > 0).count());
-        FakeHost r = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
-        r.deliverList(ListKind.DELTA, FakeHost.member(r.serverOf(r.request(), 0), 0, State.DRAINING));
-        r.deliverList(ListKind.DELTA, FakeHost.member(r.serverOf(r.request(), 0), 0, State.DRAINING));
-        assertEquals(1, r.attemptCount(r.request()), "others of the zone take over at once");
+                Arrays.stream(serve(busyHost, 1000, 20, 5, null))
+                        .filter(n -> n > 0)
+                        .count());
+        FakeHost host = new FakeHost(settings).deliverList(ListKind.FULL, FakeHost.ready(20));
+        host.deliverList(ListKind.DELTA, FakeHost.server(host.serverOf(host.request(), 0), 0, State.DRAINING));
+        host.deliverList(ListKind.DELTA, FakeHost.server(host.serverOf(host.request(), 0), 0, State.DRAINING));
+        assertEquals(1, host.attemptCount(host.request()), "others of the zone take over at once");
     }
 
     @Test
     void extremeProxyCountsAndListsAreHandled() {
-        for (int balancers : new int[] {0, 1, 3, Integer.MAX_VALUE}) {
-            for (int me : new int[] {-5, 0, 7, Integer.MAX_VALUE}) {
-                FakeHost r = new FakeHost(FakeHost.settings(me, balancers, false, FakeHost.IDEMPOTENT));
-                r.deliverList(ListKind.FULL, FakeHost.ready(3000));
-                assertEquals(1, r.attemptCount(r.request()), "a list of thousands");
-                r.deliverList(ListKind.FULL, FakeHost.member(5, 3, READY)); // no server in the proxy's own zone
-                int t = r.request();
-                r.advance(100);
-                assertEquals(5, r.serverOf(t, 0), "the only one left, of another zone");
-                r.endAttempt(t, 0, Status.OK, 100, new Report(1e300, -1e300, -7, -1, 1e300, Double.NaN));
-                r.deliverList(ListKind.FULL);
-                int none = r.request();
-                r.advance(1000);
-                assertEquals("refused", r.finalAnswers.get(none), "an empty list");
+        for (int proxyCount : new int[] {0, 1, 3, Integer.MAX_VALUE}) {
+            for (int ownIndex : new int[] {-5, 0, 7, Integer.MAX_VALUE}) {
+                FakeHost host = new FakeHost(FakeHost.settings(ownIndex, proxyCount, false, FakeHost.IDEMPOTENT));
+                host.deliverList(ListKind.FULL, FakeHost.ready(3000));
+                assertEquals(1, host.attemptCount(host.request()), "a list of thousands");
+                host.deliverList(ListKind.FULL, FakeHost.server(5, 3, READY)); // no server in the proxy's own zone
+                int t = host.request();
+                host.advance(100);
+                assertEquals(5, host.serverOf(t, 0), "the only one left, of another zone");
+                host.endAttempt(t, 0, Status.OK, 100, new Report(1e300, -1e300, -7, -1, 1e300, Double.NaN));
+                host.deliverList(ListKind.FULL);
+                int none = host.request();
+                host.advance(1000);
+                assertEquals("refused", host.finalAnswers.get(none), "an empty list");
             }
         }
     }
 
     @Test
     void fewProxiesStillUseEveryServer() {
-        List<FakeHost> bank = proxies(3, 14);
-        int[] got = run(bank, 40, 14);
+        List<FakeHost> hosts = proxies(3, 14);
+        int[] got = run(hosts, 40, 14);
         assertTrue(Arrays.stream(got).allMatch(n -> n > 0), Arrays.toString(got));
     }
 
     @Test
     void aServerThatDoesNotReportIsNotTreatedAsIdle() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
         int toUnreporting = 0;
         for (int i = 0; i < 300; i++) {
-            int newest = r.request();
-            r.advance(20);
+            int newest = host.request();
+            host.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                    boolean reports = r.serverOf(t, 0) != 2;
-                    r.endAttempt(t, 0, Status.OK, 20, reports ? FakeHost.report(0.5 + 0.001 * i, 3) : null);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                    boolean reports = host.serverOf(t, 0) != 2;
+                    host.endAttempt(t, 0, Status.OK, 20, reports ? FakeHost.report(0.5 + 0.001 * i, 3) : null);
                     toUnreporting += reports ? 0 : 1;
                 }
             }
@@ -619,124 +623,125 @@
     }
 
     @Test
-    void anUnreportedOverloadGetsFewRequestsUntilItIsRetried() {
-        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
+    void serversOverloadedWithoutReportsGetFewRequestsButAreTriedAgain() {
+        FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
         for (int i = 0; i < 100; i++) { // all servers overloaded: no answers, no reports
-            int newest = r.request();
-            r.advance(20);
+            int newest = host.request();
+            host.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && t <= newest - 12) {
-                    r.endAttempt(t, 0, Status.TIMEOUT, 250, null);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t) && t <= newest - 12) {
+                    host.endAttempt(t, 0, Status.TIMEOUT, 250, null);
                 }
             }
         }
-        assertTrue(r.sends.size() < 42, "sent during the overload: " + r.sends.size());
-        int before = r.sends.size();
+        assertTrue(host.sends.size() < 42, "sent during the overload: " + host.sends.size());
+        int before = host.sends.size();
         for (int i = 0; i < 100; i++) {
-            r.request();
-            r.advance(100);
+            host.request();
+            host.advance(100);
         }
-        assertTrue(r.sends.size() > before, "never tried again");
+        assertTrue(host.sends.size() > before, "never tried again");
     }
 
     // ---- health ----
 
     @Test
     void aSilentServerIsEjected() {
-        FakeHost r = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(4));
-        serve(r, 80, 4, 20, null);
+        FakeHost host = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(4));
+        serve(host, 80, 4, 20, null);
         int toSilent = 0;
         for (int i = 0; i < 100; i++) {
-            int t = r.request(1, 1000);
-            if (r.serverOf(t, 0) == 2) {
+            int t = host.request(1, 1000);
+            if (host.serverOf(t, 0) == 2) {
                 toSilent++;
             } else {
-                r.succeed(t, 20);
+                host.succeed(t, 20);
             }
-            r.advance(20);
+            host.advance(20);
         }
         assertTrue(toSilent <= 4, "sent to the silent server: " + toSilent);
     }
 
     @Test
     void aServerThatFailsFastDoesNotAttractRequests() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
-        int toBad = 0;
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        int toFailing = 0;
         for (int i = 0; i < 200; i++) {
-            int t = r.request();
-            for (int a = 0; a < r.attemptCount(t); a++) {
-                boolean bad = r.serverOf(t, a) == 0;
-                toBad += bad ? 1 : 0;
-                r.advance(bad ? 5 : 30);
-                r.endAttempt(t, a, bad ? Status.ERROR : Status.OK, bad ? 1 : 30, FakeHost.report(bad ? 0 : 0.6, 0));
+            int t = host.request();
+            for (int a = 0; a < host.attemptCount(t); a++) {
+                boolean fails = host.serverOf(t, a) == 0;
+                toFailing += fails ? 1 : 0;
+                host.advance(fails ? 5 : 30);
+                host.endAttempt(
+                        t, a, fails ? Status.ERROR : Status.OK, fails ? 1 : 30, FakeHost.report(fails ? 0 : 0.6, 0));
             }
         }
-        assertTrue(toBad < 20, "sent to the failing server: " + toBad);
+        assertTrue(toFailing < 20, "sent to the failing server: " + toFailing);
     }
 
     @Test
     void ejectionLeavesMostOfTheFleetInUse() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
-        serve(r, 200, 6, 20, null); // until all six are in use
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        serve(host, 200, 6, 20, null); // until all six are in use
         for (int i = 0; i < 60; i++) {
-            int t = r.request();
-            for (int a = 0; a < r.attemptCount(t); a++) {
-                r.endAttempt(t, a, Status.ERROR, 1, null);
+            int t = host.request();
+            for (int a = 0; a < host.attemptCount(t); a++) {
+                host.endAttempt(t, a, Status.ERROR, 1, null);
             }
-            r.advance(5);
+            host.advance(5);
         }
         int[] used = new int[6];
         for (int i = 0; i < 60; i++) {
-            int t = r.request();
-            used[r.serverOf(t, 0)]++;
-            r.endAttempt(t, 0, Status.ERROR, 1, null);
+            int t = host.request();
+            used[host.serverOf(t, 0)]++;
+            host.endAttempt(t, 0, Status.ERROR, 1, null);
         }
         assertTrue(Arrays.stream(used).filter(n -> n > 0).count() >= 4, Arrays.toString(used));
     }
 
     @Test
     void aSlowAnswerFromAHealthyServerCausesNoSecondAttempt() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
-        int slow = r.request();
-        int quick = r.request();
-        r.deliverList(ListKind.DELTA, FakeHost.member(1, 0, READY));
-        r.advance(30);
-        r.succeed(quick, 30);
-        r.advance(400);
-        assertEquals(1, r.attemptCount(slow));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
+        int slow = host.request();
+        int quick = host.request();
+        host.deliverList(ListKind.DELTA, FakeHost.server(1, 0, READY));
+        host.advance(30);
+        host.succeed(quick, 30);
+        host.advance(400);
+        assertEquals(1, host.attemptCount(slow));
     }
 
     @Test
     void attemptsTimeOutAtTheLatencyTarget() {
-        FakeHost r = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
+        FakeHost host = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
                 .deliverList(ListKind.FULL, FakeHost.ready(3));
-        int t = r.request(0, 1000);
-        assertEquals(250 * FakeHost.MS, r.lastTimeout, "the latency target");
-        r.advance(250);
-        int sent = r.attemptCount(t);
+        int t = host.request(0, 1000);
+        assertEquals(250 * FakeHost.MS, host.lastTimeoutNs, "the latency target");
+        host.advance(250);
+        int sent = host.attemptCount(t);
         for (int a = 0; a < sent; a++) {
-            r.endAttempt(t, a, Status.TIMEOUT, 250, null);
+            host.endAttempt(t, a, Status.TIMEOUT, 250, null);
         }
-        assertEquals(sent, r.attemptCount(t), "an attempt that would be late is not sent");
-        assertEquals("refused", r.finalAnswers.get(t), "no further attempt that would be late");
-        FakeHost calm = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
+        assertEquals(sent, host.attemptCount(t), "an attempt that would be late is not sent");
+        assertEquals("refused", host.finalAnswers.get(t), "no further attempt that would be late");
+        FakeHost idleHost = host(FakeHost.IDEMPOTENT, FakeHost.AT_MOST_ONCE, FakeHost.DEDUPLICATED)
                 .deliverList(ListKind.FULL, FakeHost.ready(3));
-        calm.request(1, 1000);
-        assertEquals(250 * FakeHost.MS, calm.lastTimeout);
-        calm.request(2, 1000);
-        assertEquals(0, calm.lastTimeout, "no timeout, as the client's repeat would run beside it");
+        idleHost.request(1, 1000);
+        assertEquals(250 * FakeHost.MS, idleHost.lastTimeoutNs);
+        idleHost.request(2, 1000);
+        assertEquals(0, idleHost.lastTimeoutNs, "no timeout, as the client's repeat would run beside it");
     }
 
     @Test
     void theRetryBudgetLimitsRetries() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(10));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(10));
         int attempts = 0;
         for (int i = 0; i < 200; i++) {
-            int t = r.request();
-            for (int a = 0; a < r.attemptCount(t); a++) {
-                r.endAttempt(t, a, Status.FULL, 1, null);
+            int t = host.request();
+            for (int a = 0; a < host.attemptCount(t); a++) {
+                host.endAttempt(t, a, Status.FULL, 1, null);
             }
-            attempts += r.attemptCount(t);
+            attempts += host.attemptCount(t);
         }
         assertTrue(attempts < 215, "attempts " + attempts);
     }
@@ -744,18 +749,18 @@
     /** Resets are no evidence of load: a series of them is retried, within a budget of its own. */
     @Test
     void brokenConnectionsAreRetriedWithinTheirOwnBudget() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         int again = 0;
         for (int i = 0; i < 200; i++) {
-            int t = r.request();
+            int t = host.request();
             boolean breaks = i % 5 == 0 || i >= 100; // one in five, later all
-            r.endAttempt(t, 0, breaks ? Status.RESET : Status.OK, 1, null);
-            if (r.attemptCount(t) > 1) {
+            host.endAttempt(t, 0, breaks ? Status.RESET : Status.OK, 1, null);
+            if (host.attemptCount(t) > 1) {
                 again++;
-                r.succeed(t, 1);
+                host.succeed(t, 1);
             }
             assertTrue(i != 99 || again == 20, "retried " + again + " of 20");
-            r.advance(5);
+            host.advance(5);
         }
         assertTrue(again < 70, "retried " + again + " of 120");
     }
@@ -764,39 +769,39 @@
 
     @Test
     void requestsWithoutRoomAtAServerWaitInTheProxy() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
-        serve(r, 50, 1, 100, null);
-        int first = r.request();
-        int second = r.request();
-        int third = r.request();
-        assertEquals(1, r.attemptCount(first));
-        assertEquals(0, r.attemptCount(third), "waits");
-        r.advance(50);
-        r.succeed(first, 50);
-        assertEquals(1, r.attemptCount(third), "an answer makes room for the newest, which has most time left");
-        assertEquals(0, r.attemptCount(second));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(1));
+        serve(host, 50, 1, 100, null);
+        int first = host.request();
+        int second = host.request();
+        int third = host.request();
+        assertEquals(1, host.attemptCount(first));
+        assertEquals(0, host.attemptCount(third), "waits");
+        host.advance(50);
+        host.succeed(first, 50);
+        assertEquals(1, host.attemptCount(third), "an answer makes room for the newest, which has most time left");
+        assertEquals(0, host.attemptCount(second));
     }
 
     @Test
     void aRequestWithLessTimeThanHalfOfTheAnswersTookIsRefusedAtOnce() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 200, 3, 100, null);
-        int hasty = r.request(0, 60);
-        assertEquals("refused", r.finalAnswers.get(hasty));
-        assertEquals(0, r.attemptCount(hasty));
-        assertEquals(1, r.attemptCount(r.request(0, 200)));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        serve(host, 200, 3, 100, null);
+        int urgent = host.request(0, 60);
+        assertEquals("refused", host.finalAnswers.get(urgent));
+        assertEquals(0, host.attemptCount(urgent));
+        assertEquals(1, host.attemptCount(host.request(0, 200)));
     }
 
     @Test
     void attemptsAreThrottledWhenMostAreLost() {
-        FakeHost r = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
+        FakeHost host = host(FakeHost.AT_MOST_ONCE).deliverList(ListKind.FULL, FakeHost.ready(6));
         int sent = 0;
         for (int i = 0; i < 400; i++) { // 50 requests per second for 8 s; one in three is answered
-            int newest = r.request();
-            r.advance(20);
+            int newest = host.request();
+            host.advance(20);
             for (int t = Math.max(1, newest - 20); t <= newest; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && t <= newest - 3) {
-                    r.endAttempt(t, 0, t % 3 == 0 ? Status.OK : Status.TIMEOUT, 60, null);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t) && t <= newest - 3) {
+                    host.endAttempt(t, 0, t % 3 == 0 ? Status.OK : Status.TIMEOUT, 60, null);
                     sent++;
                 }
             }
@@ -806,46 +811,46 @@
 
     @Test
     void lostFirstSendsDoNotKeepTheProxyThrottled() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
         List<Integer> first = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            first.add(r.request());
-            r.advance(5);
+            first.add(host.request());
+            host.advance(5);
         }
-        r.advance(50);
+        host.advance(50);
         for (int t : first) {
-            if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                r.endAttempt(t, 0, Status.TIMEOUT, 150, null);
+            if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                host.endAttempt(t, 0, Status.TIMEOUT, 150, null);
             }
         }
         int served = 0;
         for (int i = 0; i < 100; i++) { // 100 requests in 1 s, each answered at once if it is sent
-            int t = r.request();
-            if (r.attemptCount(t) > 0) {
-                r.succeed(t, 1);
+            int t = host.request();
+            if (host.attemptCount(t) > 0) {
+                host.succeed(t, 1);
                 served++;
             }
-            r.advance(10);
+            host.advance(10);
         }
         assertTrue(served > 25, "served " + served + " of 100");
     }
 
     /** Sends in 4 s at 50 requests per second, if every answer takes this long, within the latency target. */
     private static int sentWithAnswersAfter(int ms, Report report) {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
-        serve(r, 100, 6, 20, null);
-        int before = r.sends.size();
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(6));
+        serve(host, 100, 6, 20, null);
+        int before = host.sends.size();
         for (int i = 0; i < 200; i++) {
-            int newest = r.request();
-            r.advance(20);
+            int newest = host.request();
+            host.advance(20);
             int due = newest - ms / 20 + 1;
             for (int t = Math.max(101, due - 20); t <= due; t++) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t)) {
-                    r.endAttempt(t, 0, Status.OK, ms, report);
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t)) {
+                    host.endAttempt(t, 0, Status.OK, ms, report);
                 }
             }
         }
-        return r.sends.size() - before;
+        return host.sends.size() - before;
     }
 
     @Test
@@ -860,7 +865,7 @@
     @Test
     void aServersCapacityIsItsThroughputOverItsUtilization() {
         // Every answer takes 1 s; the server with the same utilization at a third of the throughput gets less.
-        FakeHost r = host(new Balancer.Profile(
+        FakeHost host = host(new Balancer.Profile(
                         Balancer.Effect.IDEMPOTENT,
                         Balancer.Scope.ALL,
                         0,
@@ -873,13 +878,13 @@
                 .deliverList(ListKind.FULL, FakeHost.ready(2));
         int[] got = new int[2];
         for (int i = 0; i < 600; i++) {
-            int newest = r.request(0, 6000);
-            r.advance(25);
+            int newest = host.request(0, 6000);
+            host.advance(25);
             int t = newest - 40;
-            if (t > 0 && r.attemptCount(t) > 0) {
-                int s = r.serverOf(t, 0);
+            if (t > 0 && host.attemptCount(t) > 0) {
+                int s = host.serverOf(t, 0);
                 got[s]++;
-                r.endAttempt(
+                host.endAttempt(
                         t,
                         0,
                         Status.OK,
@@ -892,57 +897,57 @@
 
     @Test
     void aMarkedRepeatCountsItsLatencyTargetFromTheFirstTry() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
-        serve(r, 100, 3, 20, null); // first tries have 1000 ms, the client timeout of the class
-        int late = r.repeat(0, 700); // 300 ms after its first try, past the latency target of 250 ms
-        assertEquals(0, r.attemptCount(late));
-        assertEquals("refused", r.finalAnswers.get(late));
-        int early = r.repeat(0, 900);
-        assertEquals(1, r.attemptCount(early));
-        assertEquals(150 * FakeHost.MS, r.lastTimeout);
-        assertEquals(1, r.attemptCount(r.request(0, 700)), "a first try with as little time is not late");
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(3));
+        serve(host, 100, 3, 20, null); // first tries have 1000 ms, the client timeout of the class
+        int late = host.repeat(0, 700); // 300 ms after its first try, past the latency target of 250 ms
+        assertEquals(0, host.attemptCount(late));
+        assertEquals("refused", host.finalAnswers.get(late));
+        int early = host.repeat(0, 900);
+        assertEquals(1, host.attemptCount(early));
+        assertEquals(150 * FakeHost.MS, host.lastTimeoutNs);
+        assertEquals(1, host.attemptCount(host.request(0, 700)), "a first try with as little time is not late");
     }
 
     @Test
     void outcomesFoundAfterAStallDoNotAffectServers() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
-        serve(r, 200, 4, 20, null);
-        List<Integer> out = new ArrayList<>();
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(4));
+        serve(host, 200, 4, 20, null);
+        List<Integer> open = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            out.add(r.request());
+            open.add(host.request());
         }
-        r.now += 600 * FakeHost.MS; // the proxy stalls
-        out.forEach(t -> r.endAttempt(t, 0, Status.TIMEOUT, 250, null));
-        r.advance(5);
+        host.now += 600 * FakeHost.MS; // the proxy stalls
+        open.forEach(t -> host.endAttempt(t, 0, Status.TIMEOUT, 250, null));
+        host.advance(5);
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, r.attemptCount(r.request()), "no request is held back");
+            assertEquals(1, host.attemptCount(host.request()), "no request is held back");
         }
     }
 
     @Test
     void theOwnZoneComesFirstAndSpillsOverWhenFull() {
-        FakeHost r = host(FakeHost.IDEMPOTENT)
-                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
+        FakeHost host = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.server(0, 0, READY), FakeHost.server(1, 1, READY));
         List<Integer> got = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            int t = r.request();
-            if (r.attemptCount(t) > 0) {
-                got.add(r.serverOf(t, 0));
+            int t = host.request();
+            if (host.attemptCount(t) > 0) {
+                got.add(host.serverOf(t, 0));
             }
         }
         assertEquals(0, got.get(0));
         assertTrue(got.contains(1), "spills over: " + got);
-        FakeHost calm = host(FakeHost.IDEMPOTENT)
-                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
-        assertEquals(50, serve(calm, 50, 2, 20, null)[0]);
+        FakeHost idleHost = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.server(0, 0, READY), FakeHost.server(1, 1, READY));
+        assertEquals(50, serve(idleHost, 50, 2, 20, null)[0]);
     }
 
     /** Returns how many of 200 requests are sent to another zone while the own server reports utilization 0.9. */
     private static int sentOutOfABusyZone(double inflight) {
-        FakeHost r = host(FakeHost.IDEMPOTENT)
-                .deliverList(ListKind.FULL, FakeHost.member(0, 0, READY), FakeHost.member(1, 1, READY));
+        FakeHost host = host(FakeHost.IDEMPOTENT)
+                .deliverList(ListKind.FULL, FakeHost.server(0, 0, READY), FakeHost.server(1, 1, READY));
         Report[] reports = {FakeHost.report(0.9, inflight), FakeHost.report(0.1, inflight)};
-        return serve(r, 200, 2, 60, reports)[1];
+        return serve(host, 200, 2, 60, reports)[1];
     }
 
     @Test
@@ -958,13 +963,13 @@
     private static final Balancer.Profile VALUABLE = profile(250, 500, 12);
     private static final Balancer.Profile LONG_TARGET = profile(1500, 4000, 1);
 
-    private static Balancer.Profile profile(long promiseMs, long giveUpMs, double worth) {
+    private static Balancer.Profile profile(long latencyTargetMs, long clientTimeoutMs, double worth) {
         return new Balancer.Profile(
                 Balancer.Effect.IDEMPOTENT,
                 Balancer.Scope.ALL,
                 0,
-                promiseMs * FakeHost.MS,
-                giveUpMs * FakeHost.MS,
+                latencyTargetMs * FakeHost.MS,
+                clientTimeoutMs * FakeHost.MS,
                 worth,
                 0,
                 false,
@@ -976,46 +981,46 @@
      * those; 8 s of short requests of class 0 with four long ones of class 1 for each.
      * Returns the share of each class served in time, then the requests sent to each server.
      */
-    private static double[] runMixedLoad(FakeHost r, int servers, int gapMs, int shortMs, int longMs) {
-        Map<Integer, double[]> out = new TreeMap<>(); // ticket: work left, sent at, server
-        int[] asked = new int[2];
+    private static double[] runMixedLoad(FakeHost host, int servers, int gapMs, int shortMs, int longMs) {
+        Map<Integer, double[]> open = new TreeMap<>(); // ticket: work left, sent at, server
+        int[] requested = new int[2];
         int[] served = new int[2];
         Map<Integer, Integer> classes = new HashMap<>();
         double[] got = new double[2 + servers];
         for (int ms = 0; ms < 8000; ms += 5) {
             if (ms % gapMs == 0) {
                 int c = ms / gapMs % 5 == 0 ? 0 : 1;
-                asked[c]++;
-                classes.put(r.request(c, c == 0 ? 500 : 4000), c);
+                requested[c]++;
+                classes.put(host.request(c, c == 0 ? 500 : 4000), c);
             }
-            r.advance(5);
+            host.advance(5);
             for (int t : classes.keySet()) {
-                if (r.attemptCount(t) > 0 && !r.finalAnswers.containsKey(t) && !out.containsKey(t)) {
-                    out.put(t, new double[] {classes.get(t) == 0 ? shortMs : longMs, ms, r.serverOf(t, 0)});
-                    got[2 + r.serverOf(t, 0)]++;
+                if (host.attemptCount(t) > 0 && !host.finalAnswers.containsKey(t) && !open.containsKey(t)) {
+                    open.put(t, new double[] {classes.get(t) == 0 ? shortMs : longMs, ms, host.serverOf(t, 0)});
+                    got[2 + host.serverOf(t, 0)]++;
                 }
             }
-            int[] holds = new int[servers];
-            out.values().forEach(o -> holds[(int) o[2]]++);
-            for (var e : List.copyOf(out.entrySet())) {
+            int[] openAtServer = new int[servers];
+            open.values().forEach(o -> openAtServer[(int) o[2]]++);
+            for (var e : List.copyOf(open.entrySet())) {
                 double[] o = e.getValue();
-                o[0] -= 5 * Math.min(1, 2.0 / holds[(int) o[2]]);
+                o[0] -= 5 * Math.min(1, 2.0 / openAtServer[(int) o[2]]);
                 long took = (long) (ms - o[1]);
                 boolean late = took > (classes.get(e.getKey()) == 0 ? 250 : 1500);
                 if (o[0] <= 0 || late) {
-                    out.remove(e.getKey());
+                    open.remove(e.getKey());
                     served[classes.get(e.getKey())] += late ? 0 : 1;
-                    r.endAttempt(
+                    host.endAttempt(
                             e.getKey(),
                             0,
                             late ? Status.TIMEOUT : Status.OK,
                             Math.max(1, took),
-                            late ? null : FakeHost.report(Double.NaN, holds[(int) o[2]] - 1));
+                            late ? null : FakeHost.report(Double.NaN, openAtServer[(int) o[2]] - 1));
                 }
             }
         }
-        got[0] = served[0] / (double) asked[0];
-        got[1] = served[1] / (double) asked[1];
+        got[0] = served[0] / (double) requested[0];
+        got[1] = served[1] / (double) requested[1];
         return got;
     }
 
@@ -1032,20 +1037,20 @@
 
     @Test
     void requestsWithLongTargetsDoNotYieldIfTheyEarnMost() {
-        FakeHost r = host(profile(250, 500, 0.5), LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
-        double[] got = runMixedLoad(r, 2, 40, 40, 200);
+        FakeHost host = host(profile(250, 500, 0.5), LONG_TARGET).deliverList(ListKind.FULL, FakeHost.ready(2));
+        double[] got = runMixedLoad(host, 2, 40, 40, 200);
         assertTrue(got[1] > 0.9, Arrays.toString(got));
     }
 
     @Test
     void requestsThatYieldAreSentWhereThereIsRoom() {
-        FakeHost r = host(VALUABLE, LONG_TARGET)
+        FakeHost host = host(VALUABLE, LONG_TARGET)
                 .deliverList(
                         ListKind.FULL,
-                        FakeHost.member(0, 0, READY),
-                        FakeHost.member(1, 1, READY),
-                        FakeHost.member(2, 1, READY));
-        double[] got = runMixedLoad(r, 3, 40, 40, 200);
+                        FakeHost.server(0, 0, READY),
+                        FakeHost.server(1, 1, READY),
+                        FakeHost.server(2, 1, READY));
+        double[] got = runMixedLoad(host, 3, 40, 40, 200);
         assertTrue(got[3] + got[4] > 40 && got[0] > 0.9 && got[1] > 0.6, Arrays.toString(got));
     }
 
@@ -1067,37 +1072,37 @@
     // ---- discovery ----
 
     @Test
-    void discoveryIsAskedAtTheStartAndAgainAfterAFailure() {
-        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
-        assertEquals(List.of("subscribe true"), r.actions);
-        r.deliverList(ListKind.CACHED, FakeHost.ready(1));
-        r.deliverList(ListKind.FAILED);
-        r.advance(1000);
-        assertTrue(r.actions.size() >= 2, "requested again after the failure");
-        r.deliverList(ListKind.FULL, FakeHost.ready(2));
-        int asked = r.actions.size();
-        r.advance(60_000);
-        assertEquals(asked, r.actions.size(), "not requested again while subscribed");
+    void theListIsRequestedAtTheStartAndAgainAfterAFailure() {
+        FakeHost host = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
+        assertEquals(List.of("subscribe true"), host.actions);
+        host.deliverList(ListKind.CACHED, FakeHost.ready(1));
+        host.deliverList(ListKind.FAILED);
+        host.advance(1000);
+        assertTrue(host.actions.size() >= 2, "requested again after the failure");
+        host.deliverList(ListKind.FULL, FakeHost.ready(2));
+        int calls = host.actions.size();
+        host.advance(60_000);
+        assertEquals(calls, host.actions.size(), "not requested again while subscribed");
     }
 
     /** A change must take effect within 6 s of discovery being reachable, so the backoff stays short. */
     @Test
     void failedDiscoveryCallsAreRetriedWithinASecond() {
-        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
-        for (int asked = 1; asked < 50; asked++) {
-            assertEquals(asked, r.actions.size());
-            r.deliverList(ListKind.FAILED).advance(100);
-            assertEquals(asked, r.actions.size(), "the list was requested without a pause");
-            r.advance(800);
+        FakeHost host = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT));
+        for (int calls = 1; calls < 50; calls++) {
+            assertEquals(calls, host.actions.size());
+            host.deliverList(ListKind.FAILED).advance(100);
+            assertEquals(calls, host.actions.size(), "the list was requested without a pause");
+            host.advance(800);
         }
     }
 
     @Test
     void anUnansweredCallIsRepeatedBeforeTheListIsTooOld() {
-        FakeHost r = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT))
+        FakeHost host = new FakeHost(FakeHost.settings(true, FakeHost.IDEMPOTENT))
                 .deliverList(ListKind.CACHED, FakeHost.ready(1));
-        r.advance(9000);
-        assertEquals(List.of("subscribe true", "subscribe true"), r.actions);
+        host.advance(9000);
+        assertEquals(List.of("subscribe true", "subscribe true"), host.actions);
     }
 
     // ---- determinism ----
@@ -1117,21 +1122,21 @@
 
     @Test
     void aClockThatDoesNotAdvanceIsHandled() {
-        FakeHost r = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
+        FakeHost host = host(FakeHost.IDEMPOTENT).deliverList(ListKind.FULL, FakeHost.ready(2));
         for (int i = 0; i < 100; i++) {
-            r.endAttempt(r.request(), 0, Status.OK, 0, FakeHost.report(0.5, 0));
+            host.endAttempt(host.request(), 0, Status.OK, 0, FakeHost.report(0.5, 0));
         }
-        assertEquals(100, r.finalAnswers.size());
+        assertEquals(100, host.finalAnswers.size());
     }
 
     @Test
     void contradictoryEntriesOfAListApplyInOrder() {
-        FakeHost r = host(FakeHost.IDEMPOTENT);
-        r.deliverList(
+        FakeHost host = host(FakeHost.IDEMPOTENT);
+        host.deliverList(
                 ListKind.FULL,
-                FakeHost.member(0, 0, READY),
-                FakeHost.member(0, 0, State.DRAINING),
-                FakeHost.member(1, 0, READY));
-        assertEquals(10, serve(r, 10, 2, 20, null)[1]);
+                FakeHost.server(0, 0, READY),
+                FakeHost.server(0, 0, State.DRAINING),
+                FakeHost.server(1, 0, READY));
+        assertEquals(10, serve(host, 10, 2, 20, null)[1]);
     }
 }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames in both directions, with the records' bytes as in the wire document. */
+/** Frames in both directions, compared byte by byte with the examples of the wire document. */
 class HostTest {
     private static final String CONFIG =
             """
@@ -54,10 +54,10 @@
             + "52b81e3f0000000000000000" + "00".repeat(5);
 
     private final List<String> events = new ArrayList<>();
-    private Balancer.Actions sink;
+    private Balancer.Actions actions;
     private Balancer.Settings settings;
 
-    /** Records each call; the test decides what it does on a request. */
+    /** A module that records each call; on a request it does what the test defines. */
     private final class Recorder implements Balancer {
         private final Runnable onRequest;
 
@@ -66,8 +66,8 @@
         }
 
         @Override
-        public void onServerList(long now, ListKind kind, long version, List<ListedServer> members) {
-            events.add("members " + kind + " " + version + " " + members);
+        public void onServerList(long now, ListKind kind, long version, List<ListedServer> servers) {
+            events.add("server list " + kind + " " + version + " " + servers);
         }
 
         @Override
@@ -78,7 +78,7 @@
 
         @Override
         public void onStreamStarted(long now, int ticket, int attempt, int server, long elapsedNs) {
-            events.add("begun " + attempt + " " + server + " " + elapsedNs);
+            events.add("stream started " + attempt + " " + server + " " + elapsedNs);
         }
 
         @Override
@@ -88,7 +88,7 @@
 
         @Override
         public void onClientDisconnected(long now, int ticket) {
-            events.add("withdrawn " + ticket);
+            events.add("client disconnected " + ticket);
         }
 
         @Override
@@ -129,7 +129,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Host((s, seed, now, actions) -> {
                     settings = s;
-                    sink = actions;
+                    this.actions = actions;
                     events.add("start " + seed);
                     return new Recorder(onRequest);
                 })
@@ -150,9 +150,9 @@
     void theReplyMatchesTheWireDocumentByteForByte() throws IOException {
         String reply = run(
                 () -> {
-                    sink.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
-                    sink.setTimer(0x213362490L, 0x4d);
-                    sink.log("two servers known");
+                    actions.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
+                    actions.setTimer(0x213362490L, 0x4d);
+                    actions.log("two servers known");
                 },
                 start(CONFIG),
                 frame("", REQUEST));
@@ -169,15 +169,15 @@
     void everyOtherActionHasItsCodeAndFields() throws IOException {
         String reply = run(
                 () -> {
-                    sink.refuse(0x0e6f2b19, 0x0ee6b280L);
-                    sink.fail(0x0e6f2b19);
-                    sink.cancel(0x5d3a91c4, 2);
-                    sink.probe(0x2c9011f2);
-                    sink.closeIdleConnections(0x2c9011f2);
-                    sink.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
-                    sink.subscribe(true);
-                    sink.subscribe(false);
-                    sink.requestList();
+                    actions.refuse(0x0e6f2b19, 0x0ee6b280L);
+                    actions.fail(0x0e6f2b19);
+                    actions.cancel(0x5d3a91c4, 2);
+                    actions.probe(0x2c9011f2);
+                    actions.closeIdleConnections(0x2c9011f2);
+                    actions.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+                    actions.subscribe(true);
+                    actions.subscribe(false);
+                    actions.requestList();
                 },
                 start(CONFIG),
                 frame("", REQUEST));
@@ -216,7 +216,7 @@
         assertEquals(
                 List.of(
                         "start 42",
-                        "members CACHED 41 [ListedServer[id=51530247, kind=0, state=READY, startedAtNs=0, cell=0, "
+                        "server list CACHED 41 [ListedServer[id=51530247, kind=0, state=READY, startedAtNs=0, cell=0, "
                                 + "zone=0, weight=1.0], "
                                 + "ListedServer[id=747639282, kind=0, state=READY, startedAtNs=6100000000, cell=0, "
                                 + "zone=1, weight=1.5]]",
@@ -230,8 +230,8 @@
                                 + "utilization=0.6200000047683716, "
                                 + "recentMs=NaN, "
                                 + "requestsPerSecond=NaN, errorsPerSecond=NaN]]",
-                        "withdrawn 242166553",
-                        "begun 0 51530247 9250000",
+                        "client disconnected 242166553",
+                        "stream started 0 51530247 9250000",
                         "probe 747639282 OK 1400000 0.6200000047683716",
                         "peer 2 hi 7"),
                 events);
@@ -320,15 +320,15 @@
     @Test
     void aListNumberCanBeReusedWithinABatch() throws IOException {
         String one = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f";
-        String topology = "0203000000002900000000000000" + "0000" + "00".repeat(32);
+        String listEvent = "0203000000002900000000000000" + "0000" + "00".repeat(32);
         run(
                 start(CONFIG),
                 frame(
                         one,
                         "0b00000000000001000000" + "00".repeat(37),
-                        topology,
+                        listEvent,
                         "0b00000000000000000000" + "00".repeat(37),
-                        topology));
+                        listEvent));
         assertTrue(events.get(1).contains("51530247"), events.get(1));
         assertTrue(events.get(2).endsWith("[]"), events.get(2));
     }
--- a/src/test/java/gullspar/proxy/client/BodyBudgetReleaseTest.java
+++ b/src/test/java/gullspar/proxy/client/BodyBudgetReleaseTest.java
@@ -22,23 +22,23 @@
 
 /** The budget reserved for a request's body is released however the request ends. */
 class BodyBudgetReleaseTest {
-    private final List<Message> taken = new ArrayList<>();
+    private final List<Message> accepted = new ArrayList<>();
     private final List<Client> disconnected = new ArrayList<>();
     private Frontend frontend;
-    private int ids;
+    private int lastId;
 
     @BeforeEach
     void start() throws Exception {
         Config config = Config.parse(
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile()), Map.of());
-        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
+        Frontend.RequestHandler handler = new Frontend.RequestHandler() {
             @Override
-            public void onRequest(Client client, Message message, RequestParameters asked, long at) {
-                taken.add(message);
+            public void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs) {
+                accepted.add(message);
             }
 
             @Override
-            public void onRequestComplete(Client client, long at) {}
+            public void onRequestComplete(Client client, long receivedAtNs) {}
 
             @Override
             public void onClientDisconnected(Client client) {
@@ -51,7 +51,7 @@
                 config,
                 new Classes(config),
                 new DescriptorLimits(100).clients,
-                taker,
+                handler,
                 () -> true);
     }
 
@@ -65,12 +65,12 @@
         return c;
     }
 
-    private String order(int length) {
-        return "POST /order/1 HTTP/1.1\r\nHost: a\r\nRequest-Id: r" + ++ids + "\r\nRequest-Timeout: 1\r\n"
-                + "Idempotency-Key: k\r\nContent-Length: " + length + "\r\n\r\n";
+    private String requestHead(int bodyLength) {
+        return "POST /order/1 HTTP/1.1\r\nHost: a\r\nRequest-Id: r" + ++lastId + "\r\nRequest-Timeout: 1\r\n"
+                + "Idempotency-Key: k\r\nContent-Length: " + bodyLength + "\r\n\r\n";
     }
 
-    private static void leave(EmbeddedChannel c) {
+    private static void disconnect(EmbeddedChannel c) {
         for (ByteBuf b = c.readOutbound(); b != null; b = c.readOutbound()) {
             b.release();
         }
@@ -80,55 +80,55 @@
 
     @Test
     void releasedWhenClientDisconnectsAfterFullRequest() {
-        EmbeddedChannel c = client(order(5000), "x".repeat(5000));
-        assertEquals(1, taken.size());
+        EmbeddedChannel c = client(requestHead(5000), "x".repeat(5000));
+        assertEquals(1, accepted.size());
         assertTrue(frontend.budget().reservedBytes() >= 5000);
-        leave(c);
+        disconnect(c);
         assertEquals(1, disconnected.size());
         assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
     void releasedWhenClientDisconnectsMidBody() {
-        EmbeddedChannel c = client(order(5000), "x".repeat(2000));
+        EmbeddedChannel c = client(requestHead(5000), "x".repeat(2000));
         assertTrue(frontend.budget().reservedBytes() >= 2000);
-        leave(c);
+        disconnect(c);
         assertEquals(0, frontend.budget().reservedBytes());
-        assertEquals(0, taken.size());
+        assertEquals(0, accepted.size());
     }
 
     @Test
     void releasedWhenRequestIsInvalid() {
-        leave(client(order(1000).replace("/order", "/other"), "x".repeat(1000)));
-        leave(client(order(1000).replace("Request-Id", "Other-Id"), "x".repeat(1000)));
-        leave(client(order(1000).replace("POST", "PUT"), "x".repeat(1000)));
-        assertEquals(0, taken.size());
+        disconnect(client(requestHead(1000).replace("/order", "/other"), "x".repeat(1000)));
+        disconnect(client(requestHead(1000).replace("Request-Id", "Other-Id"), "x".repeat(1000)));
+        disconnect(client(requestHead(1000).replace("POST", "PUT"), "x".repeat(1000)));
+        assertEquals(0, accepted.size());
         assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
     void releasedForPipelinedRequestsAndWhenTooManyArePipelined() {
-        String one = order(1000) + "x".repeat(1000);
-        EmbeddedChannel c = client(one, order(1000) + "x".repeat(1000), order(1000) + "x".repeat(1000));
-        assertEquals(1, taken.size());
+        String one = requestHead(1000) + "x".repeat(1000);
+        EmbeddedChannel c = client(one, requestHead(1000) + "x".repeat(1000), requestHead(1000) + "x".repeat(1000));
+        assertEquals(1, accepted.size());
         assertTrue(frontend.budget().reservedBytes() >= 3000);
-        leave(c);
+        disconnect(c);
         assertEquals(0, frontend.budget().reservedBytes());
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            many.append(order(1000)).append("x".repeat(1000));
+            many.append(requestHead(1000)).append("x".repeat(1000));
         }
-        leave(client(many.toString()));
+        disconnect(client(many.toString()));
         assertEquals(0, frontend.budget().reservedBytes());
     }
 
     @Test
     void releasedForBodyThatIsStreamed() {
-        EmbeddedChannel c = client(order(3 << 20), "x".repeat(2 << 20));
-        assertEquals(1, taken.size());
+        EmbeddedChannel c = client(requestHead(3 << 20), "x".repeat(2 << 20));
+        assertEquals(1, accepted.size());
         assertTrue(frontend.budget().reservedBytes() >= 1 << 20);
-        assertTrue(taken.get(0).bodyStream().isReceiving());
-        leave(c);
+        assertTrue(accepted.get(0).bodyStream().isReceiving());
+        disconnect(c);
         assertEquals(1, disconnected.size());
         assertEquals(0, frontend.budget().reservedBytes());
     }
@@ -138,13 +138,13 @@
         frontend.budget().setLimit(2 << 20);
         List<EmbeddedChannel> all = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            all.add(client(order(1 << 20), "x".repeat((1 << 20) - 1))); // buffered: one byte is missing
+            all.add(client(requestHead(1 << 20), "x".repeat((1 << 20) - 1))); // buffered: one byte is missing
         }
-        assertEquals(1, taken.size(), "the first one without room in the budget is forwarded while it is received");
-        EmbeddedChannel small = client(order(1000), "x".repeat(1000));
-        assertEquals(2, taken.size());
-        leave(small);
-        all.forEach(BodyBudgetReleaseTest::leave);
+        assertEquals(1, accepted.size(), "the first one without room in the budget is forwarded while it is received");
+        EmbeddedChannel small = client(requestHead(1000), "x".repeat(1000));
+        assertEquals(2, accepted.size());
+        disconnect(small);
+        all.forEach(BodyBudgetReleaseTest::disconnect);
         assertEquals(0, frontend.budget().reservedBytes());
     }
 }
--- a/src/test/java/gullspar/proxy/client/CloseWithUnreadRequestTest.java
+++ b/src/test/java/gullspar/proxy/client/CloseWithUnreadRequestTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request that has arrived but is still unread when its connection would be closed as idle. */
+/** A request that has arrived but is unread when its connection would be closed as idle must be answered. */
 @Timeout(60)
 class CloseWithUnreadRequestTest {
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -37,15 +37,15 @@
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile());
         root.put("listen", "127.0.0.1:0");
         Config config = Config.parse(root, Map.of());
-        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
+        Frontend.RequestHandler handler = new Frontend.RequestHandler() {
             @Override
-            public void onRequest(Client client, Message message, RequestParameters asked, long at) {
+            public void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs) {
                 message.release();
                 client.respond(503, null, "try again");
             }
 
             @Override
-            public void onRequestComplete(Client client, long at) {}
+            public void onRequestComplete(Client client, long receivedAtNs) {}
 
             @Override
             public void onClientDisconnected(Client client) {}
@@ -55,7 +55,7 @@
                         config,
                         new Classes(config),
                         new DescriptorLimits(100).clients,
-                        taker,
+                        handler,
                         () -> true))
                 .get(20, TimeUnit.SECONDS);
         InetSocketAddress at = (InetSocketAddress) loop.submit(frontend::listen)
--- a/src/test/java/gullspar/proxy/client/ResponseForwardingTest.java
+++ b/src/test/java/gullspar/proxy/client/ResponseForwardingTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A response with much data already buffered when the client's channel is writable. */
+/** Forwards a response of which much is already buffered when the channel of the client is writable. */
 class ResponseForwardingTest {
     private static final class Owner implements Client.Owner {
         @Override
-        public void onRequest(Client client, Message message, long at) {}
+        public void onRequest(Client client, Message message, long receivedAtNs) {}
 
         @Override
         public long receivedAt() {
@@ -36,7 +36,7 @@
         }
 
         @Override
-        public void onRequestComplete(Client client, long at) {}
+        public void onRequestComplete(Client client, long receivedAtNs) {}
 
         @Override
         public void onRequestAborted(Client client) {}
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The channel accepts everything at once: a write that fills its buffer makes it writable again
-     * re-entrantly.
+     * The channel accepts all data at once, so a write that fills its buffer calls the handler re-entrantly, as the
+     * channel is writable again. The nested write must not put data between the parts of a chunk.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -102,10 +102,10 @@
         String text = out.toString(StandardCharsets.ISO_8859_1);
         assertTrue(text.startsWith("HTTP/1.1 200"), text.substring(0, 100));
         byte[] body = text.substring(text.indexOf("\r\n\r\n") + 4).getBytes(StandardCharsets.ISO_8859_1);
-        assertArrayEquals(all, chunked ? unchunked(body) : body);
+        assertArrayEquals(all, chunked ? decodeChunked(body) : body);
     }
 
-    private static byte[] unchunked(byte[] bytes) {
+    private static byte[] decodeChunked(byte[] bytes) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         int at = 0;
--- a/src/test/java/gullspar/proxy/client/TenantLookup.java
+++ b/src/test/java/gullspar/proxy/client/TenantLookup.java
@@ -10,11 +10,11 @@
 /** Gives benchmarks access to the lookup of a request's tenant. */
 public final class TenantLookup {
     private final Config config;
-    private final Classes.RequestClass of;
+    private final Classes.RequestClass requestClass;
 
     public TenantLookup(Config config) {
         this.config = config;
-        this.of = new Classes(config).find(config.classes().get(0));
+        this.requestClass = new Classes(config).find(config.classes().get(0));
     }
 
     /** The index of a tenant, looked up as for any request. */
@@ -22,7 +22,7 @@
         HttpHeaders h = new DefaultHttpHeaders();
         h.add("Tenant", tenant);
         h.add("Request-Timeout", "0.480");
-        return RequestParameters.of(new Message(HttpMethod.GET, "/look/1", h, null, null, 0), of, config)
+        return RequestParameters.of(new Message(HttpMethod.GET, "/look/1", h, null, null, 0), requestClass, config)
                 .tenant();
     }
 }
--- a/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
+++ b/src/test/java/gullspar/proxy/client/UnreadBodyTest.java
@@ -25,7 +25,7 @@
  * would send it on: its request must be rejected although the timer has not fired yet.
  */
 class UnreadBodyTest {
-    private final List<Client> taken = new ArrayList<>();
+    private final List<Client> accepted = new ArrayList<>();
     private final List<Client> disconnected = new ArrayList<>();
     private long now = 1;
 
@@ -33,14 +33,14 @@
     void rejectedBeforeItsTimerFires() throws Exception {
         Config config = Config.parse(
                 new ObjectMapper().readTree(Path.of("deploy/warm.json").toFile()), Map.of());
-        Frontend.RequestHandler taker = new Frontend.RequestHandler() {
+        Frontend.RequestHandler handler = new Frontend.RequestHandler() {
             @Override
-            public void onRequest(Client client, Message message, RequestParameters asked, long at) {
-                taken.add(client);
+            public void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs) {
+                accepted.add(client);
             }
 
             @Override
-            public void onRequestComplete(Client client, long at) {}
+            public void onRequestComplete(Client client, long receivedAtNs) {}
 
             @Override
             public void onClientDisconnected(Client client) {
@@ -53,7 +53,7 @@
                         config,
                         new Classes(config),
                         new DescriptorLimits(100).clients,
-                        taker,
+                        handler,
                         () -> true)
                 .accept(c);
         c.writeInbound(Unpooled.copiedBuffer(
@@ -63,7 +63,7 @@
         while (c.config().isAutoRead()) {
             c.writeInbound(Unpooled.buffer().writeZero(10_000));
         }
-        Client client = taken.get(0);
+        Client client = accepted.get(0);
         assertTrue(client.readAndCheckConnected());
         now += Frontend.UNREAD_TIMEOUT_NS - 1;
         assertTrue(client.readAndCheckConnected());
--- a/src/test/java/gullspar/proxy/http/BodyStreamTest.java
+++ b/src/test/java/gullspar/proxy/http/BodyStreamTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A body stream between two connections. */
+/** Pausing, notification and release of buffers in a body stream between two connections. */
 class BodyStreamTest {
     private final AtomicInteger resumed = new AtomicInteger();
     private final AtomicInteger dropped = new AtomicInteger();
@@ -39,14 +39,14 @@
     @Test
     void unreadStreamBuffersMoreUpToItsOwnLimit() {
         int part = BodyStream.MAX_BUFFERED_BYTES / 2;
-        int waiting = part;
+        int buffered = part;
         while (stream.add(chunk(part))) {
-            waiting += part;
+            buffered += part;
         }
-        assertEquals(BodyStream.MAX_UNREAD_BYTES, waiting);
+        assertEquals(BodyStream.MAX_UNREAD_BYTES, buffered);
         assertTrue(stream.paused());
         stream.setReader(notifications::incrementAndGet);
-        for (; waiting > BodyStream.MAX_BUFFERED_BYTES / 2; waiting -= part) {
+        for (; buffered > BodyStream.MAX_BUFFERED_BYTES / 2; buffered -= part) {
             assertEquals(0, resumed.get());
             stream.nextChunk().release();
         }
@@ -75,11 +75,11 @@
 
     @Test
     void droppedStreamReleasesChunksAndResumesWriter() {
-        ByteBuf waiting = chunk(BodyStream.MAX_UNREAD_BYTES);
-        stream.add(waiting);
+        ByteBuf buffered = chunk(BodyStream.MAX_UNREAD_BYTES);
+        stream.add(buffered);
         stream.drop();
         stream.drop();
-        assertEquals(0, waiting.refCnt());
+        assertEquals(0, buffered.refCnt());
         assertEquals(1, resumed.get());
         assertEquals(1, dropped.get());
         ByteBuf late = chunk(5);
