--- a/src/main/java/gullspar/decide/Balancer.java
+++ b/src/main/java/gullspar/decide/Balancer.java
@@ -203,12 +203,16 @@
         }
     }
 
-    /** A server in the list. startedAtNs is its last start on the module's clock, 0 if long ago. */
+    /**
+     * A server in the list. kind, cell and zone are numbers; startedAtNs is its last start on the module's clock, 0 if
+     * long ago; weight is its share of the requests relative to the other servers, used with usesListWeights.
+     */
     record ListedServer(int id, int kind, State state, long startedAtNs, int cell, int zone, double weight) {}
 
     /**
-     * A request. key 0 is no key; timeLeftNs is the time until the client gives up; workHintNs 0 is no hint;
-     * ageNs is how long it may have waited since its client sent it, unread or queued behind another.
+     * A request. profile is the index of its class; key 0 is no key; timeLeftNs is the time until the client gives up;
+     * workHintNs 0 is no hint; ageNs is how long it may have waited since its client sent it, unread or queued behind
+     * another.
      */
     record Request(
             int ticket,
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -281,39 +281,39 @@
     }
 
     @Override
-    public void onRequest(Client client, Message m, long receivedAtNs) {
-        String path = new QueryStringDecoder(m.uri()).rawPath();
+    public void onRequest(Client client, Message message, long receivedAtNs) {
+        String path = new QueryStringDecoder(message.uri()).rawPath();
         RequestClass requestClass = classOf(path);
         // A class may have the same name as this path; its requests have an id.
-        if (path.equals("/_health") && (requestClass == null || m.id() == null)) {
+        if (path.equals("/_health") && (requestClass == null || message.id() == null)) {
             // With an inherited listener two processes act as one proxy: the other one continues to serve.
             boolean up = ready.getAsBoolean() && (!draining || config.inherited());
             int status = up ? 200 : 503;
-            client.respond(m.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
-            m.release();
+            client.respond(message.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
+            message.release();
             return;
         }
         if (requestClass == null) {
             client.respond(404, null, "no such class");
-            m.release();
+            message.release();
             return;
         }
-        Profile p = requestClass.profile();
-        HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        String error = RequestParameters.validationError(m, p);
-        if (!m.method().equals(method)) {
+        Profile profile = requestClass.profile();
+        HttpMethod method = profile.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        String error = RequestParameters.validationError(message, profile);
+        if (!message.method().equals(method)) {
             client.respond(405, null, "this class takes " + method);
         } else if (error != null) {
             client.respond(400, null, error);
-        } else if (!requestIds.open(m.id())) {
+        } else if (!requestIds.open(message.id())) {
             client.respond(409, null, "this Request-Id is another request's");
         } else {
-            client.setCurrentRequest(m);
+            client.setCurrentRequest(message);
             pressure.requests++;
-            handler.onRequest(client, m, RequestParameters.of(m, requestClass, config), receivedAtNs);
+            handler.onRequest(client, message, RequestParameters.of(message, requestClass, config), receivedAtNs);
             return;
         }
-        m.release();
+        message.release();
     }
 
     /** The class named by the first segment of a path, which may be percent-encoded; null if unknown. */
--- a/src/main/java/gullspar/proxy/client/RequestParameters.java
+++ b/src/main/java/gullspar/proxy/client/RequestParameters.java
@@ -27,54 +27,54 @@
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}(\\.[0-9]{0,12})?");
 
     /** Validates a request of a class; returns the error, or null if it is valid. */
-    static String validationError(Message m, Profile p) {
-        if (!TARGET.matcher(m.uri()).matches()) {
+    static String validationError(Message message, Profile profile) {
+        if (!TARGET.matcher(message.uri()).matches()) {
             return "a target with odd characters";
         }
-        if (!hasSingleValue(m, "Request-Id", NAME)) {
+        if (!hasSingleValue(message, "Request-Id", NAME)) {
             return "no Request-Id, or an odd one, or several";
         }
-        if (parseTimeoutNs(m) <= 0) {
+        if (parseTimeoutNs(message) <= 0) {
             return "no sensible Request-Timeout";
         }
-        boolean keyed = m.headers().contains("Idempotency-Key");
-        if (keyed && !hasSingleValue(m, "Idempotency-Key", NAME)) {
+        boolean keyed = message.headers().contains("Idempotency-Key");
+        if (keyed && !hasSingleValue(message, "Idempotency-Key", NAME)) {
             return "an odd Idempotency-Key, or several";
         }
-        if (p.effect() == Effect.DEDUPLICATED && !keyed || p.effect() == Effect.AT_MOST_ONCE && keyed) {
+        if (profile.effect() == Effect.DEDUPLICATED && !keyed || profile.effect() == Effect.AT_MOST_ONCE && keyed) {
             return keyed ? "this class takes no Idempotency-Key" : "no Idempotency-Key";
         }
-        return p.effect() == Effect.IDEMPOTENT && m.hasBody() ? "a body" : null;
+        return profile.effect() == Effect.IDEMPOTENT && message.hasBody() ? "a body" : null;
     }
 
-    private static boolean hasSingleValue(Message m, String name, Pattern form) {
-        List<String> values = m.headers().getAll(name);
+    private static boolean hasSingleValue(Message message, String name, Pattern form) {
+        List<String> values = message.headers().getAll(name);
         return values.size() == 1 && form.matcher(values.get(0)).matches();
     }
 
     /** Returns 0 if the timeout is missing or invalid. */
-    private static long parseTimeoutNs(Message m) {
-        if (!hasSingleValue(m, "Request-Timeout", SECONDS)) {
+    private static long parseTimeoutNs(Message message) {
+        if (!hasSingleValue(message, "Request-Timeout", SECONDS)) {
             return 0;
         }
-        double s = Double.parseDouble(m.headers().get("Request-Timeout"));
-        return s > 0 && s <= MAX_TIMEOUT_S ? (long) (s * 1e9) : 0;
+        double seconds = Double.parseDouble(message.headers().get("Request-Timeout"));
+        return seconds > 0 && seconds <= MAX_TIMEOUT_S ? (long) (seconds * 1e9) : 0;
     }
 
-    static RequestParameters of(Message m, RequestClass requestClass, Config config) {
+    static RequestParameters of(Message message, RequestClass requestClass, Config config) {
         return new RequestParameters(
                 requestClass,
-                Math.max(0, config.tenants().indexOf(m.headers().get("Tenant", ""))),
-                key(m.headers().get(HttpHeaderNames.COOKIE)),
-                parseTimeoutNs(m),
-                parseHintNs(m),
-                "1".equals(m.headers().get("Client-Retry")));
+                Math.max(0, config.tenants().indexOf(message.headers().get("Tenant", ""))),
+                key(message.headers().get(HttpHeaderNames.COOKIE)),
+                parseTimeoutNs(message),
+                parseHintNs(message),
+                "1".equals(message.headers().get("Client-Retry")));
     }
 
     /** Converts the hint, in microseconds; returns 0 if it is missing or invalid. */
-    private static long parseHintNs(Message m) {
-        return hasSingleValue(m, "Work-Hint", SECONDS)
-                ? (long) (Double.parseDouble(m.headers().get("Work-Hint")) * 1000)
+    private static long parseHintNs(Message message) {
+        return hasSingleValue(message, "Work-Hint", SECONDS)
+                ? (long) (Double.parseDouble(message.headers().get("Work-Hint")) * 1000)
                 : 0;
     }
 
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -187,7 +187,8 @@
     private static long requirePositive(JsonNode node, String pointer) throws ConfigException {
         long value = node.at(pointer).asLong(0);
         if (value <= 0) {
-            throw new ConfigException(pointer.substring(1).replace('/', '.') + " is missing or not positive");
+            throw new ConfigException(pointer.substring(1).replace('/', '.') + " is missing or not positive: '"
+                    + node.at(pointer).asText() + "'");
         }
         return value;
     }
--- a/src/main/java/gullspar/settings/SettingsParser.java
+++ b/src/main/java/gullspar/settings/SettingsParser.java
@@ -5,6 +5,7 @@
 import gullspar.decide.Balancer.Scope;
 import gullspar.decide.Balancer.Settings;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
@@ -42,7 +43,7 @@
         List<Profile> profiles = new ArrayList<>();
         long count = parser.integer("profiles.count");
         if (count < 1 || count > 256) {
-            throw new SettingsException("setting profiles.count is " + count + ", not 1 to 256");
+            throw new SettingsException("setting profiles.count is " + count + ", must be 1 to 256");
         }
         for (int i = 0; i < count; i++) {
             profiles.add(parser.profile("profiles." + i + "."));
@@ -139,7 +140,9 @@
         try {
             return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new SettingsException("setting " + key + " has an unknown value: " + v);
+            String allowed = Arrays.toString(type.getEnumConstants()).toLowerCase(Locale.ROOT);
+            throw new SettingsException(
+                    "setting " + key + " has an unknown value: " + v + ", must be one of " + allowed);
         }
     }
 }
--- a/src/test/java/gullspar/drill/HostTest.java
+++ b/src/test/java/gullspar/drill/HostTest.java
@@ -300,7 +300,8 @@
                 "setting rules.tip_multiple is not a number: NaN",
                 start(CONFIG.replace("tip_multiple=4.0", "tip_multiple=NaN")));
         assertRejected(
-                "setting profiles.0.effect has an unknown value: twice",
+                "setting profiles.0.effect has an unknown value: twice, must be one of "
+                        + "[idempotent, deduplicated, at_most_once]",
                 start(CONFIG.replace("effect=deduplicated", "effect=twice")));
     }
 
