--- a/src/main/java/gullspar/decide/DiscoveryCalls.java
+++ b/src/main/java/gullspar/decide/DiscoveryCalls.java
@@ -27,6 +27,7 @@
         this.actions = actions;
     }
 
+    /** Subscribes to the list, and does so again if no answer comes in time. */
     void subscribe(long now) {
         actions.subscribe(true);
         scheduleAt(now + settings.refreshWithinNs() / 2); // well before the list exceeds its maximum age
--- a/src/main/java/gullspar/decide/Rotation.java
+++ b/src/main/java/gullspar/decide/Rotation.java
@@ -69,6 +69,7 @@
         return s == null && noneEligible ? select(t, binding, Double.MAX_VALUE, subset, now) : s;
     }
 
+    /** One pass over the servers; width is how many servers of each zone it considers, in the order of the subset. */
     private Server select(TrackedRequest t, Attempt binding, double width, double subset, long now) {
         ZoneTotals own = new ZoneTotals();
         ZoneTotals other = new ZoneTotals();
