--- a/src/main/java/gullspar/decide/Classes.java
+++ b/src/main/java/gullspar/decide/Classes.java
@@ -13,12 +13,11 @@
  * The price is that classes that yield get less of the servers' time.
  */
 final class Classes {
-    /** Ratio of worth per work from which a class yields, and the share of the other's latency target it may use. */
-    private static final double MIN_WORTH_RATIO = 2, YIELD_SHARE = 0.75;
-    /** Answers averaged for the relative size of a class, and the weight of its initial estimate in answers. */
-    private static final double MAX_SIZE_SAMPLES = 50, INITIAL_SIZE_SAMPLES = 4;
-    /** Relative step of the running median of response times. */
-    private static final double MEDIAN_STEP = 0.05;
+    private static final double MIN_WORTH_RATIO = 2; // ratio of worth per unit of work from which a class yields
+    private static final double YIELD_SHARE = 0.75; // share of the other's latency target usable by a class that yields
+    private static final double MAX_SIZE_SAMPLES = 50; // answers averaged for the relative size of a class
+    private static final double INITIAL_SIZE_SAMPLES = 4; // weight of the initial size, in answers
+    private static final double MEDIAN_STEP = 0.05; // relative step of the running median of response times
 
     private List<Profile> profiles = List.of();
     private double[] medianNs = {};
@@ -64,11 +63,11 @@
 
     /** Records a response time, also relative to the server's mean service time; returns the previous median. */
     double recordAnswer(int profile, long elapsedNs, double relativeTime) {
-        double m = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
-        medianNs[profile] = m * (elapsedNs > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
+        double oldMedianNs = medianNs[profile] == 0 ? elapsedNs : medianNs[profile];
+        medianNs[profile] = oldMedianNs * (elapsedNs > oldMedianNs ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
         sizeSamples[profile] = Math.min(MAX_SIZE_SAMPLES, sizeSamples[profile] + 1);
         relativeSize[profile] += (relativeTime - relativeSize[profile]) / (sizeSamples[profile] + INITIAL_SIZE_SAMPLES);
-        return m;
+        return oldMedianNs;
     }
 
     /** The median response time, at most half the latency target; 0 before the first answer. */
@@ -92,10 +91,10 @@
     }
 
     private boolean yieldsTo(int c, int d) {
-        Profile p = profiles.get(c);
-        Profile o = profiles.get(d);
-        return o.latencyTargetNs() < p.latencyTargetNs()
-                && o.worth() / relativeSize[d] > MIN_WORTH_RATIO * p.worth() / relativeSize[c]
+        Profile own = profiles.get(c);
+        Profile other = profiles.get(d);
+        return other.latencyTargetNs() < own.latencyTargetNs()
+                && other.worth() / relativeSize[d] > MIN_WORTH_RATIO * own.worth() / relativeSize[c]
                 && recentWorth[d] > recentWorth[c];
     }
 
--- a/src/main/java/gullspar/decide/Policy.java
+++ b/src/main/java/gullspar/decide/Policy.java
@@ -10,7 +10,7 @@
 
 /**
  * The decision module's event handling. The interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
- * is on "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
+ * covers "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
  *
  * <p>Normally load reports become factors (capacity x spare share, low during cold start), and requests follow
  * smooth weighted rotation over the factors, each reduced by the estimated queue of the server. Exceptions are
@@ -18,9 +18,9 @@
  * without reports (recordOverload), ejection and trials (Ejection), cold budget (ColdBudget), retries (retry).
  */
 public final class Policy implements Balancer {
-    /** Initial service time with list weights, where latency targets are mere limits, unrelated to it. */
+    /** Initial service time with list weights, where latency targets are upper limits and unrelated to it. */
     private static final double INITIAL_SERVICE_NS = 20e6;
-    /** Decay of a reported foreign load to the typical one: a server without recent reports is not idle. */
+    /** Decay time from a reported foreign load to the typical one: a server without recent reports is not idle. */
     private static final double FOREIGN_LOAD_DECAY_NS = 1e9;
     /** Interval at which decaying averages are updated. */
     private static final long DECAY_INTERVAL_NS = 50_000_000L;
@@ -90,7 +90,7 @@
         lastEventAt = now;
         actions.setTimer(now + HEARTBEAT_NS, HEARTBEAT_TIMER);
         if (settings.listOnRequest()) {
-            discoveryCalls.requestList(now);
+            discoveryCalls.subscribe(now);
         }
     }
 
@@ -125,8 +125,8 @@
     // ---- requests ----
 
     /**
-     * After a stall, outcomes and timeouts are caused by the proxy, not by the servers: outcomes of that
-     * moment are not used as evidence about servers. Later ones count again.
+     * After a stall, delays and timeouts are caused by the proxy, not by the servers: outcomes with the time of the
+     * first event after it are not used as evidence about servers.
      */
     private void detectStall(long now) {
         if (now - lastEventAt > 2 * HEARTBEAT_NS) {
@@ -164,17 +164,17 @@
         if (now - decayedAt <= DECAY_INTERVAL_NS) {
             return;
         }
-        double keepRates = retention(now, TrafficRates.DECAY_NS);
+        double keepRates = retention(now, TrafficRates.SENDS_DECAY_NS);
         zones.decay(keepRates, retention(now, KindServiceTimes.DECAY_NS));
         classes.decay(keepRates);
-        rates.decay(retention(now, ZoneStats.DECAY_NS));
+        rates.decay(retention(now, ZoneStats.LOAD_DECAY_NS));
         double keepOthers = retention(now, FOREIGN_LOAD_DECAY_NS);
         for (Server s : servers.all()) {
             s.reportFreshness *= keepOthers;
             s.foreignLoad = s.reportFreshness * s.reportedForeignLoad
                     + (1 - s.reportFreshness) * zones.typicalForeignLoad(s.zone());
         }
-        keyQueues.values().removeIf(u -> u.requests.isEmpty() && now >= u.blockedUntil);
+        keyQueues.values().removeIf(q -> q.requests.isEmpty() && now >= q.blockedUntil);
         decayedAt = now;
     }
 
@@ -184,21 +184,21 @@
     }
 
     /**
-     * Sends a first attempt if a server has room. Otherwise the request waits in the proxy, where it uses no
-     * server and can still be refused safely. Returns true if it need not wait any longer.
+     * Sends a first attempt if a server has room. Otherwise the request waits in the proxy, where it uses no server
+     * and can still be refused safely. Returns true if it has been sent or finished.
      */
     private boolean trySend(TrackedRequest t, long now) {
         if (t.isFinished) {
             return true;
         }
         boolean isHeld = !isNextOfKey(t, now) || admission.isThrottled();
-        Server s = isHeld || endIfHopeless(t, now) ? null : pick(t, now);
+        Server s = isHeld || endIfTooLittleTime(t, now) ? null : pick(t, now);
         if (s != null) {
             send(t, s, now);
             return true;
         }
         classWithoutRoom = isHeld ? classWithoutRoom : t.profile;
-        return endIfHopeless(t, now);
+        return endIfTooLittleTime(t, now);
     }
 
     private Server pick(TrackedRequest t, long now) {
@@ -207,8 +207,8 @@
     }
 
     /** Ends a request that cannot be served in time; returns true if it is finished. */
-    private boolean endIfHopeless(TrackedRequest t, long now) {
-        if (!t.isFinished && admission.isHopeless(t, now)) {
+    private boolean endIfTooLittleTime(TrackedRequest t, long now) {
+        if (!t.isFinished && admission.hasTooLittleTime(t, now)) {
             answerUnserved(t);
         }
         return t.isFinished;
@@ -224,8 +224,8 @@
     /** Retries waiting requests; once one of a class finds no room, others of it are only checked for time. */
     private void dispatchWaiting(long now) {
         classWithoutRoom = null;
-        // Checks all, not only the head: a client's repeat behind it may have less time left.
-        waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfHopeless(t, now) : trySend(t, now));
+        // All are checked, not only the head: a client's repeat behind it may have less time left.
+        waiting.removeIf(t -> t.profile == classWithoutRoom ? endIfTooLittleTime(t, now) : trySend(t, now));
     }
 
     private void send(TrackedRequest t, Server s, long now) {
@@ -235,8 +235,8 @@
         s.awaitingSince = s.openAttempts++ == 0 ? now : s.awaitingSince;
         s.tokens--;
         rates.sent++;
-        zones.sent(s.zone());
-        // Cancels an attempt whose answer would earn nothing, unless the client's repeat could then run beside it.
+        zones.recordSend(s.zone());
+        // An attempt whose answer would earn nothing is cut off, unless a client's repeat could then run beside it.
         boolean isCutWhenLate =
                 settings.canCancel() && t.profile.lateShare() == 0 && !RepeatRules.isDroppedEverywhere(t.profile);
         long timeoutNs = Math.min(
--- a/src/main/java/gullspar/decide/TrackedRequest.java
+++ b/src/main/java/gullspar/decide/TrackedRequest.java
@@ -9,10 +9,11 @@
 final class TrackedRequest {
     final Balancer.Request request;
     final Balancer.Profile profile;
-    /** When its answer would miss the latency target, and when its client gives up. */
+    /** Time after which its answer would miss the latency target. */
     final long usefulUntil;
-
+    /** When its client gives up. */
     final long deadline;
+
     final List<Attempt> attempts = new ArrayList<>(2);
     int openAttempts;
     boolean isFinished;
@@ -23,14 +24,14 @@
     /** The queue of its key; null if its class is not sequential or it has no key. */
     KeyQueue keyQueue;
 
-    TrackedRequest(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
+    TrackedRequest(Balancer.Request request, Balancer.Profile profile, long usefulUntil, long deadline) {
         this.request = request;
         this.profile = profile;
-        this.usefulUntil = aim;
+        this.usefulUntil = usefulUntil;
         this.deadline = deadline;
     }
 
-    /** One attempt; loadAhead is the server's load when it was sent, status is null while it is open. */
+    /** An attempt; loadAhead is the server's load when it was sent, and status is null while it is open. */
     static final class Attempt {
         final Server server;
         /** The list's entry of the server when it was sent, whose zone and cell restrict repeats. */
@@ -40,10 +41,10 @@
         final long sentAt;
         Balancer.Status status;
 
-        Attempt(Server to, double ahead, long sentAt) {
-            this.server = to;
-            this.listedAs = to.listed;
-            this.loadAhead = ahead;
+        Attempt(Server server, double loadAhead, long sentAt) {
+            this.server = server;
+            this.listedAs = server.listed;
+            this.loadAhead = loadAhead;
             this.sentAt = sentAt;
         }
     }
--- a/src/main/java/gullspar/proxy/client/Frontend.java
+++ b/src/main/java/gullspar/proxy/client/Frontend.java
@@ -33,28 +33,30 @@
 public final class Frontend implements Client.Owner {
     /** Handles valid requests. */
     public interface RequestHandler {
-        void onRequest(Client client, Message message, RequestParameters parameters, long at);
+        /** receivedAtNs: the earliest time at which the request may have arrived. */
+        void onRequest(Client client, Message message, RequestParameters parameters, long receivedAtNs);
 
         /** The body of a request that was handed over while being received is now complete. */
-        void onRequestComplete(Client client, long at);
+        void onRequestComplete(Client client, long receivedAtNs);
 
         /** The client has disconnected before its response. */
         void onClientDisconnected(Client client);
     }
 
-    /** Time limit for a connection's first complete request, and for the rest of any other. */
+    /** Time limit for a connection's first request, and for closing a connection after its last response. */
     private static final long REQUEST_TIMEOUT_NS = 1_800_000_000L;
     /** Clients that mean to send a request send its first bytes within this time of connecting. */
     private static final long NEW_CONNECTION_GRACE_NS = 250_000_000L;
     /** Idle timeout of a connection that has been used. */
     private static final long IDLE_TIMEOUT_NS = 5_000_000_000L;
 
-    private static final int MAX_REQUEST_LINE_BYTES = 4096, MAX_HEAD_BYTES = 8 << 10;
+    private static final int MAX_REQUEST_LINE_BYTES = 4096;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
     /** Buffered bodies may take up to 1/HEAP_DIVISOR of the heap. */
     private static final int HEAP_DIVISOR = 4;
     /**
-     * Nothing is sent for a client that left 0.1 s ago (the operators' page): while part of what it sent is
-     * unread, the proxy cannot tell whether it has left.
+     * How long a body may stay unread before its request is rejected. The operators require that nothing is sent for
+     * a client that disconnected 0.1 s ago, and while part of what it sent is unread, the proxy cannot detect that.
      */
     public static final long UNREAD_TIMEOUT_NS = 80_000_000L;
     /**
@@ -63,7 +65,11 @@
      */
     private static final RecvByteBufAllocator READ_ALLOCATOR = new AdaptiveRecvByteBufAllocator(1024, 2048, 64 << 10);
 
-    private static final long TIMEOUT_CHECK_INTERVAL_MS = 200, ID_AGING_INTERVAL_MS = 4000, LOG_INTERVAL_MS = 10_000;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 200;
+    /** A request id cannot be used again for one to two of these intervals after its response. */
+    private static final long ID_AGING_INTERVAL_MS = 4000;
+
+    private static final long LOG_INTERVAL_MS = 10_000;
 
     private final Config config;
     private final Classes classes;
@@ -72,7 +78,7 @@
     private final DescriptorLimits.Share sockets;
     private final RequestHandler handler;
     private final BooleanSupplier ready;
-    private final long unreadNs;
+    private final long unreadTimeoutNs;
     private final RequestIds requestIds = new RequestIds();
     /** Connections without a valid request so far, the oldest first. */
     private final Set<Client> unused = new LinkedHashSet<>();
@@ -89,15 +95,15 @@
     private long acceptedConnections;
     private boolean draining;
 
-    /** ready: whether there are backends to serve with. */
+    /** ready: whether there are backends to send requests to. */
     public Frontend(
             Platform platform,
             Config config,
             Classes classes,
             DescriptorLimits.Share sockets,
-            RequestHandler taker,
+            RequestHandler handler,
             BooleanSupplier ready) {
-        this(platform, config, classes, sockets, taker, ready, UNREAD_TIMEOUT_NS);
+        this(platform, config, classes, sockets, handler, ready, UNREAD_TIMEOUT_NS);
     }
 
     /** unreadTimeoutNs: how long a body may stay unread before its request is rejected. */
@@ -106,17 +112,17 @@
             Config config,
             Classes classes,
             DescriptorLimits.Share sockets,
-            RequestHandler taker,
+            RequestHandler handler,
             BooleanSupplier ready,
-            long unreadNs) {
+            long unreadTimeoutNs) {
         this.platform = platform;
         this.config = config;
         this.classes = classes;
         this.clock = platform.clock();
         this.sockets = sockets;
-        this.handler = taker;
+        this.handler = handler;
         this.ready = ready;
-        this.unreadNs = unreadNs;
+        this.unreadTimeoutNs = unreadTimeoutNs;
         sockets.onFull(this::closeIdleConnection);
     }
 
@@ -147,7 +153,7 @@
         loop.scheduleWithFixedDelay(this::logCounts, LOG_INTERVAL_MS, LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Adds a client connection. */
+    /** Adds a client connection, or closes it if the connection limit is reached and none can be closed for it. */
     public void accept(Channel c) {
         pressure.accepted++;
         acceptedConnections++;
@@ -233,10 +239,10 @@
 
     /**
      * Closes a connection without a request: the oldest unused one, else the one that is idle longest. New
-     * connections are the last choice: a request may be under way or unread and would be lost, while a client
-     * whose connection is closed between requests opens another. This guards against many clients that send
-     * one request and stay, where new clients would evict each other. It does harm where many connections
-     * stay silent and long-lived clients are slow to reconnect. Returns false if there is no such connection.
+     * connections are the last choice: a request may be under way or unread and would be lost, while a client whose
+     * connection is closed between requests opens another. Otherwise, where many clients send one request and stay
+     * connected, new clients would evict each other. The drawback: where many connections never send a request,
+     * long-lived clients lose theirs and may be slow to reconnect. Returns false if no connection can be closed.
      */
     private boolean closeIdleConnection() {
         boolean hasOldUnused = !unused.isEmpty() && !isNew(unused.iterator().next());
@@ -275,39 +281,39 @@
     }
 
     @Override
-    public void onRequest(Client client, Message m, long at) {
-        String path = new QueryStringDecoder(m.uri()).rawPath();
-        RequestClass of = classOf(path);
+    public void onRequest(Client client, Message message, long receivedAtNs) {
+        String path = new QueryStringDecoder(message.uri()).rawPath();
+        RequestClass requestClass = classOf(path);
         // A class may have the same name as this path; its requests have an id.
-        if (path.equals("/_health") && (of == null || m.id() == null)) {
+        if (path.equals("/_health") && (requestClass == null || message.id() == null)) {
             // With an inherited listener two processes act as one proxy: the other one continues to serve.
             boolean up = ready.getAsBoolean() && (!draining || config.inherited());
             int status = up ? 200 : 503;
-            client.respond(m.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
-            m.release();
+            client.respond(message.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
+            message.release();
             return;
         }
-        if (of == null) {
+        if (requestClass == null) {
             client.respond(404, null, "no such class");
-            m.release();
+            message.release();
             return;
         }
-        Profile p = of.profile();
-        HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        String error = RequestParameters.validationError(m, p);
-        if (!m.method().equals(method)) {
+        Profile profile = requestClass.profile();
+        HttpMethod method = profile.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        String error = RequestParameters.validationError(message, profile);
+        if (!message.method().equals(method)) {
             client.respond(405, null, "this class takes " + method);
         } else if (error != null) {
             client.respond(400, null, error);
-        } else if (!requestIds.open(m.id())) {
+        } else if (!requestIds.open(message.id())) {
             client.respond(409, null, "this Request-Id is another request's");
         } else {
-            client.setCurrentRequest(m);
+            client.setCurrentRequest(message);
             pressure.requests++;
-            handler.onRequest(client, m, RequestParameters.of(m, of, config), at);
+            handler.onRequest(client, message, RequestParameters.of(message, requestClass, config), receivedAtNs);
             return;
         }
-        m.release();
+        message.release();
     }
 
     /** The class named by the first segment of a path, which may be percent-encoded; null if unknown. */
@@ -317,15 +323,16 @@
         }
         int slash = path.indexOf('/', 1);
         String name = path.substring(1, slash < 0 ? path.length() : slash);
-        RequestClass of = classes.find(name);
-        if (of == null && name.indexOf('%') >= 0) {
+        RequestClass requestClass = classes.find(name);
+        if (requestClass == null && name.indexOf('%') >= 0) {
             try {
-                of = classes.find(new QueryStringDecoder("/" + name).path().substring(1));
+                requestClass =
+                        classes.find(new QueryStringDecoder("/" + name).path().substring(1));
             } catch (IllegalArgumentException e) {
                 return null; // invalid percent-encoding
             }
         }
-        return of;
+        return requestClass;
     }
 
     @Override
@@ -335,12 +342,12 @@
 
     @Override
     public long unreadTimeoutNs() {
-        return unreadNs;
+        return unreadTimeoutNs;
     }
 
     @Override
-    public void onRequestComplete(Client client, long at) {
-        handler.onRequestComplete(client, at);
+    public void onRequestComplete(Client client, long receivedAtNs) {
+        handler.onRequestComplete(client, receivedAtNs);
     }
 
     @Override
--- a/src/main/java/gullspar/proxy/client/RequestDecoder.java
+++ b/src/main/java/gullspar/proxy/client/RequestDecoder.java
@@ -9,18 +9,18 @@
 import java.util.List;
 
 /**
- * Decodes requests and stops after one that cannot be parsed: its end is unknown, and the data behind it may
- * be a smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
+ * Decodes requests, until stopped by {@link Client} after one that cannot be parsed: its end is unknown, and the data
+ * behind it may be a smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
  */
 public class RequestDecoder extends HttpRequestDecoder {
     private boolean stopped;
     private boolean inRequest;
 
     /** Limits of the request line and of the head, in bytes. */
-    public RequestDecoder(int longestLine, int longestHead) {
+    public RequestDecoder(int maxLineBytes, int maxHeadBytes) {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(longestLine)
-                .setMaxHeaderSize(longestHead)
+                .setMaxInitialLineLength(maxLineBytes)
+                .setMaxHeaderSize(maxHeadBytes)
                 .setMaxChunkSize(64 << 10));
     }
 
--- a/src/main/java/gullspar/proxy/config/Config.java
+++ b/src/main/java/gullspar/proxy/config/Config.java
@@ -20,12 +20,12 @@
 import java.util.TreeSet;
 
 /**
- * The configuration of a proxy: the file at NODE_CONFIG; at startup NODE_LISTEN, NODE_DISCOVERY and
- * NODE_OPERATOR override it. The index of a name in its list identifies it for the module. operator: the
- * address of the operator endpoint, null for none; inherited: the platform holds the client listener
- * (descriptor 0), and a second process may take over; operatorsFile: the operators' settings for this
- * process, null for none; name: the platform's name for this process, null for none; keys: the paths of all
- * keys, except those inside lists.
+ * The configuration of a proxy: the file at NODE_CONFIG; at startup NODE_LISTEN, NODE_DISCOVERY and NODE_OPERATOR
+ * override it. The index of a name in its list identifies it for the module. sockets: the maximum number of
+ * descriptors for connections; known: the known list of backends, used until discovery answers; operator: the address
+ * of the operator endpoint, null for none; inherited: the platform holds the client listener (descriptor 0), and a
+ * second process may take over; operatorsFile: the operators' settings for this process, null for none; name: the
+ * platform's name for this process, null for none; keys: the paths of all keys, except those inside lists.
  */
 public record Config(
         InetSocketAddress listen,
@@ -47,13 +47,14 @@
         String name,
         Set<String> keys) {
 
+    /** Reads the file that the environment names. */
     public static Config read(Map<String, String> environment) throws ConfigException {
         Path path = file(environment).orElseThrow(() -> new ConfigException("NODE_CONFIG is not set"));
         JsonNode root;
         try {
             root = Json.read(Files.readAllBytes(path));
         } catch (IOException e) {
-            // The parser's message spans several lines; the first one says what is wrong.
+            // The parser's message spans several lines; the first one gives the reason.
             throw new ConfigException("cannot read " + path + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
@@ -68,15 +69,15 @@
     }
 
     /**
-     * Reads the configuration again. The environment is that of startup, so the file wins for what may change
-     * later, the discovery address. A key missing that was set before means an incompletely written file,
-     * which is rejected.
+     * Reads the configuration again. The discovery address may change after startup, so the file's takes precedence
+     * over that of the environment, which is still that of startup. If a key is missing that the previous configuration
+     * had, the file is rejected as incompletely written.
      */
-    public static Config reload(Map<String, String> environment, Config before) throws ConfigException {
-        Map<String, String> lasting = new HashMap<>(environment);
-        lasting.remove("NODE_DISCOVERY");
-        Config c = read(lasting);
-        for (String key : before.keys) {
+    public static Config reload(Map<String, String> environment, Config previous) throws ConfigException {
+        Map<String, String> effective = new HashMap<>(environment);
+        effective.remove("NODE_DISCOVERY");
+        Config c = read(effective);
+        for (String key : previous.keys) {
             if (!c.keys.contains(key)) {
                 throw new ConfigException(key + " is missing; it was set in the previous configuration");
             }
@@ -92,6 +93,7 @@
                 .orElse(0);
     }
 
+    /** Parses a configuration; variables of the environment override the addresses in it. */
     public static Config parse(JsonNode root, Map<String, String> environment) throws ConfigException {
         JsonNode settings = root.path("settings");
         Map<String, String> flat = new HashMap<>();
@@ -110,7 +112,7 @@
             throw new ConfigException("NODE_SOCKET_FD is '" + descriptor + "': only descriptor 0 can be taken over");
         }
         Set<String> keys = new TreeSet<>();
-        keys("", root, keys);
+        collectKeys("", root, keys);
         try {
             return new Config(
                     parseAddress("NODE_LISTEN", environment, root.path("listen")),
@@ -127,7 +129,7 @@
                     requirePositive(settings, "/limits/connect_timeout_ns"),
                     requirePositive(settings, "/limits/keepalive_ns"),
                     requirePositive(settings, "/rules/drain_grace_ns"),
-                    operator(environment, root),
+                    parseOperatorAddress(environment, root),
                     !descriptor.isEmpty(),
                     root.hasNonNull("operators_file")
                             ? Path.of(root.path("operators_file").asText())
@@ -160,19 +162,20 @@
     }
 
     /** Collects key paths. `known`, data about backends, is optional and so left out. */
-    private static void keys(String path, JsonNode node, Set<String> keys) {
+    private static void collectKeys(String path, JsonNode node, Set<String> keys) {
         node.properties().forEach(e -> {
             String key = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
             if (!key.equals("known")) {
                 keys.add(key);
-                keys(key, e.getValue(), keys);
+                collectKeys(key, e.getValue(), keys);
             }
         });
     }
 
-    private static InetSocketAddress operator(Map<String, String> environment, JsonNode root) throws ConfigException {
-        boolean named = root.has("operator") || environment.containsKey("NODE_OPERATOR");
-        return named ? parseAddress("NODE_OPERATOR", environment, root.path("operator")) : null;
+    private static InetSocketAddress parseOperatorAddress(Map<String, String> environment, JsonNode root)
+            throws ConfigException {
+        boolean isSet = root.has("operator") || environment.containsKey("NODE_OPERATOR");
+        return isSet ? parseAddress("NODE_OPERATOR", environment, root.path("operator")) : null;
     }
 
     private static List<String> names(JsonNode list) {
@@ -184,14 +187,15 @@
     private static long requirePositive(JsonNode node, String pointer) throws ConfigException {
         long value = node.at(pointer).asLong(0);
         if (value <= 0) {
-            throw new ConfigException(pointer.substring(1).replace('/', '.') + " is missing or not positive");
+            throw new ConfigException(pointer.substring(1).replace('/', '.') + " is missing or not positive: '"
+                    + node.at(pointer).asText() + "'");
         }
         return value;
     }
 
-    private static InetSocketAddress parseAddress(String variable, Map<String, String> environment, JsonNode named)
+    private static InetSocketAddress parseAddress(String variable, Map<String, String> environment, JsonNode node)
             throws ConfigException {
-        String text = environment.getOrDefault(variable, named.asText(""));
+        String text = environment.getOrDefault(variable, node.asText(""));
         InetSocketAddress address = parseAddress(text);
         if (address == null) {
             throw new ConfigException(variable + " is not an IP address and port: '" + text + "'");
--- a/src/main/java/gullspar/proxy/events/Events.java
+++ b/src/main/java/gullspar/proxy/events/Events.java
@@ -6,19 +6,19 @@
 import java.util.Queue;
 
 /**
- * Queues events for the decision module. It gets them in order, with the same time for all events of one
- * batch, and never re-entrantly from one of its own actions. Backend updates are delivered first: after a
- * stall, requests and a drain update are found together and which was read first is chance, while the time
- * since the drain began has run on.
+ * Queues events for the decision module. It gets them in order, with the same time for all events of one batch, and
+ * never re-entrantly from one of its own actions. Backend updates are delivered first: after a stall of the loop,
+ * requests and the update that starts a drain are read together in any order, and a request must not go to a backend
+ * that has been draining for the length of the stall.
  */
 public final class Events {
-    /** A call of the module. */
+    /** A call to the module. */
     public interface Event {
         void apply(long now, Balancer module);
     }
 
     private final Platform platform;
-    private final Queue<Event> backendUpdate = new ArrayDeque<>();
+    private final Queue<Event> backendUpdates = new ArrayDeque<>();
     private final Queue<Event> requestEvents = new ArrayDeque<>();
     private Balancer module;
     private boolean delivering;
@@ -33,16 +33,18 @@
     }
 
     /** Queues an update from discovery. */
-    public void backendUpdate(Event event) {
-        add(backendUpdate, event, () -> {});
+    public void enqueueBackendUpdate(Event event) {
+        add(backendUpdates, event, () -> {});
     }
 
+    /** Queues an event of no particular request. */
     public void enqueue(Event event) {
         enqueue(event, () -> {});
     }
 
     /**
-     * Queues an event of one request. If the module throws, onFailure ends that request and the others go on.
+     * Queues an event of one request. If the module throws an exception, onFailure ends that request; other events are
+     * delivered as usual.
      */
     public void enqueue(Event event, Runnable onFailure) {
         add(requestEvents, event, onFailure);
@@ -66,8 +68,8 @@
 
     private void deliver() {
         long now = platform.clock().now();
-        while (!backendUpdate.isEmpty() || !requestEvents.isEmpty()) {
-            (backendUpdate.isEmpty() ? requestEvents : backendUpdate).remove().apply(now, module);
+        while (!backendUpdates.isEmpty() || !requestEvents.isEmpty()) {
+            (backendUpdates.isEmpty() ? requestEvents : backendUpdates).remove().apply(now, module);
         }
         delivering = false;
     }
--- a/src/main/java/gullspar/proxy/http/Body.java
+++ b/src/main/java/gullspar/proxy/http/Body.java
@@ -7,11 +7,14 @@
 
 /**
  * The body of a request, buffered completely so that a further attempt can be made. It grows in chunks, each
- * reserved from the budget before it is allocated: a client that declares much and sends little holds little
- * memory.
+ * reserved from the budget before it is allocated: a client that declares a long body and sends little of it takes
+ * little memory.
  */
 public final class Body {
-    private static final int MIN_CHUNK_BYTES = 512, CHUNK_BYTES = 16 << 10;
+    /** Minimum size of the first chunk. */
+    private static final int MIN_CHUNK_BYTES = 512;
+    /** Size of all other chunks, and maximum size of the first. */
+    private static final int CHUNK_BYTES = 16 << 10;
 
     private final BodyBudget budget;
     private final long maxBytes;
@@ -20,19 +23,24 @@
     private long length;
     private int lastChunkLength;
 
-    public Body(BodyBudget budget, long most) {
+    public Body(BodyBudget budget, long maxBytes) {
         this.budget = budget;
-        this.maxBytes = most;
+        this.maxBytes = maxBytes;
     }
 
-    /** The result of adding: added, larger than a body may be, or no room in the budget. */
+    /** The result of adding bytes. */
     public enum AddResult {
         TAKEN,
+        /** The body exceeds its maximum size, or the whole budget. */
         TOO_LONG,
+        /** The budget has no room at present. */
         NO_ROOM
     }
 
-    /** Copies all readable bytes; the caller keeps ownership of the buffer. */
+    /**
+     * Copies the readable bytes; the caller keeps ownership of the buffer. Unless the result is TAKEN, the bytes that
+     * were not copied stay readable.
+     */
     public AddResult add(ByteBuf bytes) {
         while (bytes.isReadable()) {
             if (length + bytes.readableBytes() > maxBytes) {
@@ -73,8 +81,8 @@
         }
         ByteBuf[] all = new ByteBuf[chunks.size()];
         for (int i = 0; i < all.length; i++) {
-            byte[] p = chunks.get(i);
-            all[i] = Unpooled.wrappedBuffer(p, 0, i == all.length - 1 ? lastChunkLength : p.length);
+            byte[] chunk = chunks.get(i);
+            all[i] = Unpooled.wrappedBuffer(chunk, 0, i == all.length - 1 ? lastChunkLength : chunk.length);
         }
         return Unpooled.wrappedBuffer(all.length, all);
     }
--- a/src/main/java/gullspar/settings/SettingsParser.java
+++ b/src/main/java/gullspar/settings/SettingsParser.java
@@ -5,12 +5,16 @@
 import gullspar.decide.Balancer.Scope;
 import gullspar.decide.Balancer.Settings;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
-/** Parses settings given by path, as in the text of a Start event. Unknown keys are ignored. */
+/**
+ * Parses settings given as paths and values, as in the Start event of the simulator. Unknown keys are ignored; a
+ * SettingsException names a key that is missing or has an invalid value.
+ */
 public final class SettingsParser {
     private final Map<String, String> values;
 
@@ -18,10 +22,10 @@
         this.values = values;
     }
 
-    /** The settings and the names of the report columns. */
+    /** The settings, and the names of the values in a load report in their order. */
     public record Parsed(Settings settings, String[] columns) {}
 
-    /** Parses path=value lines. */
+    /** Parses lines of the form path=value; other lines are ignored. */
     public static Parsed parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -33,12 +37,13 @@
         return parse(values);
     }
 
+    /** Parses settings by path. */
     public static Parsed parse(Map<String, String> values) {
         SettingsParser parser = new SettingsParser(values);
         List<Profile> profiles = new ArrayList<>();
         long count = parser.integer("profiles.count");
         if (count < 1 || count > 256) {
-            throw new SettingsException("setting profiles.count is " + count + ", not 1 to 256");
+            throw new SettingsException("setting profiles.count is " + count + ", must be 1 to 256");
         }
         for (int i = 0; i < count; i++) {
             profiles.add(parser.profile("profiles." + i + "."));
@@ -121,10 +126,12 @@
         return values.containsKey(key) ? number(key) : defaultValue;
     }
 
+    /** False unless the value is "true". */
     private boolean flag(String key) {
         return "true".equals(values.get(key));
     }
 
+    /** The constant of this name in any case. Without a default value the key is required. */
     private <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
         String v = defaultValue == null ? required(key) : values.get(key);
         if (v == null || v.isEmpty()) {
@@ -133,7 +140,9 @@
         try {
             return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new SettingsException("setting " + key + " has an unknown value: " + v);
+            String allowed = Arrays.toString(type.getEnumConstants()).toLowerCase(Locale.ROOT);
+            throw new SettingsException(
+                    "setting " + key + " has an unknown value: " + v + ", must be one of " + allowed);
         }
     }
 }
