--- a/src/main/java/gullspar/route/PathTable.java
+++ b/src/main/java/gullspar/route/PathTable.java
@@ -96,8 +96,8 @@
         return best;
     }
 
-    private static <T> Match<T> toMatch(Location<T> p, List<String> groups) {
-        return new Match<>(p.target, p.kind, p.text, groups);
+    private static <T> Match<T> toMatch(Location<T> location, List<String> groups) {
+        return new Match<>(location.target, location.kind, location.text, groups);
     }
 
     private static List<String> groups(Matcher m) {
--- a/src/main/java/gullspar/route/PrefixTree.java
+++ b/src/main/java/gullspar/route/PrefixTree.java
@@ -21,17 +21,17 @@
             this.value = value;
         }
 
-        private void add(Node<T> n) {
-            int at = -Arrays.binarySearch(firstChars, n.label.charAt(0)) - 1;
+        private void add(Node<T> child) {
+            int at = -Arrays.binarySearch(firstChars, child.label.charAt(0)) - 1;
             char[] grown = new char[firstChars.length + 1];
             System.arraycopy(firstChars, 0, grown, 0, at);
-            grown[at] = n.label.charAt(0);
+            grown[at] = child.label.charAt(0);
             System.arraycopy(firstChars, at, grown, at + 1, firstChars.length - at);
             firstChars = grown;
-            children.add(at, n);
+            children.add(at, child);
         }
 
-        private Node<T> children(char first) {
+        private Node<T> child(char first) {
             int at = Arrays.binarySearch(firstChars, first);
             return at < 0 ? null : children.get(at);
         }
@@ -44,7 +44,7 @@
         Node<T> n = root;
         int at = 0;
         while (at < prefix.length()) {
-            Node<T> next = n.children(prefix.charAt(at));
+            Node<T> next = n.child(prefix.charAt(at));
             if (next == null) {
                 n.add(new Node<>(prefix.substring(at), value));
                 return true;
@@ -90,7 +90,7 @@
         T best = root.value;
         int at = 0;
         while (at < text.length()) {
-            n = n.children(text.charAt(at));
+            n = n.child(text.charAt(at));
             if (n == null || !text.startsWith(n.label, at)) {
                 return best;
             }
--- a/src/main/java/gullspar/route/ServerRotation.java
+++ b/src/main/java/gullspar/route/ServerRotation.java
@@ -59,13 +59,13 @@
     /** Replaces the servers; those with unchanged settings keep their state. */
     public void reconfigure(List<ServerSpec> specs) {
         List<ServerState> states = new ArrayList<>();
-        for (ServerSpec d : specs) {
-            ServerState existing = server(d.name());
-            states.add(existing != null && existing.spec.equals(d) ? existing : new ServerState(d));
+        for (ServerSpec spec : specs) {
+            ServerState existing = server(spec.name());
+            states.add(existing != null && existing.spec.equals(spec) ? existing : new ServerState(spec));
         }
         servers = states;
         // The only server that is not down is never ejected: no other could take its requests.
-        this.hasSingleServer = specs.stream().filter(d -> !d.down()).count() <= 1;
+        this.hasSingleServer = specs.stream().filter(s -> !s.down()).count() <= 1;
     }
 
     /** Records a failed attempt; returns true if that changes the list. */
--- a/src/main/java/gullspar/route/Template.java
+++ b/src/main/java/gullspar/route/Template.java
@@ -91,8 +91,8 @@
         }
         StringBuilder s = new StringBuilder();
         for (Part p : parts) {
-            String v = p.isVariable() ? resolver.resolve(p.text()) : p.text();
-            s.append(v == null ? "" : v);
+            String value = p.isVariable() ? resolver.resolve(p.text()) : p.text();
+            s.append(value == null ? "" : value);
         }
         return s.toString();
     }
--- a/src/main/java/gullspar/toml/ProblemsException.java
+++ b/src/main/java/gullspar/toml/ProblemsException.java
@@ -10,11 +10,11 @@
     private final transient List<Problem> problems;
 
     public ProblemsException(String file, List<Problem> problems) {
-        super(lines(file, problems));
+        super(format(file, problems));
         this.problems = List.copyOf(problems);
     }
 
-    private static String lines(String file, List<Problem> problems) {
+    private static String format(String file, List<Problem> problems) {
         StringBuilder text = new StringBuilder();
         problems.stream()
                 .sorted(Comparator.comparingInt(Problem::line).thenComparingInt(Problem::column))
--- a/src/main/java/gullspar/toml/TableReader.java
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -19,7 +19,7 @@
  */
 public final class TableReader {
     /** Placeholder for a missing number, so that reading can continue. */
-    private static final double MISSING = Double.NaN;
+    private static final double UNUSED_DEFAULT = Double.NaN;
 
     /** A parsed table, and the number of lines ahead of the text from which it was parsed. */
     record Part(TomlTable table, int lineOffset) {}
@@ -64,9 +64,9 @@
     }
 
     private TomlPosition positionOf(String key) {
-        Part in = part(key);
-        TomlPosition p = in.table.inputPositionOf(List.of(key));
-        return p == null ? position : shift(p, in.lineOffset);
+        Part part = part(key);
+        TomlPosition p = part.table.inputPositionOf(List.of(key));
+        return p == null ? position : shift(p, part.lineOffset);
     }
 
     private void addProblemAt(TomlPosition at, String message) {
@@ -135,7 +135,7 @@
             addMissing(key);
             return min;
         }
-        return number(key, MISSING, min, max);
+        return number(key, UNUSED_DEFAULT, min, max);
     }
 
     public double number(String key, double defaultValue, double min, double max) {
@@ -302,7 +302,7 @@
         if (v != null && !(v instanceof TomlTable)) {
             addProblem(key, "must be a table, not " + typeName(v));
         }
-        TomlTable t = v instanceof TomlTable there ? there : EMPTY;
+        TomlTable t = v instanceof TomlTable nested ? nested : EMPTY;
         return new TableReader(
                 List.of(new Part(t, part(key).lineOffset)),
                 name.isEmpty() ? key : name + "." + key,
