--- a/src/main/java/gullspar/toml/BlockParser.java
+++ b/src/main/java/gullspar/toml/BlockParser.java
@@ -16,14 +16,14 @@
 /**
  * Parses successive versions of a text incrementally: the text is split at the headers of arrays of tables
  * ([[host]] at the beginning of a line), and a block that the previous text had is not parsed again. A text
- * that has errors, or could have another meaning in blocks than as a whole, is refused. Not thread-safe.
+ * that has errors, or could have another meaning in blocks than as a whole, is not read. Not thread-safe.
  */
 public final class BlockParser {
     private static final Pattern HEADER = Pattern.compile("(?m)^\\[\\[([A-Za-z0-9_-]+)]][ \\t]*(?:#.*)?\r?$");
 
     private Map<String, TomlParseResult> cachedBlocks = new HashMap<>();
 
-    /** Returns the root table; null if the text must be parsed as a whole. */
+    /** Returns a reader of the root table; null if the text must be parsed as a whole. */
     public TableReader read(String text, List<Problem> problems) {
         if (text.contains("\"\"\"") || text.contains("'''")) {
             return null; // a header within a multi-line string is not a header
@@ -60,7 +60,10 @@
         return new TableReader(parts, "", TomlPosition.positionAt(1, 1), problems);
     }
 
-    /** Returns whether the block shares no key with others, except elements of the array that it begins with. */
+    /**
+     * Returns whether the block shares no key with others, except elements of the array that it begins with. seen
+     * collects the keys of all blocks; those of arrays of tables have the prefix [[.
+     */
     private static boolean isIndependent(TomlTable t, String header, Set<String> seen) {
         for (String key : t.keySet()) {
             if (key.equals(header)) {
--- a/src/main/java/gullspar/toml/ProblemsException.java
+++ b/src/main/java/gullspar/toml/ProblemsException.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Thrown for an invalid text; the message has one line for each problem, file:line:column: message. */
+/** Thrown for an invalid TOML text; the message has one line for each problem, file:line:column: message. */
 public final class ProblemsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gullspar/toml/TableReader.java
+++ b/src/main/java/gullspar/toml/TableReader.java
@@ -14,11 +14,11 @@
 
 /**
  * Reads one table of a TOML text strictly: every key that is not read, and every value of a wrong type or out
- * of range, is recorded as a problem at its position. Reading continues, so that all problems are reported at
- * once.
+ * of range, is recorded as a problem at its position. Reading continues with a substitute value, so that all
+ * problems are reported at once.
  */
 public final class TableReader {
-    /** Placeholder for a missing number, so that reading can continue. */
+    /** The default of a key that is known to be present, and so never returned. */
     private static final double UNUSED_DEFAULT = Double.NaN;
 
     /** A parsed table, and the number of lines ahead of the text from which it was parsed. */
@@ -45,6 +45,7 @@
         this.problems = problems;
     }
 
+    /** Returns where the table begins. */
     public TomlPosition position() {
         return position;
     }
@@ -88,11 +89,13 @@
         return part(key).table.get(List.of(key));
     }
 
+    /** Returns whether the key is present, and counts it as read. */
     public boolean has(String key) {
         readKeys.add(key);
         return part(key).table.contains(List.of(key));
     }
 
+    /** Returns whether the value is a number, without counting the key as read. */
     public boolean isNumber(String key) {
         return part(key).table.get(List.of(key)) instanceof Number;
     }
@@ -125,11 +128,12 @@
         return false;
     }
 
+    /** Formats a whole number without a fraction. */
     public static String formatNumber(double v) {
         return v == Math.rint(v) && Math.abs(v) < 1e15 ? Long.toString((long) v) : String.valueOf(v);
     }
 
-    /** Reads a required number. */
+    /** Reads a required number; min if it is missing or invalid. */
     public double number(String key, double min, double max) {
         if (!has(key)) {
             addMissing(key);
@@ -138,6 +142,7 @@
         return number(key, UNUSED_DEFAULT, min, max);
     }
 
+    /** Reads an optional number; min if it is invalid. */
     public double number(String key, double defaultValue, double min, double max) {
         Object v = value(key);
         if (v == null) {
@@ -150,7 +155,7 @@
         return checkRange(key, n.doubleValue(), min, max) ? n.doubleValue() : min;
     }
 
-    /** Reads a required integer. */
+    /** Reads a required integer; min if it is missing or invalid. */
     public int integer(String key, int min, int max) {
         if (!has(key)) {
             addMissing(key);
@@ -159,6 +164,7 @@
         return integer(key, min, min, max);
     }
 
+    /** Reads an optional integer; min if it is invalid. */
     public int integer(String key, int defaultValue, int min, int max) {
         Object v = value(key);
         if (v == null) {
@@ -171,6 +177,7 @@
         return checkRange(key, n, min, max) ? (int) (long) n : min;
     }
 
+    /** Reads an optional boolean; the default if it is invalid. */
     public boolean bool(String key, boolean defaultValue) {
         Object v = value(key);
         if (v == null || v instanceof Boolean) {
@@ -180,6 +187,7 @@
         return defaultValue;
     }
 
+    /** Reads a required string; empty if it is missing or invalid. */
     public String string(String key) {
         if (!has(key)) {
             addMissing(key);
@@ -188,6 +196,7 @@
         return string(key, "");
     }
 
+    /** Reads an optional string; the default if it is invalid. */
     public String string(String key, String defaultValue) {
         Object v = value(key);
         if (v == null || v instanceof String) {
@@ -218,6 +227,7 @@
         return type.getEnumConstants()[0];
     }
 
+    /** Returns the name of an enum constant as it is written in TOML. */
     public static String tomlName(Enum<?> e) {
         return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
@@ -231,6 +241,7 @@
         return range(key, new Range(min, min), min, max);
     }
 
+    /** Reads an optional number or range of two numbers. */
     public Range range(String key, Range defaultValue, double min, double max) {
         Object v = value(key);
         if (v == null) {
