--- a/src/main/java/gullspar/route/Condition.java
+++ b/src/main/java/gullspar/route/Condition.java
@@ -14,7 +14,10 @@
      */
     List<String> match(Request r);
 
-    /** A header that is present, has a given value, or has a value in which a regular expression is found. */
+    /**
+     * A header with a value in which the pattern is found; if the pattern is null, with that value; if both are
+     * null, with any value.
+     */
     record Header(String name, String value, Pattern pattern) implements Condition {
         @Override
         public List<String> match(Request r) {
--- a/src/main/java/gullspar/route/HostTable.java
+++ b/src/main/java/gullspar/route/HostTable.java
@@ -10,7 +10,7 @@
 /**
  * Finds the virtual host of a request by its Host header. In this order: the exact name; the longest leading
  * wildcard (*.example.org); the longest trailing one (shop.*); the first regular expression that is found in
- * it; the default. Names are case-insensitive; a port and a trailing dot are ignored.
+ * the name; the default. Names are case-insensitive; a port and a trailing dot are ignored.
  */
 public final class HostTable<T> {
     /** The kind of name that matched. */
@@ -22,9 +22,9 @@
         DEFAULT
     }
 
-    /** The host found, the kind of name that matched, and its text. */
+    /** The host found, the kind of name that matched, and its text: without *. or .*, and empty for the default. */
     public record Match<T>(T host, MatchKind kind, String text) {
-        /** Returns the reason of the match, as routes explain it. */
+        /** Returns the reason of the match for the explanation of a route search. */
         public String reason() {
             return switch (kind) {
                 case NAME -> "its name is " + text;
@@ -46,7 +46,7 @@
 
     /**
      * Adds a name: exact, *.suffix, .suffix (the name itself and all its subdomains) or prefix.*. Returns false
-     * if the name exists already; throws IllegalArgumentException for a wildcard elsewhere.
+     * if the name exists already; throws IllegalArgumentException for a wildcard elsewhere or an empty name.
      */
     public boolean add(String name, T host) {
         String normalized = name.toLowerCase(Locale.ROOT);
@@ -67,7 +67,8 @@
 
     private static String requireNoWildcard(String name, String part) {
         if (part.isEmpty() || part.contains("*")) {
-            throw new IllegalArgumentException("'" + name + "' has a wildcard in a position where none is allowed");
+            throw new IllegalArgumentException(
+                    "'" + name + "' must be an exact name, *.suffix, .suffix or prefix.*, with no other wildcard");
         }
         return part;
     }
@@ -77,7 +78,7 @@
         regexes.add(new Regex<>(pattern, host));
     }
 
-    /** Sets the host for requests that no name matches. */
+    /** Sets the host for requests whose host matches no name. */
     public void defaultHost(T host) {
         defaultHost = host;
     }
@@ -91,7 +92,10 @@
         return name.toLowerCase(Locale.ROOT);
     }
 
-    /** Returns null only if no name matches and there is no default. */
+    /**
+     * Finds the host by the value of a Host header, null if there is none. Returns null only if no name matches
+     * and there is no default.
+     */
     public Match<T> find(String host) {
         String name = host == null ? "" : normalize(host);
         T found = exact.get(name);
--- a/src/main/java/gullspar/route/PathTable.java
+++ b/src/main/java/gullspar/route/PathTable.java
@@ -49,13 +49,13 @@
     private final PrefixTree<Location<T>> prefixes = new PrefixTree<>();
     private final List<Location<T>> regexes = new ArrayList<>();
 
-    /** Adds a location with its nested ones, or null for none; returns false if it exists already. */
+    /** Adds an exact path or a prefix; nested is null for none. Returns false if the location exists already. */
     public boolean add(Kind kind, String text, T target, PathTable<T> nested) {
         Location<T> location = new Location<>(kind, text, null, target, nested);
         return kind == Kind.EXACT ? exact.putIfAbsent(text, location) == null : prefixes.add(text, location);
     }
 
-    /** Adds a regular expression after the existing ones. */
+    /** Adds a regular expression, which is tried after the existing ones; nested is null for none. */
     public void add(Pattern pattern, T target, PathTable<T> nested) {
         regexes.add(new Location<>(Kind.REGEX, pattern.pattern(), pattern, target, nested));
     }
@@ -65,7 +65,7 @@
         return find(path, null);
     }
 
-    /** Searches one level; parentMatch is the result if nothing here matches. */
+    /** Searches one level; parentMatch is the result if no location of this level matches. */
     private Match<T> find(String path, Match<T> parentMatch) {
         Location<T> location = exact.get(path);
         if (location != null) {
--- a/src/main/java/gullspar/route/Request.java
+++ b/src/main/java/gullspar/route/Request.java
@@ -3,9 +3,15 @@
 import java.util.List;
 
 /**
- * The parts of a request that routing uses. host is as sent by the client; the path is decoded and normalised;
- * the query is as received, without ?, or null; rawTarget is the target as received; client is the address of
- * the client and port the local port; requestId is the Request-Id header.
+ * The parts of a request that routing uses.
+ *
+ * @param host the Host header as received; null if there is none
+ * @param path the path, decoded and normalised
+ * @param query the query as received, without ?; null if there is none
+ * @param rawTarget the request target as received
+ * @param client the address of the client
+ * @param port the local port
+ * @param requestId the Request-Id header
  */
 public record Request(
         String method,
@@ -18,12 +24,13 @@
         String requestId,
         Headers headers)
         implements Template.VariableResolver {
-    /** Returns the values of a header, empty if it is absent; names are case-insensitive. */
+    /** The headers of a request. */
     public interface Headers {
+        /** Returns the values of a header, empty if it is absent; names are case-insensitive. */
         List<String> all(String name);
     }
 
-    /** A request whose client, port and Request-Id are unknown. */
+    /** Creates a request with no client address and no Request-Id, on port 80. */
     public Request(String method, String host, String path, String query, Headers headers) {
         this(method, host, path, query, query == null ? path : path + "?" + query, "", 80, "", headers);
     }
--- a/src/main/java/gullspar/route/Route.java
+++ b/src/main/java/gullspar/route/Route.java
@@ -5,13 +5,14 @@
 
 /**
  * A route: requests of its location that match its methods (empty for any) and conditions are forwarded to a
- * pool or get a fixed response; exactly one of the two is set.
+ * pool or get a fixed response; exactly one of the two is set, the other is null.
  */
 public record Route(
         String name, Set<String> methods, List<Condition> conditions, PoolTarget pool, FixedResponse fixedResponse) {
     /**
      * Whether a request may be repeated. BY_METHOD: GET, HEAD and OPTIONS are safe, all others are not (RFC
-     * 9110, section 9.2.1).
+     * 9110, section 9.2.1). KEYED: with an Idempotency-Key it may be, as repeats are discarded by key; without
+     * one it must not run twice.
      */
     public enum RequestClass {
         BY_METHOD,
@@ -20,7 +21,7 @@
         UNSAFE
     }
 
-    /** Forwarding to a pool: the class of the requests, their limits, and the changes to both heads. */
+    /** Forwarding to a pool: the class of the requests, their limits, and the changes to the headers. */
     public record PoolTarget(
             String pool,
             RequestClass requestClass,
--- a/src/main/java/gullspar/route/Router.java
+++ b/src/main/java/gullspar/route/Router.java
@@ -30,6 +30,7 @@
         this.hosts = hosts;
     }
 
+    /** Finds the route of a request; the result is never null. */
     public Result find(Request r) {
         return find(r, null);
     }
@@ -41,6 +42,7 @@
         return explanation;
     }
 
+    /** Adds a line to the explanation for each step, unless it is null. */
     private Result find(Request r, List<String> explanation) {
         HostTable.Match<Host> host = hosts.find(r.host());
         if (host == null) {
--- a/src/main/java/gullspar/route/ServerRotation.java
+++ b/src/main/java/gullspar/route/ServerRotation.java
@@ -5,9 +5,10 @@
 
 /**
  * Selects the servers of a pool that are listed to its decision module: the primaries that are neither ejected
- * nor at their connection limit; without any, such backups; and if all servers are ejected, every primary,
- * since a pool with an empty list could not notice that a server has recovered. If a server that is not ejected
- * is at its connection limit, ejected primaries stay unlisted and requests wait for a connection.
+ * nor at their connection limit; if there are none, the backups that are neither; and if all servers are ejected,
+ * every primary below its connection limit, since a pool with an empty list could not notice that a server has
+ * recovered. If a server that is not ejected is at its connection limit, ejected primaries stay unlisted and
+ * requests wait for a connection. Servers that are configured as down are never listed.
  * A server is ejected for failNs after maxFailures failures within failNs. The class reads no clock: callers
  * pass the time in ns from any origin, and it must not go back.
  */
@@ -22,7 +23,9 @@
         public ServerSpec {
             if (!(weight > 0) || maxFailures < 0 || failNs < 0 || slowStartNs < 0) {
                 throw new IllegalArgumentException(
-                        "a server needs a weight above 0 and cannot have " + "negative settings: " + name);
+                        "server " + name + ": the weight must be above 0, and no setting negative: weight " + weight
+                                + ", maxFailures " + maxFailures + ", failNs " + failNs + ", slowStartNs "
+                                + slowStartNs);
             }
         }
     }
@@ -33,6 +36,7 @@
     /** The number of list updates in which a weight rises during slow start. */
     private static final int SLOW_START_STEPS = 50;
 
+    /** The shortest time between two list updates of a slow start. */
     private static final long MIN_STEP_NS = 50_000_000L;
 
     private static final class ServerState {
@@ -129,7 +133,10 @@
         return Math.max(nextNs, nowNs);
     }
 
-    /** Returns the servers that the decision module may choose from, in the order of the settings. */
+    /**
+     * Returns the servers that the decision module may choose from, in the order of the settings. Ends the
+     * ejections whose time has passed.
+     */
     public List<WeightedServer> listedServers(long nowNs) {
         for (ServerState s : servers) {
             if (s.ejected && nowNs >= s.ejectedUntilNs) {
@@ -160,7 +167,7 @@
         return s.returnedAtNs != Long.MIN_VALUE && nowNs - s.returnedAtNs < s.spec.slowStartNs();
     }
 
-    /** Rises linearly from a hundredth of the configured weight to all of it during slow start. */
+    /** Returns the weight: during slow start it rises linearly from a hundredth of the configured one to all of it. */
     private static double currentWeight(ServerState s, long nowNs) {
         return !isInSlowStart(s, nowNs)
                 ? s.spec.weight()
--- a/src/main/java/gullspar/route/Template.java
+++ b/src/main/java/gullspar/route/Template.java
@@ -7,8 +7,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A text with variables of a request: ${client}, ${header.X-Name} and so on; $${ stands for a literal ${. A
- * variable without a value expands to an empty string.
+ * A text with variables of a request, such as ${client} and ${header.X-Name}; ${0} to ${9} are the groups of the
+ * regular expression that matched; $${ stands for a literal ${. A variable without a value expands to an empty
+ * string.
  */
 public final class Template {
     /** Resolves the name of a variable; null or empty if it has no value. */
@@ -43,7 +44,7 @@
         this.parts = List.copyOf(parts);
     }
 
-    /** Throws IllegalArgumentException for an unknown variable or an unclosed brace. */
+    /** Parses a template; throws IllegalArgumentException for an unknown variable or an unclosed brace. */
     public static Template parse(String text) {
         List<Part> parts = new ArrayList<>();
         StringBuilder literal = new StringBuilder();
@@ -113,7 +114,7 @@
         return source.hashCode();
     }
 
-    /** Returns the value of a cookie from the values of Cookie headers; empty if it is absent. */
+    /** Returns the value of a cookie from the values of Cookie headers; empty if absent. Names are case-sensitive. */
     public static String cookie(List<String> headers, String name) {
         for (String h : headers) {
             for (String pair : h.split(";")) {
@@ -126,7 +127,7 @@
         return "";
     }
 
-    /** Returns the value of a query argument, not decoded; empty if it is absent. */
+    /** Returns the value of a query argument, not decoded; empty if absent. Names are case-insensitive. */
     public static String queryArgument(String query, String name) {
         if (query != null) {
             for (String pair : query.split("&")) {
