--- a/src/test/java/gullspar/route/PathTableTest.java
+++ b/src/test/java/gullspar/route/PathTableTest.java
@@ -18,19 +18,19 @@
     private final PathTable<String> paths = new PathTable<>();
 
     private String find(String path) {
-        PathTable.Match<String> f = paths.find(path);
-        return f == null ? null : f.target();
+        PathTable.Match<String> match = paths.find(path);
+        return match == null ? null : match.target();
     }
 
-    private void prefix(String text) {
+    private void addPrefix(String text) {
         assertTrue(paths.add(Kind.PREFIX, text, text, null));
     }
 
     @Test
     void matchesExactBeforePrefixAndRegexBeforePlainPrefix() {
         paths.add(Kind.EXACT, "/", "the root", null);
-        prefix("/");
-        prefix("/documents/");
+        addPrefix("/");
+        addPrefix("/documents/");
         paths.add(Kind.PREFIX_ENDS, "/images/", "/images/", null);
         paths.add(Pattern.compile("\\.(gif|jpe?g)$", Pattern.CASE_INSENSITIVE), "pictures", null);
         assertEquals("the root", find("/"));
@@ -44,9 +44,9 @@
 
     @Test
     void matchesPrefixesThatDoNotEndAtASlash() {
-        prefix("/a");
-        prefix("/ab");
-        prefix("/abc/d");
+        addPrefix("/a");
+        addPrefix("/ab");
+        addPrefix("/abc/d");
         assertEquals("/ab", find("/abc"));
         assertEquals("/abc/d", find("/abc/de"));
         assertEquals("/a", find("/a"));
@@ -97,7 +97,7 @@
         assertEquals("any", find("/else"));
     }
 
-    /** Compares the tree with a linear search, over random prefixes and paths of few letters. */
+    /** Compares the tree with a linear search, for random prefixes and paths from an alphabet of three characters. */
     @Test
     void prefixTreeFindsTheLongestPrefix() {
         SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/gullspar/route/ServerRotationTest.java
+++ b/src/test/java/gullspar/route/ServerRotationTest.java
@@ -9,14 +9,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Selecting the servers of a pool that are listed. */
+/** Selecting the servers of a pool that are listed to its decision module. */
 class ServerRotationTest {
+    /** A server that is ejected for 100 ns after two failures within 100 ns. */
     private static ServerSpec server(String name, double weight, boolean backup) {
         return new ServerSpec(name, weight, backup, false, 2, 100, 0);
     }
 
-    private static List<String> names(ServerRotation m, long now) {
-        return m.listedServers(now).stream().map(l -> l.server().name()).toList();
+    private static List<String> names(ServerRotation rotation, long now) {
+        return rotation.listedServers(now).stream().map(l -> l.server().name()).toList();
     }
 
     private final ServerRotation pool = new ServerRotation(List.of(
@@ -65,42 +66,42 @@
 
     @Test
     void neverEjectsTheOnlyServer() {
-        ServerRotation one = new ServerRotation(List.of(server("a", 1, false)));
+        ServerRotation rotation = new ServerRotation(List.of(server("a", 1, false)));
         for (int i = 0; i < 10; i++) {
-            assertFalse(one.onFailure("a", i));
+            assertFalse(rotation.onFailure("a", i));
         }
-        assertEquals(List.of("a"), names(one, 10));
+        assertEquals(List.of("a"), names(rotation, 10));
     }
 
     @Test
     void zeroMaxFailuresDisablesEjection() {
-        ServerRotation m =
+        ServerRotation rotation =
                 new ServerRotation(List.of(new ServerSpec("a", 1, false, false, 0, 100, 0), server("b", 1, false)));
-        assertFalse(m.onFailure("a", 0));
-        assertFalse(m.onFailure("a", 0));
-        assertFalse(m.onFailure("unknown", 0));
-        assertEquals(List.of("a", "b"), names(m, 0));
+        assertFalse(rotation.onFailure("a", 0));
+        assertFalse(rotation.onFailure("a", 0));
+        assertFalse(rotation.onFailure("unknown", 0));
+        assertEquals(List.of("a", "b"), names(rotation, 0));
     }
 
     @Test
     void slowStartRaisesTheWeightAfterAnEjection() {
-        ServerRotation m =
+        ServerRotation rotation =
                 new ServerRotation(List.of(new ServerSpec("a", 10, false, false, 1, 100, 1000), server("b", 1, false)));
-        assertEquals(10, m.listedServers(0).get(0).weight(), "it has not been ejected");
-        m.onFailure("a", 0);
-        assertEquals(0.1, m.listedServers(100).get(0).weight(), 1e-9);
-        assertEquals(5, m.listedServers(600).get(0).weight(), 1e-9);
-        assertEquals(10, m.listedServers(1100).get(0).weight());
+        assertEquals(10, rotation.listedServers(0).get(0).weight(), "it has not been ejected");
+        rotation.onFailure("a", 0);
+        assertEquals(0.1, rotation.listedServers(100).get(0).weight(), 1e-9);
+        assertEquals(5, rotation.listedServers(600).get(0).weight(), 1e-9);
+        assertEquals(10, rotation.listedServers(1100).get(0).weight());
     }
 
     @Test
     void slowStartSchedulesFurtherListChanges() {
-        ServerRotation m = new ServerRotation(
+        ServerRotation rotation = new ServerRotation(
                 List.of(new ServerSpec("a", 10, false, false, 1, 100, 10_000_000_000L), server("b", 1, false)));
-        m.onFailure("a", 0);
-        m.listedServers(100);
-        assertEquals(100 + 200_000_000L, m.nextChangeAtNs(100));
-        assertEquals(Long.MAX_VALUE, m.nextChangeAtNs(10_000_000_100L));
+        rotation.onFailure("a", 0);
+        rotation.listedServers(100);
+        assertEquals(100 + 200_000_000L, rotation.nextChangeAtNs(100));
+        assertEquals(Long.MAX_VALUE, rotation.nextChangeAtNs(10_000_000_100L));
     }
 
     @Test
