--- a/src/main/java/gullspar/config/FieldParsers.java
+++ b/src/main/java/gullspar/config/FieldParsers.java
@@ -14,7 +14,7 @@
 
     private FieldParsers() {}
 
-    /** Reads an IP address and a port, without name lookup; null, and a problem, if it is invalid. */
+    /** Reads an IP address and a port from 0 to 65535, without name lookup; null, and a problem, if it is invalid. */
     static InetSocketAddress address(TableReader f, String key) {
         String text = f.string(key);
         int colon = text.lastIndexOf(':');
