--- a/src/main/java/gullspar/cli/ConfigCommands.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -42,11 +42,11 @@
 
         @Override
         public Integer call() {
-            return InputFiles.read(file, f -> {
-                                String text = Files.readString(f);
+            return InputFiles.read(file, path -> {
+                                String text = Files.readString(path);
                                 return OperatorsFile.hasOnlyProcessTables(text)
-                                        ? OperatorsFile.parse(text, f.toString())
-                                        : SiteReader.parse(text, f.toString());
+                                        ? OperatorsFile.parse(text, path.toString())
+                                        : SiteReader.parse(text, path.toString());
                             })
                             == null
                     ? 2
@@ -84,15 +84,15 @@
             if (site == null) {
                 return 2;
             }
-            Request r = request();
+            Request request = parseRequest();
             Router router = site.router(port());
-            router.explain(r).forEach(System.out::println);
-            Router.Result found = router.find(r);
+            router.explain(request).forEach(System.out::println);
+            Router.Result found = router.find(request);
             if (found.route() == null) {
                 System.out.println("answer " + found.status());
                 return 1;
             }
-            printTarget(found, r, site);
+            printTarget(found, request, site);
             return 0;
         }
 
@@ -101,18 +101,23 @@
             return port < 0 ? 80 : port;
         }
 
-        private Request request() {
+        private Request parseRequest() {
             try {
-                URI u = new URI(url);
-                if (u.getHost() == null) {
+                URI uri = new URI(url);
+                if (uri.getHost() == null) {
                     throw new ParameterException(
                             spec.commandLine(), "'" + url + "' is not of the form http://host/path");
                 }
-                String path = u.getPath() == null || u.getPath().isEmpty() ? "/" : u.getPath();
+                String path = uri.getPath() == null || uri.getPath().isEmpty() ? "/" : uri.getPath();
                 return new Request(
-                        method.toUpperCase(Locale.ROOT), u.getHost(), path, u.getRawQuery(), name -> headers.stream()
-                                .filter(h -> h.regionMatches(true, 0, name + ":", 0, name.length() + 1))
-                                .map(h -> h.substring(name.length() + 1).trim())
+                        method.toUpperCase(Locale.ROOT),
+                        uri.getHost(),
+                        path,
+                        uri.getRawQuery(),
+                        name -> headers.stream()
+                                .filter(header -> header.regionMatches(true, 0, name + ":", 0, name.length() + 1))
+                                .map(header ->
+                                        header.substring(name.length() + 1).trim())
                                 .toList());
             } catch (URISyntaxException e) {
                 throw new ParameterException(spec.commandLine(), "'" + url + "': " + e.getReason());
@@ -120,7 +125,7 @@
         }
 
         /** The value of a template variable: a group of the matched path, or an attribute of the request. */
-        private static String templateValue(Router.Result found, Request r, String name) {
+        private static String templateValue(Router.Result found, Request request, String name) {
             if (name.equals("route")) {
                 return found.route().name();
             }
@@ -129,13 +134,13 @@
             }
             int group = Character.digit(name.charAt(0), 10);
             return group < 0
-                    ? r.resolve(name)
+                    ? request.resolve(name)
                     : group < found.groups().size() ? found.groups().get(group) : "";
         }
 
-        private static void printTarget(Router.Result found, Request r, Site site) {
+        private static void printTarget(Router.Result found, Request request, Site site) {
             Route route = found.route();
-            Template.VariableResolver values = name -> templateValue(found, r, name);
+            Template.VariableResolver values = name -> templateValue(found, request, name);
             if (route.fixedResponse() != null) {
                 System.out.println("answer " + route.fixedResponse().status()
                         + (route.fixedResponse().location() == null
@@ -144,26 +149,26 @@
                                         + route.fixedResponse().location().expand(values)));
                 return;
             }
-            Route.PoolTarget toPool = route.pool();
-            System.out.println("pool " + toPool.pool() + ", class "
-                    + Route.resolveClass(toPool.requestClass(), r.method())
+            Route.PoolTarget target = route.pool();
+            System.out.println("pool " + target.pool() + ", class "
+                    + Route.resolveClass(target.requestClass(), request.method())
                             .name()
                             .toLowerCase(Locale.ROOT) + ", within "
-                    + toPool.limits().deadlineNs() / 1_000_000 + " ms, at most "
-                    + toPool.limits().maxAttempts() + " attempts");
-            System.out.println("sends " + r.method() + " " + toPool.rewrite().apply(r.path())
-                    + (r.query() == null ? "" : "?" + r.query()));
-            toPool.requestHeaders()
+                    + target.limits().deadlineNs() / 1_000_000 + " ms, at most "
+                    + target.limits().maxAttempts() + " attempts");
+            System.out.println("sends " + request.method() + " "
+                    + target.rewrite().apply(request.path()) + (request.query() == null ? "" : "?" + request.query()));
+            target.requestHeaders()
                     .set()
                     .forEach((name, value) -> System.out.println("  " + name + ": " + value.expand(values)));
-            toPool.requestHeaders().remove().forEach(name -> System.out.println("  without " + name));
-            Site.Pool pool = site.pools().get(toPool.pool());
+            target.requestHeaders().remove().forEach(name -> System.out.println("  without " + name));
+            Site.Pool pool = site.pools().get(target.pool());
             if (pool.discovery() != null) {
                 System.out.println("  servers from " + pool.discovery());
             }
             pool.servers()
-                    .forEach(s -> System.out.println("  server " + s.name() + " weight " + s.weight()
-                            + (s.backup() ? " backup" : "") + (s.down() ? " down" : "")));
+                    .forEach(server -> System.out.println("  server " + server.name() + " weight " + server.weight()
+                            + (server.backup() ? " backup" : "") + (server.down() ? " down" : "")));
         }
     }
 }
--- a/src/main/java/gullspar/cli/FleetCommand.java
+++ b/src/main/java/gullspar/cli/FleetCommand.java
@@ -48,13 +48,13 @@
             paramLabel = "HOST:PORT",
             defaultValue = "127.0.0.1:9901",
             description = "The operators' address of a member (${DEFAULT-VALUE}).")
-    private String at;
+    private String memberAddress;
 
     @Option(names = "--json", description = "Prints the JSON response unchanged.")
-    private boolean json;
+    private boolean printJson;
 
     @Option(names = "--watch", description = "Repeats every second, until Ctrl-C.")
-    private boolean watch;
+    private boolean repeat;
 
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
@@ -63,40 +63,40 @@
     public Integer call() throws InterruptedException {
         URI uri;
         try {
-            uri = URI.create("http://" + at + "/_fleet");
+            uri = URI.create("http://" + memberAddress + "/_fleet");
             if (uri.getHost() == null || uri.getPort() < 0) {
                 throw new IllegalArgumentException("no host and port");
             }
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), "--at is '" + at + "', expected HOST:PORT");
+            throw new ParameterException(spec.commandLine(), "--at is '" + memberAddress + "', expected HOST:PORT");
         }
-        int code = fetchAndPrint(uri);
-        while (watch && code != 1) {
+        int exitCode = fetchAndPrint(uri);
+        while (repeat && exitCode != 1) {
             Thread.sleep(1000);
             System.out.println();
-            code = fetchAndPrint(uri);
+            exitCode = fetchAndPrint(uri);
         }
-        return code;
+        return exitCode;
     }
 
     private int fetchAndPrint(URI uri) throws InterruptedException {
         try {
-            HttpResponse<String> r = client.send(
+            HttpResponse<String> response = client.send(
                     HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
-            if (r.statusCode() != 200) {
-                System.err.println(at + " responded with status " + r.statusCode()
-                        + (r.statusCode() == 404 ? ": it is not a member of a fleet" : ""));
+            if (response.statusCode() != 200) {
+                System.err.println(memberAddress + " responded with status " + response.statusCode()
+                        + (response.statusCode() == 404 ? ": it is not a member of a fleet" : ""));
                 return 1;
             }
-            JsonNode view = new ObjectMapper().readTree(r.body());
-            if (json) {
-                System.out.println(r.body());
+            JsonNode view = new ObjectMapper().readTree(response.body());
+            if (printJson) {
+                System.out.println(response.body());
             } else {
                 formatLines(view).forEach(System.out::println);
             }
             return view.path("cut_off").asBoolean() ? EXIT_CUT_OFF : 0;
         } catch (IOException e) {
-            System.err.println(at + " does not respond: " + (e.getMessage() == null ? e : e.getMessage()));
+            System.err.println(memberAddress + " does not respond: " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
         }
     }
@@ -127,48 +127,49 @@
                 "told",
                 "req/s",
                 ""));
-        for (JsonNode m : view.path("members")) {
+        for (JsonNode member : view.path("members")) {
             List<String> notes = new ArrayList<>();
-            if (m.path("self").asBoolean()) {
+            if (member.path("self").asBoolean()) {
                 notes.add("this one");
             }
-            if (m.path("twin").asBoolean()) {
+            if (member.path("twin").asBoolean()) {
                 notes.add("TWIN: two processes run under this name, life "
-                        + m.path("life").asText());
+                        + member.path("life").asText());
             }
-            if (m.has("why")) {
-                String why = m.path("why").asText();
+            if (member.has("why")) {
+                String why = member.path("why").asText();
                 notes.add(why.contains(" ") ? why : "accused by " + why);
             }
-            if (m.path("only_by_others").asBoolean()) {
+            if (member.path("only_by_others").asBoolean()) {
                 notes.add("responds only to other members");
             }
-            if (!m.path("agrees").asBoolean(true) && !m.path("status").asText().equals("gone")) {
+            if (!member.path("agrees").asBoolean(true)
+                    && !member.path("status").asText().equals("gone")) {
                 notes.add("has a different view");
             }
             lines.add(String.format(
                             Locale.ROOT,
                             "  %-16s %-9s %8s %-9s %-12s %-8s %8s %7.1f  %s",
-                            m.path("name").asText(),
-                            m.path("status").asText(),
-                            formatDuration(m.path("since_s").asDouble()),
-                            m.path("phase").asText(),
-                            m.path("version").asText(),
-                            m.path("zone").asText(),
-                            formatDuration(m.path("told_s").asDouble()),
-                            m.path("requests_per_s").asDouble(),
+                            member.path("name").asText(),
+                            member.path("status").asText(),
+                            formatDuration(member.path("since_s").asDouble()),
+                            member.path("phase").asText(),
+                            member.path("version").asText(),
+                            member.path("zone").asText(),
+                            formatDuration(member.path("told_s").asDouble()),
+                            member.path("requests_per_s").asDouble(),
                             String.join("; ", notes))
                     .stripTrailing());
         }
         return lines;
     }
 
-    private static String formatDuration(double s) {
-        return s < 120
-                ? String.format(Locale.ROOT, "%.0fs", s)
-                : s < 7200
-                        ? String.format(Locale.ROOT, "%.0fm", s / 60)
-                        : String.format(Locale.ROOT, "%.0fh", s / 3600);
+    private static String formatDuration(double seconds) {
+        return seconds < 120
+                ? String.format(Locale.ROOT, "%.0fs", seconds)
+                : seconds < 7200
+                        ? String.format(Locale.ROOT, "%.0fm", seconds / 60)
+                        : String.format(Locale.ROOT, "%.0fh", seconds / 3600);
     }
 
     /** Generates a fleet key. */
--- a/src/main/java/gullspar/cli/ImportCommand.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -64,7 +64,7 @@
         private List<Path> files;
 
         @Option(names = "-o", paramLabel = "OUT", description = "Writes to this file instead of standard output.")
-        private Path out;
+        private Path outputFile;
 
         @Option(
                 names = "--report",
@@ -74,29 +74,29 @@
         private ReportFormat reportFormat = ReportFormat.text;
 
         @Option(names = "--partial", description = "Writes the result even if some directives cannot be translated.")
-        private boolean partial;
+        private boolean allowPartial;
 
         @Option(
                 names = "--host",
                 paramLabel = "NAME=ADDRESS",
                 description = "The IP address of a host name in the files; may be repeated.")
-        private Map<String, String> hosts = new LinkedHashMap<>();
+        private Map<String, String> hostAddresses = new LinkedHashMap<>();
 
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            Importer.Result imported = Importer.read(files, hosts, problems);
+            Importer.Result imported = Importer.read(files, hostAddresses, problems);
             if (imported == null) {
                 problems.forEach(System.err::println);
                 return 2;
             }
             List<Entry> entries = imported.report().entries(imported.directives());
             if (reportFormat == ReportFormat.json) {
-                (out == null ? System.err : System.out).println(json(entries));
+                (outputFile == null ? System.err : System.out).println(formatJson(entries));
             } else {
                 printReport(entries);
             }
-            if (!imported.report().isComplete() && !partial) {
+            if (!imported.report().isComplete() && !allowPartial) {
                 System.err.println(
                         "nothing is written: directives above cannot be translated; use --partial to write the rest");
                 return 3;
@@ -106,39 +106,39 @@
 
         private int write(String toml) {
             try {
-                SiteReader.parse(toml, out == null ? "(result)" : out.toString());
+                SiteReader.parse(toml, outputFile == null ? "(result)" : outputFile.toString());
             } catch (ProblemsException e) {
                 System.err.println("the translated configuration is not valid:\n" + e.getMessage());
-                if (!partial) {
+                if (!allowPartial) {
                     return 1;
                 }
             }
-            if (out == null) {
+            if (outputFile == null) {
                 System.out.print(toml);
                 System.out.flush();
                 return 0;
             }
             try {
-                Files.writeString(out, toml);
+                Files.writeString(outputFile, toml);
                 return 0;
             } catch (IOException e) {
-                System.err.println(out + ": cannot be written: " + e.getMessage());
+                System.err.println(outputFile + ": cannot be written: " + e.getMessage());
                 return 1;
             }
         }
 
-        private static String verdictText(Verdict v) {
-            return v.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        private static String verdictText(Verdict verdict) {
+            return verdict.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
         /** Prints untranslatable directives and remarks, then the number of directives by verdict. */
         private static void printReport(List<Entry> entries) {
             int[] counts = new int[Verdict.values().length];
-            for (Entry e : entries) {
-                counts[e.verdict().ordinal()]++;
-                if (!e.reason().isEmpty()) {
-                    System.err.println(e.directive().position() + ": " + verdictText(e.verdict()) + ": "
-                            + e.directive().name().text() + ": " + e.reason());
+            for (Entry entry : entries) {
+                counts[entry.verdict().ordinal()]++;
+                if (!entry.reason().isEmpty()) {
+                    System.err.println(entry.directive().position() + ": " + verdictText(entry.verdict()) + ": "
+                            + entry.directive().name().text() + ": " + entry.reason());
                 }
             }
             System.err.println(entries.size() + " directives: " + counts[Verdict.TRANSLATED.ordinal()]
@@ -146,21 +146,26 @@
                     + counts[Verdict.NOT_TRANSLATABLE.ordinal()] + " not translatable");
         }
 
-        private static String json(List<Entry> entries) throws IOException {
+        private static String formatJson(List<Entry> entries) throws IOException {
             StringWriter text = new StringWriter();
-            try (JsonGenerator g = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
-                g.writeStartArray();
-                for (Entry e : entries) {
-                    g.writeStartObject();
-                    g.writeStringField("file", e.directive().position().file().toString());
-                    g.writeNumberField("line", e.directive().position().line());
-                    g.writeNumberField("column", e.directive().position().column());
-                    g.writeStringField("directive", e.directive().name().text());
-                    g.writeStringField("verdict", verdictText(e.verdict()));
-                    g.writeStringField("why", e.reason());
-                    g.writeEndObject();
+            try (JsonGenerator generator =
+                    new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+                generator.writeStartArray();
+                for (Entry entry : entries) {
+                    generator.writeStartObject();
+                    generator.writeStringField(
+                            "file", entry.directive().position().file().toString());
+                    generator.writeNumberField(
+                            "line", entry.directive().position().line());
+                    generator.writeNumberField(
+                            "column", entry.directive().position().column());
+                    generator.writeStringField(
+                            "directive", entry.directive().name().text());
+                    generator.writeStringField("verdict", verdictText(entry.verdict()));
+                    generator.writeStringField("why", entry.reason());
+                    generator.writeEndObject();
                 }
-                g.writeEndArray();
+                generator.writeEndArray();
             }
             return text.toString();
         }
--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -54,119 +54,125 @@
     private CommandSpec spec;
 
     @Parameters(arity = "0..1", paramLabel = "SCRIPT", description = "The script to play.")
-    private Path script;
+    private Path scriptFile;
 
     @Option(names = "--seed", paramLabel = "N", description = "Overrides the script's seed.")
     private Integer seed;
 
     @Option(names = "--log", paramLabel = "FILE", description = "Writes the decision log to this file.")
-    private Path log;
+    private Path logFile;
 
     @Option(names = "--live", description = "Plays it in real time, with real daemon processes on loopback.")
-    private boolean live;
+    private boolean playLive;
 
     @Option(names = "--report", paramLabel = "FILE", description = "Writes an HTML report to this file.")
-    private Path report;
+    private Path reportFile;
 
     @Option(names = "--json", description = "Prints the result as JSON.")
-    private boolean json;
+    private boolean printJson;
 
     @Override
     public Integer call() {
-        if (script == null) {
+        if (scriptFile == null) {
             throw new ParameterException(spec.commandLine(), "missing script");
         }
-        Script s = InputFiles.read(script, ScriptReader::read);
-        if (s == null) {
+        Script script = InputFiles.read(scriptFile, ScriptReader::read);
+        if (script == null) {
             return EXIT_USAGE;
         }
-        s = seed == null ? s : s.withSeed(seed);
-        for (Path p : Stream.of(log, report).filter(Objects::nonNull).toList()) {
+        script = seed == null ? script : script.withSeed(seed);
+        for (Path path : Stream.of(logFile, reportFile).filter(Objects::nonNull).toList()) {
             // Checked before the day is played, not after.
-            if (!Files.isDirectory(p.toAbsolutePath().getParent()) || Files.isDirectory(p)) {
+            if (!Files.isDirectory(path.toAbsolutePath().getParent()) || Files.isDirectory(path)) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        p + " cannot be written: its folder does not exist, or it is a folder itself");
+                        path + " cannot be written: its folder does not exist, or it is a folder itself");
             }
         }
         Terminal terminal = new Terminal();
-        DayResult played;
-        if (live && log != null) {
+        DayResult result;
+        if (playLive && logFile != null) {
             throw new ParameterException(
                     spec.commandLine(), "--log requires virtual time and cannot be combined with --live");
         }
         try {
-            played = live ? LivePlay.play(s, terminal) : playVirtual(s, terminal);
-            if (report != null) {
-                Files.writeString(report, HtmlReport.render(played));
+            result = playLive ? LivePlay.play(script, terminal) : playVirtual(script, terminal);
+            if (reportFile != null) {
+                Files.writeString(reportFile, HtmlReport.render(result));
             }
         } catch (IOException e) {
             System.err.println("the script cannot be played: " + e.getMessage());
             return EXIT_FAILED;
         } finally {
-            terminal.clear();
+            terminal.clearStatus();
         }
-        played.notes().forEach(note -> System.err.println("note: " + note));
-        if (json) {
-            System.out.println(JsonReport.render(played));
+        result.notes().forEach(note -> System.err.println("note: " + note));
+        if (printJson) {
+            System.out.println(JsonReport.render(result));
         } else {
             if (terminal.isInteractive()) {
-                summaryLines(played).forEach(System.out::println);
+                summaryLines(result).forEach(System.out::println);
             }
-            if (!live) {
-                System.out.println("decisions " + played.decisionCount() + " sha256 " + played.decisionHash());
+            if (!playLive) {
+                System.out.println("decisions " + result.decisionCount() + " sha256 " + result.decisionHash());
             }
         }
-        return played.verdict().hasNoViolations() ? 0 : reportBroken(played);
+        return result.verdict().hasNoViolations() ? 0 : reportViolations(result);
     }
 
-    private DayResult playVirtual(Script s, Terminal terminal) throws IOException {
-        try (Writer decisions = log == null ? null : Files.newBufferedWriter(log)) {
-            return VirtualPlay.play(s, VirtualPlay.Options.withDecisionLog(decisions, terminal));
+    private DayResult playVirtual(Script script, Terminal terminal) throws IOException {
+        try (Writer decisionLog = logFile == null ? null : Files.newBufferedWriter(logFile)) {
+            return VirtualPlay.play(script, VirtualPlay.Options.withDecisionLog(decisionLog, terminal));
         }
     }
 
-    private int reportBroken(DayResult played) {
-        RuleViolation first = played.verdict().violations().get(0);
+    private int reportViolations(DayResult result) {
+        RuleViolation first = result.verdict().violations().get(0);
         System.err.println("BROKEN: " + first.rule().description()
-                + (played.verdict().violations().size() > 1
-                        ? " (and " + (played.verdict().violations().size() - 1) + " more)"
+                + (result.verdict().violations().size() > 1
+                        ? " (and " + (result.verdict().violations().size() - 1) + " more)"
                         : ""));
         System.err.printf(
                 Locale.ROOT,
                 "at %.6f s: %s%n",
-                (first.atNs() - played.eventLog().start()) / 1e9,
+                (first.atNs() - result.eventLog().start()) / 1e9,
                 first.description());
         if (first.request() != null) {
-            RequestTrace.of(first.request(), played.eventLog()).forEach(line -> System.err.println("  " + line));
+            RequestTrace.of(first.request(), result.eventLog()).forEach(line -> System.err.println("  " + line));
         }
-        System.err.println("play it again: ./gullspar rehearse " + script + " --seed "
-                + played.script().seed() + (live ? " --live" : ""));
+        System.err.println("play it again: ./gullspar rehearse " + scriptFile + " --seed "
+                + result.script().seed() + (playLive ? " --live" : ""));
         return EXIT_FAILED;
     }
 
-    private static List<String> summaryLines(DayResult played) {
-        Verdict v = played.verdict();
+    private static List<String> summaryLines(DayResult result) {
+        Verdict verdict = result.verdict();
         return List.of(
                 String.format(
                         Locale.ROOT,
                         "%s, seed %d: %d orders in %.0f s, played in %.1f s",
-                        played.script().title(),
-                        played.script().seed(),
-                        v.orders(),
-                        played.script().seconds(),
-                        played.wallTimeNs() / 1e9),
-                String.format(Locale.ROOT, "  service        %.4f of the worth asked for", v.service()),
-                String.format(Locale.ROOT, "  worst 10 s     %.4f, from %.0f s", v.worst10s(), v.worstFromNs() / 1e9),
-                String.format(Locale.ROOT, "  worst class    %.4f, %s", v.worstClass(), v.worstClassName()),
+                        result.script().title(),
+                        result.script().seed(),
+                        verdict.orders(),
+                        result.script().seconds(),
+                        result.wallTimeNs() / 1e9),
+                String.format(Locale.ROOT, "  service        %.4f of the worth asked for", verdict.service()),
+                String.format(
+                        Locale.ROOT,
+                        "  worst 10 s     %.4f, from %.0f s",
+                        verdict.worst10s(),
+                        verdict.worstFromNs() / 1e9),
+                String.format(Locale.ROOT, "  worst class    %.4f, %s", verdict.worstClass(), verdict.worstClassName()),
                 "  tries          "
-                        + v.counts().entrySet().stream()
+                        + verdict.counts().entrySet().stream()
                                 .filter(e -> e.getValue() > 0)
                                 .map(e -> e.getValue() + " " + e.getKey())
                                 .collect(Collectors.joining(", ")),
-                "  ran twice      " + v.duplicateEffects() + " keyed orders, by their clients' own retries",
+                "  ran twice      " + verdict.duplicateEffects() + " keyed orders, by their clients' own retries",
                 "  rules          "
-                        + (v.hasNoViolations() ? "all kept" : v.violations().size() + " times broken"));
+                        + (verdict.hasNoViolations()
+                                ? "all kept"
+                                : verdict.violations().size() + " times broken"));
     }
 
     /** Compares two decision logs. */
@@ -181,15 +187,15 @@
             exitCodeList = {"0:identical", "1:different", "2:wrong usage, or a file that is not a decision log"})
     static final class Diff implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A", description = "The first decision log.")
-        private Path a;
+        private Path firstLog;
 
         @Parameters(index = "1", paramLabel = "B", description = "The second decision log.")
-        private Path b;
+        private Path secondLog;
 
         @Override
         public Integer call() {
             try {
-                List<String> lines = LogDiff.compare(a, b);
+                List<String> lines = LogDiff.compare(firstLog, secondLog);
                 lines.forEach(System.out::println);
                 return lines.isEmpty() ? 0 : EXIT_FAILED;
             } catch (LogDiff.MalformedLogException e) {
@@ -213,18 +219,19 @@
     static final class Faults implements Callable<Integer> {
         @Override
         public Integer call() {
-            for (FaultKind k : FaultKind.values()) {
-                System.out.println(k.scriptName() + "  (" + k.target().name().toLowerCase(Locale.ROOT)
-                        + (k.isMomentary() ? "" : ", for") + ")"
-                        + k.parameters().stream()
-                                .map(f -> String.format(
-                                        Locale.ROOT,
-                                        "  %s = %s (%s to %s)",
-                                        f.name(),
-                                        f.defaultValue(),
-                                        f.min(),
-                                        f.max()))
-                                .collect(Collectors.joining()));
+            for (FaultKind kind : FaultKind.values()) {
+                System.out.println(
+                        kind.scriptName() + "  (" + kind.target().name().toLowerCase(Locale.ROOT)
+                                + (kind.isMomentary() ? "" : ", for") + ")"
+                                + kind.parameters().stream()
+                                        .map(parameter -> String.format(
+                                                Locale.ROOT,
+                                                "  %s = %s (%s to %s)",
+                                                parameter.name(),
+                                                parameter.defaultValue(),
+                                                parameter.min(),
+                                                parameter.max()))
+                                        .collect(Collectors.joining()));
             }
             return 0;
         }
--- a/src/main/java/gullspar/cli/SearchCommand.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -36,56 +36,60 @@
     private CommandSpec spec;
 
     @Parameters(paramLabel = "SCRIPT", description = "The fleet and, in [search], what may be drawn.")
-    private Path script;
+    private Path scriptFile;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "100",
             description = "How many days to play (${DEFAULT-VALUE}).")
-    private int seeds;
+    private int dayCount;
 
     @Option(names = "--jobs", paramLabel = "J", description = "Days played in parallel (default: the number of cores).")
-    private Integer jobs;
+    private Integer parallelDays;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "found",
             description = "Folder for scripts and the state of the search (${DEFAULT-VALUE}).")
-    private Path out;
+    private Path outputFolder;
 
     @Override
     public Integer call() {
-        if (seeds < 1 || jobs != null && jobs < 1) {
+        if (dayCount < 1 || parallelDays != null && parallelDays < 1) {
             throw new ParameterException(spec.commandLine(), "--seeds and --jobs must be at least 1");
         }
-        Script s = InputFiles.read(script, ScriptReader::read);
-        if (s == null) {
+        Script script = InputFiles.read(scriptFile, ScriptReader::read);
+        if (script == null) {
             return RehearseCommand.EXIT_USAGE;
         }
         Terminal terminal = new Terminal();
         Search search = new Search(
-                s, seeds, out, VirtualPlay.Options.withDecisionLog(null, ProgressListener.NONE), new Search.Listener() {
+                script,
+                dayCount,
+                outputFolder,
+                VirtualPlay.Options.withDecisionLog(null, ProgressListener.NONE),
+                new Search.Listener() {
                     @Override
-                    public void onProgress(int done, int found, int of) {
-                        terminal.status(done + " of " + of + " days played, " + found + " found");
+                    public void onProgress(int done, int found, int total) {
+                        terminal.showStatus(done + " of " + total + " days played, " + found + " found");
                     }
 
                     @Override
-                    public void onFinding(Finding f, Path file) {
-                        terminal.clear();
-                        System.out.println(file + ": " + f.description());
+                    public void onFinding(Finding finding, Path file) {
+                        terminal.clearStatus();
+                        System.out.println(file + ": " + finding.description());
                     }
                 });
         Runtime.getRuntime().addShutdownHook(new Thread(search::stop));
         try {
-            int found = search.run(jobs == null ? Runtime.getRuntime().availableProcessors() : jobs);
-            terminal.clear();
-            System.out.println(found + " found in " + seeds + " days");
+            int found = search.run(parallelDays == null ? Runtime.getRuntime().availableProcessors() : parallelDays);
+            terminal.clearStatus();
+            System.out.println(found + " found in " + dayCount + " days");
             return found == 0 ? 0 : RehearseCommand.EXIT_FAILED;
         } catch (IOException e) {
-            terminal.clear();
+            terminal.clearStatus();
             System.err.println("the search failed: " + e.getMessage());
             return RehearseCommand.EXIT_FAILED;
         }
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -8,7 +8,7 @@
 final class Terminal implements ProgressListener {
     private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
-    private boolean lineOpen;
+    private boolean hasStatusLine;
 
     /** Whether output goes to an interactive terminal, so that tables and progress are shown. */
     boolean isInteractive() {
@@ -16,27 +16,32 @@
     }
 
     /** Prints a status line, which the next one overwrites. */
-    void status(String text) {
+    void showStatus(String text) {
         if (isInteractive) {
             err.print("\r\u001b[K" + text);
             err.flush();
-            lineOpen = true;
+            hasStatusLine = true;
         }
     }
 
     /** Removes the status line. */
-    void clear() {
-        if (lineOpen) {
+    void clearStatus() {
+        if (hasStatusLine) {
             err.print("\r\u001b[K");
             err.flush();
-            lineOpen = false;
+            hasStatusLine = false;
         }
     }
 
     @Override
-    public void onProgress(double second, double of) {
-        int filled = (int) (30 * second / of);
-        status(String.format(
-                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(filled), ".".repeat(30 - filled), second, of));
+    public void onProgress(double second, double totalSeconds) {
+        int filled = (int) (30 * second / totalSeconds);
+        showStatus(String.format(
+                Locale.ROOT,
+                "playing [%s%s] %.0f of %.0f s",
+                "#".repeat(filled),
+                ".".repeat(30 - filled),
+                second,
+                totalSeconds));
     }
 }
--- a/src/main/java/gullspar/cli/TryCommand.java
+++ b/src/main/java/gullspar/cli/TryCommand.java
@@ -35,40 +35,41 @@
     private static final long SHUTDOWN_TIMEOUT_S = 10;
 
     @Option(names = "--seconds", paramLabel = "N", description = "Stops after this many seconds.")
-    private Integer seconds;
+    private Integer stopAfterSeconds;
 
     private boolean hasPrintedInstructions;
 
     @Override
     public Integer call() {
         Terminal terminal = new Terminal();
-        CountDownLatch stop = new CountDownLatch(1);
-        CountDownLatch stopped = new CountDownLatch(1);
+        CountDownLatch stopRequested = new CountDownLatch(1);
+        CountDownLatch hasStopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            stop.countDown();
+                            stopRequested.countDown();
                             try {
-                                stopped.await(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
+                                hasStopped.await(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         },
                         "end"));
-        if (seconds != null) {
-            CompletableFuture.delayedExecutor(seconds, TimeUnit.SECONDS).execute(stop::countDown);
+        if (stopAfterSeconds != null) {
+            CompletableFuture.delayedExecutor(stopAfterSeconds, TimeUnit.SECONDS)
+                    .execute(stopRequested::countDown);
         }
         System.out.println("starting three nodes, discovery and one proxy on loopback ...");
         try {
-            LivePlay.playUntil(script(), now -> printStatus(terminal, now), stop);
-            terminal.clear();
+            LivePlay.playUntil(script(), now -> printStatus(terminal, now), stopRequested);
+            terminal.clearStatus();
             return 0;
         } catch (IOException e) {
-            terminal.clear();
+            terminal.clearStatus();
             System.err.println("cannot start the demonstration fleet: " + e.getMessage());
             return 1;
         } finally {
-            stopped.countDown();
+            hasStopped.countDown();
         }
     }
 
@@ -80,25 +81,26 @@
         }
     }
 
-    private void printStatus(Terminal terminal, LivePlay.Status now) {
+    private void printStatus(Terminal terminal, LivePlay.Status status) {
         if (!hasPrintedInstructions) {
             hasPrintedInstructions = true;
-            String at = "http://" + now.proxyAddress().getAddress().getHostAddress() + ":"
-                    + now.proxyAddress().getPort();
+            String baseUrl = "http://" + status.proxyAddress().getAddress().getHostAddress() + ":"
+                    + status.proxyAddress().getPort();
             System.out.println("ready. Requests to paste into another terminal (each needs a unique " + "id):");
             System.out.println();
-            System.out.println("  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1' " + at + "/look/1");
+            System.out.println(
+                    "  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1' " + baseUrl + "/look/1");
             System.out.println("  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1'"
-                    + " -H 'Idempotency-Key: my-order-1' -d 'two bottles' " + at + "/order/1");
+                    + " -H 'Idempotency-Key: my-order-1' -d 'two bottles' " + baseUrl + "/order/1");
             System.out.println();
             System.out.println("Ctrl-C stops everything.");
         }
-        terminal.status(String.format(
+        terminal.showStatus(String.format(
                 Locale.ROOT,
                 "%d nodes, %.0f orders a second, %.1f %% served in time," + " %d requests by hand",
-                now.nodes(),
-                now.ordersPerS(),
-                100 * now.inTimeShare(),
-                now.manualRequests()));
+                status.nodes(),
+                status.ordersPerS(),
+                100 * status.inTimeShare(),
+                status.manualRequests()));
     }
 }
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -50,7 +50,7 @@
                 || follower.epoch() == version.epoch() && follower.number() < version.number();
     }
 
-    private static String formatLine(Message.FollowerState follower) {
+    private static String formatFollower(Message.FollowerState follower) {
         String disconnected =
                 follower.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", follower.awayMs() / 1e3);
         return String.format(
@@ -64,15 +64,15 @@
     }
 
     /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
-    static int serve(Path follow) {
-        FollowFile file = InputFiles.read(follow, FollowFile::read);
-        if (file == null) {
+    static int serve(Path file) {
+        FollowFile settings = InputFiles.read(file, FollowFile::read);
+        if (settings == null) {
             return 2;
         }
         try {
             return SiteDaemon.run(
-                            follow,
-                            VersionedSource.open(file),
+                            file,
+                            VersionedSource.open(settings),
                             Policy::new,
                             (f, name, platform, load) ->
                                     Membership.start(f, VersionCommands::readOwnSettings, name, platform, load))
@@ -106,17 +106,17 @@
                 required = true,
                 paramLabel = "FILE",
                 description = "The settings of this process (TOML, docs/versions.md).")
-        private Path config;
+        private Path configFile;
 
         @Override
         public Integer call() {
-            ControlFile file = InputFiles.read(config, ControlFile::read);
-            if (file == null) {
+            ControlFile settings = InputFiles.read(configFile, ControlFile::read);
+            if (settings == null) {
                 return 2;
             }
             try {
                 PlatformCommands.configureNetty();
-                ControlDaemon.run(file);
+                ControlDaemon.run(settings);
                 return 0;
             } catch (IOException e) {
                 System.err.println("gullspar: " + reason(e));
@@ -153,7 +153,7 @@
         private Path file;
 
         @Option(names = "--to", required = true, paramLabel = "HOST:PORT", description = "The primary.")
-        private String to;
+        private String primaryAddress;
 
         @Option(
                 names = "--after",
@@ -162,7 +162,7 @@
                     "The number of the version that the file is based on, 0 for none: refused if another was published",
                     "since. Default: the newest version at the time of the call."
                 })
-        private Long after;
+        private Long baseNumber;
 
         @Option(
                 names = "--wait",
@@ -173,18 +173,18 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            InetSocketAddress address = parseAddress(spec, "--to", to);
+            InetSocketAddress address = parseAddress(spec, "--to", primaryAddress);
             String text = InputFiles.read(file, Files::readString);
             if (text == null) {
                 return 2;
             }
-            boolean sent = false;
+            boolean isSent = false;
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
-                long number = after != null
-                        ? after
+                long number = baseNumber != null
+                        ? baseNumber
                         : numberOf(control.request(new Message.StatusRequest(false), Message.StatusResponse.class)
                                 .head());
-                sent = true;
+                isSent = true;
                 Message.Published published =
                         control.request(new Message.Publish(number, file.toString(), text), Message.Published.class);
                 published.lines().forEach(System.err::println);
@@ -195,8 +195,8 @@
                     default -> 1;
                 };
             } catch (IOException e) {
-                System.err.println(to
-                        + (sent
+                System.err.println(primaryAddress
+                        + (isSent
                                 ? " was sent the file but did not respond; 'gullspar versions' shows whether "
                                         + "it was published: "
                                 : " does not respond: ")
@@ -205,8 +205,8 @@
             }
         }
 
-        private static long numberOf(Version v) {
-            return v == null ? 0 : v.number();
+        private static long numberOf(Version version) {
+            return version == null ? 0 : version.number();
         }
 
         private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
@@ -215,7 +215,7 @@
                 Message.StatusResponse status =
                         control.request(new Message.StatusRequest(false), Message.StatusResponse.class);
                 List<Message.FollowerState> missing = status.states().stream()
-                        .filter(r -> isOlder(r, version))
+                        .filter(follower -> isOlder(follower, version))
                         .toList();
                 if (missing.isEmpty()) {
                     System.out.println("version " + version + " is in force at all " + status.followers());
@@ -226,7 +226,7 @@
                             + status.followers() + ":");
                     missing.stream()
                             .limit(MAX_LISTED)
-                            .map(VersionCommands::formatLine)
+                            .map(VersionCommands::formatFollower)
                             .forEach(System.out::println);
                     return EXIT_NOT_IN_FORCE;
                 }
@@ -252,11 +252,11 @@
         private CommandSpec spec;
 
         @Option(names = "--at", required = true, paramLabel = "HOST:PORT", description = "A control process.")
-        private String at;
+        private String controlAddress;
 
         @Override
         public Integer call() {
-            InetSocketAddress address = parseAddress(spec, "--at", at);
+            InetSocketAddress address = parseAddress(spec, "--at", controlAddress);
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 Message.StatusResponse status =
                         control.request(new Message.StatusRequest(true), Message.StatusResponse.class);
@@ -264,10 +264,10 @@
                         + (status.inStep() ? "" : ", which may not have the newest version") + ": version "
                         + (status.head() == null ? "none" : status.head()) + " in force at " + status.inForce() + " of "
                         + status.followers());
-                status.states().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                status.states().stream().map(VersionCommands::formatFollower).forEach(System.out::println);
                 return status.inForce() == status.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
-                System.err.println(at + " does not respond: " + reason(e));
+                System.err.println(controlAddress + " does not respond: " + reason(e));
                 return 1;
             }
         }
--- a/src/test/java/gullspar/cli/ConfigCommandsTest.java
+++ b/src/test/java/gullspar/cli/ConfigCommandsTest.java
@@ -14,14 +14,14 @@
 class ConfigCommandsTest {
     private static final String FILE = "deploy/routes.example.toml";
 
-    private static String out(int code, String... args) {
-        PrintStream real = System.out;
+    private static String runAndCaptureOutput(int expectedExitCode, String... args) {
+        PrintStream realOut = System.out;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-            assertEquals(code, RootCommand.run(args));
+            assertEquals(expectedExitCode, RootCommand.run(args));
         } finally {
-            System.setOut(real);
+            System.setOut(realOut);
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
@@ -37,20 +37,21 @@
                 sends GET /v2/stock?x=1
                   server 127.0.0.1:9101 weight 1.0
                 """,
-                out(0, "route", FILE, "get", "http://SHOP.example.org:8080/api/stock?x=1", "-H", "x-beta: on"));
-        assertTrue(out(0, "route", FILE, "GET", "http://shop.example.org/api/stock")
+                runAndCaptureOutput(
+                        0, "route", FILE, "get", "http://SHOP.example.org:8080/api/stock?x=1", "-H", "x-beta: on"));
+        assertTrue(runAndCaptureOutput(0, "route", FILE, "GET", "http://shop.example.org/api/stock")
                 .contains("sends GET /v1/stock\n  X-Client: \n  without X-Debug\n"));
-        assertTrue(out(1, "route", FILE, "DELETE", "http://shop.example.org/api/orders")
+        assertTrue(runAndCaptureOutput(1, "route", FILE, "DELETE", "http://shop.example.org/api/orders")
                 .endsWith("not route orders: its method is not POST\nanswer 405\n"));
-        assertTrue(out(0, "route", FILE, "GET", "http://x/")
+        assertTrue(runAndCaptureOutput(0, "route", FILE, "GET", "http://x/")
                 .endsWith("answer 301, Location: https://shop.example.org/\n"));
     }
 
     @Test
     void checksFile() {
-        assertEquals("", out(0, "check", FILE));
-        out(2, "check", "pom.xml");
-        out(2, "check", "none.toml");
-        out(2, "route", FILE, "GET", "no url");
+        assertEquals("", runAndCaptureOutput(0, "check", FILE));
+        runAndCaptureOutput(2, "check", "pom.xml");
+        runAndCaptureOutput(2, "check", "none.toml");
+        runAndCaptureOutput(2, "route", FILE, "GET", "no url");
     }
 }
--- a/src/test/java/gullspar/cli/ImportTest.java
+++ b/src/test/java/gullspar/cli/ImportTest.java
@@ -28,63 +28,66 @@
     @TempDir
     private Path folder;
 
-    private record RunResult(int code, String out, String err) {}
+    private record RunResult(int exitCode, String out, String err) {}
 
-    private RunResult run(String conf, String... more) throws IOException {
-        Path file = Files.writeString(folder.resolve("nginx.conf"), conf);
+    private RunResult run(String nginxConfig, String... extraArgs) throws IOException {
+        Path file = Files.writeString(folder.resolve("nginx.conf"), nginxConfig);
         List<String> args = new ArrayList<>(List.of("import", "nginx", file.toString()));
-        args.addAll(List.of(more));
-        PrintStream out = System.out;
-        PrintStream err = System.err;
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+        args.addAll(List.of(extraArgs));
+        PrintStream realOut = System.out;
+        PrintStream realErr = System.err;
+        ByteArrayOutputStream capturedOut = new ByteArrayOutputStream();
+        ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
         try {
-            System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
-            System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
-            int code = RootCommand.run(args.toArray(new String[0]));
-            return new RunResult(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
+            System.setOut(new PrintStream(capturedOut, true, StandardCharsets.UTF_8));
+            System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
+            int exitCode = RootCommand.run(args.toArray(new String[0]));
+            return new RunResult(
+                    exitCode,
+                    capturedOut.toString(StandardCharsets.UTF_8),
+                    capturedErr.toString(StandardCharsets.UTF_8));
         } finally {
-            System.setOut(out);
-            System.setErr(err);
+            System.setOut(realOut);
+            System.setErr(realErr);
         }
     }
 
     @Test
     void writesCompleteTranslation() throws IOException {
-        RunResult r = run(TRANSLATABLE);
-        assertEquals(0, r.code());
-        assertTrue(r.out().contains("[[host.route]]"), r.out());
+        RunResult result = run(TRANSLATABLE);
+        assertEquals(0, result.exitCode());
+        assertTrue(result.out().contains("[[host.route]]"), result.out());
         Path out = folder.resolve("out.toml");
-        assertEquals(0, run(TRANSLATABLE, "-o", out.toString()).code());
-        assertEquals(r.out(), Files.readString(out));
+        assertEquals(0, run(TRANSLATABLE, "-o", out.toString()).exitCode());
+        assertEquals(result.out(), Files.readString(out));
     }
 
     @Test
     void untranslatableDirectiveIsReportedAndNothingWritten() throws IOException {
         Path out = folder.resolve("out.toml");
-        RunResult r = run(UNTRANSLATABLE, "-o", out.toString());
-        assertEquals(3, r.code());
-        assertTrue(r.err().contains("nginx.conf:4:5: not translatable: deny: "), r.err());
+        RunResult result = run(UNTRANSLATABLE, "-o", out.toString());
+        assertEquals(3, result.exitCode());
+        assertTrue(result.err().contains("nginx.conf:4:5: not translatable: deny: "), result.err());
         assertFalse(Files.exists(out));
-        assertEquals(0, run(UNTRANSLATABLE, "--partial", "-o", out.toString()).code());
+        assertEquals(0, run(UNTRANSLATABLE, "--partial", "-o", out.toString()).exitCode());
         assertTrue(Files.exists(out));
     }
 
     @Test
     void reportsAllErrorsWithPositionAndCaret() throws IOException {
-        RunResult r = run("a b\nc }\nserver { \"x\n");
-        assertEquals(2, r.code());
-        assertTrue(r.err().contains("nginx.conf:1:1: directive \"a\" is not terminated"), r.err());
-        assertTrue(r.err().contains("\na b\n^"), r.err());
-        assertTrue(r.err().lines().filter(l -> l.contains("nginx.conf:")).count() >= 3, r.err());
-        assertEquals("", r.out());
+        RunResult result = run("a b\nc }\nserver { \"x\n");
+        assertEquals(2, result.exitCode());
+        assertTrue(result.err().contains("nginx.conf:1:1: directive \"a\" is not terminated"), result.err());
+        assertTrue(result.err().contains("\na b\n^"), result.err());
+        assertTrue(result.err().lines().filter(l -> l.contains("nginx.conf:")).count() >= 3, result.err());
+        assertEquals("", result.out());
     }
 
     @Test
     void writesReportAsJson() throws IOException {
         Path out = folder.resolve("out.toml");
-        RunResult r = run(UNTRANSLATABLE, "--report", "json", "-o", out.toString());
-        JsonNode report = new ObjectMapper().readTree(r.out());
+        RunResult result = run(UNTRANSLATABLE, "--report", "json", "-o", out.toString());
+        JsonNode report = new ObjectMapper().readTree(result.out());
         assertEquals(5, report.size());
         assertEquals("deny", report.get(4).path("directive").asText());
         assertEquals("not translatable", report.get(4).path("verdict").asText());
@@ -94,9 +97,10 @@
 
     @Test
     void unwritableOutputIsAnError() throws IOException {
-        RunResult r = run(TRANSLATABLE, "-o", folder.resolve("none/out.toml").toString());
-        assertEquals(1, r.code());
-        assertTrue(r.err().contains("cannot be written"), r.err());
+        RunResult result =
+                run(TRANSLATABLE, "-o", folder.resolve("none/out.toml").toString());
+        assertEquals(1, result.exitCode());
+        assertTrue(result.err().contains("cannot be written"), result.err());
     }
 
     @Test
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -42,22 +42,22 @@
     private int run(String... args) {
         PrintStream realOut = System.out;
         PrintStream realErr = System.err;
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+        ByteArrayOutputStream capturedOut = new ByteArrayOutputStream();
+        ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
         try {
-            System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
-            System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
+            System.setOut(new PrintStream(capturedOut, true, StandardCharsets.UTF_8));
+            System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
             return RootCommand.run(args);
         } finally {
             System.setOut(realOut);
             System.setErr(realErr);
-            out = o.toString(StandardCharsets.UTF_8);
-            err = e.toString(StandardCharsets.UTF_8);
+            out = capturedOut.toString(StandardCharsets.UTF_8);
+            err = capturedErr.toString(StandardCharsets.UTF_8);
         }
     }
 
-    private String writeScript(String name, String more) throws Exception {
-        return Files.writeString(folder.resolve(name), TestScripts.smallText(3, more))
+    private String writeScript(String name, String extraTables) throws Exception {
+        return Files.writeString(folder.resolve(name), TestScripts.smallText(3, extraTables))
                 .toString();
     }
 
@@ -146,7 +146,7 @@
     /** The try command, run as a process and stopped as by Ctrl-C. */
     @Test
     void tryStopsAllProcessesOnExit() throws Exception {
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
@@ -154,27 +154,27 @@
                         "try")
                 .redirectErrorStream(true)
                 .start();
-        try (var in = p.inputReader()) {
+        try (var output = process.inputReader()) {
             List<String> lines = new ArrayList<>();
-            for (String l = in.readLine(); l != null && !l.startsWith("Ctrl-C"); l = in.readLine()) {
+            for (String l = output.readLine(); l != null && !l.startsWith("Ctrl-C"); l = output.readLine()) {
                 lines.add(l);
             }
             String curl =
                     lines.stream().filter(l -> l.contains("curl ")).findFirst().orElseThrow();
-            String at = curl.substring(curl.indexOf("http://"));
-            var connection = (HttpURLConnection) new URL(at).openConnection();
+            String url = curl.substring(curl.indexOf("http://"));
+            var connection = (HttpURLConnection) new URL(url).openConnection();
             connection.setRequestProperty("Request-Id", "by-hand");
             connection.setRequestProperty("Request-Timeout", "10");
             assertEquals(200, connection.getResponseCode());
-            List<ProcessHandle> daemons = p.children().toList();
+            List<ProcessHandle> daemons = process.children().toList();
             assertFalse(daemons.isEmpty());
-            p.destroy();
-            assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-            for (ProcessHandle d : daemons) {
-                d.onExit().get(30, TimeUnit.SECONDS);
+            process.destroy();
+            assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+            for (ProcessHandle daemon : daemons) {
+                daemon.onExit().get(30, TimeUnit.SECONDS);
             }
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 }
