--- a/src/main/java/gullspar/cli/ConfigCommands.java
+++ b/src/main/java/gullspar/cli/ConfigCommands.java
@@ -22,11 +22,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The commands that inspect an operator's file without a daemon. */
+/** The commands that inspect an operator's file without running a proxy: {@code check} and {@code route}. */
 final class ConfigCommands {
     private ConfigCommands() {}
 
-    /** Validates a file. */
+    /** Validates an operator's file and prints all errors in it. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -54,12 +54,11 @@
         }
     }
 
-    /** Explains how a request would be routed. */
+    /** Explains how a request would be routed; sends nothing. */
     @Command(
             name = "route",
             mixinStandardHelpOptions = true,
-            description =
-                    "Prints which route of a configuration a request takes, why, and what would be " + "sent where.",
+            description = "Prints which route of a configuration a request takes, why, and what would be sent where.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {"0:a route matches", "1:no route matches", "2:wrong usage, or a file with errors"})
     static final class ExplainRoute implements Callable<Integer> {
@@ -96,11 +95,13 @@
             return 0;
         }
 
+        /** The port of the URL, or 80 if it has none. */
         private int port() {
             int port = URI.create(url).getPort();
             return port < 0 ? 80 : port;
         }
 
+        /** The request given by the method, the URL and the headers of the command line. */
         private Request parseRequest() {
             try {
                 URI uri = new URI(url);
@@ -124,7 +125,10 @@
             }
         }
 
-        /** The value of a template variable: a group of the matched path, or an attribute of the request. */
+        /**
+         * The value of a template variable: the name of the route or pool, a numbered group of the matched path, or an
+         * attribute of the request.
+         */
         private static String templateValue(Router.Result found, Request request, String name) {
             if (name.equals("route")) {
                 return found.route().name();
@@ -138,6 +142,7 @@
                     : group < found.groups().size() ? found.groups().get(group) : "";
         }
 
+        /** Prints the fixed response of the route, or its pool with the forwarded request and the servers. */
         private static void printTarget(Router.Result found, Request request, Site site) {
             Route route = found.route();
             Template.VariableResolver values = name -> templateValue(found, request, name);
--- a/src/main/java/gullspar/cli/FleetCommand.java
+++ b/src/main/java/gullspar/cli/FleetCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Prints the fleet as one of its members sees it. */
+/** Prints the fleet as one of its members sees it, as read from {@code /_fleet} at that member's operators' address. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -38,6 +38,8 @@
         })
 final class FleetCommand implements Callable<Integer> {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+    private static final int REPEAT_INTERVAL_MS = 1000;
+    private static final int EXIT_NO_RESPONSE = 1;
     private static final int EXIT_CUT_OFF = 3;
 
     @Spec
@@ -71,14 +73,15 @@
             throw new ParameterException(spec.commandLine(), "--at is '" + memberAddress + "', expected HOST:PORT");
         }
         int exitCode = fetchAndPrint(uri);
-        while (repeat && exitCode != 1) {
-            Thread.sleep(1000);
+        while (repeat && exitCode != EXIT_NO_RESPONSE) {
+            Thread.sleep(REPEAT_INTERVAL_MS);
             System.out.println();
             exitCode = fetchAndPrint(uri);
         }
         return exitCode;
     }
 
+    /** Fetches and prints the view once; returns the exit code. */
     private int fetchAndPrint(URI uri) throws InterruptedException {
         try {
             HttpResponse<String> response = client.send(
@@ -86,7 +89,7 @@
             if (response.statusCode() != 200) {
                 System.err.println(memberAddress + " responded with status " + response.statusCode()
                         + (response.statusCode() == 404 ? ": it is not a member of a fleet" : ""));
-                return 1;
+                return EXIT_NO_RESPONSE;
             }
             JsonNode view = new ObjectMapper().readTree(response.body());
             if (printJson) {
@@ -97,11 +100,11 @@
             return view.path("cut_off").asBoolean() ? EXIT_CUT_OFF : 0;
         } catch (IOException e) {
             System.err.println(memberAddress + " does not respond: " + (e.getMessage() == null ? e : e.getMessage()));
-            return 1;
+            return EXIT_NO_RESPONSE;
         }
     }
 
-    /** Formats the view as a table for terminals. */
+    /** Formats the JSON of {@code /_fleet} as a summary line, a line of column names and one line per member. */
     static List<String> formatLines(JsonNode view) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
@@ -137,6 +140,7 @@
                         + member.path("life").asText());
             }
             if (member.has("why")) {
+                // A reason in words, or the one-word name of the member that raised the suspicion.
                 String why = member.path("why").asText();
                 notes.add(why.contains(" ") ? why : "accused by " + why);
             }
@@ -164,6 +168,7 @@
         return lines;
     }
 
+    /** Formats a duration in seconds below 2 minutes, in minutes below 2 hours, else in hours. */
     private static String formatDuration(double seconds) {
         return seconds < 120
                 ? String.format(Locale.ROOT, "%.0fs", seconds)
@@ -172,7 +177,7 @@
                         : String.format(Locale.ROOT, "%.0fh", seconds / 3600);
     }
 
-    /** Generates a fleet key. */
+    /** Generates a key for the key file that all members of a fleet share. */
     @Command(
             name = "new-key",
             mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/ImportCommand.java
+++ b/src/main/java/gullspar/cli/ImportCommand.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Converts configurations of other proxies. */
+/** Converts configurations of other proxies; one subcommand per kind of proxy. */
 @Command(
         name = "import",
         mixinStandardHelpOptions = true,
@@ -40,7 +40,7 @@
         throw new ParameterException(spec.commandLine(), "missing subcommand: nginx");
     }
 
-    /** Converts nginx's configuration. */
+    /** Converts an nginx configuration to routes and pools, and reports directives that cannot be translated. */
     @Command(
             name = "nginx",
             mixinStandardHelpOptions = true,
@@ -54,7 +54,7 @@
                 "3:a directive cannot be translated; nothing is written"
             })
     static final class Nginx implements Callable<Integer> {
-        /** Format of the report. */
+        /** Format of the report; the constants are the values of {@code --report}. */
         enum ReportFormat {
             text,
             json
@@ -104,6 +104,10 @@
             return write(imported.toml());
         }
 
+        /**
+         * Validates the translated configuration and writes it; returns the exit code. With {@code --partial}, a
+         * configuration with errors is written too.
+         */
         private int write(String toml) {
             try {
                 SiteReader.parse(toml, outputFile == null ? "(result)" : outputFile.toString());
@@ -146,6 +150,7 @@
                     + counts[Verdict.NOT_TRANSLATABLE.ordinal()] + " not translatable");
         }
 
+        /** Formats all directives with position, verdict and reason as a JSON array. */
         private static String formatJson(List<Entry> entries) throws IOException {
             StringWriter text = new StringWriter();
             try (JsonGenerator generator =
--- a/src/main/java/gullspar/cli/InputFiles.java
+++ b/src/main/java/gullspar/cli/InputFiles.java
@@ -6,11 +6,11 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads input files for a command and prints what is wrong with them. */
+/** Reads the input files of commands and prints their errors on standard error. */
 final class InputFiles {
     private InputFiles() {}
 
-    /** Parses a file. */
+    /** Parses a file; errors in its content are thrown as one {@link ProblemsException}. */
     interface Reader<T> {
         T read(Path file) throws IOException, ProblemsException;
     }
--- a/src/main/java/gullspar/cli/PlatformCommands.java
+++ b/src/main/java/gullspar/cli/PlatformCommands.java
@@ -16,7 +16,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The commands that a platform runs. They load only the classes they need, and return exit codes. */
+/**
+ * The commands that a platform runs: {@code serve}, {@code warm} and {@code drill}. They start without the command-line
+ * parser, load only the classes that they need, and return exit codes.
+ */
 public final class PlatformCommands {
     private PlatformCommands() {}
 
@@ -46,12 +49,12 @@
         }
     }
 
-    /** Exercises all code that serving needs and ends: the build records the classes that it loads. */
+    /** Runs the code that serving needs, then returns; the build records the loaded classes for the class archive. */
     public static int warm() {
         return runDaemon(log -> Daemon.warm(System.getenv(), Policy::new));
     }
 
-    /** Runs the decision module for the simulator, on standard input and output. */
+    /** Connects the decision module to the simulator on standard input and output, until the input ends. */
     public static int drill() {
         try {
             new Host(Policy::new).serve(System.in, System.out);
@@ -63,12 +66,14 @@
         }
     }
 
+    /** A task of a daemon that logs to a non-blocking standard error. */
     private interface DaemonTask {
         void run(NonBlockingStream log) throws ConfigException, IOException;
     }
 
+    /** Sets Netty's properties and logging; call it before Netty is used. */
     static void configureNetty() {
-        // Flight Recorder is not used here, and Netty's events for it cost 0.3 s of a start on half a core.
+        // Netty's Flight Recorder events are not used, and cost 0.3 s of the startup on half a core.
         System.setProperty("io.netty.jfr.enabled", "false");
         // Without a default, Netty tries other logging libraries first.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
--- a/src/main/java/gullspar/cli/RehearseCommand.java
+++ b/src/main/java/gullspar/cli/RehearseCommand.java
@@ -31,7 +31,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a day by a script. */
+/** Plays the day of a script, in virtual or real time, and reports whether all rules were kept. */
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
@@ -82,7 +82,7 @@
         }
         script = seed == null ? script : script.withSeed(seed);
         for (Path path : Stream.of(logFile, reportFile).filter(Objects::nonNull).toList()) {
-            // Checked before the day is played, not after.
+            // Checked first, as a day can take long to play.
             if (!Files.isDirectory(path.toAbsolutePath().getParent()) || Files.isDirectory(path)) {
                 throw new ParameterException(
                         spec.commandLine(),
@@ -101,7 +101,7 @@
                 Files.writeString(reportFile, HtmlReport.render(result));
             }
         } catch (IOException e) {
-            System.err.println("the script cannot be played: " + e.getMessage());
+            System.err.println("the script cannot be played, or its report cannot be written: " + e.getMessage());
             return EXIT_FAILED;
         } finally {
             terminal.clearStatus();
@@ -126,6 +126,7 @@
         }
     }
 
+    /** Prints the first violation, the trace of its request and the command that replays the day. */
     private int reportViolations(DayResult result) {
         RuleViolation first = result.verdict().violations().get(0);
         System.err.println("BROKEN: " + first.rule().description()
@@ -145,6 +146,7 @@
         return EXIT_FAILED;
     }
 
+    /** The summary for interactive terminals. */
     private static List<String> summaryLines(DayResult result) {
         Verdict verdict = result.verdict();
         return List.of(
@@ -175,7 +177,7 @@
                                 : verdict.violations().size() + " times broken"));
     }
 
-    /** Compares two decision logs. */
+    /** Compares two decision logs and shows the first decision that differs. */
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/RootCommand.java
+++ b/src/main/java/gullspar/cli/RootCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line for users: help, version, completion and the commands of the rehearsal kit. */
+/** The root of the command line, with all commands, help and version. */
 @Command(
         name = "gullspar",
         mixinStandardHelpOptions = true,
@@ -50,7 +50,7 @@
         throw new ParameterException(spec.commandLine(), "missing command");
     }
 
-    /** The version from the jar's manifest. */
+    /** Reads the version from the jar's manifest; classes that are not run from a jar have none. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Runs the proxy. */
+    /** Runs the proxy, configured by the environment, by an operator's file or by control processes. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Runs the adapter to the simulator. */
+    /** Connects the decision module to the simulator. */
     @Command(
             name = "drill",
             mixinStandardHelpOptions = true,
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Run by the build to record the classes to archive. */
+    /** Loads the classes that a proxy needs, for the build to record in the class archive. */
     @Command(
             name = "warm",
             mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/SearchCommand.java
+++ b/src/main/java/gullspar/cli/SearchCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Searches for days that break a rule. */
+/** Searches for days that break a rule or fall below the script's bound on the service. */
 @Command(
         name = "search",
         mixinStandardHelpOptions = true,
--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -4,8 +4,13 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Progress output for an interactive terminal; prints nothing if there is none. */
+/** Shows progress on a status line of an interactive terminal; prints nothing if there is none. */
 final class Terminal implements ProgressListener {
+    /** Moves the cursor to the start of the line and erases the line (ANSI). */
+    private static final String ERASE_LINE = "\r\u001b[K";
+
+    private static final int BAR_CHARS = 30;
+
     private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
     private boolean hasStatusLine;
@@ -18,7 +23,7 @@
     /** Prints a status line, which the next one overwrites. */
     void showStatus(String text) {
         if (isInteractive) {
-            err.print("\r\u001b[K" + text);
+            err.print(ERASE_LINE + text);
             err.flush();
             hasStatusLine = true;
         }
@@ -27,7 +32,7 @@
     /** Removes the status line. */
     void clearStatus() {
         if (hasStatusLine) {
-            err.print("\r\u001b[K");
+            err.print(ERASE_LINE);
             err.flush();
             hasStatusLine = false;
         }
@@ -35,12 +40,12 @@
 
     @Override
     public void onProgress(double second, double totalSeconds) {
-        int filled = (int) (30 * second / totalSeconds);
+        int filled = (int) (BAR_CHARS * second / totalSeconds);
         showStatus(String.format(
                 Locale.ROOT,
                 "playing [%s%s] %.0f of %.0f s",
                 "#".repeat(filled),
-                ".".repeat(30 - filled),
+                ".".repeat(BAR_CHARS - filled),
                 second,
                 totalSeconds));
     }
--- a/src/main/java/gullspar/cli/TryCommand.java
+++ b/src/main/java/gullspar/cli/TryCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a small demonstration fleet on loopback. */
+/** Runs a small demonstration fleet on loopback until {@code --seconds} or Ctrl-C. */
 @Command(
         name = "try",
         mixinStandardHelpOptions = true,
@@ -44,6 +44,7 @@
         Terminal terminal = new Terminal();
         CountDownLatch stopRequested = new CountDownLatch(1);
         CountDownLatch hasStopped = new CountDownLatch(1);
+        // On Ctrl-C, the JVM must not exit before the processes of the fleet are stopped.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -73,6 +74,7 @@
         }
     }
 
+    /** Reads the script of the demonstration from the jar. */
     private static Script script() throws IOException {
         try (InputStream in = TryCommand.class.getResourceAsStream("/gullspar/rehearse/try.toml")) {
             return ScriptReader.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "try.toml");
@@ -81,12 +83,13 @@
         }
     }
 
+    /** Prints the instructions on the first call, and updates the status line. */
     private void printStatus(Terminal terminal, LivePlay.Status status) {
         if (!hasPrintedInstructions) {
             hasPrintedInstructions = true;
             String baseUrl = "http://" + status.proxyAddress().getAddress().getHostAddress() + ":"
                     + status.proxyAddress().getPort();
-            System.out.println("ready. Requests to paste into another terminal (each needs a unique " + "id):");
+            System.out.println("ready. Requests to paste into another terminal (each needs a unique id):");
             System.out.println();
             System.out.println(
                     "  curl -i -H \"Request-Id: $RANDOM$RANDOM\" -H 'Request-Timeout: 1' " + baseUrl + "/look/1");
@@ -97,7 +100,7 @@
         }
         terminal.showStatus(String.format(
                 Locale.ROOT,
-                "%d nodes, %.0f orders a second, %.1f %% served in time," + " %d requests by hand",
+                "%d nodes, %.0f orders a second, %.1f %% served in time, %d requests by hand",
                 status.nodes(),
                 status.ordersPerS(),
                 100 * status.inTimeShare(),
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -32,6 +32,7 @@
 
     private VersionCommands() {}
 
+    /** Parses HOST:PORT; {@code option} is named in the usage error. */
     private static InetSocketAddress parseAddress(CommandSpec spec, String option, String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
@@ -45,11 +46,13 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
+    /** Whether the follower runs a version older than the one given. */
     private static boolean isOlder(Message.FollowerState follower, Version version) {
         return follower.epoch() < version.epoch()
                 || follower.epoch() == version.epoch() && follower.number() < version.number();
     }
 
+    /** A line of the table: name, version, the control process last connected to, time disconnected, error. */
     private static String formatFollower(Message.FollowerState follower) {
         String disconnected =
                 follower.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", follower.awayMs() / 1e3);
@@ -63,7 +66,7 @@
                 follower.trouble().isEmpty() ? "" : "; " + follower.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
-    /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
+    /** Runs a proxy configured by the control processes of the file; returns an exit code if it cannot continue. */
     static int serve(Path file) {
         FollowFile settings = InputFiles.read(file, FollowFile::read);
         if (settings == null) {
@@ -84,6 +87,7 @@
         }
     }
 
+    /** The process settings of a {@code --follow} file, without the addresses of the control processes. */
     private static OperatorsFile readOwnSettings(Path file) throws IOException, ProblemsException {
         return FollowFile.read(file).operators();
     }
@@ -125,7 +129,7 @@
         }
     }
 
-    /** Publishes a configuration as the next version. */
+    /** Publishes a configuration as the next version, and waits until it is in force everywhere. */
     @Command(
             name = "publish",
             mixinStandardHelpOptions = true,
@@ -144,7 +148,8 @@
     static final class Publish implements Callable<Integer> {
         private static final int EXIT_SUPERSEDED = 3;
         private static final int EXIT_NOT_IN_FORCE = 4;
-        private static final int MAX_LISTED = 20;
+        private static final int MAX_LISTED_FOLLOWERS = 20;
+        private static final int POLL_INTERVAL_MS = 50;
 
         @Spec
         private CommandSpec spec;
@@ -178,6 +183,7 @@
             if (text == null) {
                 return 2;
             }
+            // Once the file is sent, a missing response does not tell whether it was published.
             boolean isSent = false;
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 long number = baseNumber != null
@@ -205,10 +211,12 @@
             }
         }
 
+        /** The number of a version, or 0 if nothing has been published. */
         private static long numberOf(Version version) {
             return version == null ? 0 : version.number();
         }
 
+        /** Polls until all followers run the version or {@code --wait} elapses; returns the exit code. */
         private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
             long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
@@ -225,17 +233,17 @@
                     System.out.println("version " + version + " is not in force at " + missing.size() + " of "
                             + status.followers() + ":");
                     missing.stream()
-                            .limit(MAX_LISTED)
+                            .limit(MAX_LISTED_FOLLOWERS)
                             .map(VersionCommands::formatFollower)
                             .forEach(System.out::println);
                     return EXIT_NOT_IN_FORCE;
                 }
-                Thread.sleep(50);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         }
     }
 
-    /** Lists the versions that processes run. */
+    /** Lists the version that each follower runs, as known to a control process. */
     @Command(
             name = "versions",
             mixinStandardHelpOptions = true,
--- a/src/test/java/gullspar/cli/ConfigCommandsTest.java
+++ b/src/test/java/gullspar/cli/ConfigCommandsTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The commands that inspect an operator's file. */
+/** The check and route commands: their output and exit codes. */
 @Isolated("captures standard output")
 class ConfigCommandsTest {
     private static final String FILE = "deploy/routes.example.toml";
 
+    /** Runs a command, checks its exit code and returns its standard output. */
     private static String runAndCaptureOutput(int expectedExitCode, String... args) {
         PrintStream realOut = System.out;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/src/test/java/gullspar/cli/ImportTest.java
+++ b/src/test/java/gullspar/cli/ImportTest.java
@@ -23,7 +23,7 @@
 class ImportTest {
     private static final String TRANSLATABLE = "server { listen 80; location / { proxy_pass http://10.0.0.1; } }\n";
     private static final String UNTRANSLATABLE =
-            "server {\n  listen 80;\n  location / { proxy_pass http://10.0.0.1;\n" + "    deny all; }\n}\n";
+            "server {\n  listen 80;\n  location / { proxy_pass http://10.0.0.1;\n    deny all; }\n}\n";
 
     @TempDir
     private Path folder;
--- a/src/test/java/gullspar/cli/KitCommandsTest.java
+++ b/src/test/java/gullspar/cli/KitCommandsTest.java
@@ -33,7 +33,7 @@
     private String out;
     private String err;
 
-    /** Else Netty tries other logging libraries first and reports the missing ones on standard error. */
+    /** Without this, Netty tries other logging libraries first and reports the missing ones on standard error. */
     @BeforeAll
     static void useJdkLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -143,7 +143,7 @@
         assertTrue(out.contains("found-service-"), out);
     }
 
-    /** The try command, run as a process and stopped as by Ctrl-C. */
+    /** Runs the try command as a process and sends it SIGTERM, which runs the same shutdown hook as Ctrl-C. */
     @Test
     void tryStopsAllProcessesOnExit() throws Exception {
         Process process = new ProcessBuilder(
