--- a/src/main/java/gullspar/cli/Terminal.java
+++ b/src/main/java/gullspar/cli/Terminal.java
@@ -4,11 +4,16 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Progress output for an interactive terminal; prints nothing if there is none. */
+/** Shows progress on a status line of an interactive terminal; prints nothing if there is none. */
 final class Terminal implements ProgressListener {
+    /** Moves the cursor to the start of the line and erases the line (ANSI). */
+    private static final String ERASE_LINE = "\r\u001b[K";
+
+    private static final int BAR_CHARS = 30;
+
     private final boolean isInteractive = System.console() != null;
     private final PrintStream err = System.err;
-    private boolean lineOpen;
+    private boolean hasStatusLine;
 
     /** Whether output goes to an interactive terminal, so that tables and progress are shown. */
     boolean isInteractive() {
@@ -16,27 +21,32 @@
     }
 
     /** Prints a status line, which the next one overwrites. */
-    void status(String text) {
+    void showStatus(String text) {
         if (isInteractive) {
-            err.print("\r\u001b[K" + text);
+            err.print(ERASE_LINE + text);
             err.flush();
-            lineOpen = true;
+            hasStatusLine = true;
         }
     }
 
     /** Removes the status line. */
-    void clear() {
-        if (lineOpen) {
-            err.print("\r\u001b[K");
+    void clearStatus() {
+        if (hasStatusLine) {
+            err.print(ERASE_LINE);
             err.flush();
-            lineOpen = false;
+            hasStatusLine = false;
         }
     }
 
     @Override
-    public void onProgress(double second, double of) {
-        int filled = (int) (30 * second / of);
-        status(String.format(
-                Locale.ROOT, "playing [%s%s] %.0f of %.0f s", "#".repeat(filled), ".".repeat(30 - filled), second, of));
+    public void onProgress(double second, double totalSeconds) {
+        int filled = (int) (BAR_CHARS * second / totalSeconds);
+        showStatus(String.format(
+                Locale.ROOT,
+                "playing [%s%s] %.0f of %.0f s",
+                "#".repeat(filled),
+                ".".repeat(BAR_CHARS - filled),
+                second,
+                totalSeconds));
     }
 }
--- a/src/main/java/gullspar/cli/VersionCommands.java
+++ b/src/main/java/gullspar/cli/VersionCommands.java
@@ -32,6 +32,7 @@
 
     private VersionCommands() {}
 
+    /** Parses HOST:PORT; {@code option} is named in the usage error. */
     private static InetSocketAddress parseAddress(CommandSpec spec, String option, String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
@@ -45,12 +46,14 @@
         return e.getMessage() == null ? e.toString() : e.getMessage();
     }
 
+    /** Whether the follower runs a version older than the one given. */
     private static boolean isOlder(Message.FollowerState follower, Version version) {
         return follower.epoch() < version.epoch()
                 || follower.epoch() == version.epoch() && follower.number() < version.number();
     }
 
-    private static String formatLine(Message.FollowerState follower) {
+    /** A line of the table: name, version, the control process last connected to, time disconnected, error. */
+    private static String formatFollower(Message.FollowerState follower) {
         String disconnected =
                 follower.awayMs() == 0 ? "" : String.format(Locale.ROOT, " away for %.0f s", follower.awayMs() / 1e3);
         return String.format(
@@ -63,16 +66,16 @@
                 follower.trouble().isEmpty() ? "" : "; " + follower.trouble().replaceAll("\\p{Cntrl}", "?"));
     }
 
-    /** Runs a proxy configured by its control processes; returns an exit code if it cannot continue. */
-    static int serve(Path follow) {
-        FollowFile file = InputFiles.read(follow, FollowFile::read);
-        if (file == null) {
+    /** Runs a proxy configured by the control processes of the file; returns an exit code if it cannot continue. */
+    static int serve(Path file) {
+        FollowFile settings = InputFiles.read(file, FollowFile::read);
+        if (settings == null) {
             return 2;
         }
         try {
             return SiteDaemon.run(
-                            follow,
-                            VersionedSource.open(file),
+                            file,
+                            VersionedSource.open(settings),
                             Policy::new,
                             (f, name, platform, load) ->
                                     Membership.start(f, VersionCommands::readOwnSettings, name, platform, load))
@@ -84,6 +87,7 @@
         }
     }
 
+    /** The process settings of a {@code --follow} file, without the addresses of the control processes. */
     private static OperatorsFile readOwnSettings(Path file) throws IOException, ProblemsException {
         return FollowFile.read(file).operators();
     }
@@ -106,17 +110,17 @@
                 required = true,
                 paramLabel = "FILE",
                 description = "The settings of this process (TOML, docs/versions.md).")
-        private Path config;
+        private Path configFile;
 
         @Override
         public Integer call() {
-            ControlFile file = InputFiles.read(config, ControlFile::read);
-            if (file == null) {
+            ControlFile settings = InputFiles.read(configFile, ControlFile::read);
+            if (settings == null) {
                 return 2;
             }
             try {
                 PlatformCommands.configureNetty();
-                ControlDaemon.run(file);
+                ControlDaemon.run(settings);
                 return 0;
             } catch (IOException e) {
                 System.err.println("gullspar: " + reason(e));
@@ -125,7 +129,7 @@
         }
     }
 
-    /** Publishes a configuration as the next version. */
+    /** Publishes a configuration as the next version, and waits until it is in force everywhere. */
     @Command(
             name = "publish",
             mixinStandardHelpOptions = true,
@@ -144,7 +148,8 @@
     static final class Publish implements Callable<Integer> {
         private static final int EXIT_SUPERSEDED = 3;
         private static final int EXIT_NOT_IN_FORCE = 4;
-        private static final int MAX_LISTED = 20;
+        private static final int MAX_LISTED_FOLLOWERS = 20;
+        private static final int POLL_INTERVAL_MS = 50;
 
         @Spec
         private CommandSpec spec;
@@ -153,7 +158,7 @@
         private Path file;
 
         @Option(names = "--to", required = true, paramLabel = "HOST:PORT", description = "The primary.")
-        private String to;
+        private String primaryAddress;
 
         @Option(
                 names = "--after",
@@ -162,7 +167,7 @@
                     "The number of the version that the file is based on, 0 for none: refused if another was published",
                     "since. Default: the newest version at the time of the call."
                 })
-        private Long after;
+        private Long baseNumber;
 
         @Option(
                 names = "--wait",
@@ -173,18 +178,19 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            InetSocketAddress address = parseAddress(spec, "--to", to);
+            InetSocketAddress address = parseAddress(spec, "--to", primaryAddress);
             String text = InputFiles.read(file, Files::readString);
             if (text == null) {
                 return 2;
             }
-            boolean sent = false;
+            // Once the file is sent, a missing response does not tell whether it was published.
+            boolean isSent = false;
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
-                long number = after != null
-                        ? after
+                long number = baseNumber != null
+                        ? baseNumber
                         : numberOf(control.request(new Message.StatusRequest(false), Message.StatusResponse.class)
                                 .head());
-                sent = true;
+                isSent = true;
                 Message.Published published =
                         control.request(new Message.Publish(number, file.toString(), text), Message.Published.class);
                 published.lines().forEach(System.err::println);
@@ -195,8 +201,8 @@
                     default -> 1;
                 };
             } catch (IOException e) {
-                System.err.println(to
-                        + (sent
+                System.err.println(primaryAddress
+                        + (isSent
                                 ? " was sent the file but did not respond; 'gullspar versions' shows whether "
                                         + "it was published: "
                                 : " does not respond: ")
@@ -205,17 +211,19 @@
             }
         }
 
-        private static long numberOf(Version v) {
-            return v == null ? 0 : v.number();
+        /** The number of a version, or 0 if nothing has been published. */
+        private static long numberOf(Version version) {
+            return version == null ? 0 : version.number();
         }
 
+        /** Polls until all followers run the version or {@code --wait} elapses; returns the exit code. */
         private int awaitInForce(ControlClient control, Version version) throws IOException, InterruptedException {
             long deadlineNs = System.nanoTime() + (long) (waitSeconds * 1e9);
             while (true) {
                 Message.StatusResponse status =
                         control.request(new Message.StatusRequest(false), Message.StatusResponse.class);
                 List<Message.FollowerState> missing = status.states().stream()
-                        .filter(r -> isOlder(r, version))
+                        .filter(follower -> isOlder(follower, version))
                         .toList();
                 if (missing.isEmpty()) {
                     System.out.println("version " + version + " is in force at all " + status.followers());
@@ -225,17 +233,17 @@
                     System.out.println("version " + version + " is not in force at " + missing.size() + " of "
                             + status.followers() + ":");
                     missing.stream()
-                            .limit(MAX_LISTED)
-                            .map(VersionCommands::formatLine)
+                            .limit(MAX_LISTED_FOLLOWERS)
+                            .map(VersionCommands::formatFollower)
                             .forEach(System.out::println);
                     return EXIT_NOT_IN_FORCE;
                 }
-                Thread.sleep(50);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         }
     }
 
-    /** Lists the versions that processes run. */
+    /** Lists the version that each follower runs, as known to a control process. */
     @Command(
             name = "versions",
             mixinStandardHelpOptions = true,
@@ -252,11 +260,11 @@
         private CommandSpec spec;
 
         @Option(names = "--at", required = true, paramLabel = "HOST:PORT", description = "A control process.")
-        private String at;
+        private String controlAddress;
 
         @Override
         public Integer call() {
-            InetSocketAddress address = parseAddress(spec, "--at", at);
+            InetSocketAddress address = parseAddress(spec, "--at", controlAddress);
             try (ControlClient control = new ControlClient(address, CONTROL_TIMEOUT_MS)) {
                 Message.StatusResponse status =
                         control.request(new Message.StatusRequest(true), Message.StatusResponse.class);
@@ -264,10 +272,10 @@
                         + (status.inStep() ? "" : ", which may not have the newest version") + ": version "
                         + (status.head() == null ? "none" : status.head()) + " in force at " + status.inForce() + " of "
                         + status.followers());
-                status.states().stream().map(VersionCommands::formatLine).forEach(System.out::println);
+                status.states().stream().map(VersionCommands::formatFollower).forEach(System.out::println);
                 return status.inForce() == status.followers() ? 0 : EXIT_NOT_IN_FORCE;
             } catch (IOException e) {
-                System.err.println(at + " does not respond: " + reason(e));
+                System.err.println(controlAddress + " does not respond: " + reason(e));
                 return 1;
             }
         }
