--- a/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
@@ -2,7 +2,7 @@
 
 import gullspar.peers.Change;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
+import gullspar.peers.TrafficStats;
 import gullspar.peers.Identity;
 import gullspar.peers.Message;
 import gullspar.peers.Outbox;
@@ -49,7 +49,7 @@
     @Param({"10", "100", "1000"})
     public int members;
 
-    private final Envelope envelope = new Envelope(List.of(new byte[Envelope.LEAST_KEY_BYTES]));
+    private final Envelope envelope = new Envelope(List.of(new byte[Envelope.MIN_KEY_BYTES]));
     private final List<Statement> others = new ArrayList<>();
     private final List<Message> out = new ArrayList<>();
     private final List<Identity> asked = new ArrayList<>();
@@ -66,11 +66,11 @@
         for (int i = 1; i < members; i++) {
             others.add(new Statement(new Identity("p" + i, random.nextLong()), 1, "10.0." + i / 250 + "."
                     + (1 + i % 250) + ":7946", "zone", "0.1.0", "0badcafe", Phase.SERVING, 100_000, 0, 0,
-                    new Figures(50, 1, 3), Facts.NONE));
+                    new TrafficStats(50, 1, 3), Facts.NONE));
         }
         numbers = new long[members];
-        peers = new Peers(Settings.every(S), new Statement(new Identity("me", 1), 1, "10.1.0.1:7946", "zone",
-                "0.1.0", "0badcafe", Phase.SERVING, 0, 0, 0, Figures.NONE, Facts.NONE), List.of(), random,
+        peers = new Peers(Settings.withInterval(S), new Statement(new Identity("me", 1), 1, "10.1.0.1:7946", "zone",
+                "0.1.0", "0badcafe", Phase.SERVING, 0, 0, 0, TrafficStats.NONE, Facts.NONE), List.of(), random,
                 new Outbox() {
                     @Override
                     public void send(String to, Message m) {
@@ -78,7 +78,7 @@
                     }
 
                     @Override
-                    public void changed(Change c) {
+                    public void onChange(Change c) {
                         // nobody is told
                     }
                 }, now);
@@ -128,7 +128,7 @@
             throw new IllegalStateException("not taken");
         }
         out.clear();
-        peers.receive(now, Codec.decode(d, Envelope.front(), d.length - Envelope.front()));
+        peers.receive(now, Codec.decode(d, Envelope.messageOffset(), d.length - Envelope.messageOffset()));
         for (Message m : out) {
             answered += envelope.seal(Codec.encode(m)).length;
         }
--- a/src/main/java/gullspar/peers/Change.java
+++ b/src/main/java/gullspar/peers/Change.java
@@ -7,7 +7,7 @@
  * @param why who accuses, or another reason, as text for people; may be empty
  * @param present how many are present after it, this process included
  */
-public record Change(Kind kind, Identity about, String why, int present) {
+public record Change(Kind kind, Identity subject, String reason, int present) {
     /** What has changed. */
     public enum Kind {
         /** A life that was not known is there. */
--- a/src/main/java/gullspar/peers/Counters.java
+++ b/src/main/java/gullspar/peers/Counters.java
@@ -5,11 +5,11 @@
     long sent;
     long sentBytes;
     long received;
-    long repeated;
+    long duplicates;
     long unknownSenders;
     long withheld;
     long refusedMembers;
-    long objections;
+    long refutations;
     long stalls;
 
     /** Datagrams sent. */
@@ -28,8 +28,8 @@
     }
 
     /** Datagrams that had come before, or were too old. */
-    public long repeated() {
-        return repeated;
+    public long duplicates() {
+        return duplicates;
     }
 
     /** Datagrams from lives that had not proved that they live. */
@@ -48,8 +48,8 @@
     }
 
     /** How often this process objected to an accusation. */
-    public long objections() {
-        return objections;
+    public long refutations() {
+        return refutations;
     }
 
     /** How often it found that it had stood still. */
--- a/src/main/java/gullspar/peers/DatagramSender.java
+++ b/src/main/java/gullspar/peers/DatagramSender.java
@@ -6,7 +6,7 @@
 
 /** Sends datagrams for this process and piggybacks rumors on them, within a budget of bytes. */
 final class DatagramSender {
-    private static final int ROOM = Message.MOST_BYTES - Message.ENVELOPE;
+    private static final int MAX_MESSAGE_BYTES = Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES;
 
     private final Self self;
     private final Roster roster;
@@ -14,7 +14,7 @@
     private final Settings settings;
     private final Outbox out;
     private final Counters counters;
-    private final Allowance allowance;
+    private final TokenBucket sendBudget;
 
     DatagramSender(
             Self self, Roster roster, Gossip gossip, Settings settings, Outbox out, Counters counters, long now) {
@@ -24,12 +24,12 @@
         this.settings = settings;
         this.out = out;
         this.counters = counters;
-        this.allowance = new Allowance(settings.bytesPerSecond(), now);
+        this.sendBudget = new TokenBucket(settings.bytesPerSecond(), now);
     }
 
     /** Does the budget hold so many optional datagrams, and a reserve for answers? */
-    boolean affords(int datagrams, long now) {
-        return allowance.has((datagrams + 2.0) * Message.MOST_BYTES, now);
+    boolean canSend(int datagrams, long now) {
+        return sendBudget.canTake((datagrams + 2.0) * Message.MAX_DATAGRAM_BYTES, now);
     }
 
     void ping(long now, String address, Identity target, long nonce, boolean hello) {
@@ -41,8 +41,9 @@
                 (h, r) -> new Message.Ping(h, nonce, target == null ? 0 : target.life(), hello, r));
     }
 
-    void ack(long now, String address, Identity to, long nonce, Identity of, int incarnation, boolean introduced) {
-        send(now, address, to, introduced, (h, r) -> new Message.Ack(h, nonce, of, incarnation, r));
+    void ack(
+            long now, String address, Identity to, long nonce, Identity of, int incarnation, boolean withOwnStatement) {
+        send(now, address, to, withOwnStatement, (h, r) -> new Message.Ack(h, nonce, of, incarnation, r));
     }
 
     void pingReq(long now, Peer to, long nonce, Peer target) {
@@ -54,75 +55,80 @@
     }
 
     /** Sends pending rumors to one member. */
-    void news(long now, Peer to) {
+    void gossip(long now, Peer to) {
         send(now, to.address(), to.id, false, Message.News::new);
     }
 
     /** Sends these rumors, in as many datagrams as needed. */
-    void tell(long now, Peer to, List<Rumor> rumors) {
+    void sendRumors(long now, Peer to, List<Rumor> rumors) {
         List<Rumor> page = new ArrayList<>();
         int left = 0;
         for (Rumor r : rumors) {
-            if (r.bytes() > left) {
-                page(now, to, page);
+            if (r.maxBytes() > left) {
+                sendPage(now, to, page);
                 page = new ArrayList<>();
-                left = room();
+                left = maxPayloadBytes();
             }
             page.add(r);
-            left -= r.bytes();
+            left -= r.maxBytes();
         }
-        page(now, to, page);
+        sendPage(now, to, page);
     }
 
-    private void page(long now, Peer to, List<Rumor> page) {
+    private void sendPage(long now, Peer to, List<Rumor> page) {
         if (!page.isEmpty()) {
             transmit(now, to.address(), new Message.News(self.header(), page));
         }
     }
 
     /** Sends a message without rumors. */
-    void plain(long now, Peer to, Function<Message.Header, Message> make) {
+    void sendPlain(long now, Peer to, Function<Message.Header, Message> make) {
         transmit(now, to.address(), make.apply(self.header()));
     }
 
     /** Bytes that fit into one message besides its header. */
-    int room() {
-        return ROOM - Message.FRONT - self.headerBytes();
+    int maxPayloadBytes() {
+        return MAX_MESSAGE_BYTES - Message.FRAMING_BYTES - self.headerBytes();
     }
 
-    private interface Making {
+    private interface MessageFactory {
         Message make(Message.Header header, List<Rumor> rumors);
     }
 
-    private void send(long now, String address, Identity to, boolean introduced, Making making) {
+    private void send(long now, String address, Identity to, boolean withOwnStatement, MessageFactory factory) {
         Message.Header h = self.header();
         List<Rumor> rumors = new ArrayList<>();
-        int left = ROOM - making.make(h, rumors).size();
-        if (introduced) {
-            left = add(rumors, self.rumor(now, true), left);
+        int left = MAX_MESSAGE_BYTES - factory.make(h, rumors).maxBytes();
+        if (withOwnStatement) {
+            left = addIfFits(rumors, self.rumor(now, true), left);
         }
         // A suspected member has to be told first, so that it can refute the suspicion.
         Peer p = to == null ? null : roster.get(to);
         if (p != null && p.state.accuses()) {
-            left = add(rumors, new Rumor(p.id, p.state.incarnation(), p.state.status(), "", 0, null, 0), left);
+            left = addIfFits(rumors, new Rumor(p.id, p.state.incarnation(), p.state.status(), "", 0, null, 0), left);
         }
         if (p != null) {
-            gossip.fill(rumors, left, to, settings.tellings(roster.size()), Settings.lightTellings(roster.size()));
+            gossip.fill(
+                    rumors,
+                    left,
+                    to,
+                    settings.transmissions(roster.size()),
+                    Settings.statsTransmissions(roster.size()));
         }
-        transmit(now, address, making.make(h, rumors));
+        transmit(now, address, factory.make(h, rumors));
     }
 
-    private static int add(List<Rumor> rumors, Rumor r, int left) {
-        if (r.bytes() <= left) {
+    private static int addIfFits(List<Rumor> rumors, Rumor r, int left) {
+        if (r.maxBytes() <= left) {
             rumors.add(r);
-            return left - r.bytes();
+            return left - r.maxBytes();
         }
         return left;
     }
 
     private void transmit(long now, String address, Message m) {
-        int bytes = m.size() + Message.ENVELOPE;
-        if (!allowance.take(bytes, now)) {
+        int bytes = m.maxBytes() + Message.MAX_ENVELOPE_BYTES;
+        if (!sendBudget.tryTake(bytes, now)) {
             counters.withheld++;
             return;
         }
--- a/src/main/java/gullspar/peers/Detector.java
+++ b/src/main/java/gullspar/peers/Detector.java
@@ -15,11 +15,11 @@
  */
 final class Detector {
     /** Questions that are open at one time, at most. */
-    private static final int MOST_OPEN = 512;
+    private static final int MAX_OPEN_PROBES = 512;
     /** So many intervals somebody may take to prove that he lives. */
-    private static final int PROOF_INTERVALS = 8;
+    private static final int VERIFICATION_INTERVALS = 8;
     /** The part of a time-out after which whoever looks for another says that he had no answer either. */
-    private static final double NACK_AFTER = 0.8;
+    private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
     /** Why somebody is asked. */
     private enum Kind {
@@ -31,32 +31,32 @@
         FOR_ANOTHER
     }
 
-    private static final class Question {
+    private static final class Probe {
         private final Kind kind;
         private final Peer target;
         private final String address;
-        private final long endsAt;
-        private long othersAt;
-        private long askedAt;
-        private int nacksWanted;
+        private final long expiresAt;
+        private long indirectAt;
+        private long sentAt;
+        private int expectedNacks;
         private int nacks;
         /** Who is told, with which nonce, where one asks for another. */
-        private Peer asker;
+        private Peer requester;
 
-        private long askersNonce;
+        private long requesterNonce;
         private boolean direct = true;
 
-        Question(Kind kind, Peer target, String address, long othersAt, long endsAt) {
+        Probe(Kind kind, Peer target, String address, long othersAt, long endsAt) {
             this.kind = kind;
             this.target = target;
             this.address = address;
-            this.othersAt = othersAt;
-            this.endsAt = endsAt;
+            this.indirectAt = othersAt;
+            this.expiresAt = endsAt;
         }
     }
 
     /** Each member asks, or is asked, once in a round over all; so many intervals more are no silence. */
-    private static final int SLACK = 6;
+    private static final int RECENT_SLACK_INTERVALS = 6;
 
     private final Settings settings;
     private final Roster roster;
@@ -65,9 +65,9 @@
     private final DatagramSender sender;
     private final RandomGenerator random;
     private final Self self;
-    private final Map<Long, Question> open = new HashMap<>();
+    private final Map<Long, Probe> open = new HashMap<>();
     private final List<Peer> round = new ArrayList<>();
-    private int place;
+    private int roundIndex;
 
     Detector(
             Settings settings,
@@ -87,40 +87,40 @@
     }
 
     /** Asks whoever's turn it is. */
-    void next(long now) {
+    void probeNext(long now) {
         for (int passed = 0; passed <= roster.present().size(); passed++) {
-            if (place >= round.size()) {
+            if (roundIndex >= round.size()) {
                 round.clear();
                 round.addAll(roster.present());
                 for (int i = round.size() - 1; i > 0; i--) {
                     Collections.swap(round, i, random.nextInt(i + 1));
                 }
-                place = 0;
+                roundIndex = 0;
             }
             if (round.isEmpty()) {
                 return;
             }
-            Peer p = round.get(place++);
+            Peer p = round.get(roundIndex++);
             if (p.present() && roster.get(p.id) == p) {
-                ask(now, p);
+                probe(now, p);
                 return;
             }
         }
     }
 
     /** Somebody new takes part in this round already, at a place drawn at random among those to come. */
-    void joins(Peer p) {
-        round.add(place + random.nextInt(round.size() - place + 1), p);
+    void addToRound(Peer p) {
+        round.add(roundIndex + random.nextInt(round.size() - roundIndex + 1), p);
     }
 
     /** Asks one member, in its turn or out of it. */
-    void ask(long now, Peer p) {
-        Question q = new Question(
+    void probe(long now, Peer p) {
+        Probe q = new Probe(
                 Kind.TURN,
                 p,
                 p.address(),
-                now + health.stretched(settings.timeoutNs()),
-                now + health.stretched(settings.intervalNs()));
+                now + health.scale(settings.timeoutNs()),
+                now + health.scale(settings.intervalNs()));
         long nonce = open(q);
         if (nonce != 0) {
             sender.ping(now, p.address(), p.id, nonce, false);
@@ -131,25 +131,30 @@
      * Asks whoever is at an address to prove that he lives; target may be null where nobody knows who it
      * is.
      */
-    void prove(long now, String address, Identity target) {
+    void verify(long now, String address, Identity target) {
         if (open.values().stream()
-                .anyMatch(q ->
-                        q.kind == Kind.PROOF && q.address.equals(address) && now - q.askedAt < settings.intervalNs())) {
+                .anyMatch(q -> q.kind == Kind.PROOF
+                        && q.address.equals(address)
+                        && now - q.sentAt < settings.intervalNs())) {
             return;
         }
         // No answer has no consequence, so there is time for one from whoever is far away or slow.
-        long nonce = open(
-                new Question(Kind.PROOF, null, address, Long.MAX_VALUE, now + PROOF_INTERVALS * settings.intervalNs()));
+        long nonce = open(new Probe(
+                Kind.PROOF,
+                null,
+                address,
+                Long.MAX_VALUE,
+                now + VERIFICATION_INTERVALS * settings.intervalNs()));
         if (nonce != 0) {
-            open.get(nonce).askedAt = now;
+            open.get(nonce).sentAt = now;
         }
         if (nonce != 0) {
             sender.ping(now, address, target, nonce, true);
         }
     }
 
-    private long open(Question q) {
-        if (open.size() >= MOST_OPEN) {
+    private long open(Probe q) {
+        if (open.size() >= MAX_OPEN_PROBES) {
             return 0;
         }
         long nonce = random.nextLong();
@@ -161,15 +166,15 @@
     }
 
     /** Another asks this process to look for somebody. */
-    void lookFor(long now, Peer asker, Message.PingReq r) {
-        Question q = new Question(
+    void relayProbe(long now, Peer requester, Message.PingReq r) {
+        Probe q = new Probe(
                 Kind.FOR_ANOTHER,
                 null,
                 r.address(),
-                now + (long) (NACK_AFTER * settings.timeoutNs()),
+                now + (long) (NACK_TIMEOUT_FRACTION * settings.timeoutNs()),
                 now + settings.intervalNs());
-        q.asker = asker;
-        q.askersNonce = r.nonce();
+        q.requester = requester;
+        q.requesterNonce = r.nonce();
         long nonce = open(q);
         if (nonce != 0) {
             sender.ping(now, r.address(), r.target(), nonce, false);
@@ -179,52 +184,59 @@
     /**
      * What an answer says of a life that was not proved yet: true if it answers a question of this process.
      */
-    boolean proves(Message.Ack a) {
-        Question q = open.get(a.nonce());
-        return q != null && a.of().equals(a.header().from());
+    boolean answersOpenProbe(Message.Ack a) {
+        Probe q = open.get(a.nonce());
+        return q != null && a.subject().equals(a.header().from());
     }
 
     /** An answer came. */
-    void answered(long now, Message.Ack a) {
-        Question q = open.get(a.nonce());
+    void onAck(long now, Message.Ack a) {
+        Probe q = open.get(a.nonce());
         if (q == null) {
             return; // too late, or never asked
         }
-        boolean himself = a.of().equals(a.header().from());
+        boolean fromSubject = a.subject().equals(a.header().from());
         switch (q.kind) {
-            case TURN -> inTurn(now, q, a, himself);
+            case TURN -> onRegularAck(now, q, a, fromSubject);
             case FOR_ANOTHER -> {
                 open.remove(a.nonce());
-                if (himself) {
-                    sender.ack(now, q.asker.address(), q.asker.id, q.askersNonce, a.of(), a.incarnation(), false);
+                if (fromSubject) {
+                    sender.ack(
+                            now,
+                            q.requester.address(),
+                            q.requester.id,
+                            q.requesterNonce,
+                            a.subject(),
+                            a.incarnation(),
+                            false);
                 }
             }
             default -> open.remove(a.nonce());
         }
     }
 
-    private void inTurn(long now, Question q, Message.Ack a, boolean himself) {
+    private void onRegularAck(long now, Probe q, Message.Ack a, boolean fromSubject) {
         Peer p = q.target;
-        if (a.of().equals(p.id)) {
+        if (a.subject().equals(p.id)) {
             open.remove(a.nonce());
-            members.alive(now, p, a.incarnation());
-            p.onlyByOthers = !himself;
-            if (himself) {
-                p.answeredAt = now;
-                health.count(q.direct ? -1 : 0);
+            members.markAlive(now, p, a.incarnation());
+            p.indirectOnly = !fromSubject;
+            if (fromSubject) {
+                p.lastAckAt = now;
+                health.adjust(q.direct ? -1 : 0);
                 if (p.id.name().equals(self.id.name())) {
-                    members.twin(now, p);
+                    members.reportTwin(now, p);
                 }
             }
-        } else if (himself && q.address.equals(p.address())) {
+        } else if (fromSubject && q.address.equals(p.address())) {
             open.remove(a.nonce());
-            members.gone(now, p, "at " + q.address + " answers " + a.of());
+            members.markGone(now, p, "at " + q.address + " answers " + a.subject());
         }
     }
 
     /** One of those that were asked to look hears this process, and had no answer either. */
-    void nack(Message.Nack n) {
-        Question q = open.get(n.nonce());
+    void onNack(Message.Nack n) {
+        Probe q = open.get(n.nonce());
         if (q != null && q.kind == Kind.TURN) {
             q.nacks++;
         }
@@ -232,44 +244,44 @@
 
     /** Asks others, and draws conclusions, where the time is over. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Long, Question>> i = open.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Long, Question> e = i.next();
-            Question q = e.getValue();
-            if (now >= q.othersAt) {
-                q.othersAt = Long.MAX_VALUE;
-                others(now, e.getKey(), q);
+        for (Iterator<Map.Entry<Long, Probe>> i = open.entrySet().iterator(); i.hasNext(); ) {
+            Map.Entry<Long, Probe> e = i.next();
+            Probe q = e.getValue();
+            if (now >= q.indirectAt) {
+                q.indirectAt = Long.MAX_VALUE;
+                onDirectTimeout(now, e.getKey(), q);
             }
-            if (now >= q.endsAt) {
+            if (now >= q.expiresAt) {
                 i.remove();
                 if (q.kind == Kind.TURN) {
-                    failed(now, q);
+                    onProbeFailed(now, q);
                 }
             }
         }
     }
 
-    private void others(long now, long nonce, Question q) {
+    private void onDirectTimeout(long now, long nonce, Probe q) {
         if (q.kind == Kind.FOR_ANOTHER) {
-            sender.nack(now, q.asker.address(), q.asker.id, q.askersNonce);
+            sender.nack(now, q.requester.address(), q.requester.id, q.requesterNonce);
             return;
         }
         q.direct = false;
-        for (Peer helper : roster.draw(settings.indirect(), random, q.target, null)) {
-            if (helper.verdict == MemberStatus.ALIVE) {
+        for (Peer helper : roster.sample(settings.indirectProbes(), random, q.target, null)) {
+            if (helper.status == MemberStatus.ALIVE) {
                 // One that is silent itself tells nothing of how well this process hears.
-                q.nacksWanted += now - helper.heardAt <= lately() ? 1 : 0;
+                q.expectedNacks += now - helper.lastReceivedAt <= recentNs() ? 1 : 0;
                 sender.pingReq(now, helper, nonce, q.target);
             }
         }
     }
 
-    private long lately() {
-        return (roster.size() + SLACK) * settings.intervalNs();
+    private long recentNs() {
+        return (roster.size() + RECENT_SLACK_INTERVALS) * settings.intervalNs();
     }
 
-    private void failed(long now, Question q) {
+    private void onProbeFailed(long now, Probe q) {
         // If those who were asked to help are not heard either, it is likely this process that hears badly.
-        health.count(q.nacksWanted > 0 ? Math.max(0, q.nacksWanted - q.nacks) : 1);
+        health.adjust(q.expectedNacks > 0 ? Math.max(0, q.expectedNacks - q.nacks) : 1);
         Peer p = q.target;
         if (p.present() && roster.get(p.id) == p) {
             members.suspect(now, p, p.state.incarnation(), self.id.name());
@@ -277,15 +289,15 @@
     }
 
     /** This process stood still: answers may have come and gone, so no question counts. */
-    void abandon() {
+    void abandonProbes() {
         open.values().removeIf(q -> q.kind == Kind.TURN);
     }
 
     /** When the next time is over; MAX_VALUE if nothing is open. */
     long expiresAt() {
         long next = Long.MAX_VALUE;
-        for (Question q : open.values()) {
-            next = Math.min(next, Math.min(q.othersAt, q.endsAt));
+        for (Probe q : open.values()) {
+            next = Math.min(next, Math.min(q.indirectAt, q.expiresAt));
         }
         return next;
     }
--- a/src/main/java/gullspar/peers/Facts.java
+++ b/src/main/java/gullspar/peers/Facts.java
@@ -15,9 +15,9 @@
  */
 public final class Facts {
     /** Names, versions and values of all facts together, in bytes. */
-    public static final int BUDGET = 256;
+    public static final int MAX_BYTES = 256;
     /** For what stands round a fact on the wire. */
-    private static final int EACH = 8;
+    private static final int FACT_OVERHEAD_BYTES = 8;
     /** Nothing told. */
     public static final Facts NONE = new Facts(Map.of());
 
@@ -44,23 +44,23 @@
     }
 
     private final Map<String, Fact> facts;
-    private final int bytes;
+    private final int maxBytes;
 
     private Facts(Map<String, Fact> facts) {
         this.facts = Collections.unmodifiableMap(new TreeMap<>(facts));
-        this.bytes = facts.entrySet().stream()
-                .mapToInt(f -> EACH + f.getKey().length() + f.getValue().value.length)
+        this.maxBytes = facts.entrySet().stream()
+                .mapToInt(f -> FACT_OVERHEAD_BYTES + f.getKey().length() + f.getValue().value.length)
                 .sum();
     }
 
     /** An IllegalArgumentException if they do not fit, or a name cannot be one. */
     public static Facts of(Map<String, Fact> facts) {
         Facts f = new Facts(facts);
-        if (f.bytes > BUDGET
-                || !facts.keySet().stream().allMatch(Identity::named)
+        if (f.maxBytes > MAX_BYTES
+                || !facts.keySet().stream().allMatch(Identity::isValidName)
                 || facts.values().stream().anyMatch(v -> v.version < 0)) {
             throw new IllegalArgumentException(
-                    "facts of " + f.bytes + " bytes, of at most " + BUDGET + ", or a name that cannot be");
+                    "facts of " + f.maxBytes + " bytes, of at most " + MAX_BYTES + ", or a name that cannot be");
         }
         return f;
     }
@@ -99,8 +99,8 @@
     }
 
     /** At most this many on the wire. */
-    int bytes() {
-        return bytes;
+    int maxBytes() {
+        return maxBytes;
     }
 
     @Override
--- a/src/main/java/gullspar/peers/Gossip.java
+++ b/src/main/java/gullspar/peers/Gossip.java
@@ -17,86 +17,86 @@
         Rumor rumor(Identity id, boolean withStatement);
     }
 
-    private static final class Item {
+    private static final class Entry {
         private final Identity id;
-        private final long number;
+        private final long sequence;
         private boolean withStatement;
-        private boolean light;
-        private int told;
+        private boolean statsOnly;
+        private int transmissions;
 
-        Item(Identity id, long number) {
+        Entry(Identity id, long number) {
             this.id = id;
-            this.number = number;
+            this.sequence = number;
         }
     }
 
     private final Source source;
-    private final Map<Identity, Item> items = new HashMap<>();
-    private final TreeSet<Item> order =
-            new TreeSet<>(Comparator.<Item>comparingInt(i -> i.told).thenComparing(i -> -i.number));
-    private long numbers;
+    private final Map<Identity, Entry> entries = new HashMap<>();
+    private final TreeSet<Entry> order =
+            new TreeSet<>(Comparator.<Entry>comparingInt(i -> i.transmissions).thenComparing(i -> -i.sequence));
+    private long lastSequence;
 
     Gossip(Source source) {
         this.source = source;
     }
 
     /** There is something new to tell of a life; with its statement, or only how it stands. */
-    void tell(Identity id, boolean withStatement) {
-        tell(id, withStatement, false);
+    void enqueue(Identity id, boolean withStatement) {
+        enqueue(id, withStatement, false);
     }
 
     /** Only its figures are new: told less often, since what is missed comes with the next comparison. */
-    void tellFigures(Identity id) {
-        tell(id, true, true);
+    void enqueueStats(Identity id) {
+        enqueue(id, true, true);
     }
 
-    private void tell(Identity id, boolean withStatement, boolean light) {
-        Item old = items.remove(id);
-        Item i = new Item(id, ++numbers);
+    private void enqueue(Identity id, boolean withStatement, boolean statsOnly) {
+        Entry old = entries.remove(id);
+        Entry i = new Entry(id, ++lastSequence);
         i.withStatement = withStatement;
-        i.light = light;
+        i.statsOnly = statsOnly;
         if (old != null) {
             order.remove(old);
             i.withStatement |= old.withStatement;
-            i.light &= old.light;
+            i.statsOnly &= old.statsOnly;
         }
-        items.put(id, i);
+        entries.put(id, i);
         order.add(i);
     }
 
     boolean isEmpty() {
-        return items.isEmpty();
+        return entries.isEmpty();
     }
 
     /** Fills so many bytes for one receiver, who needs not be told of himself. */
-    void fill(List<Rumor> into, int room, Identity to, int tellings, int light) {
-        int left = room;
+    void fill(List<Rumor> into, int maxBytes, Identity to, int maxTransmissions, int maxStatsTransmissions) {
+        int left = maxBytes;
         int misses = 0;
-        List<Item> told = new ArrayList<>();
-        for (Item i : order) {
+        List<Entry> sent = new ArrayList<>();
+        for (Entry i : order) {
             if (i.id.equals(to)) {
                 continue;
             }
             Rumor r = source.rumor(i.id, i.withStatement);
-            if (r == null || r.bytes() <= left) {
-                told.add(i);
+            if (r == null || r.maxBytes() <= left) {
+                sent.add(i);
                 if (r != null) {
-                    left -= r.bytes();
+                    left -= r.maxBytes();
                     into.add(r);
                 }
             } else if (++misses > 3) {
                 break; // a smaller one may still fit, but not for the price of a walk through all
             }
-            if (left < Rumor.bytes(i.id, "", null)) {
+            if (left < Rumor.maxBytes(i.id, "", null)) {
                 break;
             }
         }
-        for (Item i : told) {
+        for (Entry i : sent) {
             order.remove(i);
-            if (++i.told < (i.light ? light : tellings)) {
+            if (++i.transmissions < (i.statsOnly ? maxStatsTransmissions : maxTransmissions)) {
                 order.add(i);
             } else {
-                items.remove(i.id);
+                entries.remove(i.id);
             }
         }
     }
--- a/src/main/java/gullspar/peers/Identity.java
+++ b/src/main/java/gullspar/peers/Identity.java
@@ -7,22 +7,22 @@
  */
 public record Identity(String name, long life) implements Comparable<Identity> {
     /** Names, zones and versions: this much at the most, of letters, digits and a few signs. */
-    public static final int LONGEST = 32;
+    public static final int MAX_LENGTH = 32;
 
     public Identity {
-        if (!named(name)) {
+        if (!isValidName(name)) {
             throw new IllegalArgumentException("not a name: " + name);
         }
     }
 
     /** May this be a name? 1 to 32 of letters, digits and . _ - : all of one byte, so sizes are known. */
-    public static boolean named(String text) {
-        return !text.isEmpty() && worded(text);
+    public static boolean isValidName(String text) {
+        return !text.isEmpty() && isValidText(text);
     }
 
     /** As a name, and may be empty. */
-    static boolean worded(String text) {
-        if (text.length() > LONGEST) {
+    static boolean isValidText(String text) {
+        if (text.length() > MAX_LENGTH) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/gullspar/peers/MemberState.java
+++ b/src/main/java/gullspar/peers/MemberState.java
@@ -16,11 +16,11 @@
     }
 
     /** The largest valid incarnation: more than a process refutes in its life, and the next one still fits an int. */
-    public static final int MOST_INCARNATION = 1_000_000_000;
+    public static final int MAX_INCARNATION = 1_000_000_000;
 
     /** Is it a valid incarnation? */
     static boolean incarnation(int i) {
-        return i >= 0 && i <= MOST_INCARNATION;
+        return i >= 0 && i <= MAX_INCARNATION;
     }
 
     /** The larger of the two. */
--- a/src/main/java/gullspar/peers/MemberStates.java
+++ b/src/main/java/gullspar/peers/MemberStates.java
@@ -11,7 +11,7 @@
  */
 final class MemberStates {
     /** A member that is alive here and reported as gone has so many probe timeouts to refute that. */
-    private static final int GRACE = 3;
+    private static final int REFUTE_TIMEOUTS = 3;
 
     private static final long MS = 1_000_000L;
 
@@ -47,17 +47,17 @@
         this.counters = counters;
     }
 
-    private void changed(long now, Change.Kind kind, Identity about, String why) {
+    private void recordChange(long now, Change.Kind kind, Identity about, String why) {
         changedAt = now;
         settled = false;
-        out.changed(new Change(kind, about, why, roster.size()));
+        out.onChange(new Change(kind, about, why, roster.size()));
     }
 
     /** Says once, when nothing has changed for so long and nobody is suspected. */
-    void settle(long now, long quietNs) {
+    void checkSettled(long now, long quietNs) {
         if (!settled && suspected.isEmpty() && now - changedAt >= quietNs) {
             settled = true;
-            out.changed(new Change(Change.Kind.SETTLED, self.id, "", roster.size()));
+            out.onChange(new Change(Change.Kind.SETTLED, self.id, "", roster.size()));
         }
     }
 
@@ -82,47 +82,47 @@
     // ---- rumors ----
 
     /** Applies a rumor from a member that is known to be alive. */
-    void learn(long now, Rumor r, Peer from) {
+    void applyRumor(long now, Rumor r, Peer from) {
         if (r.id().equals(self.id)) {
             onRumorOfSelf(now, r);
             return;
         }
         Peer p = roster.get(r.id());
         if (p == null) {
-            unconfirmed(now, r, from);
+            onUnconfirmedRumor(now, r, from);
             return;
         }
         if (r.statement() != null && r.statement().revision() > p.statement.revision()) {
-            stated(now, p, r.statement(), now - r.statedMs() * MS);
+            updateStatement(now, p, r.statement(), now - r.statementAgeMs() * MS);
         }
         switch (r.status()) {
-            case ALIVE -> alive(now, p, r.incarnation());
-            case SUSPECTED -> suspect(now, p, r.incarnation(), r.by().isEmpty() ? from.id.name() : r.by());
-            case GONE -> onReportedGone(now, p, r.incarnation(), r.by());
-            default -> left(now, p, r.incarnation());
+            case ALIVE -> markAlive(now, p, r.incarnation());
+            case SUSPECTED -> suspect(now, p, r.incarnation(), r.accuser().isEmpty() ? from.id.name() : r.accuser());
+            case GONE -> onReportedGone(now, p, r.incarnation(), r.accuser());
+            default -> markLeft(now, p, r.incarnation());
         }
     }
 
-    private void stated(long now, Peer p, Statement s, long at) {
+    private void updateStatement(long now, Peer p, Statement s, long at) {
         Statement old = p.statement;
         p.statement = s;
         p.statedAt = Math.min(now, at);
-        if (figuresOnly(old, s)) {
-            gossip.tellFigures(p.id);
+        if (onlyStatsDiffer(old, s)) {
+            gossip.enqueueStats(p.id);
         } else {
-            gossip.tell(p.id, true);
+            gossip.enqueue(p.id, true);
         }
-        if (s.twin() != old.twin() && s.twin() != 0) {
-            changed(now, Change.Kind.TWIN, p.id, "it says that another process lives under its name");
+        if (s.twinLife() != old.twinLife() && s.twinLife() != 0) {
+            recordChange(now, Change.Kind.TWIN, p.id, "it says that another process lives under its name");
         }
-        if (s.twin() == self.id.life() && p.id.name().equals(self.id.name())) {
-            twin(now, p);
+        if (s.twinLife() == self.id.life() && p.id.name().equals(self.id.name())) {
+            reportTwin(now, p);
         }
     }
 
-    private static boolean figuresOnly(Statement a, Statement b) {
+    private static boolean onlyStatsDiffer(Statement a, Statement b) {
         return a.phase() == b.phase()
-                && a.twin() == b.twin()
+                && a.twinLife() == b.twinLife()
                 && a.address().equals(b.address())
                 && a.config().equals(b.config())
                 && a.facts().equals(b.facts());
@@ -131,12 +131,12 @@
     /**
      * Another life under this name is proved to live now: said aloud on both sides; none of them gives way.
      */
-    void twin(long now, Peer p) {
-        if (self.statement().twin() != p.id.life()) {
+    void reportTwin(long now, Peer p) {
+        if (self.statement().twinLife() != p.id.life()) {
             Statement s = self.statement();
-            self.say(now, s.config(), s.phase(), p.id.life(), s.view(), s.figures(), s.facts());
-            gossip.tell(self.id, true);
-            changed(now, Change.Kind.TWIN, p.id, "another process lives under this name, at " + p.address());
+            self.update(now, s.config(), s.phase(), p.id.life(), s.viewDigest(), s.stats(), s.facts());
+            gossip.enqueue(self.id, true);
+            recordChange(now, Change.Kind.TWIN, p.id, "another process lives under this name, at " + p.address());
         }
     }
 
@@ -145,31 +145,31 @@
         // A higher incarnation than this process ever had: it was another's mistake, and is overridden as
         // well.
         if (!self.left() && (accused || r.incarnation() > self.incarnation())) {
-            self.objectTo(r.incarnation());
-            counters.objections++;
-            health.count(1);
-            gossip.tell(self.id, false);
-            out.changed(new Change(Change.Kind.OBJECTED, self.id, r.by(), roster.size()));
+            self.refute(r.incarnation());
+            counters.refutations++;
+            health.adjust(1);
+            gossip.enqueue(self.id, false);
+            out.onChange(new Change(Change.Kind.OBJECTED, self.id, r.accuser(), roster.size()));
         }
     }
 
-    private void unconfirmed(long now, Rumor r, Peer from) {
-        if (r.statement() == null || tooOld(now, r)) {
+    private void onUnconfirmedRumor(long now, Rumor r, Peer from) {
+        if (r.statement() == null || isExpired(now, r)) {
             return; // without an address nobody can look; who is long gone is as good as forgotten
         }
         Roster.Unconfirmed known = roster.unconfirmed(r.id());
         if (known == null) {
             roster.addUnconfirmed(new Roster.Unconfirmed(r, from.id.life(), now));
-        } else if (known.by != from.id.life()) {
+        } else if (known.reporterLife != from.id.life()) {
             roster.forget(known);
             admit(
                     now,
                     r.id(),
                     newer(known.rumor, r).statement(),
-                    now - r.statedMs() * MS,
+                    now - r.statementAgeMs() * MS,
                     r.state().merge(known.rumor.state()),
-                    now - r.sinceMs() * MS,
-                    r.by());
+                    now - r.statusAgeMs() * MS,
+                    r.accuser());
         }
     }
 
@@ -177,41 +177,41 @@
         return a.statement().revision() > b.statement().revision() ? a : b;
     }
 
-    private boolean tooOld(long now, Rumor r) {
+    private boolean isExpired(long now, Rumor r) {
         return (r.status() == MemberStatus.GONE || r.status() == MemberStatus.LEFT)
-                && r.sinceMs() * MS >= settings.forgetNs();
+                && r.statusAgeMs() * MS >= settings.forgetNs();
     }
 
     /** Adds a new member; null if the roster is full. */
     Peer admit(long now, Identity id, Statement s, long statedAt, MemberState state, long since, String why) {
         Peer p = new Peer(id, s, Math.min(now, statedAt), state, state.status() == MemberStatus.ALIVE ? now : since);
         if (state.accuses()) {
-            p.why = why;
+            p.reason = why;
         }
         boolean suspect = state.status() == MemberStatus.SUSPECTED;
-        p.verdict = suspect ? MemberStatus.ALIVE : state.status();
-        p.presentAt = p.present() ? now : Long.MIN_VALUE;
-        p.heardAt = now;
+        p.status = suspect ? MemberStatus.ALIVE : state.status();
+        p.lastPresentAt = p.present() ? now : Long.MIN_VALUE;
+        p.lastReceivedAt = now;
         p.reconnectPauseNs = 2 * settings.intervalNs();
         p.reconnectAt = now + p.reconnectPauseNs;
         if (!roster.add(p)) {
             counters.refusedMembers++;
             return null;
         }
-        gossip.tell(id, true);
+        gossip.enqueue(id, true);
         if (!p.present()) {
             return p;
         }
-        changed(now, Change.Kind.JOINED, id, "at " + s.address());
+        recordChange(now, Change.Kind.JOINED, id, "at " + s.address());
         returned.add(p);
         for (Peer other : roster.sameName(id)) {
-            formerLife(now, p, other);
+            resolveSameName(now, p, other);
         }
         if (id.name().equals(self.id.name())) {
             toProbe.add(p);
         }
-        if (s.twin() == self.id.life() && id.name().equals(self.id.name())) {
-            twin(now, p);
+        if (s.twinLife() == self.id.life() && id.name().equals(self.id.name())) {
+            reportTwin(now, p);
         }
         if (suspect) {
             suspect(now, p, state.incarnation(), why);
@@ -220,14 +220,14 @@
     }
 
     /** Two lives of one name: the later one has taken the address, or both are looked at. */
-    private void formerLife(long now, Peer p, Peer other) {
+    private void resolveSameName(long now, Peer p, Peer other) {
         Peer older = p.startedAt() >= other.startedAt() ? other : p;
         Peer newer = older == p ? other : p;
         if (!older.present() || !newer.present()) {
             return;
         }
         if (older.address().equals(newer.address())) {
-            gone(now, older, "it came back as " + newer.id);
+            markGone(now, older, "it came back as " + newer.id);
         } else {
             toProbe.add(older);
         }
@@ -236,19 +236,19 @@
     // ---- verdicts ----
 
     /** The member is alive at that incarnation. */
-    void alive(long now, Peer p, int incarnation) {
-        MemberState said = new MemberState(incarnation, MemberStatus.ALIVE);
-        if (said.compareTo(p.state) <= 0) {
+    void markAlive(long now, Peer p, int incarnation) {
+        MemberState reported = new MemberState(incarnation, MemberStatus.ALIVE);
+        if (reported.compareTo(p.state) <= 0) {
             return;
         }
-        p.state = said;
-        gossip.tell(p.id, p.verdict == MemberStatus.GONE);
-        if (p.verdict == MemberStatus.ALIVE) {
+        p.state = reported;
+        gossip.enqueue(p.id, p.status == MemberStatus.GONE);
+        if (p.status == MemberStatus.ALIVE) {
             return;
         }
-        boolean back = p.verdict == MemberStatus.GONE;
-        verdict(now, p, MemberStatus.ALIVE, "");
-        changed(now, back ? Change.Kind.BACK : Change.Kind.CLEARED, p.id, "");
+        boolean back = p.status == MemberStatus.GONE;
+        setStatus(now, p, MemberStatus.ALIVE, "");
+        recordChange(now, back ? Change.Kind.BACK : Change.Kind.CLEARED, p.id, "");
         if (back) {
             returned.add(p);
         }
@@ -256,38 +256,38 @@
 
     /** A member, or this process itself, gets no answer from it. */
     void suspect(long now, Peer p, int incarnation, String by) {
-        MemberState said = new MemberState(incarnation, MemberStatus.SUSPECTED);
-        if (said.compareTo(p.state) < 0 || p.verdict == MemberStatus.GONE || p.verdict == MemberStatus.LEFT) {
+        MemberState reported = new MemberState(incarnation, MemberStatus.SUSPECTED);
+        if (reported.compareTo(p.state) < 0 || p.status == MemberStatus.GONE || p.status == MemberStatus.LEFT) {
             return;
         }
         if (p.suspicion != null && p.suspicion.incarnation() == incarnation) {
             if (p.suspicion.confirm(by)) {
-                gossip.tell(p.id, false);
+                gossip.enqueue(p.id, false);
             }
             return;
         }
-        p.state = p.state.merge(said);
-        long least = settings.suspicionNs(roster.size());
-        boolean fresh = p.verdict == MemberStatus.ALIVE;
-        if (fresh) {
-            verdict(now, p, MemberStatus.SUSPECTED, by);
+        p.state = p.state.merge(reported);
+        long minNs = settings.suspicionNs(roster.size());
+        boolean wasAlive = p.status == MemberStatus.ALIVE;
+        if (wasAlive) {
+            setStatus(now, p, MemberStatus.SUSPECTED, by);
         }
-        suspicion(
+        setSuspicion(
                 p,
                 new Suspicion(
                         incarnation,
                         by,
                         Math.min(settings.confirmations(), Math.max(0, roster.size() - 2)),
-                        least,
-                        least * settings.stretch(),
+                        minNs,
+                        minNs * settings.maxSuspicionFactor(),
                         now));
-        gossip.tell(p.id, false);
-        if (fresh) {
-            changed(now, Change.Kind.SUSPECTED, p.id, "by " + by);
+        gossip.enqueue(p.id, false);
+        if (wasAlive) {
+            recordChange(now, Change.Kind.SUSPECTED, p.id, "by " + by);
         }
     }
 
-    private void suspicion(Peer p, Suspicion s) {
+    private void setSuspicion(Peer p, Suspicion s) {
         p.suspicion = s;
         if (s == null) {
             suspected.remove(p);
@@ -297,88 +297,89 @@
     }
 
     private void onReportedGone(long now, Peer p, int incarnation, String by) {
-        MemberState said = new MemberState(incarnation, MemberStatus.GONE);
-        if (said.compareTo(p.state) <= 0) {
+        MemberState reported = new MemberState(incarnation, MemberStatus.GONE);
+        if (reported.compareTo(p.state) <= 0) {
             return;
         }
-        p.state = said;
-        if (p.verdict == MemberStatus.SUSPECTED && p.suspicion.incarnation() <= incarnation) {
-            gone(now, p, by);
-        } else if (p.verdict == MemberStatus.ALIVE) {
+        p.state = reported;
+        if (p.status == MemberStatus.SUSPECTED && p.suspicion.incarnation() <= incarnation) {
+            markGone(now, p, by);
+        } else if (p.status == MemberStatus.ALIVE) {
             // Two halves that find each other again say this of one another: whoever lives objects in a
             // moment.
-            verdict(now, p, MemberStatus.SUSPECTED, by);
-            suspicion(p, new Suspicion(incarnation, by, 0, health.stretched(GRACE * settings.timeoutNs()), 0, now));
-            changed(now, Change.Kind.SUSPECTED, p.id, "said to be gone" + (by.isEmpty() ? "" : ", by " + by));
+            setStatus(now, p, MemberStatus.SUSPECTED, by);
+            setSuspicion(
+                    p, new Suspicion(incarnation, by, 0, health.scale(REFUTE_TIMEOUTS * settings.timeoutNs()), 0, now));
+            recordChange(now, Change.Kind.SUSPECTED, p.id, "said to be gone" + (by.isEmpty() ? "" : ", by " + by));
             toProbe.add(p);
         }
     }
 
     /** The member is gone; gossips that. */
-    void gone(long now, Peer p, String why) {
+    void markGone(long now, Peer p, String why) {
         if (!p.present()) {
             return;
         }
         p.state = p.state.merge(new MemberState(p.state.incarnation(), MemberStatus.GONE));
-        verdict(now, p, MemberStatus.GONE, why);
+        setStatus(now, p, MemberStatus.GONE, why);
         p.reconnectPauseNs = 2 * settings.intervalNs();
         p.reconnectAt = now + p.reconnectPauseNs;
-        gossip.tell(p.id, false);
-        changed(now, Change.Kind.GONE, p.id, why);
+        gossip.enqueue(p.id, false);
+        recordChange(now, Change.Kind.GONE, p.id, why);
     }
 
-    private void left(long now, Peer p, int incarnation) {
-        MemberState said = new MemberState(incarnation, MemberStatus.LEFT);
-        if (said.compareTo(p.state) <= 0) {
+    private void markLeft(long now, Peer p, int incarnation) {
+        MemberState reported = new MemberState(incarnation, MemberStatus.LEFT);
+        if (reported.compareTo(p.state) <= 0) {
             return;
         }
-        p.state = said;
-        gossip.tell(p.id, false);
-        if (p.verdict != MemberStatus.LEFT) {
-            verdict(now, p, MemberStatus.LEFT, "");
-            changed(now, Change.Kind.LEFT, p.id, "");
+        p.state = reported;
+        gossip.enqueue(p.id, false);
+        if (p.status != MemberStatus.LEFT) {
+            setStatus(now, p, MemberStatus.LEFT, "");
+            recordChange(now, Change.Kind.LEFT, p.id, "");
         }
     }
 
-    private void verdict(long now, Peer p, MemberStatus v, String why) {
-        p.presentAt = p.present() ? now : p.presentAt;
-        p.verdict = v;
-        p.since = now;
-        p.why = why;
+    private void setStatus(long now, Peer p, MemberStatus v, String why) {
+        p.lastPresentAt = p.present() ? now : p.lastPresentAt;
+        p.status = v;
+        p.statusSince = now;
+        p.reason = why;
         if (v != MemberStatus.SUSPECTED) {
-            suspicion(p, null);
+            setSuspicion(p, null);
         }
-        roster.placed(p);
+        roster.updatePresence(p);
     }
 
     /** Declares members gone whose suspicion has timed out. */
     void expireSuspicions(long now) {
         for (Peer p : List.copyOf(suspected)) {
-            if (now >= p.suspicion.endsAt()) {
-                gone(now, p, p.why);
+            if (now >= p.suspicion.expiresAt()) {
+                markGone(now, p, p.reason);
             }
         }
     }
 
     /** When the next suspicion times out, in ns; MAX_VALUE if there is none. */
-    long nextSuspicionEnd() {
+    long nextSuspicionExpiry() {
         long next = Long.MAX_VALUE;
         for (Peer p : suspected) {
-            next = Math.min(next, p.suspicion.endsAt());
+            next = Math.min(next, p.suspicion.expiresAt());
         }
         return next;
     }
 
     /** This process was paused for so long: suspicions are extended by it. */
-    void pausedFor(long ns) {
-        suspected.forEach(p -> p.suspicion.pausedFor(ns));
+    void extendSuspicions(long ns) {
+        suspected.forEach(p -> p.suspicion.extend(ns));
     }
 
     /** Removes members that have been gone for long. */
     void forget(long now) {
         List<Peer> old = new ArrayList<>();
         for (Peer p : roster.all()) {
-            if (!p.present() && now - p.since >= settings.forgetNs()) {
+            if (!p.present() && now - p.statusSince >= settings.forgetNs()) {
                 old.add(p);
             }
         }
--- a/src/main/java/gullspar/peers/Message.java
+++ b/src/main/java/gullspar/peers/Message.java
@@ -5,11 +5,11 @@
 /** What goes from one process to another in one datagram. */
 public sealed interface Message {
     /** A datagram's bytes at the most, envelope and all: under the least MTU of IPv6 with its headers. */
-    int MOST_BYTES = 1200;
+    int MAX_DATAGRAM_BYTES = 1200;
     /** The envelope: version, key, and the message authentication code. */
-    int ENVELOPE = 24;
+    int MAX_ENVELOPE_BYTES = 24;
     /** Kind, lengths of arrays. */
-    int FRONT = 16;
+    int FRAMING_BYTES = 16;
 
     /**
      * Who speaks.
@@ -20,23 +20,23 @@
      */
     record Header(Identity from, int incarnation, String address, long number) {
         /** Numbers, lengths and types, at most. */
-        private static final int REST = 40;
+        private static final int FIXED_BYTES = 40;
 
         public Header {
             if (!MemberState.incarnation(incarnation)
                     || number < 1
                     || address.isEmpty()
-                    || address.length() > Statement.LONGEST_ADDRESS) {
+                    || address.length() > Statement.MAX_ADDRESS_LENGTH) {
                 throw new IllegalArgumentException("not a speaker: " + from);
             }
         }
 
-        int bytes() {
-            return bytes(from, address);
+        int maxBytes() {
+            return maxBytes(from, address);
         }
 
-        static int bytes(Identity from, String address) {
-            return REST + from.name().length() + address.length();
+        static int maxBytes(Identity from, String address) {
+            return FIXED_BYTES + from.name().length() + address.length();
         }
     }
 
@@ -46,13 +46,13 @@
     List<Rumor> rumors();
 
     /** Its own fields, on the wire, at most: neither header nor rumors. */
-    int body();
+    int maxBodyBytes();
 
     /** On the wire, at most, without the envelope. */
-    default int size() {
-        int size = FRONT + header().bytes() + body();
+    default int maxBytes() {
+        int size = FRAMING_BYTES + header().maxBytes() + maxBodyBytes();
         for (Rumor r : rumors()) {
-            size += r.bytes();
+            size += r.maxBytes();
         }
         return size;
     }
@@ -63,9 +63,10 @@
      * @param target the life that is meant, 0 if the asker does not know who is at that address
      * @param hello the asker has not heard the asked one's statement, and asks for it
      */
-    record Ping(Header header, long nonce, long target, boolean hello, List<Rumor> rumors) implements Message {
+    record Ping(Header header, long nonce, long targetLife, boolean requestsStatement, List<Rumor> rumors)
+            implements Message {
         @Override
-        public int body() {
+        public int maxBodyBytes() {
             return 9 + 9 + 1;
         }
     }
@@ -75,17 +76,17 @@
      *
      * @param of who is alive, of that incarnation: the speaker, but where another was asked for
      */
-    record Ack(Header header, long nonce, Identity of, int incarnation, List<Rumor> rumors) implements Message {
+    record Ack(Header header, long nonce, Identity subject, int incarnation, List<Rumor> rumors) implements Message {
         @Override
-        public int body() {
-            return 9 + 11 + of.name().length() + 5;
+        public int maxBodyBytes() {
+            return 9 + 11 + subject.name().length() + 5;
         }
     }
 
     /** I get no answer from that one: do you? */
     record PingReq(Header header, long nonce, Identity target, String address, List<Rumor> rumors) implements Message {
         @Override
-        public int body() {
+        public int maxBodyBytes() {
             return 9 + 11 + target.name().length() + 2 + address.length();
         }
     }
@@ -93,7 +94,7 @@
     /** I hear you, and have no answer from the one whom you asked me to look for either. */
     record Nack(Header header, long nonce, List<Rumor> rumors) implements Message {
         @Override
-        public int body() {
+        public int maxBodyBytes() {
             return 9;
         }
     }
@@ -101,7 +102,7 @@
     /** Nothing but rumors. */
     record News(Header header, List<Rumor> rumors) implements Message {
         @Override
-        public int body() {
+        public int maxBodyBytes() {
             return 0;
         }
     }
@@ -109,7 +110,7 @@
     /** My view, as one digest for each range of lives (see {@link Reconciler}). */
     record Digest(Header header, List<Long> ranges) implements Message {
         @Override
-        public int body() {
+        public int maxBodyBytes() {
             return 9 * ranges.size();
         }
 
@@ -122,8 +123,8 @@
     /** All that I know of lives from one to another, both included. */
     record Listing(Header header, long from, long to, List<Known> known) implements Message {
         @Override
-        public int body() {
-            return 9 + 9 + Known.BYTES * known.size();
+        public int maxBodyBytes() {
+            return 9 + 9 + Known.MAX_BYTES * known.size();
         }
 
         @Override
@@ -135,7 +136,7 @@
     /** What is known of a life: enough to tell who knows more. */
     record Known(long life, int incarnation, MemberStatus status, int revision) {
         /** On the wire, at most. */
-        static final int BYTES = 22;
+        static final int MAX_BYTES = 22;
 
         public Known {
             if (!MemberState.incarnation(incarnation)) {
@@ -147,11 +148,11 @@
     /** Tell me of these lives. */
     record Want(Header header, List<Long> lives) implements Message {
         /** A life on the wire, at most. */
-        static final int BYTES = 9;
+        static final int MAX_LIFE_BYTES = 9;
 
         @Override
-        public int body() {
-            return BYTES * lives.size();
+        public int maxBodyBytes() {
+            return MAX_LIFE_BYTES * lives.size();
         }
 
         @Override
--- a/src/main/java/gullspar/peers/Outbox.java
+++ b/src/main/java/gullspar/peers/Outbox.java
@@ -6,5 +6,5 @@
     void send(String address, Message message);
 
     /** Something in the view is other than before. */
-    void changed(Change change);
+    void onChange(Change change);
 }
--- a/src/main/java/gullspar/peers/Peer.java
+++ b/src/main/java/gullspar/peers/Peer.java
@@ -14,39 +14,39 @@
      * What this process holds it for. It may lag behind what was heard: that somebody is gone who was alive
      * here a moment ago is believed a little later, so that it can object.
      */
-    MemberStatus verdict;
+    MemberStatus status;
 
-    long since;
+    long statusSince;
     /** Who accused it, or why it went; empty if nobody did. */
-    String why = "";
+    String reason = "";
 
     Suspicion suspicion;
     /** When a datagram of it came last, or, before any has, when it was taken in. */
-    long heardAt;
+    long lastReceivedAt;
     /** When it last answered this process itself; MIN_VALUE if never. */
-    long answeredAt = Long.MIN_VALUE;
+    long lastAckAt = Long.MIN_VALUE;
     /** Asked directly it did not answer the last time, though others reached it. */
-    boolean onlyByOthers;
+    boolean indirectOnly;
     /** The last time at which it was held for alive or suspected. */
-    long presentAt;
+    long lastPresentAt;
 
     long reconnectAt;
     long reconnectPauseNs;
     /** Its place among those that are present, -1 if it is not. */
-    int place = -1;
+    int presentIndex = -1;
 
     Peer(Identity id, Statement statement, long statedAt, MemberState state, long since) {
         this.id = id;
         this.statement = statement;
         this.statedAt = statedAt;
         this.state = state;
-        this.verdict = state.status();
-        this.since = since;
+        this.status = state.status();
+        this.statusSince = since;
     }
 
     /** Alive, or not yet given up. */
     boolean present() {
-        return verdict == MemberStatus.ALIVE || verdict == MemberStatus.SUSPECTED;
+        return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECTED;
     }
 
     String address() {
@@ -60,15 +60,15 @@
 
     /** What this process tells of it. */
     Rumor rumor(long now, boolean withStatement) {
-        MemberStatus told = verdict == MemberStatus.SUSPECTED && state.status() == MemberStatus.GONE
+        MemberStatus reported = status == MemberStatus.SUSPECTED && state.status() == MemberStatus.GONE
                 ? MemberStatus.SUSPECTED
                 : state.status();
         return new Rumor(
                 id,
                 state.incarnation(),
-                told,
-                told == MemberStatus.ALIVE || !Identity.worded(why) ? "" : why,
-                Math.max(0, now - since) / 1_000_000,
+                reported,
+                reported == MemberStatus.ALIVE || !Identity.isValidText(reason) ? "" : reason,
+                Math.max(0, now - statusSince) / 1_000_000,
                 withStatement ? statement : null,
                 withStatement ? Math.max(0, now - statedAt) / 1_000_000 : 0);
     }
--- a/src/main/java/gullspar/peers/Peers.java
+++ b/src/main/java/gullspar/peers/Peers.java
@@ -13,15 +13,15 @@
  */
 public final class Peers {
     /** Datagrams of unknown senders that are answered, a second. */
-    private static final double STRANGERS = 32;
+    private static final double UNKNOWN_SENDERS_PER_SECOND = 32;
     /** Unconfirmed processes that are probed in an interval, and how often each. */
-    private static final int PROOFS = 4, TRIES = 3;
+    private static final int MAX_VERIFICATIONS_PER_INTERVAL = 4, MAX_VERIFICATIONS_PER_PROCESS = 3;
     /** Gossip rounds in an interval, while there are rumors to spread. */
-    private static final int NEWS = 5;
+    private static final int GOSSIP_ROUNDS_PER_INTERVAL = 5;
     /** The view is stable if nothing changes for so many intervals. */
-    private static final int QUIET = 5;
+    private static final int SETTLED_AFTER_INTERVALS = 5;
     /** After so many intervals without any datagram this process takes itself for isolated. */
-    private static final int SILENCE = 6;
+    private static final int ISOLATED_AFTER_INTERVALS = 6;
 
     private static final long MS = 1_000_000L;
 
@@ -38,22 +38,22 @@
     private final Reconciler reconciler;
     private final ReconnectBackoff reconnects;
     private final Counters counters = new Counters();
-    private final Allowance unknownSenders;
+    private final TokenBucket unknownSenderLimit;
     private long nextProbe;
-    private long nextNews;
+    private long nextGossip;
     private long nextSync;
     private long lastSync;
-    private long nextKeeping;
-    private long nextFigures;
-    private Peer syncWith;
+    private long nextMaintenance;
+    private long nextStats;
+    private Peer nextSyncPartner;
     /** When the next tick is due, in ns. */
-    private long due;
+    private long nextTickAt;
     /** The time of the current input, in ns. */
-    private long clock;
+    private long currentTime;
 
-    private Figures latest = Figures.NONE;
+    private TrafficStats currentStats = TrafficStats.NONE;
     /** When the last datagram of a member arrived, in ns. */
-    private long heardAt;
+    private long lastReceivedAt;
 
     private boolean cutOff;
     private int known = 1;
@@ -68,38 +68,38 @@
         this.random = random;
         this.out = out;
         this.self = new Self(first, now);
-        this.roster = new Roster(settings.members());
-        this.health = new SelfHealth(settings.healthMost());
+        this.roster = new Roster(settings.maxMembers());
+        this.health = new SelfHealth(settings.maxHealthScore());
         this.gossip = new Gossip(this::rumor);
         this.members = new MemberStates(self, settings, roster, gossip, health, out, counters);
         this.sender = new DatagramSender(self, roster, gossip, settings, out, counters, now);
         this.detector = new Detector(settings, self, roster, members, health, sender, random);
         this.reconciler = new Reconciler(self, roster, members, sender, random);
         this.reconnects = new ReconnectBackoff(settings, self, roster, detector, random, seeds);
-        this.unknownSenders = new Allowance(STRANGERS, now);
+        this.unknownSenderLimit = new TokenBucket(UNKNOWN_SENDERS_PER_SECOND, now);
         // Processes that start together must not ask together.
         this.nextProbe = now + random.nextLong(settings.intervalNs());
-        this.nextNews = now;
+        this.nextGossip = now;
         this.nextSync = now + random.nextLong(settings.syncNs());
-        this.nextKeeping = now;
-        this.nextFigures = now + random.nextLong(settings.figuresNs());
-        this.due = now;
-        this.heardAt = now;
+        this.nextMaintenance = now;
+        this.nextStats = now + random.nextLong(settings.statsIntervalNs());
+        this.nextTickAt = now;
+        this.lastReceivedAt = now;
     }
 
     private Rumor rumor(Identity id, boolean withStatement) {
         if (id.equals(self.id)) {
-            return self.rumor(clock, withStatement);
+            return self.rumor(currentTime, withStatement);
         }
         Peer p = roster.get(id);
-        return p == null ? null : p.rumor(clock, withStatement);
+        return p == null ? null : p.rumor(currentTime, withStatement);
     }
 
     // ---- inputs ----
 
     /** An authenticated datagram arrived. */
     public void receive(long now, Message m) {
-        wake(now);
+        advanceClock(now);
         counters.received++;
         Message.Header h = m.header();
         if (h.from().equals(self.id) || self.left()) {
@@ -107,37 +107,37 @@
         }
         Peer p = roster.get(h.from());
         if (p == null) {
-            fromUnknown(now, m);
-        } else if (!p.guard.fresh(h.number())) {
-            counters.repeated++;
-        } else if (p.verdict != MemberStatus.LEFT) {
-            from(now, p, m);
+            receiveFromUnknown(now, m);
+        } else if (!p.guard.accept(h.number())) {
+            counters.duplicates++;
+        } else if (p.status != MemberStatus.LEFT) {
+            receiveFromMember(now, p, m);
         }
-        followUp(now);
+        processPending(now);
     }
 
-    private void from(long now, Peer p, Message m) {
+    private void receiveFromMember(long now, Peer p, Message m) {
         Message.Header h = m.header();
-        heardAt = now;
-        p.heardAt = now;
-        members.alive(now, p, h.incarnation());
-        m.rumors().forEach(r -> members.learn(now, r, p));
+        lastReceivedAt = now;
+        p.lastReceivedAt = now;
+        members.markAlive(now, p, h.incarnation());
+        m.rumors().forEach(r -> members.applyRumor(now, r, p));
         if (m instanceof Message.Ping q) {
-            sender.ack(now, h.address(), h.from(), q.nonce(), self.id, self.incarnation(), q.hello());
+            sender.ack(now, h.address(), h.from(), q.nonce(), self.id, self.incarnation(), q.requestsStatement());
         } else if (m instanceof Message.Ack a) {
-            detector.answered(now, a);
+            detector.onAck(now, a);
         } else if (m instanceof Message.PingReq r) {
-            detector.lookFor(now, p, r);
+            detector.relayProbe(now, p, r);
         } else if (m instanceof Message.Nack n) {
-            detector.nack(n);
+            detector.onNack(n);
         } else if (m instanceof Message.Digest d) {
-            reconciler.digest(now, p, d);
+            reconciler.onDigest(now, p, d);
         } else if (m instanceof Message.Listing l) {
             reconciler.listing(now, p, l);
         } else if (m instanceof Message.Want w) {
-            reconciler.want(now, p, w);
+            reconciler.onWant(now, p, w);
         }
-        if (p.verdict == MemberStatus.GONE && p.reconnectAt > now + settings.intervalNs()) {
+        if (p.status == MemberStatus.GONE && p.reconnectAt > now + settings.intervalNs()) {
             p.reconnectAt = now + settings.intervalNs(); // it speaks: it is to hear soon that it is held for gone
         }
     }
@@ -146,74 +146,74 @@
      * A datagram of a process that is not a member. Its rumors are ignored, since it may be a replay; the sender is
      * probed.
      */
-    private void fromUnknown(long now, Message m) {
+    private void receiveFromUnknown(long now, Message m) {
         counters.unknownSenders++;
         Message.Header h = m.header();
-        if (m instanceof Message.Ack a && detector.proves(a)) {
-            detector.answered(now, a);
-            Rumor said = a.rumors().stream()
+        if (m instanceof Message.Ack a && detector.answersOpenProbe(a)) {
+            detector.onAck(now, a);
+            Rumor introduction = a.rumors().stream()
                     .filter(r -> r.id().equals(h.from()) && r.statement() != null)
                     .findFirst()
                     .orElse(null);
-            if (said == null) {
-                if (unknownSenders.take(1, now)) {
-                    detector.prove(now, h.address(), h.from());
+            if (introduction == null) {
+                if (unknownSenderLimit.tryTake(1, now)) {
+                    detector.verify(now, h.address(), h.from());
                 }
                 return;
             }
             Peer p = members.admit(
                     now,
                     h.from(),
-                    said.statement(),
-                    now - said.statedMs() * MS,
+                    introduction.statement(),
+                    now - introduction.statementAgeMs() * MS,
                     new MemberState(h.incarnation(), MemberStatus.ALIVE),
                     now,
                     "");
             if (p != null) {
-                p.guard.fresh(h.number());
-                p.answeredAt = now;
-                a.rumors().forEach(r -> members.learn(now, r, p));
+                p.guard.accept(h.number());
+                p.lastAckAt = now;
+                a.rumors().forEach(r -> members.applyRumor(now, r, p));
                 if (p.id.name().equals(self.id.name())) {
-                    members.twin(now, p);
+                    members.reportTwin(now, p);
                 }
             }
             return;
         }
-        if (!unknownSenders.take(1, now)) {
+        if (!unknownSenderLimit.tryTake(1, now)) {
             return;
         }
         if (m instanceof Message.Ping q) {
-            sender.ack(now, h.address(), h.from(), q.nonce(), self.id, self.incarnation(), q.hello());
+            sender.ack(now, h.address(), h.from(), q.nonce(), self.id, self.incarnation(), q.requestsStatement());
         }
-        detector.prove(now, h.address(), h.from());
+        detector.verify(now, h.address(), h.from());
     }
 
     /** Advances the time; does what is due. */
     public void tick(long now) {
-        wake(now);
+        advanceClock(now);
         if (self.left()) {
-            due = Long.MAX_VALUE;
+            nextTickAt = Long.MAX_VALUE;
             return;
         }
         detector.expire(now);
         members.expireSuspicions(now);
         if (now >= nextProbe) {
-            detector.next(now);
-            nextProbe = now + health.stretched(settings.intervalNs());
+            detector.probeNext(now);
+            nextProbe = now + health.scale(settings.intervalNs());
         }
-        if (now >= nextKeeping) {
-            keep(now);
-            nextKeeping = now + settings.intervalNs();
+        if (now >= nextMaintenance) {
+            maintain(now);
+            nextMaintenance = now + settings.intervalNs();
         }
-        followUp(now);
+        processPending(now);
         if (now >= nextSync) {
-            sync(now);
+            startSync(now);
         }
-        if (now >= nextNews) {
-            news(now, settings.fanout());
-            nextNews = now + settings.intervalNs() / NEWS;
+        if (now >= nextGossip) {
+            sendGossip(now, settings.fanout());
+            nextGossip = now + settings.intervalNs() / GOSSIP_ROUNDS_PER_INTERVAL;
         }
-        due = wakeAt();
+        nextTickAt = wakeAt();
     }
 
     /** When {@link #tick} is due next, in ns; MAX_VALUE after {@link #leave}. */
@@ -221,105 +221,105 @@
         if (self.left()) {
             return Long.MAX_VALUE;
         }
-        long next = Math.min(Math.min(nextProbe, nextKeeping), Math.min(nextSync, nextNews));
-        return Math.min(next, Math.min(detector.expiresAt(), members.nextSuspicionEnd()));
+        long next = Math.min(Math.min(nextProbe, nextMaintenance), Math.min(nextSync, nextGossip));
+        return Math.min(next, Math.min(detector.expiresAt(), members.nextSuspicionExpiry()));
     }
 
     /** Sets this process's own state and figures; gossips the state if it changed. */
-    public void say(long now, Phase phase, String config, Figures figures, Facts facts) {
-        wake(now);
+    public void updateSelf(long now, Phase phase, String config, TrafficStats figures, Facts facts) {
+        advanceClock(now);
         Statement s = self.statement();
-        boolean news = phase != s.phase() || !config.equals(s.config()) || !facts.equals(s.facts());
-        latest = figures;
-        if (news) {
-            self.say(now, config, phase, s.twin(), digest(), figures, facts);
-            gossip.tell(self.id, true);
-            due = Math.min(due, nextNews);
+        boolean stateChanged = phase != s.phase() || !config.equals(s.config()) || !facts.equals(s.facts());
+        currentStats = figures;
+        if (stateChanged) {
+            self.update(now, config, phase, s.twinLife(), digest(), figures, facts);
+            gossip.enqueue(self.id, true);
+            nextTickAt = Math.min(nextTickAt, nextGossip);
         }
     }
 
     /** Replaces the seeds, the addresses where other members may be found. */
     public void seeds(long now, List<String> addresses) {
-        wake(now);
+        advanceClock(now);
         reconnects.seeds(addresses);
     }
 
     /** Announces that this process leaves; nothing is sent after that. */
     public void leave(long now) {
-        wake(now);
+        advanceClock(now);
         self.leave(now);
-        gossip.tell(self.id, true);
-        news(now, settings.fanout() * 3);
-        due = Long.MAX_VALUE;
+        gossip.enqueue(self.id, true);
+        sendGossip(now, settings.fanout() * 3);
+        nextTickAt = Long.MAX_VALUE;
     }
 
     // ---- what it does of itself ----
 
     /** After a pause longer than the probe timeout open probes tell nothing: they are abandoned. */
-    private void wake(long now) {
-        clock = now;
-        long late = now - due;
-        if (settings.healthMost() > 0 && late > settings.timeoutNs()) {
+    private void advanceClock(long now) {
+        currentTime = now;
+        long late = now - nextTickAt;
+        if (settings.maxHealthScore() > 0 && late > settings.timeoutNs()) {
             counters.stalls++;
-            detector.abandon();
-            members.pausedFor(late);
-            heardAt += late;
-            roster.present().forEach(p -> p.heardAt += late);
-            health.count((int) Math.min(settings.healthMost(), 1 + late / settings.intervalNs()));
+            detector.abandonProbes();
+            members.extendSuspicions(late);
+            lastReceivedAt += late;
+            roster.present().forEach(p -> p.lastReceivedAt += late);
+            health.adjust((int) Math.min(settings.maxHealthScore(), 1 + late / settings.intervalNs()));
             nextSync = now;
-            out.changed(new Change(Change.Kind.STOOD_STILL, self.id, late / MS + " ms", roster.size()));
+            out.onChange(new Change(Change.Kind.STOOD_STILL, self.id, late / MS + " ms", roster.size()));
         }
-        due = Math.max(due, now);
+        nextTickAt = Math.max(nextTickAt, now);
     }
 
-    private void followUp(long now) {
+    private void processPending(long now) {
         for (Peer p : members.takeToProbe()) {
             if (roster.get(p.id) == p && p.present()) {
-                detector.ask(now, p);
+                detector.probe(now, p);
             }
         }
         for (Peer p : members.takeReturned()) {
-            detector.joins(p);
-            syncWith = p;
+            detector.addToRound(p);
+            nextSyncPartner = p;
             nextSync = Math.min(nextSync, Math.max(now, lastSync + settings.intervalNs() / 2));
         }
     }
 
-    private void news(long now, int fanout) {
+    private void sendGossip(long now, int fanout) {
         if (gossip.isEmpty() || roster.present().isEmpty()) {
             return;
         }
-        for (Peer p : roster.draw(fanout, random, null, self.id)) {
-            if (!gossip.isEmpty() && sender.affords(1, now)) {
-                sender.news(now, p);
+        for (Peer p : roster.sample(fanout, random, null, self.id)) {
+            if (!gossip.isEmpty() && sender.canSend(1, now)) {
+                sender.gossip(now, p);
             }
         }
     }
 
-    private void sync(long now) {
-        Peer with = syncWith != null && syncWith.present()
-                ? syncWith
-                : roster.draw(1, random, null, self.id).stream().findFirst().orElse(null);
-        syncWith = null;
-        if (with != null) {
-            reconciler.compare(now, with);
+    private void startSync(long now) {
+        Peer partner = nextSyncPartner != null && nextSyncPartner.present()
+                ? nextSyncPartner
+                : roster.sample(1, random, null, self.id).stream().findFirst().orElse(null);
+        nextSyncPartner = null;
+        if (partner != null) {
+            reconciler.compare(now, partner);
         }
         lastSync = now;
-        nextSync = now + health.stretched((long) (settings.syncNs() * (0.75 + random.nextDouble() / 2)));
+        nextSync = now + health.scale((long) (settings.syncNs() * (0.75 + random.nextDouble() / 2)));
     }
 
     /** Housekeeping, once an interval. */
-    private void keep(long now) {
-        lookAround(now);
+    private void maintain(long now) {
+        updateVisibility(now);
         reconnects.reconnect(now, cutOff);
-        unconfirmed(now);
+        verifyUnconfirmed(now);
         members.forget(now);
-        members.settle(now, QUIET * settings.intervalNs());
+        members.checkSettled(now, SETTLED_AFTER_INTERVALS * settings.intervalNs());
         Statement s = self.statement();
-        if (now >= nextFigures) {
-            self.say(now, s.config(), s.phase(), twin(s.twin()), digest(), latest, s.facts());
-            gossip.tellFigures(self.id);
-            nextFigures = now + (long) (settings.figuresNs(roster.size()) * (0.75 + random.nextDouble() / 2));
+        if (now >= nextStats) {
+            self.update(now, s.config(), s.phase(), twin(s.twinLife()), digest(), currentStats, s.facts());
+            gossip.enqueueStats(self.id);
+            nextStats = now + (long) (settings.statsIntervalNs(roster.size()) * (0.75 + random.nextDouble() / 2));
         }
     }
 
@@ -328,48 +328,48 @@
         return life != 0 && roster.present().stream().anyMatch(p -> p.id.life() == life) ? life : 0;
     }
 
-    private void lookAround(long now) {
-        int lately = 1;
-        int now1 = 1;
+    private void updateVisibility(long now) {
+        int recentlyPresent = 1;
+        int alive = 1;
         for (Peer p : roster.all()) {
             if (p.present()) {
-                p.presentAt = now;
+                p.lastPresentAt = now;
             }
-            if (p.verdict != MemberStatus.LEFT
-                    && p.presentAt != Long.MIN_VALUE
-                    && now - p.presentAt <= settings.windowNs()) {
-                lately++;
-                now1 += p.verdict == MemberStatus.ALIVE ? 1 : 0;
+            if (p.status != MemberStatus.LEFT
+                    && p.lastPresentAt != Long.MIN_VALUE
+                    && now - p.lastPresentAt <= settings.windowNs()) {
+                recentlyPresent++;
+                alive += p.status == MemberStatus.ALIVE ? 1 : 0;
             }
         }
-        known = lately;
+        known = recentlyPresent;
         // Isolated: no member counts as seen, though each suspicion still takes its time.
-        seen = now - heardAt > SILENCE * settings.intervalNs() ? 1 : now1;
-        boolean off = 2 * seen < known;
-        if (off != cutOff) {
-            cutOff = off;
-            out.changed(new Change(
-                    off ? Change.Kind.CUT_OFF : Change.Kind.REJOINED,
+        seen = now - lastReceivedAt > ISOLATED_AFTER_INTERVALS * settings.intervalNs() ? 1 : alive;
+        boolean minority = 2 * seen < known;
+        if (minority != cutOff) {
+            cutOff = minority;
+            out.onChange(new Change(
+                    minority ? Change.Kind.CUT_OFF : Change.Kind.REJOINED,
                     self.id,
                     "sees " + seen + " of " + known,
                     roster.size()));
         }
     }
 
-    private void unconfirmed(long now) {
+    private void verifyUnconfirmed(long now) {
         int asked = 0;
         for (Roster.Unconfirmed h : List.copyOf(roster.unconfirmed())) {
             if (h.rumor.state().accuses() || h.rumor.status() == MemberStatus.LEFT) {
-                if (now - h.at > settings.syncNs() * 3) {
+                if (now - h.receivedAt > settings.syncNs() * 3) {
                     roster.forget(h); // nobody else knows of it
                 }
-            } else if (h.asked >= TRIES) {
+            } else if (h.probes >= MAX_VERIFICATIONS_PER_PROCESS) {
                 roster.forget(h);
-            } else if (now >= h.askAt && asked < PROOFS) {
+            } else if (now >= h.nextProbeAt && asked < MAX_VERIFICATIONS_PER_INTERVAL) {
                 asked++;
-                h.asked++;
-                h.askAt = now + 2 * settings.intervalNs();
-                detector.prove(now, h.rumor.statement().address(), h.rumor.id());
+                h.probes++;
+                h.nextProbeAt = now + 2 * settings.intervalNs();
+                detector.verify(now, h.rumor.statement().address(), h.rumor.id());
             }
         }
     }
@@ -383,7 +383,7 @@
                 own = true;
                 add(sum, self.id.life());
             }
-            if (p.verdict == MemberStatus.ALIVE) {
+            if (p.status == MemberStatus.ALIVE) {
                 add(sum, p.id.life());
             }
         }
@@ -410,7 +410,7 @@
     public int alive() {
         int alive = 1;
         for (Peer p : roster.present()) {
-            alive += p.verdict == MemberStatus.ALIVE ? 1 : 0;
+            alive += p.status == MemberStatus.ALIVE ? 1 : 0;
         }
         return alive;
     }
@@ -430,7 +430,7 @@
         List<View.Member> members = new ArrayList<>();
         for (Peer p : roster.all()) {
             View.Status status =
-                    switch (p.verdict) {
+                    switch (p.status) {
                         case ALIVE -> View.Status.ALIVE;
                         case SUSPECTED -> View.Status.SUSPECTED;
                         case GONE -> cutOff ? View.Status.UNKNOWN : View.Status.GONE;
@@ -440,15 +440,15 @@
                     p.id,
                     p.statement,
                     status,
-                    ms(now - p.since),
-                    p.why,
+                    ms(now - p.statusSince),
+                    p.reason,
                     ms(now - p.statedAt),
                     ms(now - p.startedAt()),
                     p.state.incarnation(),
-                    p.statement.twin() != 0,
-                    p.onlyByOthers,
-                    p.answeredAt == Long.MIN_VALUE ? -1 : ms(now - p.answeredAt),
-                    !p.present() || p.statement.view() == digest));
+                    p.statement.twinLife() != 0,
+                    p.indirectOnly,
+                    p.lastAckAt == Long.MIN_VALUE ? -1 : ms(now - p.lastAckAt),
+                    !p.present() || p.statement.viewDigest() == digest));
         }
         members.sort(Comparator.comparing((View.Member m) -> m.id().name()).thenComparing(View.Member::upMs));
         Statement s = self.statement();
@@ -461,7 +461,7 @@
                 ms(now - self.statedAt()),
                 ms(now - self.startedAt()),
                 self.incarnation(),
-                s.twin() != 0,
+                s.twinLife() != 0,
                 false,
                 0,
                 true);
--- a/src/main/java/gullspar/peers/Reconciler.java
+++ b/src/main/java/gullspar/peers/Reconciler.java
@@ -20,7 +20,7 @@
     static final int RANGES = 32;
     private static final int SHIFT = 64 - 5;
     /** Datagrams that one step of a comparison may take; what is left over comes at the next. */
-    private static final int PAGES = 8;
+    private static final int MAX_PAGES = 8;
 
     private final Self self;
     private final Roster roster;
@@ -38,9 +38,9 @@
 
     /** Begins a comparison. */
     void compare(long now, Peer with) {
-        if (sender.affords(1, now)) {
+        if (sender.canSend(1, now)) {
             List<Long> ranges = digests();
-            sender.plain(now, with, h -> new Message.Digest(h, ranges));
+            sender.sendPlain(now, with, h -> new Message.Digest(h, ranges));
         }
     }
 
@@ -92,29 +92,30 @@
     }
 
     /** The other's digests: what is known here of the ranges that differ goes back. */
-    void digest(long now, Peer from, Message.Digest d) {
+    void onDigest(long now, Peer from, Message.Digest d) {
         if (d.ranges().size() != RANGES) {
             return; // another version's; rumors go on
         }
         List<Long> mine = digests();
         NavigableMap<Long, Message.Known> known = known();
         int begin = random.nextInt(RANGES);
-        int pages = PAGES;
+        int pages = MAX_PAGES;
         for (int i = 0; i < RANGES && pages > 0; i++) {
             int range = (begin + i) % RANGES;
             if (!mine.get(range).equals(d.ranges().get(range))) {
-                pages = list(now, from, known, first(range), last(range), pages);
+                pages = sendListings(now, from, known, first(range), last(range), pages);
             }
         }
     }
 
-    private int list(long now, Peer to, NavigableMap<Long, Message.Known> known, long first, long last, int pages) {
-        int most = (sender.room() - 22) / Message.Known.BYTES;
+    private int sendListings(
+            long now, Peer to, NavigableMap<Long, Message.Known> known, long first, long last, int pages) {
+        int maxPerPage = (sender.maxPayloadBytes() - 22) / Message.Known.MAX_BYTES;
         long from = first;
         int left = pages;
         List<Message.Known> page = new ArrayList<>();
         for (Message.Known k : known.subMap(first, true, last, true).values()) {
-            if (page.size() == most) {
+            if (page.size() == maxPerPage) {
                 left = listing(now, to, from, k.life() - 1, page, left);
                 from = k.life();
                 page = new ArrayList<>();
@@ -128,10 +129,10 @@
     }
 
     private int listing(long now, Peer to, long from, long last, List<Message.Known> page, int left) {
-        if (left == 0 || !sender.affords(1, now)) {
+        if (left == 0 || !sender.canSend(1, now)) {
             return 0;
         }
-        sender.plain(now, to, h -> new Message.Listing(h, from, last, page));
+        sender.sendPlain(now, to, h -> new Message.Listing(h, from, last, page));
         return left - 1;
     }
 
@@ -140,7 +141,7 @@
         NavigableMap<Long, Message.Known> mine = known();
         Map<Long, Identity> names = names();
         List<Long> want = new ArrayList<>();
-        List<Rumor> tell = new ArrayList<>();
+        List<Rumor> toSend = new ArrayList<>();
         NavigableMap<Long, Message.Known> missing = Long.compareUnsigned(l.from(), l.to()) > 0
                 ? new TreeMap<>()
                 : new TreeMap<>(mine.subMap(l.from(), true, l.to(), true));
@@ -156,25 +157,25 @@
             if (k.revision() > m.revision() || theirs.compareTo(ours) > 0 && k.life() != self.id.life()) {
                 want.add(k.life());
             } else if (theirs.compareTo(ours) > 0) {
-                members.learn(now, new Rumor(self.id, k.incarnation(), k.status(), "", 0, null, 0), from);
+                members.applyRumor(now, new Rumor(self.id, k.incarnation(), k.status(), "", 0, null, 0), from);
             }
             if (m.revision() > k.revision() || ours.compareTo(theirs) > 0) {
-                tell.add(rumor(now, names.get(k.life()), m.revision() > k.revision()));
+                toSend.add(rumor(now, names.get(k.life()), m.revision() > k.revision()));
             }
         }
-        missing.keySet().forEach(life -> tell.add(rumor(now, names.get(life), true)));
-        tell(now, from, tell);
-        pages(want, sender.room() / Message.Want.BYTES, w -> {
-            if (sender.affords(1, now)) {
-                sender.plain(now, from, h -> new Message.Want(h, w));
+        missing.keySet().forEach(life -> toSend.add(rumor(now, names.get(life), true)));
+        sendRumors(now, from, toSend);
+        forEachPage(want, sender.maxPayloadBytes() / Message.Want.MAX_LIFE_BYTES, w -> {
+            if (sender.canSend(1, now)) {
+                sender.sendPlain(now, from, h -> new Message.Want(h, w));
             }
         });
     }
 
     /** The other wants to hear of these lives. */
-    void want(long now, Peer from, Message.Want w) {
+    void onWant(long now, Peer from, Message.Want w) {
         Map<Long, Identity> names = names();
-        tell(
+        sendRumors(
                 now,
                 from,
                 w.lives().stream()
@@ -184,16 +185,16 @@
                         .toList());
     }
 
-    private void tell(long now, Peer to, List<Rumor> rumors) {
-        int most = PAGES * 3;
-        pages(rumors, most, page -> {
-            if (sender.affords(PAGES, now)) {
-                sender.tell(now, to, page);
+    private void sendRumors(long now, Peer to, List<Rumor> rumors) {
+        int maxPerPage = MAX_PAGES * 3;
+        forEachPage(rumors, maxPerPage, page -> {
+            if (sender.canSend(MAX_PAGES, now)) {
+                sender.sendRumors(now, to, page);
             }
         });
     }
 
-    private static <T> void pages(List<T> all, int size, Consumer<List<T>> each) {
+    private static <T> void forEachPage(List<T> all, int size, Consumer<List<T>> each) {
         for (int i = 0; i < all.size(); i += size) {
             each.accept(List.copyOf(all.subList(i, Math.min(all.size(), i + size))));
         }
--- a/src/main/java/gullspar/peers/ReconnectBackoff.java
+++ b/src/main/java/gullspar/peers/ReconnectBackoff.java
@@ -9,9 +9,9 @@
  */
 final class ReconnectBackoff {
     /** A seed is probed once in so many protocol intervals while other members are present. */
-    private static final int SEED_EVERY = 30;
+    private static final int SEED_PROBE_INTERVALS = 30;
     /** Probes in a protocol interval while this process is alone or partitioned. */
-    private static final int MANY = 3;
+    private static final int PROBES_WHEN_ISOLATED = 3;
 
     private final Settings settings;
     private final Self self;
@@ -20,7 +20,7 @@
     private final RandomGenerator random;
     private List<String> seeds;
     private int seed;
-    private long seedAt;
+    private long nextSeedProbeAt;
 
     ReconnectBackoff(
             Settings settings,
@@ -40,44 +40,45 @@
     /** Replaces the seeds; the next one is probed in the next interval. */
     void seeds(List<String> others) {
         seeds = List.copyOf(others);
-        seedAt = Long.MIN_VALUE;
+        nextSeedProbeAt = Long.MIN_VALUE;
     }
 
     /** To be called once a protocol interval; cutOff: this process sees fewer than half of the members. */
     void reconnect(long now, boolean cutOff) {
         boolean alone = roster.present().isEmpty();
-        for (int i = 0; i < (alone || cutOff ? MANY : 1); i++) {
-            gone(now);
+        for (int i = 0; i < (alone || cutOff ? PROBES_WHEN_ISOLATED : 1); i++) {
+            probeGone(now);
         }
-        if (!seeds.isEmpty() && (alone || now >= seedAt)) {
-            for (int i = 0; i < (alone ? Math.min(MANY, seeds.size()) : 1); i++) {
+        if (!seeds.isEmpty() && (alone || now >= nextSeedProbeAt)) {
+            for (int i = 0; i < (alone ? Math.min(PROBES_WHEN_ISOLATED, seeds.size()) : 1); i++) {
                 seed(now);
             }
         }
     }
 
-    private void gone(long now) {
+    private void probeGone(long now) {
         Peer due = null;
         for (Peer p : roster.all()) {
-            if (p.verdict == MemberStatus.GONE
+            if (p.status == MemberStatus.GONE
                     && now >= p.reconnectAt
                     && (due == null || p.reconnectAt < due.reconnectAt)) {
                 due = p;
             }
         }
         if (due != null) {
-            detector.ask(now, due);
-            due.reconnectPauseNs = Math.min(settings.reconnectMost() * settings.intervalNs(), due.reconnectPauseNs * 2);
+            detector.probe(now, due);
+            due.reconnectPauseNs =
+                    Math.min(settings.maxReconnectIntervals() * settings.intervalNs(), due.reconnectPauseNs * 2);
             due.reconnectAt = now + (long) (due.reconnectPauseNs * (0.75 + random.nextDouble() / 2));
         }
     }
 
     private void seed(long now) {
-        seedAt = now + SEED_EVERY * settings.intervalNs();
+        nextSeedProbeAt = now + SEED_PROBE_INTERVALS * settings.intervalNs();
         String address = seeds.get(seed++ % seeds.size());
         if (!address.equals(self.address())
                 && roster.present().stream().noneMatch(p -> p.address().equals(address))) {
-            detector.prove(now, address, null);
+            detector.verify(now, address, null);
         }
     }
 }
--- a/src/main/java/gullspar/peers/ReplayGuard.java
+++ b/src/main/java/gullspar/peers/ReplayGuard.java
@@ -7,24 +7,24 @@
 final class ReplayGuard {
     private static final int WINDOW = 64;
 
-    private long newest;
+    private long highestNumber;
     /** Bit i: newest - i was heard. */
-    private long state;
+    private long seenBits;
 
     /** True for a number that was not heard yet and is not too old. */
-    boolean fresh(long number) {
-        if (number > newest) {
-            long ahead = number - newest;
-            state = ahead >= WINDOW ? 0 : state << ahead;
-            state |= 1;
-            newest = number;
+    boolean accept(long number) {
+        if (number > highestNumber) {
+            long ahead = number - highestNumber;
+            seenBits = ahead >= WINDOW ? 0 : seenBits << ahead;
+            seenBits |= 1;
+            highestNumber = number;
             return true;
         }
-        long behind = newest - number;
-        if (behind >= WINDOW || (state >>> behind & 1) != 0) {
+        long behind = highestNumber - number;
+        if (behind >= WINDOW || (seenBits >>> behind & 1) != 0) {
             return false;
         }
-        state |= 1L << behind;
+        seenBits |= 1L << behind;
         return true;
     }
 }
--- a/src/main/java/gullspar/peers/Roster.java
+++ b/src/main/java/gullspar/peers/Roster.java
@@ -15,25 +15,25 @@
  */
 final class Roster {
     /** Bound on the processes that only one member has told of; the oldest is dropped first. */
-    private static final int MOST_UNCONFIRMED = 2048;
+    private static final int MAX_UNCONFIRMED = 2048;
 
     /** A process that one member has told of. */
     static final class Unconfirmed {
         final Rumor rumor;
-        final long at;
-        final long by;
-        int asked;
-        long askAt;
+        final long receivedAt;
+        final long reporterLife;
+        int probes;
+        long nextProbeAt;
 
         Unconfirmed(Rumor rumor, long by, long at) {
             this.rumor = rumor;
-            this.by = by;
-            this.at = at;
-            this.askAt = at;
+            this.reporterLife = by;
+            this.receivedAt = at;
+            this.nextProbeAt = at;
         }
     }
 
-    private final int most;
+    private final int maxMembers;
     private final TreeMap<Identity, Peer> peers = new TreeMap<>();
     /** Unordered, so that a random one is drawn in constant time. */
     private final List<Peer> present = new ArrayList<>();
@@ -41,7 +41,7 @@
     private final Map<Identity, Unconfirmed> unconfirmed = new LinkedHashMap<>();
 
     Roster(int most) {
-        this.most = most;
+        this.maxMembers = most;
     }
 
     Peer get(Identity id) {
@@ -65,10 +65,10 @@
 
     /** Takes one in; false if there are too many. Who is gone for the longest makes room. */
     boolean add(Peer p) {
-        if (peers.size() >= most - 1) {
+        if (peers.size() >= maxMembers - 1) {
             Peer oldest = peers.values().stream()
                     .filter(o -> !o.present())
-                    .min(Comparator.comparingLong(o -> o.since))
+                    .min(Comparator.comparingLong(o -> o.statusSince))
                     .orElse(null);
             if (oldest == null) {
                 return false;
@@ -77,30 +77,30 @@
         }
         unconfirmed.remove(p.id);
         peers.put(p.id, p);
-        placed(p);
+        updatePresence(p);
         return true;
     }
 
     /** To be called after each change of a verdict. */
-    void placed(Peer p) {
-        if (p.present() && p.place < 0) {
-            p.place = present.size();
+    void updatePresence(Peer p) {
+        if (p.present() && p.presentIndex < 0) {
+            p.presentIndex = present.size();
             present.add(p);
-        } else if (!p.present() && p.place >= 0) {
+        } else if (!p.present() && p.presentIndex >= 0) {
             Peer last = present.remove(present.size() - 1);
             if (last != p) {
-                present.set(p.place, last);
-                last.place = p.place;
+                present.set(p.presentIndex, last);
+                last.presentIndex = p.presentIndex;
             }
-            p.place = -1;
+            p.presentIndex = -1;
         }
     }
 
     void remove(Peer p) {
         peers.remove(p.id);
-        if (p.place >= 0) {
-            p.verdict = MemberStatus.GONE;
-            placed(p);
+        if (p.presentIndex >= 0) {
+            p.status = MemberStatus.GONE;
+            updatePresence(p);
         }
     }
 
@@ -116,16 +116,16 @@
     }
 
     /** Up to so many of those present, drawn at random, without those two. */
-    List<Peer> draw(int count, RandomGenerator random, Peer without, Identity orHim) {
-        List<Peer> drawn = new ArrayList<>(count);
+    List<Peer> sample(int count, RandomGenerator random, Peer excluded, Identity excludedId) {
+        List<Peer> sampled = new ArrayList<>(count);
         int tries = Math.min(present.size(), 3 * count + 3);
-        for (int i = 0; i < tries && drawn.size() < count; i++) {
+        for (int i = 0; i < tries && sampled.size() < count; i++) {
             Peer p = present.get(random.nextInt(present.size()));
-            if (p != without && !p.id.equals(orHim) && !drawn.contains(p)) {
-                drawn.add(p);
+            if (p != excluded && !p.id.equals(excludedId) && !sampled.contains(p)) {
+                sampled.add(p);
             }
         }
-        return drawn;
+        return sampled;
     }
 
     // ---- who is only spoken of ----
@@ -139,7 +139,7 @@
     }
 
     void addUnconfirmed(Unconfirmed h) {
-        if (unconfirmed.size() >= MOST_UNCONFIRMED) {
+        if (unconfirmed.size() >= MAX_UNCONFIRMED) {
             unconfirmed.remove(unconfirmed.keySet().iterator().next());
         }
         unconfirmed.put(h.rumor.id(), h);
--- a/src/main/java/gullspar/peers/Rumor.java
+++ b/src/main/java/gullspar/peers/Rumor.java
@@ -12,18 +12,18 @@
         Identity id,
         int incarnation,
         MemberStatus status,
-        String by,
-        long sinceMs,
+        String accuser,
+        long statusAgeMs,
         Statement statement,
-        long statedMs) {
+        long statementAgeMs) {
     /** Numbers, lengths and types, at most. */
-    private static final int REST = 48;
+    private static final int FIXED_BYTES = 48;
 
     public Rumor {
         if (!MemberState.incarnation(incarnation)
-                || !Identity.worded(by)
-                || sinceMs < 0
-                || statedMs < 0
+                || !Identity.isValidText(accuser)
+                || statusAgeMs < 0
+                || statementAgeMs < 0
                 || statement != null && !statement.id().equals(id)) {
             throw new IllegalArgumentException("not a rumor of " + id);
         }
@@ -34,11 +34,11 @@
     }
 
     /** At most this many on the wire. */
-    int bytes() {
-        return bytes(id, by, statement);
+    int maxBytes() {
+        return maxBytes(id, accuser, statement);
     }
 
-    static int bytes(Identity id, String by, Statement statement) {
-        return REST + id.name().length() + by.length() + (statement == null ? 0 : statement.bytes());
+    static int maxBytes(Identity id, String by, Statement statement) {
+        return FIXED_BYTES + id.name().length() + by.length() + (statement == null ? 0 : statement.maxBytes());
     }
 }
--- a/src/main/java/gullspar/peers/Self.java
+++ b/src/main/java/gullspar/peers/Self.java
@@ -8,7 +8,7 @@
     private Statement statement;
     private long statedAt;
     private boolean left;
-    private long number;
+    private long lastNumber;
 
     Self(Statement first, long now) {
         this.id = first.id();
@@ -38,24 +38,24 @@
     }
 
     /** Overrides an accusation of that incarnation. */
-    void objectTo(int accused) {
-        incarnation = Math.min(MemberState.MOST_INCARNATION, Math.max(incarnation, accused) + 1);
+    void refute(int accusedIncarnation) {
+        incarnation = Math.min(MemberState.MAX_INCARNATION, Math.max(incarnation, accusedIncarnation) + 1);
     }
 
     void leave(long now) {
         left = true;
-        say(
+        update(
                 now,
                 statement.config(),
                 Phase.LEAVING,
-                statement.twin(),
-                statement.view(),
-                statement.figures(),
+                statement.twinLife(),
+                statement.viewDigest(),
+                statement.stats(),
                 statement.facts());
     }
 
     /** The next revision of what it says. */
-    void say(long now, String config, Phase phase, long twin, int view, Figures figures, Facts facts) {
+    void update(long now, String config, Phase phase, long twin, int view, TrafficStats figures, Facts facts) {
         statement = new Statement(
                 id,
                 statement.revision() + 1,
@@ -74,11 +74,11 @@
 
     /** The header of its next datagram. */
     Message.Header header() {
-        return new Message.Header(id, incarnation, statement.address(), ++number);
+        return new Message.Header(id, incarnation, statement.address(), ++lastNumber);
     }
 
     int headerBytes() {
-        return Message.Header.bytes(id, statement.address());
+        return Message.Header.maxBytes(id, statement.address());
     }
 
     long statedAt() {
--- a/src/main/java/gullspar/peers/SelfHealth.java
+++ b/src/main/java/gullspar/peers/SelfHealth.java
@@ -6,16 +6,16 @@
  * asks.
  */
 final class SelfHealth {
-    private final int most;
+    private final int maxScore;
     private int score;
 
     SelfHealth(int most) {
-        this.most = most;
+        this.maxScore = most;
     }
 
     /** For the worse (more than 0) or the better. */
-    void count(int by) {
-        score = Math.max(0, Math.min(most, score + by));
+    void adjust(int delta) {
+        score = Math.max(0, Math.min(maxScore, score + delta));
     }
 
     /** 0 is well. */
@@ -24,7 +24,7 @@
     }
 
     /** A time as it is now, in ns. */
-    long stretched(long ns) {
+    long scale(long ns) {
         return ns * (score + 1);
     }
 }
--- a/src/main/java/gullspar/peers/Settings.java
+++ b/src/main/java/gullspar/peers/Settings.java
@@ -26,19 +26,19 @@
 public record Settings(
         long intervalNs,
         long timeoutNs,
-        int indirect,
-        int suspicion,
-        int stretch,
+        int indirectProbes,
+        int suspicionMultiplier,
+        int maxSuspicionFactor,
         int confirmations,
-        int healthMost,
-        int retell,
+        int maxHealthScore,
+        int retransmitMultiplier,
         int fanout,
         long syncNs,
-        long figuresNs,
-        int reconnectMost,
+        long statsIntervalNs,
+        int maxReconnectIntervals,
         long forgetNs,
         long windowNs,
-        int members,
+        int maxMembers,
         int bytesPerSecond) {
     private static final long MS = 1_000_000L;
 
@@ -46,14 +46,14 @@
         if (intervalNs < 10 * MS
                 || timeoutNs < MS
                 || timeoutNs * 2 > intervalNs
-                || members < 2
-                || bytesPerSecond < 4 * Message.MOST_BYTES) {
+                || maxMembers < 2
+                || bytesPerSecond < 4 * Message.MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException("settings that cannot be: " + intervalNs + ", " + timeoutNs);
         }
     }
 
     /** The usual ones, all in proportion to the interval. */
-    public static Settings every(long intervalNs) {
+    public static Settings withInterval(long intervalNs) {
         return new Settings(
                 intervalNs,
                 intervalNs * 2 / 5,
@@ -74,64 +74,64 @@
     }
 
     /** The same with another window in which members count as seen lately. */
-    public Settings within(long ns) {
+    public Settings withWindow(long ns) {
         return new Settings(
                 intervalNs,
                 timeoutNs,
-                indirect,
-                suspicion,
-                stretch,
+                indirectProbes,
+                suspicionMultiplier,
+                maxSuspicionFactor,
                 confirmations,
-                healthMost,
-                retell,
+                maxHealthScore,
+                retransmitMultiplier,
                 fanout,
                 syncNs,
-                figuresNs,
-                reconnectMost,
+                statsIntervalNs,
+                maxReconnectIntervals,
                 forgetNs,
                 ns,
-                members,
+                maxMembers,
                 bytesPerSecond);
     }
 
     /** The same with another bound on what is sent. */
-    public Settings atMost(int bytes) {
+    public Settings withBytesPerSecond(int bytes) {
         return new Settings(
                 intervalNs,
                 timeoutNs,
-                indirect,
-                suspicion,
-                stretch,
+                indirectProbes,
+                suspicionMultiplier,
+                maxSuspicionFactor,
                 confirmations,
-                healthMost,
-                retell,
+                maxHealthScore,
+                retransmitMultiplier,
                 fanout,
                 syncNs,
-                figuresNs,
-                reconnectMost,
+                statsIntervalNs,
+                maxReconnectIntervals,
                 forgetNs,
                 windowNs,
-                members,
+                maxMembers,
                 bytes);
     }
 
     /** The least time under suspicion in a fleet of that size, in ns. */
     long suspicionNs(int size) {
-        return (long) (suspicion * Math.max(1, Math.log10(Math.max(1, size))) * intervalNs);
+        return (long) (suspicionMultiplier * Math.max(1, Math.log10(Math.max(1, size))) * intervalNs);
     }
 
     /** How often a rumor is told in a fleet of that size. */
-    int tellings(int size) {
-        return retell * (int) Math.ceil(Math.log10(size + 1.0));
+    int transmissions(int size) {
+        return retransmitMultiplier * (int) Math.ceil(Math.log10(size + 1.0));
     }
 
     /** How often new figures are told in a fleet of that size. */
-    static int lightTellings(int size) {
+    static int statsTransmissions(int size) {
         return (int) Math.ceil(Math.log10(size + 1.0));
     }
 
     /** How often a member tells its figures in a fleet of that size, in ns: two a second in all, or fewer. */
-    long figuresNs(int size) {
-        return Math.max(figuresNs, size * intervalNs / 2);
+    long statsIntervalNs(int size) {
+        return Math.max(statsIntervalNs, size * intervalNs / 2);
     }
 }
--- a/src/main/java/gullspar/peers/Statement.java
+++ b/src/main/java/gullspar/peers/Statement.java
@@ -18,21 +18,21 @@
         String config,
         Phase phase,
         long upMs,
-        long twin,
-        int view,
-        Figures figures,
+        long twinLife,
+        int viewDigest,
+        TrafficStats stats,
         Facts facts) {
     /** An address of IPv6 with its brackets and port has 47 characters. */
-    public static final int LONGEST_ADDRESS = 48;
+    public static final int MAX_ADDRESS_LENGTH = 48;
     /** What stands round the texts, at most: numbers, lengths, types. */
-    private static final int REST = 80;
+    private static final int FIXED_BYTES = 80;
 
     public Statement {
         if (address.isEmpty()
-                || address.length() > LONGEST_ADDRESS
-                || !Identity.worded(zone)
-                || !Identity.worded(version)
-                || !Identity.worded(config)
+                || address.length() > MAX_ADDRESS_LENGTH
+                || !Identity.isValidText(zone)
+                || !Identity.isValidText(version)
+                || !Identity.isValidText(config)
                 || revision < 1
                 || upMs < 0) {
             throw new IllegalArgumentException("not a statement: " + id + " at " + address);
@@ -45,13 +45,13 @@
     }
 
     /** At most this many on the wire. */
-    int bytes() {
-        return REST
+    int maxBytes() {
+        return FIXED_BYTES
                 + id.name().length()
                 + address.length()
                 + zone.length()
                 + version.length()
                 + config.length()
-                + facts.bytes();
+                + facts.maxBytes();
     }
 }
--- a/src/main/java/gullspar/peers/Suspicion.java
+++ b/src/main/java/gullspar/peers/Suspicion.java
@@ -10,18 +10,18 @@
  */
 final class Suspicion {
     private final int incarnation;
-    private final int wanted;
+    private final int maxConfirmations;
     private final Set<String> accusers = new HashSet<>();
-    private final long least;
-    private final long most;
-    private long since;
+    private final long minNs;
+    private final long maxNs;
+    private long startedAt;
 
     Suspicion(int incarnation, String by, int wanted, long least, long most, long now) {
         this.incarnation = incarnation;
-        this.wanted = wanted;
-        this.least = least;
-        this.most = wanted == 0 ? least : most;
-        this.since = now;
+        this.maxConfirmations = wanted;
+        this.minNs = least;
+        this.maxNs = wanted == 0 ? least : most;
+        this.startedAt = now;
         accusers.add(by);
     }
 
@@ -31,20 +31,20 @@
 
     /** Somebody accuses as well; true if that is news, and still wanted. */
     boolean confirm(String by) {
-        return accusers.size() <= wanted && accusers.add(by);
+        return accusers.size() <= maxConfirmations && accusers.add(by);
     }
 
     /** When it is believed, in ns. */
-    long endsAt() {
-        if (wanted == 0) {
-            return since + least;
+    long expiresAt() {
+        if (maxConfirmations == 0) {
+            return startedAt + minNs;
         }
-        double part = Math.log(accusers.size()) / Math.log(wanted + 1.0);
-        return since + Math.max(least, most - (long) ((most - least) * part));
+        double fraction = Math.log(accusers.size()) / Math.log(maxConfirmations + 1.0);
+        return startedAt + Math.max(minNs, maxNs - (long) ((maxNs - minNs) * fraction));
     }
 
     /** This process stood still meanwhile: the accused had no chance to be heard. */
-    void pausedFor(long ns) {
-        since += ns;
+    void extend(long ns) {
+        startedAt += ns;
     }
 }
--- a/src/main/java/gullspar/peers/View.java
+++ b/src/main/java/gullspar/peers/View.java
@@ -42,18 +42,18 @@
             Identity id,
             Statement statement,
             Status status,
-            long sinceMs,
-            String why,
-            long statedMs,
+            long statusAgeMs,
+            String reason,
+            long statementAgeMs,
             long upMs,
             int incarnation,
             boolean twin,
-            boolean onlyByOthers,
-            long answeredMs,
+            boolean indirectOnly,
+            long lastAckAgeMs,
             boolean agrees) {}
 
     /** The latest life under that name; null if there is none. */
-    public Member named(String name) {
+    public Member findByName(String name) {
         if (self.id().name().equals(name)) {
             return self;
         }
--- a/src/main/java/gullspar/peers/net/FleetPage.java
+++ b/src/main/java/gullspar/peers/net/FleetPage.java
@@ -20,7 +20,7 @@
 
     private FleetPage() {}
 
-    static String of(View v, Counters c, Carrier carrier) {
+    static String of(View v, Counters c, UdpTransport transport) {
         StringWriter text = new StringWriter();
         try (JsonGenerator g = JSON.createGenerator(text)) {
             g.writeStartObject();
@@ -42,15 +42,15 @@
             g.writeNumberField("sent_bytes", c.sentBytes());
             g.writeNumberField("received", c.received());
             g.writeNumberField("withheld", c.withheld());
-            g.writeNumberField("unsent", carrier.unsent());
-            g.writeNumberField("repeated", c.repeated());
+            g.writeNumberField("unsent", transport.unsent());
+            g.writeNumberField("repeated", c.duplicates());
             g.writeNumberField("strangers", c.unknownSenders());
-            g.writeNumberField("malformed", carrier.malformed());
-            for (Map.Entry<Envelope.Refusal, Long> r : carrier.refused().entrySet()) {
+            g.writeNumberField("malformed", transport.malformed());
+            for (Map.Entry<Envelope.Refusal, Long> r : transport.refused().entrySet()) {
                 g.writeNumberField("refused_" + r.getKey().name().toLowerCase(Locale.ROOT), r.getValue());
             }
             g.writeEndObject();
-            g.writeNumberField("objections", c.objections());
+            g.writeNumberField("objections", c.refutations());
             g.writeNumberField("stood_still", c.stalls());
             g.writeNumberField("members_refused", c.refusedMembers());
             g.writeEndObject();
@@ -69,9 +69,9 @@
             g.writeBooleanField("self", true);
         }
         g.writeStringField("status", m.status().name().toLowerCase(Locale.ROOT));
-        g.writeNumberField("since_s", m.sinceMs() / 1e3);
-        if (!m.why().isEmpty()) {
-            g.writeStringField("why", m.why());
+        g.writeNumberField("since_s", m.statusAgeMs() / 1e3);
+        if (!m.reason().isEmpty()) {
+            g.writeStringField("why", m.reason());
         }
         g.writeStringField("phase", s.phase().name().toLowerCase(Locale.ROOT));
         g.writeStringField("address", s.address());
@@ -80,14 +80,14 @@
         g.writeStringField("config", s.config());
         g.writeNumberField("up_s", m.upMs() / 1e3);
         g.writeNumberField("incarnation", m.incarnation());
-        g.writeNumberField("told_s", m.statedMs() / 1e3);
-        g.writeNumberField("requests_per_s", s.figures().requests());
-        g.writeNumberField("refused_per_s", s.figures().refused());
-        g.writeNumberField("pending", s.figures().pending());
-        g.writeNumberField("answered_s", m.answeredMs() < 0 ? -1 : m.answeredMs() / 1e3);
+        g.writeNumberField("told_s", m.statementAgeMs() / 1e3);
+        g.writeNumberField("requests_per_s", s.stats().requestsPerSecond());
+        g.writeNumberField("refused_per_s", s.stats().refusedPerSecond());
+        g.writeNumberField("pending", s.stats().pending());
+        g.writeNumberField("answered_s", m.lastAckAgeMs() < 0 ? -1 : m.lastAckAgeMs() / 1e3);
         g.writeBooleanField("agrees", m.agrees());
         g.writeBooleanField("twin", m.twin());
-        g.writeBooleanField("only_by_others", m.onlyByOthers());
+        g.writeBooleanField("only_by_others", m.indirectOnly());
         g.writeObjectFieldStart("facts");
         for (Map.Entry<String, Facts.Fact> f : s.facts().all().entrySet()) {
             g.writeObjectFieldStart(f.getKey());
--- a/src/main/java/gullspar/peers/net/KeyFile.java
+++ b/src/main/java/gullspar/peers/net/KeyFile.java
@@ -15,7 +15,7 @@
  * begin with # are remarks. What this process sends is made with the first, what comes is taken by either.
  */
 public final class KeyFile {
-    private static final int MOST_BYTES = 4096;
+    private static final int MAX_BYTES = 4096;
 
     private KeyFile() {}
 
@@ -23,8 +23,8 @@
     public static List<byte[]> read(Path file) throws IOException {
         List<String> lines;
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException(file + ": has more than " + MOST_BYTES + " bytes, and is no key file");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new IOException(file + ": has more than " + MAX_BYTES + " bytes, and is no key file");
             }
             lines = Files.readAllLines(file);
         } catch (NoSuchFileException e) {
@@ -41,19 +41,19 @@
             int column = lines.get(i).indexOf(line) + 1;
             for (int c = 0; c < line.length(); c++) {
                 if (!HexFormat.isHexDigit(line.charAt(c))) {
-                    throw wrong(file, i, column + c, "is no hexadecimal digit");
+                    throw syntaxError(file, i, column + c, "is no hexadecimal digit");
                 }
             }
-            if (line.length() % 2 != 0 || line.length() / 2 < Envelope.LEAST_KEY_BYTES) {
-                throw wrong(
+            if (line.length() % 2 != 0 || line.length() / 2 < Envelope.MIN_KEY_BYTES) {
+                throw syntaxError(
                         file,
                         i,
                         column,
-                        "a key of " + line.length() + " digits, not " + 2 * Envelope.LEAST_KEY_BYTES
+                        "a key of " + line.length() + " digits, not " + 2 * Envelope.MIN_KEY_BYTES
                                 + " or more, in pairs");
             }
-            if (keys.size() == Envelope.MOST_KEYS) {
-                throw wrong(file, i, column, "a third key: two at one time are enough to replace one");
+            if (keys.size() == Envelope.MAX_KEYS) {
+                throw syntaxError(file, i, column, "a third key: two at one time are enough to replace one");
             }
             keys.add(HexFormat.of().parseHex(line));
         }
@@ -63,7 +63,7 @@
         return keys;
     }
 
-    private static IOException wrong(Path file, int line, int column, String what) {
+    private static IOException syntaxError(Path file, int line, int column, String what) {
         return new IOException(file + ":" + (line + 1) + ":" + column + ": " + what);
     }
 }
--- a/src/main/java/gullspar/peers/net/Membership.java
+++ b/src/main/java/gullspar/peers/net/Membership.java
@@ -4,11 +4,11 @@
 import gullspar.config.OperatorsFile;
 import gullspar.peers.Change;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.Phase;
 import gullspar.peers.Settings;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import gullspar.peers.wire.Envelope;
 import gullspar.proxy.io.Platform;
 import gullspar.proxy.operator.Companion;
@@ -49,7 +49,7 @@
     private final Platform platform;
     private final Supplier<Load> load;
     private final Fleet fleet;
-    private final Carrier carrier;
+    private final UdpTransport transport;
     private String config;
     private Phase phase = Phase.JOINING;
     private Stage stage = Stage.WARMING;
@@ -71,7 +71,7 @@
         this.load = load;
         this.fleet = fleet;
         this.config = config;
-        this.carrier = new Carrier(platform, envelope, this::say);
+        this.transport = new UdpTransport(platform, envelope, this::logChange);
     }
 
     /** Starts it, as {@link Companion.Factory} says; null if the file says nothing of a fleet. */
@@ -81,15 +81,15 @@
         if (fleet == null) {
             return null;
         }
-        String called = fleet.name() != null ? fleet.name() : name;
-        if (called == null || !Identity.named(called)) {
+        String memberName = fleet.name() != null ? fleet.name() : name;
+        if (memberName == null || !Identity.isValidName(memberName)) {
             throw new IOException(
-                    file + ": [fleet] has no name, and the platform gives none that could be one: " + called);
+                    file + ": [fleet] has no name, and the platform gives none that could be one: " + memberName);
         }
         Membership m = new Membership(file, reader, platform, load, fleet, envelope(fleet), digest(file));
         try {
             ChannelFuture bound =
-                    platform.loop().submit(() -> m.carrier.bind(fleet.bind())).get();
+                    platform.loop().submit(() -> m.transport.bind(fleet.bind())).get();
             if (!bound.awaitUninterruptibly().isSuccess()) {
                 throw new IOException(
                         "cannot hear the fleet at "
@@ -98,7 +98,7 @@
                         bound.cause());
             }
             platform.loop()
-                    .submit(() -> m.begin(called, new SecureRandom().nextLong(), settings(fleet)))
+                    .submit(() -> m.startPeers(memberName, new SecureRandom().nextLong(), settings(fleet)))
                     .get();
             return m;
         } catch (InterruptedException e) {
@@ -117,9 +117,9 @@
     public static Membership join(
             Fleet fleet, Settings settings, Envelope keys, long life, Platform platform, Supplier<Load> load) {
         Membership m = new Membership(null, null, platform, load, fleet, keys, "");
-        m.carrier.bind(fleet.bind()).addListener(f -> {
+        m.transport.bind(fleet.bind()).addListener(f -> {
             if (f.isSuccess()) {
-                m.begin(fleet.name(), life, settings);
+                m.startPeers(fleet.name(), life, settings);
             } else {
                 platform.log().say("fleet: cannot hear the others: " + f.cause().getMessage());
             }
@@ -150,19 +150,19 @@
 
     /** How the fleet is watched, as the file says. */
     public static Settings settings(Fleet fleet) {
-        Settings s = Settings.every(fleet.intervalNs()).within(fleet.windowNs());
-        return fleet.bytesPerSecond() > 0 ? s.atMost(fleet.bytesPerSecond()) : s;
+        Settings s = Settings.withInterval(fleet.intervalNs()).withWindow(fleet.windowNs());
+        return fleet.bytesPerSecond() > 0 ? s.withBytesPerSecond(fleet.bytesPerSecond()) : s;
     }
 
-    private void begin(String name, long life, Settings settings) {
-        InetSocketAddress at = fleet.advertise() != null ? fleet.advertise() : carrier.address();
+    private void startPeers(String name, long life, Settings settings) {
+        InetSocketAddress advertised = fleet.advertise() != null ? fleet.advertise() : transport.address();
         String version = Membership.class.getPackage().getImplementationVersion();
-        carrier.begin(
+        transport.start(
                 settings,
                 new Statement(
                         new Identity(name, life),
                         1,
-                        NetUtil.toSocketAddressString(at),
+                        NetUtil.toSocketAddressString(advertised),
                         fleet.zone(),
                         version == null ? "dev" : version,
                         config,
@@ -170,61 +170,65 @@
                         0,
                         0,
                         0,
-                        Figures.NONE,
+                        TrafficStats.NONE,
                         Facts.NONE),
-                texts(fleet.seeds()),
+                format(fleet.seeds()),
                 new SplittableRandom(life));
         lastAt = platform.clock().now();
         platform.log()
                 .say("fleet: " + name + ", life " + HexFormat.of().toHexDigits(life) + ", at "
-                        + NetUtil.toSocketAddressString(at) + ", "
+                        + NetUtil.toSocketAddressString(advertised) + ", "
                         + fleet.seeds().size() + " seeds");
         platform.loop()
-                .scheduleWithFixedDelay(this::tell, fleet.intervalNs(), fleet.intervalNs(), TimeUnit.NANOSECONDS);
+                .scheduleWithFixedDelay(
+                        this::publishStats, fleet.intervalNs(), fleet.intervalNs(), TimeUnit.NANOSECONDS);
     }
 
     /** Once an interval: what the proxy did since the last time. */
-    private void tell() {
-        if (left || !carrier.begun()) {
+    private void publishStats() {
+        if (left || !transport.isStarted()) {
             return;
         }
         long now = platform.clock().now();
         Load l = load.get();
         double seconds = Math.max(1e-3, (now - lastAt) / 1e9);
-        Figures f = new Figures(
+        TrafficStats f = new TrafficStats(
                 (float) ((l.ended() - last.ended()) / seconds),
                 (float) ((l.refused() - last.refused()) / seconds),
                 l.pending());
         last = l;
         lastAt = now;
-        carrier.with(p -> {
+        transport.withPeers(p -> {
             // Alone for good is a fleet as well: a proxy that serves is not joining.
             phase = stage == Stage.SERVING
                     ? Phase.SERVING
                     : stage == Stage.DRAINING ? Phase.DRAINING : p.size() == 1 ? Phase.JOINING : Phase.WARMING;
-            p.say(now, phase, config, f, Facts.NONE);
+            p.updateSelf(now, phase, config, f, Facts.NONE);
             return null;
         });
     }
 
-    private void say(Change c) {
-        String who = c.about().name();
+    private void logChange(Change c) {
+        String who = c.subject().name();
         String what =
                 switch (c.kind()) {
-                    case JOINED -> who + " joined, " + c.why();
-                    case SUSPECTED -> who + " is suspected, " + c.why();
+                    case JOINED -> who + " joined, " + c.reason();
+                    case SUSPECTED -> who + " is suspected, " + c.reason();
                     case CLEARED -> who + " is there after all";
                     case GONE -> who + " is gone"
-                            + (c.why().isEmpty()
+                            + (c.reason().isEmpty()
                                     ? ""
-                                    : Identity.named(c.why()) ? ", accused by " + c.why() : ": " + c.why());
+                                    : Identity.isValidName(c.reason())
+                                            ? ", accused by " + c.reason()
+                                            : ": " + c.reason());
                     case BACK -> who + " is back";
                     case LEFT -> who + " left";
-                    case TWIN -> who + ": " + c.why();
-                    case CUT_OFF -> "cut off: " + c.why();
-                    case REJOINED -> "not cut off any more: " + c.why();
-                    case OBJECTED -> "objected to being called gone" + (c.why().isEmpty() ? "" : " by " + c.why());
-                    case STOOD_STILL -> "stood still for " + c.why();
+                    case TWIN -> who + ": " + c.reason();
+                    case CUT_OFF -> "cut off: " + c.reason();
+                    case REJOINED -> "not cut off any more: " + c.reason();
+                    case OBJECTED -> "objected to being called gone"
+                            + (c.reason().isEmpty() ? "" : " by " + c.reason());
+                    case STOOD_STILL -> "stood still for " + c.reason();
                     default -> "settled";
                 };
         platform.log().say("fleet: " + what + String.format(Locale.ROOT, " (%d present)", c.present()));
@@ -235,13 +239,13 @@
     @Override
     public void at(Stage s) {
         stage = s;
-        tell();
+        publishStats();
     }
 
     @Override
     public String answer(String path) {
-        return path.equals("/_fleet") && carrier.begun()
-                ? carrier.with(p -> FleetPage.of(p.view(platform.clock().now()), p.counters(), carrier))
+        return path.equals("/_fleet") && transport.isStarted()
+                ? transport.withPeers(p -> FleetPage.of(p.view(platform.clock().now()), p.counters(), transport))
                 : null;
     }
 
@@ -255,10 +259,10 @@
             Envelope keys = envelope(now == null ? fleet : now);
             String digest = digest(file);
             platform.loop().execute(() -> {
-                keys(keys);
-                seeds((now == null ? fleet : now).seeds());
+                setKeys(keys);
+                setSeeds((now == null ? fleet : now).seeds());
                 config = digest;
-                tell();
+                publishStats();
             });
         } catch (IOException e) {
             e.getMessage().lines().forEach(line -> platform.log().say("fleet: nothing is read again: " + line));
@@ -266,30 +270,30 @@
     }
 
     /** Looks for others there from now on. On the loop. */
-    public void seeds(List<InetSocketAddress> seeds) {
-        if (carrier.begun()) {
-            carrier.with(p -> {
-                p.seeds(platform.clock().now(), texts(seeds));
+    public void setSeeds(List<InetSocketAddress> seeds) {
+        if (transport.isStarted()) {
+            transport.withPeers(p -> {
+                p.seeds(platform.clock().now(), format(seeds));
                 return null;
             });
         }
     }
 
-    private static List<String> texts(List<InetSocketAddress> addresses) {
+    private static List<String> format(List<InetSocketAddress> addresses) {
         return addresses.stream().map(NetUtil::toSocketAddressString).toList();
     }
 
     /** Takes other keys from now on. On the loop. */
-    public void keys(Envelope keys) {
-        carrier.keys(keys);
+    public void setKeys(Envelope keys) {
+        transport.setKeys(keys);
     }
 
     @Override
     public CompletableFuture<Void> leave() {
-        CompletableFuture<Void> gone = new CompletableFuture<>();
-        if (!left && carrier.begun()) {
+        CompletableFuture<Void> closed = new CompletableFuture<>();
+        if (!left && transport.isStarted()) {
             left = true;
-            carrier.with(p -> {
+            transport.withPeers(p -> {
                 p.leave(platform.clock().now());
                 return null;
             });
@@ -297,9 +301,9 @@
         platform.loop()
                 .execute(
                         () -> { // what was written goes out first
-                            carrier.close();
-                            gone.complete(null);
+                            transport.close();
+                            closed.complete(null);
                         });
-        return gone;
+        return closed;
     }
 }
--- a/src/main/java/gullspar/peers/net/Carrier.java
+++ b/src/main/java/gullspar/peers/net/UdpTransport.java
@@ -36,34 +36,34 @@
  * Carries a process's part in the fleet over UDP, on the proxy's loop. What is not ours, is damaged or was
  * made without the key is counted and dropped, never answered. All but the making is on the loop.
  */
-public final class Carrier implements Outbox {
+public final class UdpTransport implements Outbox {
     /** Addresses that are kept read, so that each is not read for each datagram. */
-    private static final int MOST_ADDRESSES = 4096;
+    private static final int MAX_CACHED_ADDRESSES = 4096;
 
     private final Platform platform;
-    private final Consumer<Change> changes;
+    private final Consumer<Change> changeListener;
     private final Map<Envelope.Refusal, Long> refused = new EnumMap<>(Envelope.Refusal.class);
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
-            return size() > MOST_ADDRESSES;
+            return size() > MAX_CACHED_ADDRESSES;
         }
     };
     private Envelope envelope;
     private Channel channel;
     private Peers peers;
-    private ScheduledFuture<?> armed;
-    private long armedAt = Long.MAX_VALUE;
+    private ScheduledFuture<?> wakeTimer;
+    private long wakeTimerAt = Long.MAX_VALUE;
     private long malformed;
     private long unsent;
 
     /** changes: hears what changes in the view. */
-    public Carrier(Platform platform, Envelope envelope, Consumer<Change> changes) {
+    public UdpTransport(Platform platform, Envelope envelope, Consumer<Change> changes) {
         this.platform = platform;
         this.envelope = envelope;
-        this.changes = changes;
+        this.changeListener = changes;
     }
 
     /** Binds a socket there; {@link #begin} is to follow once that is done. */
@@ -71,8 +71,8 @@
         ChannelFuture bound = platform.transport()
                 .datagrams(address)
                 // One byte more than may come, so that what is too long is seen to be.
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Message.MOST_BYTES + 1))
-                .handler(new Incoming())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Message.MAX_DATAGRAM_BYTES + 1))
+                .handler(new InboundHandler())
                 .bind();
         channel = bound.channel();
         return bound;
@@ -87,33 +87,33 @@
      * Takes part from now on; first: what this process says of itself, made of the address that it is
      * reached at.
      */
-    public void begin(Settings settings, Statement first, List<String> seeds, RandomGenerator random) {
+    public void start(Settings settings, Statement first, List<String> seeds, RandomGenerator random) {
         this.peers =
                 new Peers(settings, first, seeds, random, this, platform.clock().now());
-        arm();
+        scheduleWake();
     }
 
     /** Takes other keys from now on. */
-    public void keys(Envelope other) {
-        envelope = other;
+    public void setKeys(Envelope keys) {
+        envelope = keys;
     }
 
     /** Does it take part yet? */
-    public boolean begun() {
+    public boolean isStarted() {
         return peers != null;
     }
 
     /** Asks the machine something, or tells it something, at the present time. */
-    public <T> T with(Function<Peers, T> what) {
-        T t = what.apply(peers);
-        arm();
+    public <T> T withPeers(Function<Peers, T> operation) {
+        T t = operation.apply(peers);
+        scheduleWake();
         return t;
     }
 
     /** Ends it. */
     public void close() {
-        if (armed != null) {
-            armed.cancel(false);
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
         }
         channel.close();
     }
@@ -137,7 +137,7 @@
 
     @Override
     public void send(String to, Message m) {
-        InetSocketAddress address = addresses.computeIfAbsent(to, Carrier::address);
+        InetSocketAddress address = addresses.computeIfAbsent(to, UdpTransport::address);
         if (address == null || !channel.isWritable()) {
             unsent++;
             return;
@@ -162,13 +162,13 @@
     }
 
     @Override
-    public void changed(Change c) {
-        changes.accept(c);
+    public void onChange(Change c) {
+        changeListener.accept(c);
     }
 
     // ---- in ----
 
-    private final class Incoming extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
             if (peers == null) {
@@ -183,14 +183,14 @@
             }
             Message m;
             try {
-                m = Codec.decode(datagram, Envelope.front(), datagram.length - Envelope.front());
+                m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
             } catch (IOException e) {
                 malformed++;
                 return;
             }
             if (m != null) {
                 peers.receive(platform.clock().now(), m);
-                arm();
+                scheduleWake();
             }
         }
 
@@ -202,23 +202,23 @@
 
     // ---- time ----
 
-    private void arm() {
+    private void scheduleWake() {
         long next = peers.wakeAt();
-        if (next >= armedAt) {
+        if (next >= wakeTimerAt) {
             return; // woken earlier, it looks again
         }
-        if (armed != null) {
-            armed.cancel(false);
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
         }
-        armedAt = next;
-        armed = platform.loop()
+        wakeTimerAt = next;
+        wakeTimer = platform.loop()
                 .schedule(this::wake, Math.max(0, next - platform.clock().now()), TimeUnit.NANOSECONDS);
     }
 
     private void wake() {
-        armed = null;
-        armedAt = Long.MAX_VALUE;
+        wakeTimer = null;
+        wakeTimerAt = Long.MAX_VALUE;
         peers.tick(platform.clock().now());
-        arm();
+        scheduleWake();
     }
 }
--- a/src/main/java/gullspar/peers/wire/Codec.java
+++ b/src/main/java/gullspar/peers/wire/Codec.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.MemberStatus;
 import gullspar.peers.Message;
 import gullspar.peers.Phase;
 import gullspar.peers.Rumor;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -36,7 +36,7 @@
 
     /** A message as bytes. */
     public static byte[] encode(Message m) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(Message.MOST_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(Message.MAX_DATAGRAM_BYTES);
         try (JsonGenerator g = CBOR.createGenerator(bytes)) {
             write(g, m);
         } catch (IOException e) {
@@ -61,13 +61,13 @@
         if (m instanceof Message.Ping p) {
             begin(g, PING, p.header(), 4);
             g.writeNumber(p.nonce());
-            g.writeNumber(p.target());
-            g.writeBoolean(p.hello());
+            g.writeNumber(p.targetLife());
+            g.writeBoolean(p.requestsStatement());
             rumors(g, p.rumors());
         } else if (m instanceof Message.Ack a) {
             begin(g, ACK, a.header(), 5);
             g.writeNumber(a.nonce());
-            identity(g, a.of());
+            identity(g, a.subject());
             g.writeNumber(a.incarnation());
             rumors(g, a.rumors());
         } else if (m instanceof Message.PingReq r) {
@@ -127,14 +127,14 @@
             identity(g, r.id());
             g.writeNumber(r.incarnation());
             g.writeNumber(r.status().ordinal());
-            g.writeString(r.by());
-            g.writeNumber(r.sinceMs());
+            g.writeString(r.accuser());
+            g.writeNumber(r.statusAgeMs());
             if (r.statement() == null) {
                 g.writeNull();
             } else {
                 statement(g, r.statement());
             }
-            g.writeNumber(r.statedMs());
+            g.writeNumber(r.statementAgeMs());
             g.writeEndArray();
         }
         g.writeEndArray();
@@ -149,11 +149,11 @@
         g.writeString(s.config());
         g.writeNumber(s.phase().ordinal());
         g.writeNumber(s.upMs());
-        g.writeNumber(s.twin());
-        g.writeNumber(s.view());
-        g.writeNumber(s.figures().requests());
-        g.writeNumber(s.figures().refused());
-        g.writeNumber(s.figures().pending());
+        g.writeNumber(s.twinLife());
+        g.writeNumber(s.viewDigest());
+        g.writeNumber(s.stats().requestsPerSecond());
+        g.writeNumber(s.stats().refusedPerSecond());
+        g.writeNumber(s.stats().pending());
         g.writeStartArray(null, 3 * s.facts().all().size());
         for (Map.Entry<String, Facts.Fact> f : s.facts().all().entrySet()) {
             g.writeString(f.getKey());
@@ -171,11 +171,11 @@
      */
     public static Message decode(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser p = CBOR.createParser(bytes, from, length)) {
-            array(p.nextToken());
+            expectArray(p.nextToken());
             int kind = number(p, 0, Integer.MAX_VALUE);
             Message m = message(p, kind);
             if (m != null) {
-                end(p);
+                skipToEnd(p);
             }
             return m;
         } catch (IllegalArgumentException e) {
@@ -189,7 +189,7 @@
         }
         Message.Header h = header(p);
         return switch (kind) {
-            case PING -> new Message.Ping(h, number(p), number(p), flag(p), rumors(p));
+            case PING -> new Message.Ping(h, number(p), number(p), bool(p), rumors(p));
             case ACK -> new Message.Ack(h, number(p), identity(p), number(p, 0, Integer.MAX_VALUE), rumors(p));
             case PING_REQ -> new Message.PingReq(h, number(p), identity(p), address(p), rumors(p));
             case NACK -> new Message.Nack(h, number(p), rumors(p));
@@ -200,14 +200,14 @@
         };
     }
 
-    private static void array(JsonToken t) throws IOException {
+    private static void expectArray(JsonToken t) throws IOException {
         if (t != JsonToken.START_ARRAY) {
             throw new IOException("no array where one must be");
         }
     }
 
     /** Passes over what a newer version has put behind. */
-    private static void end(JsonParser p) throws IOException {
+    private static void skipToEnd(JsonParser p) throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t == null) {
                 throw new IOException("the message ends in the middle");
@@ -223,9 +223,9 @@
         return p.getLongValue();
     }
 
-    private static int number(JsonParser p, int least, int most) throws IOException {
+    private static int number(JsonParser p, int min, int max) throws IOException {
         long n = number(p);
-        if (n < least || n > most) {
+        if (n < min || n > max) {
             throw new IOException("a number out of its bounds");
         }
         return (int) n;
@@ -239,14 +239,14 @@
         return n;
     }
 
-    private static float figure(JsonParser p) throws IOException {
+    private static float finiteFloat(JsonParser p) throws IOException {
         if (!p.nextToken().isNumeric() || !Float.isFinite(p.getFloatValue())) {
             throw new IOException("no figure where one must be");
         }
         return p.getFloatValue();
     }
 
-    private static boolean flag(JsonParser p) throws IOException {
+    private static boolean bool(JsonParser p) throws IOException {
         JsonToken t = p.nextToken();
         if (t != JsonToken.VALUE_TRUE && t != JsonToken.VALUE_FALSE) {
             throw new IOException("no flag where one must be");
@@ -263,16 +263,16 @@
 
     private static String address(JsonParser p) throws IOException {
         String a = text(p);
-        if (a.isEmpty() || a.length() > Statement.LONGEST_ADDRESS) {
+        if (a.isEmpty() || a.length() > Statement.MAX_ADDRESS_LENGTH) {
             throw new IOException("no address where one must be");
         }
         return a;
     }
 
     private static Message.Header header(JsonParser p) throws IOException {
-        array(p.nextToken());
+        expectArray(p.nextToken());
         Message.Header h = new Message.Header(identity(p), number(p, 0, Integer.MAX_VALUE), address(p), number(p));
-        end(p);
+        skipToEnd(p);
         return h;
     }
 
@@ -282,7 +282,7 @@
 
     private static List<Long> longs(JsonParser p) throws IOException {
         List<Long> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_NUMBER_INT) {
                 throw new IOException("no number where one must be");
@@ -294,12 +294,12 @@
 
     private static List<Message.Known> known(JsonParser p) throws IOException {
         List<Message.Known> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            expectArray(t);
             all.add(new Message.Known(
                     number(p), number(p, 0, Integer.MAX_VALUE), status(p), number(p, 0, Integer.MAX_VALUE)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
@@ -310,9 +310,9 @@
 
     private static List<Rumor> rumors(JsonParser p) throws IOException {
         List<Rumor> all = new ArrayList<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
-            array(t);
+            expectArray(t);
             Identity id = identity(p);
             int incarnation = number(p, 0, Integer.MAX_VALUE);
             MemberStatus status = status(p);
@@ -320,13 +320,13 @@
             long since = age(p);
             Statement s = p.nextToken() == JsonToken.VALUE_NULL ? null : statement(p, id);
             all.add(new Rumor(id, incarnation, status, by, since, s, age(p)));
-            end(p);
+            skipToEnd(p);
         }
         return all;
     }
 
     private static Statement statement(JsonParser p, Identity id) throws IOException {
-        array(p.currentToken());
+        expectArray(p.currentToken());
         int revision = number(p, 1, Integer.MAX_VALUE);
         String address = address(p);
         String zone = text(p);
@@ -336,15 +336,15 @@
         long up = age(p);
         long twin = number(p);
         int view = number(p, Integer.MIN_VALUE, Integer.MAX_VALUE);
-        Figures figures = new Figures(figure(p), figure(p), number(p, 0, Integer.MAX_VALUE));
+        TrafficStats figures = new TrafficStats(finiteFloat(p), finiteFloat(p), number(p, 0, Integer.MAX_VALUE));
         Facts facts = facts(p);
-        end(p);
+        skipToEnd(p);
         return new Statement(id, revision, address, zone, version, config, phase, up, twin, view, figures, facts);
     }
 
     private static Facts facts(JsonParser p) throws IOException {
         Map<String, Facts.Fact> facts = new TreeMap<>();
-        array(p.nextToken());
+        expectArray(p.nextToken());
         for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
             if (t != JsonToken.VALUE_STRING) {
                 throw new IOException("no name of a fact where one must be");
--- a/src/main/java/gullspar/peers/wire/Envelope.java
+++ b/src/main/java/gullspar/peers/wire/Envelope.java
@@ -20,11 +20,14 @@
     public static final byte VERSION = 1;
 
     private static final String HMAC = "HmacSHA256";
-    private static final int KEY_BYTES = 4, MAC_BYTES = 16, HEAD = 1 + KEY_BYTES, FRONT = HEAD + MAC_BYTES;
+    private static final int KEY_BYTES = 4,
+            MAC_BYTES = 16,
+            HEADER_BYTES = 1 + KEY_BYTES,
+            PREFIX_BYTES = HEADER_BYTES + MAC_BYTES;
     /** Shorter keys are no protection (RFC 2104, section 3, asks for the length of the hash). */
-    public static final int LEAST_KEY_BYTES = 32;
+    public static final int MIN_KEY_BYTES = 32;
     /** Keys at one time. */
-    public static final int MOST_KEYS = 2;
+    public static final int MAX_KEYS = 2;
 
     /** Why a datagram is not looked at. */
     public enum Refusal {
@@ -44,12 +47,12 @@
 
     /** With one key or two, of 32 bytes or more each. */
     public Envelope(List<byte[]> secrets) {
-        if (secrets.isEmpty() || secrets.size() > MOST_KEYS) {
+        if (secrets.isEmpty() || secrets.size() > MAX_KEYS) {
             throw new IllegalArgumentException(secrets.size() + " keys, not one or two");
         }
         for (byte[] secret : secrets) {
-            if (secret.length < LEAST_KEY_BYTES) {
-                throw new IllegalArgumentException("a key of " + secret.length + " bytes, not " + LEAST_KEY_BYTES);
+            if (secret.length < MIN_KEY_BYTES) {
+                throw new IllegalArgumentException("a key of " + secret.length + " bytes, not " + MIN_KEY_BYTES);
             }
             keys.add(key(secret));
         }
@@ -71,40 +74,40 @@
     /** A datagram of a message. */
     public byte[] seal(byte[] message) {
         Key k = keys.get(0);
-        byte[] out = new byte[FRONT + message.length];
+        byte[] out = new byte[PREFIX_BYTES + message.length];
         out[0] = VERSION;
         System.arraycopy(k.id, 0, out, 1, KEY_BYTES);
-        System.arraycopy(message, 0, out, FRONT, message.length);
-        System.arraycopy(code(k, out), 0, out, HEAD, MAC_BYTES);
+        System.arraycopy(message, 0, out, PREFIX_BYTES, message.length);
+        System.arraycopy(hmac(k, out), 0, out, HEADER_BYTES, MAC_BYTES);
         return out;
     }
 
-    private static byte[] code(Key k, byte[] datagram) {
-        k.mac.update(datagram, 0, HEAD);
-        k.mac.update(datagram, FRONT, datagram.length - FRONT);
+    private static byte[] hmac(Key k, byte[] datagram) {
+        k.mac.update(datagram, 0, HEADER_BYTES);
+        k.mac.update(datagram, PREFIX_BYTES, datagram.length - PREFIX_BYTES);
         return k.mac.doFinal();
     }
 
     /** Why it is not to be looked at; null if it is one of ours, whose message begins at {@link #front}. */
     public Refusal open(byte[] datagram) {
-        if (datagram.length <= FRONT || datagram.length > Message.MOST_BYTES) {
+        if (datagram.length <= PREFIX_BYTES || datagram.length > Message.MAX_DATAGRAM_BYTES) {
             return Refusal.SIZE;
         }
         if (datagram[0] != VERSION) {
             return Refusal.VERSION;
         }
         for (Key k : keys) {
-            if (Arrays.equals(k.id, 0, KEY_BYTES, datagram, 1, HEAD)) {
-                byte[] code = Arrays.copyOf(code(k, datagram), MAC_BYTES);
-                byte[] came = Arrays.copyOfRange(datagram, HEAD, FRONT);
-                return MessageDigest.isEqual(code, came) ? null : Refusal.CODE;
+            if (Arrays.equals(k.id, 0, KEY_BYTES, datagram, 1, HEADER_BYTES)) {
+                byte[] expected = Arrays.copyOf(hmac(k, datagram), MAC_BYTES);
+                byte[] received = Arrays.copyOfRange(datagram, HEADER_BYTES, PREFIX_BYTES);
+                return MessageDigest.isEqual(expected, received) ? null : Refusal.CODE;
             }
         }
         return Refusal.KEY;
     }
 
     /** Where the message begins in a datagram. */
-    public static int front() {
-        return FRONT;
+    public static int messageOffset() {
+        return PREFIX_BYTES;
     }
 }
--- a/src/main/java/gullspar/rehearse/live/LiveFleet.java
+++ b/src/main/java/gullspar/rehearse/live/LiveFleet.java
@@ -131,7 +131,7 @@
     }
 
     private byte[] key(int number) {
-        byte[] key = new byte[Envelope.LEAST_KEY_BYTES];
+        byte[] key = new byte[Envelope.MIN_KEY_BYTES];
         new SplittableRandom(script.seed() * 31 + number).nextBytes(key);
         return key;
     }
--- a/src/main/java/gullspar/rehearse/net/Liar.java
+++ b/src/main/java/gullspar/rehearse/net/Liar.java
@@ -1,13 +1,13 @@
 package gullspar.rehearse.net;
 
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.MemberStatus;
 import gullspar.peers.Message;
 import gullspar.peers.Phase;
 import gullspar.peers.Rumor;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import gullspar.peers.wire.Codec;
 import gullspar.peers.wire.Envelope;
 import java.io.IOException;
@@ -29,7 +29,8 @@
     private static final int ROOM = 32;
 
     private static final int MOST_RUMOUR_BYTES = 160;
-    private static final int IN_ONE = (Message.MOST_BYTES - Message.ENVELOPE - 100) / MOST_RUMOUR_BYTES;
+    private static final int IN_ONE =
+            (Message.MAX_DATAGRAM_BYTES - Message.MAX_ENVELOPE_BYTES - 100) / MOST_RUMOUR_BYTES;
 
     private final Supplier<Envelope> keys;
     private final SplittableRandom random;
@@ -55,7 +56,7 @@
             if (forEach == 0 && lied.isEmpty() || keys.get().open(datagram) != null) {
                 return List.of(datagram);
             }
-            m = Codec.decode(datagram, Envelope.front(), datagram.length - Envelope.front());
+            m = Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset());
         } catch (IOException e) {
             throw new UncheckedIOException("a member has sent what is no message", e);
         }
@@ -97,7 +98,7 @@
                 1000,
                 0,
                 0,
-                Figures.NONE,
+                TrafficStats.NONE,
                 Facts.NONE);
         return new Rumor(id, 0, MemberStatus.ALIVE, "", 0, s, 0);
     }
--- a/src/main/java/gullspar/rehearse/net/TamperedMessages.java
+++ b/src/main/java/gullspar/rehearse/net/TamperedMessages.java
@@ -11,9 +11,9 @@
     /** With other rumors, where its kind carries any; a listing is empty then. */
     public static Message with(Message m, List<Rumor> rumors) {
         if (m instanceof Message.Ping p) {
-            return new Message.Ping(p.header(), p.nonce(), p.target(), p.hello(), rumors);
+            return new Message.Ping(p.header(), p.nonce(), p.targetLife(), p.requestsStatement(), rumors);
         } else if (m instanceof Message.Ack a) {
-            return new Message.Ack(a.header(), a.nonce(), a.of(), a.incarnation(), rumors);
+            return new Message.Ack(a.header(), a.nonce(), a.subject(), a.incarnation(), rumors);
         } else if (m instanceof Message.PingReq r) {
             return new Message.PingReq(r.header(), r.nonce(), r.target(), r.address(), rumors);
         } else if (m instanceof Message.Nack n) {
@@ -31,9 +31,9 @@
         Message.Header o = m.header();
         Message.Header h = new Message.Header(o.from(), o.incarnation(), o.address(), number);
         if (m instanceof Message.Ping p) {
-            return new Message.Ping(h, p.nonce(), p.target(), p.hello(), p.rumors());
+            return new Message.Ping(h, p.nonce(), p.targetLife(), p.requestsStatement(), p.rumors());
         } else if (m instanceof Message.Ack a) {
-            return new Message.Ack(h, a.nonce(), a.of(), a.incarnation(), a.rumors());
+            return new Message.Ack(h, a.nonce(), a.subject(), a.incarnation(), a.rumors());
         } else if (m instanceof Message.PingReq r) {
             return new Message.PingReq(h, r.nonce(), r.target(), r.address(), r.rumors());
         } else if (m instanceof Message.Nack n) {
--- a/src/main/java/gullspar/rehearse/play/VirtualFleet.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualFleet.java
@@ -124,7 +124,7 @@
     private static Envelope envelope(List<Integer> numbers) {
         return new Envelope(numbers.stream()
                 .map(n -> {
-                    byte[] key = new byte[Envelope.LEAST_KEY_BYTES];
+                    byte[] key = new byte[Envelope.MIN_KEY_BYTES];
                     Arrays.fill(key, n.byteValue());
                     return key;
                 })
--- a/src/main/java/gullspar/rehearse/play/VirtualPlay.java
+++ b/src/main/java/gullspar/rehearse/play/VirtualPlay.java
@@ -409,7 +409,7 @@
         fleet.move(ring);
         List<InetSocketAddress> seeds = fleet.seeds();
         if (!seeds.equals(before)) {
-            lives.values().forEach(life -> life.loop.execute(() -> life.member.seeds(seeds)));
+            lives.values().forEach(life -> life.loop.execute(() -> life.member.setSeeds(seeds)));
         }
     }
 
@@ -427,7 +427,7 @@
     public void keys(String proxy, List<Integer> numbers) {
         Life life = lives.get(proxy);
         Envelope e = fleet.keys(proxy, numbers);
-        life.loop.execute(() -> life.member.keys(e));
+        life.loop.execute(() -> life.member.setKeys(e));
     }
 
     @Override
--- a/src/test/java/gullspar/peers/FleetFigures.java
+++ b/src/test/java/gullspar/peers/FleetFigures.java
@@ -1,6 +1,6 @@
 package gullspar.peers;
 
-import gullspar.peers.SimulatedFleet.Life;
+import gullspar.peers.SimulatedFleet.Node;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,18 +34,18 @@
         }
     }
 
-    private static void say(String format, Object... values) {
+    private static void print(String format, Object... values) {
         System.out.printf(Locale.ROOT, format + "%n", values);
     }
 
-    private static SimulatedFleet settled(long seed, int size, Settings s) {
+    private static SimulatedFleet settledFleet(long seed, int size, Settings s) {
         SimulatedFleet t = new SimulatedFleet(seed, s).start(size);
         // A large fleet's first statements go round for some minutes.
         t.run(size >= 1000 ? 600 : 40);
         return t;
     }
 
-    private static boolean agreed(SimulatedFleet t) {
+    private static boolean hasConverged(SimulatedFleet t) {
         int living = t.living().size();
         return t.living().stream().allMatch(l -> l.peers.size() == living && l.peers.alive() == living);
     }
@@ -61,52 +61,54 @@
 
     /** One after the other dies; what it costs is counted while nobody does. */
     private static void deaths() {
-        say("| size | noticed by one, s: median | p99 | most | known to all, s: median | p99 | most | deaths "
+        print("| size | noticed by one, s: median | p99 | most | known to all, s: median | p99 | most | deaths "
                 + "| datagrams/s a member | bytes/s a member |");
-        say("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+        print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int size : SIZES) {
             Histogram noticed = new Histogram(3);
             Histogram known = new Histogram(3);
             int deaths = 0;
             double datagrams = 0;
             double bytes = 0;
-            int towns = size >= 1000 ? 1 : size >= 100 ? 3 : 20;
-            for (int seed = 1; seed <= towns; seed++) {
-                SimulatedFleet t = settled(seed, size, Settings.every(SimulatedFleet.S));
-                if (!agreed(t)) {
-                    say("size %d, seed %d: did not agree at the start", size, seed);
+            int fleets = size >= 1000 ? 1 : size >= 100 ? 3 : 20;
+            for (int seed = 1; seed <= fleets; seed++) {
+                SimulatedFleet t = settledFleet(seed, size, Settings.withInterval(SimulatedFleet.S));
+                if (!hasConverged(t)) {
+                    print("size %d, seed %d: did not agree at the start", size, seed);
                 }
                 long[] before = cost(t);
                 t.run(60);
                 long[] after = cost(t);
-                datagrams += (after[0] - before[0]) / 60.0 / size / towns;
-                bytes += (after[1] - before[1]) / 60.0 / size / towns;
+                datagrams += (after[0] - before[0]) / 60.0 / size / fleets;
+                bytes += (after[1] - before[1]) / 60.0 / size / fleets;
                 int most = size == 3 ? 1 : size == 10 ? 4 : 10;
                 for (int d = 0; d < most; d++, deaths++) {
-                    List<Life> living = t.living();
-                    Life victim = living.get(t.random.nextInt(living.size()));
-                    long began = t.now;
-                    Map<Life, Long> gone = new HashMap<>();
+                    List<Node> living = t.living();
+                    Node victim = living.get(t.random.nextInt(living.size()));
+                    long startedAt = t.now;
+                    Map<Node, Long> gone = new HashMap<>();
                     long[] first = {0};
-                    t.heard = (l, c) -> {
-                        if (c.about().life() == victim.life && c.kind() == Change.Kind.SUSPECTED && first[0] == 0) {
+                    t.changeListener = (l, c) -> {
+                        if (c.subject().life() == victim.life && c.kind() == Change.Kind.SUSPECTED && first[0] == 0) {
                             first[0] = t.now;
-                        } else if (c.about().life() == victim.life && c.kind() == Change.Kind.GONE) {
+                        } else if (c.subject().life() == victim.life && c.kind() == Change.Kind.GONE) {
                             gone.putIfAbsent(l, t.now);
                         }
                     };
                     victim.kill();
-                    while (gone.size() < t.living().size() && t.now - began < 300 * SimulatedFleet.S) {
+                    while (gone.size() < t.living().size() && t.now - startedAt < 300 * SimulatedFleet.S) {
                         t.run(0.5);
                     }
-                    noticed.recordValue((first[0] - began) / SimulatedFleet.MS);
+                    noticed.recordValue((first[0] - startedAt) / SimulatedFleet.MS);
                     known.recordValue(
-                            (gone.values().stream().mapToLong(x -> x).max().orElse(0) - began) / SimulatedFleet.MS);
-                    t.heard = (l, c) -> {};
+                            (gone.values().stream().mapToLong(x -> x).max().orElse(0) - startedAt) / SimulatedFleet.MS);
+                    t.changeListener = (l, c) -> {};
                     t.run(5);
                 }
             }
-            say("| %d | %s | %s | %d | %.1f | %.0f |", size, spread(noticed), spread(known), deaths, datagrams, bytes);
+            print(
+                    "| %d | %s | %s | %d | %.1f | %.0f |",
+                    size, spread(noticed), spread(known), deaths, datagrams, bytes);
         }
     }
 
@@ -121,72 +123,72 @@
 
     /** Cut 50:50 for a while, then whole again. */
     private static void partitions() {
-        say("| size | cut for, s | all see all again after, s: median | p99 | most | cuts |");
-        say("| --- | --- | --- | --- | --- | --- |");
+        print("| size | cut for, s | all see all again after, s: median | p99 | most | cuts |");
+        print("| --- | --- | --- | --- | --- | --- |");
         for (int size : SIZES) {
             for (int cut : new int[] {20, 120}) {
                 Histogram settled = new Histogram(3);
-                int towns = size >= 1000 ? 1 : size >= 100 ? 5 : 20;
-                for (int seed = 1; seed <= towns; seed++) {
-                    SimulatedFleet t = settled(seed + 100L, size, Settings.every(SimulatedFleet.S));
-                    List<Life> one = new ArrayList<>(t.living().subList(0, size / 2));
-                    List<Life> other = new ArrayList<>(t.living().subList(size / 2, size));
+                int fleets = size >= 1000 ? 1 : size >= 100 ? 5 : 20;
+                for (int seed = 1; seed <= fleets; seed++) {
+                    SimulatedFleet t = settledFleet(seed + 100L, size, Settings.withInterval(SimulatedFleet.S));
+                    List<Node> one = new ArrayList<>(t.living().subList(0, size / 2));
+                    List<Node> other = new ArrayList<>(t.living().subList(size / 2, size));
                     t.partition(one, other, true);
                     t.run(cut);
                     t.partition(one, other, false);
-                    long began = t.now;
-                    while (!agreed(t) && t.now - began < 600 * SimulatedFleet.S) {
+                    long startedAt = t.now;
+                    while (!hasConverged(t) && t.now - startedAt < 600 * SimulatedFleet.S) {
                         t.run(0.1);
                     }
-                    settled.recordValue((t.now - began) / SimulatedFleet.MS);
+                    settled.recordValue((t.now - startedAt) / SimulatedFleet.MS);
                 }
-                say("| %d | %d | %s | %d |", size, cut, spread(settled), towns);
+                print("| %d | %d | %s | %d |", size, cut, spread(settled), fleets);
             }
         }
     }
 
     /** An hour with loss and jitter, all alive: who is accused, who is convicted. */
     private static void accusations() {
-        say("| size | loss | Lifeguard | suspected, an hour a member | called gone, an hour a member |");
-        say("| --- | --- | --- | --- | --- |");
+        print("| size | loss | Lifeguard | suspected, an hour a member | called gone, an hour a member |");
+        print("| --- | --- | --- | --- | --- |");
         for (int size : new int[] {10, 100}) {
             for (double loss : LOSSES) {
                 for (boolean lifeguard : new boolean[] {true, false}) {
-                    Settings s = Settings.every(SimulatedFleet.S);
+                    Settings s = Settings.withInterval(SimulatedFleet.S);
                     if (!lifeguard) {
                         s = new Settings(
                                 s.intervalNs(),
                                 s.timeoutNs(),
-                                s.indirect(),
-                                s.suspicion(),
+                                s.indirectProbes(),
+                                s.suspicionMultiplier(),
                                 1,
                                 0,
                                 0,
-                                s.retell(),
+                                s.retransmitMultiplier(),
                                 s.fanout(),
                                 s.syncNs(),
-                                s.figuresNs(),
-                                s.reconnectMost(),
+                                s.statsIntervalNs(),
+                                s.maxReconnectIntervals(),
                                 s.forgetNs(),
                                 s.windowNs(),
-                                s.members(),
+                                s.maxMembers(),
                                 s.bytesPerSecond());
                     }
-                    SimulatedFleet t = settled(7, size, s);
+                    SimulatedFleet t = settledFleet(7, size, s);
                     double hours = size == 10 ? 2 : 0.25;
                     long[] counts = new long[2];
-                    Set<String> told = new HashSet<>();
-                    t.heard = (l, c) -> {
+                    Set<String> counted = new HashSet<>();
+                    t.changeListener = (l, c) -> {
                         if (c.kind() == Change.Kind.SUSPECTED
-                                && told.add(c.about().toString() + t.now / SimulatedFleet.S)) {
+                                && counted.add(c.subject().toString() + t.now / SimulatedFleet.S)) {
                             counts[0]++;
                         }
                         counts[1] += c.kind() == Change.Kind.GONE ? 1 : 0;
                     };
-                    t.loss = loss;
+                    t.lossRate = loss;
                     t.jitterNs = 100 * SimulatedFleet.MS;
                     t.run(hours * 3600);
-                    say(
+                    print(
                             "| %d | %.0f %% | %s | %.2f | %.2f |",
                             size,
                             100 * loss,
--- a/src/test/java/gullspar/peers/PeersPropertiesTest.java
+++ b/src/test/java/gullspar/peers/PeersPropertiesTest.java
@@ -18,14 +18,14 @@
 /** Merging, and a machine that is told anything at all. */
 class PeersPropertiesTest {
     @Provide
-    Arbitrary<MemberState> heard() {
+    Arbitrary<MemberState> states() {
         return Combinators.combine(Arbitraries.integers().between(0, 4), Arbitraries.of(MemberStatus.class))
                 .as(MemberState::new);
     }
 
     @Provide
     Arbitrary<Map<Long, MemberState>> views() {
-        return Arbitraries.maps(Arbitraries.longs().between(1, 6), heard()).ofMaxSize(6);
+        return Arbitraries.maps(Arbitraries.longs().between(1, 6), states()).ofMaxSize(6);
     }
 
     private static Map<Long, MemberState> merge(Map<Long, MemberState> a, Map<Long, MemberState> b) {
@@ -47,7 +47,7 @@
 
     /** Whoever left stays so, and only a higher incarnation clears an accusation. */
     @Property(tries = 2000, seed = "112")
-    void noStateGoesBack(@ForAll("heard") MemberState a, @ForAll("heard") MemberState b) {
+    void mergeNeverRegresses(@ForAll("states") MemberState a, @ForAll("states") MemberState b) {
         MemberState m = a.merge(b);
         assertTrue(a.status() != MemberStatus.LEFT || m.status() == MemberStatus.LEFT);
         assertTrue(m.status() == MemberStatus.LEFT || m.incarnation() >= a.incarnation());
@@ -61,7 +61,7 @@
     }
 
     private static int small(SplittableRandom r) {
-        return r.nextInt(8) == 0 ? MemberState.MOST_INCARNATION - r.nextInt(2) : r.nextInt(5);
+        return r.nextInt(8) == 0 ? MemberState.MAX_INCARNATION - r.nextInt(2) : r.nextInt(5);
     }
 
     private static Rumor rumor(SplittableRandom r) {
@@ -79,7 +79,7 @@
                         r.nextLong(1L << 40),
                         r.nextInt(4),
                         0,
-                        Figures.NONE,
+                        TrafficStats.NONE,
                         Facts.NONE);
         return new Rumor(
                 id,
@@ -125,7 +125,7 @@
      * what is sent stays within bounds, and the three still agree in the end.
      */
     @Property(tries = 60, seed = "113")
-    void whateverAKeyHolderSaysNothingIsThrownAndNothingGrows(@ForAll long seed) {
+    void arbitraryAuthenticatedMessagesAreHandledWithinBounds(@ForAll long seed) {
         SplittableRandom r = new SplittableRandom(seed);
         SimulatedFleet t = new SimulatedFleet(seed);
         t.start("p1", "a1:1", 1, "a2:1");
--- a/src/test/java/gullspar/peers/SimulatedFleet.java
+++ b/src/test/java/gullspar/peers/SimulatedFleet.java
@@ -19,23 +19,23 @@
 final class SimulatedFleet {
     static final long MS = 1_000_000L, S = 1_000_000_000L;
 
-    private record Event(long at, long number, Runnable what) {}
+    private record Event(long at, long number, Runnable action) {}
 
     /** One life of a process. */
-    final class Life implements Outbox {
+    final class Node implements Outbox {
         final String name;
         final String address;
         final long life;
         final Peers peers;
         final List<Change> changes = new ArrayList<>();
         /** The last datagram from each life. */
-        final Map<Long, Message> last = new LinkedHashMap<>();
+        final Map<Long, Message> lastReceived = new LinkedHashMap<>();
 
         boolean dead;
         boolean paused;
-        private final List<Runnable> missed = new ArrayList<>();
+        private final List<Runnable> queuedInputs = new ArrayList<>();
 
-        Life(String name, String address, long life, List<String> seeds) {
+        Node(String name, String address, long life, List<String> seeds) {
             this.name = name;
             this.address = address;
             this.life = life;
@@ -52,7 +52,7 @@
                             0,
                             0,
                             0,
-                            Figures.NONE,
+                            TrafficStats.NONE,
                             Facts.NONE),
                     seeds,
                     random.split(),
@@ -63,40 +63,40 @@
         @Override
         public void send(String to, Message m) {
             sent++;
-            posted.accept(this, m);
-            carry(this, to, m);
+            sendListener.accept(this, m);
+            deliver(this, to, m);
         }
 
         @Override
-        public void changed(Change c) {
-            if (remembers) {
+        public void onChange(Change c) {
+            if (recordsHistory) {
                 changes.add(c);
             }
-            heard.accept(this, c);
+            changeListener.accept(this, c);
         }
 
-        void input(Runnable what) {
+        void input(Runnable input) {
             if (dead) {
                 return;
             }
             if (paused) {
-                missed.add(what);
+                queuedInputs.add(input);
                 return;
             }
-            what.run();
-            arm();
+            input.run();
+            scheduleTick();
         }
 
-        private long armed = Long.MAX_VALUE;
+        private long nextTickAt = Long.MAX_VALUE;
 
-        private void arm() {
+        private void scheduleTick() {
             long next = peers.wakeAt();
-            if (next < armed && next != Long.MAX_VALUE) {
-                armed = Math.max(now, next);
-                long mine = armed;
-                at(armed, () -> {
-                    if (armed == mine) {
-                        armed = Long.MAX_VALUE;
+            if (next < nextTickAt && next != Long.MAX_VALUE) {
+                nextTickAt = Math.max(now, next);
+                long scheduledAt = nextTickAt;
+                schedule(nextTickAt, () -> {
+                    if (nextTickAt == scheduledAt) {
+                        nextTickAt = Long.MAX_VALUE;
                         input(() -> peers.tick(now));
                     }
                 });
@@ -104,11 +104,11 @@
         }
 
         /** Stands still, or goes on with all that came meanwhile. */
-        void pause(boolean on) {
-            paused = on;
-            if (!on) {
-                List<Runnable> all = List.copyOf(missed);
-                missed.clear();
+        void pause(boolean pause) {
+            paused = pause;
+            if (!pause) {
+                List<Runnable> all = List.copyOf(queuedInputs);
+                queuedInputs.clear();
                 all.forEach(this::input);
                 input(() -> peers.tick(now));
             }
@@ -130,7 +130,7 @@
                     .collect(Collectors.toSet());
         }
 
-        View.Status of(Life other) {
+        View.Status statusOf(Node other) {
             return view().members().stream()
                     .filter(m -> m.id().life() == other.life)
                     .map(View.Member::status)
@@ -141,27 +141,27 @@
 
     final Settings settings;
     final SplittableRandom random;
-    final Map<String, Life> lives = new LinkedHashMap<>();
-    final Map<String, Life> addresses = new LinkedHashMap<>();
+    final Map<String, Node> nodes = new LinkedHashMap<>();
+    final Map<String, Node> addresses = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private long numbers;
+    private long nextNumber;
     long now = 1_000 * S;
     long sent;
     /** The network. */
-    double loss;
+    double lossRate;
 
     long delayNs = MS;
     long jitterNs = MS;
-    double twice;
+    double duplicateRate;
     /** Pairs "from>to" of names that hear nothing. */
-    final Set<String> cut = new HashSet<>();
+    final Set<String> blockedLinks = new HashSet<>();
     /** What everybody's changes are told to. */
-    BiConsumer<Life, Change> heard = (l, c) -> {};
+    BiConsumer<Node, Change> changeListener = (l, c) -> {};
     /** What each datagram is told to as it is sent, and as it comes to somebody. */
-    BiConsumer<Life, Message> posted = (l, m) -> {}, taken = (l, m) -> {};
+    BiConsumer<Node, Message> sendListener = (l, m) -> {}, deliveryListener = (l, m) -> {};
     /** Is what came last kept, and what changed? Large towns that are only counted forget it. */
-    boolean remembers = true;
+    boolean recordsHistory = true;
 
     SimulatedFleet(long seed, Settings settings) {
         this.random = new SplittableRandom(seed);
@@ -169,11 +169,11 @@
     }
 
     SimulatedFleet(long seed) {
-        this(seed, Settings.every(S));
+        this(seed, Settings.withInterval(S));
     }
 
-    void at(long time, Runnable what) {
-        events.add(new Event(Math.max(time, now), numbers++, what));
+    void schedule(long time, Runnable action) {
+        events.add(new Event(Math.max(time, now), nextNumber++, action));
     }
 
     /** Lets so much time pass. */
@@ -182,37 +182,37 @@
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event e = events.remove();
             now = e.at();
-            e.what().run();
+            e.action().run();
         }
         now = end;
         return this;
     }
 
     /** Runs until that holds, for so long at most; returns the seconds that it took, or -1. */
-    double until(double seconds, java.util.function.BooleanSupplier holds) {
-        long begin = now;
-        while (now - begin < seconds * S) {
+    double runUntil(double seconds, java.util.function.BooleanSupplier holds) {
+        long startedAt = now;
+        while (now - startedAt < seconds * S) {
             if (holds.getAsBoolean()) {
-                return (now - begin) / (double) S;
+                return (now - startedAt) / (double) S;
             }
             run(0.05);
         }
         return holds.getAsBoolean() ? seconds : -1;
     }
 
-    private void carry(Life from, String to, Message m) {
-        if (random.nextDouble() < loss) {
+    private void deliver(Node from, String to, Message m) {
+        if (random.nextDouble() < lossRate) {
             return;
         }
-        int copies = random.nextDouble() < twice ? 2 : 1;
+        int copies = random.nextDouble() < duplicateRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            at(now + delayNs + (jitterNs > 0 ? random.nextLong(jitterNs) : 0), () -> {
-                Life l = addresses.get(to);
-                if (l != null && !cut.contains(from.name + '>' + l.name)) {
-                    if (remembers) {
-                        l.last.put(from.life, m);
+            schedule(now + delayNs + (jitterNs > 0 ? random.nextLong(jitterNs) : 0), () -> {
+                Node l = addresses.get(to);
+                if (l != null && !blockedLinks.contains(from.name + '>' + l.name)) {
+                    if (recordsHistory) {
+                        l.lastReceived.put(from.life, m);
                     }
-                    taken.accept(l, m);
+                    deliveryListener.accept(l, m);
                     l.input(() -> l.peers.receive(now, m));
                 }
             });
@@ -220,19 +220,19 @@
     }
 
     /** Hands in a datagram from nowhere. */
-    void inject(Life to, Message m) {
+    void inject(Node to, Message m) {
         to.input(() -> to.peers.receive(now, m));
     }
 
-    Life start(String name, String address, String... seeds) {
+    Node start(String name, String address, String... seeds) {
         return start(name, address, random.nextLong(), seeds);
     }
 
-    Life start(String name, String address, long life, String... seeds) {
-        Life l = new Life(name, address, life, List.of(seeds));
-        lives.put(name, l);
+    Node start(String name, String address, long life, String... seeds) {
+        Node l = new Node(name, address, life, List.of(seeds));
+        nodes.put(name, l);
         addresses.put(address, l);
-        l.arm();
+        l.scheduleTick();
         return l;
     }
 
@@ -244,32 +244,32 @@
         return this;
     }
 
-    Life get(int i) {
-        return lives.get("p" + i);
+    Node get(int i) {
+        return nodes.get("p" + i);
     }
 
-    List<Life> living() {
-        return lives.values().stream().filter(l -> !l.dead).toList();
+    List<Node> living() {
+        return nodes.values().stream().filter(l -> !l.dead).toList();
     }
 
     /** Cuts two sets of members from each other, or lets them hear each other again. */
-    void partition(List<Life> a, List<Life> b, boolean on) {
-        for (Life x : a) {
-            for (Life y : b) {
-                if (on) {
-                    cut.add(x.name + '>' + y.name);
-                    cut.add(y.name + '>' + x.name);
+    void partition(List<Node> a, List<Node> b, boolean blocked) {
+        for (Node x : a) {
+            for (Node y : b) {
+                if (blocked) {
+                    blockedLinks.add(x.name + '>' + y.name);
+                    blockedLinks.add(y.name + '>' + x.name);
                 } else {
-                    cut.remove(x.name + '>' + y.name);
-                    cut.remove(y.name + '>' + x.name);
+                    blockedLinks.remove(x.name + '>' + y.name);
+                    blockedLinks.remove(y.name + '>' + x.name);
                 }
             }
         }
     }
 
     /** Does each that lives see just those that live as alive? */
-    boolean agreed() {
-        List<Life> living = living();
+    boolean hasConverged() {
+        List<Node> living = living();
         Set<String> names = living.stream().map(l -> l.name).collect(Collectors.toSet());
         return living.stream().allMatch(l -> {
             Set<String> sees = l.names(View.Status.ALIVE);
@@ -279,11 +279,11 @@
     }
 
     /** How often somebody who lives was accused or called gone. */
-    long wrong(Change.Kind kind) {
+    long falseReports(Change.Kind kind) {
         Set<Long> alive = living().stream().map(l -> l.life).collect(Collectors.toSet());
-        return lives.values().stream()
+        return nodes.values().stream()
                 .flatMap(l -> l.changes.stream())
-                .filter(c -> c.kind() == kind && alive.contains(c.about().life()))
+                .filter(c -> c.kind() == kind && alive.contains(c.subject().life()))
                 .count();
     }
 }
--- a/src/test/java/gullspar/peers/ViewCost.java
+++ b/src/test/java/gullspar/peers/ViewCost.java
@@ -1,7 +1,7 @@
 package gullspar.peers;
 
 import gullspar.capacity.ResultsWriter;
-import gullspar.peers.SimulatedFleet.Life;
+import gullspar.peers.SimulatedFleet.Node;
 import gullspar.peers.wire.Codec;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -23,8 +23,8 @@
  * {@code bench/scale/view.sh}; not a test.
  */
 public final class ViewCost {
-    private static final int ENVELOPE = 21;
-    private static final int MINUTES = 13, FIRST_AT_REST = 8;
+    private static final int ENVELOPE_BYTES = 21;
+    private static final int MINUTES = 13, FIRST_STEADY_MINUTE = 8;
     private static final List<String> KINDS =
             List.of("ping", "ack", "pingreq", "nack", "news", "digest", "listing", "want", "statements told");
 
@@ -41,19 +41,19 @@
     private final ResultsWriter results;
     private final int heldOut;
     private final int size;
-    private final SimulatedFleet town;
+    private final SimulatedFleet fleet;
     private final Map<Message, Integer> encoded = new IdentityHashMap<>();
-    private final Map<Life, Long> sentBy = new HashMap<>();
+    private final Map<Node, Long> sentBy = new HashMap<>();
     private Count count = new Count();
 
     private ViewCost(ResultsWriter results, int heldOut, int size, int seed) {
         this.heldOut = heldOut;
         this.results = results;
         this.size = size;
-        this.town = new SimulatedFleet(seed, Settings.every(SimulatedFleet.S));
-        town.remembers = false;
-        town.posted = (l, m) -> {
-            int bytes = Codec.encode(m).length + ENVELOPE;
+        this.fleet = new SimulatedFleet(seed, Settings.withInterval(SimulatedFleet.S));
+        fleet.recordsHistory = false;
+        fleet.sendListener = (l, m) -> {
+            int bytes = Codec.encode(m).length + ENVELOPE_BYTES;
             encoded.put(m, bytes);
             count.sent += bytes;
             count.datagrams++;
@@ -63,7 +63,7 @@
                     m.rumors().stream().filter(r -> r.statement() != null).count();
             count.bytes.merge("statements told", statements, Long::sum);
         };
-        town.taken = (l, m) -> count.received += encoded.getOrDefault(m, m.size());
+        fleet.deliveryListener = (l, m) -> count.received += encoded.getOrDefault(m, m.maxBytes());
     }
 
     private static String kind(Message m) {
@@ -80,7 +80,7 @@
         int[] sizes = Stream.of(args[2].split(",")).mapToInt(Integer::parseInt).toArray();
         for (int size : sizes) {
             for (int seed : seeds) {
-                new ViewCost(results, sizes[sizes.length - 1], size, seed).play();
+                new ViewCost(results, sizes[sizes.length - 1], size, seed).measure();
                 results.write(Path.of(args[0]));
             }
         }
@@ -97,29 +97,30 @@
 
     /** So many seconds; the worst ten of them, in bytes a second and member sent. */
     private double run(int seconds) {
-        double worst = 0;
+        double worstRate = 0;
         for (int s = 0; s < seconds; s += 10) {
             long before = count.sent;
-            town.run(10);
-            worst = Math.max(worst, (count.sent - before) / 10.0 / town.living().size());
+            fleet.run(10);
+            worstRate = Math.max(
+                    worstRate, (count.sent - before) / 10.0 / fleet.living().size());
         }
         encoded.clear();
-        return worst;
+        return worstRate;
     }
 
-    private void play() {
+    private void measure() {
         for (int i = 1; i <= size; i++) {
-            town.start("proxy-" + i, address(i), address(1), address(2), address(3));
+            fleet.start("proxy-" + i, address(i), address(1), address(2), address(3));
         }
         Count rest = null;
         long cpu = 0;
         for (int minute = 1; minute <= MINUTES; minute++) {
-            count = minute > FIRST_AT_REST ? count : new Count();
+            count = minute > FIRST_STEADY_MINUTE ? count : new Count();
             sentBy.clear();
             long sent = count.sent;
             long begun = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
             double worst = run(60);
-            cpu += minute < FIRST_AT_REST
+            cpu += minute < FIRST_STEADY_MINUTE
                     ? 0
                     : ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - begun;
             if (minute == 1) {
@@ -134,8 +135,8 @@
                         "B/s",
                         sentBy.values().stream().mapToLong(x -> x).max().orElse(0) / 60.0);
             }
-            if (minute < FIRST_AT_REST) {
-                tell(count, 60, "minute" + minute, "minute " + minute + " from the start of all");
+            if (minute < FIRST_STEADY_MINUTE) {
+                report(count, 60, "minute" + minute, "minute " + minute + " from the start of all");
             } else {
                 System.err.printf("minute %d: %.0f B/s sent%n", minute, (count.sent - sent) / 60.0 / size);
                 rest = count;
@@ -147,14 +148,14 @@
                         + "codes and "
                         + "sockets are not",
                 "ns/s",
-                cpu / 60.0 / (MINUTES - FIRST_AT_REST + 1) / size);
-        tell(rest, 60 * (MINUTES - FIRST_AT_REST + 1), "rest", "minutes 8 to 13");
+                cpu / 60.0 / (MINUTES - FIRST_STEADY_MINUTE + 1) / size);
+        report(rest, 60 * (MINUTES - FIRST_STEADY_MINUTE + 1), "rest", "minutes 8 to 13");
         memory();
-        die();
+        measureEighthKilled();
     }
 
-    private void tell(Count c, double seconds, String name, String when) {
-        int members = town.living().size();
+    private void report(Count c, double seconds, String name, String when) {
+        int members = fleet.living().size();
         point("view.sent." + name, "bytes sent a second and member, " + when, "B/s", c.sent / seconds / members);
         point(
                 "view.received." + name,
@@ -178,36 +179,36 @@
     }
 
     private void memory() {
-        long full = used();
-        int tables = town.living().size();
-        int entries = town.living().stream().mapToInt(l -> l.peers.size()).sum();
-        SimulatedFleet empty = new SimulatedFleet(1, Settings.every(SimulatedFleet.S));
-        long before = used();
+        long full = usedHeapBytes();
+        int tables = fleet.living().size();
+        int entries = fleet.living().stream().mapToInt(l -> l.peers.size()).sum();
+        SimulatedFleet empty = new SimulatedFleet(1, Settings.withInterval(SimulatedFleet.S));
+        long before = usedHeapBytes();
         for (int i = 0; i < tables; i++) {
             empty.start("proxy-" + i, address(i), address(1), address(2), address(3));
         }
-        long alone = used() - before;
-        if (empty.lives.size() != tables) {
+        long alone = usedHeapBytes() - before;
+        if (empty.nodes.size() != tables) {
             throw new IllegalStateException();
         }
-        double each = (full - BASE - alone) / (double) entries;
+        double each = (full - BASE_HEAP_BYTES - alone) / (double) entries;
         point("view.memory.member", "heap that one entry of the table takes", "B", each);
         point("view.memory.table", "heap of one process's whole table", "B", each * size);
     }
 
-    private static final long BASE = used();
+    private static final long BASE_HEAP_BYTES = usedHeapBytes();
 
-    private static long used() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private void die() {
-        List<Life> living = new ArrayList<>(town.living());
+    private void measureEighthKilled() {
+        List<Node> living = new ArrayList<>(fleet.living());
         for (int i = 0; i < size / 8; i++) {
-            living.remove(town.random.nextInt(living.size())).kill();
+            living.remove(fleet.random.nextInt(living.size())).kill();
         }
         double worst = 0;
         count = new Count();
@@ -218,7 +219,7 @@
                     "%d: an eighth dead, %d to %d s later: %.0f B/s%n",
                     size, s, s + 20, (count.sent - before) / 20.0 / living.size());
         }
-        tell(count, 120, "eighth", "120 s from the death of an eighth on");
+        report(count, 120, "eighth", "120 s from the death of an eighth on");
         point(
                 "view.eighth.worst10s",
                 "bytes sent a second and member in the worst 10 s after an eighth died",
--- a/src/test/java/gullspar/peers/wire/WireTest.java
+++ b/src/test/java/gullspar/peers/wire/WireTest.java
@@ -9,7 +9,6 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import gullspar.peers.Facts;
-import gullspar.peers.Figures;
 import gullspar.peers.Identity;
 import gullspar.peers.MemberState;
 import gullspar.peers.MemberStatus;
@@ -17,6 +16,7 @@
 import gullspar.peers.Phase;
 import gullspar.peers.Rumor;
 import gullspar.peers.Statement;
+import gullspar.peers.TrafficStats;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.Arrays;
@@ -50,11 +50,11 @@
     }
 
     private static Arbitrary<Statement> statements(Identity id) {
-        Arbitrary<Figures> figures = Combinators.combine(
+        Arbitrary<TrafficStats> figures = Combinators.combine(
                         Arbitraries.floats(),
                         Arbitraries.floats(),
                         Arbitraries.integers().greaterOrEqual(0))
-                .as(Figures::new);
+                .as(TrafficStats::new);
         Arbitrary<Facts> facts = Combinators.combine(
                         names(),
                         Arbitraries.integers().greaterOrEqual(0),
@@ -74,7 +74,7 @@
 
     private static Arbitrary<Rumor> rumors() {
         return identities().flatMap(id -> Combinators.combine(
-                        Arbitraries.integers().between(0, MemberState.MOST_INCARNATION),
+                        Arbitraries.integers().between(0, MemberState.MAX_INCARNATION),
                         Arbitraries.of(MemberStatus.class),
                         names(),
                         Arbitraries.longs().between(0, 1L << 40),
@@ -86,7 +86,7 @@
     Arbitrary<Message> messages() {
         Arbitrary<Message.Header> headers = Combinators.combine(
                         identities(),
-                        Arbitraries.integers().between(0, MemberState.MOST_INCARNATION),
+                        Arbitraries.integers().between(0, MemberState.MAX_INCARNATION),
                         names(),
                         Arbitraries.longs().greaterOrEqual(1))
                 .as(Message.Header::new);
@@ -112,20 +112,21 @@
     }
 
     @Property(tries = 500, seed = "102")
-    void whatIsWrittenIsRead(@ForAll("messages") Message m) throws IOException {
+    void messagesRoundTrip(@ForAll("messages") Message m) throws IOException {
         byte[] bytes = Codec.encode(m);
         assertEquals(m, Codec.decode(bytes, 0, bytes.length));
     }
 
     /** Any bytes, and any message cut or flipped anywhere: an error or another message, nothing else. */
     @Property(tries = 1000, seed = "103")
-    void nothingThatComesDoesHarm(@ForAll("messages") Message m, @ForAll byte[] noise, @ForAll int at, @ForAll byte b) {
+    void corruptBytesFailWithIOExceptionOnly(
+            @ForAll("messages") Message m, @ForAll byte[] noise, @ForAll int at, @ForAll byte b) {
         byte[] bytes = Codec.encode(m);
         byte[] flipped = bytes.clone();
         flipped[Math.floorMod(at, bytes.length)] ^= b;
-        for (byte[] came : List.of(noise, flipped, Arrays.copyOf(bytes, Math.floorMod(at, bytes.length)))) {
+        for (byte[] received : List.of(noise, flipped, Arrays.copyOf(bytes, Math.floorMod(at, bytes.length)))) {
             try {
-                Codec.decode(came, 0, came.length);
+                Codec.decode(received, 0, received.length);
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
@@ -133,16 +134,16 @@
     }
 
     @Property(tries = 300, seed = "104")
-    void onlyTheUnchangedDatagramOfAKeyHolderIsTaken(@ForAll("messages") Message m, @ForAll int at, @ForAll byte b) {
+    void onlyUnchangedAuthenticatedDatagramsAreAccepted(@ForAll("messages") Message m, @ForAll int at, @ForAll byte b) {
         Envelope e = new Envelope(List.of(ONE));
         byte[] message = Codec.encode(m);
         byte[] sealed = e.seal(message);
-        if (sealed.length > Message.MOST_BYTES) {
+        if (sealed.length > Message.MAX_DATAGRAM_BYTES) {
             assertEquals(Envelope.Refusal.SIZE, e.open(sealed));
             return;
         }
         assertNull(e.open(sealed));
-        assertArrayEquals(message, Arrays.copyOfRange(sealed, Envelope.front(), sealed.length));
+        assertArrayEquals(message, Arrays.copyOfRange(sealed, Envelope.messageOffset(), sealed.length));
         if (b != 0) {
             sealed[Math.floorMod(at, sealed.length)] ^= b;
             assertTrue(e.open(sealed) != null);
@@ -151,13 +152,13 @@
     }
 
     @Test
-    void aKeyIsReplacedInThreeSteps() {
+    void keyRotationInThreeStepsLosesNoDatagram() {
         Envelope old = new Envelope(List.of(ONE));
         Envelope knowsBoth = new Envelope(List.of(ONE, OTHER));
-        Envelope makesNew = new Envelope(List.of(OTHER, ONE));
+        Envelope sealsWithNew = new Envelope(List.of(OTHER, ONE));
         Envelope onlyNew = new Envelope(List.of(OTHER));
         List<List<Envelope>> steps =
-                List.of(List.of(old, knowsBoth), List.of(knowsBoth, makesNew), List.of(makesNew, onlyNew));
+                List.of(List.of(old, knowsBoth), List.of(knowsBoth, sealsWithNew), List.of(sealsWithNew, onlyNew));
         for (List<Envelope> together : steps) {
             for (Envelope from : together) {
                 for (Envelope to : together) {
@@ -171,7 +172,7 @@
 
     /** A newer version puts more behind each array, and has kinds that this one does not know. */
     @Test
-    void whatANewerVersionAddsIsPassedOver() throws IOException {
+    void fieldsAndKindsOfNewerVersionsAreSkipped() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator g = new CBORFactory().createGenerator(bytes)) {
             g.writeStartArray();
@@ -207,10 +208,10 @@
 
     /** What the state machine reckons with is no less than what goes out. */
     @Property(tries = 500, seed = "105")
-    void sizesAreNotUnderrated(@ForAll("messages") Message m) {
-        int reckoned = Message.ENVELOPE + m.size();
+    void estimatedSizesAreUpperBounds(@ForAll("messages") Message m) {
+        int estimated = Message.MAX_ENVELOPE_BYTES + m.maxBytes();
         assertTrue(
-                new Envelope(List.of(ONE)).seal(Codec.encode(m)).length <= reckoned,
-                () -> m + " takes more than " + reckoned);
+                new Envelope(List.of(ONE)).seal(Codec.encode(m)).length <= estimated,
+                () -> m + " takes more than " + estimated);
     }
 }
