--- a/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
@@ -43,7 +43,7 @@
 @Fork(2)
 public class FleetBenchmark {
     private static final long S = 1_000_000_000L;
-    private static final int RUMOURS = 6;
+    private static final int RUMORS_PER_PING = 6;
 
     /** Members, the one that is measured included. */
     @Param({"10", "100", "1000"})
@@ -54,21 +54,21 @@
     private final List<Message> out = new ArrayList<>();
     private final List<Identity> asked = new ArrayList<>();
     private Peers peers;
-    private long[] numbers;
+    private long[] sequenceNumbers;
     private long now = 1000 * S;
-    private int turn;
-    private long answered;
+    private int lastSender;
+    private long responseBytes;
 
     /** Lets all others prove that they live. */
     @Setup
-    public void meet() {
+    public void joinMembers() {
         Random random = new Random(5);
         for (int i = 1; i < members; i++) {
             others.add(new Statement(new Identity("p" + i, random.nextLong()), 1, "10.0." + i / 250 + "."
                     + (1 + i % 250) + ":7946", "zone", "0.1.0", "0badcafe", Phase.SERVING, 100_000, 0, 0,
                     new TrafficStats(50, 1, 3), Facts.NONE));
         }
-        numbers = new long[members];
+        sequenceNumbers = new long[members];
         peers = new Peers(Settings.withInterval(S), new Statement(new Identity("me", 1), 1, "10.1.0.1:7946", "zone",
                 "0.1.0", "0badcafe", Phase.SERVING, 0, 0, 0, TrafficStats.NONE, Facts.NONE), List.of(), random,
                 new Outbox() {
@@ -89,7 +89,7 @@
             peers.receive(now, new Message.Ping(header(i), 7, 1, true, List.of()));
             long nonce = out.stream().filter(m -> m instanceof Message.Ping).mapToLong(m ->
                     ((Message.Ping) m).nonce()).findFirst().orElseThrow();
-            peers.receive(now, new Message.Ack(header(i), nonce, s.id(), 0, List.of(rumour(s))));
+            peers.receive(now, new Message.Ack(header(i), nonce, s.id(), 0, List.of(rumor(s))));
         }
         if (peers.size() != members) {
             throw new IllegalStateException("knows " + peers.size() + " of " + members);
@@ -98,40 +98,40 @@
 
     private Message.Header header(int i) {
         Statement s = others.get(i);
-        return new Message.Header(s.id(), 0, s.address(), ++numbers[i]);
+        return new Message.Header(s.id(), 0, s.address(), ++sequenceNumbers[i]);
     }
 
-    private static Rumor rumour(Statement s) {
+    private static Rumor rumor(Statement s) {
         return new Rumor(s.id(), 0, MemberStatus.ALIVE, "", 0, s, 100);
     }
 
-    private byte[] question() {
-        int i = turn = (turn + 1) % others.size();
-        List<Rumor> rumours = new ArrayList<>();
-        for (int k = 1; k <= RUMOURS; k++) {
-            rumours.add(rumour(others.get((i + k) % others.size())));
+    private byte[] ping() {
+        int i = lastSender = (lastSender + 1) % others.size();
+        List<Rumor> rumors = new ArrayList<>();
+        for (int k = 1; k <= RUMORS_PER_PING; k++) {
+            rumors.add(rumor(others.get((i + k) % others.size())));
         }
-        return envelope.seal(Codec.encode(new Message.Ping(header(i), 7, 1, false, rumours)));
+        return envelope.seal(Codec.encode(new Message.Ping(header(i), 7, 1, false, rumors)));
     }
 
     /** Made and sealed only. */
     @Benchmark
-    public byte[] made() {
-        return question();
+    public byte[] encode() {
+        return ping();
     }
 
     /** Made, sealed, opened, read, taken in; and its answer made and sealed. */
     @Benchmark
-    public long madeAndTaken() throws IOException {
-        byte[] d = question();
-        if (envelope.open(d) != null) {
+    public long roundTrip() throws IOException {
+        byte[] datagram = ping();
+        if (envelope.open(datagram) != null) {
             throw new IllegalStateException("not taken");
         }
         out.clear();
-        peers.receive(now, Codec.decode(d, Envelope.messageOffset(), d.length - Envelope.messageOffset()));
+        peers.receive(now, Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset()));
         for (Message m : out) {
-            answered += envelope.seal(Codec.encode(m)).length;
+            responseBytes += envelope.seal(Codec.encode(m)).length;
         }
-        return answered;
+        return responseBytes;
     }
 }
--- a/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
@@ -39,7 +39,7 @@
 
     private Router router;
     private final Request[] requests = new Request[REQUESTS];
-    private int next;
+    private int lastRequest;
 
     /** Builds the router and draws the requests, from a fixed seed. */
     @Setup
@@ -69,7 +69,7 @@
     /** One request after another, each of another host and place. */
     @Benchmark
     public Router.Result find() {
-        next = next + 1 & REQUESTS - 1;
-        return router.find(requests[next]);
+        lastRequest = lastRequest + 1 & REQUESTS - 1;
+        return router.find(requests[lastRequest]);
     }
 }
--- a/src/test/java/gullspar/capacity/CapacityPage.java
+++ b/src/test/java/gullspar/capacity/CapacityPage.java
@@ -20,26 +20,26 @@
  * rows, between their markers. Called by {@code bench/scale/page.sh}.
  */
 public final class CapacityPage {
-    private static final Map<String, String> EVENTS = events();
+    private static final Map<String, String> EVENT_TITLES = eventTitles();
 
-    private final Letter letter;
-    private final Map<String, Fit> fits = new TreeMap<>();
-    private final List<Row> rows;
+    private final DesignParameters design;
+    private final Map<String, LinearFit> fits = new TreeMap<>();
+    private final List<CapacityRow> rows;
 
     private final String answers;
 
     CapacityPage(Path folder) {
-        this.letter = Letter.read(folder.resolve("letter.toml"));
-        this.rows = Rows.read(folder.resolve("rows.toml"));
-        this.answers = text(folder.resolve("answers.md"));
-        Results.read(folder.resolve("results")).series().forEach((id, s) -> fits.put(id, Fit.of(s)));
-        List<String> faults = Rows.faults(rows, fits, letter);
-        if (!faults.isEmpty()) {
-            throw new CapacityException(String.join("\n", faults));
+        this.design = DesignParameters.read(folder.resolve("letter.toml"));
+        this.rows = CapacityRows.read(folder.resolve("rows.toml"));
+        this.answers = readIfExists(folder.resolve("answers.md"));
+        Results.read(folder.resolve("results")).series().forEach((id, s) -> fits.put(id, LinearFit.of(s)));
+        List<String> problems = CapacityRows.problems(rows, fits, design);
+        if (!problems.isEmpty()) {
+            throw new CapacityException(String.join("\n", problems));
         }
     }
 
-    private static String text(Path file) {
+    private static String readIfExists(Path file) {
         try {
             return Files.exists(file) ? Files.readString(file) : "";
         } catch (IOException e) {
@@ -53,7 +53,7 @@
             CapacityPage page = new CapacityPage(root.resolve("bench/scale"));
             for (String name : List.of("docs/CAPACITY.md", "docs/ROADMAP.md")) {
                 Path file = root.resolve(name);
-                Files.writeString(file, page.filled(Files.readString(file), name));
+                Files.writeString(file, page.fillTables(Files.readString(file), name));
             }
         } catch (CapacityException e) {
             System.err.println(e.getMessage());
@@ -61,279 +61,286 @@
         }
     }
 
-    private static Map<String, String> events() {
-        Map<String, String> e = new LinkedHashMap<>();
-        e.put("rest", "at rest");
-        e.put("peak", "peak");
-        e.put("machine-dies", "a machine dies");
-        e.put("rolling-restart", "rolling restart");
-        e.put("rack", "a rack");
-        e.put("zone", "a zone");
-        e.put("regions", "regions apart");
-        e.put("outage", "control gone for ten minutes");
-        e.put("burst", "100 changes");
-        return e;
+    private static Map<String, String> eventTitles() {
+        Map<String, String> titles = new LinkedHashMap<>();
+        titles.put("rest", "at rest");
+        titles.put("peak", "peak");
+        titles.put("machine-dies", "a machine dies");
+        titles.put("rolling-restart", "rolling restart");
+        titles.put("rack", "a rack");
+        titles.put("zone", "a zone");
+        titles.put("regions", "regions apart");
+        titles.put("outage", "control gone for ten minutes");
+        titles.put("burst", "100 changes");
+        return titles;
     }
 
-    List<Row> rows() {
+    List<CapacityRow> rows() {
         return rows;
     }
 
     // ---- markers ----
 
-    private static String begin(String table) {
+    private static String beginMarker(String table) {
         return "<!-- written by bench/scale/page.sh: " + table + " -->\n";
     }
 
-    private static final String END = "<!-- end -->\n";
+    private static final String END_MARKER = "<!-- end -->\n";
 
     /** A page with its tables made anew. */
-    String filled(String text, String name) {
-        String page = text;
-        boolean any = false;
-        for (Map.Entry<String, String> t : tables().entrySet()) {
-            int from = page.indexOf(begin(t.getKey()));
+    String fillTables(String oldPage, String name) {
+        String page = oldPage;
+        boolean found = false;
+        for (Map.Entry<String, String> table : tables().entrySet()) {
+            int from = page.indexOf(beginMarker(table.getKey()));
             if (from < 0) {
                 continue;
             }
-            any = true;
-            from += begin(t.getKey()).length();
-            int to = page.indexOf(END, from);
+            found = true;
+            from += beginMarker(table.getKey()).length();
+            int to = page.indexOf(END_MARKER, from);
             if (to < 0) {
-                throw new CapacityException(name + ": the table '" + t.getKey() + "' has no end");
+                throw new CapacityException(name + ": the table '" + table.getKey() + "' has no end");
             }
-            page = page.substring(0, from) + "\n" + t.getValue() + "\n" + page.substring(to);
+            page = page.substring(0, from) + "\n" + table.getValue() + "\n" + page.substring(to);
         }
-        if (!any) {
+        if (!found) {
             throw new CapacityException(name + ": has none of the tables");
         }
         return page;
     }
 
     /** What is out of date on a page, by the table's name; tables that it lacks, of those needed. */
-    List<String> drift(String text, String name, List<String> needed) {
-        List<String> wrong = new ArrayList<>();
-        for (String table : needed) {
+    List<String> outdatedTables(String page, String name, List<String> required) {
+        List<String> problems = new ArrayList<>();
+        for (String table : required) {
             if (!tables().containsKey(table)) {
                 throw new IllegalArgumentException(table);
             }
-            if (!text.contains(begin(table))) {
-                wrong.add(name + " lacks the table '" + table + "'");
-            } else if (!text.contains(begin(table) + "\n" + tables().get(table) + "\n" + END)) {
-                wrong.add(name + ": the table '" + table
+            if (!page.contains(beginMarker(table))) {
+                problems.add(name + " lacks the table '" + table + "'");
+            } else if (!page.contains(beginMarker(table) + "\n" + tables().get(table) + "\n" + END_MARKER)) {
+                problems.add(name + ": the table '" + table
                         + "' is not what the results say; bench/scale/page.sh writes it");
             }
         }
-        return wrong;
+        return problems;
     }
 
     Map<String, String> tables() {
-        Map<String, String> t = new LinkedHashMap<>();
-        t.put("sizes", sizes());
-        t.put("answers", answers());
-        t.put("choice", choice());
-        t.put("limits", limits());
-        Rows.ROLES.forEach(role -> t.put("role " + role, role(role)));
-        t.put("series", series());
-        t.put("runs", runs());
-        return t;
+        Map<String, String> tables = new LinkedHashMap<>();
+        tables.put("sizes", sizesTable());
+        tables.put("answers", answers());
+        tables.put("choice", missingMechanisms());
+        tables.put("limits", breakingLimits());
+        CapacityRows.ROLES.forEach(role -> tables.put("role " + role, roleTable(role)));
+        tables.put("series", seriesTable());
+        tables.put("runs", runsTable());
+        return tables;
     }
 
     // ---- answers ----
 
-    private static final Pattern FIGURE = Pattern.compile("\\{\\{([^}]*)}}");
+    private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([^}]*)}}");
 
     /**
      * The text of answers.md, its figures filled in: {{value ROW}}, {{breaks ROW}}, {{part ROW}},
      * {{seen SERIES SIZE}}, {{slope SERIES}}.
      */
     private String answers() {
-        return FIGURE.matcher(answers).replaceAll(m -> Matcher.quoteReplacement(figure(m.group(1))));
+        return PLACEHOLDER.matcher(answers).replaceAll(m -> Matcher.quoteReplacement(resolvePlaceholder(m.group(1))));
     }
 
-    private String figure(String asked) {
-        String[] a = asked.split(" ");
-        Row row = a.length == 2
-                ? rows.stream().filter(r -> r.id().equals(a[1])).findFirst().orElse(null)
+    private String resolvePlaceholder(String placeholder) {
+        String[] words = placeholder.split(" ");
+        CapacityRow row = words.length == 2
+                ? rows.stream().filter(r -> r.id().equals(words[1])).findFirst().orElse(null)
                 : null;
-        Fit fit = a.length > 1 ? fits.get(a[1]) : null;
+        LinearFit fit = words.length > 1 ? fits.get(words[1]) : null;
         if (row != null) {
-            Broken b = new Broken(row, row.breaksAt(fits, letter), row.part(fits, letter));
-            switch (a[0]) {
+            BreakingPoint breakingPoint =
+                    new BreakingPoint(row, row.breakingSize(fits, design), row.breakingRatio(fits, design));
+            switch (words[0]) {
                 case "value":
-                    return Show.with(row.value(fits, letter), row.unit());
+                    return NumberFormatter.withUnit(row.value(fits, design), row.unit());
                 case "breaks":
-                    return at(b);
+                    return formatSize(breakingPoint);
                 case "part":
-                    return part(b);
+                    return formatRatio(breakingPoint);
                 default:
                     break;
             }
         }
-        if (fit != null && a[0].equals("slope")) {
-            return Show.with(fit.slope(), fit.series().unit());
+        if (fit != null && words[0].equals("slope")) {
+            return NumberFormatter.withUnit(fit.slope(), fit.series().unit());
         }
         if (fit != null
-                && a[0].equals("seen")
-                && a.length == 3
-                && fit.series().sizes().contains(Double.valueOf(a[2]))) {
-            return Show.with(
-                    fit.series().at(Double.parseDouble(a[2])), fit.series().unit());
+                && words[0].equals("seen")
+                && words.length == 3
+                && fit.series().sizes().contains(Double.valueOf(words[2]))) {
+            return NumberFormatter.withUnit(
+                    fit.series().medianAt(Double.parseDouble(words[2])),
+                    fit.series().unit());
         }
-        throw new CapacityException("answers.md asks for '" + asked + "', which is no figure");
+        throw new CapacityException("answers.md asks for '" + placeholder + "', which is no figure");
     }
 
     // ---- tables ----
 
-    private static String table(String head, List<List<String>> lines) {
-        StringBuilder b = new StringBuilder("| " + head + " |\n|" + " --- |".repeat(head.split("\\|").length) + "\n");
-        lines.forEach(l -> b.append("| ").append(String.join(" | ", l)).append(" |\n"));
-        return b.toString();
+    private static String markdownTable(String header, List<List<String>> lines) {
+        StringBuilder text =
+                new StringBuilder("| " + header + " |\n|" + " --- |".repeat(header.split("\\|").length) + "\n");
+        lines.forEach(l -> text.append("| ").append(String.join(" | ", l)).append(" |\n"));
+        return text.toString();
     }
 
-    private String sizes() {
-        return table(
+    private String sizesTable() {
+        return markdownTable(
                 "name | value | what",
-                letter.all().entrySet().stream()
+                design.all().entrySet().stream()
                         .map(e -> List.of(
                                 "`" + e.getKey() + "`",
-                                Show.with(e.getValue().value(), e.getValue().unit()),
-                                e.getValue().what()))
+                                NumberFormatter.withUnit(
+                                        e.getValue().value(), e.getValue().unit()),
+                                e.getValue().description()))
                         .toList());
     }
 
-    private record Broken(Row row, double at, double part) {}
+    private record BreakingPoint(CapacityRow row, double size, double ratio) {}
 
-    private List<Broken> broken() {
+    private List<BreakingPoint> breakingPoints() {
         return rows.stream()
-                .map(r -> new Broken(r, r.breaksAt(fits, letter), r.part(fits, letter)))
-                .sorted(Comparator.comparingDouble(Broken::part)
+                .map(row -> new BreakingPoint(row, row.breakingSize(fits, design), row.breakingRatio(fits, design)))
+                .sorted(Comparator.comparingDouble(BreakingPoint::ratio)
                         .thenComparing(b -> b.row().id()))
                 .toList();
     }
 
     /** By mechanism: the smallest breaking size first, ties (to two digits) by how many rows lean on it. */
-    private String choice() {
-        Map<String, List<Broken>> by = broken().stream()
-                .filter(b -> !b.row().missing().isEmpty() && b.part() < 1)
-                .collect(Collectors.groupingBy(b -> b.row().missing(), TreeMap::new, Collectors.toList()));
-        List<Map.Entry<String, List<Broken>>> order = new ArrayList<>(by.entrySet());
-        order.sort(Comparator.comparingDouble((Map.Entry<String, List<Broken>> e) ->
-                        digits(e.getValue().get(0).part()))
+    private String missingMechanisms() {
+        Map<String, List<BreakingPoint>> byMechanism = breakingPoints().stream()
+                .filter(b -> !b.row().missingMechanism().isEmpty() && b.ratio() < 1)
+                .collect(Collectors.groupingBy(b -> b.row().missingMechanism(), TreeMap::new, Collectors.toList()));
+        List<Map.Entry<String, List<BreakingPoint>>> order = new ArrayList<>(byMechanism.entrySet());
+        order.sort(Comparator.comparingDouble((Map.Entry<String, List<BreakingPoint>> e) ->
+                        roundToTwoDigits(e.getValue().get(0).ratio()))
                 .thenComparing(e -> -e.getValue().size()));
         List<List<String>> lines = new ArrayList<>();
-        int place = 0;
-        for (Map.Entry<String, List<Broken>> e : order) {
-            Broken first = e.getValue().get(0);
+        int rank = 0;
+        for (Map.Entry<String, List<BreakingPoint>> e : order) {
+            BreakingPoint first = e.getValue().get(0);
             lines.add(List.of(
-                    String.valueOf(++place),
+                    String.valueOf(++rank),
                     "**" + e.getKey() + "**",
-                    at(first),
-                    part(first),
-                    first.row().what(),
-                    limit(first.row()),
+                    formatSize(first),
+                    formatRatio(first),
+                    first.row().description(),
+                    formatLimit(first.row()),
                     String.valueOf(e.getValue().size()),
                     e.getValue().stream().map(b -> b.row().id()).collect(Collectors.joining(", "))));
         }
-        return table(
+        return markdownTable(
                 "place | mechanism that is missing | breaks at | part of the letter's | by this "
                         + "figure | "
                         + "its limit | rows that lean on it | which",
                 lines);
     }
 
-    private static double digits(double part) {
-        return part == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.1e", part));
+    private static double roundToTwoDigits(double ratio) {
+        return ratio == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.1e", ratio));
     }
 
-    private String limits() {
-        return table(
+    private String breakingLimits() {
+        return markdownTable(
                 "row | breaks at | part of the letter's | figure at the letter's size | limit | " + "carried by",
-                broken().stream()
-                        .filter(b -> b.part() < 1)
+                breakingPoints().stream()
+                        .filter(b -> b.ratio() < 1)
                         .map(b -> List.of(
                                 b.row().id(),
-                                at(b),
-                                part(b),
-                                Show.with(b.row().value(fits, letter), b.row().unit()),
-                                limit(b.row()),
-                                mechanism(b.row())))
+                                formatSize(b),
+                                formatRatio(b),
+                                NumberFormatter.withUnit(
+                                        b.row().value(fits, design), b.row().unit()),
+                                formatLimit(b.row()),
+                                formatMechanism(b.row())))
                         .toList());
     }
 
-    private String at(Broken b) {
-        return b.at() < 1e-9
+    private String formatSize(BreakingPoint breakingPoint) {
+        return breakingPoint.size() < 1e-9
                 ? "any size"
-                : Double.isInfinite(b.at())
+                : Double.isInfinite(breakingPoint.size())
                         ? "no size"
-                        : Show.number(b.at()) + " "
-                                + (Show.number(b.at()).equals("1")
-                                                ? singular(b.row().along())
-                                                : b.row().along())
+                        : NumberFormatter.number(breakingPoint.size()) + " "
+                                + (NumberFormatter.number(breakingPoint.size()).equals("1")
+                                                ? singular(breakingPoint.row().scaledBy())
+                                                : breakingPoint.row().scaledBy())
                                         .replace('_', ' ');
     }
 
-    private static String part(Broken b) {
-        return Show.part(b.part());
+    private static String formatRatio(BreakingPoint breakingPoint) {
+        return NumberFormatter.ratio(breakingPoint.ratio());
     }
 
-    private String limit(Row r) {
-        Letter.Given g = letter.get(r.limit());
-        return Show.with(g.value(), g.unit()) + " (" + r.limit() + ")";
+    private String formatLimit(CapacityRow row) {
+        DesignParameters.Parameter limit = design.get(row.limit());
+        return NumberFormatter.withUnit(limit.value(), limit.unit()) + " (" + row.limit() + ")";
     }
 
-    private static String mechanism(Row r) {
-        return r.missing().isEmpty()
-                ? r.mechanism()
-                : (r.mechanism().isEmpty() ? "" : r.mechanism() + "; ") + "*missing*: " + r.missing();
+    private static String formatMechanism(CapacityRow row) {
+        return row.missingMechanism().isEmpty()
+                ? row.mechanism()
+                : (row.mechanism().isEmpty() ? "" : row.mechanism() + "; ") + "*missing*: " + row.missingMechanism();
     }
 
-    private static String source(Row r) {
+    private static String formatSource(CapacityRow row) {
         List<String> parts = new ArrayList<>();
-        r.series().forEach(s -> parts.add("`" + s + "`"));
-        if (!r.exact().isEmpty()) {
-            parts.add(r.exact());
+        row.seriesIds().forEach(s -> parts.add("`" + s + "`"));
+        if (!row.exactReason().isEmpty()) {
+            parts.add(row.exactReason());
         }
-        if (!r.assumed().isEmpty()) {
-            parts.add("*assumed*; to be measured by " + r.assumed());
+        if (!row.measurementNeeded().isEmpty()) {
+            parts.add("*assumed*; to be measured by " + row.measurementNeeded());
         }
         return String.join("; ", parts);
     }
 
-    private String role(String role) {
-        List<Row> mine = rows.stream()
+    private String roleTable(String role) {
+        List<CapacityRow> roleRows = rows.stream()
                 .filter(r -> r.role().equals(role))
-                .sorted(Comparator.comparingInt(
-                        (Row r) -> Rows.EVENTS.indexOf(r.events().get(0))))
+                .sorted(Comparator.comparingInt((CapacityRow r) ->
+                        CapacityRows.EVENTS.indexOf(r.events().get(0))))
                 .toList();
-        return table(
+        return markdownTable(
                 "row | when | quantity | figure | slope × size | at the letter's size | limit | "
                         + "breaks at | "
                         + "part | carried by | source",
-                mine.stream()
+                roleRows.stream()
                         .map(r -> {
-                            Broken b = new Broken(r, r.breaksAt(fits, letter), r.part(fits, letter));
+                            BreakingPoint b =
+                                    new BreakingPoint(r, r.breakingSize(fits, design), r.breakingRatio(fits, design));
                             return List.of(
                                     r.id(),
-                                    r.events().stream().map(EVENTS::get).collect(Collectors.joining(", ")),
+                                    r.events().stream().map(EVENT_TITLES::get).collect(Collectors.joining(", ")),
                                     r.quantity(),
-                                    r.what(),
-                                    r.shown(fits, letter),
-                                    Show.with(r.value(fits, letter), r.unit()),
-                                    limit(r),
-                                    at(b),
-                                    part(b),
-                                    mechanism(r),
-                                    source(r));
+                                    r.description(),
+                                    r.formula(fits, design),
+                                    NumberFormatter.withUnit(r.value(fits, design), r.unit()),
+                                    formatLimit(r),
+                                    formatSize(b),
+                                    formatRatio(b),
+                                    formatMechanism(r),
+                                    formatSource(r));
                         })
                         .toList());
     }
 
     /** Series that a row or an answer stands on; others are not on the page. */
-    private List<Fit> used() {
+    private List<LinearFit> usedFits() {
         Set<String> ids = new TreeSet<>();
-        rows.forEach(r -> ids.addAll(r.series()));
-        FIGURE.matcher(answers)
+        rows.forEach(r -> ids.addAll(r.seriesIds()));
+        PLACEHOLDER
+                .matcher(answers)
                 .results()
                 .map(m -> m.group(1).split(" "))
                 .filter(a -> a.length > 1)
@@ -341,37 +348,38 @@
         return fits.values().stream().filter(f -> ids.contains(f.series().id())).toList();
     }
 
-    private String series() {
-        return table(
+    private String seriesTable() {
+        return markdownTable(
                 "series | what | slope ± standard error | at 0 | sizes measured | runs a size, spread | "
                         + "held out: foretold, seen | run",
-                used().stream()
+                usedFits().stream()
                         .map(f -> {
                             Series s = f.series();
                             return List.of(
                                     "`" + s.id() + "`",
-                                    s.what() + fixed(s),
-                                    f.constant()
-                                            ? Show.with(f.intercept(), s.unit())
-                                            : Show.with(f.slope(), s.unit()) + " a " + singular(s.axis())
-                                                    + (Double.isNaN(f.slopeError())
+                                    s.description() + formatFixed(s),
+                                    f.isConstant()
+                                            ? NumberFormatter.withUnit(f.intercept(), s.unit())
+                                            : NumberFormatter.withUnit(f.slope(), s.unit()) + " a " + singular(s.axis())
+                                                    + (Double.isNaN(f.slopeStandardError())
                                                             ? ""
-                                                            : " ± " + Show.number(f.slopeError())),
-                                    f.constant() ? "" : Show.with(f.intercept(), s.unit()),
-                                    s.sizes().stream().map(Show::number).collect(Collectors.joining("; ")) + " "
-                                            + s.axis(),
-                                    s.points().size() / s.sizes().size() + ", " + percent(s.spread()),
-                                    heldOut(f),
+                                                            : " ± " + NumberFormatter.number(f.slopeStandardError())),
+                                    f.isConstant() ? "" : NumberFormatter.withUnit(f.intercept(), s.unit()),
+                                    s.sizes().stream()
+                                                    .map(NumberFormatter::number)
+                                                    .collect(Collectors.joining("; ")) + " " + s.axis(),
+                                    s.points().size() / s.sizes().size() + ", " + formatPercent(s.spread()),
+                                    formatHeldOut(f),
                                     s.source().file());
                         })
                         .toList());
     }
 
-    private static String fixed(Series s) {
-        return s.fixed().isEmpty()
+    private static String formatFixed(Series series) {
+        return series.fixed().isEmpty()
                 ? ""
                 : " ("
-                        + new TreeMap<>(s.fixed())
+                        + new TreeMap<>(series.fixed())
                                 .entrySet().stream()
                                         .map(e -> e.getKey() + " " + e.getValue())
                                         .collect(Collectors.joining(", "))
@@ -384,22 +392,23 @@
                 : axis.endsWith("s") ? axis.substring(0, axis.length() - 1) : axis;
     }
 
-    private static String heldOut(Fit f) {
-        if (Double.isNaN(f.foretold())) {
-            return f.constant() || f.series().heldOut() == 0 ? "none" : "two sizes foretell nothing";
+    private static String formatHeldOut(LinearFit fit) {
+        if (Double.isNaN(fit.predicted())) {
+            return fit.isConstant() || fit.series().heldOut() == 0 ? "none" : "two sizes foretell nothing";
         }
-        return Show.number(f.foretold()) + ", "
-                + Show.number(f.series().at(f.series().heldOut())) + (f.linear() ? "" : ": **not linear**");
+        return NumberFormatter.number(fit.predicted()) + ", "
+                + NumberFormatter.number(fit.series().medianAt(fit.series().heldOut()))
+                + (fit.isLinear() ? "" : ": **not linear**");
     }
 
-    private static String percent(double part) {
-        return Show.number(Math.round(part * 1000) / 10.0) + "%";
+    private static String formatPercent(double ratio) {
+        return NumberFormatter.number(Math.round(ratio * 1000) / 10.0) + "%";
     }
 
-    private String runs() {
-        return table(
+    private String runsTable() {
+        return markdownTable(
                 "run | script | date | commit | machine | seeds",
-                used().stream()
+                usedFits().stream()
                         .map(f -> f.series().source())
                         .distinct()
                         .map(s ->
--- a/src/test/java/gullspar/capacity/CapacityTest.java
+++ b/src/test/java/gullspar/capacity/CapacityTest.java
@@ -30,7 +30,7 @@
            "points":[{"size":100,"value":1100},{"size":1000,"value":10100},{"size":6600,"value":66100}],
            "held_out":6600}]}
         """;
-    private static final String LETTER =
+    private static final String DESIGN =
             """
         [letter]
         backends = { value = 6600, what = "backends" }
@@ -55,10 +55,10 @@
     Path folder;
 
     @BeforeEach
-    void small() throws IOException {
+    void writeInputs() throws IOException {
         Files.createDirectories(folder.resolve("results"));
         write("results/x.json", RESULTS);
-        write("letter.toml", LETTER);
+        write("letter.toml", DESIGN);
         write("rows.toml", ROW);
     }
 
@@ -66,7 +66,7 @@
         Files.writeString(folder.resolve(name), text);
     }
 
-    private String refused() {
+    private String rejection() {
         return assertThrows(CapacityException.class, () -> new CapacityPage(folder))
                 .getMessage();
     }
@@ -74,24 +74,24 @@
     // ---- the page that is shipped ----
 
     @Test
-    void thePageIsWhatTheResultsSay() throws IOException {
+    void committedPageMatchesTheCommittedResults() throws IOException {
         CapacityPage page = new CapacityPage(SCALE);
         assertEquals(
                 List.of(),
-                page.drift(
+                page.outdatedTables(
                         Files.readString(PAGE),
                         "CAPACITY.md",
                         List.copyOf(page.tables().keySet())));
-        assertEquals(List.of(), page.drift(Files.readString(ROADMAP), "ROADMAP.md", List.of("choice")));
+        assertEquals(List.of(), page.outdatedTables(Files.readString(ROADMAP), "ROADMAP.md", List.of("choice")));
     }
 
     @Test
-    void everyRoleHasEveryEventAndQuantity() {
-        assertEquals(List.of(), Rows.gaps(new CapacityPage(SCALE).rows()));
+    void everyRoleHasARowForEveryEventAndQuantity() {
+        assertEquals(List.of(), CapacityRows.gaps(new CapacityPage(SCALE).rows()));
     }
 
     @Test
-    void everyCommittedSeriesStandsOnItsMachineAndCommit() {
+    void everyCommittedSeriesNamesItsCommitAndDate() {
         Results.read(SCALE.resolve("results")).sources().values().forEach(s -> {
             assertTrue(s.commit().matches("[0-9a-f]{7,}"), s.file() + " is of commit " + s.commit());
             assertTrue(s.date().matches("20\\d\\d-\\d\\d-\\d\\d"), s.file() + " is of " + s.date());
@@ -101,34 +101,34 @@
     // ---- planted faults ----
 
     @Test
-    void aPageOutOfDateIsNamed() throws IOException {
+    void outdatedTablesAreReported() throws IOException {
         CapacityPage page = new CapacityPage(folder);
         String empty = "<!-- written by bench/scale/page.sh: limits -->\n<!-- end -->\n";
-        String filled = page.filled(empty, "page");
-        assertEquals(List.of(), page.drift(filled, "page", List.of("limits")));
+        String filled = page.fillTables(empty, "page");
+        assertEquals(List.of(), page.outdatedTables(filled, "page", List.of("limits")));
         assertEquals(
                 List.of("page: the table 'limits' is not what the results say; bench/scale/page.sh " + "writes it"),
-                page.drift(filled.replace("990 backends", "980 backends"), "page", List.of("limits")));
-        assertEquals(List.of("page lacks the table 'choice'"), page.drift(filled, "page", List.of("choice")));
+                page.outdatedTables(filled.replace("990 backends", "980 backends"), "page", List.of("limits")));
+        assertEquals(List.of("page lacks the table 'choice'"), page.outdatedTables(filled, "page", List.of("choice")));
         write("results/x.json", RESULTS.replace("10100", "20100"));
         assertEquals(
                 1,
                 new CapacityPage(folder)
-                        .drift(filled, "page", List.of("limits"))
+                        .outdatedTables(filled, "page", List.of("limits"))
                         .size());
     }
 
     @Test
-    void aPageIsWrittenTheSameTwice() {
+    void fillingAPageTwiceGivesTheSamePage() {
         CapacityPage page = new CapacityPage(folder);
-        String once = page.filled("a\n<!-- written by bench/scale/page.sh: series -->\n<!-- end -->\nb\n", "p");
-        assertEquals(once, page.filled(once, "p"));
+        String once = page.fillTables("a\n<!-- written by bench/scale/page.sh: series -->\n<!-- end -->\nb\n", "p");
+        assertEquals(once, page.fillTables(once, "p"));
         assertTrue(once.startsWith("a\n") && once.endsWith("\nb\n"), once);
         assertEquals(
                 "p: the table 'series' has no end",
                 assertThrows(
                                 CapacityException.class,
-                                () -> page.filled("<!-- written by bench/scale/page.sh: series -->\n", "p"))
+                                () -> page.fillTables("<!-- written by bench/scale/page.sh: series -->\n", "p"))
                         .getMessage());
     }
 
@@ -150,14 +150,14 @@
                 "along = \"backends\"|row list has no size to grow along: |",
                 "id = \"list\"|row '' (a whole list) has no name of its own|"
             })
-    void aRowThatLacksSomethingIsNamed(String part, String says, String instead) throws IOException {
-        write("rows.toml", ROW.replace(part, instead == null ? "" : instead));
-        String refused = refused();
-        assertTrue(refused.lines().anyMatch(l -> l.strip().equals(says.strip())), refused);
+    void incompleteRowsAreReported(String removed, String message, String replacement) throws IOException {
+        write("rows.toml", ROW.replace(removed, replacement == null ? "" : replacement));
+        String rejection = rejection();
+        assertTrue(rejection.lines().anyMatch(l -> l.strip().equals(message.strip())), rejection);
     }
 
     @Test
-    void aMissingMechanismWillDoAndSoWillAnAssumption() throws IOException {
+    void missingMechanismsAndAssumptionsAreAccepted() throws IOException {
         write(
                 "rows.toml",
                 ROW.replace("mechanism = \"the watch\"", "missing = \"changes\"")
@@ -166,8 +166,8 @@
                                         "series = \"list.bytes\", at = \"backends\"",
                                         "value = 3, times = [\"backends\"]")
                         + "assumed = \"a look\"\n");
-        String choice = new CapacityPage(folder).tables().get("choice");
-        assertTrue(choice.contains("| 1 | **changes** | 990 backends | 0.15 | a whole list |"), choice);
+        String mechanisms = new CapacityPage(folder).tables().get("choice");
+        assertTrue(mechanisms.contains("| 1 | **changes** | 990 backends | 0.15 | a whole list |"), mechanisms);
         String role = new CapacityPage(folder).tables().get("role control");
         assertTrue(role.contains("*assumed*; to be measured by a look"), role);
     }
@@ -186,17 +186,17 @@
                 "\"held_out\":6600|x.json: series[0] (list.bytes): the held-out size 640 was not measured"
                         + "|\"held_out\":640"
             })
-    void resultsThatAreMalformedAreNamed(String part, String says, String instead) throws IOException {
-        write("results/x.json", RESULTS.replace(part, instead == null ? "" : instead));
-        assertEquals(says, refused());
+    void malformedResultsAreReported(String removed, String message, String replacement) throws IOException {
+        write("results/x.json", RESULTS.replace(removed, replacement == null ? "" : replacement));
+        assertEquals(message, rejection());
     }
 
     @Test
-    void resultsThatAreNoJsonOrComeTwiceAreNamed() throws IOException {
+    void invalidJsonAndDuplicateSeriesAreReported() throws IOException {
         write("results/y.json", RESULTS);
-        assertEquals("y.json: list.bytes is in x.json too", refused());
+        assertEquals("y.json: list.bytes is in x.json too", rejection());
         write("results/y.json", RESULTS.substring(0, 150));
-        assertTrue(refused().matches("(?s)y\\.json:\\d+: no JSON: Unexpected end-of-input.*"), refused());
+        assertTrue(rejection().matches("(?s)y\\.json:\\d+: no JSON: Unexpected end-of-input.*"), rejection());
     }
 
     // ---- the fit ----
@@ -207,18 +207,18 @@
     }
 
     @Test
-    void aLineIsFoundAndForetellsWhatWasHeldOut() throws IOException {
-        Fit f = Fit.of(series(r -> r));
-        assertEquals(10, f.slope(), 1e-9);
-        assertEquals(100, f.intercept(), 1e-6);
-        assertEquals(66_100, f.foretold(), 1e-6);
-        assertTrue(f.linear());
-        assertEquals(33_100, f.at(3300), 1e-6);
+    void linearSeriesPredictsItsHeldOutSize() throws IOException {
+        LinearFit fit = LinearFit.of(series(r -> r));
+        assertEquals(10, fit.slope(), 1e-9);
+        assertEquals(100, fit.intercept(), 1e-6);
+        assertEquals(66_100, fit.predicted(), 1e-6);
+        assertTrue(fit.isLinear());
+        assertEquals(33_100, fit.valueAt(3300), 1e-6);
     }
 
     /** Anscombe's first quartet: slope 0.5001, its standard error 0.1179, intercept 3.0001. */
     @Test
-    void slopeAndErrorAreThoseOfAKnownSet() throws IOException {
+    void slopeAndStandardErrorMatchAReferenceDataSet() throws IOException {
         double[] x = {10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5};
         double[] y = {8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68};
         StringBuilder points = new StringBuilder("[");
@@ -230,76 +230,77 @@
                     .append(y[i])
                     .append('}');
         }
-        Fit f = Fit.of(series(
+        LinearFit fit = LinearFit.of(series(
                 r -> r.replaceFirst("\\[\\{\"size\"[^]]*]", points + "]").replaceFirst(",\\s*\"held_out\":6600", "")));
-        assertEquals(0.50009, f.slope(), 1e-5);
-        assertEquals(0.11791, f.slopeError(), 1e-5);
-        assertEquals(3.00009, f.intercept(), 1e-5);
-        assertTrue(Double.isNaN(f.foretold()));
+        assertEquals(0.50009, fit.slope(), 1e-5);
+        assertEquals(0.11791, fit.slopeStandardError(), 1e-5);
+        assertEquals(3.00009, fit.intercept(), 1e-5);
+        assertTrue(Double.isNaN(fit.predicted()));
     }
 
     @Test
-    void aHeldOutSizeThatIsMissedByMoreThanAQuarterIsNotLinear() throws IOException {
-        assertTrue(Fit.of(series(r -> r.replace("66100", "53000"))).linear());
-        assertTrue(Fit.of(series(r -> r.replace("66100", "88000"))).linear());
-        assertFalse(Fit.of(series(r -> r.replace("66100", "52000"))).linear());
-        Fit bent = Fit.of(series(r -> r.replace("66100", "89000")));
-        assertFalse(bent.linear());
-        assertEquals(89_000, bent.at(6600), 1e-6);
-        assertEquals(10_100, bent.at(1000), 1e-6);
-        assertEquals((10_100 + 89_000) / 2.0, bent.at(3800), 1e-6);
+    void predictionErrorOfMoreThanAQuarterIsNotLinear() throws IOException {
+        assertTrue(LinearFit.of(series(r -> r.replace("66100", "53000"))).isLinear());
+        assertTrue(LinearFit.of(series(r -> r.replace("66100", "88000"))).isLinear());
+        assertFalse(LinearFit.of(series(r -> r.replace("66100", "52000"))).isLinear());
+        LinearFit nonLinear = LinearFit.of(series(r -> r.replace("66100", "89000")));
+        assertFalse(nonLinear.isLinear());
+        assertEquals(89_000, nonLinear.valueAt(6600), 1e-6);
+        assertEquals(10_100, nonLinear.valueAt(1000), 1e-6);
+        assertEquals((10_100 + 89_000) / 2.0, nonLinear.valueAt(3800), 1e-6);
         assertTrue(new CapacityPage(folder).tables().get("series").contains("**not linear**"));
     }
 
     @Test
-    void twoSizesForetellNothing() throws IOException {
-        Fit f = Fit.of(series(r -> r.replace("{\"size\":100,\"value\":1100},", "")));
-        assertFalse(f.linear());
-        assertEquals(66_100, f.at(6600), 1e-6);
-        assertEquals(38_100, f.at(3800), 1e-6);
+    void twoSizesGiveNoPrediction() throws IOException {
+        LinearFit fit = LinearFit.of(series(r -> r.replace("{\"size\":100,\"value\":1100},", "")));
+        assertFalse(fit.isLinear());
+        assertEquals(66_100, fit.valueAt(6600), 1e-6);
+        assertEquals(38_100, fit.valueAt(3800), 1e-6);
         String series = new CapacityPage(folder).tables().get("series");
         assertTrue(series.contains("| two sizes foretell nothing |"), series);
     }
 
     @Test
-    void oneSizeIsAConstant() throws IOException {
-        Fit f = Fit.of(series(r -> r.replaceFirst(
+    void oneSizeGivesAConstant() throws IOException {
+        LinearFit fit = LinearFit.of(series(r -> r.replaceFirst(
                         "\\[\\{\"size\"[^]]*]",
                         "[{\"size\":3,\"value\":7}," + "{\"size\":3,\"value\":9},{\"size\":3,\"value\":8}]")
                 .replaceFirst(",\\s*\"held_out\":6600", "")));
-        assertEquals(8, f.at(1e6));
-        assertFalse(f.beyond(1e6));
+        assertEquals(8, fit.valueAt(1e6));
+        assertFalse(fit.isExtrapolated(1e6));
     }
 
     // ---- the breaking size ----
 
     @Test
-    void theBreakingSizeIsWhereTheLimitIsPassed() throws IOException {
+    void breakingSizeIsWhereTheLimitIsExceeded() throws IOException {
         CapacityPage page = new CapacityPage(folder);
-        Map<String, Fit> fits = Map.of("list.bytes", Fit.of(series(r -> r)));
-        Letter letter = Letter.read(folder.resolve("letter.toml"));
-        Row row = page.rows().get(0);
-        assertEquals(990, row.breaksAt(fits, letter), 1e-6);
-        assertEquals(0.15, row.part(fits, letter), 1e-9);
+        Map<String, LinearFit> fits = Map.of("list.bytes", LinearFit.of(series(r -> r)));
+        DesignParameters design = DesignParameters.read(folder.resolve("letter.toml"));
+        CapacityRow row = page.rows().get(0);
+        assertEquals(990, row.breakingSize(fits, design), 1e-6);
+        assertEquals(0.15, row.breakingRatio(fits, design), 1e-9);
         write("rows.toml", ROW.replace("at = \"backends\"", "at = \"backends\", times = [\"backends\"]"));
-        assertEquals(27.02, Rows.read(folder.resolve("rows.toml")).get(0).breaksAt(fits, letter), 0.01);
+        assertEquals(
+                27.02, CapacityRows.read(folder.resolve("rows.toml")).get(0).breakingSize(fits, design), 0.01);
         write("rows.toml", ROW.replace("series = \"list.bytes\", at = \"backends\"", "value = 3"));
         assertEquals(
                 Double.POSITIVE_INFINITY,
-                Rows.read(folder.resolve("rows.toml")).get(0).breaksAt(fits, letter));
+                CapacityRows.read(folder.resolve("rows.toml")).get(0).breakingSize(fits, design));
     }
 
     @Test
-    void numbersAreShownToThreeDigits() {
+    void numbersAreRoundedToThreeDigits() {
         assertEquals(
                 List.of("0", "0.0123", "1.23", "12.3", "123", "1,230", "1,170,000"),
                 List.of(
-                        Show.number(0),
-                        Show.number(0.012345),
-                        Show.number(1.2345),
-                        Show.number(12.345),
-                        Show.number(123.45),
-                        Show.number(1234.5),
-                        Show.number(1_166_630)));
+                        NumberFormatter.number(0),
+                        NumberFormatter.number(0.012345),
+                        NumberFormatter.number(1.2345),
+                        NumberFormatter.number(12.345),
+                        NumberFormatter.number(123.45),
+                        NumberFormatter.number(1234.5),
+                        NumberFormatter.number(1_166_630)));
     }
 }
--- a/src/test/java/gullspar/capacity/ColdCount.java
+++ b/src/test/java/gullspar/capacity/ColdCount.java
@@ -29,155 +29,169 @@
  */
 public final class ColdCount {
     private static final long MS = 1_000_000L, S = 1000 * MS;
-    private static final long DOWN_NS = 2 * S, FALL_NS = 1500 * MS, COLD_NS = 8800 * MS;
-    private static final double START_CAPACITY = 0.31, MULTIPLE = 3, CAPACITY = 38;
-    private static final double[] USES = {0.6, 0.9};
-    private static final int QUEUE = 24, SECONDS = 45;
-    private static final long CRASH_NS = 25 * S;
+    private static final long DOWNTIME_NS = 2 * S, OVERLOAD_WINDOW_NS = 1500 * MS, COLD_START_NS = 8800 * MS;
+    private static final double START_CAPACITY = 0.31, OVERLOAD_MULTIPLE = 3, CAPACITY_PER_S = 38;
+    private static final double[] UTILIZATIONS = {0.6, 0.9};
+    private static final int MAX_REQUESTS = 24, RUN_S = 45;
+    private static final long CRASH_AFTER_NS = 25 * S;
 
-    private record Event(long at, long number, Runnable what) {}
+    private record Event(long timeNs, long sequence, Runnable action) {}
 
     private final class Server {
         private final int id;
-        private boolean up = true;
-        private long bootNs;
-        private long freeAt;
-        private int held;
-        private double util;
+        private boolean isUp = true;
+        private long startNs;
+        private long idleAtNs;
+        private int requests;
+        private double utilization;
         private int served;
         /** When it was sent something since it started, within the time in which it could fall. */
-        private final Deque<Long> sent = new ArrayDeque<>();
+        private final Deque<Long> recentSends = new ArrayDeque<>();
 
-        private double worst;
+        private double maxBudgetRatio;
 
         Server(int id) {
             this.id = id;
         }
 
-        double warmth(long t) {
-            return bootNs == 0
+        double capacityShare(long t) {
+            return startNs == 0
                     ? 1
-                    : Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * Math.max(0, t - bootNs) / COLD_NS);
+                    : Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * Math.max(0, t - startNs) / COLD_START_NS);
         }
 
         /** Counts a send against what may come in any span of that length. */
-        void count() {
-            if (bootNs == 0 || warmth(now) >= 1) {
+        void recordSend() {
+            if (startNs == 0 || capacityShare(now) >= 1) {
                 return;
             }
-            sent.add(now);
-            while (sent.peek() < now - FALL_NS) {
-                sent.remove();
+            recentSends.add(now);
+            while (recentSends.peek() < now - OVERLOAD_WINDOW_NS) {
+                recentSends.remove();
             }
-            double could = CAPACITY * (warmth(now) + warmth(Math.max(bootNs, now - FALL_NS))) / 2 * FALL_NS / S;
-            double n = MULTIPLE * could;
-            worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
+            double processable = CAPACITY_PER_S
+                    * (capacityShare(now) + capacityShare(Math.max(startNs, now - OVERLOAD_WINDOW_NS)))
+                    / 2
+                    * OVERLOAD_WINDOW_NS
+                    / S;
+            double overloadThreshold = OVERLOAD_MULTIPLE * processable;
+            maxBudgetRatio = Math.max(
+                    maxBudgetRatio, recentSends.size() / (overloadThreshold + 2 * Math.sqrt(overloadThreshold) + 2));
         }
     }
 
     private final class Proxy implements Balancer.Actions {
         private final Policy module;
-        private final Map<Integer, int[]> attempts = new HashMap<>();
-        private int ticket;
+        private final Map<Integer, int[]> attemptCounts = new HashMap<>();
+        private int lastTicket;
 
-        Proxy(int me, Settings all, int proxies, List<ListedServer> list) {
-            Settings s = new Settings(
-                    me,
-                    proxies,
+        Proxy(int index, Settings shared, int proxyCount, List<ListedServer> list) {
+            Settings settings = new Settings(
+                    index,
+                    proxyCount,
                     0,
-                    all.profiles(),
+                    shared.profiles(),
                     false,
                     true,
                     5,
-                    all.maxRetryAfterNs(),
+                    shared.maxRetryAfterNs(),
                     START_CAPACITY,
-                    COLD_NS,
-                    MULTIPLE,
-                    FALL_NS,
+                    COLD_START_NS,
+                    OVERLOAD_MULTIPLE,
+                    OVERLOAD_WINDOW_NS,
                     0,
-                    all.clockStepNs(),
-                    all.crossZonePrice(),
+                    shared.clockStepNs(),
+                    shared.crossZonePrice(),
                     false,
                     0);
-            module = new Policy(s, random.nextLong(), now, this);
+            module = new Policy(settings, random.nextLong(), now, this);
             module.onServerList(now, ListKind.FULL, 1, list);
         }
 
         void request() {
-            attempts.put(++ticket, new int[1]);
-            module.onRequest(now, new Request(ticket, 0, 0, 0, 600 * MS, 0, false));
+            attemptCounts.put(++lastTicket, new int[1]);
+            module.onRequest(now, new Request(lastTicket, 0, 0, 0, 600 * MS, 0, false));
         }
 
         @Override
-        public void send(int t, int server, long timeoutNs) {
-            int attempt = attempts.get(t)[0]++;
-            Server s = servers.get(server);
+        public void send(int ticket, int serverId, long timeoutNs) {
+            int attempt = attemptCounts.get(ticket)[0]++;
+            Server server = servers.get(serverId);
             long sentAt = now;
             sends++;
-            if (!s.up) {
-                after(MS, () -> ended(t, attempt, s, Status.CONNECT_FAILED, sentAt, false));
+            if (!server.isUp) {
+                scheduleIn(MS, () -> completeAttempt(ticket, attempt, server, Status.CONNECT_FAILED, sentAt, false));
                 return;
             }
-            s.count();
-            if (s.held >= QUEUE) {
-                after(MS, () -> ended(t, attempt, s, Status.FULL, sentAt, true));
+            server.recordSend();
+            if (server.requests >= MAX_REQUESTS) {
+                scheduleIn(MS, () -> completeAttempt(ticket, attempt, server, Status.FULL, sentAt, true));
                 return;
             }
-            s.held++;
-            long begin = Math.max(now, s.freeAt);
-            long done = begin + (long) (S / CAPACITY / s.warmth(begin));
-            s.freeAt = done;
-            long boot = s.bootNs;
-            long most = timeoutNs > 0 ? Math.min(timeoutNs, 600 * MS) : 600 * MS;
-            boolean late = done - now > most;
-            at(done, () -> {
-                if (s.bootNs == boot && s.up) {
-                    s.held--;
-                    s.served++;
+            server.requests++;
+            long start = Math.max(now, server.idleAtNs);
+            long end = start + (long) (S / CAPACITY_PER_S / server.capacityShare(start));
+            server.idleAtNs = end;
+            long serverStart = server.startNs;
+            long timeout = timeoutNs > 0 ? Math.min(timeoutNs, 600 * MS) : 600 * MS;
+            boolean timesOut = end - now > timeout;
+            schedule(end, () -> {
+                if (server.startNs == serverStart && server.isUp) {
+                    server.requests--;
+                    server.served++;
                 }
             });
-            at(late ? now + most : done, () -> {
-                boolean crashed = s.bootNs != boot || !s.up;
-                ended(
-                        t,
+            schedule(timesOut ? now + timeout : end, () -> {
+                boolean crashed = server.startNs != serverStart || !server.isUp;
+                completeAttempt(
+                        ticket,
                         attempt,
-                        s,
-                        crashed ? Status.RESET : late ? Status.TIMEOUT : Status.OK,
+                        server,
+                        crashed ? Status.RESET : timesOut ? Status.TIMEOUT : Status.OK,
                         sentAt,
-                        !crashed && !late);
+                        !crashed && !timesOut);
             });
         }
 
-        private void ended(int t, int attempt, Server s, Status status, long sentAt, boolean report) {
-            good += status == Status.OK ? 1 : 0;
+        private void completeAttempt(
+                int ticket, int attempt, Server server, Status status, long sentAt, boolean hasReport) {
+            succeeded += status == Status.OK ? 1 : 0;
             module.onOutcome(
                     now,
                     new Outcome(
-                            t,
+                            ticket,
                             attempt,
-                            s.id,
+                            server.id,
                             status,
                             now - sentAt,
                             status == Status.OK,
-                            report ? new Report(s.held, Double.NaN, s.util, Double.NaN, CAPACITY * s.util, 0) : null));
+                            hasReport
+                                    ? new Report(
+                                            server.requests,
+                                            Double.NaN,
+                                            server.utilization,
+                                            Double.NaN,
+                                            CAPACITY_PER_S * server.utilization,
+                                            0)
+                                    : null));
             if (status == Status.OK) {
-                attempts.remove(t);
+                attemptCounts.remove(ticket);
             }
         }
 
         @Override
         public void setTimer(long time, long token) {
-            at(time, () -> module.onTimer(now, token));
+            schedule(time, () -> module.onTimer(now, token));
         }
 
         @Override
-        public void refuse(int t, long retryInNs) {}
+        public void refuse(int ticket, long retryInNs) {}
 
         @Override
-        public void fail(int t) {}
+        public void fail(int ticket) {}
 
         @Override
-        public void cancel(int t, int attempt) {}
+        public void cancel(int ticket, int attempt) {}
 
         @Override
         public void probe(int server) {}
@@ -200,14 +214,14 @@
 
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+            new PriorityQueue<>(Comparator.comparingLong(Event::timeNs).thenComparingLong(Event::sequence));
     private final Map<Integer, Server> servers = new HashMap<>();
     private final List<Proxy> proxies = new ArrayList<>();
     private long now = 1_800_000_000L * S;
-    private long numbers;
-    private long good;
+    private long nextSequence;
+    private long succeeded;
     private long sends;
-    private long asked;
+    private long requested;
 
     private ColdCount(int seed) {
         random = new SplittableRandom(seed);
@@ -216,13 +230,13 @@
     public static void main(String[] args) throws IOException {
         List<Integer> seeds = List.of(1, 2, 3, 4, 5);
         ResultsWriter results = new ResultsWriter("bench/scale/cold.sh", seeds);
-        for (double use : USES) {
-            for (int n : new int[] {24, 40, 160, 320, 640, 1280}) {
+        for (double utilization : UTILIZATIONS) {
+            for (int proxyCount : new int[] {24, 40, 160, 320, 640, 1280}) {
                 for (int seed : seeds) {
-                    ColdCount c = new ColdCount(seed);
-                    double worst = c.play(n, 20, use);
-                    int percent = (int) Math.round(100 * use);
-                    results.point(
+                    ColdCount run = new ColdCount(seed);
+                    double maxBudgetRatio = run.simulate(proxyCount, 20, utilization);
+                    int percent = (int) Math.round(100 * utilization);
+                    results.addPoint(
                             "cold.sum." + percent,
                             "calls to the worst cold backend in 1.5 s, as a "
                                     + "part of "
@@ -232,77 +246,82 @@
                             "proxies",
                             Map.of("backends", 20),
                             1280,
-                            n,
-                            worst);
-                    System.err.printf("  %d asked, %d sent, %d served%n", c.asked, c.sends, c.good);
+                            proxyCount,
+                            maxBudgetRatio);
+                    System.err.printf("  %d asked, %d sent, %d served%n", run.requested, run.sends, run.succeeded);
                 }
             }
         }
         results.write(Path.of(args[0]));
     }
 
-    private void at(long time, Runnable what) {
-        events.add(new Event(Math.max(time, now), numbers++, what));
+    private void schedule(long time, Runnable action) {
+        events.add(new Event(Math.max(time, now), nextSequence++, action));
     }
 
-    private void after(long ns, Runnable what) {
-        at(now + ns, what);
+    private void scheduleIn(long ns, Runnable action) {
+        schedule(now + ns, action);
     }
 
-    private ListedServer member(Server s) {
-        return new ListedServer(s.id, 0, State.READY, s.bootNs, 0, 0, 1);
+    private ListedServer listedServer(Server server) {
+        return new ListedServer(server.id, 0, State.READY, server.startNs, 0, 0, 1);
     }
 
-    private double play(int count, int backends, double use) {
+    private double simulate(int proxyCount, int backends, double utilization) {
         for (int i = 0; i < backends; i++) {
             servers.put(i, new Server(i));
         }
-        List<ListedServer> list = servers.values().stream().map(this::member).toList();
-        Settings all = Inputs.config(Inputs.settings(count, 0, "{}")).settings();
-        for (int i = 0; i < count; i++) {
-            proxies.add(new Proxy(i, all, count, list));
+        List<ListedServer> list =
+                servers.values().stream().map(this::listedServer).toList();
+        Settings settings = GeneratedInputs.parseConfig(GeneratedInputs.settings(proxyCount, 0, "{}"))
+                .settings();
+        for (int i = 0; i < proxyCount; i++) {
+            proxies.add(new Proxy(i, settings, proxyCount, list));
         }
-        long begin = now;
-        long end = now + SECONDS * S;
-        servers.values().forEach(this::reports);
-        next(backends * CAPACITY * use, end);
-        at(
-                begin + CRASH_NS,
+        long start = now;
+        long end = now + RUN_S * S;
+        servers.values().forEach(this::updateUtilization);
+        sendRequests(backends * CAPACITY_PER_S * utilization, end);
+        schedule(
+                start + CRASH_AFTER_NS,
                 () -> servers.values().stream().filter(s -> s.id % 2 == 0).forEach(this::crash));
-        while (!events.isEmpty() && events.peek().at() <= end) {
-            Event e = events.remove();
-            now = e.at();
-            e.what().run();
+        while (!events.isEmpty() && events.peek().timeNs() <= end) {
+            Event event = events.remove();
+            now = event.timeNs();
+            event.action().run();
         }
-        return servers.values().stream().mapToDouble(s -> s.worst).max().orElse(0);
+        return servers.values().stream()
+                .mapToDouble(s -> s.maxBudgetRatio)
+                .max()
+                .orElse(0);
     }
 
-    private void next(double rate, long end) {
-        asked++;
+    private void sendRequests(double rate, long end) {
+        requested++;
         proxies.get(random.nextInt(proxies.size())).request();
         long gap = (long) (-Math.log(1 - random.nextDouble()) / rate * S);
         if (now + gap < end) {
-            after(gap, () -> next(rate, end));
+            scheduleIn(gap, () -> sendRequests(rate, end));
         }
     }
 
-    private void reports(Server s) {
-        s.util = Math.min(1, s.served / (CAPACITY * s.warmth(now) * 0.5));
-        s.served = 0;
-        after(S / 2, () -> reports(s));
+    private void updateUtilization(Server server) {
+        server.utilization = Math.min(1, server.served / (CAPACITY_PER_S * server.capacityShare(now) * 0.5));
+        server.served = 0;
+        scheduleIn(S / 2, () -> updateUtilization(server));
     }
 
-    private void crash(Server s) {
-        s.up = false;
-        s.held = 0;
-        after(DOWN_NS, () -> {
-            s.up = true;
-            s.bootNs = now;
-            s.freeAt = now;
-            s.sent.clear();
-            proxies.forEach(p -> after(
+    private void crash(Server server) {
+        server.isUp = false;
+        server.requests = 0;
+        scheduleIn(DOWNTIME_NS, () -> {
+            server.isUp = true;
+            server.startNs = now;
+            server.idleAtNs = now;
+            server.recentSends.clear();
+            proxies.forEach(p -> scheduleIn(
                     500 * MS + random.nextLong(2 * S),
-                    () -> p.module.onServerList(now, ListKind.DELTA, 2, List.of(member(s)))));
+                    () -> p.module.onServerList(now, ListKind.DELTA, 2, List.of(listedServer(server)))));
         });
     }
 }
--- a/src/test/java/gullspar/capacity/ConnectionCount.java
+++ b/src/test/java/gullspar/capacity/ConnectionCount.java
@@ -27,12 +27,12 @@
  * by {@code bench/scale/connections.sh}; not a test.
  */
 public final class ConnectionCount {
-    private static final int PROXIES = 640, MEAN_SERVICE = 21, SECONDS = 90, WARM_SECONDS = 30;
-    private static final long S = 1_000_000_000L, PULSE_NS = 50_000_000L, PULSE_TOKEN = (1L << 32) + 1;
+    private static final int PROXIES = 640, SERVERS_PER_SERVICE = 21, RUN_S = 90, WARM_UP_S = 30;
+    private static final long S = 1_000_000_000L, HEARTBEAT_NS = 50_000_000L, HEARTBEAT_TIMER = (1L << 32) + 1;
     /** What the proxy keeps of the settings' 15 s; how long a handshake and an answer take. */
-    private static final long IDLE_NS = 13_500_000_000L, ANSWER_NS = 12_000_000L;
+    private static final long IDLE_TIMEOUT_NS = 13_500_000_000L, RESPONSE_TIME_NS = 12_000_000L;
 
-    private static final double RATE = 150_000.0 / PROXIES;
+    private static final double REQUESTS_PER_S = 150_000.0 / PROXIES;
 
     private final ResultsWriter results;
     private final int seed;
@@ -45,151 +45,153 @@
     public static void main(String[] args) throws IOException {
         ResultsWriter results = new ResultsWriter("bench/scale/connections.sh", List.of(1, 2));
         for (int seed : new int[] {1, 2}) {
-            ConnectionCount c = new ConnectionCount(results, seed);
+            ConnectionCount measurement = new ConnectionCount(results, seed);
             for (int n : new int[] {100, 384, 825, 2000, 6600}) {
-                c.count("backends", n, 1, n);
+                measurement.measure("backends", n, 1, n);
             }
             for (int n : new int[] {10, 50, 100, 200, 310}) {
-                c.count("services", n, n, MEAN_SERVICE);
+                measurement.measure("services", n, n, SERVERS_PER_SERVICE);
             }
         }
         results.write(Path.of(args[0]));
     }
 
-    private record Answer(long at, int instance, int ticket, int server, long took) {}
+    private record PendingResponse(long timeNs, int instance, int ticket, int server, long latencyNs) {}
 
     /** One proxy with so many instances of the module, each with so many servers in eight zones. */
     private final class Proxy {
-        private final int most;
+        private final int maxConnections;
         private final List<Policy> modules = new ArrayList<>();
-        private final List<NoActions> actions = new ArrayList<>();
-        private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        private final List<SendRecorder> recorders = new ArrayList<>();
+        private final PriorityQueue<PendingResponse> pending =
+                new PriorityQueue<>((a, b) -> Long.compare(a.timeNs, b.timeNs));
         /** Idle connections, the one idle longest first: which backend, since when. */
         private final Map<Long, long[]> idle = new LinkedHashMap<>();
 
-        private final Map<Integer, List<Long>> byServer = new HashMap<>();
-        private final Map<Integer, Long> used = new HashMap<>();
+        private final Map<Integer, List<Long>> idleByServer = new HashMap<>();
+        private final Map<Integer, Long> lastUsedAt = new HashMap<>();
         private final SplittableRandom random = new SplittableRandom(seed);
-        private long now = 1_000 * S, connections, open, mostOpen, handshakes, refused, requests;
-        private int ticket;
+        private long now = 1_000 * S, lastConnection, open, maxOpen, handshakes, notSent, requests;
+        private int lastTicket;
 
-        Proxy(int instances, int servers, int most) {
-            this.most = most;
-            Settings all = Inputs.config(Inputs.settings(PROXIES, 0, "{}")).settings();
-            Settings s = new Settings(
+        Proxy(int instances, int servers, int maxConnections) {
+            this.maxConnections = maxConnections;
+            Settings shared = GeneratedInputs.parseConfig(GeneratedInputs.settings(PROXIES, 0, "{}"))
+                    .settings();
+            Settings settings = new Settings(
                     seed * 37,
                     PROXIES,
                     0,
-                    all.profiles(),
+                    shared.profiles(),
                     false,
                     true,
                     5,
-                    all.maxRetryAfterNs(),
-                    all.startCapacity(),
-                    all.coldStartNs(),
-                    all.overloadMultiple(),
-                    all.overloadWindowNs(),
+                    shared.maxRetryAfterNs(),
+                    shared.startCapacity(),
+                    shared.coldStartNs(),
+                    shared.overloadMultiple(),
+                    shared.overloadWindowNs(),
                     0,
-                    all.clockStepNs(),
-                    all.crossZonePrice(),
+                    shared.clockStepNs(),
+                    shared.crossZonePrice(),
                     false,
                     0);
             for (int i = 0; i < instances; i++) {
-                NoActions a = new NoActions();
-                Policy p = new Policy(s, seed + i, now, a);
+                SendRecorder recorder = new SendRecorder();
+                Policy module = new Policy(settings, seed + i, now, recorder);
                 List<ListedServer> list = new ArrayList<>();
                 for (int k = 0; k < servers; k++) {
                     list.add(new ListedServer((i * servers + k) * 0x9e3779b1, k % 3, State.READY, 0, k / 5, k % 8, 1));
                 }
-                p.onServerList(now, ListKind.FULL, 1, list);
-                modules.add(p);
-                actions.add(a);
+                module.onServerList(now, ListKind.FULL, 1, list);
+                modules.add(module);
+                recorders.add(recorder);
             }
         }
 
         void run() {
-            long end = now + SECONDS * S;
-            long warm = now + WARM_SECONDS * S;
-            long pulse = now;
-            long next = now;
-            long[] at = {0, 0};
+            long end = now + RUN_S * S;
+            long warmUpEnd = now + WARM_UP_S * S;
+            long nextHeartbeat = now;
+            long nextRequest = now;
+            long[] warmUpCounts = {0, 0};
             while (now < end) {
-                long answer = answers.isEmpty() ? Long.MAX_VALUE : answers.peek().at;
-                now = Math.min(Math.min(next, answer), pulse);
-                if (now == pulse) {
-                    pulse += PULSE_NS;
-                    modules.forEach(m -> m.onTimer(now, PULSE_TOKEN));
-                    sweep();
-                } else if (now == answer) {
-                    answered(answers.remove());
+                long nextResponse = pending.isEmpty() ? Long.MAX_VALUE : pending.peek().timeNs;
+                now = Math.min(Math.min(nextRequest, nextResponse), nextHeartbeat);
+                if (now == nextHeartbeat) {
+                    nextHeartbeat += HEARTBEAT_NS;
+                    modules.forEach(module -> module.onTimer(now, HEARTBEAT_TIMER));
+                    closeIdle();
+                } else if (now == nextResponse) {
+                    receiveResponse(pending.remove());
                 } else {
-                    next += (long) (-Math.log(1 - random.nextDouble()) / RATE * S);
-                    if (now >= warm && at[0] == 0) {
-                        at[0] = handshakes;
-                        at[1] = requests;
-                        mostOpen = open;
+                    nextRequest += (long) (-Math.log(1 - random.nextDouble()) / REQUESTS_PER_S * S);
+                    if (now >= warmUpEnd && warmUpCounts[0] == 0) {
+                        warmUpCounts[0] = handshakes;
+                        warmUpCounts[1] = requests;
+                        maxOpen = open;
                     }
-                    request(random.nextInt(modules.size()));
+                    sendRequest(random.nextInt(modules.size()));
                 }
             }
-            handshakes -= at[0];
-            requests -= at[1];
+            handshakes -= warmUpCounts[0];
+            requests -= warmUpCounts[1];
         }
 
-        private void sweep() {
+        private void closeIdle() {
             while (!idle.isEmpty()) {
-                Map.Entry<Long, long[]> first = idle.entrySet().iterator().next();
-                if (now - first.getValue()[1] < IDLE_NS) {
+                Map.Entry<Long, long[]> oldest = idle.entrySet().iterator().next();
+                if (now - oldest.getValue()[1] < IDLE_TIMEOUT_NS) {
                     return;
                 }
-                close(first.getKey(), (int) first.getValue()[0]);
+                close(oldest.getKey(), (int) oldest.getValue()[0]);
             }
         }
 
         private void close(long connection, int server) {
             idle.remove(connection);
-            byServer.get(server).remove(connection);
+            idleByServer.get(server).remove(connection);
             open--;
         }
 
-        private void request(int i) {
+        private void sendRequest(int instance) {
             requests++;
-            int sends = actions.get(i).sends;
-            modules.get(i).onRequest(now, new Request(++ticket, 0, 0, 0, 600_000_000L, 0, false));
-            if (actions.get(i).sends == sends) {
-                refused++;
+            int sendsBefore = recorders.get(instance).sends;
+            modules.get(instance).onRequest(now, new Request(++lastTicket, 0, 0, 0, 600_000_000L, 0, false));
+            if (recorders.get(instance).sends == sendsBefore) {
+                notSent++;
                 return;
             }
-            int server = actions.get(i).server;
-            used.put(server, now);
-            List<Long> there = byServer.computeIfAbsent(server, s -> new ArrayList<>());
-            if (there.isEmpty()) {
+            int server = recorders.get(instance).lastServer;
+            lastUsedAt.put(server, now);
+            List<Long> idleConnections = idleByServer.computeIfAbsent(server, s -> new ArrayList<>());
+            if (idleConnections.isEmpty()) {
                 handshakes++;
-                if (open >= most) {
-                    Map.Entry<Long, long[]> first = idle.entrySet().iterator().next();
-                    close(first.getKey(), (int) first.getValue()[0]);
+                if (open >= maxConnections) {
+                    Map.Entry<Long, long[]> oldest = idle.entrySet().iterator().next();
+                    close(oldest.getKey(), (int) oldest.getValue()[0]);
                 }
                 open++;
-                mostOpen = Math.max(mostOpen, open);
+                maxOpen = Math.max(maxOpen, open);
             } else {
-                idle.remove(there.remove(0));
+                idle.remove(idleConnections.remove(0));
             }
-            answers.add(new Answer(now + ANSWER_NS, i, ticket, server, ANSWER_NS));
+            pending.add(new PendingResponse(now + RESPONSE_TIME_NS, instance, lastTicket, server, RESPONSE_TIME_NS));
         }
 
-        private void answered(Answer a) {
-            long connection = ++connections;
-            idle.put(connection, new long[] {a.server, now});
-            byServer.get(a.server).add(connection);
-            modules.get(a.instance)
+        private void receiveResponse(PendingResponse response) {
+            long connection = ++lastConnection;
+            idle.put(connection, new long[] {response.server, now});
+            idleByServer.get(response.server).add(connection);
+            modules.get(response.instance)
                     .onOutcome(
                             now,
                             new Outcome(
-                                    a.ticket,
+                                    response.ticket,
                                     0,
-                                    a.server,
+                                    response.server,
                                     Status.OK,
-                                    a.took,
+                                    response.latencyNs,
                                     true,
                                     new Report(
                                             random.nextInt(4),
@@ -201,59 +203,59 @@
         }
 
         /** Backends that got a request in the last so many seconds. */
-        long usedWithin(long ns) {
-            return used.values().stream().filter(t -> now - t <= ns).count();
+        long serversUsedWithin(long ns) {
+            return lastUsedAt.values().stream().filter(t -> now - t <= ns).count();
         }
     }
 
-    private void count(String axis, int size, int instances, int servers) {
-        Proxy free = new Proxy(instances, servers, Integer.MAX_VALUE);
-        free.run();
+    private void measure(String axis, int size, int instances, int servers) {
+        Proxy unlimited = new Proxy(instances, servers, Integer.MAX_VALUE);
+        unlimited.run();
         Map<String, Integer> fixed = axis.equals("backends")
                 ? Map.of("services", 1, "proxies", PROXIES)
-                : Map.of("servers_a_service", MEAN_SERVICE, "proxies", PROXIES);
-        String of = axis.equals("backends") ? ", one list for all" : ", each its own list";
+                : Map.of("servers_a_service", SERVERS_PER_SERVICE, "proxies", PROXIES);
+        String suffix = axis.equals("backends") ? ", one list for all" : ", each its own list";
         int heldOut = axis.equals("backends") ? 6600 : 310;
-        results.point(
+        results.addPoint(
                 "connections." + axis + ".open",
-                "connections of one proxy open at the most, with no limit" + of,
+                "connections of one proxy open at the most, with no limit" + suffix,
                 "",
                 axis,
                 fixed,
                 heldOut,
                 size,
-                free.mostOpen);
-        results.point(
+                unlimited.maxOpen);
+        results.addPoint(
                 "connections." + axis + ".used",
-                "backends that one proxy sends to within 28 s" + of,
+                "backends that one proxy sends to within 28 s" + suffix,
                 "",
                 axis,
                 fixed,
                 heldOut,
                 size,
-                free.usedWithin(28 * S));
-        results.point(
+                unlimited.serversUsedWithin(28 * S));
+        results.addPoint(
                 "connections." + axis + ".handshakes",
-                "handshakes a second of one proxy, with no limit" + of,
+                "handshakes a second of one proxy, with no limit" + suffix,
                 "1/s",
                 axis,
                 fixed,
                 heldOut,
                 size,
-                free.handshakes / (double) (SECONDS - WARM_SECONDS));
-        Proxy held = new Proxy(instances, servers, new DescriptorLimits(1024).backends.limit());
-        held.run();
-        results.point(
+                unlimited.handshakes / (double) (RUN_S - WARM_UP_S));
+        Proxy limited = new Proxy(instances, servers, new DescriptorLimits(1024).backends.limit());
+        limited.run();
+        results.addPoint(
                 "connections." + axis + ".handshakes.held",
-                "handshakes a second of one proxy, 1,024 " + "descriptors" + of,
+                "handshakes a second of one proxy, 1,024 " + "descriptors" + suffix,
                 "1/s",
                 axis,
                 fixed,
                 heldOut,
                 size,
-                held.handshakes / (double) (SECONDS - WARM_SECONDS));
-        if (free.refused > 0) {
-            System.err.println(axis + " " + size + ": " + free.refused + " not sent at once");
+                limited.handshakes / (double) (RUN_S - WARM_UP_S));
+        if (unlimited.notSent > 0) {
+            System.err.println(axis + " " + size + ": " + unlimited.notSent + " not sent at once");
         }
     }
 }
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -51,11 +51,11 @@
 
     public static void main(String[] args) throws IOException {
         ResultsWriter results = new ResultsWriter("bench/scale/control.sh " + args[1], List.of(1));
-        ControlCost c = new ControlCost(results);
+        ControlCost measurement = new ControlCost(results);
         switch (args[1]) {
-            case "lists" -> c.lists();
-            case "tenants" -> c.tenants();
-            case "routes" -> c.routes();
+            case "lists" -> measurement.measureLists();
+            case "tenants" -> measurement.measureTenants();
+            case "routes" -> measurement.measureRoutes();
             default -> throw new IllegalArgumentException(args[1]);
         }
         results.write(Path.of(args[0]));
@@ -65,37 +65,38 @@
     // ---- lists ----
 
     /** What a proxy keeps of its list: names and numbers, the module's servers, the backends' side. */
-    private final class Known {
+    private final class ListState {
         private final Config config;
         private Discovery discovery;
         private final Policy module;
         private final Backends backends;
         private long now = 1_800_000_000_000_000_000L;
 
-        Known(byte[] list) {
-            config = Inputs.config(Inputs.settings(PROXIES, 0, new String(list, StandardCharsets.UTF_8)));
+        ListState(byte[] list) {
+            config = GeneratedInputs.parseConfig(
+                    GeneratedInputs.settings(PROXIES, 0, new String(list, StandardCharsets.UTF_8)));
             discovery = new Discovery(platform, Discovery.source(config), null);
-            module = new Policy(config.settings(), 7, now, new NoActions());
+            module = new Policy(config.settings(), 7, now, new SendRecorder());
             backends = new Backends(platform, new DescriptorLimits(1024).backends, config);
         }
 
         /** As a list that comes: to the module and to the connections' side. */
-        Known take(ListUpdate news, ListKind kind) {
+        ListState apply(ListUpdate update, ListKind kind) {
             now += 1_000_000;
             List<ListedServer> members =
-                    news.list().stream().map(ListedBackend::member).toList();
+                    update.list().stream().map(ListedBackend::member).toList();
             module.onServerList(now, kind, 1, members);
-            backends.update(new ListUpdate(kind, 1, news.list()));
+            backends.update(new ListUpdate(kind, 1, update.list()));
             return this;
         }
     }
 
-    private void lists() {
+    private void measureLists() {
         for (int n : BACKENDS) {
-            list(n);
+            measureList(n);
         }
         for (int changes : new int[] {1, 10, 100, 825, 6600}) {
-            results.point(
+            results.addPoint(
                     "list.change.bytes",
                     "bytes of one line with so many changed backends",
                     "B",
@@ -103,9 +104,9 @@
                     Map.of(),
                     6600,
                     changes,
-                    Inputs.list(changes, false, 42, changes).length);
+                    GeneratedInputs.list(changes, false, 42, changes).length);
         }
-        results.point(
+        results.addPoint(
                 "limit.backend.descriptors",
                 "descriptors for backends, of 1,024",
                 "",
@@ -116,57 +117,58 @@
                 new DescriptorLimits(1024).backends.limit());
     }
 
-    private void list(int n) {
-        byte[] whole = Inputs.list(n, true, 41, 1);
-        byte[] change = Inputs.list(1, false, 42, 2);
-        point("list.whole.bytes", "bytes of a whole list", "B", "backends", n, whole.length);
-        Known known = new Known(whole);
-        ListUpdate all = known.discovery.knownList();
-        known.take(all, ListKind.FULL);
-        cpu("list.whole.read.cpu", "processor time to read a whole list", n, () -> read(known, whole));
-        cpu(
+    private void measureList(int n) {
+        byte[] full = GeneratedInputs.list(n, true, 41, 1);
+        byte[] change = GeneratedInputs.list(1, false, 42, 2);
+        addPoint("list.whole.bytes", "bytes of a whole list", "B", "backends", n, full.length);
+        ListState state = new ListState(full);
+        ListUpdate fullUpdate = state.discovery.knownList();
+        state.apply(fullUpdate, ListKind.FULL);
+        measureCpu("list.whole.read.cpu", "processor time to read a whole list", n, () -> readList(state, full));
+        measureCpu(
                 "list.whole.apply.cpu",
                 "processor time of the module and the connections' side for a whole list",
                 n,
-                () -> known.take(all, ListKind.FULL));
+                () -> state.apply(fullUpdate, ListKind.FULL));
         Json json = new Json();
-        cpu("list.change.read.cpu", "processor time to read one change", n, () -> parse(json, change));
-        ListUpdate one = new ListUpdate(ListKind.DELTA, 42, all.list().subList(0, 1));
-        cpu(
+        measureCpu("list.change.read.cpu", "processor time to read one change", n, () -> parseLine(json, change));
+        ListUpdate oneChange =
+                new ListUpdate(ListKind.DELTA, 42, fullUpdate.list().subList(0, 1));
+        measureCpu(
                 "list.change.apply.cpu",
                 "processor time of the module and the connections' side for one change",
                 n,
-                () -> known.take(one, ListKind.DELTA));
-        point(
+                () -> state.apply(oneChange, ListKind.DELTA));
+        addPoint(
                 "list.whole.allocated",
                 "bytes allocated to read and apply a whole list",
                 "B",
                 "backends",
                 n,
-                Cost.step(() -> {
-                            ListUpdate news = read(known, whole);
-                            return known.take(news, ListKind.FULL);
+                CostMeter.measure(() -> {
+                            ListUpdate update = readList(state, full);
+                            return state.apply(update, ListKind.FULL);
                         })
-                        .allocated());
-        long kept = Cost.kept(() -> {
-                    Known k = new Known(Inputs.list(0, true, 1, 1));
-                    k.discovery = discovery(k.config, parse(new Json(), whole));
-                    ListUpdate news = k.discovery.knownList();
-                    return k.take(news, ListKind.FULL);
+                        .allocatedBytes());
+        long retained = CostMeter.retainedHeap(() -> {
+                    ListState newState = new ListState(GeneratedInputs.list(0, true, 1, 1));
+                    newState.discovery = discovery(newState.config, parseLine(new Json(), full));
+                    ListUpdate update = newState.discovery.knownList();
+                    return newState.apply(update, ListKind.FULL);
                 })
-                - Cost.kept(() -> new Known(Inputs.list(0, true, 1, 1)));
-        point(
+                - CostMeter.retainedHeap(() -> new ListState(GeneratedInputs.list(0, true, 1, 1)));
+        addPoint(
                 "list.heap",
                 "heap kept of the list of the start: its tree and names, the module's "
                         + "servers, the connections' side",
                 "B",
                 "backends",
                 n,
-                kept);
+                retained);
     }
 
-    private ListUpdate read(Known known, byte[] whole) {
-        return discovery(known.config, parse(new Json(), whole)).knownList();
+    private ListUpdate readList(ListState state, byte[] full) {
+        return discovery(state.config, parseLine(new Json(), full)).knownList();
     }
 
     private Discovery discovery(Config config, JsonNode list) {
@@ -174,7 +176,7 @@
                 platform, new Discovery.Source(config.discovery(), false, list, config.kinds(), config.zones()), null);
     }
 
-    private static JsonNode parse(Json json, byte[] bytes) {
+    private static JsonNode parseLine(Json json, byte[] bytes) {
         try {
             json.add(bytes);
             JsonNode value = json.next();
@@ -187,80 +189,87 @@
 
     // ---- tenants ----
 
-    private void tenants() {
+    private void measureTenants() {
         for (int n : TENANTS) {
-            byte[] file = Inputs.settings(PROXIES, n, "{}");
-            point(
+            byte[] file = GeneratedInputs.settings(PROXIES, n, "{}");
+            addPoint(
                     "tenants.file.bytes",
                     "bytes of a configuration with so many tenants",
                     "B",
                     "tenants",
                     n,
                     file.length);
-            cpu("tenants.read.cpu", "processor time to read a configuration", "tenants", n, () -> Inputs.config(file));
-            point(
+            measureCpu(
+                    "tenants.read.cpu",
+                    "processor time to read a configuration",
+                    "tenants",
+                    n,
+                    () -> GeneratedInputs.parseConfig(file));
+            addPoint(
                     "tenants.heap",
                     "heap kept of a configuration",
                     "B",
                     "tenants",
                     n,
-                    Cost.kept(() -> Inputs.config(Inputs.settings(PROXIES, n, "{}"))));
-            TenantLookup lookup = new TenantLookup(Inputs.config(file));
+                    CostMeter.retainedHeap(
+                            () -> GeneratedInputs.parseConfig(GeneratedInputs.settings(PROXIES, n, "{}"))));
+            TenantLookup lookup = new TenantLookup(GeneratedInputs.parseConfig(file));
             SplittableRandom random = new SplittableRandom(1);
-            cpu(
+            measureCpu(
                     "tenants.lookup.cpu",
                     "processor time to find what a request asks, its tenant among them",
                     "tenants",
                     n,
-                    () -> lookup.place(Inputs.tenant(random.nextInt(n))));
+                    () -> lookup.place(GeneratedInputs.tenantName(random.nextInt(n))));
         }
     }
 
     // ---- routes ----
 
-    private void routes() {
+    private void measureRoutes() {
         for (int n : ROUTES) {
-            String file = Inputs.routes(n, 0, "127.0.0.1:8080", "x");
-            point(
+            String file = GeneratedInputs.routesFile(n, 0, "127.0.0.1:8080", "x");
+            addPoint(
                     "routes.file.bytes",
                     "bytes of an operators' file, servers from discovery",
                     "B",
                     "routes",
                     n,
                     file.length());
-            point(
+            addPoint(
                     "routes.file.servers.bytes",
                     "bytes of an operators' file with 21 servers a pool",
                     "B",
                     "routes",
                     n,
-                    Inputs.routes(n, 21, "127.0.0.1:8080", "x").length());
-            cpu("routes.read.cpu", "processor time to read an operators' file", "routes", n, () -> site(file));
-            point(
+                    GeneratedInputs.routesFile(n, 21, "127.0.0.1:8080", "x").length());
+            measureCpu(
+                    "routes.read.cpu", "processor time to read an operators' file", "routes", n, () -> parseSite(file));
+            addPoint(
                     "routes.read.allocated",
                     "bytes allocated to read an operators' file",
                     "B",
                     "routes",
                     n,
-                    Cost.step(() -> site(file)).allocated());
-            point(
+                    CostMeter.measure(() -> parseSite(file)).allocatedBytes());
+            addPoint(
                     "routes.heap",
                     "heap kept of an operators' file",
                     "B",
                     "routes",
                     n,
-                    Cost.kept(() -> site(Inputs.routes(n, 0, "127.0.0.1:8080", "x"))));
-            Router router = site(file).router(8080);
+                    CostMeter.retainedHeap(() -> parseSite(GeneratedInputs.routesFile(n, 0, "127.0.0.1:8080", "x"))));
+            Router router = parseSite(file).router(8080);
             SplittableRandom random = new SplittableRandom(1);
-            cpu("routes.lookup.cpu", "processor time to find a request's route", "routes", n, () -> {
-                int r = random.nextInt(n);
+            measureCpu("routes.lookup.cpu", "processor time to find a request's route", "routes", n, () -> {
+                int route = random.nextInt(n);
                 return router.find(new Request(
-                        "GET", "shop" + r / 10 + ".example.org", "/r" + r + "/item", null, name -> List.of()));
+                        "GET", "shop" + route / 10 + ".example.org", "/r" + route + "/item", null, name -> List.of()));
             });
         }
     }
 
-    private static Site site(String file) {
+    private static Site parseSite(String file) {
         try {
             return SiteReader.parse(file, "routes");
         } catch (ProblemsException e) {
@@ -270,31 +279,31 @@
 
     // ---- points ----
 
-    private void cpu(String id, String what, int n, Supplier<Object> step) {
-        cpu(id, what, "backends", n, step);
+    private void measureCpu(String id, String description, int size, Supplier<Object> step) {
+        measureCpu(id, description, "backends", size, step);
     }
 
-    private void cpu(String id, String what, String axis, int n, Supplier<Object> step) {
-        for (double ns : Cost.step(step).cpuNs()) {
-            point(id, what, "ns", axis, n, ns);
+    private void measureCpu(String id, String description, String axis, int size, Supplier<Object> step) {
+        for (double ns : CostMeter.measure(step).cpuNs()) {
+            addPoint(id, description, "ns", axis, size, ns);
         }
     }
 
-    private void point(String id, String what, String unit, String axis, int n, double value) {
+    private void addPoint(String id, String description, String unit, String axis, int size, double value) {
         int heldOut =
                 switch (axis) {
                     case "backends" -> BACKENDS[BACKENDS.length - 1];
                     case "tenants" -> TENANTS[TENANTS.length - 1];
                     default -> ROUTES[ROUTES.length - 1];
                 };
-        results.point(
+        results.addPoint(
                 id,
-                what,
+                description,
                 unit,
                 axis,
                 axis.equals("backends") ? Map.of("proxies", PROXIES) : Map.of(),
                 heldOut,
-                n,
+                size,
                 value);
     }
 }
--- a/src/test/java/gullspar/capacity/Cost.java
+++ b/src/test/java/gullspar/capacity/CostMeter.java
@@ -6,50 +6,51 @@
 import java.util.function.Supplier;
 
 /** Processor time and allocation of the calling thread, and heap that is kept: no wall time anywhere. */
-final class Cost {
-    private static final long WARM_NS = 400_000_000L, ROUND_NS = 200_000_000L;
+final class CostMeter {
+    private static final long WARM_UP_NS = 400_000_000L, ROUND_NS = 200_000_000L;
     private static final int ROUNDS = 5, COPIES = 5;
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     /** What a step has made last, so that nothing is left out as unused. */
     static volatile Object sink;
 
     /** Of one step: processor time of each round in ns, bytes allocated. */
-    record Of(double[] cpuNs, double allocated) {}
+    record Measurement(double[] cpuNs, double allocatedBytes) {}
 
-    private Cost() {}
+    private CostMeter() {}
 
-    private static long cpu() {
+    private static long threadCpuNs() {
         return THREADS.getCurrentThreadCpuTime();
     }
 
     /** Repeats a step until it is warm, and then in rounds. */
-    static Of step(Supplier<Object> step) {
-        long warm = cpu();
-        while (cpu() - warm < WARM_NS) {
+    static Measurement measure(Supplier<Object> step) {
+        long warmUpStart = threadCpuNs();
+        while (threadCpuNs() - warmUpStart < WARM_UP_NS) {
             sink = step.get();
         }
-        double[] each = new double[ROUNDS];
-        double allocated = 0;
+        double[] nsPerStep = new double[ROUNDS];
+        double bytesPerStep = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            long bytes = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-            long begin = cpu();
+            long allocatedBefore =
+                    THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
+            long start = threadCpuNs();
             long steps = 0;
-            long took;
+            long elapsed;
             do {
                 for (int i = 0; i < 8; i++) {
                     sink = step.get();
                 }
                 steps += 8;
-                took = cpu() - begin;
-            } while (took < ROUND_NS);
-            each[round] = (double) took / steps;
-            allocated = (double) (THREADS.getThreadAllocatedBytes(
+                elapsed = threadCpuNs() - start;
+            } while (elapsed < ROUND_NS);
+            nsPerStep[round] = (double) elapsed / steps;
+            bytesPerStep = (double) (THREADS.getThreadAllocatedBytes(
                                     Thread.currentThread().getId())
-                            - bytes)
+                            - allocatedBefore)
                     / steps;
         }
         sink = null;
-        return new Of(each, allocated);
+        return new Measurement(nsPerStep, bytesPerStep);
     }
 
     /**
@@ -57,21 +58,21 @@
      * are
      * let go. What making leaves behind elsewhere does not count.
      */
-    static long kept(Supplier<Object> make) {
-        Object[] all = new Object[COPIES];
-        sink = all;
+    static long retainedHeap(Supplier<Object> factory) {
+        Object[] copies = new Object[COPIES];
+        sink = copies;
         for (int i = 0; i < COPIES; i++) {
-            all[i] = make.get();
+            copies[i] = factory.get();
         }
-        make.get(); // what the last one leaves on its way out is not of those that are kept
-        long before = used();
-        Arrays.fill(all, null);
-        long after = used();
+        factory.get(); // what the last one leaves on its way out is not of those that are kept
+        long before = usedHeap();
+        Arrays.fill(copies, null);
+        long after = usedHeap();
         sink = null;
         return Math.max(0, before - after) / COPIES;
     }
 
-    private static long used() {
+    private static long usedHeap() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
--- a/src/test/java/gullspar/capacity/Inputs.java
+++ b/src/test/java/gullspar/capacity/GeneratedInputs.java
@@ -13,15 +13,15 @@
 import java.util.stream.IntStream;
 
 /** Lists, settings and operators' files of any size, in the forms that a proxy reads. */
-final class Inputs {
+final class GeneratedInputs {
     static final List<String> KINDS = List.of("fast-1c", "mid-1c", "slow-2c");
     static final List<String> ZONES =
             List.of("north-a", "north-b", "north-c", "south-a", "south-b", "south-c", "east-a", "east-b");
 
-    private Inputs() {}
+    private GeneratedInputs() {}
 
     /** The entry of one backend, with a weight as live ones are. */
-    static String entry(int backend, double weight, String lifecycle) {
+    static String listEntry(int backend, double weight, String lifecycle) {
         return String.format(
                 Locale.ROOT,
                 "{\"instanceId\":\"s-%08x\",\"hostPort\":\"10.%d.%d.%d:9000\","
@@ -40,18 +40,18 @@
     }
 
     /** A whole list, or the changes of some backends. */
-    static byte[] list(int backends, boolean whole, long generation, long seed) {
+    static byte[] list(int backends, boolean full, long generation, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        return ("{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":["
+        return ("{\"generation\":" + generation + ",\"reset\":" + full + ",\"instances\":["
                         + IntStream.range(0, backends)
-                                .mapToObj(i -> entry(i, random.nextDouble(0.3, 2), "in_service"))
+                                .mapToObj(i -> listEntry(i, random.nextDouble(0.3, 2), "in_service"))
                                 .collect(Collectors.joining(","))
                         + "]}\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** The configuration of one of so many proxies, with so many tenants, and a list that is known. */
-    static byte[] settings(int proxies, int tenants, String known) {
+    static byte[] settings(int proxies, int tenants, String initialList) {
         return ("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
              "limits":{"cores":1.0,"memory_mb":256,"sockets":1024},"known":%s,
@@ -68,17 +68,17 @@
                "drain_grace_ns":500000000}}}
             """)
                 .formatted(
-                        known,
+                        initialList,
                         proxies,
                         quoted(ZONES),
                         quoted(KINDS),
                         IntStream.range(0, tenants)
-                                .mapToObj(i -> '"' + tenant(i) + '"')
+                                .mapToObj(i -> '"' + tenantName(i) + '"')
                                 .collect(Collectors.joining(",")))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    static String tenant(int i) {
+    static String tenantName(int i) {
         return String.format("tenant-%05d", i * 7919 % 100_000);
     }
 
@@ -86,7 +86,7 @@
         return names.stream().map(n -> '"' + n + '"').collect(Collectors.joining(","));
     }
 
-    static Config config(byte[] json) {
+    static Config parseConfig(byte[] json) {
         try {
             return Config.parse(Json.read(json), Map.of());
         } catch (ConfigException | IOException e) {
@@ -98,14 +98,14 @@
      * An operators' file of so many routes: ten a host, of which one is a regular expression; a pool for each
      * eight routes, as 310 services are to 2,400 routes, with the servers declared or from discovery.
      */
-    static String routes(int routes, int servers, String listener, String mark) {
+    static String routesFile(int routes, int servers, String listener, String marker) {
         int pools = Math.max(1, routes * 310 / 2400);
-        StringBuilder b = new StringBuilder("[[listener]]\naddress = \"" + listener + "\"\n\n");
+        StringBuilder text = new StringBuilder("[[listener]]\naddress = \"" + listener + "\"\n\n");
         for (int p = 0; p < pools; p++) {
-            b.append("[[pool]]\nname = \"service-").append(p).append("\"\n");
-            b.append(servers == 0 ? "discovery = \"127.0.0.1:9\"\n" : "");
+            text.append("[[pool]]\nname = \"service-").append(p).append("\"\n");
+            text.append(servers == 0 ? "discovery = \"127.0.0.1:9\"\n" : "");
             for (int s = 0; s < servers; s++) {
-                b.append("[[pool.server]]\naddress = \"10.")
+                text.append("[[pool.server]]\naddress = \"10.")
                         .append(p % 250)
                         .append('.')
                         .append(s)
@@ -116,23 +116,23 @@
         }
         for (int r = 0; r < routes; r++) {
             if (r % 10 == 0) {
-                b.append("\n[[host]]\nnames = [\"shop")
+                text.append("\n[[host]]\nnames = [\"shop")
                         .append(r / 10)
                         .append(".example.org\"]\n")
                         .append(r == 0 ? "default = true\n" : "");
             }
-            b.append("[[host.route]]\nname = \"route-").append(r).append("\"\n");
+            text.append("[[host.route]]\nname = \"route-").append(r).append("\"\n");
             if (r % 10 == 9) {
-                b.append("match = \"regex\"\npath = \"^/r").append(r).append("/[a-z0-9]+$\"\n");
+                text.append("match = \"regex\"\npath = \"^/r").append(r).append("/[a-z0-9]+$\"\n");
             } else {
-                b.append("path = \"/r").append(r).append("/\"\n");
+                text.append("path = \"/r").append(r).append("/\"\n");
             }
-            b.append("pool = \"service-").append(r % pools).append("\"\ndeadline_ms = 900\nattempts = 3\n");
-            b.append(r % 4 == 0 ? "rewrite = { to = \"/v2/\" }\n" : "");
+            text.append("pool = \"service-").append(r % pools).append("\"\ndeadline_ms = 900\nattempts = 3\n");
+            text.append(r % 4 == 0 ? "rewrite = { to = \"/v2/\" }\n" : "");
         }
-        return b.append("\n[[host]]\nnames = [\"mark.example.org\"]\n[[host.route]]\npath = \"/mark\"\n"
+        return text.append("\n[[host]]\nnames = [\"mark.example.org\"]\n[[host.route]]\npath = \"/mark\"\n"
                         + "answer = { status = 200, body = \"")
-                .append(mark)
+                .append(marker)
                 .append("\" }\n")
                 .toString();
     }
--- a/src/test/java/gullspar/capacity/ModuleCost.java
+++ b/src/test/java/gullspar/capacity/ModuleCost.java
@@ -21,39 +21,40 @@
  */
 public final class ModuleCost {
     private static final int[] SERVERS = {21, 100, 600, 2000, 6600}, INSTANCES = {10, 100, 310};
-    private static final int PROXIES = 640, MEAN_SERVICE = 21;
+    private static final int PROXIES = 640, SERVERS_PER_SERVICE = 21;
     /** A request each so often at one proxy of 640, of 150,000 a second; how long an answer takes. */
-    private static final long GAP_NS = 4_270_000, PULSE_NS = 50_000_000, ANSWER_NS = 10_000_000;
+    private static final long REQUEST_INTERVAL_NS = 4_270_000, HEARTBEAT_NS = 50_000_000, RESPONSE_TIME_NS = 10_000_000;
 
-    private static final long PULSE_TOKEN = (1L << 32) + 1;
+    private static final long HEARTBEAT_TIMER = (1L << 32) + 1;
 
     private final ResultsWriter results = new ResultsWriter("bench/scale/module.sh", List.of(7));
 
     private ModuleCost() {}
 
     public static void main(String[] args) throws IOException {
-        ModuleCost m = new ModuleCost();
+        ModuleCost measurement = new ModuleCost();
         for (int n : SERVERS) {
-            m.servers(n, 1);
-            m.servers(n, Inputs.ZONES.size());
+            measurement.measureServers(n, 1);
+            measurement.measureServers(n, GeneratedInputs.ZONES.size());
         }
         for (int n : INSTANCES) {
-            m.instances(n);
+            measurement.measureInstances(n);
         }
-        m.results.write(Path.of(args[0]));
+        measurement.results.write(Path.of(args[0]));
     }
 
     /** One instance with its servers, in a time of its own. */
-    private static final class One {
-        private final NoActions actions = new NoActions();
+    private static final class Instance {
+        private final SendRecorder actions = new SendRecorder();
         private final Policy module;
         private long now = 1_000_000_000_000L;
-        private long pulse = now;
-        private int ticket;
+        private long heartbeat = now;
+        private int lastTicket;
 
-        One(int servers, int zones) {
-            Settings s = Inputs.config(Inputs.settings(PROXIES, 0, "{}")).settings();
-            module = new Policy(s, 7, now, actions);
+        Instance(int servers, int zones) {
+            Settings settings = GeneratedInputs.parseConfig(GeneratedInputs.settings(PROXIES, 0, "{}"))
+                    .settings();
+            module = new Policy(settings, 7, now, actions);
             List<ListedServer> list = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
                 list.add(new ListedServer(i * 0x9e3779b1, i % 3, State.READY, 0, i / 5, i % zones, 1));
@@ -63,50 +64,52 @@
 
         /** A request, and its answer with a load report. */
         Object request() {
-            now += GAP_NS;
-            pulse();
-            module.onRequest(now, new Request(++ticket, 0, 0, 0, 600_000_000L, 0, false));
+            now += REQUEST_INTERVAL_NS;
+            heartbeat();
+            module.onRequest(now, new Request(++lastTicket, 0, 0, 0, 600_000_000L, 0, false));
             int sends = actions.sends;
             now += 1000;
             module.onOutcome(
                     now,
                     new Outcome(
-                            ticket,
+                            lastTicket,
                             0,
-                            actions.server,
+                            actions.lastServer,
                             Status.OK,
-                            ANSWER_NS,
+                            RESPONSE_TIME_NS,
                             true,
-                            new Report(1 + ticket % 3, Double.NaN, 0.3 + ticket % 7 * 0.05, Double.NaN, 200, 0)));
+                            new Report(
+                                    1 + lastTicket % 3, Double.NaN, 0.3 + lastTicket % 7 * 0.05, Double.NaN, 200, 0)));
             return sends;
         }
 
-        void pulse() {
-            while (now - pulse >= PULSE_NS) {
-                pulse += PULSE_NS;
-                module.onTimer(now, PULSE_TOKEN);
+        void heartbeat() {
+            while (now - heartbeat >= HEARTBEAT_NS) {
+                heartbeat += HEARTBEAT_NS;
+                module.onTimer(now, HEARTBEAT_TIMER);
             }
         }
 
-        Object idle() {
-            now += PULSE_NS;
-            module.onTimer(now, PULSE_TOKEN);
+        Object idleHeartbeat() {
+            now += HEARTBEAT_NS;
+            module.onTimer(now, HEARTBEAT_TIMER);
             return this;
         }
     }
 
-    private void servers(int n, int zones) {
-        One one = new One(n, zones);
-        Cost.Of cost = Cost.step(one::request);
-        if (one.actions.sends < one.ticket) {
-            throw new IllegalStateException("of " + one.ticket + " requests " + one.actions.sends + " sent");
+    private void measureServers(int n, int zones) {
+        Instance instance = new Instance(n, zones);
+        CostMeter.Measurement cost = CostMeter.measure(instance::request);
+        if (instance.actions.sends < instance.lastTicket) {
+            throw new IllegalStateException(
+                    "of " + instance.lastTicket + " requests " + instance.actions.sends + " sent");
         }
-        String in = zones == 1 ? "one zone" : zones + " zones";
+        String zoneText = zones == 1 ? "one zone" : zones + " zones";
         String id = zones == 1 ? "module.request" : "module.request.zones";
         for (double ns : cost.cpuNs()) {
-            results.point(
+            results.addPoint(
                     id + ".cpu",
-                    "processor time of the module for one request and its answer, " + in,
+                    "processor time of the module for one request and its answer, " + zoneText,
                     "ns",
                     "servers",
                     Map.of("proxies", PROXIES, "zones", zones),
@@ -114,17 +117,17 @@
                     n,
                     ns);
         }
-        results.point(
+        results.addPoint(
                 id + ".allocated",
-                "bytes that the module allocates for one request, " + in,
+                "bytes that the module allocates for one request, " + zoneText,
                 "B",
                 "servers",
                 Map.of("proxies", PROXIES, "zones", zones),
                 0,
                 n,
-                cost.allocated());
+                cost.allocatedBytes());
         if (zones == 1) {
-            results.point(
+            results.addPoint(
                     "module.heap",
                     "heap of one instance of the module",
                     "B",
@@ -132,55 +135,56 @@
                     Map.of("proxies", PROXIES),
                     6600,
                     n,
-                    Cost.kept(() -> new One(n, 1)));
+                    CostMeter.retainedHeap(() -> new Instance(n, 1)));
         }
     }
 
-    private void instances(int n) {
-        results.point(
+    private void measureInstances(int n) {
+        results.addPoint(
                 "module.instances.heap",
                 "heap of so many instances of the module, 21 servers each",
                 "B",
                 "services",
-                Map.of("servers", MEAN_SERVICE),
+                Map.of("servers", SERVERS_PER_SERVICE),
                 310,
                 n,
-                Cost.kept(() -> make(n)));
-        List<One> all = make(n);
-        all.forEach(One::request);
-        for (double ns : Cost.step(() -> {
-                    all.forEach(One::idle);
+                CostMeter.retainedHeap(() -> createInstances(n)));
+        List<Instance> all = createInstances(n);
+        all.forEach(Instance::request);
+        for (double ns : CostMeter.measure(() -> {
+                    all.forEach(Instance::idleHeartbeat);
                     return all;
                 })
                 .cpuNs()) {
-            results.point(
+            results.addPoint(
                     "module.instances.cpu",
                     "processor time of so many instances' pulses, of one " + "second",
                     "ns",
                     "services",
-                    Map.of("servers", MEAN_SERVICE),
+                    Map.of("servers", SERVERS_PER_SERVICE),
                     310,
                     n,
                     ns * 20);
         }
         int[] next = {0};
-        for (double ns : Cost.step(() -> all.get(next[0]++ % n).request()).cpuNs()) {
-            results.point(
+        for (double ns :
+                CostMeter.measure(() -> all.get(next[0]++ % n).request()).cpuNs()) {
+            results.addPoint(
                     "module.instances.request.cpu",
                     "processor time of a request that goes to one of so " + "many instances in turn",
                     "ns",
                     "services",
-                    Map.of("servers", MEAN_SERVICE),
+                    Map.of("servers", SERVERS_PER_SERVICE),
                     310,
                     n,
                     ns);
         }
     }
 
-    private static List<One> make(int n) {
-        List<One> all = new ArrayList<>();
+    private static List<Instance> createInstances(int n) {
+        List<Instance> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new One(MEAN_SERVICE, 1));
+            all.add(new Instance(SERVERS_PER_SERVICE, 1));
         }
         return all;
     }
--- a/src/test/java/gullspar/capacity/ReloadTime.java
+++ b/src/test/java/gullspar/capacity/ReloadTime.java
@@ -23,7 +23,7 @@
  */
 public final class ReloadTime {
     private static final int[] ROUTES = {60, 240, 800, 2400};
-    private static final int SERVERS = 21, CHANGES = 6, PATIENCE_MS = 60_000, STEP_MB = 4;
+    private static final int SERVERS_PER_POOL = 21, RELOADS = 6, TIMEOUT_MS = 60_000, HEAP_STEP_MB = 4;
 
     private final ResultsWriter results = new ResultsWriter("bench/scale/reload.sh", List.of());
     private final Path folder;
@@ -36,29 +36,26 @@
 
     public static void main(String[] args) throws Exception {
         int port;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = socket.getLocalPort();
         }
         Path folder = Files.createTempDirectory("reload");
-        ReloadTime r = new ReloadTime(folder, port);
+        ReloadTime measurement = new ReloadTime(folder, port);
         for (int n : ROUTES) {
-            r.leastHeap(n, args[1]);
-            r.process(n, args[1] + " " + args[2]);
+            measurement.measureMinHeap(n, args[1]);
+            measurement.measureProcess(n, args[1] + " " + args[2]);
         }
-        r.results.write(Path.of(args[0]));
+        measurement.results.write(Path.of(args[0]));
     }
 
-    private void file(int routes, String mark) throws IOException {
-        Path other = folder.resolve("next.toml");
-        Files.writeString(other, Inputs.routes(routes, SERVERS, "127.0.0.1:" + port, mark));
+    private void writeFile(int routes, String marker) throws IOException {
+        Path next = folder.resolve("next.toml");
+        Files.writeString(next, GeneratedInputs.routesFile(routes, SERVERS_PER_POOL, "127.0.0.1:" + port, marker));
         Files.move(
-                other,
-                folder.resolve("site.toml"),
-                StandardCopyOption.REPLACE_EXISTING,
-                StandardCopyOption.ATOMIC_MOVE);
+                next, folder.resolve("site.toml"), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private ProcessBuilder java(String flags, String... arguments) {
+    private ProcessBuilder javaProcess(String flags, String... arguments) {
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(List.of(flags.split(" ")));
@@ -70,47 +67,48 @@
     }
 
     /** The smallest heap with which a file can be read at all, in steps of some MB. */
-    private void leastHeap(int routes, String flags) throws Exception {
-        file(routes, "mark-0");
-        int enough = 320 / STEP_MB;
-        int little = 8 / STEP_MB;
-        while (enough - little > 1) {
-            int middle = (enough + little) / 2;
-            Process p = java(
-                            flags + " -Xmx" + middle * STEP_MB + "m",
+    private void measureMinHeap(int routes, String flags) throws Exception {
+        writeFile(routes, "mark-0");
+        int sufficient = 320 / HEAP_STEP_MB;
+        int insufficient = 8 / HEAP_STEP_MB;
+        while (sufficient - insufficient > 1) {
+            int middle = (sufficient + insufficient) / 2;
+            Process p = javaProcess(
+                            flags + " -Xmx" + middle * HEAP_STEP_MB + "m",
                             "check",
                             folder.resolve("site.toml").toString())
                     .start();
             if (p.waitFor() == 0) {
-                enough = middle;
+                sufficient = middle;
             } else {
-                little = middle;
+                insufficient = middle;
             }
         }
-        point(
+        addPoint(
                 "reload.least.heap",
                 "the smallest heap with which the file can be read",
                 "B",
                 routes,
-                enough * STEP_MB * 1024.0 * 1024);
+                sufficient * HEAP_STEP_MB * 1024.0 * 1024);
     }
 
-    private void process(int routes, String flags) throws Exception {
-        file(routes, "mark-0");
-        Process p = java(flags, "serve", "--config", folder.resolve("site.toml").toString())
+    private void measureProcess(int routes, String flags) throws Exception {
+        writeFile(routes, "mark-0");
+        Process p = javaProcess(
+                        flags, "serve", "--config", folder.resolve("site.toml").toString())
                 .start();
         try {
-            until("mark-0");
-            for (int change = 1; change <= CHANGES; change++) {
+            awaitMarker("mark-0");
+            for (int reload = 1; reload <= RELOADS; reload++) {
                 TimeUnit.MILLISECONDS.sleep(300);
-                change(p, routes, change);
+                measureReload(p, routes, reload);
             }
-            point(
+            addPoint(
                     "reload.resident",
-                    "resident memory of the process after " + CHANGES + " changes",
+                    "resident memory of the process after " + RELOADS + " changes",
                     "B",
                     routes,
-                    resident(p.pid()));
+                    residentBytes(p.pid()));
         } finally {
             p.destroy();
             if (!p.waitFor(40, TimeUnit.SECONDS)) {
@@ -119,55 +117,56 @@
         }
     }
 
-    private void change(Process p, int routes, int change) throws Exception {
-        file(routes, "mark-" + change);
-        long cpu = cpu(p.pid());
-        long begin = System.nanoTime();
+    private void measureReload(Process p, int routes, int reload) throws Exception {
+        writeFile(routes, "mark-" + reload);
+        long cpuBefore = processCpuNs(p.pid());
+        long start = System.nanoTime();
         new ProcessBuilder("kill", "-HUP", String.valueOf(p.pid())).start().waitFor();
-        double longest = until("mark-" + change);
-        double took = (System.nanoTime() - begin) / 1e9;
+        double longest = awaitMarker("mark-" + reload);
+        double elapsed = (System.nanoTime() - start) / 1e9;
         TimeUnit.MILLISECONDS.sleep(100);
         // The first changes of a process find its code cold.
-        String when = change == 1 ? "reload.first" : "reload";
-        String which = change == 1 ? "the first change of a process" : "a change";
-        point(when + ".time", "from SIGHUP until the new file is in force, " + which, "s", routes, took);
-        point(
-                when + ".cpu",
+        String prefix = reload == 1 ? "reload.first" : "reload";
+        String which = reload == 1 ? "the first change of a process" : "a change";
+        addPoint(prefix + ".time", "from SIGHUP until the new file is in force, " + which, "s", routes, elapsed);
+        addPoint(
+                prefix + ".cpu",
                 "processor time of the process for it, questions included, " + which,
                 "ns",
                 routes,
-                cpu(p.pid()) - cpu);
-        point(when + ".longest", "the longest answer meanwhile, " + which, "ns", routes, longest);
+                processCpuNs(p.pid()) - cpuBefore);
+        addPoint(prefix + ".longest", "the longest answer meanwhile, " + which, "ns", routes, longest);
     }
 
-    private void point(String id, String what, String unit, int routes, double value) {
-        results.point(id, what, unit, "routes", Map.of("servers_a_pool", SERVERS), 2400, routes, value);
+    private void addPoint(String id, String description, String unit, int routes, double value) {
+        results.addPoint(
+                id, description, unit, "routes", Map.of("servers_a_pool", SERVERS_PER_POOL), 2400, routes, value);
     }
 
     /** Asks until the answer is that; the longest time that one took, in ns. */
-    private double until(String mark) throws Exception {
-        long begin = System.nanoTime();
+    private double awaitMarker(String marker) throws Exception {
+        long start = System.nanoTime();
         double longest = 0;
-        while (System.nanoTime() - begin < PATIENCE_MS * 1_000_000L) {
-            long asked = System.nanoTime();
-            String got = ask();
-            if (got.endsWith(mark)) {
+        while (System.nanoTime() - start < TIMEOUT_MS * 1_000_000L) {
+            long requestStart = System.nanoTime();
+            String response = request();
+            if (response.endsWith(marker)) {
                 return longest;
             }
-            longest = got.isEmpty() ? longest : Math.max(longest, System.nanoTime() - asked);
+            longest = response.isEmpty() ? longest : Math.max(longest, System.nanoTime() - requestStart);
             TimeUnit.MILLISECONDS.sleep(2);
         }
         throw new IOException(
-                "no '" + mark + "' within " + PATIENCE_MS + " ms: " + Files.readString(folder.resolve("log")));
+                "no '" + marker + "' within " + TIMEOUT_MS + " ms: " + Files.readString(folder.resolve("log")));
     }
 
-    private String ask() {
-        try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
-            s.getOutputStream()
+    private String request() {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
+            socket.getOutputStream()
                     .write(("GET /mark HTTP/1.1\r\nHost: mark.example.org\r\nConnection: " + "close\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            try (InputStream in = s.getInputStream()) {
+            try (InputStream in = socket.getInputStream()) {
                 return new String(in.readAllBytes(), StandardCharsets.US_ASCII);
             }
         } catch (IOException e) {
@@ -176,13 +175,13 @@
     }
 
     /** Processor time of the process, threads that have ended included: ticks of 10 ms, in ns. */
-    private static long cpu(long pid) throws IOException {
+    private static long processCpuNs(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-        String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(f[11]) + Long.parseLong(f[12])) * 10_000_000L;
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 10_000_000L;
     }
 
-    private static double resident(long pid) throws IOException {
+    private static double residentBytes(long pid) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                         .filter(l -> l.startsWith("VmRSS"))
                         .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
--- a/src/test/java/gullspar/capacity/Results.java
+++ b/src/test/java/gullspar/capacity/Results.java
@@ -25,7 +25,7 @@
     static Results read(Path folder) {
         Results r = new Results();
         try (Stream<Path> files = Files.list(folder)) {
-            files.filter(f -> f.toString().endsWith(".json")).sorted().forEach(r::file);
+            files.filter(f -> f.toString().endsWith(".json")).sorted().forEach(r::readFile);
         } catch (IOException e) {
             throw new CapacityException(folder + " cannot be read: " + e.getMessage());
         }
@@ -40,11 +40,11 @@
         return series.get(id);
     }
 
-    private void file(Path file) {
+    private void readFile(Path file) {
         String name = String.valueOf(file.getFileName());
         try {
             JsonNode root = JSON.readTree(Files.readString(file));
-            take(name, root);
+            addSeries(name, root);
         } catch (JsonProcessingException e) {
             throw new CapacityException(
                     name + ":" + e.getLocation().getLineNr() + ": no JSON: " + e.getOriginalMessage());
@@ -53,7 +53,7 @@
         }
     }
 
-    private void take(String name, JsonNode root) {
+    private void addSeries(String name, JsonNode root) {
         JsonNode machine = root.path("machine");
         List<String> seeds = new ArrayList<>();
         root.path("seeds").forEach(s -> seeds.add(s.asText()));
@@ -68,23 +68,23 @@
                 text(name, root, "script"),
                 text(name, root, "date"),
                 text(name, root, "commit"),
-                machine(name, machine),
+                describeMachine(name, machine),
                 String.join(", ", seeds));
         if (!root.path("series").isArray()) {
             throw new CapacityException(name + ": no series");
         }
         int i = 0;
         for (JsonNode s : root.path("series")) {
-            Series read = series(name + ": series[" + i++ + "]", s, source);
-            Series other = series.putIfAbsent(read.id(), read);
-            if (other != null) {
+            Series added = series(name + ": series[" + i++ + "]", s, source);
+            Series existing = series.putIfAbsent(added.id(), added);
+            if (existing != null) {
                 throw new CapacityException(
-                        name + ": " + read.id() + " is in " + other.source().file() + " too");
+                        name + ": " + added.id() + " is in " + existing.source().file() + " too");
             }
         }
     }
 
-    private static String machine(String name, JsonNode m) {
+    private static String describeMachine(String name, JsonNode m) {
         return text(name + ": machine", m, "cores") + " cores, " + text(name + ": machine", m, "memory_gib")
                 + " GiB, Java " + text(name + ": machine", m, "java") + ", "
                 + text(name + ": machine", m, "kernel");
@@ -92,29 +92,30 @@
 
     private static Series series(String where, JsonNode s, Series.Source source) {
         String id = text(where, s, "id");
-        String at = where + " (" + id + ")";
+        String place = where + " (" + id + ")";
         List<Series.Point> points = new ArrayList<>();
         if (!s.path("points").isArray() || s.path("points").isEmpty()) {
-            throw new CapacityException(at + ": no points");
+            throw new CapacityException(place + ": no points");
         }
         for (JsonNode p : s.path("points")) {
             points.add(new Series.Point(
-                    number(at + ": points[" + points.size() + "]", p, "size"),
-                    number(at + ": points[" + points.size() + "]", p, "value")));
+                    number(place + ": points[" + points.size() + "]", p, "size"),
+                    number(place + ": points[" + points.size() + "]", p, "value")));
         }
         Map<String, String> fixed = new LinkedHashMap<>();
         s.path("fixed")
                 .properties()
                 .forEach(e -> fixed.put(e.getKey(), e.getValue().asText()));
-        double heldOut = s.hasNonNull("held_out") ? number(at, s, "held_out") : 0;
+        double heldOut = s.hasNonNull("held_out") ? number(place, s, "held_out") : 0;
         if (heldOut != 0 && points.stream().noneMatch(p -> p.size() == heldOut)) {
-            throw new CapacityException(at + ": the held-out size " + Show.number(heldOut) + " was not measured");
+            throw new CapacityException(
+                    place + ": the held-out size " + NumberFormatter.number(heldOut) + " was not measured");
         }
         return new Series(
                 id,
-                text(at, s, "what"),
+                text(place, s, "what"),
                 s.path("unit").asText(""),
-                text(at, s, "axis"),
+                text(place, s, "axis"),
                 fixed,
                 points,
                 heldOut,
@@ -122,11 +123,11 @@
     }
 
     private static String text(String where, JsonNode n, String key) {
-        String v = n.path(key).asText("");
-        if (v.isEmpty()) {
+        String value = n.path(key).asText("");
+        if (value.isEmpty()) {
             throw new CapacityException(where + ": no " + key);
         }
-        return v;
+        return value;
     }
 
     private static double number(String where, JsonNode n, String key) {
--- a/src/test/java/gullspar/capacity/ResultsWriter.java
+++ b/src/test/java/gullspar/capacity/ResultsWriter.java
@@ -40,21 +40,21 @@
     }
 
     /** What a file holds already, so that further sizes come beside it; of the same machine and commit. */
-    public ResultsWriter onto(Path file) throws IOException {
-        JsonNode before = JSON.readTree(Files.readString(file));
-        for (String same : new String[] {"machine", "commit"}) {
-            if (!before.path(same).equals(JSON.readTree(root.get(same).toString()))) {
-                throw new IOException(file + " is of another " + same);
+    public ResultsWriter withExisting(Path file) throws IOException {
+        JsonNode existing = JSON.readTree(Files.readString(file));
+        for (String key : new String[] {"machine", "commit"}) {
+            if (!existing.path(key).equals(JSON.readTree(root.get(key).toString()))) {
+                throw new IOException(file + " is of another " + key);
             }
         }
         root.put(
                 "script",
-                before.path("script").asText() + "; " + root.path("script").asText());
-        Set<Integer> seeds = new TreeSet<>();
-        before.path("seeds").forEach(x -> seeds.add(x.asInt()));
-        root.path("seeds").forEach(x -> seeds.add(x.asInt()));
-        seeds.forEach(root.putArray("seeds")::add);
-        before.path("series").forEach(s -> series.put(s.path("id").asText(), (ObjectNode) s));
+                existing.path("script").asText() + "; " + root.path("script").asText());
+        Set<Integer> allSeeds = new TreeSet<>();
+        existing.path("seeds").forEach(x -> allSeeds.add(x.asInt()));
+        root.path("seeds").forEach(x -> allSeeds.add(x.asInt()));
+        allSeeds.forEach(root.putArray("seeds")::add);
+        existing.path("series").forEach(s -> series.put(s.path("id").asText(), (ObjectNode) s));
         return this;
     }
 
@@ -70,9 +70,9 @@
     }
 
     /** One point of a series; the first names the series. heldOut: the size to foretell, 0 for none. */
-    public ResultsWriter point(
+    public ResultsWriter addPoint(
             String id,
-            String what,
+            String description,
             String unit,
             String axis,
             Map<String, Integer> fixed,
@@ -81,7 +81,7 @@
             double value) {
         ObjectNode s = series.computeIfAbsent(id, i -> {
             ObjectNode n = JSON.createObjectNode();
-            n.put("id", i).put("what", what).put("unit", unit).put("axis", axis);
+            n.put("id", i).put("what", description).put("unit", unit).put("axis", axis);
             ObjectNode f = n.putObject("fixed");
             fixed.forEach(f::put);
             n.putArray("points");
@@ -96,8 +96,8 @@
     }
 
     /** Five digits are more than any of this is worth. */
-    private static double rounded(double v) {
-        return v == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.5g", v));
+    private static double rounded(double value) {
+        return value == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.5g", value));
     }
 
     /** So far; a later call writes all again. */
@@ -110,7 +110,7 @@
     }
 
     /** What has been measured so far. */
-    public Set<String> ids() {
+    public Set<String> seriesIds() {
         return series.keySet();
     }
 }
--- a/src/test/java/gullspar/capacity/NoActions.java
+++ b/src/test/java/gullspar/capacity/SendRecorder.java
@@ -3,14 +3,14 @@
 import gullspar.decide.Balancer;
 
 /** Takes what the module does and keeps the last send. */
-final class NoActions implements Balancer.Actions {
-    int server;
+final class SendRecorder implements Balancer.Actions {
+    int lastServer;
     int sends;
     int refused;
 
     @Override
     public void send(int ticket, int to, long timeoutNs) {
-        server = to;
+        lastServer = to;
         sends++;
     }
 
--- a/src/test/java/gullspar/capacity/Series.java
+++ b/src/test/java/gullspar/capacity/Series.java
@@ -10,7 +10,7 @@
  */
 record Series(
         String id,
-        String what,
+        String description,
         String unit,
         String axis,
         Map<String, String> fixed,
@@ -34,20 +34,22 @@
     }
 
     /** The median of what was measured at a size. */
-    double at(double size) {
-        double[] v = points.stream()
+    double medianAt(double size) {
+        double[] values = points.stream()
                 .filter(p -> p.size() == size)
                 .mapToDouble(Point::value)
                 .sorted()
                 .toArray();
-        return v.length % 2 == 1 ? v[v.length / 2] : (v[v.length / 2 - 1] + v[v.length / 2]) / 2;
+        return values.length % 2 == 1
+                ? values[values.length / 2]
+                : (values[values.length / 2 - 1] + values[values.length / 2]) / 2;
     }
 
     /** The largest distance of a run from the median of its size, as a part of that; 0 for a single run. */
     double spread() {
         return points.stream()
-                .mapToDouble(
-                        p -> Math.abs(p.value() - at(p.size())) / Math.max(Double.MIN_NORMAL, Math.abs(at(p.size()))))
+                .mapToDouble(p -> Math.abs(p.value() - medianAt(p.size()))
+                        / Math.max(Double.MIN_NORMAL, Math.abs(medianAt(p.size()))))
                 .max()
                 .orElse(0);
     }
--- a/src/test/java/gullspar/peers/ViewCost.java
+++ b/src/test/java/gullspar/peers/ViewCost.java
@@ -74,7 +74,7 @@
                 Stream.of(args[1].split(",")).map(Integer::valueOf).toList();
         ResultsWriter results = new ResultsWriter("bench/scale/view.sh " + args[1] + " " + args[2], seeds);
         if (args.length > 3) {
-            results.onto(Path.of(args[3]));
+            results.withExisting(Path.of(args[3]));
         }
         int[] sizes = Stream.of(args[2].split(",")).mapToInt(Integer::parseInt).toArray();
         for (int size : sizes) {
@@ -86,7 +86,7 @@
     }
 
     private void point(String id, String what, String unit, double value) {
-        results.point(id, what, unit, "proxies", Map.of(), heldOut, size, value);
+        results.addPoint(id, what, unit, "proxies", Map.of(), heldOut, size, value);
     }
 
     /** An address of realistic length. */
