--- a/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/FleetBenchmark.java
@@ -32,8 +32,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a datagram of the view of the fleet costs: a question with six rumours that nobody has not heard, from
- * one member after the other, made, sealed, opened, read, taken in and answered.
+ * Measures the processing of a datagram of the fleet view: a ping with six rumors that the receiver already
+ * knows, from one member after another, encoded, sealed, opened, decoded, applied and acknowledged.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -45,7 +45,7 @@
     private static final long S = 1_000_000_000L;
     private static final int RUMORS_PER_PING = 6;
 
-    /** Members, the one that is measured included. */
+    /** Number of members, including the measured one. */
     @Param({"10", "100", "1000"})
     public int members;
 
@@ -59,7 +59,7 @@
     private int lastSender;
     private long responseBytes;
 
-    /** Lets all others prove that they live. */
+    /** Adds all other members, each confirmed by an ack. */
     @Setup
     public void joinMembers() {
         Random random = new Random(5);
@@ -79,7 +79,7 @@
 
                     @Override
                     public void onChange(Change c) {
-                        // nobody is told
+                        // changes have no listener here
                     }
                 }, now);
         for (int i = 0; i < others.size(); i++) {
@@ -92,7 +92,7 @@
             peers.receive(now, new Message.Ack(header(i), nonce, s.id(), 0, List.of(rumor(s))));
         }
         if (peers.size() != members) {
-            throw new IllegalStateException("knows " + peers.size() + " of " + members);
+            throw new IllegalStateException("joined " + peers.size() + " of " + members);
         }
     }
 
@@ -114,18 +114,18 @@
         return envelope.seal(Codec.encode(new Message.Ping(header(i), 7, 1, false, rumors)));
     }
 
-    /** Made and sealed only. */
+    /** Encodes and seals a ping. */
     @Benchmark
     public byte[] encode() {
         return ping();
     }
 
-    /** Made, sealed, opened, read, taken in; and its answer made and sealed. */
+    /** Encodes and seals a ping, opens, decodes and applies it, and encodes and seals the response. */
     @Benchmark
     public long roundTrip() throws IOException {
         byte[] datagram = ping();
         if (envelope.open(datagram) != null) {
-            throw new IllegalStateException("not taken");
+            throw new IllegalStateException("datagram refused");
         }
         out.clear();
         peers.receive(now, Codec.decode(datagram, Envelope.messageOffset(), datagram.length - Envelope.messageOffset()));
--- a/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/gullspar/benchmarks/RoutingBenchmark.java
@@ -23,7 +23,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The time to find the route of a request, in ns: half of the routes are exact paths, half prefixes. */
+/** Measures the time to find the route of a request; half of the routes are exact paths, half prefixes. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,7 +33,7 @@
 public class RoutingBenchmark {
     private static final int REQUESTS = 4096;
 
-    /** Routes in all; a hundred to a host at the most. */
+    /** Total number of routes, at most 100 per host. */
     @Param({"10", "1000", "10000"})
     public int routes;
 
@@ -41,7 +41,7 @@
     private final Request[] requests = new Request[REQUESTS];
     private int lastRequest;
 
-    /** Builds the router and draws the requests, from a fixed seed. */
+    /** Builds the router and generates random requests from a fixed seed. */
     @Setup
     public void build() {
         HostTable<Router.Host> hosts = new HostTable<>();
@@ -66,7 +66,7 @@
         }
     }
 
-    /** One request after another, each of another host and place. */
+    /** Finds the routes of requests for random hosts and paths. */
     @Benchmark
     public Router.Result find() {
         lastRequest = lastRequest + 1 & REQUESTS - 1;
--- a/src/test/java/gullspar/capacity/CapacityException.java
+++ b/src/test/java/gullspar/capacity/CapacityException.java
@@ -1,6 +1,6 @@
 package gullspar.capacity;
 
-/** Results, sizes or rows that cannot be used; the message says which file, where in it, and why. */
+/** Thrown for unusable results, design parameters or rows; the message names the file, the place and the reason. */
 public final class CapacityException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/gullspar/capacity/CapacityPage.java
+++ b/src/test/java/gullspar/capacity/CapacityPage.java
@@ -16,8 +16,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Writes the tables of docs/CAPACITY.md and of docs/ROADMAP.md from the results, the letter's sizes and the
- * rows, between their markers. Called by {@code bench/scale/page.sh}.
+ * Computes the tables of docs/CAPACITY.md and docs/ROADMAP.md from the measured results, the design
+ * parameters and the rows, and writes them between their markers. Run by {@code bench/scale/page.sh}.
  */
 public final class CapacityPage {
     private static final Map<String, String> EVENT_TITLES = eventTitles();
@@ -87,7 +87,7 @@
 
     private static final String END_MARKER = "<!-- end -->\n";
 
-    /** A page with its tables made anew. */
+    /** Returns the page with the content of each of its tables replaced by the current one. */
     String fillTables(String oldPage, String name) {
         String page = oldPage;
         boolean found = false;
@@ -100,17 +100,17 @@
             from += beginMarker(table.getKey()).length();
             int to = page.indexOf(END_MARKER, from);
             if (to < 0) {
-                throw new CapacityException(name + ": the table '" + table.getKey() + "' has no end");
+                throw new CapacityException(name + ": no end marker after the table '" + table.getKey() + "'");
             }
             page = page.substring(0, from) + "\n" + table.getValue() + "\n" + page.substring(to);
         }
         if (!found) {
-            throw new CapacityException(name + ": has none of the tables");
+            throw new CapacityException(name + ": no marker of a table found");
         }
         return page;
     }
 
-    /** What is out of date on a page, by the table's name; tables that it lacks, of those needed. */
+    /** Returns a line for each required table that the page lacks or that differs from the current one. */
     List<String> outdatedTables(String page, String name, List<String> required) {
         List<String> problems = new ArrayList<>();
         for (String table : required) {
@@ -120,8 +120,7 @@
             if (!page.contains(beginMarker(table))) {
                 problems.add(name + " lacks the table '" + table + "'");
             } else if (!page.contains(beginMarker(table) + "\n" + tables().get(table) + "\n" + END_MARKER)) {
-                problems.add(name + ": the table '" + table
-                        + "' is not what the results say; bench/scale/page.sh writes it");
+                problems.add(name + ": the table '" + table + "' differs from the results; run bench/scale/page.sh");
             }
         }
         return problems;
@@ -144,8 +143,8 @@
     private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([^}]*)}}");
 
     /**
-     * The text of answers.md, its figures filled in: {{value ROW}}, {{breaks ROW}}, {{part ROW}},
-     * {{seen SERIES SIZE}}, {{slope SERIES}}.
+     * Returns the text of answers.md with its placeholders replaced: {{value ROW}}, {{breaks ROW}},
+     * {{part ROW}}, {{seen SERIES SIZE}} and {{slope SERIES}}.
      */
     private String answers() {
         return PLACEHOLDER.matcher(answers).replaceAll(m -> Matcher.quoteReplacement(resolvePlaceholder(m.group(1))));
@@ -182,7 +181,7 @@
                     fit.series().medianAt(Double.parseDouble(words[2])),
                     fit.series().unit());
         }
-        throw new CapacityException("answers.md asks for '" + placeholder + "', which is no figure");
+        throw new CapacityException("answers.md: unknown placeholder '" + placeholder + "'");
     }
 
     // ---- tables ----
@@ -216,7 +215,10 @@
                 .toList();
     }
 
-    /** By mechanism: the smallest breaking size first, ties (to two digits) by how many rows lean on it. */
+    /**
+     * Lists the missing mechanisms by their smallest breaking size; where two are equal to two digits, the one
+     * that more rows depend on comes first.
+     */
     private String missingMechanisms() {
         Map<String, List<BreakingPoint>> byMechanism = breakingPoints().stream()
                 .filter(b -> !b.row().missingMechanism().isEmpty() && b.ratio() < 1)
@@ -335,7 +337,7 @@
                         .toList());
     }
 
-    /** Series that a row or an answer stands on; others are not on the page. */
+    /** Returns the fits of the series that a row or answers.md uses; others are not on the page. */
     private List<LinearFit> usedFits() {
         Set<String> ids = new TreeSet<>();
         rows.forEach(r -> ids.addAll(r.seriesIds()));
--- a/src/test/java/gullspar/capacity/CapacityRow.java
+++ b/src/test/java/gullspar/capacity/CapacityRow.java
@@ -6,12 +6,12 @@
 import java.util.stream.Collectors;
 
 /**
- * One figure of the page: a sum of terms, beside its limit, with what carries it.
+ * One figure of the page: a sum of terms, its limit, and the mechanism that has to keep it within the limit.
  *
- * @param scaledBy the size that is made larger to find where the limit breaks
- * @param missingMechanism the mechanism that would carry it and is not there; empty if there is one
- * @param measurementNeeded what would measure what is not measured; empty if all is
- * @param exactReason why a number that is not measured is known all the same; empty if there is none
+ * @param scaledBy the design parameter that is increased until the limit is exceeded
+ * @param missingMechanism the mechanism that is needed and does not exist; empty if none is missing
+ * @param measurementNeeded how an assumed figure could be measured; empty if nothing is assumed
+ * @param exactReason why a constant that is not measured is exact; empty if there is none
  */
 record CapacityRow(
         String id,
@@ -28,10 +28,11 @@
         String measurementNeeded,
         String exactReason) {
     /**
-     * A slope by a size: a series at a size of the letter, or a number, times and over other sizes.
+     * A series evaluated at a design parameter, or a constant; multiplied by a scale and the factors, and
+     * divided by the divisors.
      *
-     * @param series empty for a number
-     * @param sizeName the size by its name; empty for a series of one size
+     * @param series empty for a constant
+     * @param sizeName the design parameter at which the series is evaluated; empty for a series of one size
      */
     record Term(
             String series,
@@ -111,7 +112,7 @@
         terms = List.copyOf(terms);
     }
 
-    /** What is wrong with it, a line each. */
+    /** Returns a line for each problem of the row. */
     List<String> problems(Map<String, LinearFit> fits, DesignParameters design) {
         List<String> problems = new ArrayList<>();
         if (terms.isEmpty()) {
@@ -119,22 +120,22 @@
         }
         for (Term term : terms) {
             if (term.series().isEmpty() && measurementNeeded.isEmpty() && exactReason.isEmpty()) {
-                problems.add("row " + id + " has no source: a number that is neither measured, nor said to be "
-                        + "assumed, nor exact");
+                problems.add("row " + id + " has no source: its constant is neither measured, nor marked as "
+                        + "assumed or exact");
             } else if (!term.series().isEmpty() && !fits.containsKey(term.series())) {
-                problems.add("row " + id + " has no source: no results hold " + term.series());
+                problems.add("row " + id + " has no source: no results contain " + term.series());
             }
         }
         if (limit.isEmpty()) {
             problems.add("row " + id + " has no limit");
         } else if (!design.has(limit)) {
-            problems.add("row " + id + " has no limit: the letter has no " + limit);
+            problems.add("row " + id + " has no limit: letter.toml has no " + limit);
         }
         if (mechanism.isEmpty() && missingMechanism.isEmpty()) {
-            problems.add("row " + id + " has no mechanism, nor says that it is missing");
+            problems.add("row " + id + " names neither a mechanism nor a missing one");
         }
         if (!design.has(scaledBy)) {
-            problems.add("row " + id + " has no size to grow along: " + scaledBy);
+            problems.add("row " + id + " has an unknown size to increase: " + scaledBy);
         }
         return problems;
     }
@@ -147,7 +148,10 @@
         return terms.stream().map(t -> t.formula(fits, design)).collect(Collectors.joining(" + "));
     }
 
-    /** The least size along its axis at which the limit is passed; infinite if none up to a million times. */
+    /**
+     * Returns the smallest value of {@code scaledBy} at which the limit is exceeded; infinite if a million times
+     * the design size is within the limit.
+     */
     double breakingSize(Map<String, LinearFit> fits, DesignParameters design) {
         double maximum = design.value(limit);
         double high = design.value(scaledBy) / 1e6;
@@ -170,12 +174,12 @@
         return low;
     }
 
-    /** The same as a part of the letter's size. */
+    /** Returns the breaking size divided by the design size. */
     double breakingRatio(Map<String, LinearFit> fits, DesignParameters design) {
         return breakingSize(fits, design) / design.value(scaledBy);
     }
 
-    /** The series that it stands on. */
+    /** Returns the ids of the series that the terms use. */
     List<String> seriesIds() {
         return terms.stream()
                 .map(Term::series)
--- a/src/test/java/gullspar/capacity/CapacityRows.java
+++ b/src/test/java/gullspar/capacity/CapacityRows.java
@@ -9,9 +9,9 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
 
-/** Reads the rows of the page and says what is wrong with them, each by its name. */
+/** Reads the rows of the page and validates them; each problem names its row. */
 final class CapacityRows {
-    /** Who bears a figure, and when: in the page's order, with the page's words. */
+    /** The valid roles, events and quantities of rows, in the order of the page. */
     static final List<String> ROLES = List.of("serving", "control", "client", "machine", "backend", "operator"),
             EVENTS =
                     List.of(
@@ -78,29 +78,29 @@
         return table.getArrayOrEmpty(key).toList().stream().map(String::valueOf).toList();
     }
 
-    /** All that is wrong with rows, a line each. */
+    /** Returns a line for each problem of the rows. */
     static List<String> problems(List<CapacityRow> rows, Map<String, LinearFit> fits, DesignParameters design) {
         List<String> problems = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         for (CapacityRow row : rows) {
             if (row.id().isEmpty() || !ids.add(row.id())) {
-                problems.add("row '" + row.id() + "' (" + row.description() + ") has no name of its own");
+                problems.add("row '" + row.id() + "' (" + row.description() + ") has no unique id");
             }
             if (!ROLES.contains(row.role())) {
-                problems.add("row " + row.id() + " has no role: '" + row.role() + "'");
+                problems.add("row " + row.id() + " has an unknown role: '" + row.role() + "'");
             }
             if (row.events().isEmpty() || !EVENTS.containsAll(row.events())) {
-                problems.add("row " + row.id() + " has no event: " + row.events());
+                problems.add("row " + row.id() + " has no event or an unknown one: " + row.events());
             }
             if (!QUANTITIES.contains(row.quantity())) {
-                problems.add("row " + row.id() + " has no quantity: '" + row.quantity() + "'");
+                problems.add("row " + row.id() + " has an unknown quantity: '" + row.quantity() + "'");
             }
             problems.addAll(row.problems(fits, design));
         }
         return problems;
     }
 
-    /** Roles that lack a row for an event or a quantity. */
+    /** Returns a line for each role that has no row for an event or a quantity. */
     static List<String> gaps(List<CapacityRow> rows) {
         List<String> gaps = new ArrayList<>();
         for (String role : ROLES) {
--- a/src/test/java/gullspar/capacity/CapacityTest.java
+++ b/src/test/java/gullspar/capacity/CapacityTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** docs/CAPACITY.md says what the committed results say, and each of its rows is whole. */
+/** The tables of docs/CAPACITY.md match the committed results, and incomplete rows and results are rejected. */
 class CapacityTest {
     private static final Path SCALE = Path.of("bench/scale");
     private static final Path PAGE = Path.of("docs/CAPACITY.md"), ROADMAP = Path.of("docs/ROADMAP.md");
@@ -71,7 +71,7 @@
                 .getMessage();
     }
 
-    // ---- the page that is shipped ----
+    // ---- the committed page ----
 
     @Test
     void committedPageMatchesTheCommittedResults() throws IOException {
@@ -93,12 +93,12 @@
     @Test
     void everyCommittedSeriesNamesItsCommitAndDate() {
         Results.read(SCALE.resolve("results")).sources().values().forEach(s -> {
-            assertTrue(s.commit().matches("[0-9a-f]{7,}"), s.file() + " is of commit " + s.commit());
-            assertTrue(s.date().matches("20\\d\\d-\\d\\d-\\d\\d"), s.file() + " is of " + s.date());
+            assertTrue(s.commit().matches("[0-9a-f]{7,}"), s.file() + " has the commit " + s.commit());
+            assertTrue(s.date().matches("20\\d\\d-\\d\\d-\\d\\d"), s.file() + " has the date " + s.date());
         });
     }
 
-    // ---- planted faults ----
+    // ---- invalid inputs ----
 
     @Test
     void outdatedTablesAreReported() throws IOException {
@@ -107,7 +107,7 @@
         String filled = page.fillTables(empty, "page");
         assertEquals(List.of(), page.outdatedTables(filled, "page", List.of("limits")));
         assertEquals(
-                List.of("page: the table 'limits' is not what the results say; bench/scale/page.sh " + "writes it"),
+                List.of("page: the table 'limits' differs from the results; run bench/scale/page.sh"),
                 page.outdatedTables(filled.replace("990 backends", "980 backends"), "page", List.of("limits")));
         assertEquals(List.of("page lacks the table 'choice'"), page.outdatedTables(filled, "page", List.of("choice")));
         write("results/x.json", RESULTS.replace("10100", "20100"));
@@ -125,7 +125,7 @@
         assertEquals(once, page.fillTables(once, "p"));
         assertTrue(once.startsWith("a\n") && once.endsWith("\nb\n"), once);
         assertEquals(
-                "p: the table 'series' has no end",
+                "p: no end marker after the table 'series'",
                 assertThrows(
                                 CapacityException.class,
                                 () -> page.fillTables("<!-- written by bench/scale/page.sh: series -->\n", "p"))
@@ -137,18 +137,18 @@
             delimiter = '|',
             value = {
                 "limit = \"bytes\"|row list has no limit|",
-                "limit = \"bytes\"|row list has no limit: the letter has no hope|limit = \"hope\"",
-                "mechanism = \"the watch\"|row list has no mechanism, nor says that it is missing|",
+                "limit = \"bytes\"|row list has no limit: letter.toml has no such_limit|limit = \"such_limit\"",
+                "mechanism = \"the watch\"|row list names neither a mechanism nor a missing one|",
                 "terms = [{ series = \"list.bytes\", at = \"backends\" }]|row list has no source|",
-                "series = \"list.bytes\"|row list has no source: no results hold list.words|series = \"list.words\"",
-                "series = \"list.bytes\", at = \"backends\"|row list has no source: a number that is neither "
-                        + "measured, nor said to be assumed, nor exact|value = 3",
-                "role = \"control\"|row list has no role: ''|",
-                "events = [\"rest\"]|row list has no event: []|",
-                "events = [\"rest\"]|row list has no event: [storm]|events = [\"storm\"]",
-                "quantity = \"messages\"|row list has no quantity: ''|",
-                "along = \"backends\"|row list has no size to grow along: |",
-                "id = \"list\"|row '' (a whole list) has no name of its own|"
+                "series = \"list.bytes\"|row list has no source: no results contain list.words|series = \"list.words\"",
+                "series = \"list.bytes\", at = \"backends\"|row list has no source: its constant is neither "
+                        + "measured, nor marked as assumed or exact|value = 3",
+                "role = \"control\"|row list has an unknown role: ''|",
+                "events = [\"rest\"]|row list has no event or an unknown one: []|",
+                "events = [\"rest\"]|row list has no event or an unknown one: [storm]|events = [\"storm\"]",
+                "quantity = \"messages\"|row list has an unknown quantity: ''|",
+                "along = \"backends\"|row list has an unknown size to increase: |",
+                "id = \"list\"|row '' (a whole list) has no unique id|"
             })
     void incompleteRowsAreReported(String removed, String message, String replacement) throws IOException {
         write("rows.toml", ROW.replace(removed, replacement == null ? "" : replacement));
@@ -165,24 +165,24 @@
                                 .replace(
                                         "series = \"list.bytes\", at = \"backends\"",
                                         "value = 3, times = [\"backends\"]")
-                        + "assumed = \"a look\"\n");
+                        + "assumed = \"a trial\"\n");
         String mechanisms = new CapacityPage(folder).tables().get("choice");
         assertTrue(mechanisms.contains("| 1 | **changes** | 990 backends | 0.15 | a whole list |"), mechanisms);
         String role = new CapacityPage(folder).tables().get("role control");
-        assertTrue(role.contains("*assumed*; to be measured by a look"), role);
+        assertTrue(role.contains("*assumed*; to be measured by a trial"), role);
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "\"seeds\":[1],|x.json: no seeds|",
-                "\"commit\":\"abc1234\",|x.json: no commit|",
-                "\"cores\":8,|x.json: machine: no cores|",
-                "\"id\":\"list.bytes\",|x.json: series[0]: no id|",
-                "\"axis\":\"backends\",|x.json: series[0] (list.bytes): no axis|",
-                "{\"size\":6600,\"value\":66100}|x.json: series[0] (list.bytes): points[2]: size is no number|{}",
-                "\"value\":10100|x.json: series[0] (list.bytes): points[1]: value is no number|\"value\":\"many\"",
+                "\"seeds\":[1],|x.json: missing seeds|",
+                "\"commit\":\"abc1234\",|x.json: missing commit|",
+                "\"cores\":8,|x.json: machine: missing cores|",
+                "\"id\":\"list.bytes\",|x.json: series[0]: missing id|",
+                "\"axis\":\"backends\",|x.json: series[0] (list.bytes): missing axis|",
+                "{\"size\":6600,\"value\":66100}|x.json: series[0] (list.bytes): points[2]: size is not a number|{}",
+                "\"value\":10100|x.json: series[0] (list.bytes): points[1]: value is not a number|\"value\":\"many\"",
                 "\"held_out\":6600|x.json: series[0] (list.bytes): the held-out size 640 was not measured"
                         + "|\"held_out\":640"
             })
@@ -196,7 +196,7 @@
         write("results/y.json", RESULTS);
         assertEquals("y.json: list.bytes is in x.json too", rejection());
         write("results/y.json", RESULTS.substring(0, 150));
-        assertTrue(rejection().matches("(?s)y\\.json:\\d+: no JSON: Unexpected end-of-input.*"), rejection());
+        assertTrue(rejection().matches("(?s)y\\.json:\\d+: invalid JSON: Unexpected end-of-input.*"), rejection());
     }
 
     // ---- the fit ----
@@ -216,7 +216,7 @@
         assertEquals(33_100, fit.valueAt(3300), 1e-6);
     }
 
-    /** Anscombe's first quartet: slope 0.5001, its standard error 0.1179, intercept 3.0001. */
+    /** The first data set of Anscombe's quartet: slope 0.5001 with standard error 0.1179, intercept 3.0001. */
     @Test
     void slopeAndStandardErrorMatchAReferenceDataSet() throws IOException {
         double[] x = {10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5};
--- a/src/test/java/gullspar/capacity/ColdCount.java
+++ b/src/test/java/gullspar/capacity/ColdCount.java
@@ -23,9 +23,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Counts what all proxies together send to cold backends, in virtual time, by the real module: half of a
- * service's backends crash at once under the same load, however many proxies share it. Run by
- * {@code bench/scale/cold.sh}; not a test.
+ * Counts the requests that all proxies together send to cold backends after half of a service's backends
+ * crashed at once, in virtual time with the real module. The total load does not depend on the number of
+ * proxies. Run by {@code bench/scale/cold.sh}; not a test.
  */
 public final class ColdCount {
     private static final long MS = 1_000_000L, S = 1000 * MS;
@@ -45,7 +45,7 @@
         private int requests;
         private double utilization;
         private int served;
-        /** When it was sent something since it started, within the time in which it could fall. */
+        /** Times of sends since the start, within the last overload window. */
         private final Deque<Long> recentSends = new ArrayDeque<>();
 
         private double maxBudgetRatio;
@@ -60,7 +60,7 @@
                     : Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * Math.max(0, t - startNs) / COLD_START_NS);
         }
 
-        /** Counts a send against what may come in any span of that length. */
+        /** Compares the number of sends in the last overload window with the number allowed in it. */
         void recordSend() {
             if (startNs == 0 || capacityShare(now) >= 1) {
                 return;
@@ -248,7 +248,8 @@
                             1280,
                             proxyCount,
                             maxBudgetRatio);
-                    System.err.printf("  %d asked, %d sent, %d served%n", run.requested, run.sends, run.succeeded);
+                    System.err.printf(
+                            "  %d requests, %d attempts sent, %d succeeded%n", run.requested, run.sends, run.succeeded);
                 }
             }
         }
--- a/src/test/java/gullspar/capacity/ConnectionCount.java
+++ b/src/test/java/gullspar/capacity/ConnectionCount.java
@@ -21,15 +21,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Counts the connections of one proxy in virtual time, by the real module: open at the most, handshakes a
- * second, backends used, for one list of so many backends and for so many services of 21. A connection is
- * closed after its idle time, and the one idle longest where the descriptors are spent, as in the proxy. Run
- * by {@code bench/scale/connections.sh}; not a test.
+ * Counts the connections of one proxy in virtual time with the real module: the most that are open at once,
+ * handshakes per second and backends used, by the number of backends in one list and by the number of services
+ * with 21 backends each. As in the proxy, a connection is closed after its idle timeout, and the longest idle
+ * one when all descriptors are in use. Run by {@code bench/scale/connections.sh}; not a test.
  */
 public final class ConnectionCount {
     private static final int PROXIES = 640, SERVERS_PER_SERVICE = 21, RUN_S = 90, WARM_UP_S = 30;
     private static final long S = 1_000_000_000L, HEARTBEAT_NS = 50_000_000L, HEARTBEAT_TIMER = (1L << 32) + 1;
-    /** What the proxy keeps of the settings' 15 s; how long a handshake and an answer take. */
+    /** Idle timeout that the proxy derives from the settings' 15 s; duration of a handshake with its response. */
     private static final long IDLE_TIMEOUT_NS = 13_500_000_000L, RESPONSE_TIME_NS = 12_000_000L;
 
     private static final double REQUESTS_PER_S = 150_000.0 / PROXIES;
@@ -58,14 +58,14 @@
 
     private record PendingResponse(long timeNs, int instance, int ticket, int server, long latencyNs) {}
 
-    /** One proxy with so many instances of the module, each with so many servers in eight zones. */
+    /** A proxy with one or more instances of the module, the servers of each in eight zones. */
     private final class Proxy {
         private final int maxConnections;
         private final List<Policy> modules = new ArrayList<>();
         private final List<SendRecorder> recorders = new ArrayList<>();
         private final PriorityQueue<PendingResponse> pending =
                 new PriorityQueue<>((a, b) -> Long.compare(a.timeNs, b.timeNs));
-        /** Idle connections, the one idle longest first: which backend, since when. */
+        /** Server and start of the idle time of each idle connection, the longest idle one first. */
         private final Map<Long, long[]> idle = new LinkedHashMap<>();
 
         private final Map<Integer, List<Long>> idleByServer = new HashMap<>();
@@ -202,7 +202,7 @@
                                             0)));
         }
 
-        /** Backends that got a request in the last so many seconds. */
+        /** Returns the number of servers that got a request within the last {@code ns}. */
         long serversUsedWithin(long ns) {
             return lastUsedAt.values().stream().filter(t -> now - t <= ns).count();
         }
@@ -255,7 +255,7 @@
                 size,
                 limited.handshakes / (double) (RUN_S - WARM_UP_S));
         if (unlimited.notSent > 0) {
-            System.err.println(axis + " " + size + ": " + unlimited.notSent + " not sent at once");
+            System.err.println(axis + " " + size + ": " + unlimited.notSent + " requests not sent at once");
         }
     }
 }
--- a/src/test/java/gullspar/capacity/ControlCost.java
+++ b/src/test/java/gullspar/capacity/ControlCost.java
@@ -32,8 +32,8 @@
 import java.util.function.Supplier;
 
 /**
- * Measures what lists, changes of lists, settings and operators' files cost one proxy: bytes, processor time,
- * heap. Run by {@code bench/scale/control.sh}; not a test.
+ * Measures the bytes, processor time and heap that lists, list changes, settings and operators' files cost a
+ * proxy. Run by {@code bench/scale/control.sh}; not a test.
  */
 public final class ControlCost {
     private static final int[] BACKENDS = {100, 1000, 3000, 6600},
@@ -64,7 +64,7 @@
 
     // ---- lists ----
 
-    /** What a proxy keeps of its list: names and numbers, the module's servers, the backends' side. */
+    /** What a proxy keeps for its list: names and ids, the module's servers, and the connections to backends. */
     private final class ListState {
         private final Config config;
         private Discovery discovery;
@@ -80,7 +80,7 @@
             backends = new Backends(platform, new DescriptorLimits(1024).backends, config);
         }
 
-        /** As a list that comes: to the module and to the connections' side. */
+        /** Passes an update to the module and to the connections, as the proxy does. */
         ListState apply(ListUpdate update, ListKind kind) {
             now += 1_000_000;
             List<ListedServer> members =
@@ -180,7 +180,7 @@
         try {
             json.add(bytes);
             JsonNode value = json.next();
-            json.next(); // the end of the line
+            json.next(); // consumes the end of the line
             return value;
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/gullspar/capacity/CostMeter.java
+++ b/src/test/java/gullspar/capacity/CostMeter.java
@@ -5,15 +5,15 @@
 import java.util.Arrays;
 import java.util.function.Supplier;
 
-/** Processor time and allocation of the calling thread, and heap that is kept: no wall time anywhere. */
+/** Measures processor time and allocation of the calling thread, and retained heap; never wall-clock time. */
 final class CostMeter {
     private static final long WARM_UP_NS = 400_000_000L, ROUND_NS = 200_000_000L;
     private static final int ROUNDS = 5, COPIES = 5;
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    /** What a step has made last, so that nothing is left out as unused. */
+    /** The last result of a step, so that the compiler cannot eliminate the step as unused. */
     static volatile Object sink;
 
-    /** Of one step: processor time of each round in ns, bytes allocated. */
+    /** Cost of one step: its mean processor time in each round, and the bytes it allocates. */
     record Measurement(double[] cpuNs, double allocatedBytes) {}
 
     private CostMeter() {}
@@ -22,7 +22,7 @@
         return THREADS.getCurrentThreadCpuTime();
     }
 
-    /** Repeats a step until it is warm, and then in rounds. */
+    /** Repeats a step until it is warmed up, and then measures it in rounds. */
     static Measurement measure(Supplier<Object> step) {
         long warmUpStart = threadCpuNs();
         while (threadCpuNs() - warmUpStart < WARM_UP_NS) {
@@ -54,9 +54,8 @@
     }
 
     /**
-     * The heap that what is made keeps in use, in bytes: what is freed when some that are kept side by side
-     * are
-     * let go. What making leaves behind elsewhere does not count.
+     * Returns the bytes of heap that one created object retains, measured as the heap that is freed when
+     * several of them are released. What their creation leaves elsewhere does not count.
      */
     static long retainedHeap(Supplier<Object> factory) {
         Object[] copies = new Object[COPIES];
@@ -64,7 +63,7 @@
         for (int i = 0; i < COPIES; i++) {
             copies[i] = factory.get();
         }
-        factory.get(); // what the last one leaves on its way out is not of those that are kept
+        factory.get(); // anything that the last creation leaves elsewhere then belongs to none of the copies
         long before = usedHeap();
         Arrays.fill(copies, null);
         long after = usedHeap();
--- a/src/test/java/gullspar/capacity/DesignParameters.java
+++ b/src/test/java/gullspar/capacity/DesignParameters.java
@@ -8,7 +8,7 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
 
-/** The sizes and limits that the design is held to, by name. */
+/** The sizes and limits that the design has to meet, by name. */
 final class DesignParameters {
     /** One size or limit. */
     record Parameter(double value, String unit, String description) {}
@@ -29,7 +29,7 @@
                 Object value = parameter.get("value");
                 String description = parameter.getString("what");
                 if (!(value instanceof Number number) || description == null) {
-                    throw new CapacityException(file.getFileName() + ": " + key + " lacks value or what");
+                    throw new CapacityException(file.getFileName() + ": " + key + " has no value or no what");
                 }
                 all.put(key, new Parameter(number.doubleValue(), parameter.getString("unit", () -> ""), description));
             }
@@ -70,7 +70,7 @@
         return get(name).value();
     }
 
-    /** The same with another size of one thing. */
+    /** Returns a copy with another value of one parameter. */
     DesignParameters with(String name, double value) {
         Parameter current = get(name);
         Map<String, Parameter> changed = new LinkedHashMap<>(all);
--- a/src/test/java/gullspar/capacity/GeneratedInputs.java
+++ b/src/test/java/gullspar/capacity/GeneratedInputs.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Lists, settings and operators' files of any size, in the forms that a proxy reads. */
+/** Generates lists, settings and operators' files of any size, in the formats that a proxy reads. */
 final class GeneratedInputs {
     static final List<String> KINDS = List.of("fast-1c", "mid-1c", "slow-2c");
     static final List<String> ZONES =
@@ -20,7 +20,7 @@
 
     private GeneratedInputs() {}
 
-    /** The entry of one backend, with a weight as live ones are. */
+    /** Returns the list entry of one backend; the weight has as many digits as in live lists. */
     static String listEntry(int backend, double weight, String lifecycle) {
         return String.format(
                 Locale.ROOT,
@@ -39,7 +39,7 @@
                 1764646553000L + backend);
     }
 
-    /** A whole list, or the changes of some backends. */
+    /** Returns a line of discovery: a full list, or changes of some backends. */
     static byte[] list(int backends, boolean full, long generation, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         return ("{\"generation\":" + generation + ",\"reset\":" + full + ",\"instances\":["
@@ -50,7 +50,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The configuration of one of so many proxies, with so many tenants, and a list that is known. */
+    /** Returns the configuration of one proxy of a fleet, with a number of tenants and an initial list. */
     static byte[] settings(int proxies, int tenants, String initialList) {
         return ("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
@@ -95,8 +95,8 @@
     }
 
     /**
-     * An operators' file of so many routes: ten a host, of which one is a regular expression; a pool for each
-     * eight routes, as 310 services are to 2,400 routes, with the servers declared or from discovery.
+     * Returns an operators' file with ten routes per host, one of them a regular expression, and one pool for
+     * about eight routes (310 services have 2,400 routes). With no servers, the pools use discovery.
      */
     static String routesFile(int routes, int servers, String listener, String marker) {
         int pools = Math.max(1, routes * 310 / 2400);
--- a/src/test/java/gullspar/capacity/LinearFit.java
+++ b/src/test/java/gullspar/capacity/LinearFit.java
@@ -4,11 +4,11 @@
 import java.util.stream.Collectors;
 
 /**
- * A line through the points of a series by least squares. Where a held-out size is not foretold within a
- * quarter the series counts as not linear, and what was measured is joined by straight pieces instead.
+ * A least-squares line through the points of a series. If its prediction for the held-out size is off by more
+ * than a quarter, the series counts as not linear, and values are interpolated between the measured sizes.
  *
- * @param slopeStandardError the standard error of the slope; NaN where two sizes or fewer leave nothing to tell it by
- * @param predicted what the line says of the held-out size; NaN if none is held out
+ * @param slopeStandardError the standard error of the slope; NaN with two points or fewer
+ * @param predicted the value of the line at the held-out size; NaN if none is held out
  */
 record LinearFit(
         Series series,
@@ -17,7 +17,7 @@
         double slopeStandardError,
         double predicted,
         boolean isConstant) {
-    /** A held-out size has to be foretold so well. */
+    /** Largest error of the prediction, as a fraction of the measured value, for a linear series. */
     static final double MAX_RELATIVE_ERROR = 0.25;
 
     static LinearFit of(Series s) {
@@ -52,17 +52,17 @@
                 false);
     }
 
-    /** How far the line is from what was measured at the held-out size, as a part of that; NaN for none. */
+    /** Returns the error of the prediction as a fraction of the measured median; NaN without a prediction. */
     double relativeError() {
         return (predicted - series.medianAt(series.heldOut())) / Math.abs(series.medianAt(series.heldOut()));
     }
 
-    /** Is the held-out size foretold? True where none is held out; two sizes foretell nothing. */
+    /** Returns whether the prediction holds; true if no size is held out, false if two sizes allow no prediction. */
     boolean isLinear() {
         return isConstant || series.heldOut() == 0 || Math.abs(relativeError()) <= MAX_RELATIVE_ERROR;
     }
 
-    /** The value at a size: by the line, or between the sizes that were measured. */
+    /** Returns the value of the line, or, if the series is not linear, one interpolated from the measured sizes. */
     double valueAt(double size) {
         if (isConstant) {
             return intercept;
@@ -81,7 +81,7 @@
         return series.medianAt(from) + (series.medianAt(to) - series.medianAt(from)) * (size - from) / (to - from);
     }
 
-    /** Is that size beyond all that were measured? */
+    /** Returns whether the size is larger than all measured ones. */
     boolean isExtrapolated(double size) {
         return !isConstant && size > series.sizes().get(series.sizes().size() - 1) * 1.001;
     }
--- a/src/test/java/gullspar/capacity/ModuleCost.java
+++ b/src/test/java/gullspar/capacity/ModuleCost.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 
 /**
- * Measures the decision module alone: a request from its coming to its answer by the number of ready servers,
- * its state, and many instances in one process. Run by {@code bench/scale/module.sh}; not a test.
+ * Measures the decision module alone: the cost of a request and its response by the number of ready servers,
+ * the heap of an instance, and many instances in one process. Run by {@code bench/scale/module.sh}; not a test.
  */
 public final class ModuleCost {
     private static final int[] SERVERS = {21, 100, 600, 2000, 6600}, INSTANCES = {10, 100, 310};
     private static final int PROXIES = 640, SERVERS_PER_SERVICE = 21;
-    /** A request each so often at one proxy of 640, of 150,000 a second; how long an answer takes. */
+    /** The request interval is that of one of 640 proxies that share 150,000 requests per second. */
     private static final long REQUEST_INTERVAL_NS = 4_270_000, HEARTBEAT_NS = 50_000_000, RESPONSE_TIME_NS = 10_000_000;
 
     private static final long HEARTBEAT_TIMER = (1L << 32) + 1;
@@ -43,7 +43,7 @@
         measurement.results.write(Path.of(args[0]));
     }
 
-    /** One instance with its servers, in a time of its own. */
+    /** An instance of the module with its servers and its own virtual time. */
     private static final class Instance {
         private final SendRecorder actions = new SendRecorder();
         private final Policy module;
@@ -62,7 +62,7 @@
             module.onServerList(now, ListKind.FULL, 1, list);
         }
 
-        /** A request, and its answer with a load report. */
+        /** Handles a request and its response with a load report. */
         Object request() {
             now += REQUEST_INTERVAL_NS;
             heartbeat();
@@ -102,7 +102,7 @@
         CostMeter.Measurement cost = CostMeter.measure(instance::request);
         if (instance.actions.sends < instance.lastTicket) {
             throw new IllegalStateException(
-                    "of " + instance.lastTicket + " requests " + instance.actions.sends + " sent");
+                    "of " + instance.lastTicket + " requests, only " + instance.actions.sends + " were sent");
         }
         String zoneText = zones == 1 ? "one zone" : zones + " zones";
         String id = zones == 1 ? "module.request" : "module.request.zones";
--- a/src/test/java/gullspar/capacity/NumberFormatter.java
+++ b/src/test/java/gullspar/capacity/NumberFormatter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Numbers for people: three digits, thousands set apart, units as large as they fit. */
+/** Formats numbers with three significant digits, thousands separators and the largest unit that fits. */
 final class NumberFormatter {
     private static final String[] TIME_UNITS = {"ns", "µs", "ms", "s"}, BYTE_UNITS = {"B", "kB", "MB", "GB"};
 
@@ -46,7 +46,7 @@
                 + (unit.isEmpty() ? "" : " " + units[prefix] + (isRate ? "/s" : ""));
     }
 
-    /** As a part of something: 0.0012, 0.31, 3.2. */
+    /** Formats a ratio, such as 0.0012, 0.31 or 3.2. */
     static String ratio(double ratio) {
         return Double.isInfinite(ratio) ? "never" : ratio > 1000 ? "over 1,000" : number(ratio);
     }
--- a/src/test/java/gullspar/capacity/ReloadTime.java
+++ b/src/test/java/gullspar/capacity/ReloadTime.java
@@ -16,10 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures a change of an operators' file in one real process: from SIGHUP until a request finds the new
- * file,
- * its processor time by the system's accounts, and the longest answer meanwhile. Run by
- * {@code bench/scale/reload.sh}; not a test.
+ * Measures reloads of an operators' file in a real process: the time from SIGHUP until a request is served
+ * from the new file, the processor time of the process as the kernel accounts it, and the longest response time
+ * meanwhile. Run by {@code bench/scale/reload.sh}; not a test.
  */
 public final class ReloadTime {
     private static final int[] ROUTES = {60, 240, 800, 2400};
@@ -66,7 +65,7 @@
                 .redirectOutput(folder.resolve("log").toFile());
     }
 
-    /** The smallest heap with which a file can be read at all, in steps of some MB. */
+    /** Finds the smallest heap with which the file can be read, by bisection in steps of a few MB. */
     private void measureMinHeap(int routes, String flags) throws Exception {
         writeFile(routes, "mark-0");
         int sufficient = 320 / HEAP_STEP_MB;
@@ -125,7 +124,7 @@
         double longest = awaitMarker("mark-" + reload);
         double elapsed = (System.nanoTime() - start) / 1e9;
         TimeUnit.MILLISECONDS.sleep(100);
-        // The first changes of a process find its code cold.
+        // The first reload of a process runs code that is not compiled yet.
         String prefix = reload == 1 ? "reload.first" : "reload";
         String which = reload == 1 ? "the first change of a process" : "a change";
         addPoint(prefix + ".time", "from SIGHUP until the new file is in force, " + which, "s", routes, elapsed);
@@ -143,7 +142,7 @@
                 id, description, unit, "routes", Map.of("servers_a_pool", SERVERS_PER_POOL), 2400, routes, value);
     }
 
-    /** Asks until the answer is that; the longest time that one took, in ns. */
+    /** Sends requests until a response ends with the marker; returns the longest earlier response time in ns. */
     private double awaitMarker(String marker) throws Exception {
         long start = System.nanoTime();
         double longest = 0;
@@ -156,8 +155,8 @@
             longest = response.isEmpty() ? longest : Math.max(longest, System.nanoTime() - requestStart);
             TimeUnit.MILLISECONDS.sleep(2);
         }
-        throw new IOException(
-                "no '" + marker + "' within " + TIMEOUT_MS + " ms: " + Files.readString(folder.resolve("log")));
+        throw new IOException("no response with '" + marker + "' within " + TIMEOUT_MS + " ms: "
+                + Files.readString(folder.resolve("log")));
     }
 
     private String request() {
@@ -174,7 +173,7 @@
         }
     }
 
-    /** Processor time of the process, threads that have ended included: ticks of 10 ms, in ns. */
+    /** Returns the processor time of the process in ns, ended threads included; resolution is a tick of 10 ms. */
     private static long processCpuNs(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
--- a/src/test/java/gullspar/capacity/Results.java
+++ b/src/test/java/gullspar/capacity/Results.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Reads all files of results in a folder; each fault is told with file and place. */
+/** Reads all result files of a folder; each error names the file and the place in it. */
 final class Results {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -47,7 +47,7 @@
             addSeries(name, root);
         } catch (JsonProcessingException e) {
             throw new CapacityException(
-                    name + ":" + e.getLocation().getLineNr() + ": no JSON: " + e.getOriginalMessage());
+                    name + ":" + e.getLocation().getLineNr() + ": invalid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new CapacityException(name + " cannot be read: " + e.getMessage());
         }
@@ -58,10 +58,10 @@
         List<String> seeds = new ArrayList<>();
         root.path("seeds").forEach(s -> seeds.add(s.asText()));
         if (!machine.isObject()) {
-            throw new CapacityException(name + ": no machine");
+            throw new CapacityException(name + ": missing machine");
         }
         if (!root.path("seeds").isArray()) {
-            throw new CapacityException(name + ": no seeds");
+            throw new CapacityException(name + ": missing seeds");
         }
         Series.Source source = new Series.Source(
                 name,
@@ -71,7 +71,7 @@
                 describeMachine(name, machine),
                 String.join(", ", seeds));
         if (!root.path("series").isArray()) {
-            throw new CapacityException(name + ": no series");
+            throw new CapacityException(name + ": missing series");
         }
         int i = 0;
         for (JsonNode s : root.path("series")) {
@@ -95,7 +95,7 @@
         String place = where + " (" + id + ")";
         List<Series.Point> points = new ArrayList<>();
         if (!s.path("points").isArray() || s.path("points").isEmpty()) {
-            throw new CapacityException(place + ": no points");
+            throw new CapacityException(place + ": missing points");
         }
         for (JsonNode p : s.path("points")) {
             points.add(new Series.Point(
@@ -125,19 +125,19 @@
     private static String text(String where, JsonNode n, String key) {
         String value = n.path(key).asText("");
         if (value.isEmpty()) {
-            throw new CapacityException(where + ": no " + key);
+            throw new CapacityException(where + ": missing " + key);
         }
         return value;
     }
 
     private static double number(String where, JsonNode n, String key) {
         if (!n.path(key).isNumber() || !Double.isFinite(n.path(key).asDouble())) {
-            throw new CapacityException(where + ": " + key + " is no number");
+            throw new CapacityException(where + ": " + key + " is not a number");
         }
         return n.path(key).asDouble();
     }
 
-    /** The files, in order, with what each one is. */
+    /** Returns the source of the results in each file, by file name. */
     Map<String, Series.Source> sources() {
         return series.values().stream()
                 .map(Series::source)
--- a/src/test/java/gullspar/capacity/ResultsWriter.java
+++ b/src/test/java/gullspar/capacity/ResultsWriter.java
@@ -16,14 +16,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Writes one file of results: what was measured, on which machine, of which commit. */
+/** Writes a file of measured results with the machine and the commit that they were measured on. */
 public final class ResultsWriter {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private final ObjectNode root = JSON.createObjectNode();
     private final Map<String, ObjectNode> series = new LinkedHashMap<>();
 
-    /** What a script gives, with the seeds that it drew by. */
+    /** Starts the results of a script that runs with the given seeds. */
     public ResultsWriter(String script, List<Integer> seeds) {
         root.put("script", script);
         root.put("date", LocalDate.now(ZoneOffset.UTC).toString());
@@ -39,12 +39,12 @@
         seeds.forEach(drawn::add);
     }
 
-    /** What a file holds already, so that further sizes come beside it; of the same machine and commit. */
+    /** Adds the series of an existing file, so that more sizes can be added; machine and commit must be the same. */
     public ResultsWriter withExisting(Path file) throws IOException {
         JsonNode existing = JSON.readTree(Files.readString(file));
         for (String key : new String[] {"machine", "commit"}) {
             if (!existing.path(key).equals(JSON.readTree(root.get(key).toString()))) {
-                throw new IOException(file + " is of another " + key);
+                throw new IOException(file + " was measured on another " + key);
             }
         }
         root.put(
@@ -69,7 +69,11 @@
         }
     }
 
-    /** One point of a series; the first names the series. heldOut: the size to foretell, 0 for none. */
+    /**
+     * Adds one point to a series; the first point defines the series.
+     *
+     * @param heldOut the size that is excluded from the fit and predicted by it, 0 for none
+     */
     public ResultsWriter addPoint(
             String id,
             String description,
@@ -95,12 +99,12 @@
         return this;
     }
 
-    /** Five digits are more than any of this is worth. */
+    /** Rounds to five digits, which exceeds the precision of all measurements here. */
     private static double rounded(double value) {
         return value == 0 ? 0 : Double.parseDouble(String.format(java.util.Locale.ROOT, "%.5g", value));
     }
 
-    /** So far; a later call writes all again. */
+    /** Writes all points added so far; a later call writes the whole file again. */
     public void write(Path file) throws IOException {
         ArrayNode all = JSON.createArrayNode();
         series.values().forEach(all::add);
@@ -109,7 +113,7 @@
         Files.writeString(file, JSON.writeValueAsString(root) + "\n");
     }
 
-    /** What has been measured so far. */
+    /** Returns the ids of the series with points so far. */
     public Set<String> seriesIds() {
         return series.keySet();
     }
--- a/src/test/java/gullspar/capacity/SendRecorder.java
+++ b/src/test/java/gullspar/capacity/SendRecorder.java
@@ -2,7 +2,7 @@
 
 import gullspar.decide.Balancer;
 
-/** Takes what the module does and keeps the last send. */
+/** Ignores the module's actions apart from counting sends and refusals and keeping the last server. */
 final class SendRecorder implements Balancer.Actions {
     int lastServer;
     int sends;
--- a/src/test/java/gullspar/capacity/Series.java
+++ b/src/test/java/gullspar/capacity/Series.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * What was measured at some sizes of one axis, all else fixed.
+ * Values measured at several sizes along one axis, with everything else fixed.
  *
- * @param heldOut the size that is left out of the fit, which the slope has to foretell; 0 for none
+ * @param heldOut the size that is excluded from the fit and predicted by it; 0 for none
  */
 record Series(
         String id,
@@ -17,10 +17,10 @@
         List<Point> points,
         double heldOut,
         Source source) {
-    /** One run at one size. */
+    /** The value of one run at one size. */
     record Point(double size, double value) {}
 
-    /** Where it comes from. */
+    /** The file, script and circumstances of a measurement. */
     record Source(String file, String script, String date, String commit, String machine, String seeds) {}
 
     Series {
@@ -28,12 +28,12 @@
         points = List.copyOf(points);
     }
 
-    /** The sizes that were measured, the smallest first. */
+    /** Returns the measured sizes in ascending order. */
     List<Double> sizes() {
         return points.stream().map(Point::size).distinct().sorted().toList();
     }
 
-    /** The median of what was measured at a size. */
+    /** Returns the median of the runs at a size. */
     double medianAt(double size) {
         double[] values = points.stream()
                 .filter(p -> p.size() == size)
@@ -45,7 +45,7 @@
                 : (values[values.length / 2 - 1] + values[values.length / 2]) / 2;
     }
 
-    /** The largest distance of a run from the median of its size, as a part of that; 0 for a single run. */
+    /** Returns the largest deviation of a run from the median at its size, as a fraction; 0 with single runs. */
     double spread() {
         return points.stream()
                 .mapToDouble(p -> Math.abs(p.value() - medianAt(p.size()))
